--- a/internal/coordination/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"claybarrow/internal/clusterstate"
 	"claybarrow/internal/emulator"
-	"claybarrow/internal/ledger"
 	"claybarrow/internal/protocol"
 )
 
@@ -36,10 +36,10 @@
 	}
 	o := &gangless{w: w, node: 2, token: counter.Token + 1}
 	w.state.Change(keyCounter, &emulator.Item{Value: protocol.Encode(counterRecord{Token: o.token})})
-	w.state.Change(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: o.token, Lease: 1 << 30})})
+	w.state.Change(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: o.token, LeaseID: 1 << 30})})
 	w.nodes[o.node].scripted = func(req Request) Reply {
-		if req.Op == OpReport {
-			return Reply{Status: 200, Body: protocol.Encode(protocol.ReportReply{Token: o.token})}
+		if req.Op == OpWorkerHeartbeat {
+			return Reply{Status: 200, Body: protocol.Encode(protocol.WorkerHeartbeatReply{Token: o.token})}
 		}
 		return Reply{Status: 503, RetryAfter: 1}
 	}
@@ -59,7 +59,7 @@
 
 // command sends orders to a machine; false: they were refused.
 func (o *gangless) command(k *emulator.Worker, orders ...protocol.Command) bool {
-	body := protocol.Commands{Token: o.token, Session: k.Session, Commands: orders}
+	body := protocol.Commands{Token: o.token, Epoch: k.Session, Commands: orders}
 	taken := false
 	k.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == 200 })
 	return taken
@@ -70,25 +70,25 @@
 	o.w.t.Helper()
 	o.tries++
 	try := o.token<<24 | o.tries
-	o.amend(k, func(rec *ledger.MachineRecord) {
-		rec.Attempts = append(rec.Attempts, ledger.AttemptEntry{Job: uid, Index: index, Try: try})
+	o.amend(k, func(rec *clusterstate.MachineRecord) {
+		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Number: try})
 	})
-	if !o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: ledger.Task(uid, index), Attempt: try}) {
+	if !o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
 		o.w.t.Fatal("a run was refused")
 	}
 }
 
 // forgets takes all attempts of a job out of a machine's record.
 func (o *gangless) forgets(k *emulator.Worker, uid string) {
-	o.amend(k, func(rec *ledger.MachineRecord) {
-		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(e ledger.AttemptEntry) bool { return e.Job == uid })
+	o.amend(k, func(rec *clusterstate.MachineRecord) {
+		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == uid })
 	})
 }
 
-func (o *gangless) amend(k *emulator.Worker, change func(*ledger.MachineRecord)) {
+func (o *gangless) amend(k *emulator.Worker, change func(*clusterstate.MachineRecord)) {
 	o.w.t.Helper()
-	key := ledger.MachinePrefix + k.ID
-	var rec ledger.MachineRecord
+	key := clusterstate.MachinePrefix + k.ID
+	var rec clusterstate.MachineRecord
 	if it := o.w.state.Item(key); it == nil || protocol.Decode(it.Value, &rec) != nil {
 		o.w.t.Fatalf("no record of %s", k.ID)
 	}
@@ -97,10 +97,10 @@
 }
 
 // tasksOf lists the tasks of a job on a machine, by name and number.
-func tasksOf(k *emulator.Worker, uid string) (out []ledger.Key) {
+func tasksOf(k *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
 	for name, t := range k.Tasks {
 		if task, _, _ := strings.Cut(name, "@"); t.UID == uid {
-			out = append(out, ledger.Key{Task: task, Try: t.Try})
+			out = append(out, clusterstate.AttemptKey{Task: task, Attempt: t.Try})
 		}
 	}
 	slices.SortFunc(out, compareKeys)
@@ -147,7 +147,7 @@
 	w.pulls = nil
 	other := w.holding("j-1")[0]
 	for _, key := range tasks {
-		_, index, _ := ledger.ParseTask(key.Task)
+		_, index, _ := clusterstate.ParseTask(key.Task)
 		o.starts(other, "j-1", index)
 	}
 	w.run(5 * second)
@@ -170,7 +170,7 @@
 	o := w.olderLeads()
 	k := w.holding("j-1")[0]
 	for _, key := range tasksOf(k, "j-1") {
-		o.command(k, protocol.Command{Verb: protocol.VerbHalt, Task: key.Task, Attempt: key.Try, GraceS: 2})
+		o.command(k, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
 	}
 	w.run(time.Second)
 	o.ends()
@@ -190,7 +190,7 @@
 	w.run(8 * second)
 	o := w.olderLeads()
 	w.until(10*second, "it is done", func() bool { return w.finished["j-1/0"] })
-	books := ledger.New(16<<10, 16<<10)
+	books := clusterstate.New(16<<10, 16<<10)
 	j := books.AddJob(&protocol.Spec{UID: "j-1", Tasks: 4}, 1)
 	stored := 0
 	for _, k := range w.fleet() {
@@ -203,12 +203,12 @@
 			continue
 		}
 		for _, key := range keys {
-			_, index, _ := ledger.ParseTask(key.Task)
+			_, index, _ := clusterstate.ParseTask(key.Task)
 			j.MarkDone(index)
 			stored++
-			o.command(k, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Try})
+			o.command(k, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
-		w.state.Change(books.DoneKey(j, 0), &emulator.Item{Value: protocol.Encode(books.DoneChunk(j, 0))})
+		w.state.Change(books.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(books.CompletionRecord(j, 0))})
 		o.forgets(k, "j-1")
 	}
 	if stored == 0 || stored == 4 {
@@ -240,12 +240,12 @@
 		w.until(30*second, "it is on machines", func() bool { return len(w.holding("j-1")) > 1 })
 		w.run(3 * second)
 		o := w.olderLeads()
-		key := ledger.JobPrefix + "j-1"
-		var rec ledger.JobRecord
+		key := clusterstate.JobPrefix + "j-1"
+		var rec clusterstate.JobRecord
 		if err := protocol.Decode(w.state.Item(key).Value, &rec); err != nil {
 			t.Fatal(err)
 		}
-		rec.State, rec.Spec.Gang = ledger.Cancelling, false
+		rec.State, rec.Spec.Gang = clusterstate.Cancelling, false
 		w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
 		w.cancelRequested["j-1"] = true
 		o.ends()
--- a/internal/coordination/world_test.go
+++ b/internal/controller/world_test.go
@@ -1,4 +1,4 @@
-package coordination
+package controller
 
 import (
 	"fmt"
@@ -62,7 +62,7 @@
 	// fails says whether a task fails as soon as it begins; failures counts those that did.
 	fails    func(k *emulator.Worker, uid string) bool
 	failures int
-	// reportWait is how long a worker waits for the answer to a report.
+	// heartbeatTimeout is how long a worker waits for the answer to a report.
 	reportWait time.Duration
 	// off are the addresses that take no connections.
 	off map[string]bool
@@ -71,7 +71,7 @@
 }
 
 type simNode struct {
-	core  *Core
+	core  *Controller
 	alive bool
 	life  int
 	born  time.Duration // the steady clock of a process starts with it
@@ -204,8 +204,8 @@
 	}
 	steady := time.Duration(float64(w.Now()-n.born) * (1 + n.drift))
 	effects := n.core.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
-	if r := n.core.term; r != nil && r.ready {
-		w.checkStanding(r)
+	if l := n.core.leadership; l != nil && l.ready {
+		w.checkStanding(l)
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -258,7 +258,7 @@
 		if w.nodes[i].withoutGate {
 			body = olderAnswer(c, body)
 		}
-		w.feed(i, Result{ID: c.ID, Status: status, Body: body, NoConn: status == 0 && w.off[c.Addr]})
+		w.feed(i, Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: status == 0 && w.off[c.Addr]})
 	}
 	if w.nodes[i].withoutGate {
 		c = olderCall(c)
@@ -272,7 +272,7 @@
 		w.at(latency, func() {
 			if !answered && w.nodes[i].life == life && w.nodes[i].alive {
 				answered = true
-				w.feed(i, Result{ID: c.ID, NoConn: true})
+				w.feed(i, Result{ID: c.ID, ConnectionFailed: true})
 			}
 		})
 		return
@@ -304,7 +304,7 @@
 						}
 						continue
 					}
-					op := map[string]Op{"/relay": OpRelay, "/heartbeat": OpHeartbeat, "/forward": OpForward, probePath: OpProbe}[c.Path]
+					op := map[string]Op{"/relay": OpRelay, "/heartbeat": OpPeerHeartbeat, "/forward": OpForwardedHeartbeat, probePath: OpProbe}[c.Path]
 					w.ask(k, Request{Op: op, Body: c.Body}, func(r Reply) {
 						if r.Status == 0 {
 							return
@@ -322,7 +322,7 @@
 
 func (w *world) leader() int {
 	for i, n := range w.nodes {
-		if n.alive && n.core.term != nil && n.core.term.ready && n.core.term.certain() {
+		if n.alive && n.core.leadership != nil && n.core.leadership.ready && n.core.leadership.holdsLease() {
 			return i
 		}
 	}
@@ -330,7 +330,7 @@
 }
 
 // term is the leader's.
-func (w *world) term() *term { return w.nodes[w.awaitLeader()].core.term }
+func (w *world) term() *leadership { return w.nodes[w.awaitLeader()].core.leadership }
 
 func (w *world) awaitLeader() int {
 	w.t.Helper()
@@ -350,7 +350,7 @@
 }
 
 // user sends one request and notes what was told.
-func (w *world) user(node int, op Op, uid string, then func(int, protocol.Standing)) {
+func (w *world) user(node int, op Op, uid string, then func(int, protocol.JobStatus)) {
 	req := Request{Op: op, UID: uid}
 	if op == OpSubmit {
 		req.Body = protocol.Encode(w.specs[uid])
@@ -360,7 +360,7 @@
 	}
 	sent := w.Now()
 	w.ask(node, req, func(r Reply) {
-		var s protocol.Standing
+		var s protocol.JobStatus
 		if r.Status == 200 || r.Status == 201 {
 			if err := protocol.Decode(r.Body, &s); err != nil {
 				w.breaks("an answer can't be read: %v", err)
@@ -384,7 +384,7 @@
 // tell takes what a user was told in answer to a request that was sent at a time. A question that
 // was under way while the user was told something may be answered with what held before: the
 // leader answered it first, and its answer went a longer way.
-func (w *world) tell(uid string, s protocol.Standing, sent time.Duration) {
+func (w *world) tell(uid string, s protocol.JobStatus, sent time.Duration) {
 	before := w.told[uid]
 	if s.State != before && sent < w.toldAt[uid] {
 		return
@@ -413,12 +413,12 @@
 }
 
 // persist repeats a request at the nodes in turn, as users do.
-func (w *world) persist(op Op, uid string, ok func(int, protocol.Standing) bool) {
+func (w *world) persist(op Op, uid string, ok func(int, protocol.JobStatus) bool) {
 	node := 0
 	var again func()
 	again = func() {
 		node++
-		w.user(node%len(w.nodes), op, uid, func(status int, s protocol.Standing) {
+		w.user(node%len(w.nodes), op, uid, func(status int, s protocol.JobStatus) {
 			if !ok(status, s) {
 				w.at(time.Second, again)
 			}
@@ -429,11 +429,11 @@
 
 func (w *world) submit(uid string, change map[string]any) {
 	w.spec(uid, change)
-	w.persist(OpSubmit, uid, func(s int, _ protocol.Standing) bool { return s == 200 || s == 201 })
+	w.persist(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == 200 || s == 201 })
 }
 
 func (w *world) cancel(uid string) {
-	w.persist(OpCancel, uid, func(s int, _ protocol.Standing) bool { return s == 200 })
+	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == 200 })
 }
 
 func (w *world) awaitTold(limit time.Duration, uid string, state protocol.JobState) {
--- a/internal/coordination/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -1,10 +1,10 @@
-package coordination
+package controller
 
 import (
 	"fmt"
 	"testing"
 
-	"claybarrow/internal/ledger"
+	"claybarrow/internal/clusterstate"
 	"claybarrow/internal/protocol"
 )
 
@@ -12,27 +12,27 @@
 // machine that has one of these to be written.
 func TestReplicasStartBeforeAnArray(t *testing.T) {
 	w := newWorld(t, 96)
-	r := w.term()
-	add := func(uid string, service bool, tasks int) *ledger.Job {
-		j := r.AddJob(&protocol.Spec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, r.c.wall)
+	l := w.term()
+	add := func(uid string, service bool, tasks int) *clusterstate.Job {
+		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, l.controller.wall)
 		j.Stored = true
 		return j
 	}
 	array, service := add("j-1", false, 100), add("j-2", true, 2)
 	for i := range 100 {
-		m := r.AddMachine(fmt.Sprintf("i-9%05d", i))
-		m.Type, m.Zone, m.Size = "m8", "a", r.sizeOf("m8")
-		r.start(array, i, m, r.nextTry())
+		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
+		m.Type, m.Zone, m.Size = "m8", "a", l.machineSize("m8")
+		l.startTask(array, i, m, l.nextAttemptNumber())
 	}
 	for i, id := range []string{"i-900099", "i-900098"} {
-		r.start(service, i, r.Machines[id], r.nextTry())
+		l.startTask(service, i, l.state.Machines[id], l.nextAttemptNumber())
 	}
-	txn := r.records.Compose()
+	txn := l.store.Compose()
 	if txn == nil || len(txn.Puts) < 2 {
 		t.Fatal("no transaction")
 	}
 	for i, id := range []string{"i-900099", "i-900098"} {
-		if got := txn.Puts[i]; got != ledger.MachinePrefix+id {
+		if got := txn.Puts[i]; got != clusterstate.MachinePrefix+id {
 			t.Errorf("write %d is %s, not that of %s", i, got, id)
 		}
 	}
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -134,7 +134,7 @@
 }
 
 func (c *Cloud) rent(body []byte) (int, []byte) {
-	var request protocol.Rent
+	var request protocol.LaunchRequest
 	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 || request.Count > mostRented {
 		c.wrong("a rental can't be read or asks for too many")
 		return 400, nil
@@ -155,7 +155,7 @@
 			c.agenda.After(c.BootTime(m.Type), func() { m.Up = true })
 		}
 	}
-	return 200, protocol.Encode(protocol.Rented{Machines: c.answers[request.Request]})
+	return 200, protocol.Encode(protocol.MachineNames{Machines: c.answers[request.Request]})
 }
 
 func (c *Cloud) list(values url.Values) protocol.MachineList {
@@ -189,7 +189,7 @@
 }
 
 func (c *Cloud) deleteMachines(body []byte) (int, []byte) {
-	var request protocol.Rented
+	var request protocol.MachineNames
 	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > mostDeleted {
 		c.wrong("a deletion can't be read or names too many")
 		return 400, nil
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -83,7 +83,7 @@
 	f.FetchTime, f.RefuseUnfit, f.Controllers = FetchImage, true, 1
 	f.Carrier = func(_ *Worker, _ int, _ []byte, answer Reply) {
 		agenda.After(time.Millisecond, func() {
-			answer(200, protocol.Encode(protocol.ReportReply{Token: 1, Commands: []protocol.Command{}}))
+			answer(200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: 1, Commands: []protocol.Command{}}))
 		})
 	}
 	k := f.Add("i-1", "", "m", "a", false)
@@ -96,7 +96,7 @@
 	}
 	first, second := run("j-1", "x", 4, 1), run("j-2", "x", 4, 1)
 	agenda.RunUntil(3 * time.Second)
-	if first.State != protocol.Pulling {
+	if first.State != protocol.FetchingImage {
 		t.Error("it runs before its image is there")
 	}
 	agenda.RunUntil(5 * time.Second)
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -46,11 +46,11 @@
 // there.
 func (k *Worker) gather(name string, t *Task, job *Job) {
 	f := k.fleet
-	k.setState(name, t, protocol.Gathering, "")
+	k.setState(name, t, protocol.WaitingForGang, "")
 	f.joinGang(k, t)
 	f.startWhole(t.gangTry(), job)
 	f.agenda.After(f.Timing.GangWait, func() {
-		if t.State == protocol.Gathering {
+		if t.State == protocol.WaitingForGang {
 			k.setState(name, t, protocol.Exited, protocol.CauseIncomplete)
 		}
 	})
@@ -68,7 +68,7 @@
 		}
 		return n == job.Tasks
 	}
-	if !whole(protocol.Gathering) {
+	if !whole(protocol.WaitingForGang) {
 		return
 	}
 	for _, t := range all {
@@ -115,7 +115,7 @@
 		f.Halted(t, graceS)
 	}
 	if t.State != protocol.Running || job.SaveS == 0 || graceS < job.SaveS {
-		k.setState(name, t, protocol.Exited, protocol.CauseHalted)
+		k.setState(name, t, protocol.Exited, protocol.CauseStopped)
 		return
 	}
 	if t.Halted == 0 {
@@ -161,7 +161,7 @@
 	case t.alone == 0:
 		t.alone = now
 	case now >= t.alone+f.Timing.GangPeer:
-		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CauseMatesGone)
+		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CausePeersLost)
 	}
 }
 
@@ -182,12 +182,12 @@
 	case now < t.Halted+takes:
 	case told == job.Tasks:
 		t.Stored = true
-		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CauseHalted)
+		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CauseStopped)
 		if f.savedTasks[try] == 0 {
 			f.Saves[t.UID]++
 		}
 		f.savedTasks[try]++
 	case now >= first+f.Timing.GangPeer:
-		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CauseMatesGone)
+		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CausePeersLost)
 	}
 }
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -21,7 +21,7 @@
 			if t == nil {
 				k.run(c.Task, name, c.Attempt)
 			}
-		case protocol.VerbHalt:
+		case protocol.VerbStop:
 			if t != nil && t.State != protocol.Exited {
 				k.halt(name, t, c.GraceS)
 			}
@@ -66,7 +66,7 @@
 	uid, _, _ := strings.Cut(task, "/")
 	job := f.Jobs(uid)
 	k.Lives++
-	t := &Task{UID: uid, Try: try, State: protocol.Pulling, began: k.Lives}
+	t := &Task{UID: uid, Try: try, State: protocol.FetchingImage, began: k.Lives}
 	k.Tasks[name] = t
 	k.noteChange()
 	if f.RefuseUnfit {
@@ -77,7 +77,7 @@
 	}
 	life := t.began
 	f.agenda.After(f.FetchTime(k, task, job), func() {
-		if k.Tasks[name] != t || t.State != protocol.Pulling || t.began != life || k.Gone {
+		if k.Tasks[name] != t || t.State != protocol.FetchingImage || t.began != life || k.Gone {
 			return
 		}
 		k.begin(task, name, t, job)
@@ -155,10 +155,10 @@
 		k.setState(name, t, protocol.Saving, "")
 		k.fleet.agenda.After(time.Duration(job.SaveS*float64(time.Second)), func() {
 			if t.State == protocol.Saving && k.Tasks[name] == t {
-				k.setState(name, t, protocol.Exited, protocol.CauseHalted)
+				k.setState(name, t, protocol.Exited, protocol.CauseStopped)
 			}
 		})
 		return
 	}
-	k.setState(name, t, protocol.Exited, protocol.CauseHalted)
+	k.setState(name, t, protocol.Exited, protocol.CauseStopped)
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -116,7 +116,7 @@
 
 // Here says whether a task is on its machine, as the protocol's page counts it.
 func (t *Task) Here() bool {
-	return t.State == protocol.Running || t.State == protocol.Saving || t.State == protocol.Gathering
+	return t.State == protocol.Running || t.State == protocol.Saving || t.State == protocol.WaitingForGang
 }
 
 // Worker plays one machine's worker.
@@ -244,18 +244,18 @@
 }
 
 // Message is the worker's next report.
-func (k *Worker) Message() protocol.Report {
+func (k *Worker) Message() protocol.WorkerHeartbeat {
 	k.Seq++
-	m := protocol.Report{Machine: k.ID, Addr: k.Addr, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Session: k.Session, Seq: k.Seq, Token: k.Token,
-		Tasks: []protocol.TaskReport{}}
+	m := protocol.WorkerHeartbeat{Machine: k.ID, Addr: k.Addr, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Epoch: k.Session, Sequence: k.Seq, Token: k.Token,
+		Tasks: []protocol.TaskStatus{}}
 	if k.Taken > 0 {
 		notice := max(0, (k.Taken - k.fleet.agenda.Now()).Seconds())
-		m.NoticeS = &notice
+		m.SpotNoticeS = &notice
 	}
 	for _, name := range slices.Sorted(maps.Keys(k.Tasks)) {
 		t := k.Tasks[name]
 		task, _, _ := strings.Cut(name, "@")
-		m.Tasks = append(m.Tasks, protocol.TaskReport{Task: task, Attempt: t.Try, State: t.State, Cause: t.Cause, Saved: t.Stored})
+		m.Tasks = append(m.Tasks, protocol.TaskStatus{Task: task, Attempt: t.Try, State: t.State, Cause: t.Cause, CheckpointSaved: t.Stored})
 	}
 	return m
 }
@@ -324,7 +324,7 @@
 	}
 	switch status {
 	case 200:
-		var reply protocol.ReportReply
+		var reply protocol.WorkerHeartbeatReply
 		if err := protocol.Decode(body, &reply); err != nil {
 			f.wrong("a report's answer can't be read: %v", err)
 		}
@@ -339,7 +339,7 @@
 		}
 		k.nextReport(wait)
 	case 421:
-		var elsewhere protocol.Elsewhere
+		var elsewhere protocol.Redirect
 		_ = protocol.Decode(body, &elsewhere) // a missing name is allowed
 		if n := f.Label(elsewhere.Leader); n >= 0 && n != k.Controller {
 			k.Controller = n
@@ -382,7 +382,7 @@
 		k.fleet.wrong("commands can't be read: %v", err)
 		return 400, nil
 	}
-	if request.Token < k.Token || request.Session != k.Session {
+	if request.Token < k.Token || request.Epoch != k.Session {
 		return 409, protocol.Encode(k.Message())
 	}
 	k.raiseToken(request.Token)
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// Form numbers a form of stored records; 0 is the one that every version knows.
-type Form uint64
+// StorageVersion numbers a form of stored records; 0 is the one that every version knows.
+type StorageVersion uint64
 
 // Statement is what a controller says of itself. A message without one is from a version that has
 // no gate.
 type Statement struct {
 	// Reads is the highest form that its version reads.
-	Reads Form
+	Reads StorageVersion
 	// Writes is the highest form that its settings ask for.
-	Writes Form
+	Writes StorageVersion
 	// Hold: its operators hold the gate closed.
 	Hold bool
 }
@@ -98,7 +98,7 @@
 
 // Settings are the gate's.
 type Settings struct {
-	Form Form
+	Version StorageVersion
 	// Self and Peers are the labels of all controllers of the settings.
 	Self  string
 	Peers []string
@@ -202,11 +202,11 @@
 	switch {
 	case s == nil:
 		return Older
-	case s.Reads < g.settings.Form:
+	case s.Reads < g.settings.Version:
 		return Unread
 	case s.Hold:
 		return Held
-	case s.Writes < g.settings.Form:
+	case s.Writes < g.settings.Version:
 		return Off
 	case label == g.settings.Self && !g.settings.Fits:
 		return Unfit
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -14,7 +14,7 @@
 var ready = Statement{Reads: 1, Writes: 1}
 
 func newGate(stored State, own Statement) *Gate {
-	return New(Settings{Form: 1, Self: "n0", Peers: []string{"n1", "n2"}, Own: own, Fits: true,
+	return New(Settings{Version: 1, Self: "n0", Peers: []string{"n1", "n2"}, Own: own, Fits: true,
 		Settled: settled, Patience: patience, Pause: pause}, stored)
 }
 
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -68,7 +68,7 @@
 const modelFlying = 2 // transactions on their way at once
 
 func modelSettings(node int) Settings {
-	s := Settings{Form: 1, Self: fmt.Sprint(node), Own: ready, Fits: true, Settled: 1, Patience: 1, Pause: 1}
+	s := Settings{Version: 1, Self: fmt.Sprint(node), Own: ready, Fits: true, Settled: 1, Patience: 1, Pause: 1}
 	for i := range 3 {
 		if i != node {
 			s.Peers = append(s.Peers, fmt.Sprint(i))
--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -10,13 +10,13 @@
 	"time"
 
 	"claybarrow/internal/protocol"
-	"claybarrow/internal/sched"
+	"claybarrow/internal/scheduler"
 )
 
 // Bounds of the cloud's protocol.
 const (
-	mostRented  = 50  // of a request
-	mostDeleted = 100 // of a request
+	maxLaunched = 50  // of a request
+	maxDeleted  = 100 // of a request
 	listPage    = 500
 )
 
@@ -48,22 +48,22 @@
 	// ToDelete names machines whose deletion may leave, Deleted takes one that is gone.
 	ToDelete(most int) []string
 	Deleted(name string)
-	// Rented takes a machine that was rented by a request of a time.
-	Rented(pool sched.Pool, name string, asked time.Duration)
+	// Launched takes a machine that was rented by a request of a time.
+	Launched(pool scheduler.Pool, name string, asked time.Duration)
 	// Short is told when a pool gave fewer than asked, and when it gave all.
-	Short(pool sched.Pool, short bool)
+	Short(pool scheduler.Pool, short bool)
 }
 
-// Rental is a request for machines that is under way.
-type Rental struct {
-	sched.Pool
+// LaunchRequest is a request for machines that is under way.
+type LaunchRequest struct {
+	scheduler.Pool
 	Count int
 	name  string
 	sent  time.Duration
 }
 
-func (q *Rental) request() protocol.Rent {
-	return protocol.Rent{Request: q.name, Type: q.Type, Zone: q.Zone, Spot: q.Spot, Count: q.Count}
+func (r *LaunchRequest) request() protocol.LaunchRequest {
+	return protocol.LaunchRequest{Request: r.name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
 // Pool is a leader's dealings with the cloud.
@@ -73,12 +73,12 @@
 	times Times
 	token uint64
 
-	listAt  time.Duration
-	listing bool
-	listed  bool // one whole list has been read
-	rentals uint64
-	renting map[string]*Rental
-	short   map[sched.Pool]shortage
+	listAt    time.Duration
+	listing   bool
+	listed    bool // one whole list has been read
+	launches  uint64
+	launching map[string]*LaunchRequest
+	short     map[scheduler.Pool]shortage
 	// removed are machines that are gone, with the time: lists lag, and reports come late.
 	removed  map[string]time.Duration
 	deleting bool
@@ -91,12 +91,12 @@
 	times int
 }
 
-// mostBackoff bounds the times that count.
-const mostBackoff = 4
+// maxBackoffSteps bounds the times that count.
+const maxBackoffSteps = 4
 
 // New makes the pool of a term. Names of rentals have its token, so that no other leader ever uses them.
 func New(host Host, log *slog.Logger, times Times, token uint64) *Pool {
-	return &Pool{host: host, log: log, times: times, token: token, renting: map[string]*Rental{}, short: map[sched.Pool]shortage{},
+	return &Pool{host: host, log: log, times: times, token: token, launching: map[string]*LaunchRequest{}, short: map[scheduler.Pool]shortage{},
 		removed: map[string]time.Duration{}}
 }
 
@@ -124,17 +124,17 @@
 // WasRemoved says whether a machine is gone.
 func (p *Pool) WasRemoved(name string) bool { return p.removed[name] != 0 }
 
-// Renting lists the requests that are under way, in a fixed order, so that runs replay.
-func (p *Pool) Renting() []*Rental {
-	out := make([]*Rental, 0, len(p.renting))
-	for _, name := range slices.Sorted(maps.Keys(p.renting)) {
-		out = append(out, p.renting[name])
+// Launching lists the requests that are under way, in a fixed order, so that runs replay.
+func (p *Pool) Launching() []*LaunchRequest {
+	out := make([]*LaunchRequest, 0, len(p.launching))
+	for _, name := range slices.Sorted(maps.Keys(p.launching)) {
+		out = append(out, p.launching[name])
 	}
 	return out
 }
 
 // IsShort says whether a pool is left alone for now.
-func (p *Pool) IsShort(pool sched.Pool) bool { return p.host.Now() < p.short[pool].until }
+func (p *Pool) IsShort(pool scheduler.Pool) bool { return p.host.Now() < p.short[pool].until }
 
 func (p *Pool) readPage(after string, asked time.Duration, names map[string]bool) {
 	path := fmt.Sprintf("/machines?limit=%d", listPage)
@@ -172,12 +172,12 @@
 	if p.deleting || p.host.Now() < p.deleteAt || !p.host.MayCall() {
 		return
 	}
-	names := p.host.ToDelete(mostDeleted)
+	names := p.host.ToDelete(maxDeleted)
 	if len(names) == 0 {
 		return
 	}
 	p.deleting = true
-	p.host.Call("POST", "/machines/delete", protocol.Rented{Machines: names}, p.times.Lease/2, func(status int, _ []byte) {
+	p.host.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, p.times.Lease/2, func(status int, _ []byte) {
 		if p.host.Ended() {
 			return
 		}
@@ -192,16 +192,16 @@
 	})
 }
 
-// Rent asks for machines. The name holds the token and a counter: no node ever
+// Launch asks for machines. The name holds the token and a counter: no node ever
 // uses it again.
-func (p *Pool) Rent(pool sched.Pool, count int) {
-	p.rentals++
-	q := &Rental{Pool: pool, Count: min(count, mostRented), name: fmt.Sprintf("r-%d-%d", p.token, p.rentals), sent: p.host.Now()}
+func (p *Pool) Launch(pool scheduler.Pool, count int) {
+	p.launches++
+	q := &LaunchRequest{Pool: pool, Count: min(count, maxLaunched), name: fmt.Sprintf("r-%d-%d", p.token, p.launches), sent: p.host.Now()}
 	p.send(q)
 }
 
-func (p *Pool) send(q *Rental) {
-	p.renting[q.name] = q
+func (p *Pool) send(q *LaunchRequest) {
+	p.launching[q.name] = q
 	p.log.Info("renting", "request", q.name, "type", q.Type, "zone", q.Zone, "spot", q.Spot, "count", q.Count)
 	p.host.Call("POST", "/machines", q.request(), p.times.Lease/2, func(status int, body []byte) {
 		if !p.host.Ended() {
@@ -211,32 +211,32 @@
 }
 
 // answered takes the answer to a rental.
-func (p *Pool) answered(q *Rental, status int, body []byte) {
-	var got protocol.Rented
+func (p *Pool) answered(q *LaunchRequest, status int, body []byte) {
+	var got protocol.MachineNames
 	switch {
 	case status == 200 && protocol.Decode(body, &got) == nil:
-		p.rented(q, got.Machines)
+		p.onLaunched(q, got.Machines)
 	case status == 503 && noCapacity(body):
-		delete(p.renting, q.name)
+		delete(p.launching, q.name)
 		p.runShort(q.Pool)
 	case status == 400:
-		delete(p.renting, q.name)
+		delete(p.launching, q.name)
 		p.runShort(q.Pool)
 		p.log.Error("a rental was called malformed", "request", q.name)
 	case p.host.Now() > q.sent+4*p.times.Lease:
 		// Whatever it still brings appears in the list.
-		delete(p.renting, q.name)
+		delete(p.launching, q.name)
 	default:
 		// No answer, or trouble: the same name again rents nothing twice.
 		p.host.Later(p.host.Now()+p.host.Pause()*3, func() { p.send(q) })
 	}
 }
 
-func (p *Pool) rented(q *Rental, names []string) {
-	delete(p.renting, q.name)
+func (p *Pool) onLaunched(q *LaunchRequest, names []string) {
+	delete(p.launching, q.name)
 	for _, name := range names {
 		if !p.WasRemoved(name) {
-			p.host.Rented(q.Pool, name, q.sent)
+			p.host.Launched(q.Pool, name, q.sent)
 		}
 	}
 	if len(names) < q.Count {
@@ -255,9 +255,9 @@
 }
 
 // runShort backs off from a pool that was refused or only partly filled.
-func (p *Pool) runShort(pool sched.Pool) {
+func (p *Pool) runShort(pool scheduler.Pool) {
 	s := p.short[pool]
-	s.times = min(s.times+1, mostBackoff)
+	s.times = min(s.times+1, maxBackoffSteps)
 	s.until = p.host.Now() + p.times.Lease*time.Duration(s.times)/2
 	p.short[pool] = s
 	p.host.Short(pool, true)
--- a/internal/machinepool/pool_test.go
+++ b/internal/machinepool/pool_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"claybarrow/internal/protocol"
-	"claybarrow/internal/sched"
+	"claybarrow/internal/scheduler"
 )
 
 // scripted is a leader whose cloud answers as a test says.
@@ -35,15 +35,17 @@
 func (s *scripted) Call(_, path string, body any, _ time.Duration, then func(int, []byte)) {
 	s.calls = append(s.calls, call{path, body, then})
 }
-func (s *scripted) MayCall() bool                                  { return true }
-func (s *scripted) Pause() time.Duration                           { return 100 * time.Millisecond }
-func (s *scripted) Later(_ time.Duration, do func())               { s.timers = append(s.timers, do) }
-func (s *scripted) Ended() bool                                    { return s.ended }
-func (s *scripted) Listed(m *protocol.ListedMachine)               { s.listed = append(s.listed, m.ID) }
-func (s *scripted) Deleted(name string)                            { s.deleted = append(s.deleted, name) }
-func (s *scripted) Short(_ sched.Pool, short bool)                 { s.short = append(s.short, short) }
-func (s *scripted) ToDelete(most int) []string                     { return s.returned[:min(most, len(s.returned))] }
-func (s *scripted) Rented(_ sched.Pool, n string, _ time.Duration) { s.rented = append(s.rented, n) }
+func (s *scripted) MayCall() bool                      { return true }
+func (s *scripted) Pause() time.Duration               { return 100 * time.Millisecond }
+func (s *scripted) Later(_ time.Duration, do func())   { s.timers = append(s.timers, do) }
+func (s *scripted) Ended() bool                        { return s.ended }
+func (s *scripted) Listed(m *protocol.ListedMachine)   { s.listed = append(s.listed, m.ID) }
+func (s *scripted) Deleted(name string)                { s.deleted = append(s.deleted, name) }
+func (s *scripted) Short(_ scheduler.Pool, short bool) { s.short = append(s.short, short) }
+func (s *scripted) ToDelete(most int) []string         { return s.returned[:min(most, len(s.returned))] }
+func (s *scripted) Launched(_ scheduler.Pool, n string, _ time.Duration) {
+	s.rented = append(s.rented, n)
+}
 func (s *scripted) ListRead(_ time.Duration, names map[string]bool) {
 	for name := range names {
 		s.read = append(s.read, name)
@@ -112,7 +114,7 @@
 	p.Tick()
 	p.Tick()
 	c := s.take(t, "/machines/delete")
-	if got := len(c.body.(protocol.Rented).Machines); got != 100 {
+	if got := len(c.body.(protocol.MachineNames).Machines); got != 100 {
 		t.Errorf("%d at once", got)
 	}
 	c.then(0, nil)
@@ -129,49 +131,49 @@
 // gave fewer than asked is left alone, longer each time.
 func TestRentals(t *testing.T) {
 	s, p := newScripted()
-	pool := sched.Pool{Type: "m8", Zone: "a"}
-	p.Rent(pool, 80)
+	pool := scheduler.Pool{Type: "m8", Zone: "a"}
+	p.Launch(pool, 80)
 	c := s.take(t, "/machines")
-	q := c.body.(protocol.Rent)
-	if q.Count != 50 || q.Request != "r-7-1" || len(p.Renting()) != 1 {
+	q := c.body.(protocol.LaunchRequest)
+	if q.Count != 50 || q.Request != "r-7-1" || len(p.Launching()) != 1 {
 		t.Errorf("%+v", q)
 	}
 	c.then(0, nil)
 	s.timers[0]()
 	c = s.take(t, "/machines")
-	if again := c.body.(protocol.Rent); again != q {
+	if again := c.body.(protocol.LaunchRequest); again != q {
 		t.Errorf("repeated as %+v", again)
 	}
 	p.Remove("i-2")
-	c.then(200, protocol.Encode(protocol.Rented{Machines: []string{"i-1", "i-2"}}))
-	if !slices.Equal(s.rented, []string{"i-1"}) || !p.IsShort(pool) || len(p.Renting()) != 0 {
+	c.then(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1", "i-2"}}))
+	if !slices.Equal(s.rented, []string{"i-1"}) || !p.IsShort(pool) || len(p.Launching()) != 0 {
 		t.Errorf("rented %v, short %v", s.rented, p.IsShort(pool))
 	}
 	s.now += 5*time.Second + 1
 	if p.IsShort(pool) {
 		t.Error("it is left alone for longer than half a lease")
 	}
-	p.Rent(pool, 1)
+	p.Launch(pool, 1)
 	s.take(t, "/machines").then(503, protocol.Encode(map[string]any{"error": "no capacity"}))
 	s.now += 9 * time.Second
 	if !p.IsShort(pool) {
 		t.Error("the second time is not longer")
 	}
-	p.Rent(pool, 1)
-	s.take(t, "/machines").then(200, protocol.Encode(protocol.Rented{Machines: []string{"i-3"}}))
+	p.Launch(pool, 1)
+	s.take(t, "/machines").then(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-3"}}))
 	if p.IsShort(pool) || !slices.Equal(s.short, []bool{true, true, false}) {
 		t.Errorf("short %v, told %v", p.IsShort(pool), s.short)
 	}
 	// An outage (503 trouble) is no shortage; after four leases the list tells what came of it.
-	p.Rent(pool, 1)
+	p.Launch(pool, 1)
 	s.take(t, "/machines").then(503, protocol.Encode(map[string]any{"error": "trouble"}))
-	if p.IsShort(pool) || len(p.Renting()) != 1 {
+	if p.IsShort(pool) || len(p.Launching()) != 1 {
 		t.Error("an outage is taken for a shortage")
 	}
 	s.timers[len(s.timers)-1]()
 	s.now += 41 * time.Second
 	s.take(t, "/machines").then(0, nil)
-	if len(p.Renting()) != 0 {
+	if len(p.Launching()) != 0 {
 		t.Error("it is repeated for ever")
 	}
 }
@@ -179,10 +181,10 @@
 // After the term nothing that still comes is taken.
 func TestAnswersAfterTheTerm(t *testing.T) {
 	s, p := newScripted()
-	p.Rent(sched.Pool{Type: "m8"}, 1)
+	p.Launch(scheduler.Pool{Type: "m8"}, 1)
 	p.Tick()
 	s.ended = true
-	s.take(t, "/machines").then(200, protocol.Encode(protocol.Rented{Machines: []string{"i-1"}}))
+	s.take(t, "/machines").then(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}}))
 	s.take(t, "/machines?limit=500").then(200, page(false, "i-1"))
 	if len(s.rented)+len(s.listed)+len(s.read) > 0 {
 		t.Errorf("%+v", s)
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -14,8 +14,8 @@
 		wrote      string
 		want, into any
 	}{
-		"heartbeat":       {"a601626e3102626162030704090520060c", &Heartbeat{From: "n1", Incarnation: "ab", Token: 7, LeaderClock: 9, ServedMS: -1, UptimeMS: 12}, &Heartbeat{}},
-		"heartbeat reply": {"a301626e3002070309", &HeartbeatReply{Leader: "n0", Token: 7, LeaderClock: 9}, &HeartbeatReply{}},
+		"heartbeat":       {"a601626e3102626162030704090520060c", &PeerHeartbeat{From: "n1", Incarnation: "ab", Token: 7, LeaderClock: 9, ServedMS: -1, UptimeMS: 12}, &PeerHeartbeat{}},
+		"heartbeat reply": {"a301626e3002070309", &PeerHeartbeatReply{Leader: "n0", Token: 7, LeaderClock: 9}, &PeerHeartbeatReply{}},
 		"relay":           {"a301667375626d697402636a2d3103420102", &Relay{Op: "submit", UID: "j-1", Body: []byte{1, 2}}, &Relay{}},
 		"relay reply":     {"a3011901f70241010301", &RelayReply{Status: 503, Body: []byte{1}, RetryAfter: 1}, &RelayReply{}},
 	} {
@@ -50,16 +50,16 @@
 		ServedMS    int64  `cbor:"5,keyasint"`
 	}
 	var olderBeat olderHeartbeat
-	stating := Heartbeat{From: "n1", Incarnation: "ab", ServedMS: -1, Forms: &FormStatement{Reads: 1, Writes: 1, Hold: true}}
+	stating := PeerHeartbeat{From: "n1", Incarnation: "ab", ServedMS: -1, Versions: &VersionStatement{Reads: 1, Writes: 1, Hold: true}}
 	if err := DecodePeer(EncodePeer(stating), &olderBeat); err != nil || olderBeat != (olderHeartbeat{"n1", "ab", -1}) {
 		t.Errorf("an older version reads %+v, %v", olderBeat, err)
 	}
-	var read Heartbeat
+	var read PeerHeartbeat
 	if err := DecodePeer(EncodePeer(stating), &read); err != nil || cmp.Diff(stating, read) != "" {
-		t.Errorf("a statement is read as %+v, %v", read.Forms, err)
+		t.Errorf("a statement is read as %+v, %v", read.Versions, err)
 	}
 	// Fields that are not known yet do no harm.
-	var h Heartbeat
+	var h PeerHeartbeat
 	if err := DecodePeer(EncodePeer(map[int]any{1: "n1", 2: "ab", 5: -1, 99: "later"}), &h); err != nil || h.From != "n1" {
 		t.Errorf("a later version's heartbeat: %+v, %v", h, err)
 	}
--- a/internal/protocol/wire.go
+++ b/internal/protocol/wire.go
@@ -19,11 +19,11 @@
 
 // States of tasks on workers.
 const (
-	Pulling   TaskState = "pulling"
-	Gathering TaskState = "gathering" // of a gang: waits for the other tasks of its attempt
-	Running   TaskState = "running"
-	Saving    TaskState = "saving"
-	Exited    TaskState = "exited"
+	FetchingImage  TaskState = "pulling"
+	WaitingForGang TaskState = "gathering" // of a gang: waits for the other tasks of its attempt
+	Running        TaskState = "running"
+	Saving         TaskState = "saving"
+	Exited         TaskState = "exited"
 )
 
 // ExitCause is why a task ended, as its worker reports it.
@@ -31,20 +31,20 @@
 
 // Causes of a task's end.
 const (
-	CauseDone   ExitCause = "done"
-	CauseHalted ExitCause = "halted"
-	CauseError  ExitCause = "error"
-	CauseNoRoom ExitCause = "no_room"
-	CauseBusy   ExitCause = "busy"
+	CauseDone    ExitCause = "done"
+	CauseStopped ExitCause = "halted"
+	CauseError   ExitCause = "error"
+	CauseNoRoom  ExitCause = "no_room"
+	CauseBusy    ExitCause = "busy"
 	// Of a gang: another task of it is gone, and it was not complete in time.
-	CauseMatesGone  ExitCause = "mates_gone"
+	CausePeersLost  ExitCause = "mates_gone"
 	CauseIncomplete ExitCause = "incomplete"
 )
 
 // Verbs of commands.
 const (
 	VerbRun   = "run"
-	VerbHalt  = "halt"
+	VerbStop  = "halt"
 	VerbClear = "clear"
 )
 
@@ -59,35 +59,35 @@
 	Cancelled JobState = "aborted"
 )
 
-// Standing is the answer to a user.
-type Standing struct {
+// JobStatus is the answer to a user.
+type JobStatus struct {
 	UID     string   `msgpack:"uid"`
 	State   JobState `msgpack:"standing"`
 	Done    int      `msgpack:"done"`
 	Running int      `msgpack:"running"`
 }
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
-	Task    string    `msgpack:"shard"`
-	Attempt uint64    `msgpack:"try"`
-	State   TaskState `msgpack:"standing"`
-	Cause   ExitCause `msgpack:"cause"`
-	Saved   bool      `msgpack:"stored"`
+// TaskStatus is one task in a worker's report.
+type TaskStatus struct {
+	Task            string    `msgpack:"shard"`
+	Attempt         uint64    `msgpack:"try"`
+	State           TaskState `msgpack:"standing"`
+	Cause           ExitCause `msgpack:"cause"`
+	CheckpointSaved bool      `msgpack:"stored"`
 }
 
-// Report is a worker's report.
-type Report struct {
-	Machine string       `msgpack:"host"`
-	Addr    string       `msgpack:"addr"`
-	Type    string       `msgpack:"flavour"`
-	Zone    string       `msgpack:"yard"`
-	Spot    bool         `msgpack:"borrowed"`
-	Session uint64       `msgpack:"shift"`
-	Seq     uint64       `msgpack:"tally"`
-	Token   uint64       `msgpack:"mandate"`
-	NoticeS *float64     `msgpack:"warningS"`
-	Tasks   []TaskReport `msgpack:"shards"`
+// WorkerHeartbeat is a worker's report.
+type WorkerHeartbeat struct {
+	Machine     string       `msgpack:"host"`
+	Addr        string       `msgpack:"addr"`
+	Type        string       `msgpack:"flavour"`
+	Zone        string       `msgpack:"yard"`
+	Spot        bool         `msgpack:"borrowed"`
+	Epoch       uint64       `msgpack:"shift"`
+	Sequence    uint64       `msgpack:"tally"`
+	Token       uint64       `msgpack:"mandate"`
+	SpotNoticeS *float64     `msgpack:"warningS"`
+	Tasks       []TaskStatus `msgpack:"shards"`
 }
 
 // Command is one order to a worker.
@@ -98,8 +98,8 @@
 	GraceS  float64 `msgpack:"leewayS"`
 }
 
-// ReportReply answers a report.
-type ReportReply struct {
+// WorkerHeartbeatReply answers a report.
+type WorkerHeartbeatReply struct {
 	Token    uint64    `msgpack:"mandate"`
 	Commands []Command `msgpack:"orders"`
 }
@@ -107,12 +107,12 @@
 // Commands is a direct request to a worker.
 type Commands struct {
 	Token    uint64    `msgpack:"mandate"`
-	Session  uint64    `msgpack:"shift"`
+	Epoch    uint64    `msgpack:"shift"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Elsewhere sends a worker to the leader.
-type Elsewhere struct {
+// Redirect sends a worker to the leader.
+type Redirect struct {
 	Leader string `msgpack:"foreman,omitempty"`
 }
 
@@ -135,8 +135,8 @@
 	Types []MachineType `msgpack:"flavours"`
 }
 
-// Rent is a rental request; Rented its answer.
-type Rent struct {
+// LaunchRequest is a rental request; Rented its answer.
+type LaunchRequest struct {
 	Request string `msgpack:"hire"`
 	Type    string `msgpack:"flavour"`
 	Zone    string `msgpack:"yard"`
@@ -144,8 +144,8 @@
 	Count   int    `msgpack:"number"`
 }
 
-// Rented names machines; deletions have the same form.
-type Rented struct {
+// MachineNames names machines; deletions have the same form.
+type MachineNames struct {
 	Machines []string `msgpack:"hosts"`
 }
 
@@ -250,36 +250,36 @@
 	RetryAfter int    `cbor:"3,keyasint,omitempty"`
 }
 
-// Heartbeat keeps a controller in touch with the leader. Token is the highest known
+// PeerHeartbeat keeps a controller in touch with the leader. Token is the highest known
 // to it, LeaderClock the one of the leader's last answer under that token, and
 // ServedMS how long ago it last answered a worker for the leader (-1:
 // never).
-type Heartbeat struct {
+type PeerHeartbeat struct {
 	From        string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
 	Token       uint64 `cbor:"3,keyasint,omitempty"`
 	LeaderClock uint64 `cbor:"4,keyasint,omitempty"`
 	ServedMS    int64  `cbor:"5,keyasint"`
 	UptimeMS    int64  `cbor:"6,keyasint,omitempty"` // of the process
-	// Forms is nil from versions that have no feature gate.
-	Forms *FormStatement `cbor:"7,keyasint,omitempty"`
+	// Versions is nil from versions that have no feature gate.
+	Versions *VersionStatement `cbor:"7,keyasint,omitempty"`
 }
 
-// FormStatement says which forms of stored records a controller reads and writes: the highest of
+// VersionStatement says which forms of stored records a controller reads and writes: the highest of
 // each, and whether its operators hold the feature gate closed.
-type FormStatement struct {
+type VersionStatement struct {
 	Reads  uint64 `cbor:"1,keyasint"`
 	Writes uint64 `cbor:"2,keyasint,omitempty"`
 	Hold   bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// HeartbeatReply tells who leads; the leader's own has a reading of its clock.
-type HeartbeatReply struct {
+// PeerHeartbeatReply tells who leads; the leader's own has a reading of its clock.
+type PeerHeartbeatReply struct {
 	Leader      string `cbor:"1,keyasint,omitempty"`
 	Token       uint64 `cbor:"2,keyasint,omitempty"`
 	LeaderClock uint64 `cbor:"3,keyasint,omitempty"`
-	// Forms is the answering controller's.
-	Forms *FormStatement `cbor:"4,keyasint,omitempty"`
+	// Versions is the answering controller's.
+	Versions *VersionStatement `cbor:"4,keyasint,omitempty"`
 }
 
 // Encode writes MessagePack. Values of our own types cannot fail to encode.
--- a/internal/scalerun/reports.go
+++ b/internal/scalerun/reports.go
@@ -32,7 +32,7 @@
 	controller int
 }
 
-// reportWait is how long a worker waits for the answer to a report.
+// heartbeatTimeout is how long a worker waits for the answer to a report.
 const reportWait = 4 * time.Second
 
 const mostAnswer = 1 << 20
--- a/internal/scalerun/users.go
+++ b/internal/scalerun/users.go
@@ -188,7 +188,7 @@
 	if status != 200 && status != 201 {
 		return
 	}
-	var s protocol.Standing
+	var s protocol.JobStatus
 	if err := protocol.Decode(body, &s); err != nil {
 		r.fail(fmt.Errorf("an answer about %s can't be read: %w", j.uid, err))
 		return
--- a/internal/sched/candidates.go
+++ b/internal/scheduler/candidates.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import "container/heap"
 
--- a/internal/sched/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 			m := &Machine{ID: fmt.Sprint(i), Type: typ, Zone: "a", Room: rng.IntN(12), Free: typ.Size.Times(float64(rng.IntN(5)) / 4),
 				Images: map[string]bool{"img": rng.IntN(3) == 0}, Booting: rng.IntN(4) == 0, Used: rng.IntN(2) == 0, Spot: rng.IntN(2) == 0}
 			if rng.IntN(10) == 0 {
-				m.For = "other"
+				m.ReservedFor = "other"
 			}
 			fleet = append(fleet, m)
 		}
@@ -53,7 +53,7 @@
 // A round of fills for an array of thousands looks at each machine about once, not once a task.
 func TestFillWorkOfALargeArray(t *testing.T) {
 	s := snap(machines(box, make([]string, 800)...), batch("work", 5000, func(j *Job) { j.Upper = false }))
-	s.Teams["red"].Limit = Need{}
+	s.Quotas["red"].Maximum = Need{}
 	if got := started(s.Fill())["work"]; got != 5000 {
 		t.Fatalf("%d tasks started", got)
 	}
--- a/internal/sched/emptying.go
+++ b/internal/scheduler/consolidation.go
@@ -1,13 +1,13 @@
-package sched
+package scheduler
 
 import (
 	"maps"
 )
 
-// Costly says whether a machine costs at least what the fleet's machines do on
+// IsExpensive says whether a machine costs at least what the fleet's machines do on
 // average. Where all types cost the same all are dear: sums of like prices round
 // up or down, which once kept a fleet of one type from being emptied at all.
-func (s *Snapshot) Costly(m *Machine) bool {
+func (s *Snapshot) IsExpensive(m *Machine) bool {
 	if s.pricedMachines != len(s.Machines) {
 		s.price, s.pricedMachines = 0, len(s.Machines)
 		for _, o := range s.Machines {
@@ -17,10 +17,10 @@
 	return m.Type.Price*float64(len(s.Machines)) >= 0.999*s.price
 }
 
-// Emptied is the snapshot after a machine's tasks have been moved at next to no
+// WithoutMachine is the snapshot after a machine's tasks have been moved at next to no
 // cost: to machines in use that have the replicas' images, leaving as much of the room
 // for expected tasks as there was. Nil: that can't be done.
-func (s *Snapshot) Emptied(id string, moved []*Job, expected func() []*Job) *Snapshot {
+func (s *Snapshot) WithoutMachine(id string, moved []*Job, expected func() []*Job) *Snapshot {
 	kept := func(s *Snapshot) int {
 		n := 0
 		for _, j := range expected() {
@@ -35,7 +35,7 @@
 	for _, j := range moved {
 		var pick *Machine
 		for _, m := range rest.Machines {
-			if m.Used && m.For == "" && m.Room > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) && j.Need.Fits(m.Free) &&
+			if m.Used && m.ReservedFor == "" && m.Room > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) && j.Need.Fits(m.Free) &&
 				j.MayRunOn(m) &&
 				(pick == nil || rest.score(j, m) < rest.score(j, pick)) {
 				pick = m
@@ -58,7 +58,7 @@
 
 // clone copies what placing changes, without the named machine.
 func (s *Snapshot) clone(without string) *Snapshot {
-	out := &Snapshot{UpperCap: s.UpperCap, Capacity: s.Capacity, Teams: map[string]*Team{}}
+	out := &Snapshot{UpperCap: s.UpperCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
 	for _, m := range s.Machines {
 		if m.ID != without {
 			c := *m
--- a/internal/sched/fill.go
+++ b/internal/scheduler/fill.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -33,7 +33,7 @@
 	out = s.placeStarved(out)
 	out = s.placeStarvedGangs(out)
 	for _, j := range s.Jobs {
-		if j.Phantom {
+		if j.Headroom {
 			s.reserve(j)
 		}
 		s.keepClaimed(j)
@@ -56,8 +56,8 @@
 func (s *Snapshot) placeServices(out []Placement) []Placement {
 	for _, guaranteed := range []bool{true, false} {
 		for _, j := range s.Jobs {
-			if j.Service && !j.Phantom {
-				out = s.place(out, j, func(t *Team) bool { return !guaranteed || t.InGuarantee(j.Need) })
+			if j.Service && !j.Headroom {
+				out = s.place(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Need) })
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 		if j.Service || j.Gang || !j.Starved || j.Held > 0 || len(j.Waiting) == 0 {
 			continue
 		}
-		if t := s.Teams[j.Team]; t == nil || !t.InLimit(j.Need) {
+		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need) {
 			continue
 		}
 		if m := s.best(j); m != nil {
@@ -109,14 +109,14 @@
 		}
 		s.releaseClaimed(j)
 		if j.Gang {
-			out = s.placeGang(out, j, func(t *Team, whole Need) bool {
-				return t.InLimit(whole.Plus(t.Kept)) && (pass == withinSlots || t.InGuarantee(whole))
+			out = s.placeGang(out, j, func(t *Quota, whole Need) bool {
+				return t.WithinMaximum(whole.Plus(t.ServiceReserve)) && (pass == withinSlots || t.WithinGuarantee(whole))
 			})
 		} else {
 			if j.Upper && pass == withinSlots {
 				upper += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
-			out = s.place(out, j, func(t *Team) bool { return s.mayTake(j, t, pass, upper) })
+			out = s.place(out, j, func(t *Quota) bool { return s.mayTake(j, t, pass, upper) })
 		}
 		s.keepClaimed(j)
 	}
@@ -124,10 +124,10 @@
 }
 
 // mayTake says whether a batch may start one more task in a pass.
-func (s *Snapshot) mayTake(j *Job, t *Team, pass int, upper float64) bool {
+func (s *Snapshot) mayTake(j *Job, t *Quota, pass int, upper float64) bool {
 	switch pass {
 	case withinGuarantees:
-		return t.InGuarantee(j.Need)
+		return t.WithinGuarantee(j.Need)
 	case withinSlots:
 		return j.Held < j.Slots && (!j.Upper || upper <= s.UpperCap || j.Held == 0)
 	case interrupted:
@@ -140,31 +140,31 @@
 }
 
 // claimed is what was freed for a job and it has not taken yet.
-func (j *Job) claimed() Need { return j.Need.Times(float64(min(j.Claims, len(j.Waiting)))) }
+func (j *Job) claimed() Need { return j.Need.Times(float64(min(j.Reserved, len(j.Waiting)))) }
 
 // keepClaimed keeps that of the team's limit for it, from the team's other batches.
 func (s *Snapshot) keepClaimed(j *Job) {
-	if t := s.Teams[j.Team]; t != nil {
+	if t := s.Quotas[j.Team]; t != nil {
 		t.Used = t.Used.Plus(j.claimed())
 	}
 }
 
 // releaseClaimed lets the job itself have it.
 func (s *Snapshot) releaseClaimed(j *Job) {
-	if t := s.Teams[j.Team]; t != nil {
+	if t := s.Quotas[j.Team]; t != nil {
 		t.Used = t.Used.Minus(j.claimed())
 	}
 }
 
 // place starts a job's tasks while its team's limit, the given condition and
 // the room allow.
-func (s *Snapshot) place(out []Placement, j *Job, may func(*Team) bool) []Placement {
-	team := s.Teams[j.Team]
-	if len(j.Waiting) == 0 || !team.Takes(j) || !may(team) {
+func (s *Snapshot) place(out []Placement, j *Job, may func(*Quota) bool) []Placement {
+	team := s.Quotas[j.Team]
+	if len(j.Waiting) == 0 || !team.Admits(j) || !may(team) {
 		return out
 	}
 	choice := s.choices(j)
-	for len(j.Waiting) > 0 && team.Takes(j) && may(team) {
+	for len(j.Waiting) > 0 && team.Admits(j) && may(team) {
 		m := choice.best()
 		if m == nil {
 			break
@@ -176,9 +176,9 @@
 	return out
 }
 
-// Takes says whether there is room for a task of each of the jobs, and takes it if there
+// Absorbs says whether there is room for a task of each of the jobs, and takes it if there
 // is for all. Their teams' limits are not looked at: they hold that much now.
-func (s *Snapshot) Takes(jobs []*Job) bool {
+func (s *Snapshot) Absorbs(jobs []*Job) bool {
 	rest := s.clone("")
 	for _, j := range jobs {
 		m := rest.best(j)
@@ -220,7 +220,7 @@
 		j.InZone = map[string]int{}
 	}
 	j.InZone[m.Zone]++
-	if t := s.Teams[j.Team]; t != nil {
+	if t := s.Quotas[j.Team]; t != nil {
 		t.Used = t.Used.Plus(j.Need)
 	}
 	m.Free = m.Free.Minus(j.Need)
@@ -280,7 +280,7 @@
 
 // takes says whether the machine may be given a task of the job now.
 func (s *Snapshot) takes(j *Job, m *Machine) bool {
-	return (m.For == "" || m.For == j.ID) && m.Room > 0 && j.Need.Fits(m.Free) && j.MayRunOn(m) &&
+	return (m.ReservedFor == "" || m.ReservedFor == j.ID) && m.Room > 0 && j.Need.Fits(m.Free) && j.MayRunOn(m) &&
 		!(s.sparingCores && j.Plain && j.blocksAccelerators(m))
 }
 
@@ -331,7 +331,7 @@
 		sc += 1000
 	}
 	switch {
-	case j.Phantom && len(j.Images) > 0:
+	case j.Headroom && len(j.Images) > 0:
 		// Room is kept where the images are: kept elsewhere, each replica began with a fetch.
 		sc += 60 * j.fetchWeight(m.Type) * j.missingShare(m)
 	case j.Image == "" || m.Images[j.Image]:
--- a/internal/sched/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"maps"
@@ -25,11 +25,11 @@
 // Follows says whether the fleet has the machine as it is now.
 func (f *Fleet) Follows(m *Machine) bool {
 	s := f.index.slots[m]
-	if s == nil || s.free != m.Free || s.room != m.Room || s.claim != m.For || s.family != f.index.families[familyKey{m.Type, m.Zone, m.Spot}] {
+	if s == nil || s.free != m.Free || s.room != m.Room || s.claim != m.ReservedFor || s.family != f.index.families[familyKey{m.Type, m.Zone, m.Spot}] {
 		return false
 	}
 	if s.group == nil {
-		return m.For != "" || m.Room <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
+		return m.ReservedFor != "" || m.Room <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
 	}
 	key := groupKey{booting: m.Booting, used: m.Used, fetching: len(m.Fetching), accel: m.Free.Accel}
 	return s.group.groupKey == key && s.entry.cores == m.Free.Cores && s.entry.place == m.place && s.knowsImages(m)
--- a/internal/sched/gang.go
+++ b/internal/scheduler/gang.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -18,9 +18,9 @@
 		}
 	}
 	slices.SortStableFunc(starved, func(a, b *Job) int { return cmp.Compare(a.Submitted, b.Submitted) })
-	inLimit := func(t *Team, whole Need) bool { return t.InLimit(whole) }
+	inLimit := func(t *Quota, whole Need) bool { return t.WithinMaximum(whole) }
 	for _, j := range starved {
-		if t := s.Teams[j.Team]; t == nil || !t.InLimit(j.Need.Times(float64(len(j.Waiting)))) {
+		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
 			continue // its team's own work has to end first
 		}
 		before := len(out)
@@ -59,8 +59,8 @@
 
 // placeGang starts all tasks of a gang, or none: in one zone after the other if
 // they must be together, as the best place for the first may have no room for all.
-func (s *Snapshot) placeGang(out []Placement, j *Job, may func(*Team, Need) bool) []Placement {
-	team := s.Teams[j.Team]
+func (s *Snapshot) placeGang(out []Placement, j *Job, may func(*Quota, Need) bool) []Placement {
+	team := s.Quotas[j.Team]
 	if len(j.Waiting) == 0 || team == nil || !may(team, j.Need.Times(float64(len(j.Waiting)))) {
 		return out
 	}
@@ -98,7 +98,7 @@
 				}
 				s.changed(b.m)
 				j.InZone[b.m.Zone]--
-				if t := s.Teams[j.Team]; t != nil {
+				if t := s.Quotas[j.Team]; t != nil {
 					t.Used = t.Used.Minus(j.Need)
 				}
 			}
@@ -117,7 +117,7 @@
 func (s *Snapshot) zonesFor(j *Job) []string {
 	room := map[string]int{}
 	for _, m := range s.Machines {
-		if (m.For == "" || m.For == j.ID) && j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.Avoid[m.ID] {
+		if (m.ReservedFor == "" || m.ReservedFor == j.ID) && j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.Avoid[m.ID] {
 			if n := min(perMachine(j.Need, m.Free), float64(m.Room)); n >= 1 {
 				room[m.Zone] += int(min(n, 1e6))
 			}
--- a/internal/sched/gangstops.go
+++ b/internal/scheduler/gangstops.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"maps"
@@ -54,7 +54,7 @@
 	if room.inZone == nil {
 		room.inZone = map[string]int{}
 	}
-	room.guaranteed = s.Teams[j.Team].InGuarantee(j.Need.Times(float64(len(j.Waiting))))
+	room.guaranteed = s.Quotas[j.Team].WithinGuarantee(j.Need.Times(float64(len(j.Waiting))))
 	return room
 }
 
@@ -75,7 +75,7 @@
 	allowed.Zone = zone
 	var fits []*Machine
 	for _, m := range r.snapshot.Machines {
-		if !m.Booting && (m.For == "" || m.For == j.ID) && j.Need.Fits(m.Type.Size) && allowed.AllowedOn(m.Type.Name, m.Zone, m.Spot) {
+		if !m.Booting && (m.ReservedFor == "" || m.ReservedFor == j.ID) && j.Need.Fits(m.Type.Size) && allowed.AllowedOn(m.Type.Name, m.Zone, m.Spot) {
 			fits = append(fits, m)
 		}
 	}
@@ -123,7 +123,7 @@
 	if j.Need.Fits(free) {
 		return &machineRoom{possible: m.Room > r.given[m]}
 	}
-	var may []Held
+	var may []RunningTask
 	for _, h := range m.Running {
 		if !r.stopped[taskKey{h.Job, h.Index}] && r.snapshot.givesWay(h.Job, j, r.guaranteed) {
 			may = append(may, h)
@@ -177,13 +177,13 @@
 
 // beyond says whether the team would use more than its guarantee after the stops.
 func (r *gangRoom) beyond(team string, freed map[string]Need) bool {
-	t := r.snapshot.Teams[team]
+	t := r.snapshot.Quotas[team]
 	if t == nil {
 		return false
 	}
 	after := *t
 	after.Used = after.Used.Minus(freed[team])
-	return after.Beyond()
+	return after.ExceedsGuarantee()
 }
 
 // take gives a task of the gang its place on the machine.
@@ -219,12 +219,12 @@
 // the whole gang. False: it can't have.
 func (r *gangRoom) freeLimit() bool {
 	j := r.job
-	team := *r.snapshot.Teams[j.Team]
-	whole := j.Need.Times(float64(len(j.Waiting))).Plus(team.Kept)
+	team := *r.snapshot.Quotas[j.Team]
+	whole := j.Need.Times(float64(len(j.Waiting))).Plus(team.ServiceReserve)
 	for {
 		after := team
 		after.Used = team.Used.Minus(r.freed[j.Team])
-		if after.InLimit(whole) {
+		if after.WithinMaximum(whole) {
 			return true
 		}
 		m, youngest := r.snapshot.victims.youngest(j, r.stops)
@@ -261,7 +261,7 @@
 // stopsForGang makes room for all waiting tasks of a gang, within most stops unless
 // they are the round's first: a gang that needs more would wait for ever.
 func (s *Snapshot) stopsForGang(j *Job, out *Preemption, most int, none hopeless) {
-	if len(j.Waiting) == 0 || s.Teams[j.Team] == nil || s.gangLooked > gangStopsWork {
+	if len(j.Waiting) == 0 || s.Quotas[j.Team] == nil || s.gangLooked > gangStopsWork {
 		return
 	}
 	shape := j.gangShape()
@@ -280,18 +280,18 @@
 	}
 	for _, m := range s.Machines {
 		if n := room.given[m]; n > 0 {
-			out.Kept = append(out.Kept, Kept{Job: j, Machine: m, Tasks: n})
+			out.Reservations = append(out.Reservations, Reservation{Job: j, Machine: m, Tasks: n})
 			for range n {
 				s.take(j, m)
 			}
-			m.For = j.ID
+			m.ReservedFor = j.ID
 			s.changed(m)
 		}
 	}
 }
 
 // stopCost is the work that a stop loses, and the trouble it makes.
-func stopCost(h Held, m *Machine) float64 {
+func stopCost(h RunningTask, m *Machine) float64 {
 	lost := h.SinceS*Share(h.Job.Need, m.Type.Size) + 5
 	if h.Job.Gang {
 		lost *= math.Max(1, float64(h.Job.Held))
--- a/internal/sched/gangstops_test.go
+++ b/internal/scheduler/gangstops_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	})
 }
 
-// runningOn puts tasks of half a box each on machines, the first one the youngest.
+// appendPreemptible puts tasks of half a box each on machines, the first one the youngest.
 func runningOn(id string, change func(*Job), on ...*Machine) *Job {
 	j := batch(id, 0, func(j *Job) {
 		j.Upper, j.Need, j.Attained = false, Need{Cores: 4, Mem: 1}, 1
@@ -26,7 +26,7 @@
 	})
 	j.Held, j.Slots, j.Tasks = len(on), len(on), len(on)
 	for i, m := range on {
-		m.Running = append(m.Running, Held{Job: j, Index: i, SinceS: 10 + float64(i)})
+		m.Running = append(m.Running, RunningTask{Job: j, Index: i, SinceS: 10 + float64(i)})
 		m.Free, m.Used = m.Free.Minus(j.Need), true
 		j.InZone[m.Zone]++
 	}
@@ -40,7 +40,7 @@
 func together(j *Job)     { j.OneZone = true }
 func spread(j *Job)       { j.Spread = true }
 func keptTasks(p Preemption) (n int) {
-	for _, kept := range p.Kept {
+	for _, kept := range p.Reservations {
 		n += kept.Tasks
 	}
 	return n
@@ -104,7 +104,7 @@
 			if n := keptTasks(round); tc.stops > 0 && n != tc.tasks {
 				t.Errorf("room is kept for %d of %d tasks", n, tc.tasks)
 			}
-			for _, kept := range round.Kept {
+			for _, kept := range round.Reservations {
 				if tc.inZone != "" && kept.Machine.Zone != tc.inZone {
 					t.Errorf("a place in zone %s", kept.Machine.Zone)
 				}
@@ -123,9 +123,9 @@
 		ms := machines(box, "a")
 		blue := runningOn("blue", inTeamBlue, ms[0], ms[0])
 		s := snap(ms, blue, waitingGang(2, lowPriority))
-		s.Teams["red"].Guarantee = Need{Cores: 8}
-		s.Teams["blue"].Guarantee = Need{Cores: 9 - tc.lent}
-		s.Teams["blue"].Used = Need{Cores: 8}
+		s.Quotas["red"].Guaranteed = Need{Cores: 8}
+		s.Quotas["blue"].Guaranteed = Need{Cores: 9 - tc.lent}
+		s.Quotas["blue"].Used = Need{Cores: 8}
 		if round := s.Stops(10, map[string]bool{}); len(round.Stops) != tc.stops {
 			t.Errorf("lent %v: %d stops, want %d", tc.lent, len(round.Stops), tc.stops)
 		}
@@ -137,7 +137,7 @@
 func TestGangFreesItsTeamsLimit(t *testing.T) {
 	ms := machines(box, "a", "b")
 	s := snap(ms, runningOn("low", lowPriority, ms[0], ms[0]), waitingGang(2, nil))
-	s.Teams["red"].Limit, s.Teams["red"].Used = Need{Cores: 8}, Need{Cores: 8}
+	s.Quotas["red"].Maximum, s.Quotas["red"].Used = Need{Cores: 8}, Need{Cores: 8}
 	if round := s.Stops(10, map[string]bool{}); len(round.Stops) != 2 || keptTasks(round) != 2 {
 		t.Errorf("%d stops, room kept for %d", len(round.Stops), keptTasks(round))
 	}
@@ -149,7 +149,7 @@
 func TestRoomForSeveralGangs(t *testing.T) {
 	build := func(claims int) *Snapshot {
 		ms := machines(box, "a", "b")
-		first := waitingGang(2, func(j *Job) { j.ID, j.Claims, j.Submitted = "first", claims, 1 })
+		first := waitingGang(2, func(j *Job) { j.ID, j.Reserved, j.Submitted = "first", claims, 1 })
 		second := waitingGang(2, func(j *Job) { j.ID, j.Submitted = "second", 2 })
 		return snap(ms, runningOn("low", lowPriority, ms[0], ms[0], ms[1], ms[1]), first, second)
 	}
@@ -159,7 +159,7 @@
 			t.Errorf("%+v: %d stops", tc, len(round.Stops))
 		}
 		places := map[string]string{}
-		for _, kept := range round.Kept {
+		for _, kept := range round.Reservations {
 			if other := places[kept.Machine.ID]; other != "" {
 				t.Errorf("%s is kept for %s and %s", kept.Machine.ID, other, kept.Job.ID)
 			}
@@ -189,7 +189,7 @@
 			}))
 		}
 		s := snap(ms, jobs...)
-		s.Teams["red"].Limit = Need{}
+		s.Quotas["red"].Maximum = Need{}
 		s.Stops(200, map[string]bool{})
 		if bound := map[bool]int{true: 2 * 800, false: gangStopsWork + 800}[alike]; s.gangLooked > bound {
 			t.Errorf("alike %v: %d machines looked at for 500 gangs on 800", alike, s.gangLooked)
--- a/internal/sched/green.go
+++ b/internal/scheduler/green.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 // Scale is a batch job's place in GREEN's two queues: where it stands, how many
 // slots it has, and the figures from which degradation comes.
--- a/internal/sched/index.go
+++ b/internal/scheduler/index.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"slices"
@@ -126,7 +126,7 @@
 	moreRoom := true
 	if was != nil {
 		moreRoom = was.free.Cores < m.Free.Cores || was.free.Accel < m.Free.Accel || was.free.Mem < m.Free.Mem ||
-			was.room <= 0 && m.Room > 0 || was.claim != m.For
+			was.room <= 0 && m.Room > 0 || was.claim != m.ReservedFor
 		x.takeOut(was)
 	}
 	s := was
@@ -140,9 +140,9 @@
 	} else if was.free.Accel != m.Free.Accel {
 		f.hopeless[1] = nil // fewer free accelerators need fewer cores
 	}
-	*s = slot{family: f, free: m.Free, room: m.Room, claim: m.For, having: s.having[:0], fetching: s.fetching[:0]}
-	if m.For != "" {
-		x.claimed[m.For] = append(x.claimed[m.For], m)
+	*s = slot{family: f, free: m.Free, room: m.Room, claim: m.ReservedFor, having: s.having[:0], fetching: s.fetching[:0]}
+	if m.ReservedFor != "" {
+		x.claimed[m.ReservedFor] = append(x.claimed[m.ReservedFor], m)
 		return
 	}
 	if m.Room <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps {
--- a/internal/sched/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -19,12 +19,12 @@
 func randomSnapshot(seed uint64) *Snapshot {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	quarter := func(n int) float64 { return float64(rng.IntN(n)) / 4 }
-	s := &Snapshot{UpperCap: 0.3, Teams: map[string]*Team{}}
+	s := &Snapshot{UpperCap: 0.3, Quotas: map[string]*Quota{}}
 	for i := range 1 + rng.IntN(5) {
-		s.Teams[fmt.Sprint("team-", i)] = &Team{Guarantee: Need{Cores: quarter(200), Accel: float64(rng.IntN(20))},
-			Limit: Need{Cores: quarter(3000), Accel: float64(rng.IntN(120))}, Kept: Need{Cores: quarter(20)}}
+		s.Quotas[fmt.Sprint("team-", i)] = &Quota{Guaranteed: Need{Cores: quarter(200), Accel: float64(rng.IntN(20))},
+			Maximum: Need{Cores: quarter(3000), Accel: float64(rng.IntN(120))}, ServiceReserve: Need{Cores: quarter(20)}}
 	}
-	jobs := randomJobs(rng, quarter, len(s.Teams))
+	jobs := randomJobs(rng, quarter, len(s.Quotas))
 	for i := range 2 + rng.IntN(60) {
 		t := randomTypes[rng.IntN(len(randomTypes))]
 		m := &Machine{ID: fmt.Sprintf("i-%03d", i), Type: t, Zone: t.Zones[rng.IntN(len(t.Zones))], Spot: rng.IntN(3) == 0,
@@ -39,7 +39,7 @@
 			m.Fetching = map[string]bool{fmt.Sprint("img-", rng.IntN(5)): true}
 		}
 		if rng.IntN(10) == 0 {
-			m.For = jobs[rng.IntN(len(jobs))].ID
+			m.ReservedFor = jobs[rng.IntN(len(jobs))].ID
 		}
 		hold(rng, m, jobs, 1000+10*i)
 		s.Machines = append(s.Machines, m)
@@ -54,10 +54,10 @@
 func hold(rng *rand.Rand, m *Machine, jobs []*Job, first int) {
 	for i := range rng.IntN(4) {
 		j := jobs[rng.IntN(len(jobs))]
-		if j.Phantom || !j.Need.Fits(m.Free) {
+		if j.Headroom || !j.Need.Fits(m.Free) {
 			continue
 		}
-		m.Running = append(m.Running, Held{Job: j, Index: first + i, SinceS: float64(rng.IntN(100))})
+		m.Running = append(m.Running, RunningTask{Job: j, Index: first + i, SinceS: float64(rng.IntN(100))})
 		m.Free, m.Used = m.Free.Minus(j.Need), true
 		j.Held++
 		j.InZone[m.Zone]++
@@ -88,7 +88,7 @@
 			j.Gang, j.Upper = false, false
 		}
 		if rng.IntN(10) == 0 {
-			j.Service, j.Gang, j.Phantom, j.Team = true, false, true, ""
+			j.Service, j.Gang, j.Headroom, j.Team = true, false, true, ""
 			if rng.IntN(2) == 0 {
 				j.Images = []ImageShare{{"img-1", 0.5}, {"img-2", 0.5}}
 			}
@@ -114,7 +114,7 @@
 	for _, st := range p.Stops {
 		out = append(out, fmt.Sprintf("stop %s/%d on %s for %s", st.Victim.Job.ID, st.Victim.Index, st.Machine.ID, st.For.ID))
 	}
-	for _, k := range p.Kept {
+	for _, k := range p.Reservations {
 		out = append(out, fmt.Sprintf("keep %s for %d of %s", k.Machine.ID, k.Tasks, k.Job.ID))
 	}
 	return out
@@ -164,7 +164,7 @@
 			if !slices.Equal(a, b) {
 				t.Fatalf("seed %d, step %d: the standing index decides\n%v\nand not\n%v", seed, step, a, b)
 			}
-			s.Jobs = randomJobs(rng, func(n int) float64 { return float64(rng.IntN(n)) / 4 }, len(s.Teams))
+			s.Jobs = randomJobs(rng, func(n int) float64 { return float64(rng.IntN(n)) / 4 }, len(s.Quotas))
 		}
 	}
 }
@@ -179,7 +179,7 @@
 	case 1:
 		m.Images[fmt.Sprint("img-", rng.IntN(5))] = true
 	case 2:
-		m.For = []string{"", "j-001"}[rng.IntN(2)]
+		m.ReservedFor = []string{"", "j-001"}[rng.IntN(2)]
 	case 3:
 		m.Fetching, m.Used = nil, !m.Used
 	case 4:
@@ -204,9 +204,9 @@
 func copySnapshot(s *Snapshot) *Snapshot {
 	out := s.clone("")
 	out.Moving = s.Moving
-	for name, team := range s.Teams {
+	for name, team := range s.Quotas {
 		copied := *team
-		out.Teams[name] = &copied
+		out.Quotas[name] = &copied
 	}
 	for _, j := range s.Jobs {
 		copied := *j
--- a/internal/sched/job.go
+++ b/internal/scheduler/job.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -28,7 +28,7 @@
 	Upper                  bool
 	Slots                  int
 	Attained, Degradation  float64
-	Phantom                bool
+	Headroom               bool
 	// LeftS is the time left until its deadline, infinite if it has none; Late:
 	// it can't be met any more.
 	LeftS float64
@@ -36,9 +36,9 @@
 	// Resume is how many of the waiting tasks, listed first, ran before and were
 	// interrupted by their machine's end rather than by rank.
 	Resume int
-	// Claims is for how many of its tasks others were stopped and have not all
+	// Reserved is for how many of its tasks others were stopped and have not all
 	// gone yet.
-	Claims int
+	Reserved int
 	// Images are the images that expected tasks may need, with the share of each; missing
 	// is what share of them machines of an image set lack, as far as asked.
 	Images  []ImageShare
@@ -71,9 +71,9 @@
 
 func (j *Job) rankClass() int {
 	switch {
-	case j.Service && !j.Phantom:
+	case j.Service && !j.Headroom:
 		return rankService
-	case j.Phantom:
+	case j.Headroom:
 		return rankExpected
 	case j.Upper:
 		return rankUpper
--- a/internal/sched/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -25,7 +25,7 @@
 	out = s.placeStarved(out)
 	out = s.placeStarvedGangs(out)
 	for _, j := range s.Jobs {
-		if j.Phantom {
+		if j.Headroom {
 			s.reserve(j)
 		}
 		s.keepClaimed(j)
@@ -48,8 +48,8 @@
 func (s *oracle) placeServices(out []Placement) []Placement {
 	for _, guaranteed := range []bool{true, false} {
 		for _, j := range s.Jobs {
-			if j.Service && !j.Phantom {
-				out = s.place(out, j, func(t *Team) bool { return !guaranteed || t.InGuarantee(j.Need) })
+			if j.Service && !j.Headroom {
+				out = s.place(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Need) })
 			}
 		}
 	}
@@ -64,7 +64,7 @@
 		if j.Service || j.Gang || !j.Starved || j.Held > 0 || len(j.Waiting) == 0 {
 			continue
 		}
-		if t := s.Teams[j.Team]; t == nil || !t.InLimit(j.Need) {
+		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need) {
 			continue
 		}
 		if m := s.best(j); m != nil {
@@ -85,14 +85,14 @@
 		}
 		s.releaseClaimed(j)
 		if j.Gang {
-			out = s.placeGang(out, j, func(t *Team, whole Need) bool {
-				return t.InLimit(whole.Plus(t.Kept)) && (pass == withinSlots || t.InGuarantee(whole))
+			out = s.placeGang(out, j, func(t *Quota, whole Need) bool {
+				return t.WithinMaximum(whole.Plus(t.ServiceReserve)) && (pass == withinSlots || t.WithinGuarantee(whole))
 			})
 		} else {
 			if j.Upper && pass == withinSlots {
 				upper += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
-			out = s.place(out, j, func(t *Team) bool { return s.mayTake(j, t, pass, upper) })
+			out = s.place(out, j, func(t *Quota) bool { return s.mayTake(j, t, pass, upper) })
 		}
 		s.keepClaimed(j)
 	}
@@ -101,13 +101,13 @@
 
 // place starts a job's tasks while its team's limit, the given condition and
 // the room allow.
-func (s *oracle) place(out []Placement, j *Job, may func(*Team) bool) []Placement {
-	team := s.Teams[j.Team]
-	if len(j.Waiting) == 0 || !team.Takes(j) || !may(team) {
+func (s *oracle) place(out []Placement, j *Job, may func(*Quota) bool) []Placement {
+	team := s.Quotas[j.Team]
+	if len(j.Waiting) == 0 || !team.Admits(j) || !may(team) {
 		return out
 	}
 	choice := s.choices(j)
-	for len(j.Waiting) > 0 && team.Takes(j) && may(team) {
+	for len(j.Waiting) > 0 && team.Admits(j) && may(team) {
 		m := choice.best()
 		if m == nil {
 			break
@@ -146,7 +146,7 @@
 		j.InZone = map[string]int{}
 	}
 	j.InZone[m.Zone]++
-	if t := s.Teams[j.Team]; t != nil {
+	if t := s.Quotas[j.Team]; t != nil {
 		t.Used = t.Used.Plus(j.Need)
 	}
 	m.Free = m.Free.Minus(j.Need)
@@ -209,9 +209,9 @@
 		}
 	}
 	slices.SortStableFunc(starved, func(a, b *Job) int { return cmp.Compare(a.Submitted, b.Submitted) })
-	inLimit := func(t *Team, whole Need) bool { return t.InLimit(whole) }
+	inLimit := func(t *Quota, whole Need) bool { return t.WithinMaximum(whole) }
 	for _, j := range starved {
-		if t := s.Teams[j.Team]; t == nil || !t.InLimit(j.Need.Times(float64(len(j.Waiting)))) {
+		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
 			continue // its team's own work has to end first
 		}
 		before := len(out)
@@ -225,8 +225,8 @@
 
 // placeGang starts all tasks of a gang, or none: in one zone after the other if
 // they must be together, as the best place for the first may have no room for all.
-func (s *oracle) placeGang(out []Placement, j *Job, may func(*Team, Need) bool) []Placement {
-	team := s.Teams[j.Team]
+func (s *oracle) placeGang(out []Placement, j *Job, may func(*Quota, Need) bool) []Placement {
+	team := s.Quotas[j.Team]
 	if len(j.Waiting) == 0 || team == nil || !may(team, j.Need.Times(float64(len(j.Waiting)))) {
 		return out
 	}
@@ -263,7 +263,7 @@
 					delete(b.m.Fetching, j.Image)
 				}
 				j.InZone[b.m.Zone]--
-				if t := s.Teams[j.Team]; t != nil {
+				if t := s.Quotas[j.Team]; t != nil {
 					t.Used = t.Used.Minus(j.Need)
 				}
 			}
@@ -280,7 +280,7 @@
 // Plan places what still waits on free, booting and, where these don't do, new
 // machines. It returns what to rent and marks (Used) the machines that the
 // waiting and expected work needs. blocked pools are short.
-func (s *oracle) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Rental {
+func (s *oracle) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
 	Order(s.Jobs)
 	s.sparingCores = true
 	want := map[Pool]int{}
@@ -288,10 +288,10 @@
 	created := 0
 	for ji, j := range s.Jobs {
 		if j.Gang && len(j.Waiting) > 0 {
-			if t := s.Teams[j.Team]; t == nil || !t.InLimit(j.Need.Times(float64(len(j.Waiting)))) {
+			if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
 				continue
 			}
-			if s.placeGang(nil, j, func(*Team, Need) bool { return true }) != nil {
+			if s.placeGang(nil, j, func(*Quota, Need) bool { return true }) != nil {
 				continue
 			}
 			if j.OneZone && j.Zone == "" {
@@ -306,7 +306,7 @@
 		}
 		choice := s.choices(j)
 		for len(j.Waiting) > 0 {
-			if t := s.Teams[j.Team]; t != nil && !t.Takes(j) && !j.Phantom {
+			if t := s.Quotas[j.Team]; t != nil && !t.Admits(j) && !j.Headroom {
 				break
 			}
 			m := choice.best()
@@ -332,9 +332,9 @@
 			choice.taken(m)
 		}
 	}
-	var out []Rental
+	var out []Launch
 	for _, p := range order {
-		out = append(out, Rental{p, want[p]})
+		out = append(out, Launch{p, want[p]})
 	}
 	return out
 }
@@ -352,8 +352,8 @@
 	s.gangLooked = 0
 	for _, j := range s.Jobs {
 		switch {
-		case j.Phantom:
-		case j.Claims > 0:
+		case j.Headroom:
+		case j.Reserved > 0:
 			// What was stopped for this job before is still on its way out.
 		case j.Gang:
 			s.stopsForGang(j, rank, &out, most, none)
@@ -379,8 +379,8 @@
 		s.take(j, m)
 		held++
 		if len(set) > 0 {
-			m.For = j.ID // nobody else's stops may count on it
-			out.Kept = append(out.Kept, Kept{Job: j, Machine: m, Tasks: 1})
+			m.ReservedFor = j.ID // nobody else's stops may count on it
+			out.Reservations = append(out.Reservations, Reservation{Job: j, Machine: m, Tasks: 1})
 		}
 	}
 }
@@ -389,12 +389,12 @@
 // it, for room and for the team's limit alike: all of it or nothing, as stops
 // that don't lead to a start only cost work.
 func (s *oracle) stopsFor(j *Job, rank map[*Job]int) (*Machine, []Stop) {
-	team := s.Teams[j.Team]
+	team := s.Quotas[j.Team]
 	var set []Stop
 	m := s.best(j)
 	if m == nil {
-		var victims []Held
-		if m, victims = s.cheapestStops(j, team.InGuarantee(j.Need), rank); m == nil {
+		var victims []RunningTask
+		if m, victims = s.cheapestStops(j, team.WithinGuarantee(j.Need), rank); m == nil {
 			return nil, nil
 		}
 		for _, v := range victims {
@@ -407,7 +407,7 @@
 			after.Used = after.Used.Minus(v.Victim.Job.Need)
 		}
 	}
-	for !after.InLimit(j.Need) {
+	for !after.WithinMaximum(j.Need) {
 		on, v := s.youngest(j, set)
 		if on == nil {
 			return nil, nil
@@ -536,7 +536,7 @@
 }
 
 // stop and stopsForGang free room, so that the lists of machines with room are made anew.
-func (s *oracle) stop(m *Machine, v Held, j *Job) Stop {
+func (s *oracle) stop(m *Machine, v RunningTask, j *Job) Stop {
 	s.roomyLists = [2][]*Machine{}
 	return s.Snapshot.stop(m, v, j)
 }
@@ -552,9 +552,9 @@
 
 // youngest is the task of the job's team and of lower priority that has held
 // its place for the least time, and is not among those to stop already.
-func (s *oracle) youngest(j *Job, but []Stop) (*Machine, Held) {
+func (s *oracle) youngest(j *Job, but []Stop) (*Machine, RunningTask) {
 	var pick *Machine
-	var held Held
+	var held RunningTask
 	for _, m := range s.Machines {
 		for _, h := range m.Running {
 			if h.Job.Team != j.Team || h.Job.Priority >= j.Priority || (pick != nil && h.SinceS >= held.SinceS) ||
@@ -571,8 +571,8 @@
 // as it ranks after the job or has more than its slots.
 func (s *oracle) givesWay(victim, j *Job, guaranteed bool, rank map[*Job]int) bool {
 	lower := victim.Priority < j.Priority
-	team := s.Teams[victim.Team]
-	lent := guaranteed && victim.Team != j.Team && team != nil && team.Beyond()
+	team := s.Quotas[victim.Team]
+	lent := guaranteed && victim.Team != j.Team && team != nil && team.ExceedsGuarantee()
 	if victim.Service && !lower && !j.Patient {
 		// One replica for another is no gain, and the stopped one fetches its image
 		// anew; a machine may be on its way.
@@ -583,15 +583,15 @@
 }
 
 // cheapestStops finds the machine on which room for one task costs least.
-func (s *oracle) cheapestStops(j *Job, guaranteed bool, rank map[*Job]int) (*Machine, []Held) {
+func (s *oracle) cheapestStops(j *Job, guaranteed bool, rank map[*Job]int) (*Machine, []RunningTask) {
 	var pick *Machine
-	var chosen []Held
+	var chosen []RunningTask
 	cheapest := math.Inf(1)
 	for _, m := range s.Machines {
-		if m.Booting || m.For != "" || !j.Need.Fits(m.Type.Size) || !j.MayRunOn(m) {
+		if m.Booting || m.ReservedFor != "" || !j.Need.Fits(m.Type.Size) || !j.MayRunOn(m) {
 			continue
 		}
-		var may []Held
+		var may []RunningTask
 		for _, h := range m.Running {
 			if s.givesWay(h.Job, j, guaranteed, rank) {
 				may = append(may, h)
@@ -599,7 +599,7 @@
 		}
 		oracleSortVictims(may)
 		free, cost := m.Free, 0.0
-		var set []Held
+		var set []RunningTask
 		for _, h := range may {
 			if j.Need.Fits(free) {
 				break
@@ -663,7 +663,7 @@
 
 // oracleSortVictims puts first what costs least to stop: replicas last, gangs before them as
 // they stop whole, and the youngest of each.
-func oracleSortVictims(list []Held) {
+func oracleSortVictims(list []RunningTask) {
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
 		switch {
--- a/internal/sched/plan.go
+++ b/internal/scheduler/plan.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math"
@@ -12,8 +12,8 @@
 	Spot bool
 }
 
-// Rental is a number of machines wanted from a pool.
-type Rental struct {
+// Launch is a number of machines wanted from a pool.
+type Launch struct {
 	Pool
 	Count int
 }
@@ -21,7 +21,7 @@
 // Plan places what still waits on free, booting and, where these don't do, new
 // machines. It returns what to rent and marks (Used) the machines that the
 // waiting and expected work needs. blocked pools are short.
-func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Rental {
+func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
 	s.useIndex()
 	Order(s.Jobs)
 	s.sparingCores = true
@@ -31,10 +31,10 @@
 	created := 0
 	for ji, j := range s.Jobs {
 		if j.Gang && len(j.Waiting) > 0 {
-			if t := s.Teams[j.Team]; t == nil || !t.InLimit(j.Need.Times(float64(len(j.Waiting)))) {
+			if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
 				continue
 			}
-			if s.placeGang(nil, j, func(*Team, Need) bool { return true }) != nil {
+			if s.placeGang(nil, j, func(*Quota, Need) bool { return true }) != nil {
 				continue
 			}
 			if j.OneZone && j.Zone == "" {
@@ -49,7 +49,7 @@
 		}
 		choice := s.choices(j)
 		for len(j.Waiting) > 0 {
-			if t := s.Teams[j.Team]; t != nil && !t.Takes(j) && !j.Phantom {
+			if t := s.Quotas[j.Team]; t != nil && !t.Admits(j) && !j.Headroom {
 				break
 			}
 			m := choice.best()
@@ -62,7 +62,7 @@
 					break
 				}
 				m = &Machine{Type: typ, Zone: p.Zone, Spot: p.Spot, Free: typ.Size, Room: 1 << 20, Booting: true}
-				s.Bring(m)
+				s.AddMachine(m)
 				choice.add(m, len(s.Machines))
 				if want[p] == 0 {
 					order = append(order, p)
@@ -74,15 +74,15 @@
 			choice.taken(m)
 		}
 	}
-	var out []Rental
+	var out []Launch
 	for _, p := range order {
-		out = append(out, Rental{p, want[p]})
+		out = append(out, Launch{p, want[p]})
 	}
 	return out
 }
 
-// Bring adds a machine that was not there before.
-func (s *Snapshot) Bring(m *Machine) {
+// AddMachine adds a machine that was not there before.
+func (s *Snapshot) AddMachine(m *Machine) {
 	s.useIndex()
 	m.place = math.MaxInt/2 + len(s.Machines) // after all that were there
 	s.Machines = append(s.Machines, m)
--- a/internal/sched/need.go
+++ b/internal/scheduler/resources.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"math"
--- a/internal/sched/sched_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -31,8 +31,8 @@
 }
 
 func snap(ms []*Machine, jobs ...*Job) *Snapshot {
-	s := &Snapshot{Machines: ms, Jobs: jobs, UpperCap: 0.3, Teams: map[string]*Team{
-		"red": {Limit: Need{Cores: 100}}, "blue": {Limit: Need{Cores: 100}, Guarantee: Need{Cores: 4}}}}
+	s := &Snapshot{Machines: ms, Jobs: jobs, UpperCap: 0.3, Quotas: map[string]*Quota{
+		"red": {Maximum: Need{Cores: 100}}, "blue": {Maximum: Need{Cores: 100}, Guaranteed: Need{Cores: 4}}}}
 	for _, m := range ms {
 		s.Capacity = s.Capacity.Plus(m.Type.Size)
 	}
@@ -103,7 +103,7 @@
 		t.Errorf("together: %d of 12 start in the one zone with 8 places", n)
 	}
 	s = snap(machines(box, "a"), batch("j", 8, nil))
-	s.Teams["red"] = &Team{Limit: Need{Cores: 5}, Used: Need{Cores: 2}}
+	s.Quotas["red"] = &Quota{Maximum: Need{Cores: 5}, Used: Need{Cores: 2}}
 	if n := len(s.Fill()); n != 3 {
 		t.Errorf("limit: %d started, 3 are left", n)
 	}
@@ -117,7 +117,7 @@
 // Room for expected services is kept from batches, not from services.
 func TestReserve(t *testing.T) {
 	phantom := func() *Job {
-		return batch("~web", 3, func(j *Job) { j.Team, j.Service, j.Phantom = "", true, true })
+		return batch("~web", 3, func(j *Job) { j.Team, j.Service, j.Headroom = "", true, true })
 	}
 	s := snap(machines(box, "a"), batch("b", 8, nil), phantom())
 	if n := len(s.Fill()); n != 5 {
@@ -136,7 +136,7 @@
 		victim.Waiting, victim.Held, victim.Slots = nil, n, n
 		victim.InZone["a"] = n
 		for i := range n {
-			m[0].Running = append(m[0].Running, Held{Job: victim, Index: i, SinceS: float64(i)})
+			m[0].Running = append(m[0].Running, RunningTask{Job: victim, Index: i, SinceS: float64(i)})
 			m[0].Free = m[0].Free.Minus(victim.Need)
 		}
 		return m
@@ -144,28 +144,28 @@
 	for _, tc := range []struct {
 		name     string
 		job, vic func(*Job)
-		teams    map[string]*Team
+		teams    map[string]*Quota
 		stops    int
 	}{
 		{"lower priority gives way", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.Upper = false }, nil, 1},
 		{"the same priority does not", func(j *Job) { j.Service = true }, func(j *Job) { j.Upper = false }, nil, 0},
 		{"a higher one does not", nil, func(j *Job) { j.Priority, j.Upper = 3, false }, nil, 0},
 		{"what is lent returns to its team", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
-			map[string]*Team{"red": {Guarantee: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guarantee: Need{Cores: 4}}}, 1},
+			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 1},
 		{"no replica for another at once", func(j *Job) { j.Team, j.Service, j.Priority = "blue", true, 3 }, func(j *Job) { j.Service, j.Priority = true, 3 },
-			map[string]*Team{"red": {Guarantee: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guarantee: Need{Cores: 4}}}, 0},
+			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 0},
 		{"but after a long wait", func(j *Job) { j.Team, j.Service, j.Priority, j.Patient = "blue", true, 3, true }, func(j *Job) { j.Service, j.Priority, j.Submitted = true, 3, 1 },
-			map[string]*Team{"red": {Guarantee: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guarantee: Need{Cores: 4}}}, 1},
+			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 1},
 		{"what is within a guarantee stays", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
-			map[string]*Team{"red": {Guarantee: Need{Cores: 8}, Used: Need{Cores: 8}}, "blue": {Guarantee: Need{Cores: 4}}}, 0},
+			map[string]*Quota{"red": {Guaranteed: Need{Cores: 8}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 0},
 		{"a team's limit is freed for its better work", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.Upper = false },
-			map[string]*Team{"red": {Limit: Need{Cores: 8}, Used: Need{Cores: 8}}}, 1},
+			map[string]*Quota{"red": {Maximum: Need{Cores: 8}, Used: Need{Cores: 8}}}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			vic := batch("victim", 8, tc.vic)
 			s := snap(full(vic, 8), batch("j", 1, tc.job), vic)
 			if tc.teams != nil {
-				s.Teams = tc.teams
+				s.Quotas = tc.teams
 			}
 			got := s.Stops(10, map[string]bool{}).Stops
 			if len(got) != tc.stops {
@@ -184,15 +184,15 @@
 	types := []*Type{gpu, box}
 	open := func(Pool) bool { return false }
 	got := snap(nil, batch("j", 8, func(j *Job) { j.Spot = true })).Plan(types, open, 10)
-	if d := cmp.Diff([]Rental{{Pool{"box", "a", true}, 1}}, got); d != "" {
+	if d := cmp.Diff([]Launch{{Pool{"box", "a", true}, 1}}, got); d != "" {
 		t.Error(d)
 	}
 	got = snap(nil, batch("j", 8, nil)).Plan(types, func(p Pool) bool { return p.Zone == "a" }, 10)
-	if d := cmp.Diff([]Rental{{Pool{"box", "b", false}, 1}}, got); d != "" {
+	if d := cmp.Diff([]Launch{{Pool{"box", "b", false}, 1}}, got); d != "" {
 		t.Error(d)
 	}
 	s := snap(nil, batch("j", 400, nil))
-	s.Teams["red"].Limit.Cores = 16
+	s.Quotas["red"].Maximum.Cores = 16
 	got = s.Plan(types, open, 64)
 	n := 0
 	for _, r := range got {
@@ -233,10 +233,10 @@
 // again (a recorded day: 2,000 stops for three jobs that never started).
 func TestClaims(t *testing.T) {
 	m := machines(box, "a", "a")
-	m[0].Free, m[0].For = Need{Cores: 5, Mem: 32}, "web"
-	web := batch("web", 1, func(j *Job) { j.Service, j.Claims, j.Need = true, 1, Need{Cores: 8, Mem: 1} })
+	m[0].Free, m[0].ReservedFor = Need{Cores: 5, Mem: 32}, "web"
+	web := batch("web", 1, func(j *Job) { j.Service, j.Reserved, j.Need = true, 1, Need{Cores: 8, Mem: 1} })
 	s := snap(m, web, batch("b", 20, nil), batch("c", 20, func(j *Job) { j.Team = "blue" }))
-	s.Teams["red"] = &Team{Limit: Need{Cores: 16}, Used: Need{Cores: 8}}
+	s.Quotas["red"] = &Quota{Maximum: Need{Cores: 16}, Used: Need{Cores: 8}}
 	m[1].Free = Need{Cores: 4, Mem: 32}
 	for _, p := range s.Fill() {
 		if p.Machine == m[0] || p.Job.Team == "red" {
@@ -268,20 +268,20 @@
 	}
 	none := func() []*Job { return nil }
 	expect := func() []*Job {
-		return []*Job{batch("~web", 2, func(j *Job) { j.Team, j.Service, j.Phantom, j.Need = "", true, true, Need{Cores: 2, Mem: 1} })}
+		return []*Job{batch("~web", 2, func(j *Job) { j.Team, j.Service, j.Headroom, j.Need = "", true, true, Need{Cores: 2, Mem: 1} })}
 	}
-	if build().Emptied("box-0", replica(4), none) == nil {
+	if build().WithoutMachine("box-0", replica(4), none) == nil {
 		t.Error("there is room")
 	}
-	if build().Emptied("box-0", replica(5), none) != nil {
+	if build().WithoutMachine("box-0", replica(5), none) != nil {
 		t.Error("there is no room")
 	}
-	if build().Emptied("box-0", replica(4), expect) != nil {
+	if build().WithoutMachine("box-0", replica(4), expect) != nil {
 		t.Error("the room for expected replicas would be gone")
 	}
 	s := build()
 	s.Machines[1].Images = nil
-	if s.Emptied("box-0", replica(4), none) != nil {
+	if s.WithoutMachine("box-0", replica(4), none) != nil {
 		t.Error("the image would have to be fetched")
 	}
 	s = build()
@@ -299,7 +299,7 @@
 	batch := &Job{ID: "j-1", Team: "red", Need: Need{Cores: 10}, Tasks: 9, Slots: 9, Degradation: 1, Waiting: []int{0, 1, 2, 3, 4, 5, 6, 7, 8}}
 	web := &Job{ID: "j-2", Team: "red", Service: true, Need: Need{Cores: 5}, Tasks: 2, Degradation: 1, Waiting: []int{0, 1}}
 	s := &Snapshot{UpperCap: 1, Capacity: typ.Size, Jobs: []*Job{batch, web},
-		Teams:    map[string]*Team{"red": {Limit: Need{Cores: 50}, Kept: Need{Cores: 12}}},
+		Quotas:   map[string]*Quota{"red": {Maximum: Need{Cores: 50}, ServiceReserve: Need{Cores: 12}}},
 		Machines: []*Machine{{ID: "i-1", Type: typ, Free: typ.Size, Room: 99}}}
 	n := map[string]int{}
 	for _, p := range s.Fill() {
@@ -318,7 +318,7 @@
 	for aim, wants := range map[float64]string{1: "i-large", 3600: "i-small"} {
 		j := &Job{ID: "j-1", Team: "red", Service: true, Image: "img", ImageGB: 0.6, AimS: aim, Need: Need{Cores: 2, Mem: 3},
 			Tasks: 1, Degradation: 1, Waiting: []int{0}}
-		s := &Snapshot{Jobs: []*Job{j}, Teams: map[string]*Team{"red": {}}, Machines: []*Machine{
+		s := &Snapshot{Jobs: []*Job{j}, Quotas: map[string]*Quota{"red": {}}, Machines: []*Machine{
 			{ID: "i-large", Type: large, Free: large.Size, Room: 9, Used: true},
 			{ID: "i-small", Type: small, Free: small.Size, Room: 9, Used: true}}}
 		if got := s.Fill(); len(got) != 1 || got[0].Machine.ID != wants {
@@ -332,7 +332,7 @@
 func TestDeadlinesBeyondSlots(t *testing.T) {
 	typ := &Type{Name: "m", Size: Need{Cores: 4, Mem: 99}}
 	start := func(left [3]float64, late [3]bool) string {
-		s := &Snapshot{UpperCap: 1, Capacity: typ.Size, Teams: map[string]*Team{"red": {}},
+		s := &Snapshot{UpperCap: 1, Capacity: typ.Size, Quotas: map[string]*Quota{"red": {}},
 			Machines: []*Machine{{ID: "i-1", Type: typ, Free: typ.Size, Room: 99}}}
 		for i := range 3 {
 			s.Jobs = append(s.Jobs, &Job{ID: string(rune('a' + i)), Team: "red", Need: Need{Cores: 2}, Tasks: 9, Held: 1, Slots: 1,
@@ -362,13 +362,13 @@
 	s := &Snapshot{}
 	for n := range 300 {
 		s.Machines = append(s.Machines, &Machine{Type: typ})
-		if !s.Costly(s.Machines[0]) {
+		if !s.IsExpensive(s.Machines[0]) {
 			t.Fatalf("%d machines of one type are not dear", n+1)
 		}
 	}
 	cheap := &Machine{Type: small}
 	s.Machines = append(s.Machines, cheap)
-	if s.Costly(cheap) || !s.Costly(s.Machines[0]) {
+	if s.IsExpensive(cheap) || !s.IsExpensive(s.Machines[0]) {
 		t.Fatal("the cheap one is dear")
 	}
 }
@@ -380,21 +380,21 @@
 	typ := &Type{Name: "m", Size: Need{Cores: 8, Mem: 99}}
 	build := func(claims int) *Snapshot {
 		web := &Job{ID: "j-web", Team: "red", Service: true, Priority: 3, Need: Need{Cores: 8}, Tasks: 3, Degradation: 1,
-			Claims: claims, Waiting: []int{0, 1, 2}}
-		s := &Snapshot{Jobs: []*Job{web}, Teams: map[string]*Team{"red": {}, "blue": {}}}
+			Reserved: claims, Waiting: []int{0, 1, 2}}
+		s := &Snapshot{Jobs: []*Job{web}, Quotas: map[string]*Quota{"red": {}, "blue": {}}}
 		for i := range 4 {
 			b := &Job{ID: "j-" + string(rune('a'+i)), Team: "blue", Need: Need{Cores: 8}, Tasks: 1, Held: 1, Slots: 1, Degradation: 1,
 				InZone: map[string]int{"": 1}}
 			s.Jobs = append(s.Jobs, b)
-			s.Machines = append(s.Machines, &Machine{ID: "i-" + string(rune('a'+i)), Type: typ, Room: 9, Used: true, Running: []Held{{Job: b}}})
+			s.Machines = append(s.Machines, &Machine{ID: "i-" + string(rune('a'+i)), Type: typ, Room: 9, Used: true, Running: []RunningTask{{Job: b}}})
 		}
 		return s
 	}
 	round := build(0).Stops(9, map[string]bool{})
 	targets := map[string]bool{}
-	for _, kept := range round.Kept {
-		if kept.Job.ID != "j-web" || kept.Tasks != 1 || kept.Machine.For != "j-web" {
-			t.Errorf("%s is kept for %d of %s and %q", kept.Machine.ID, kept.Tasks, kept.Job.ID, kept.Machine.For)
+	for _, kept := range round.Reservations {
+		if kept.Job.ID != "j-web" || kept.Tasks != 1 || kept.Machine.ReservedFor != "j-web" {
+			t.Errorf("%s is kept for %d of %s and %q", kept.Machine.ID, kept.Tasks, kept.Job.ID, kept.Machine.ReservedFor)
 		}
 		targets[kept.Machine.ID] = true
 	}
@@ -403,7 +403,7 @@
 			t.Errorf("stop on %s, which is not kept", st.Machine.ID)
 		}
 	}
-	if len(round.Stops) != 3 || len(round.Kept) != 3 || len(targets) != 3 {
+	if len(round.Stops) != 3 || len(round.Reservations) != 3 || len(targets) != 3 {
 		t.Errorf("%d stops for 3 tasks on %d machines", len(round.Stops), len(targets))
 	}
 	if n := len(build(3).Stops(9, map[string]bool{}).Stops); n != 0 {
@@ -414,9 +414,9 @@
 // grownFleet is a snapshot of the size that deployments have grown to: all
 // machines in use, some room here and there, and a burst of waiting jobs.
 func grownFleet(machines, jobs int) *Snapshot {
-	s := &Snapshot{UpperCap: 0.3, Teams: map[string]*Team{}}
+	s := &Snapshot{UpperCap: 0.3, Quotas: map[string]*Quota{}}
 	for i := range 6 {
-		s.Teams[string(rune('a'+i))] = &Team{Guarantee: Need{Cores: 1800}, Limit: Need{Cores: 6000}}
+		s.Quotas[string(rune('a'+i))] = &Quota{Guaranteed: Need{Cores: 1800}, Maximum: Need{Cores: 6000}}
 	}
 	types := []*Type{{Name: "s", Size: Need{Cores: 4, Mem: 8}, Price: 1}, {Name: "l", Size: Need{Cores: 64, Accel: 8, Mem: 384}, Price: 20}}
 	for i := range machines {
@@ -484,9 +484,9 @@
 // one that has had no task anywhere for longer than a boot gets one, not more.
 func TestStarvedBatchTakesKeptRoom(t *testing.T) {
 	for _, starved := range []bool{false, true} {
-		expected := batch("~web", 8, func(j *Job) { j.Service, j.Phantom, j.Team = true, true, "" })
+		expected := batch("~web", 8, func(j *Job) { j.Service, j.Headroom, j.Team = true, true, "" })
 		s := snap(machines(box, "a"), expected, batch("b", 3, func(j *Job) { j.Starved = starved }))
-		s.Teams["red"].Kept = Need{Cores: 100}
+		s.Quotas["red"].ServiceReserve = Need{Cores: 100}
 		want := 0
 		if starved {
 			want = 1
@@ -561,7 +561,7 @@
 		jobs := []*Job{urgent, gang}
 		hold := func(m *Machine, j *Job, n int) {
 			for i := range n {
-				m.Running = append(m.Running, Held{Job: j, Index: i, SinceS: 30})
+				m.Running = append(m.Running, RunningTask{Job: j, Index: i, SinceS: 30})
 				m.Free = m.Free.Minus(j.Need)
 			}
 		}
--- a/internal/sched/search.go
+++ b/internal/scheduler/search.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import "math"
 
@@ -40,7 +40,7 @@
 // choiceByIndex is nil if the index does not tell which machine is best for the job: for
 // room that is kept where several images are, and for tasks that need memory alone.
 func (s *Snapshot) choiceByIndex(j *Job) *indexChoice {
-	if s.index == nil || j.Phantom && len(j.Images) > 0 || j.Need.Cores <= 0 && j.Need.Accel <= 0 {
+	if s.index == nil || j.Headroom && len(j.Images) > 0 || j.Need.Cores <= 0 && j.Need.Accel <= 0 {
 		return nil
 	}
 	// One choice is made after the other, so that they can share their memory.
--- a/internal/sched/sched.go
+++ b/internal/scheduler/snapshot.go
@@ -1,8 +1,8 @@
-// Package sched decides what runs where: GREEN's order (see docs/design.md),
+// Package scheduler decides what runs where: GREEN's order (see docs/design.md),
 // filling, the stops of a round, and which machines to rent. All of it is pure:
 // a snapshot goes in, decisions come out, and the same snapshot always gives
 // the same decisions.
-package sched
+package scheduler
 
 // Type is a machine type as the planner needs it.
 type Type struct {
@@ -22,23 +22,23 @@
 	Spot bool
 	Free Need
 	Room int // further tasks that its record can hold
-	// For names the job that tasks were stopped for here: nobody else may take
+	// ReservedFor names the job that tasks were stopped for here: nobody else may take
 	// the room meanwhile, or the stops would be made again at each round.
-	For      string
-	Images   map[string]bool
-	Fetching map[string]bool
-	Booting  bool
-	Used     bool // holds or was given something
+	ReservedFor string
+	Images      map[string]bool
+	Fetching    map[string]bool
+	Booting     bool
+	Used        bool // holds or was given something
 	// Changed: a decision has changed it since whoever keeps it last looked.
 	Changed bool
 	// ImageSet is the same for machines that have the same images; 0: not known.
 	ImageSet int
 	place    int // among the machines: equal scores go to the first
-	Running  []Held
+	Running  []RunningTask
 }
 
-// Held is a task on a machine, as a candidate for being stopped.
-type Held struct {
+// RunningTask is a task on a machine, as a candidate for being stopped.
+type RunningTask struct {
 	Job    *Job
 	Index  int
 	SinceS float64 // for how long
@@ -48,7 +48,7 @@
 type Snapshot struct {
 	Machines []*Machine
 	Jobs     []*Job
-	Teams    map[string]*Team
+	Quotas   map[string]*Quota
 	UpperCap float64 // share of the fleet
 	// Moving: replicas are on their way from one machine to others, whose room
 	// batches must not take meanwhile.
--- a/internal/sched/sparing_test.go
+++ b/internal/scheduler/spare_cores_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import "testing"
 
@@ -44,7 +44,7 @@
 	ms[2].Images = map[string]bool{"x": true, "y": true}
 	ms[1].Images = map[string]bool{"x": true}
 	expected := batch("~web", 8, func(j *Job) {
-		j.Service, j.Phantom, j.Images = true, true, []ImageShare{{"x", 0.5}, {"y", 0.3}, {"z", 0.2}}
+		j.Service, j.Headroom, j.Images = true, true, []ImageShare{{"x", 0.5}, {"y", 0.3}, {"z", 0.2}}
 	})
 	s := snap(ms, expected, batch("work", 24, func(j *Job) { j.Upper, j.Slots = false, 24 }))
 	if got := started(s.Fill())["work"]; got != 16 || ms[2].Free.Cores != 0 || !ms[0].Used || !ms[1].Used || ms[2].Used {
--- a/internal/sched/stops.go
+++ b/internal/scheduler/stops.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -7,13 +7,13 @@
 
 // Stop is a task to stop, to make room for another job.
 type Stop struct {
-	Victim  Held
+	Victim  RunningTask
 	Machine *Machine // of the victim
 	For     *Job
 }
 
-// Kept is room on a machine that is kept for tasks of a job until they start there.
-type Kept struct {
+// Reservation is room on a machine that is kept for tasks of a job until they start there.
+type Reservation struct {
 	Job     *Job
 	Machine *Machine
 	Tasks   int
@@ -21,8 +21,8 @@
 
 // Preemption is what a round stops, and the room it keeps for those it does so for.
 type Preemption struct {
-	Stops []Stop
-	Kept  []Kept
+	Stops        []Stop
+	Reservations []Reservation
 }
 
 // Stops are a round's: for tasks that wait within their slots and found no
@@ -47,8 +47,8 @@
 		case len(out.Stops) >= most:
 			clear(searched)
 			return out // nothing more can come of it
-		case j.Phantom, searched[j.ID]:
-		case j.Claims > 0:
+		case j.Headroom, searched[j.ID]:
+		case j.Reserved > 0:
 			// What was stopped for this job before is still on its way out.
 		case j.Gang:
 			s.stopsForGang(j, &out, most, none)
@@ -70,7 +70,7 @@
 
 // wantsStops says whether any of its waiting tasks is worth a stop.
 func (j *Job) wantsStops() bool {
-	return len(j.Waiting) > 0 && !j.Phantom && j.Claims == 0 && (j.Service || j.Gang || j.Held < j.Slots)
+	return len(j.Waiting) > 0 && !j.Headroom && j.Reserved == 0 && (j.Service || j.Gang || j.Held < j.Slots)
 }
 
 // stopsForTasks makes room for the waiting tasks of a job that it has slots for, one
@@ -89,9 +89,9 @@
 		s.take(j, m)
 		held++
 		if len(set) > 0 {
-			m.For = j.ID // nobody else's stops may count on it
+			m.ReservedFor = j.ID // nobody else's stops may count on it
 			s.changed(m)
-			out.Kept = append(out.Kept, Kept{Job: j, Machine: m, Tasks: 1})
+			out.Reservations = append(out.Reservations, Reservation{Job: j, Machine: m, Tasks: 1})
 		}
 	}
 }
@@ -100,12 +100,12 @@
 // it, for room and for the team's limit alike: all of it or nothing, as stops
 // that don't lead to a start only cost work.
 func (s *Snapshot) stopsFor(j *Job, candidates **stopCandidates) (*Machine, []Stop) {
-	team := s.Teams[j.Team]
+	team := s.Quotas[j.Team]
 	var set []Stop
 	m := s.best(j)
 	if m == nil {
-		var victims []Held
-		if m, victims = s.cheapestStops(j, team.InGuarantee(j.Need), candidates); m == nil {
+		var victims []RunningTask
+		if m, victims = s.cheapestStops(j, team.WithinGuarantee(j.Need), candidates); m == nil {
 			return nil, nil
 		}
 		for _, v := range victims {
@@ -118,7 +118,7 @@
 			after.Used = after.Used.Minus(v.Victim.Job.Need)
 		}
 	}
-	for !after.InLimit(j.Need) {
+	for !after.WithinMaximum(j.Need) {
 		on, v := s.victims.youngest(j, set)
 		if on == nil {
 			return nil, nil
@@ -130,12 +130,12 @@
 }
 
 // stop takes a task off a machine.
-func (s *Snapshot) stop(m *Machine, v Held, j *Job) Stop {
+func (s *Snapshot) stop(m *Machine, v RunningTask, j *Job) Stop {
 	m.Free = m.Free.Plus(v.Job.Need)
 	s.spare = [2][]*Machine{}
 	s.changed(m)
-	team := s.Teams[v.Job.Team]
-	beyond, extra := team != nil && team.Beyond(), v.Job.Held > v.Job.Slots
+	team := s.Quotas[v.Job.Team]
+	beyond, extra := team != nil && team.ExceedsGuarantee(), v.Job.Held > v.Job.Slots
 	if team != nil {
 		team.Used = team.Used.Minus(v.Job.Need)
 	}
@@ -145,13 +145,13 @@
 	v.Job.Held--
 	m.Running = remove(m.Running, v)
 	if s.victims != nil {
-		s.victims.stopped(m, v, j, beyond != (team != nil && team.Beyond()) || extra != (v.Job.Held > v.Job.Slots) || v.Job.Gang)
+		s.victims.stopped(m, v, j, beyond != (team != nil && team.ExceedsGuarantee()) || extra != (v.Job.Held > v.Job.Slots) || v.Job.Gang)
 	}
 	return Stop{Victim: v, Machine: m, For: j}
 }
 
-func remove(list []Held, v Held) []Held {
-	var out []Held
+func remove(list []RunningTask, v RunningTask) []RunningTask {
+	var out []RunningTask
 	for _, h := range list {
 		if h.Job != v.Job || h.Index != v.Index {
 			out = append(out, h)
@@ -169,7 +169,7 @@
 		if !guaranteed || victim.Team == j.Team || victim.Service && !j.Patient {
 			return false
 		}
-		if team := s.Teams[victim.Team]; team == nil || !team.Beyond() {
+		if team := s.Quotas[victim.Team]; team == nil || !team.ExceedsGuarantee() {
 			return false
 		}
 	}
@@ -178,11 +178,11 @@
 
 // sortVictims puts first what costs least to stop: replicas last, gangs before them as
 // they stop whole, and the youngest of each.
-func sortVictims(list []Held) {
+func sortVictims(list []RunningTask) {
 	if len(list) < 2 {
 		return
 	}
-	slices.SortStableFunc(list, func(x, y Held) int {
+	slices.SortStableFunc(list, func(x, y RunningTask) int {
 		return cmp.Or(compareBool(x.Job.Service, y.Job.Service), compareBool(x.Job.Gang, y.Job.Gang), cmp.Compare(x.SinceS, y.SinceS))
 	})
 }
--- a/internal/sched/victims.go
+++ b/internal/scheduler/victims.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 type victims struct {
 	snapshot *Snapshot
 	// byMachine has a machine's tasks as sortVictims puts them, once they were asked for.
-	byMachine map[*Machine][]Held
+	byMachine map[*Machine][]RunningTask
 	// byTeam is made when a team's own tasks are first asked for.
 	byTeam map[teamPriority][]teamTask
 	gone   map[heldTask]bool
@@ -37,7 +37,7 @@
 	priority int
 }
 
-// heldTask is a task on its machine.
+// taskRef is a task on its machine.
 type heldTask struct {
 	machine *Machine
 	job     *Job
@@ -56,15 +56,15 @@
 }
 
 func newVictims(s *Snapshot) *victims {
-	v := &victims{snapshot: s, byMachine: map[*Machine][]Held{}, gone: map[heldTask]bool{}, lowest: math.MaxInt,
+	v := &victims{snapshot: s, byMachine: map[*Machine][]RunningTask{}, gone: map[heldTask]bool{}, lowest: math.MaxInt,
 		lent: map[string]bool{}, hopeless: map[stopShape][]Need{}, shared: map[sharedKey]*stopCandidates{}}
 	for _, m := range s.Machines {
 		for _, h := range m.Running {
 			v.lowest = min(v.lowest, h.Job.Priority)
 		}
 	}
-	for name, team := range s.Teams {
-		if team.Beyond() {
+	for name, team := range s.Quotas {
+		if team.ExceedsGuarantee() {
 			v.lent[name] = true
 		}
 	}
@@ -73,11 +73,11 @@
 
 // stopped follows a stop. Costs have to be worked out anew if other tasks may be stopped or
 // what they cost has changed; room elsewhere than where the job goes may help others.
-func (v *victims) stopped(m *Machine, h Held, j *Job, costsChanged bool) {
+func (v *victims) stopped(m *Machine, h RunningTask, j *Job, costsChanged bool) {
 	delete(v.byMachine, m)
 	v.gone[heldTask{m, h.Job, h.Index}] = true
 	v.gangs = nil
-	if team := v.snapshot.Teams[h.Job.Team]; team != nil && !team.Beyond() {
+	if team := v.snapshot.Quotas[h.Job.Team]; team != nil && !team.ExceedsGuarantee() {
 		delete(v.lent, h.Job.Team)
 	}
 	if costsChanged {
@@ -94,8 +94,8 @@
 // took follows a task that was given its place: its team may use more than its guarantee now,
 // or the job have more than its slots, so that its other tasks may be stopped for others.
 func (v *victims) took(j *Job) {
-	team := v.snapshot.Teams[j.Team]
-	lent := team != nil && !v.lent[j.Team] && team.Beyond()
+	team := v.snapshot.Quotas[j.Team]
+	lent := team != nil && !v.lent[j.Team] && team.ExceedsGuarantee()
 	if lent {
 		v.lent[j.Team] = true
 	}
@@ -106,7 +106,7 @@
 }
 
 // on lists a machine's tasks, what costs least to stop first.
-func (v *victims) on(m *Machine) []Held {
+func (v *victims) on(m *Machine) []RunningTask {
 	list, known := v.byMachine[m]
 	if !known {
 		list = slices.Clone(m.Running)
@@ -159,7 +159,7 @@
 
 // youngest is the task of the job's team and of lower priority that has held its place for
 // the least time, and is not among those to stop already.
-func (v *victims) youngest(j *Job, but []Stop) (*Machine, Held) {
+func (v *victims) youngest(j *Job, but []Stop) (*Machine, RunningTask) {
 	v.listTeams()
 	var pick *teamTask
 	for priority := Lowest; priority < j.Priority; priority++ {
@@ -181,7 +181,7 @@
 		}
 	}
 	if pick == nil {
-		return nil, Held{}
+		return nil, RunningTask{}
 	}
 	return pick.Machine, pick.Victim
 }
@@ -189,7 +189,7 @@
 // Lowest is the lowest priority that a job may have.
 const Lowest = 0
 
-func isAmong(list []Stop, h Held) bool {
+func isAmong(list []Stop, h RunningTask) bool {
 	return slices.ContainsFunc(list, func(b Stop) bool { return b.Victim.Job == h.Job && b.Victim.Index == h.Index })
 }
 
@@ -315,7 +315,7 @@
 }
 
 // cheapestStops finds the machine on which room for one task costs least.
-func (s *Snapshot) cheapestStops(j *Job, guaranteed bool, kept **stopCandidates) (*Machine, []Held) {
+func (s *Snapshot) cheapestStops(j *Job, guaranteed bool, kept **stopCandidates) (*Machine, []RunningTask) {
 	if !s.victims.possible(j, guaranteed) {
 		return nil, nil
 	}
@@ -352,7 +352,7 @@
 	for len(*h) > 0 {
 		first := &(*h)[0]
 		switch m := first.machine; {
-		case m.For != "":
+		case m.ReservedFor != "":
 			heap.Pop(h)
 		case first.free == m.Free:
 			return first
@@ -381,7 +381,7 @@
 	c := &stopCandidates{zones: map[string]*stopHeap{}, version: s.victims.version, guaranteed: guaranteed}
 	s.stopsLooked += len(s.Machines)
 	for _, m := range s.Machines {
-		if m.Booting || m.For != "" || len(m.Running) == 0 || !j.Need.Fits(m.Type.Size) ||
+		if m.Booting || m.ReservedFor != "" || len(m.Running) == 0 || !j.Need.Fits(m.Type.Size) ||
 			!j.AllowedOn(m.Type.Name, m.Zone, m.Spot) || j.Avoid[m.ID] {
 			continue
 		}
@@ -405,7 +405,7 @@
 
 // stopsOn works out what has to stop on a machine for one task of the job: the set, if that
 // is wanted, and its cost.
-func (s *Snapshot) stopsOn(j *Job, m *Machine, guaranteed, wantSet bool) (set []Held, cost float64, possible bool) {
+func (s *Snapshot) stopsOn(j *Job, m *Machine, guaranteed, wantSet bool) (set []RunningTask, cost float64, possible bool) {
 	free, stops := m.Free, 0
 	for _, h := range s.victims.on(m) {
 		if j.Need.Fits(free) {
--- a/internal/sched/victims_test.go
+++ b/internal/scheduler/victims_test.go
@@ -1,4 +1,4 @@
-package sched
+package scheduler
 
 import (
 	"fmt"
@@ -14,16 +14,16 @@
 			ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", Room: 10})
 		}
 		s := snap(ms)
-		s.Teams = map[string]*Team{"low": {}}
+		s.Quotas = map[string]*Quota{"low": {}}
 		low := batch("low", 0, func(j *Job) { j.Team, j.Held, j.Upper, j.Need = "low", len(ms), false, Need{Cores: 1, Mem: 1} })
 		for i, m := range ms {
-			m.Running = []Held{{Job: low, Index: i, SinceS: 10}}
+			m.Running = []RunningTask{{Job: low, Index: i, SinceS: 10}}
 		}
 		s.Jobs = append(s.Jobs, low)
 		// Each is of a team of its own, so that each has to look for itself, and too large.
 		for i := range 250 {
 			team := fmt.Sprint("team-", i)
-			s.Teams[team] = &Team{}
+			s.Quotas[team] = &Quota{}
 			s.Jobs = append(s.Jobs, batch(fmt.Sprintf("large-%03d", i), 1, func(j *Job) {
 				j.Team, j.Priority, j.Need, j.Upper = team, 2, Need{Cores: 4, Mem: 4}, false
 			}))
@@ -67,7 +67,7 @@
 	s := snap(ms)
 	low := batch("low", 0, func(j *Job) { j.Held, j.Upper, j.Need = len(ms), false, Need{Cores: 8, Mem: 1} })
 	for i, m := range ms {
-		m.Running = []Held{{Job: low, Index: i, SinceS: float64(i % 7)}}
+		m.Running = []RunningTask{{Job: low, Index: i, SinceS: float64(i % 7)}}
 	}
 	s.Jobs = []*Job{low}
 	for i := range count {
@@ -77,7 +77,7 @@
 	}
 	round := s.Stops(2*count, map[string]bool{})
 	seen := map[string]bool{}
-	for _, kept := range round.Kept {
+	for _, kept := range round.Reservations {
 		seen[kept.Machine.ID] = true
 	}
 	if len(round.Stops) != count || len(seen) != count || s.stopsLooked > 3*len(ms) {
--- a/internal/statestore/leaderkey.go
+++ b/internal/statestore/leader_key.go
@@ -6,7 +6,7 @@
 // transaction of its own. As that rewrites the key whose version every write depends on, it fences
 // off all that was sent before it.
 type LeaderChange struct {
-	Form LeaderForm
+	Entry LeaderEntry
 	// Puts and Deletes are the other keys.
 	Puts    []protocol.Change
 	Deletes []string
@@ -42,7 +42,7 @@
 		t.dels = append(t.dels, key)
 		t.Body.Then = append(t.Body.Then, protocol.Change{Delete: key})
 	}
-	w.putLeader(t, change.Form)
+	w.putLeader(t, change.Entry)
 	w.changes.Take(now, changes)
 	return t
 }
--- a/internal/statestore/leaderkey_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -11,7 +11,7 @@
 func changing(t *testing.T, change *LeaderChange) (s *scripted, w *Writer, outcome *string) {
 	s, w = newScripted(8)
 	outcome = new(string)
-	change.Form = LeaderForm{Record: "permanent"}
+	change.Entry = LeaderEntry{Record: "permanent"}
 	change.Applied = func() { *outcome = "applied" }
 	change.Refused = func() { *outcome = "refused" }
 	w.Mark("m/other", Start, value("other"), nil)
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -170,7 +170,7 @@
 
 // stored notes that the transaction's leader key is the stored one.
 func (w *Writer) stored(t *Transaction, version uint64) {
-	w.leader.Version, w.leader.Form, w.unanswered = version, t.leader, false
+	w.leader.Version, w.leader.Entry, w.unanswered = version, t.leader, false
 }
 
 func (w *Writer) applied(t *Transaction, revision uint64) {
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -11,8 +11,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"claybarrow/internal/budget"
 	"claybarrow/internal/protocol"
+	"claybarrow/internal/ratelimit"
 )
 
 // Priority orders the writes that wait.
@@ -55,13 +55,13 @@
 type LeaderKey struct {
 	Key     string
 	Version uint64
-	Form    LeaderForm
+	Entry   LeaderEntry
 	// Equal says whether a value that was read is a record.
 	Equal func(value []byte, record any) bool
 }
 
-// LeaderForm is how the leader key is stored.
-type LeaderForm struct {
+// LeaderEntry is how the leader key is stored.
+type LeaderEntry struct {
 	Record any
 	Lease  uint64 // 0: the key is permanent
 }
@@ -107,7 +107,7 @@
 	// fencing: it also writes the leader key.
 	fencing bool
 	// leader is what it stores in the leader key, if it does.
-	leader LeaderForm
+	leader LeaderEntry
 	// change is the change of the leader key's form that it carries out, or nil.
 	change   *LeaderChange
 	made     time.Duration
@@ -130,7 +130,7 @@
 	host    Host
 	log     *slog.Logger
 	limits  Limits
-	changes *budget.Bucket
+	changes *ratelimit.TokenBucket
 	leader  LeaderKey
 
 	versions map[string]uint64
@@ -149,7 +149,7 @@
 }
 
 // NewWriter makes the writer of a new term.
-func NewWriter(host Host, log *slog.Logger, limits Limits, changes *budget.Bucket, leader LeaderKey) *Writer {
+func NewWriter(host Host, log *slog.Logger, limits Limits, changes *ratelimit.TokenBucket, leader LeaderKey) *Writer {
 	return &Writer{host: host, log: log, limits: limits, changes: changes, leader: leader, versions: map[string]uint64{}, pending: map[string]*write{},
 		took: hdrhistogram.New(1, longestMillis, figures), most: unlimited}
 }
@@ -287,12 +287,12 @@
 	if !w.unanswered || t.fencing {
 		return
 	}
-	w.putLeader(t, w.leader.Form)
+	w.putLeader(t, w.leader.Entry)
 	w.changes.Take(w.host.Now(), 1)
 }
 
 // putLeader has the transaction store the leader key.
-func (w *Writer) putLeader(t *Transaction, form LeaderForm) {
+func (w *Writer) putLeader(t *Transaction, form LeaderEntry) {
 	t.fencing, t.leader = true, form
 	t.Body.Then = append(t.Body.Then, protocol.Change{Put: w.leader.Key, Value: form.Record, Lease: form.Lease})
 }
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"claybarrow/internal/budget"
 	"claybarrow/internal/protocol"
+	"claybarrow/internal/ratelimit"
 )
 
 // scripted is a leader whose state service answers as a test says.
@@ -53,8 +53,8 @@
 
 func newScripted(changes int) (*scripted, *Writer) {
 	s := &scripted{}
-	tokens := budget.New(1000, 1000)
-	key := LeaderKey{Key: "c/leader", Version: 5, Form: LeaderForm{Record: ourRecord, Lease: 3},
+	tokens := ratelimit.New(1000, 1000)
+	key := LeaderKey{Key: "c/leader", Version: 5, Entry: LeaderEntry{Record: ourRecord, Lease: 3},
 		Equal: func(value []byte, record any) bool {
 			var stored string
 			return protocol.Decode(value, &stored) == nil && stored == record
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -21,7 +21,7 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"claybarrow/internal/config"
-	"claybarrow/internal/coordination"
+	"claybarrow/internal/controller"
 	"claybarrow/internal/membership"
 )
 
@@ -36,7 +36,7 @@
 	file   io.Closer
 }
 
-var _ coordination.Observer = (*Recorder)(nil)
+var _ controller.Observer = (*Recorder)(nil)
 
 // Enabled says whether the settings ask for any of it.
 func Enabled(cfg *config.Config) bool {
@@ -117,7 +117,7 @@
 
 // GateChanged takes a change of the feature gate's state: a gauge (0 closed, 1 opening, 2 open, 3
 // closing), and a span of no length with what the controllers stated.
-func (r *Recorder) GateChanged(change coordination.GateChange) {
+func (r *Recorder) GateChanged(change controller.GateChange) {
 	r.set.GetOrCreateGauge("claybarrow_feature_gate_state", nil).Set(float64(change.To))
 	r.set.GetOrCreateCounter(fmt.Sprintf(`claybarrow_feature_gate_changes_total{to=%q}`, change.To)).Inc()
 	if r.tracer == nil {
@@ -133,20 +133,20 @@
 	span.End(trace.WithTimestamp(r.start.Add(change.At)))
 }
 
-// Journal takes what the journal of ends holds.
-func (r *Recorder) Journal(size coordination.JournalSize) {
+// JournalSized takes what the journal of ends holds.
+func (r *Recorder) JournalSized(size controller.JournalSize) {
 	for name, value := range map[string]int{"values": size.Values, "ends": size.Ends, "waiting": size.Waiting, "unreadable": size.Unreadable} {
 		r.set.GetOrCreateGauge("claybarrow_end_journal_"+name, nil).Set(float64(value))
 	}
 }
 
-// MachineSent counts a machine that was sent to another controller.
-func (r *Recorder) MachineSent(_, to string) {
+// MachineRedirected counts a machine that was sent to another controller.
+func (r *Recorder) MachineRedirected(_, to string) {
 	r.set.GetOrCreateCounter(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to)).Inc()
 }
 
-// Detoured counts a request that went to the leader by another controller.
-func (r *Recorder) Detoured() { r.set.GetOrCreateCounter("claybarrow_requests_detoured_total").Inc() }
+// Rerouted counts a request that went to the leader by another controller.
+func (r *Recorder) Rerouted() { r.set.GetOrCreateCounter("claybarrow_requests_detoured_total").Inc() }
 
 // Retried counts a request to the leader that was sent once more.
 func (r *Recorder) Retried() { r.set.GetOrCreateCounter("claybarrow_requests_retried_total").Inc() }
@@ -157,15 +157,15 @@
 	r.set.GetOrCreateHistogram("claybarrow_standstill_seconds").Update(stoodStill.Seconds())
 }
 
-// HandedOver takes a change of leader: its times as metrics, and a span from the suspicion (or the
+// FailedOver takes a change of leader: its times as metrics, and a span from the suspicion (or the
 // end of the former leader's key) to the first placement, with its steps as children.
-func (r *Recorder) HandedOver(h coordination.Handover) {
+func (r *Recorder) FailedOver(h controller.Failover) {
 	r.set.GetOrCreateCounter("claybarrow_handovers_total").Inc()
 	if h.Loaded > 0 {
 		r.set.GetOrCreateHistogram("claybarrow_handover_load_seconds").Update((h.Loaded - h.Elected).Seconds())
 	}
-	if h.Gone > 0 {
-		r.set.GetOrCreateHistogram("claybarrow_handover_election_seconds").Update((h.Elected - h.Gone).Seconds())
+	if h.LeaderKeyGone > 0 {
+		r.set.GetOrCreateHistogram("claybarrow_handover_election_seconds").Update((h.Elected - h.LeaderKeyGone).Seconds())
 	}
 	if r.tracer == nil {
 		return
@@ -173,7 +173,7 @@
 	steps := h.Steps()
 	ctx, span := r.tracer.Start(context.Background(), "handover", trace.WithTimestamp(r.start.Add(steps[0].From)), trace.WithAttributes(
 		attribute.Int64("token", int64(h.Token)), attribute.String("former", h.Former), attribute.Int("jobs", h.Jobs),
-		attribute.Int("machines", h.Machines), attribute.Int("records_read_ahead", h.ReadAhead)))
+		attribute.Int("machines", h.Machines), attribute.Int("records_read_ahead", h.Preloaded)))
 	for _, step := range steps {
 		_, child := r.tracer.Start(ctx, step.Name, trace.WithTimestamp(r.start.Add(step.From)))
 		child.End(trace.WithTimestamp(r.start.Add(step.To)))
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"claybarrow/internal/config"
-	"claybarrow/internal/coordination"
+	"claybarrow/internal/controller"
 	"claybarrow/internal/featuregate"
 	"claybarrow/internal/membership"
 )
@@ -35,14 +35,14 @@
 	r.MemberChanged(membership.Change{Label: "n1", From: membership.Alive, To: membership.Suspect})
 	r.MemberChanged(membership.Change{Label: "unheard-of", To: membership.Dead})
 	r.Dropped(membership.Drop{Label: "n1", Reason: membership.DropSequence})
-	r.MachineSent("i-1", "n2")
-	r.Detoured()
+	r.MachineRedirected("i-1", "n2")
+	r.Rerouted()
 	r.Retried()
 	r.Resumed(2*time.Second, true)
-	r.GateChanged(coordination.GateChange{Token: 3, From: featuregate.Closed, To: featuregate.Opening})
-	r.GateChanged(coordination.GateChange{Token: 3, From: featuregate.Opening, To: featuregate.Open})
-	r.Journal(coordination.JournalSize{Values: 4, Ends: 60, Unreadable: 1})
-	r.HandedOver(coordination.Handover{Token: 3, Gone: time.Second, Elected: 2 * time.Second, Loaded: 3 * time.Second})
+	r.GateChanged(controller.GateChange{Token: 3, From: featuregate.Closed, To: featuregate.Opening})
+	r.GateChanged(controller.GateChange{Token: 3, From: featuregate.Opening, To: featuregate.Open})
+	r.JournalSized(controller.JournalSize{Values: 4, Ends: 60, Unreadable: 1})
+	r.FailedOver(controller.Failover{Token: 3, LeaderKeyGone: time.Second, Elected: 2 * time.Second, Loaded: 3 * time.Second})
 	w := httptest.NewRecorder()
 	r.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	for _, line := range []string{
@@ -70,8 +70,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.HandedOver(coordination.Handover{Token: 3, Former: "n1", Suspected: 10 * time.Second, Gone: 11 * time.Second,
-		Elected: 11*time.Second + 20*time.Millisecond, Loaded: 11*time.Second + 90*time.Millisecond, Placed: 12 * time.Second, Jobs: 5, Machines: 7})
+	r.FailedOver(controller.Failover{Token: 3, Former: "n1", Suspected: 10 * time.Second, LeaderKeyGone: 11 * time.Second,
+		Elected: 11*time.Second + 20*time.Millisecond, Loaded: 11*time.Second + 90*time.Millisecond, FirstPlacement: 12 * time.Second, Jobs: 5, Machines: 7})
 	if err := r.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.GateChanged(coordination.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Why: "n1 is told to hold",
+	r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Why: "n1 is told to hold",
 		Statements: map[string]string{"n1": "reads 1, writes 1, holds", "n2": "no statement"}})
 	if err := r.Close(context.Background()); err != nil {
 		t.Fatal(err)
--- a/internal/transport/goodbye_test.go
+++ b/internal/transport/graceful_shutdown_test.go
@@ -12,16 +12,16 @@
 	"time"
 
 	"claybarrow/internal/config"
-	"claybarrow/internal/coordination"
+	"claybarrow/internal/controller"
 	"claybarrow/internal/membership"
 )
 
 // farewell is a core that says goodbye to an address when it is told to end.
 type farewell struct{ addr string }
 
-func (f farewell) Handle(_ coordination.Clock, ev coordination.Event) []coordination.Effect {
-	if _, ends := ev.(coordination.Shutdown); ends {
-		return []coordination.Effect{coordination.Call{ID: 1, Target: coordination.ToPeer, Addr: f.addr, Method: "POST", Path: "/probe", Timeout: time.Second}}
+func (f farewell) Handle(_ controller.Clock, ev controller.Event) []controller.Effect {
+	if _, ends := ev.(controller.Shutdown); ends {
+		return []controller.Effect{controller.Call{ID: 1, Target: controller.ToPeer, Addr: f.addr, Method: "POST", Path: "/probe", Timeout: time.Second}}
 	}
 	return nil
 }
@@ -88,12 +88,12 @@
 	defer worker.Close()
 	n := node(t)
 	n.start = time.Now().Add(-time.Minute)
-	call := coordination.Call{Target: coordination.ToWorker, Addr: strings.TrimPrefix(worker.URL, "http://"), Method: "POST", Path: "/commands", Timeout: time.Second}
-	call.Until = 30 * time.Second
+	call := controller.Call{Target: controller.ToWorker, Addr: strings.TrimPrefix(worker.URL, "http://"), Method: "POST", Path: "/commands", Timeout: time.Second}
+	call.ValidUntil = 30 * time.Second
 	if _, _, err := n.exchange(context.Background(), call); !errors.Is(err, errTooLate) || reached {
 		t.Errorf("too late: %v, reached %v", err, reached)
 	}
-	call.Until = 2 * time.Minute
+	call.ValidUntil = 2 * time.Minute
 	if status, _, err := n.exchange(context.Background(), call); status != 200 || err != nil || !reached {
 		t.Errorf("in time: %d, %v", status, err)
 	}
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -7,27 +7,27 @@
 	"strconv"
 	"time"
 
-	"claybarrow/internal/coordination"
+	"claybarrow/internal/controller"
 	"claybarrow/internal/membership"
 	"claybarrow/internal/protocol"
 )
 
 func (n *Node) userRoutes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/jobs", n.handler(coordination.OpSubmit, true))
-	mux.HandleFunc("GET /api/jobs/{id}", n.handler(coordination.OpPoll, false))
-	mux.HandleFunc("POST /api/jobs/{id}/withdraw", n.handler(coordination.OpCancel, false))
-	mux.HandleFunc("GET /ready", n.handler(coordination.OpReady, false))
-	mux.HandleFunc("POST /hello", n.handler(coordination.OpReport, true))
+	mux.HandleFunc("POST /api/jobs", n.handler(controller.OpSubmit, true))
+	mux.HandleFunc("GET /api/jobs/{id}", n.handler(controller.OpPoll, false))
+	mux.HandleFunc("POST /api/jobs/{id}/withdraw", n.handler(controller.OpCancel, false))
+	mux.HandleFunc("GET /ready", n.handler(controller.OpReady, false))
+	mux.HandleFunc("POST /hello", n.handler(controller.OpWorkerHeartbeat, true))
 	return mux
 }
 
 func (n *Node) peerRoutes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /relay", n.handler(coordination.OpRelay, true))
-	mux.HandleFunc("POST /heartbeat", n.handler(coordination.OpHeartbeat, true))
-	mux.HandleFunc("POST /forward", n.handler(coordination.OpForward, true))
-	mux.HandleFunc("POST /probe", n.handler(coordination.OpProbe, true))
+	mux.HandleFunc("POST /relay", n.handler(controller.OpRelay, true))
+	mux.HandleFunc("POST /heartbeat", n.handler(controller.OpPeerHeartbeat, true))
+	mux.HandleFunc("POST /forward", n.handler(controller.OpForwardedHeartbeat, true))
+	mux.HandleFunc("POST /probe", n.handler(controller.OpProbe, true))
 	if n.metrics != nil {
 		mux.Handle("GET /metrics", n.metrics)
 	}
@@ -39,7 +39,7 @@
 const replyWithin = 4500 * time.Millisecond
 
 // Shares of the socket limit, in percent. With the direct requests to workers
-// that are under way, an eighth (see coordination), they leave a twentieth for
+// that are under way, an eighth (see package controller), they leave a twentieth for
 // the state service, the cloud and the process itself.
 const (
 	clientConns = 50 // users and workers, by client_listen
@@ -62,16 +62,16 @@
 // dialWithin bounds the making of a connection however long the workers' lease.
 const dialWithin = 2 * time.Second
 
-func (n *Node) handler(op coordination.Op, wantBody bool) http.HandlerFunc {
+func (n *Node) handler(op controller.Op, wantBody bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		req := coordination.Request{Op: op, UID: r.PathValue("id")}
+		req := controller.Request{Op: op, UID: r.PathValue("id")}
 		if wantBody {
 			// A relayed submission is wrapped: a little more than a user's.
 			limit := int64(protocol.MaxBody)
 			switch op {
-			case coordination.OpRelay, coordination.OpForward:
+			case controller.OpRelay, controller.OpForwardedHeartbeat:
 				limit += 1 << 10
-			case coordination.OpProbe:
+			case controller.OpProbe:
 				limit = membership.MostBytes
 			}
 			body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
@@ -84,15 +84,15 @@
 			}
 			req.Body = body
 		}
-		a := ask{req: req, answer: make(chan coordination.Reply, 1)}
+		a := ask{req: req, answer: make(chan controller.Reply, 1)}
 		queue := n.asks
 		leaveAt := usersGo
 		switch op {
-		case coordination.OpForward, coordination.OpHeartbeat, coordination.OpProbe:
+		case controller.OpForwardedHeartbeat, controller.OpPeerHeartbeat, controller.OpProbe:
 			queue, leaveAt = n.reports, 100
-		case coordination.OpReport:
+		case controller.OpWorkerHeartbeat:
 			queue, leaveAt = n.reports, workersGo
-		case coordination.OpRelay:
+		case controller.OpRelay:
 			leaveAt = 100
 		}
 		if n.users.busier(leaveAt) {
@@ -112,9 +112,9 @@
 		}
 		select {
 		case reply := <-a.answer:
-			if reply.Until > 0 && n.now().Steady > reply.Until {
+			if reply.ValidUntil > 0 && n.now().Steady > reply.ValidUntil {
 				// The process stood still since: another leader may know better.
-				reply = coordination.Reply{Status: http.StatusServiceUnavailable, RetryAfter: 1}
+				reply = controller.Reply{Status: http.StatusServiceUnavailable, RetryAfter: 1}
 			}
 			if reply.RetryAfter > 0 {
 				w.Header().Set("Retry-After", strconv.Itoa(reply.RetryAfter))
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"claybarrow/internal/config"
-	"claybarrow/internal/coordination"
+	"claybarrow/internal/controller"
 )
 
 // The state service's answers have no size limit of their own (watches), and
@@ -25,7 +25,7 @@
 
 // Core is the state machine that the node drives.
 type Core interface {
-	Handle(coordination.Clock, coordination.Event) []coordination.Effect
+	Handle(controller.Clock, controller.Event) []controller.Effect
 }
 
 // Node runs the core's goroutine and the transport actors round it.
@@ -33,16 +33,16 @@
 	cfg   *config.Config
 	core  Core
 	log   *slog.Logger
-	inbox chan coordination.Event
+	inbox chan controller.Event
 	// state takes the state service's answers, which go before all others: after a change of
 	// leader thousands of workers answer at once, and the lease's renewal once waited behind
 	// them until the new leader had lost it.
-	state   chan coordination.Event
+	state   chan controller.Event
 	asks    chan ask // users, other controllers, the load balancer
 	reports chan ask // workers
 	users   *connLimiter
 	away    turnedAway
-	clients map[coordination.Target]*http.Client
+	clients map[controller.Target]*http.Client
 	start   time.Time
 	// metrics serves what operators count; nil: nobody asked for it.
 	metrics http.Handler
@@ -51,8 +51,8 @@
 }
 
 type ask struct {
-	req    coordination.Request
-	answer chan coordination.Reply
+	req    controller.Request
+	answer chan controller.Reply
 }
 
 // New makes a node round a core.
@@ -71,8 +71,8 @@
 			}}
 	}
 	return &Node{cfg: cfg, core: core, log: log,
-		inbox: make(chan coordination.Event, fds),
-		state: make(chan coordination.Event, stateAnswers),
+		inbox: make(chan controller.Event, fds),
+		state: make(chan controller.Event, stateAnswers),
 		// What waits here is answered within a second or so even by a slow
 		// share of a core; more than that is refused at once.
 		asks: make(chan ask, max(16, fds/4)),
@@ -80,11 +80,11 @@
 		// connections there can be.
 		reports: make(chan ask, max(16, fds/2)),
 		start:   time.Now(),
-		clients: map[coordination.Target]*http.Client{
-			coordination.ToState:  client(8, 8),
-			coordination.ToCloud:  client(4, 4),
-			coordination.ToWorker: client(2, fds*workerIdle/100),
-			coordination.ToPeer:   client(max(4, fds*peerCalls/100/max(1, len(cfg.Siblings))), fds*peerCalls/100),
+		clients: map[controller.Target]*http.Client{
+			controller.ToState:  client(8, 8),
+			controller.ToCloud:  client(4, 4),
+			controller.ToWorker: client(2, fds*workerIdle/100),
+			controller.ToPeer:   client(max(4, fds*peerCalls/100/max(1, len(cfg.Siblings))), fds*peerCalls/100),
 		}}
 }
 
@@ -153,9 +153,9 @@
 	defer close(ended)
 	ticker := time.NewTicker(n.cfg.Tick())
 	defer ticker.Stop()
-	waiting := map[uint64]chan coordination.Reply{}
+	waiting := map[uint64]chan controller.Reply{}
 	var last uint64
-	ask := func(a ask) coordination.Event {
+	ask := func(a ask) controller.Event {
 		last++
 		a.req.ID = last
 		waiting[last] = a.answer
@@ -167,17 +167,17 @@
 			n.sayGoodbye(calls)
 			return
 		}
-		if _, tick := ev.(coordination.Tick); tick {
+		if _, tick := ev.(controller.Tick); tick {
 			n.away.look(n.now().Steady, n.cfg.Lease(), n.log)
 		}
 		for _, e := range n.core.Handle(n.now(), ev) {
 			switch e := e.(type) {
-			case coordination.Reply:
+			case controller.Reply:
 				if ch := waiting[e.ID]; ch != nil {
 					ch <- e // buffered, written once
 					delete(waiting, e.ID)
 				}
-			case coordination.Call:
+			case controller.Call:
 				go n.call(calls, e)
 			}
 		}
@@ -186,8 +186,8 @@
 
 // sayGoodbye sends what the core has to say at its end. Nobody waits for the answers.
 func (n *Node) sayGoodbye(calls context.Context) {
-	for _, e := range n.core.Handle(n.now(), coordination.Shutdown{}) {
-		call, isCall := e.(coordination.Call)
+	for _, e := range n.core.Handle(n.now(), controller.Shutdown{}) {
+		call, isCall := e.(controller.Call)
 		if !isCall {
 			continue
 		}
@@ -204,12 +204,12 @@
 // next is the next event; nil: the context has ended. Time and the state service go first,
 // then answers and workers: a flood of users must cost neither the leadership nor the workers'
 // leases, and a flood of workers not the leadership.
-func (n *Node) next(ctx context.Context, ticks <-chan time.Time, asked func(ask) coordination.Event) coordination.Event {
+func (n *Node) next(ctx context.Context, ticks <-chan time.Time, asked func(ask) controller.Event) controller.Event {
 	select {
 	case ev := <-n.state:
 		return ev
 	case <-ticks:
-		return coordination.Tick{}
+		return controller.Tick{}
 	default:
 	}
 	select {
@@ -229,18 +229,18 @@
 	case a := <-n.reports:
 		return asked(a)
 	case <-ticks:
-		return coordination.Tick{}
+		return controller.Tick{}
 	case a := <-n.asks:
 		return asked(a)
 	}
 }
 
-func (n *Node) now() coordination.Clock {
+func (n *Node) now() controller.Clock {
 	t := time.Now()
-	return coordination.Clock{Steady: t.Sub(n.start), Wall: t.UnixMilli()}
+	return controller.Clock{Steady: t.Sub(n.start), Wall: t.UnixMilli()}
 }
 
-func (n *Node) call(ctx context.Context, c coordination.Call) {
+func (n *Node) call(ctx context.Context, c controller.Call) {
 	connected := false
 	status, body, err := n.exchange(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected = true }}), c)
@@ -248,11 +248,11 @@
 		n.log.Debug("no response", "addr", c.Addr, "path", c.Path, "err", err)
 	}
 	answers := n.inbox
-	if c.Target == coordination.ToState {
+	if c.Target == controller.ToState {
 		answers = n.state
 	}
 	select {
-	case answers <- coordination.Result{ID: c.ID, Status: status, Body: body, NoConn: !connected}:
+	case answers <- controller.Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: !connected}:
 	case <-ctx.Done():
 	}
 }
@@ -260,8 +260,8 @@
 // errTooLate is of a request that must not leave any more.
 var errTooLate = errors.New("the process stood still since the request was decided")
 
-func (n *Node) exchange(ctx context.Context, c coordination.Call) (int, []byte, error) {
-	if c.Until > 0 && n.now().Steady > c.Until {
+func (n *Node) exchange(ctx context.Context, c controller.Call) (int, []byte, error) {
+	if c.ValidUntil > 0 && n.now().Steady > c.ValidUntil {
 		return 0, nil, errTooLate
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
@@ -285,8 +285,8 @@
 	return res.StatusCode, body, nil
 }
 
-func contentType(t coordination.Target) string {
-	if t == coordination.ToPeer {
+func contentType(t controller.Target) string {
+	if t == controller.ToPeer {
 		return "application/cbor"
 	}
 	return "application/msgpack"
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,16 +13,16 @@
 	"time"
 
 	"claybarrow/internal/config"
-	"claybarrow/internal/coordination"
+	"claybarrow/internal/controller"
 	"claybarrow/internal/protocol"
 )
 
 // echo answers every request with the operation that it was taken for.
 type echo struct{}
 
-func (echo) Handle(_ coordination.Clock, ev coordination.Event) []coordination.Effect {
-	if q, ok := ev.(coordination.Request); ok {
-		return []coordination.Effect{coordination.Reply{ID: q.ID, Status: 200, Body: []byte(string(q.Op) + " " + q.UID)}}
+func (echo) Handle(_ controller.Clock, ev controller.Event) []controller.Effect {
+	if q, ok := ev.(controller.Request); ok {
+		return []controller.Effect{controller.Reply{ID: q.ID, Status: 200, Body: []byte(string(q.Op) + " " + q.UID)}}
 	}
 	return nil
 }
@@ -73,12 +73,12 @@
 }
 
 // fixed answers every request with the same reply.
-type fixed struct{ coordination.Reply }
+type fixed struct{ controller.Reply }
 
-func (f fixed) Handle(_ coordination.Clock, ev coordination.Event) []coordination.Effect {
-	if q, ok := ev.(coordination.Request); ok {
+func (f fixed) Handle(_ controller.Clock, ev controller.Event) []controller.Effect {
+	if q, ok := ev.(controller.Request); ok {
 		f.ID = q.ID
-		return []coordination.Effect{f.Reply}
+		return []controller.Effect{f.Reply}
 	}
 	return nil
 }
@@ -90,13 +90,13 @@
 	n.start = time.Now().Add(-time.Minute) // what was decided is up to a minute old
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	n.core = fixed{coordination.Reply{Status: 404, Until: 30 * time.Second}}
+	n.core = fixed{controller.Reply{Status: 404, ValidUntil: 30 * time.Second}}
 	go n.loop(ctx, ctx, make(chan struct{}))
 	if w := send(n.userRoutes(), "GET", "/api/jobs/j-1", nil); w.Code != 503 || w.Header().Get("Retry-After") == "" {
 		t.Errorf("too late: %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 	}
 	m := node(t)
-	m.core = fixed{coordination.Reply{Status: 404, Until: time.Minute}}
+	m.core = fixed{controller.Reply{Status: 404, ValidUntil: time.Minute}}
 	go m.loop(ctx, ctx, make(chan struct{}))
 	if w := send(m.userRoutes(), "GET", "/api/jobs/j-1", nil); w.Code != 404 {
 		t.Errorf("in time: %d", w.Code)
@@ -190,25 +190,25 @@
 // of these before users: a new leader of 5,500 workers once lost its lease while the answer to its
 // renewal waited behind theirs, and the next one after it (scale run, four leaders in four seconds).
 func TestStateServiceGoesFirst(t *testing.T) {
-	n := &Node{inbox: make(chan coordination.Event, 8), state: make(chan coordination.Event, 8), asks: make(chan ask, 8), reports: make(chan ask, 8)}
+	n := &Node{inbox: make(chan controller.Event, 8), state: make(chan controller.Event, 8), asks: make(chan ask, 8), reports: make(chan ask, 8)}
 	ticks := make(chan time.Time, 1)
-	asked := func(a ask) coordination.Event { return a.req }
+	asked := func(a ask) controller.Event { return a.req }
 	for id := range uint64(4) {
-		n.inbox <- coordination.Result{ID: 100 + id}
-		n.reports <- ask{req: coordination.Request{ID: 200 + id}}
-		n.asks <- ask{req: coordination.Request{ID: 300 + id}}
+		n.inbox <- controller.Result{ID: 100 + id}
+		n.reports <- ask{req: controller.Request{ID: 200 + id}}
+		n.asks <- ask{req: controller.Request{ID: 300 + id}}
 	}
-	n.state <- coordination.Result{ID: 1}
-	n.state <- coordination.Result{ID: 2}
+	n.state <- controller.Result{ID: 1}
+	n.state <- controller.Result{ID: 2}
 	ticks <- time.Time{}
 	answers, time := 0, 0
 	for range 3 {
 		switch ev := n.next(context.Background(), ticks, asked).(type) {
-		case coordination.Result:
+		case controller.Result:
 			if ev.ID < 100 {
 				answers++
 			}
-		case coordination.Tick:
+		case controller.Tick:
 			time++
 		}
 	}
@@ -216,11 +216,11 @@
 		t.Errorf("first came %d answers of the state service and %d ticks", answers, time)
 	}
 	for range 8 {
-		if q, is := n.next(context.Background(), ticks, asked).(coordination.Request); is && q.ID >= 300 {
+		if q, is := n.next(context.Background(), ticks, asked).(controller.Request); is && q.ID >= 300 {
 			t.Error("a user went before workers")
 		}
 	}
-	if q, is := n.next(context.Background(), ticks, asked).(coordination.Request); !is || q.ID < 300 {
+	if q, is := n.next(context.Background(), ticks, asked).(controller.Request); !is || q.ID < 300 {
 		t.Error("users' turn does not come")
 	}
 	ctx, end := context.WithCancel(context.Background())
