--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -51,6 +51,7 @@
 	stopped  map[string]time.Duration     // when users were told of a cancellation
 	broken   []string
 	events   int // that leaders have handled
+	effects  *effectRecorder
 	checker
 	// script decides the fate of a call from a node; nil: all goes well.
 	script func(node int, c Call) fate
@@ -108,7 +109,7 @@
 
 // newShapedWorld is a world of another shape than usual.
 func newShapedWorld(t testing.TB, seed uint64, operator []byte, shape shape) *world {
-	w := &world{shape: shape, t: t, agenda: &emulator.Agenda{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
+	w := &world{shape: shape, t: t, effects: newEffectRecorder(t), agenda: &emulator.Agenda{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
 		copies: map[string][][]byte{}, finished: map[string]bool{},
 		told: map[string]protocol.JobState{}, toldAt: map[string]time.Duration{}, stopped: map[string]time.Duration{}, checker: newChecker(), reportWait: 4 * time.Second,
 		runs: func(string) time.Duration { return 30 * time.Second }}
@@ -204,6 +205,7 @@
 	}
 	steady := time.Duration(float64(w.Now()-n.born) * (1 + n.drift))
 	effects := n.core.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
+	w.effects.record(w, i, effects)
 	if l := n.core.leadership; l != nil && l.ready {
 		w.checkStanding(l)
 	}
