--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -13,7 +13,7 @@
 // lasts, and each leader after it: eight in ten seconds.
 func TestCapacityIsWorkedOutOnceForAllCounters(t *testing.T) {
 	w := newWorld(t, 73)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.now)
 	job := func(uid string) *clusterstate.Job {
 		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.wall)
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -58,8 +58,8 @@
 func TestNoStartWithoutAttemptNumbers(t *testing.T) {
 	w := newWorld(t, 72)
 	lead := w.awaitLeader()
-	w.script = func(node int, c Call) fate {
-		return fate{lost: node == lead && c.Path == "/multi"}
+	w.script = func(node int, c Call) deliveryFault {
+		return deliveryFault{lost: node == lead && c.Path == "/multi"}
 	}
 	w.nearlyUse(3)
 	w.run(second)
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -27,7 +27,7 @@
 // processor to its lease, and goes on as time passes.
 func TestManyCallsAreSpreadOverTime(t *testing.T) {
 	w := newWorld(t, 58)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	l.callLimiter = newCallLimiter(config.Resources{FDs: 1 << 16, Cores: c.cfg.Cluster.Resources.Cores})
 	c.effects = nil
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -68,7 +68,7 @@
 }
 
 func (w *world) over(uid string) bool {
-	return w.told[uid] == protocol.Done || w.told[uid] == protocol.Cancelled
+	return w.lastReplies[uid] == protocol.Done || w.lastReplies[uid] == protocol.Cancelled
 }
 
 // noteAnswer begins the polling of a job when its user is first told of it.
@@ -96,7 +96,7 @@
 		w.breaks("an invalid submission was accepted: %s", uid)
 	case w.specs[uid] == nil && status == 200:
 		w.breaks("invented: %s", uid)
-	case w.told[uid] != "" && (status == 400 || status == 422):
+	case w.lastReplies[uid] != "" && (status == 400 || status == 422):
 		w.breaks("forgotten: %s answered %d to %s", uid, status, op)
 	}
 }
@@ -123,7 +123,7 @@
 	used, held := map[string]float64{}, map[string]int{}
 	for _, k := range w.fleet() {
 		for _, t := range k.Tasks {
-			if t.State != protocol.Exited && !k.Gone {
+			if t.State != protocol.Exited && !k.Deleted {
 				used[w.specs[t.UID]["owner"].(string)] += w.specs[t.UID]["cores"].(float64)
 				held[t.UID]++
 			}
@@ -154,7 +154,7 @@
 func (w *world) hasRoom(spec map[string]any) bool {
 	most, all, zones := 0, 0, map[string]int{}
 	for _, k := range w.fleet() {
-		if !k.Up || k.Gone || k.Cut || k.Hung || k.AnswersLost || k.ReportsLost || k.Spot && !spec["borrowed"].(bool) ||
+		if !k.Up || k.Deleted || k.Cut || k.Hung || k.AnswersLost || k.ReportsLost || k.Spot && !spec["borrowed"].(bool) ||
 			spec["yard"] != nil && spec["yard"] != k.Zone {
 			continue
 		}
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -42,29 +42,29 @@
 	return time.Duration(m.w.rng.Int64N(int64(d)))
 }
 
-func (m *mess) fate(node int, c Call) fate {
-	f := fate{hold: m.upTo(m.slowLinks)}
+func (m *mess) fate(node int, c Call) deliveryFault {
+	f := deliveryFault{hold: m.upTo(m.slowLinks)}
 	switch c.Target {
 	case ToState:
 		if m.apart[node] {
-			return fate{lost: true}
+			return deliveryFault{lost: true}
 		}
 		f.hold += m.upTo(m.slowState)
 		if c.Path == "/multi" && m.chance(m.lateWrites) {
-			return fate{answerLost: true, hold: 2*second + m.upTo(10*second)}
+			return deliveryFault{answerLost: true, hold: 2*second + m.upTo(10*second)}
 		}
 	case ToPeer:
 		to := -1
 		fmt.Sscanf(c.Addr, "10.0.0.%d:", &to)
 		if m.apart[node] || m.apart[to] {
-			return fate{lost: true}
+			return deliveryFault{lost: true}
 		}
 	case ToWorker:
 		if m.noOrders[node] {
-			return fate{lost: true}
+			return deliveryFault{lost: true}
 		}
 		if m.chance(m.heldOrders) {
-			return fate{hold: 2*second + m.upTo(25*second), answerLost: m.chance(0.5)}
+			return deliveryFault{hold: 2*second + m.upTo(25*second), answerLost: m.chance(0.5)}
 		}
 		f.answerLost = m.chance(m.lostAnswers)
 	}
@@ -100,7 +100,7 @@
 func (w *world) some(share float64) []*emulator.Worker {
 	var out []*emulator.Worker
 	for _, k := range w.fleet() {
-		if k.Up && !k.Gone && w.rng.Float64() < share {
+		if k.Up && !k.Deleted && w.rng.Float64() < share {
 			out = append(out, k)
 		}
 	}
@@ -120,8 +120,8 @@
 // aLeader is whoever leads, or the first controller.
 func (w *world) aLeader() int { return max(0, w.leader()) }
 
-// meeting plays a test at several seeds.
-func meeting(t *testing.T, seeds int, play func(w *world, m *mess)) {
+// startCompoundFailure plays a test at several seeds.
+func startCompoundFailure(t *testing.T, seeds int, play func(w *world, m *mess)) {
 	t.Helper()
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -141,8 +141,8 @@
 // The gap: the state service refuses the leader alone, another controller
 // confirms cancellations, then the service is down for all for longer than
 // cancel_s, while the workers go on reporting to the old leader.
-func TestMeetingGap(t *testing.T) {
-	meeting(t, 12, func(w *world, m *mess) {
+func TestCompoundGap(t *testing.T) {
+	startCompoundFailure(t, 12, func(w *world, m *mess) {
 		old := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
 			// The others can't even reach the workers to tell them.
@@ -170,8 +170,8 @@
 
 // Jobs are cancelled at the very moment at which the state service refuses the
 // leader alone, and a second later it is out for longer than cancel_s.
-func TestMeetingCancelAtRefusal(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundCancelAtRefusal(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		old := w.awaitLeader()
 		w.cancelSome("j-s1", "j-s3")
 		w.state.Refuse[old] = true
@@ -183,8 +183,8 @@
 }
 
 // Controllers hand over and back, all end, and one returns, also within a second.
-func TestMeetingHandOverAndBack(t *testing.T) {
-	meeting(t, 6, func(w *world, m *mess) {
+func TestCompoundFailoverAndBack(t *testing.T) {
+	startCompoundFailure(t, 6, func(w *world, m *mess) {
 		for range 8 {
 			w.restart(w.aLeader(), w.ms(50, 900))
 			w.run(w.ms(300, 4000))
@@ -206,8 +206,8 @@
 
 // A leader ends while machines with long tasks can't be reached, or don't hear
 // the new leader's answer.
-func TestMeetingLeaderEndsMachinesAway(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundLeaderEndsMachinesGone(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		for n, k := range w.some(0.6) {
 			if n%2 == 0 {
 				k.Cut = true
@@ -226,8 +226,8 @@
 
 // A machine hears no answer from before the take-over on: no message of it can prove
 // what is gone there, and a job that waits for it must not wait for ever.
-func TestMeetingAnswersLostSinceTakeOver(t *testing.T) {
-	meeting(t, 4, func(w *world, m *mess) {
+func TestCompoundAnswersLostSinceFailover(t *testing.T) {
+	startCompoundFailure(t, 4, func(w *world, m *mess) {
 		for _, k := range w.fleet() {
 			if k.Up && len(k.Tasks) > 0 {
 				k.AnswersLost = true
@@ -236,11 +236,11 @@
 		w.restart(w.aLeader(), 2*second)
 		w.run(second)
 		w.cancelSome("j-s2")
-		w.until(60*second, "j-s2 is called off", func() bool { return w.told["j-s2"] == protocol.Cancelled })
+		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.Cancelled })
 		w.until(60*second, "j-s3 runs elsewhere", func() bool {
 			for _, k := range w.fleet() {
 				for _, task := range k.Tasks {
-					if task.UID == "j-s3" && task.State == protocol.Running && !k.AnswersLost && !k.Gone {
+					if task.UID == "j-s3" && task.State == protocol.Running && !k.AnswersLost && !k.Deleted {
 						return true
 					}
 				}
@@ -252,8 +252,8 @@
 
 // The state service answers slowly, or refuses the leader alone and then
 // everybody for longer than cancel_s, while users cancel and ask.
-func TestMeetingSlowThenRefused(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundSlowThenRefused(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		m.slowState = w.ms(300, 900)
 		w.cancelSome("j-s1")
 		w.run(10 * second)
@@ -270,8 +270,8 @@
 }
 
 // There is more work than room, urgent and not, over slow links.
-func TestMeetingOverload(t *testing.T) {
-	meeting(t, 4, func(w *world, m *mess) {
+func TestCompoundOverload(t *testing.T) {
+	startCompoundFailure(t, 4, func(w *world, m *mess) {
 		m.slowLinks = 400 * time.Millisecond
 		for i := range 12 {
 			rank := []string{"idle", "normal", "high", "production"}[i%4]
@@ -290,8 +290,8 @@
 }
 
 // All controllers are away for longer than lease_s.
-func TestMeetingAllAway(t *testing.T) {
-	meeting(t, 6, func(w *world, m *mess) {
+func TestCompoundAllControllersDown(t *testing.T) {
+	startCompoundFailure(t, 6, func(w *world, m *mess) {
 		w.cancelSome("j-s1", "j-b1")
 		w.run(w.ms(0, 400))
 		for i := range 3 {
@@ -311,8 +311,8 @@
 
 // A leader is cut from the state service and from the other controllers while
 // workers and users still reach it, and jobs are cancelled through the new one.
-func TestMeetingLeaderApart(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundLeaderPartitioned(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		old := w.awaitLeader()
 		m.apart[old] = true
 		if w.rng.IntN(2) == 0 {
@@ -330,15 +330,15 @@
 }
 
 // A report is held back until a new leader has acted, and then arrives there.
-func TestMeetingHeldReport(t *testing.T) {
-	meeting(t, 6, func(w *world, m *mess) {
+func TestCompoundDelayedHeartbeat(t *testing.T) {
+	startCompoundFailure(t, 6, func(w *world, m *mess) {
 		type copied struct {
 			k    *emulator.Worker
 			body []byte
 		}
 		var held []copied
 		for _, k := range w.fleet() {
-			if k.Up && !k.Gone {
+			if k.Up && !k.Deleted {
 				held = append(held, copied{k, protocol.Encode(k.Message())})
 				if w.rng.IntN(2) == 0 {
 					k.Cut = true
@@ -363,8 +363,8 @@
 }
 
 // Jobs of two or three tasks end far apart across a change of leader.
-func TestMeetingTasksEndFarApart(t *testing.T) {
-	meeting(t, 6, func(w *world, m *mess) {
+func TestCompoundTasksEndFarApart(t *testing.T) {
+	startCompoundFailure(t, 6, func(w *world, m *mess) {
 		w.runs = func(task string) time.Duration {
 			return time.Duration(5+35*int(task[len(task)-1]-'0')) * second
 		}
@@ -382,8 +382,8 @@
 
 // A cancellation, a question or a repeated submission meets the end of a job's
 // last task, with no other trouble.
-func TestMeetingAtTheEnd(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundAtTheEnd(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		w.ended = func(uid string) {
 			switch w.rng.IntN(3) {
 			case 0:
@@ -403,8 +403,8 @@
 }
 
 // A zone with workers and a controller is cut off for longer than lease_s.
-func TestMeetingZoneCut(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundZoneCut(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		inB := func(addr string) bool {
 			if strings.HasPrefix(addr, "10.0.0.") {
 				return strings.HasPrefix(addr, "10.0.0.2:")
@@ -412,11 +412,13 @@
 			k := w.byAddr(addr)
 			return k != nil && k.Zone == "b"
 		}
-		w.script = func(node int, c Call) fate {
+		w.script = func(node int, c Call) deliveryFault {
 			there := c.Target == ToPeer || c.Target == ToWorker
-			return fate{lost: node == 2 && !there || there && inB(c.Addr) != (node == 2)}
+			return deliveryFault{lost: node == 2 && !there || there && inB(c.Addr) != (node == 2)}
+		}
+		w.reports = func(k *emulator.Worker, node int) deliveryFault {
+			return deliveryFault{lost: (k.Zone == "b") != (node == 2)}
 		}
-		w.reports = func(k *emulator.Worker, node int) fate { return fate{lost: (k.Zone == "b") != (node == 2)} }
 		w.cancelSome("j-s1", "j-s3")
 		if w.rng.IntN(2) == 0 {
 			w.restart(w.rng.IntN(3), w.ms(200, 4000))
@@ -429,8 +431,8 @@
 
 // Workers can't open connections to any controller, while direct commands still
 // reach them: they must not be filled again and again.
-func TestMeetingReportsLost(t *testing.T) {
-	meeting(t, 6, func(w *world, m *mess) {
+func TestCompoundHeartbeatsLost(t *testing.T) {
+	startCompoundFailure(t, 6, func(w *world, m *mess) {
 		var reportsLost []*emulator.Worker
 		for _, k := range w.some(0.6) {
 			k.ReportsLost = true
@@ -457,7 +459,7 @@
 			n := 0
 			for _, k := range w.fleet() {
 				for _, task := range k.Tasks {
-					if task.UID == uid && task.State == protocol.Running && !k.ReportsLost && !k.Gone {
+					if task.UID == uid && task.State == protocol.Running && !k.ReportsLost && !k.Deleted {
 						n++
 					}
 				}
@@ -470,8 +472,8 @@
 }
 
 // An old report arrives after newer ones, also from an earlier session or attempt.
-func TestMeetingOldReports(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundOldHeartbeats(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		w.lateCopy = func() time.Duration {
 			if w.rng.IntN(3) == 0 {
 				return w.ms(2000, 45_000)
@@ -493,8 +495,8 @@
 
 // A team is at its limit when the leader changes, some of its machines can't be
 // asked, and a cancellation falls into that spell.
-func TestMeetingTeamAtItsLimit(t *testing.T) {
-	meeting(t, 8, func(w *world, m *mess) {
+func TestCompoundTeamAtItsLimit(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *mess) {
 		for i := range 6 {
 			w.submit(fmt.Sprintf("j-l%d", i), map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue"})
 		}
@@ -512,8 +514,8 @@
 }
 
 // A command or its answer is held up for seconds, and the machine then goes on.
-func TestMeetingHeldCommands(t *testing.T) {
-	meeting(t, 10, func(w *world, m *mess) {
+func TestCompoundDelayedCommands(t *testing.T) {
+	startCompoundFailure(t, 10, func(w *world, m *mess) {
 		m.heldOrders, m.lostAnswers = 0.4, 0.2
 		for i := range 4 {
 			w.submit(fmt.Sprintf("j-h%d", i), map[string]any{"shards": 2, "cores": 1.0})
@@ -534,8 +536,8 @@
 }
 
 // Leaders change ten times in two minutes, also inside an outage.
-func TestMeetingTenLeaders(t *testing.T) {
-	meeting(t, 6, func(w *world, m *mess) {
+func TestCompoundTenLeaders(t *testing.T) {
+	startCompoundFailure(t, 6, func(w *world, m *mess) {
 		for i := range 10 {
 			if i == 4 {
 				w.state.Outage(w.ms(5000, 30_000))
@@ -550,13 +552,13 @@
 }
 
 // Jobs bound to one zone, arrays too, lose machines.
-func TestMeetingBoundToAZone(t *testing.T) {
-	meeting(t, 6, func(w *world, m *mess) {
+func TestCompoundBoundToAZone(t *testing.T) {
+	startCompoundFailure(t, 6, func(w *world, m *mess) {
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
 		w.submit("j-z2", map[string]any{"shards": 3, "cores": 2.0, "together": true})
 		w.run(w.ms(5000, 20_000))
 		for _, k := range w.fleet() {
-			if !k.Gone && k.Up && (k.Zone == "b" || w.rng.IntN(3) == 0) {
+			if !k.Deleted && k.Up && (k.Zone == "b" || w.rng.IntN(3) == 0) {
 				switch w.rng.IntN(3) {
 				case 0:
 					k.Die()
@@ -575,8 +577,8 @@
 
 // Transactions without an answer are carried out late, after newer ones of the
 // same controller.
-func TestMeetingLateTransactions(t *testing.T) {
-	meeting(t, 10, func(w *world, m *mess) {
+func TestCompoundLateTransactions(t *testing.T) {
+	startCompoundFailure(t, 10, func(w *world, m *mess) {
 		m.lateWrites = 0.35
 		for i := range 5 {
 			w.submit(fmt.Sprintf("j-t%d", i), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0, "shape": []string{"batch", "service"}[i%2]})
@@ -594,7 +596,7 @@
 }
 
 // Random meetings of two or three troubles, each with a fixed seed.
-func TestMeetingsAtRandom(t *testing.T) {
+func TestCompoundFailuresAtRandom(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, 5000+seed)
--- a/internal/controller/deployment_test.go
+++ b/internal/controller/deployment_test.go
@@ -53,7 +53,7 @@
 	endJournalOn = "[end_journal]\nenabled = true\n"
 )
 
-func testConfig(t testing.TB, shape shape, i int, operator []byte) *config.Config {
+func testConfig(t testing.TB, shape topology, i int, operator []byte) *config.Config {
 	t.Helper()
 	var peers []string
 	for k, zone := range shape.controllers {
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -131,7 +131,7 @@
 			sum.moves += float64(starts - 1)
 		}
 		for _, k := range w.fleet() {
-			if k.Up && !k.Gone {
+			if k.Up && !k.Deleted {
 				sum.lapses += float64(k.Session - 1)
 			}
 		}
@@ -180,8 +180,8 @@
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
 					countWrongs(b, operator, func(w *world) {
-						w.script = func(_ int, c Call) fate {
-							return fate{lost: c.Target == ToPeer && w.rng.Float64() < loss, answerLost: c.Target == ToPeer && w.rng.Float64() < loss}
+						w.script = func(_ int, c Call) deliveryFault {
+							return deliveryFault{lost: c.Target == ToPeer && w.rng.Float64() < loss, answerLost: c.Target == ToPeer && w.rng.Float64() < loss}
 						}
 					})
 				}
@@ -215,12 +215,12 @@
 			w := newWorldWith(b, 3200, operator)
 			w.replicas()
 			messages, bytes := 0, 0
-			w.script = func(node int, c Call) fate {
+			w.script = func(node int, c Call) deliveryFault {
 				if node == 0 && c.Target == ToPeer && c.Path != "/forward" && c.Path != "/relay" {
 					messages++
 					bytes += len(c.Body)
 				}
-				return fate{}
+				return deliveryFault{}
 			}
 			w.run(lasts)
 			b.ReportMetric(float64(messages)/lasts.Seconds(), "messages/s")
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -19,7 +19,7 @@
 	changes   []memberChange
 	sent      map[string][]time.Duration // machines that were sent elsewhere, and when
 	handovers []Failover
-	detours   int
+	reroutes  int
 	retries   int
 }
 
@@ -40,7 +40,7 @@
 }
 
 func (o *worldObserver) FailedOver(h Failover) { o.handovers = append(o.handovers, h) }
-func (o *worldObserver) Rerouted()             { o.detours++ }
+func (o *worldObserver) Rerouted()             { o.reroutes++ }
 func (o *worldObserver) Retried()              { o.retries++ }
 
 // became says when a controller's view of another one first came to be a state since a time; 0: never.
@@ -69,7 +69,7 @@
 }
 
 // With nothing wrong nobody is suspected, whatever the load of the start.
-func TestNobodySuspectedInPeace(t *testing.T) {
+func TestNobodySuspectedWithoutFailures(t *testing.T) {
 	w := newMembershipWorld(t, 901)
 	w.replicas()
 	for _, n := range w.nodes {
@@ -134,17 +134,17 @@
 type placingTrouble struct {
 	name string
 	// also changes the fate of a call; second has the next leader end, too, while it reads.
-	also   func(w *world, c Call) fate
+	also   func(w *world, c Call) deliveryFault
 	second bool
 }
 
 var placingTroubles = []placingTrouble{
 	{name: "alone"},
-	{name: "the state service slow", also: func(w *world, c Call) fate {
+	{name: "the state service slow", also: func(w *world, c Call) deliveryFault {
 		if c.Target == ToState {
-			return fate{hold: time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))}
+			return deliveryFault{hold: time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))}
 		}
-		return fate{}
+		return deliveryFault{}
 	}},
 	{name: "a second death in the take-over", second: true},
 }
@@ -168,8 +168,8 @@
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 3 })
 	w.run(10 * second)
 	died, again := false, false
-	w.script = func(node int, c Call) fate {
-		f := fate{}
+	w.script = func(node int, c Call) deliveryFault {
+		f := deliveryFault{}
 		if trouble.also != nil {
 			f = trouble.also(w, c)
 		}
@@ -205,14 +205,14 @@
 		w.runs = func(string) time.Duration { return 6 * second }
 		w.replicas()
 		died := false
-		w.script = func(node int, c Call) fate {
+		w.script = func(node int, c Call) deliveryFault {
 			if !died && writesUnder(c, prefix) {
 				died = true
 				w.restart(node, 2*second)
 				w.crash(node)
-				return fate{hold: 15 * second, answerLost: true}
+				return deliveryFault{hold: 15 * second, answerLost: true}
 			}
-			return fate{}
+			return deliveryFault{}
 		}
 		w.submit("j-3", map[string]any{"shards": 2})
 		w.until(60*second, "the leader ends", func() bool { return died })
@@ -276,18 +276,18 @@
 	w.standStill(lead, 8*second)
 	w.run(8*second - time.Millisecond)
 	early := []string{}
-	w.script = func(node int, c Call) fate {
-		if node == lead && n.core.isRecovering() {
+	w.script = func(node int, c Call) deliveryFault {
+		if node == lead && n.controller.isRecovering() {
 			switch {
 			case c.Target == ToWorker, c.Path == "/multi", c.Path == "/relay", c.Path == "/forward":
 				early = append(early, c.Path)
 			}
 		}
-		return fate{}
+		return deliveryFault{}
 	}
 	n.still = false
 	w.feed(lead, Tick{}) // it goes on
-	if !n.core.isRecovering() {
+	if !n.controller.isRecovering() {
 		t.Fatal("it does not notice that it stood still")
 	}
 	for _, op := range []Op{OpPoll, OpCancel} {
@@ -299,7 +299,7 @@
 	}
 	var report []byte
 	for _, k := range w.fleet() {
-		if k.Up && !k.Gone {
+		if k.Up && !k.Deleted {
 			report = protocol.Encode(k.Message())
 		}
 	}
@@ -308,7 +308,7 @@
 			t.Error("a worker's lease is renewed")
 		}
 	})
-	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.core.incarnation, Token: n.core.leadership.token}
+	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.incarnation, Token: n.controller.leadership.token}
 	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(beat)}, func(r Reply) {
 		var reply protocol.PeerHeartbeatReply
 		if err := protocol.DecodePeer(r.Body, &reply); err != nil || reply.Leader != "" || reply.LeaderClock != 0 {
@@ -319,7 +319,7 @@
 	if len(early) > 0 {
 		t.Errorf("it sent %v first", early)
 	}
-	if n.core.isRecovering() {
+	if n.controller.isRecovering() {
 		t.Error("it has heard of nobody")
 	}
 	w.settle()
@@ -327,18 +327,18 @@
 
 // A cut in one direction only, between a follower and the leader: its users' requests go round by
 // the third controller, and nobody is suspected.
-func TestDetourRoundABadLink(t *testing.T) {
+func TestRelayRoundABadLink(t *testing.T) {
 	for _, toLeader := range []bool{true, false} {
 		w := newMembershipWorld(t, 952)
 		w.replicas()
 		lead := w.awaitLeader()
 		from := (lead + 1) % 3
 		began := w.Now()
-		w.script = func(node int, c Call) fate {
+		w.script = func(node int, c Call) deliveryFault {
 			if node == from && c.Target == ToPeer && c.Addr == w.cfgs[lead].PeerListen {
-				return fate{lost: toLeader, answerLost: true}
+				return deliveryFault{lost: toLeader, answerLost: true}
 			}
-			return fate{}
+			return deliveryFault{}
 		}
 		w.run(5 * second)
 		answered := 0
@@ -353,7 +353,7 @@
 		if answered < 5 {
 			t.Errorf("requests lost %v: %d of 5 questions are answered", toLeader, answered)
 		}
-		if w.nodes[from].observer.detours == 0 {
+		if w.nodes[from].observer.reroutes == 0 {
 			t.Error("no request went round")
 		}
 		for i, n := range w.nodes {
@@ -374,12 +374,12 @@
 		lead := w.awaitLeader()
 		from := (lead + 1) % 3
 		var tries []time.Duration
-		w.script = func(node int, c Call) fate {
+		w.script = func(node int, c Call) deliveryFault {
 			if node != from || c.Path != "/relay" {
-				return fate{}
+				return deliveryFault{}
 			}
 			tries = append(tries, w.Now())
-			return fate{refused: again || len(tries) == 1}
+			return deliveryFault{refused: again || len(tries) == 1}
 		}
 		asked := w.Now()
 		status, answered := 0, time.Duration(0)
@@ -408,15 +408,15 @@
 		lead := w.awaitLeader()
 		token := w.term().token
 		began := w.Now()
-		w.script = func(node int, c Call) fate {
+		w.script = func(node int, c Call) deliveryFault {
 			if c.Target != ToPeer {
-				return fate{}
+				return deliveryFault{}
 			}
 			if loss > 0 {
-				return fate{lost: w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
+				return deliveryFault{lost: w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
 			}
 			between := node == lead || c.Addr == w.cfgs[lead].PeerListen
-			return fate{lost: between && int(w.Now()/second)%5 < 2}
+			return deliveryFault{lost: between && int(w.Now()/second)%5 < 2}
 		}
 		w.run(60 * second)
 		if w.awaitLeader() != lead || w.term().token != token {
@@ -430,7 +430,7 @@
 			}
 		}
 		for _, k := range w.fleet() {
-			if k.Up && !k.Gone && k.Session > 1 {
+			if k.Up && !k.Deleted && k.Session > 1 {
 				t.Errorf("loss %v: the lease of %s ran out", loss, k.ID)
 			}
 		}
@@ -467,7 +467,7 @@
 func (w *world) controllersOf(zone string) map[string]int {
 	out := map[string]int{}
 	for _, k := range w.fleet() {
-		if k.Up && !k.Gone && k.Zone == zone {
+		if k.Up && !k.Deleted && k.Zone == zone {
 			out[k.ID] = k.Controller
 		}
 	}
@@ -495,7 +495,7 @@
 		l := w.term()
 		for _, m := range l.state.Machines {
 			k := w.byID(m.ID)
-			if k != nil && k.Up && !k.Gone && m.Zone == "a" && label(k.Controller) != l.ownerOf(m) {
+			if k != nil && k.Up && !k.Deleted && m.Zone == "a" && label(k.Controller) != l.ownerOf(m) {
 				return false
 			}
 		}
@@ -515,8 +515,8 @@
 	}
 	// Suspicion alone, shorter than the timeout: its probes are lost, all else works.
 	began := w.Now()
-	w.script = func(node int, c Call) fate {
-		return fate{lost: c.Path == probePath && (node == victim || c.Addr == w.cfgs[victim].PeerListen)}
+	w.script = func(node int, c Call) deliveryFault {
+		return deliveryFault{lost: c.Path == probePath && (node == victim || c.Addr == w.cfgs[victim].PeerListen)}
 	}
 	w.run(2800 * time.Millisecond)
 	for id, c := range w.controllersOf("a") {
@@ -559,7 +559,7 @@
 	}
 	w.until(60*second, "each machine is back", settled)
 	for _, k := range w.fleet() {
-		if k.Up && !k.Gone && k.Session > 1 {
+		if k.Up && !k.Deleted && k.Session > 1 {
 			t.Errorf("the lease of %s ran out", k.ID)
 		}
 	}
@@ -650,12 +650,12 @@
 		w.submit("j-5", map[string]any{"shape": "service", "owner": "blue"})
 		w.until(60*second, "it runs", func() bool { return w.running("j-5") == 1 })
 		// The leader's peers don't reach it, so that they suspect it while it works on.
-		w.script = func(node int, c Call) fate {
-			return fate{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
+		w.script = func(node int, c Call) deliveryFault {
+			return deliveryFault{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
 		}
 		ahead := func() bool {
 			for i, n := range w.nodes {
-				if a := n.core.preparation.preload; i != lead && a != nil && a.finished {
+				if a := n.controller.preparation.preload; i != lead && a != nil && a.finished {
 					return true
 				}
 			}
@@ -674,11 +674,11 @@
 		w.ask(lead, Request{Op: OpCancel, UID: "j-5"}, func(Reply) {})
 		w.run(300 * time.Millisecond)
 		w.crash(lead)
-		w.script = func(_ int, c Call) fate {
+		w.script = func(_ int, c Call) deliveryFault {
 			if tooMuch && writesUnder(c, keyLeader) {
 				w.storeMany(25_000) // more than the state service keeps, just before the election
 			}
-			return fate{}
+			return deliveryFault{}
 		}
 		next := w.awaitLeader()
 		w.script = nil
@@ -704,11 +704,11 @@
 	w.replicas()
 	lead := w.awaitLeader()
 	campaigns := map[int]time.Duration{}
-	w.script = func(node int, c Call) fate {
-		if c.Path == "/multi" && w.nodes[node].core.leadership == nil && campaigns[node] == 0 {
+	w.script = func(node int, c Call) deliveryFault {
+		if c.Path == "/multi" && w.nodes[node].controller.leadership == nil && campaigns[node] == 0 {
 			campaigns[node] = w.Now()
 		}
-		return fate{lost: c.Path == "/multi"} // nobody wins, for them all to try
+		return deliveryFault{lost: c.Path == "/multi"} // nobody wins, for them all to try
 	}
 	w.crash(lead)
 	w.run(4 * second)
@@ -736,12 +736,12 @@
 			w.initialJobs()
 			loss := 0.0
 			cutFrom, cutTo := -1, -1
-			w.script = func(node int, c Call) fate {
+			w.script = func(node int, c Call) deliveryFault {
 				if c.Target != ToPeer {
-					return fate{}
+					return deliveryFault{}
 				}
 				cut := node == cutFrom && c.Addr == w.cfgs[max(0, cutTo)].PeerListen
-				return fate{lost: cut || w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
+				return deliveryFault{lost: cut || w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
 			}
 			for step := range 12 {
 				node := w.rng.IntN(3)
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -10,7 +10,7 @@
 // Controllers go one at a time from the older version to the newer one, the leader first, in the middle
 // and last. The form is written only after the last one has stated it, and the gate opens then.
 func TestRollingUpgrade(t *testing.T) {
-	for _, shape := range []shape{usualShape, wideShape} {
+	for _, shape := range []topology{defaultTopology, wideShape} {
 		last := len(shape.controllers) - 1
 		for _, place := range []int{0, last / 2, last} {
 			t.Run(fmt.Sprintf("%d controllers, the leader as number %d", last+1, place), func(t *testing.T) {
@@ -38,7 +38,7 @@
 func TestRollback(t *testing.T) {
 	for _, opened := range []bool{false, true} {
 		t.Run(fmt.Sprintf("gate opened %v", opened), func(t *testing.T) {
-			ro := newRollout(t, 330, usualShape)
+			ro := newRollout(t, 330, defaultTopology)
 			order := ro.leaderAt(1)
 			if opened {
 				ro.opened()
@@ -67,7 +67,7 @@
 // version leads, workers keep their leases, users are told to come back; one controller of the newer
 // version mends it, and has the gate closed.
 func TestAllRolledBackWithTheGateOpen(t *testing.T) {
-	ro := newRollout(t, 340, usualShape)
+	ro := newRollout(t, 340, defaultTopology)
 	ro.opened()
 	ro.run(20 * second)
 	for i := range ro.nodes {
@@ -76,7 +76,7 @@
 	replicas := ro.running("j-1")
 	ro.run(25 * second)
 	for i, n := range ro.nodes {
-		if n.core.leadership != nil {
+		if n.controller.leadership != nil {
 			t.Errorf("n%d of the older version leads", i)
 		}
 	}
@@ -96,7 +96,7 @@
 func TestOlderProcessAfterTheOpening(t *testing.T) {
 	for _, back := range [][]int{{1}, {1, 2}} {
 		t.Run(fmt.Sprintf("stays, %d", len(back)), func(t *testing.T) {
-			ro := newRollout(t, 350, usualShape)
+			ro := newRollout(t, 350, defaultTopology)
 			ro.opened()
 			back := ro.leaderAt(0)[1 : 1+len(back)]
 			for _, i := range back {
@@ -116,7 +116,7 @@
 			ro.over()
 		})
 		t.Run(fmt.Sprintf("comes and goes, %d", len(back)), func(t *testing.T) {
-			ro := newRollout(t, 360, usualShape)
+			ro := newRollout(t, 360, defaultTopology)
 			ro.opened()
 			back := ro.leaderAt(0)[1 : 1+len(back)]
 			for turn := range 20 {
@@ -141,59 +141,59 @@
 // gateFault is what happens as a transaction of the gate or the journal leaves.
 type gateFault struct {
 	name string
-	do   func(ro *rollout, node int) fate
+	do   func(ro *rollout, node int) deliveryFault
 }
 
 const lateBy = 4 * second
 
 var gateFaults = []gateFault{
-	{"its sender ends before it leaves", func(ro *rollout, node int) fate {
+	{"its sender ends before it leaves", func(ro *rollout, node int) deliveryFault {
 		ro.endSoon(node)
-		return fate{lost: true}
+		return deliveryFault{lost: true}
 	}},
-	{"its sender ends when it is carried out", func(ro *rollout, node int) fate {
+	{"its sender ends when it is carried out", func(ro *rollout, node int) deliveryFault {
 		ro.endSoon(node)
-		return fate{}
+		return deliveryFault{}
 	}},
-	{"its sender ends, and it is carried out late", func(ro *rollout, node int) fate {
+	{"its sender ends, and it is carried out late", func(ro *rollout, node int) deliveryFault {
 		ro.endSoon(node)
-		return fate{hold: lateBy}
+		return deliveryFault{hold: lateBy}
 	}},
-	{"it is carried out late and not answered", func(*rollout, int) fate { return fate{hold: lateBy, answerLost: true} }},
-	{"its answer is lost", func(*rollout, int) fate { return fate{answerLost: true} }},
-	{"it is lost", func(*rollout, int) fate { return fate{lost: true} }},
-	{"its sender stands still", func(ro *rollout, node int) fate {
+	{"it is carried out late and not answered", func(*rollout, int) deliveryFault { return deliveryFault{hold: lateBy, answerLost: true} }},
+	{"its answer is lost", func(*rollout, int) deliveryFault { return deliveryFault{answerLost: true} }},
+	{"it is lost", func(*rollout, int) deliveryFault { return deliveryFault{lost: true} }},
+	{"its sender stands still", func(ro *rollout, node int) deliveryFault {
 		ro.at(0, func() { ro.standStill(node, 6*second) })
-		return fate{hold: second}
+		return deliveryFault{hold: second}
 	}},
-	{"the state service refuses its sender alone", func(ro *rollout, node int) fate {
+	{"the state service refuses its sender alone", func(ro *rollout, node int) deliveryFault {
 		ro.state.Refuse[node] = true
 		ro.at(15*second, func() { ro.state.Refuse[node] = false })
-		return fate{}
+		return deliveryFault{}
 	}},
-	{"the state service is out for longer than a lease", func(ro *rollout, _ int) fate {
+	{"the state service is out for longer than a lease", func(ro *rollout, _ int) deliveryFault {
 		ro.state.Outage(14 * second)
-		return fate{}
+		return deliveryFault{}
 	}},
-	{"another controller ends", func(ro *rollout, node int) fate {
+	{"another controller ends", func(ro *rollout, node int) deliveryFault {
 		ro.endSoon((node + 1) % len(ro.nodes))
-		return fate{}
+		return deliveryFault{}
 	}},
-	{"two controllers end, its sender among them", func(ro *rollout, node int) fate {
+	{"two controllers end, its sender among them", func(ro *rollout, node int) deliveryFault {
 		ro.endSoon(node)
 		ro.endSoon((node + 1) % len(ro.nodes))
-		return fate{hold: second}
+		return deliveryFault{hold: second}
 	}},
-	{"an older process comes back in the place of another controller", func(ro *rollout, node int) fate {
+	{"an older process comes back in the place of another controller", func(ro *rollout, node int) deliveryFault {
 		other := (node + 1) % len(ro.nodes)
 		ro.olderFor(other, 5*second)
-		return fate{}
+		return deliveryFault{}
 	}},
-	{"two older processes come back, its sender's place among them", func(ro *rollout, node int) fate {
+	{"two older processes come back, its sender's place among them", func(ro *rollout, node int) deliveryFault {
 		for _, i := range []int{node, (node + 1) % len(ro.nodes)} {
 			ro.olderFor(i, 5*second)
 		}
-		return fate{hold: second}
+		return deliveryFault{hold: second}
 	}},
 }
 
@@ -225,11 +225,11 @@
 	for _, step := range []gateStep{opens, journals, closes, deletes, closed} {
 		for number, fault := range gateFaults {
 			t.Run(fmt.Sprintf("%s/%s", step, fault.name), func(t *testing.T) {
-				ro := newRollout(t, uint64(400+number), usualShape)
+				ro := newRollout(t, uint64(400+number), defaultTopology)
 				struck := false
-				ro.onStep = func(now gateStep, node int) fate {
+				ro.onStep = func(now gateStep, node int) deliveryFault {
 					if now != step || struck {
-						return fate{}
+						return deliveryFault{}
 					}
 					struck = true
 					return fault.do(ro, node)
@@ -264,8 +264,8 @@
 			part := func() {
 				ro.partZones(when != opens, 25*second)
 				parted := ro.world.script
-				ro.world.script = func(node int, c Call) fate {
-					if f := parted(node, c); f != (fate{}) {
+				ro.world.script = func(node int, c Call) deliveryFault {
+					if f := parted(node, c); f != (deliveryFault{}) {
 						return f
 					}
 					return ro.fate(node, c)
@@ -273,12 +273,12 @@
 				ro.at(25*second, func() { ro.world.script, ro.reports, ro.off = ro.fate, nil, nil })
 			}
 			struck := false
-			ro.onStep = func(step gateStep, _ int) fate {
+			ro.onStep = func(step gateStep, _ int) deliveryFault {
 				if step == when && !struck {
 					struck = true
 					ro.at(0, part)
 				}
-				return fate{}
+				return deliveryFault{}
 			}
 			order := ro.leaderAt(2)
 			ro.roll(order[:4], newerOperator(""))
@@ -299,7 +299,7 @@
 // The state service's lower limits come in the midst: values of the journal that were written under the
 // higher ones are folded, and none is refused.
 func TestUpgradeAcrossLowerLimits(t *testing.T) {
-	ro := newRollout(t, 380, usualShape)
+	ro := newRollout(t, 380, defaultTopology)
 	for i := range ro.cfgs {
 		ro.announced[i] = true
 	}
@@ -336,9 +336,9 @@
 		{"the opening", func(_ *rollout, step gateStep, _ int) bool { return step == opens }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ro := newRollout(t, 390, usualShape)
+			ro := newRollout(t, 390, defaultTopology)
 			held, until := 0, ro.Now()+late
-			ro.world.script = func(node int, call Call) fate {
+			ro.world.script = func(node int, call Call) deliveryFault {
 				f := ro.fate(node, call)
 				if call.Path == "/multi" && held < 3 && c.holds(ro, ro.stepOf(call.Body), node) {
 					held++
@@ -364,7 +364,7 @@
 			}
 			gate := ro.gateIs("open")
 			conflicts := ro.state.Stats.Conflicts
-			ro.agenda.RunUntil(until + second)
+			ro.queue.RunUntil(until + second)
 			if ro.state.Stats.Conflicts == conflicts {
 				t.Error("what was late has met its conditions")
 			}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -28,11 +28,11 @@
 				unhearing[k.Addr] = true
 			}
 		}
-		w.script = func(node int, c Call) fate {
-			return fate{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
+		w.script = func(node int, c Call) deliveryFault {
+			return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
 		}
 		if !answersLost {
-			w.reports = func(_ *emulator.Worker, node int) fate { return fate{lost: node == lead} }
+			w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
 		}
 		// Something to say to the machines, so that the loss can show.
 		w.submit("j-3", map[string]any{"shards": 4})
@@ -55,7 +55,7 @@
 // give those others time for a sign of life first.
 func TestSuspicionWaitsForProbes(t *testing.T) {
 	w := newWorld(t, 57)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	lease := c.cfg.Lease()
 	miss := func() {
@@ -108,7 +108,7 @@
 	}
 	w.run(55 * second)
 	lead = w.leader()
-	if l := w.nodes[lead].core.leadership; !l.isPartitioned("b") {
+	if l := w.nodes[lead].controller.leadership; !l.isPartitioned("b") {
 		t.Fatal("the zone is not dark: the test shows nothing")
 	}
 	for _, id := range w.cloud.Deleted {
@@ -126,7 +126,7 @@
 func TestHangingCallsAreBounded(t *testing.T) {
 	w := newWorld(t, 52)
 	lead := w.awaitLeader()
-	c := w.nodes[lead].core
+	c := w.nodes[lead].controller
 	fds := c.cfg.Cluster.Resources.FDs
 	l := c.leadership
 	c.effects = nil
@@ -154,7 +154,7 @@
 func TestTickOfAQuietFleet(t *testing.T) {
 	count := func(machines int) (tick, report float64) {
 		w := newWorld(t, 53)
-		c := w.nodes[w.awaitLeader()].core
+		c := w.nodes[w.awaitLeader()].controller
 		l := c.leadership
 		j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "web", Team: "red", Service: true, Tasks: 2 * machines, Cores: 1, MemoryGB: 1}, c.wall)
 		j.Stored = true
@@ -247,7 +247,7 @@
 // there was heard since the call failed.
 func TestNothingIsUnreachableInASilentZone(t *testing.T) {
 	w := newWorld(t, 55)
-	l := w.nodes[w.awaitLeader()].core.leadership
+	l := w.nodes[w.awaitLeader()].controller.leadership
 	w.run(20 * second) // the types are known
 	now := time.Minute
 	for i := range 40 {
@@ -276,7 +276,7 @@
 // goes to the replicas that may be lost, not to batches.
 func TestRoomIsKeptWhileMachinesAreLate(t *testing.T) {
 	w := newWorld(t, 56)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	w.run(20 * second) // the types are known and the list is read
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -19,7 +19,7 @@
 func (w *world) holding(uid string) (out []*emulator.Worker) {
 	for _, k := range w.fleet() {
 		for _, t := range k.Tasks {
-			if t.UID == uid && t.State != protocol.Exited && !k.Gone {
+			if t.UID == uid && t.State != protocol.Exited && !k.Deleted {
 				out = append(out, k)
 				break
 			}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -197,7 +197,7 @@
 	try := func() (out uint64) {
 		for _, k := range w.fleet() {
 			for _, task := range k.Tasks {
-				if task.UID == "j-1" && !k.Gone {
+				if task.UID == "j-1" && !k.Deleted {
 					out = max(out, task.Try)
 				}
 			}
@@ -235,7 +235,7 @@
 	w.cancel("j-9")
 	w.until(2*second, "they are empty", func() bool { return w.running("j-0")+w.running("j-9") == 0 })
 	written := false
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		var txn protocol.Txn
 		if c.Path == "/multi" && !written && protocol.Decode(c.Body, &txn) == nil {
 			for _, ch := range txn.Then {
@@ -245,7 +245,7 @@
 				}
 			}
 		}
-		return fate{}
+		return deliveryFault{}
 	}
 	w.submit("j-1", group(4, 6, nil)) // a machine each
 	w.until(30*second, "a part of it is written", func() bool { return written })
@@ -303,7 +303,7 @@
 func TestRepeatedGangIsToldItsState(t *testing.T) {
 	w := newWorld(t, 100)
 	w.submit("j-1", group(2, 1, nil))
-	w.until(30*second, "it is accepted", func() bool { return w.told["j-1"] != "" })
+	w.until(30*second, "it is accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	first := w.specs["j-1"]
 	for name, change := range map[string]map[string]any{
 		"no tasks": {"shards": 0}, "beyond the limit": {"shards": 500}, "unknown shape": {"shape": "heap"},
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -28,14 +28,14 @@
 		}
 	})
 	w.run(2 * second)
-	if w.told["j-1"] == protocol.Cancelled || asked != 1 {
-		t.Fatalf("told %q after %d answers", w.told["j-1"], asked)
+	if w.lastReplies["j-1"] == protocol.Cancelled || asked != 1 {
+		t.Fatalf("told %q after %d answers", w.lastReplies["j-1"], asked)
 	}
 	w.crash(lead)
 	for _, k := range w.fleet() {
 		k.Cut = false
 	}
-	w.until(40*second, "the successor has called it off", func() bool { return w.told["j-1"] == protocol.Cancelled })
+	w.until(40*second, "the successor has called it off", func() bool { return w.lastReplies["j-1"] == protocol.Cancelled })
 	if w.running("j-1") != 0 {
 		t.Error("a replica still runs")
 	}
@@ -64,20 +64,20 @@
 	w := newWorld(t, 72)
 	w.awaitLeader()
 	var held []string
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		var txn protocol.Txn
 		if c.Path != "/multi" || protocol.Decode(c.Body, &txn) != nil || len(held) > 0 {
-			return fate{}
+			return deliveryFault{}
 		}
 		for _, ch := range txn.Then {
 			if !strings.HasPrefix(ch.Put, clusterstate.MachinePrefix) {
-				return fate{}
+				return deliveryFault{}
 			}
 		}
 		for _, ch := range txn.Then {
 			held = append(held, ch.Put)
 		}
-		return fate{hold: 55 * second, answerLost: true}
+		return deliveryFault{hold: 55 * second, answerLost: true}
 	}
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
@@ -104,10 +104,10 @@
 	w := newWorld(t, 73)
 	w.awaitLeader()
 	n := 0
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		n++
 		// Some tries have no answer: those may have applied before the 400.
-		return fate{answerLost: c.Path == "/multi" && n%7 == 0}
+		return deliveryFault{answerLost: c.Path == "/multi" && n%7 == 0}
 	}
 	w.at(15*second, func() { w.state.Malformed = func(txn protocol.Txn) bool { return len(txn.Then) > 3 } })
 	for i := range 10 {
@@ -138,8 +138,8 @@
 	w.submit("j-1", nil)
 	w.submit("j-2", nil)
 	w.awaitTold(100*second, "j-2", protocol.Done)
-	if w.told["j-1"] != "" {
-		t.Errorf("j-1 is %q", w.told["j-1"])
+	if w.lastReplies["j-1"] != "" {
+		t.Errorf("j-1 is %q", w.lastReplies["j-1"])
 	}
 	w.state.Malformed = nil
 	w.submit("j-1", nil)
@@ -188,7 +188,7 @@
 // next report without the task proves that a cancelled task never ran there.
 func TestLostAnswerOfACancelledTask(t *testing.T) {
 	w := newWorld(t, 77)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	w.run(20 * second)
 	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.wall)
@@ -214,7 +214,7 @@
 // A job that keeps failing is tried again at least once a lease.
 func TestBackOffIsBounded(t *testing.T) {
 	w := newWorld(t, 78)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	j := c.leadership.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: 1, Cores: 1}, c.wall)
 	for range 20 {
 		c.leadership.backOffJob(j)
@@ -229,7 +229,7 @@
 func TestNoProofByTimeAtOnce(t *testing.T) {
 	w := newWorld(t, 79)
 	w.run(40 * second)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	l.peers, l.electedAt = map[string]*peer{}, c.now
 	if l.isLeaseExpired(l.state.AddMachine("i-900000")) {
@@ -239,12 +239,12 @@
 
 // What the protocol calls invalid is refused, whatever else goes on, and a repeat
 // of an accepted job gets its state whatever its body holds.
-func TestOddRequests(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	w := newWorld(t, 80)
 	w.awaitLeader()
 	w.run(5 * second)
 	w.submit("j-1", map[string]any{"shards": 2})
-	w.until(30*second, "accepted", func() bool { return w.told["j-1"] != "" })
+	w.until(30*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	odd := map[string]struct {
 		change map[string]any
 		status int
@@ -296,17 +296,17 @@
 	w.run(2 * second)
 	token := string(w.state.Item(keyCounter).Value)
 	lost := false
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		var txn protocol.Txn
 		if c.Path != "/multi" || lost || protocol.Decode(c.Body, &txn) != nil || txn.Then[0].Put != clusterstate.JobPrefix+"j-1" {
-			return fate{}
+			return deliveryFault{}
 		}
 		lost = true
 		w.state.Malformed = func(txn protocol.Txn) bool {
 			return w.state.Item(clusterstate.JobPrefix+"j-1") != nil && len(txn.Then) > 0 && txn.Then[0].Put == clusterstate.JobPrefix+"j-1"
 		}
 		w.at(3*second, func() { w.state.Malformed = nil })
-		return fate{answerLost: true}
+		return deliveryFault{answerLost: true}
 	}
 	w.submit("j-1", nil)
 	w.submit("j-2", nil)
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -40,7 +40,7 @@
 	}
 	w.until(30*second, "they report to their zone's controller", there)
 	w.run(40 * second)
-	w.reports = func(_ *emulator.Worker, node int) fate { return fate{lost: node == 2} }
+	w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
 	started := map[string]int{}
 	for task, n := range w.starts {
 		started[task] = n
@@ -120,10 +120,10 @@
 	})
 	w.crash(1 - lead)
 	w.run(5*second + w.ms(0, 1000))
-	w.script = func(node int, c Call) fate {
-		return fate{lost: node == lead || c.Target == ToPeer && c.Addr != w.cfgs[2].PeerListen}
+	w.script = func(node int, c Call) deliveryFault {
+		return deliveryFault{lost: node == lead || c.Target == ToPeer && c.Addr != w.cfgs[2].PeerListen}
 	}
-	w.reports = func(_ *emulator.Worker, node int) fate { return fate{lost: node != 2} }
+	w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
 	w.run(25 * second)
 	for _, k := range w.fleet() {
 		if k.Zone == "b" && k.Session > 1 {
@@ -165,7 +165,7 @@
 	body := protocol.Encode(protocol.WorkerHeartbeat{Machine: "i-900000", Type: "m8", Zone: "b", Epoch: 1, Sequence: 1, Token: 1})
 	status := 0
 	report := func() { w.ask(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status }) }
-	w.script = func(_ int, c Call) fate { return fate{lost: c.Target == ToPeer} }
+	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(1500 * time.Millisecond)
 	if report(); status != 200 {
 		t.Errorf("the worker is answered %d", status)
@@ -182,21 +182,21 @@
 	w := newWorld(t, 42)
 	lead := w.awaitLeader()
 	w.run(5 * second)
-	w.script = func(_ int, c Call) fate {
-		return fate{lost: strings.HasPrefix(c.Path, "/store?under="+clusterstate.JobPrefix)}
+	w.script = func(_ int, c Call) deliveryFault {
+		return deliveryFault{lost: strings.HasPrefix(c.Path, "/store?under="+clusterstate.JobPrefix)}
 	}
 	w.crash(lead)
 	next := -1
 	w.until(20*second, "another is elected", func() bool {
 		for i, n := range w.nodes {
-			if n.alive && n.core.leadership != nil {
+			if n.alive && n.controller.leadership != nil {
 				next = i
 			}
 		}
 		return next >= 0
 	})
 	w.run(second)
-	l := w.nodes[next].core.leadership
+	l := w.nodes[next].controller.leadership
 	if l.ready {
 		t.Fatal("the ledger is read")
 	}
@@ -218,7 +218,7 @@
 		t.Errorf("a worker without a leader yet is answered %d", got.Status)
 	}
 	report(l.token + 1)
-	if got.Status != 503 || w.nodes[next].core.leadership != nil {
+	if got.Status != 503 || w.nodes[next].controller.leadership != nil {
 		t.Errorf("a worker with a higher token is answered %d", got.Status)
 	}
 }
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -10,7 +10,7 @@
 // A cloud list with machines of an unknown standing, out of order, named twice or without a
 // name, and reports of tasks that nobody knows, end nothing and put nothing where it may
 // not be.
-func TestOddListsAndReports(t *testing.T) {
+func TestInvalidListsAndHeartbeats(t *testing.T) {
 	w := newWorld(t, 97)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -17,33 +17,33 @@
 // controllers had said to each other comes when the cut is over.
 func (w *world) partZones(refused bool, lasts time.Duration) {
 	end := w.Now() + lasts
-	nothing := fate{lost: !refused, refused: refused}
+	nothing := deliveryFault{lost: !refused, refused: refused}
 	w.off = map[string]bool{} // a new connection that is held up is none in time
 	for _, cfg := range w.cfgs {
 		w.off[cfg.PeerListen] = !refused
 	}
-	w.script = func(node int, c Call) fate {
+	w.script = func(node int, c Call) deliveryFault {
 		switch c.Target {
 		case ToWorker:
-			if k := w.byAddr(c.Addr); k != nil && k.Zone != w.shape.controllers[node] {
+			if k := w.byAddr(c.Addr); k != nil && k.Zone != w.topology.controllers[node] {
 				return nothing
 			}
 		case ToPeer:
-			if w.zoneOfPeer(c.Addr) == w.shape.controllers[node] {
-				return fate{}
+			if w.zoneOfPeer(c.Addr) == w.topology.controllers[node] {
+				return deliveryFault{}
 			}
 			if !refused {
-				return fate{hold: end - w.Now(), answerLost: true}
+				return deliveryFault{hold: end - w.Now(), answerLost: true}
 			}
 			return nothing
 		}
-		return fate{}
+		return deliveryFault{}
 	}
-	w.reports = func(k *emulator.Worker, node int) fate {
-		if k.Zone != w.shape.controllers[node] {
+	w.reports = func(k *emulator.Worker, node int) deliveryFault {
+		if k.Zone != w.topology.controllers[node] {
 			return nothing
 		}
-		return fate{}
+		return deliveryFault{}
 	}
 }
 
@@ -62,7 +62,7 @@
 func (w *world) zoneOfPeer(addr string) string {
 	for i, cfg := range w.cfgs {
 		if cfg.PeerListen == addr {
-			return w.shape.controllers[i]
+			return w.topology.controllers[i]
 		}
 	}
 	return ""
@@ -92,7 +92,7 @@
 	}
 	var out bytes.Buffer
 	for _, n := range w.nodes {
-		n.core.log = slog.New(slog.NewTextHandler(&out, nil))
+		n.controller.log = slog.New(slog.NewTextHandler(&out, nil))
 	}
 	w.partZones(refused, 40*second)
 	for range 40 {
@@ -110,11 +110,11 @@
 	// The zones are together again, and what the leader asks of machines directly is answered
 	// before the first report comes by their zone's controller: no task is moved for that.
 	starts := w.allStarts()
-	w.script, w.reports, w.off = func(_ int, c Call) fate {
+	w.script, w.reports, w.off = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
-			return fate{hold: 2 * second}
+			return deliveryFault{hold: 2 * second}
 		}
-		return fate{}
+		return deliveryFault{}
 	}, nil, nil
 	w.run(4 * second)
 	w.script = nil
@@ -141,7 +141,7 @@
 	if lead == 2 || w.leader() != lead {
 		t.Fatal("the leader is in the second zone")
 	}
-	w.script = func(_ int, c Call) fate { return fate{refused: c.Target == ToPeer} }
+	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{refused: c.Target == ToPeer} }
 	w.until(8*second, "the second zone's workers report to the leader", func() bool {
 		for _, k := range w.fleet() {
 			if k.Zone == "b" && len(k.Tasks) > 0 && k.Controller != lead {
@@ -164,9 +164,9 @@
 	w := newWorld(t, 63)
 	w.awaitLeader()
 	w.run(5 * second)
-	w.script = func(_ int, c Call) fate { return fate{lost: c.Target == ToPeer} }
+	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(8 * second)
-	core := w.nodes[2].core
+	core := w.nodes[2].controller
 	sent := func(machine string, tasks int) bool {
 		msg := &protocol.WorkerHeartbeat{Machine: machine, Zone: "b", Token: 1, Tasks: make([]protocol.TaskStatus, tasks)}
 		return !core.renewsLeaseForLeader(msg)
@@ -198,7 +198,7 @@
 	w := newWorld(t, 64)
 	lead := w.awaitLeader()
 	w.run(20 * second)
-	c := w.nodes[lead].core
+	c := w.nodes[lead].controller
 	l := c.leadership
 	m := l.state.AddMachine("i-900000")
 	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.Up = "m8", "b", true, true, true
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -122,7 +122,7 @@
 	}
 	k.Cut = true
 	w.announceLimits()
-	w.until(100*second, "it is deleted", func() bool { return k.Gone })
+	w.until(100*second, "it is deleted", func() bool { return k.Deleted })
 	w.runs = func(string) time.Duration { return second }
 	w.awaitTold(300*second, "j-1", protocol.Done)
 	w.settle()
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -12,9 +12,9 @@
 
 // newCloud makes a cloud with one machine type.
 func (w *world) newCloud() {
-	w.cloud = emulator.NewCloud(w.agenda)
+	w.cloud = emulator.NewCloud(w.queue)
 	w.cloud.Types = []protocol.MachineType{{Name: "m8", Cores: 8, MemoryGB: 32, CacheGB: 50,
-		FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: w.shape.zones}}
+		FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: w.topology.zones}}
 	w.cloud.Name = func(n int) string { return fmt.Sprintf("i-%06d", n) }
 	w.cloud.Addr = func(id string) string { return "10.1." + strings.TrimLeft(id[2:], "0") + ":9000" }
 	w.cloud.Lag = 5 * time.Second
@@ -30,9 +30,9 @@
 
 // newMachines makes a fleet whose workers report to the world's controllers.
 func (w *world) newMachines() {
-	f := emulator.NewFleet(w.agenda, emulator.Timing{Report: time.Second, Lease: 10 * time.Second, NextController: time.Second,
+	f := emulator.NewFleet(w.queue, emulator.Timing{Report: time.Second, Lease: 10 * time.Second, NextController: time.Second,
 		SentAway: 100 * time.Millisecond, GangWait: 30 * time.Second, GangPeer: gangPeer, Look: tick})
-	f.Controllers = len(w.shape.controllers)
+	f.Controllers = len(w.topology.controllers)
 	f.Label = func(name string) int {
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 		if err != nil {
@@ -63,7 +63,7 @@
 			w.ended(t.UID)
 		}
 	}
-	f.Died = func(k *emulator.Worker) { w.cloud.Machine(k.ID).Gone = true }
+	f.Died = func(k *emulator.Worker) { w.cloud.Machine(k.ID).Deleted = true }
 	f.Halted = func(t *emulator.Task, graceS float64) {
 		w.halts[t.UID] = append(w.halts[t.UID], halted{w.Now(), graceS})
 	}
@@ -108,7 +108,7 @@
 
 // carryReport takes a worker's report to a controller, as far as the test lets it.
 func (w *world) carryReport(k *emulator.Worker, node int, body []byte, answer emulator.Reply) {
-	var f fate
+	var f deliveryFault
 	if w.reports != nil {
 		f = w.reports(k, node)
 	}
@@ -144,7 +144,7 @@
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
 	for _, o := range w.machines.Workers {
 		for name, x := range o.Tasks {
-			if !x.Here() || o.Gone {
+			if !x.Here() || o.Deleted {
 				continue
 			}
 			other, _, _ := strings.Cut(name, "@")
@@ -176,7 +176,7 @@
 	n := 0
 	for _, k := range w.fleet() {
 		for _, t := range k.Tasks {
-			if t.UID == uid && t.Here() && !k.Gone {
+			if t.UID == uid && t.Here() && !k.Deleted {
 				n++
 			}
 		}
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -33,18 +33,18 @@
 		w.run(d - time.Millisecond)
 		replaced := false
 		for i, n := range w.nodes {
-			replaced = replaced || i != lead && n.core.leadership != nil && n.core.leadership.ready
+			replaced = replaced || i != lead && n.controller.leadership != nil && n.controller.leadership.ready
 		}
 		if !replaced {
 			t.Fatalf("after %v nobody else leads", d)
 		}
-		old := w.nodes[lead].core
+		old := w.nodes[lead].controller
 		commands := 0
-		w.script = func(node int, c Call) fate {
+		w.script = func(node int, c Call) deliveryFault {
 			if node == lead && c.Target == ToWorker && old.leadership != nil {
 				commands++
 			}
-			return fate{}
+			return deliveryFault{}
 		}
 		w.run(3 * second)
 		if old.leadership != nil {
@@ -73,7 +73,7 @@
 	w.run(second)
 	w.standStill(lead, 4*second)
 	w.run(15 * second)
-	if l := w.nodes[lead].core.leadership; l == nil || l.verifiesLease() {
+	if l := w.nodes[lead].controller.leadership; l == nil || l.verifiesLease() {
 		t.Error("it does not lead any more")
 	}
 	w.awaitTold(90*second, "j-1", "done")
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -29,7 +29,7 @@
 	announced map[int]bool
 	// onStep decides what becomes of a transaction that changes the state of the gate, or the
 	// journal; nil: nothing is broken.
-	onStep func(step gateStep, node int) fate
+	onStep func(step gateStep, node int) deliveryFault
 	steps  map[gateStep]int // transactions sent so far
 	// states are those that the leader key has gone through.
 	states []string
@@ -56,7 +56,7 @@
 	loadRuns           = 5 * time.Second
 )
 
-var wideShape = shape{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: usualShape.teams}
+var wideShape = topology{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: defaultTopology.teams}
 
 // newerOperator are the operators' settings of the newer version.
 func newerOperator(more string) []byte {
@@ -69,8 +69,8 @@
 const holdOn = "[upgrade]\nhold = true\n"
 
 // newRollout is a world of older controllers, with replicas and arrays that come and go.
-func newRollout(t *testing.T, seed uint64, shape shape) *rollout {
-	ro := &rollout{world: newShapedWorld(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
+func newRollout(t *testing.T, seed uint64, shape topology) *rollout {
+	ro := &rollout{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
 		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, moved: map[string]int{}, announced: map[int]bool{}}
 	w := ro.world
 	w.runs = func(task string) time.Duration { return loadRuns }
@@ -126,7 +126,7 @@
 	if operator != nil {
 		ro.newerSince[i] = ro.Now()
 	}
-	ro.cfgs[i] = testConfig(ro.t, ro.shape, i, operator)
+	ro.cfgs[i] = testConfig(ro.t, ro.topology, i, operator)
 	if ro.announced[i] {
 		ro.cfgs[i].Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
 	}
@@ -155,13 +155,13 @@
 }
 
 // fate looks at each transaction on its way to the state service.
-func (ro *rollout) fate(node int, c Call) fate {
+func (ro *rollout) fate(node int, c Call) deliveryFault {
 	if c.Target != ToState || c.Path != "/multi" {
-		return fate{}
+		return deliveryFault{}
 	}
 	step := ro.stepOf(c.Body)
 	if step == noStep {
-		return fate{}
+		return deliveryFault{}
 	}
 	ro.steps[step]++
 	if step == opens {
@@ -174,7 +174,7 @@
 	if ro.onStep != nil {
 		return ro.onStep(step, node)
 	}
-	return fate{}
+	return deliveryFault{}
 }
 
 // stepOf says what a transaction does.
@@ -253,7 +253,7 @@
 			ro.states = append(ro.states, state)
 		}
 		for i, n := range ro.nodes {
-			if n.alive && n.withoutGate && n.core.leadership != nil && n.core.leadership.holdsLease() && rec.StorageVersion != 0 {
+			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.holdsLease() && rec.StorageVersion != 0 {
 				ro.breaks("n%d of the older version leads with the gate %s", i, rec.gateState())
 			}
 		}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -25,7 +25,7 @@
 	w.run(120 * second)
 	up := 0
 	for _, k := range w.fleet() {
-		if !k.Gone {
+		if !k.Deleted {
 			up++
 		}
 	}
@@ -67,10 +67,10 @@
 	old := w.awaitLeader()
 	// The old leader keeps its workers, but loses state service and peers; the
 	// workers can't be reached by the others' direct commands.
-	w.script = func(node int, c Call) fate {
+	w.script = func(node int, c Call) deliveryFault {
 		lost := (node == old && (c.Target == ToState || c.Target == ToPeer)) ||
 			(node != old && c.Target == ToWorker) || (c.Target == ToPeer && strings.HasPrefix(c.Addr, fmt.Sprintf("10.0.0.%d:", old)))
-		return fate{lost: lost}
+		return deliveryFault{lost: lost}
 	}
 	w.until(15*second, "a second leader", func() bool { l := w.leader(); return l >= 0 && l != old })
 	w.cancel("j-2")
@@ -78,7 +78,7 @@
 		w.run(second)
 		w.lateCancelled()
 	}
-	if w.nodes[old].core.leadership != nil {
+	if w.nodes[old].controller.leadership != nil {
 		t.Error("the old leader coasts without end")
 	}
 	w.script = nil
@@ -91,18 +91,18 @@
 func TestLostTransactionAnswers(t *testing.T) {
 	w := newWorld(t, 4)
 	n := 0
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		if c.Target != ToState || c.Path != "/multi" {
-			return fate{}
+			return deliveryFault{}
 		}
 		n++
 		switch {
 		case n%5 == 0:
-			return fate{answerLost: true}
+			return deliveryFault{answerLost: true}
 		case n%7 == 0:
-			return fate{hold: time.Duration(1+n%20) * second}
+			return deliveryFault{hold: time.Duration(1+n%20) * second}
 		}
-		return fate{}
+		return deliveryFault{}
 	}
 	for i := range 8 {
 		w.submit(fmt.Sprintf("j-%d", i), map[string]any{"shards": 3, "cores": 2.0})
@@ -124,12 +124,12 @@
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "a machine is up", func() bool { return w.running("j-0") == 1 })
 	held := 0
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		if c.Target == ToWorker && held < 3 {
 			held++
-			return fate{hold: time.Duration(20*held) * second}
+			return deliveryFault{hold: time.Duration(20*held) * second}
 		}
-		return fate{}
+		return deliveryFault{}
 	}
 	w.submit("j-1", map[string]any{"shards": 4, "cores": 2.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2})
@@ -192,8 +192,8 @@
 		w.run(second)
 		w.lateCancelled()
 	}
-	if w.told["j-1"] != protocol.Cancelled || w.running("j-1") != 0 {
-		t.Errorf("told %q, %d running", w.told["j-1"], w.running("j-1"))
+	if w.lastReplies["j-1"] != protocol.Cancelled || w.running("j-1") != 0 {
+		t.Errorf("told %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
 	}
 	w.keptRules()
 }
@@ -248,7 +248,7 @@
 
 func (w *world) awaitNode() int {
 	for i, n := range w.nodes {
-		if n.alive && n.core.leadership != nil {
+		if n.alive && n.controller.leadership != nil {
 			return i
 		}
 	}
@@ -267,8 +267,10 @@
 			answersLost = k
 		}
 	}
-	w.reports = func(k *emulator.Worker, _ int) fate { return fate{answerLost: k == answersLost} }
-	w.script = func(_ int, c Call) fate { return fate{lost: c.Target == ToWorker && c.Addr == answersLost.Addr} }
+	w.reports = func(k *emulator.Worker, _ int) deliveryFault { return deliveryFault{answerLost: k == answersLost} }
+	w.script = func(_ int, c Call) deliveryFault {
+		return deliveryFault{lost: c.Target == ToWorker && c.Addr == answersLost.Addr}
+	}
 	w.until(60*second, "the replica is back elsewhere", func() bool {
 		return w.running("j-1") == 2 && len(answersLost.Tasks) == 0
 	})
@@ -355,8 +357,8 @@
 // process once ended by taking over twice.
 func TestWatchOvertakesElection(t *testing.T) {
 	w := newWorld(t, 14)
-	w.script = func(_ int, c Call) fate {
-		return fate{answerLost: c.Target == ToState && c.Path == "/multi"}
+	w.script = func(_ int, c Call) deliveryFault {
+		return deliveryFault{answerLost: c.Target == ToState && c.Path == "/multi"}
 	}
 	w.run(20 * second)
 	w.script = nil
@@ -376,18 +378,18 @@
 	var jobs []string
 	cancelled := map[string]bool{}
 	lossy := false
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		if !lossy {
-			return fate{}
+			return deliveryFault{}
 		}
-		f := fate{lost: w.rng.IntN(12) == 0, answerLost: w.rng.IntN(12) == 0}
+		f := deliveryFault{lost: w.rng.IntN(12) == 0, answerLost: w.rng.IntN(12) == 0}
 		if w.rng.IntN(10) == 0 {
 			f.hold = time.Duration(w.rng.IntN(40_000)) * time.Millisecond
 		}
 		return f
 	}
-	w.reports = func(*emulator.Worker, int) fate {
-		return fate{lost: lossy && w.rng.IntN(8) == 0, answerLost: lossy && w.rng.IntN(8) == 0}
+	w.reports = func(*emulator.Worker, int) deliveryFault {
+		return deliveryFault{lost: lossy && w.rng.IntN(8) == 0, answerLost: lossy && w.rng.IntN(8) == 0}
 	}
 	w.runs = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
 	for step := range 50 {
@@ -517,15 +519,15 @@
 	w.awaitLeader()
 	w.run(2 * second)
 	held := false
-	w.script = func(_ int, c Call) fate {
+	w.script = func(_ int, c Call) deliveryFault {
 		if c.Target == ToState && c.Path == "/multi" && !held {
 			held = true
-			return fate{hold: 15 * second}
+			return deliveryFault{hold: 15 * second}
 		}
-		return fate{}
+		return deliveryFault{}
 	}
 	w.submit("j-1", map[string]any{"shape": "service"})
-	w.until(8*second, "accepted", func() bool { return w.told["j-1"] != "" })
+	w.until(8*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	w.cancel("j-1")
 	w.awaitTold(5*second, "j-1", protocol.Cancelled)
 	w.run(15 * second)
@@ -553,7 +555,7 @@
 	}
 	w.run(20 * second)
 	for _, k := range w.fleet() {
-		if k.Gone && k.Lives > 0 {
+		if k.Deleted && k.Lives > 0 {
 			t.Errorf("%s was returned while it could not be reached", k.ID)
 		}
 		k.Cut = false
@@ -568,16 +570,18 @@
 		k := w.byAddr(addr)
 		return k == nil || k.Zone != "b"
 	}
-	w.script = func(node int, c Call) fate {
+	w.script = func(node int, c Call) deliveryFault {
 		switch {
 		case c.Target == ToWorker:
-			return fate{lost: (node == 2) == outside(c.Addr)}
+			return deliveryFault{lost: (node == 2) == outside(c.Addr)}
 		case c.Target == ToPeer:
-			return fate{lost: (node == 2) != (c.Addr == "10.0.0.2:1")}
+			return deliveryFault{lost: (node == 2) != (c.Addr == "10.0.0.2:1")}
 		}
-		return fate{lost: node == 2}
+		return deliveryFault{lost: node == 2}
+	}
+	w.reports = func(k *emulator.Worker, node int) deliveryFault {
+		return deliveryFault{lost: (node == 2) != (k.Zone == "b")}
 	}
-	w.reports = func(k *emulator.Worker, node int) fate { return fate{lost: (node == 2) != (k.Zone == "b")} }
 }
 
 // replicasOverZones is a world with two services that are spread over the zones, led from zone b if
@@ -618,7 +622,7 @@
 		for range 60 {
 			w.run(second)
 			w.lateCancelled()
-			if w.told["j-2"] == protocol.Cancelled && w.running("j-2") > 0 {
+			if w.lastReplies["j-2"] == protocol.Cancelled && w.running("j-2") > 0 {
 				t.Fatal("told of a cancellation with a task still there")
 			}
 			if n := w.running("j-1"); n < 3 {
@@ -674,7 +678,7 @@
 	if n := fit(); n != 3 {
 		t.Fatalf("%d of 3 controllers are fit", n)
 	}
-	w.script = func(_ int, c Call) fate { return fate{lost: c.Target == ToPeer} }
+	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(6 * second)
 	if n := fit(); n != 1 || w.leader() != lead {
 		t.Fatalf("%d controllers are fit, the leader is %d, was %d", n, w.leader(), lead)
@@ -736,13 +740,13 @@
 		w.run(15 * second)
 		w.cutZone()
 		cut := w.script
-		w.script = func(node int, c Call) fate { // from the rest, as it is the other zone's turn
+		w.script = func(node int, c Call) deliveryFault { // from the rest, as it is the other zone's turn
 			if c.Target == ToState || c.Target == ToCloud {
-				return fate{lost: node != 2}
+				return deliveryFault{lost: node != 2}
 			}
 			return cut(node, c)
 		}
-		w.until(10*second, "another leads outside", func() bool { return w.nodes[2].core.leadership != nil })
+		w.until(10*second, "another leads outside", func() bool { return w.nodes[2].controller.leadership != nil })
 		w.run(15 * second)
 		w.crash(lead)
 		w.at(back, func() { w.boot(lead) })
@@ -768,7 +772,7 @@
 func TestNewIncarnationMayHaveServed(t *testing.T) {
 	w := newWorld(t, 35)
 	lead := w.awaitLeader()
-	l := w.nodes[lead].core.leadership
+	l := w.nodes[lead].controller.leadership
 	touch := func(incarnation string, served int64) {
 		body := protocol.EncodePeer(protocol.PeerHeartbeat{From: "n2", Incarnation: incarnation, Token: l.token, ServedMS: served})
 		w.ask(lead, Request{Op: OpPeerHeartbeat, Body: body}, func(Reply) {})
@@ -808,7 +812,7 @@
 		t.Fatal("no worker of the other zone, or the leader is there")
 	}
 	w.until(20*second, "it reports to its zone's controller", func() bool { return far.Controller == 2 })
-	l := w.nodes[lead].core.leadership
+	l := w.nodes[lead].controller.leadership
 	w.crash(2)
 	w.run(4 * second)
 	w.boot(2)
@@ -816,7 +820,7 @@
 	if n := l.state.Machines[far.ID].FailedRedirects; n > 1 {
 		t.Errorf("the end of a controller was taken for one that can't be reached %d times", n)
 	}
-	w.reports = func(k *emulator.Worker, node int) fate { return fate{lost: k == far && node == 2} }
+	w.reports = func(k *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: k == far && node == 2} }
 	w.run(90 * second)
 	away := 0
 	for range 40 {
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -319,9 +319,9 @@
 	})
 }
 
-// BenchmarkSlopeEmptying looks for machines to empty, where replicas run and a third of the
+// BenchmarkSlopeConsolidation looks for machines to empty, where replicas run and a third of the
 // machines has room.
-func BenchmarkSlopeEmptying(b *testing.B) {
+func BenchmarkSlopeConsolidation(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		for _, j := range f.waiting {
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -20,10 +20,10 @@
 // number, so that they fall on all kinds of events.
 const compareEvery = 499
 
-// checkStanding compares a leader's standing view with the ledger: what nothing seems to have
+// checkSchedulerCache compares a leader's standing view with the ledger: what nothing seems to have
 // changed after each event, and now and then a whole snapshot with one drawn anew. All worlds
 // are checked so.
-func (w *world) checkStanding(l *leadership) {
+func (w *world) checkSchedulerCache(l *leadership) {
 	for _, e := range l.cache.machines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
 			w.breaks("the standing view of %s differs from the ledger", e.machine.ID)
@@ -41,7 +41,7 @@
 			w.breaks("%s: waiting tasks %v, the standing view has %v", j.Spec.UID, fresh, kept.waiting)
 		}
 	}
-	if w.events++; w.events%compareEvery == 0 {
+	if w.leaderEvents++; w.leaderEvents%compareEvery == 0 {
 		if d := differenceOfSnapshots(l); d != "" {
 			w.breaks("the standing snapshot differs from one drawn anew: %s", d)
 		}
@@ -161,7 +161,7 @@
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
-	c := w.nodes[lead].core
+	c := w.nodes[lead].controller
 	var logged bytes.Buffer
 	c.log = slog.New(slog.NewTextHandler(&logged, nil))
 	l := c.leadership
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -22,11 +22,11 @@
 func TestStoredBytesWithoutTheJournal(t *testing.T) {
 	w := newWorldWith(t, 191, nil)
 	hash := xxhash.New()
-	w.script = func(node int, c Call) fate {
+	w.script = func(node int, c Call) deliveryFault {
 		if c.Target == ToState && c.Method != "GET" {
 			fmt.Fprintf(hash, "%v %d %s %s %s\n", w.Now(), node, c.Method, c.Path, hex.EncodeToString(c.Body))
 		}
-		return fate{}
+		return deliveryFault{}
 	}
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
--- a/internal/controller/takeover_attempts_test.go
+++ b/internal/controller/takeover_attempts_test.go
@@ -15,7 +15,7 @@
 func TestTakeOverStopsOlderAttempts(t *testing.T) {
 	const machines = 5000
 	w := newWorld(t, 75)
-	c := w.nodes[w.awaitLeader()].core
+	c := w.nodes[w.awaitLeader()].controller
 	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.now)
 	c.leadership = l
 	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: machines, Cores: 1, MemoryGB: 1}, c.wall)
--- a/internal/controller/takeover_idle_test.go
+++ b/internal/controller/takeover_idle_test.go
@@ -18,8 +18,10 @@
 	lead := w.leader()
 	w.cloud.Deleted = nil
 	// Nothing of the workers reaches the new leader for a while.
-	w.script = func(_ int, c Call) fate { return fate{lost: c.Target == ToWorker || c.Path == "/forward"} }
-	w.reports = func(*emulator.Worker, int) fate { return fate{lost: true} }
+	w.script = func(_ int, c Call) deliveryFault {
+		return deliveryFault{lost: c.Target == ToWorker || c.Path == "/forward"}
+	}
+	w.reports = func(*emulator.Worker, int) deliveryFault { return deliveryFault{lost: true} }
 	w.crash(lead)
 	w.until(10*second, "another leads", func() bool { return w.leader() >= 0 && w.leader() != lead })
 	w.run(3 * second)
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -16,7 +16,7 @@
 
 // shadow is what a leader elected now would find: a term that has read the store.
 func (ro *rollout) shadow() *leadership {
-	core := New(ro.cfgs[0], ro.rng, ro.nodes[0].core.log)
+	core := New(ro.cfgs[0], ro.rng, ro.nodes[0].controller.log)
 	core.now = ro.Now()
 	rec, _ := ro.stored()
 	l := newLeadership(core, &rec, 1, 0)
@@ -48,7 +48,7 @@
 			}
 			uid, index, _ := clusterstate.ParseTask(id)
 			j, m := l.state.Jobs[uid], l.state.Machines[k.ID]
-			if j == nil || k.Gone {
+			if j == nil || k.Deleted {
 				continue
 			}
 			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Try}] == nil {
@@ -68,16 +68,16 @@
 // machines die, leaders end, transactions are late and their answers lost.
 func TestTakeOverAtEachMoment(t *testing.T) {
 	for seed := range uint64(4) {
-		ro := newRollout(t, 500+seed, usualShape)
+		ro := newRollout(t, 500+seed, defaultTopology)
 		ro.opened()
 		ro.interrupts = true
 		turn, lost := 0, map[string]bool{}
-		ro.onStep = func(step gateStep, _ int) fate {
+		ro.onStep = func(step gateStep, _ int) deliveryFault {
 			turn++
 			if step != journals || turn%3 != 0 {
-				return fate{}
+				return deliveryFault{}
 			}
-			return fate{hold: ro.ms(0, 2000), answerLost: turn%2 == 0}
+			return deliveryFault{hold: ro.ms(0, 2000), answerLost: turn%2 == 0}
 		}
 		for second := range 60 {
 			for range 10 {
@@ -89,7 +89,7 @@
 				ro.endSoon(ro.awaitLeader())
 			case second%20 == 17:
 				for _, k := range ro.fleet() {
-					if !k.Gone && k.Up && len(k.Tasks) > 0 {
+					if !k.Deleted && k.Up && len(k.Tasks) > 0 {
 						for name := range k.Tasks {
 							id, _, _ := strings.Cut(name, "@")
 							lost[id] = true
@@ -110,7 +110,7 @@
 // What can't be read of the journal is told and left where it is, and stops nothing else. What is of
 // no use is folded away, and a machine's record that is newer than a value knows better.
 func TestDamagedJournal(t *testing.T) {
-	ro := newRollout(t, 510, usualShape)
+	ro := newRollout(t, 510, defaultTopology)
 	ro.opened()
 	ro.run(10 * second)
 	var logged bytes.Buffer
@@ -179,7 +179,7 @@
 		"fields of another": map[string]any{"l": 7, "n": "token"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ro := newRollout(t, 520, usualShape)
+			ro := newRollout(t, 520, defaultTopology)
 			ro.opened()
 			ro.run(5 * second)
 			for i := range ro.nodes {
@@ -218,12 +218,12 @@
 		{"holds", &protocol.VersionStatement{Reads: 1, Writes: 1, Hold: true}, false},
 		{"nothing", nil, false},
 	} {
-		ro := newRollout(t, 530, usualShape)
+		ro := newRollout(t, 530, defaultTopology)
 		lead := ro.awaitLeader()
 		stating := (lead + 1) % 3
-		ro.world.script = func(node int, call Call) fate {
+		ro.world.script = func(node int, call Call) deliveryFault {
 			// It never leads, and the test heartbeats for it.
-			return fate{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
+			return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
 		}
 		ro.roll([]int{lead, stating, 3 - lead - stating}, newerOperator(""))
 		for range 60 {
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -9,20 +9,20 @@
 // Settings of unusual shapes are served as any other: replicas and batches run, a leader's end
 // loses nothing, and two zones that part keep what runs in them.
 func TestUnusualShapes(t *testing.T) {
-	for name, shape := range map[string]shape{
-		"one zone":                           {controllers: []string{"a", "a", "a"}, zones: []string{"a"}, teams: usualShape.teams},
-		"one controller":                     {controllers: []string{"a"}, zones: []string{"a"}, teams: usualShape.teams},
-		"two zones with one controller each": {controllers: []string{"a", "b"}, zones: usualShape.zones, teams: usualShape.teams},
-		"a zone without a controller":        {controllers: []string{"a", "a", "a"}, zones: usualShape.zones, teams: usualShape.teams},
-		"a team without a guarantee": {controllers: usualShape.controllers, zones: usualShape.zones,
+	for name, shape := range map[string]topology{
+		"one zone":                           {controllers: []string{"a", "a", "a"}, zones: []string{"a"}, teams: defaultTopology.teams},
+		"one controller":                     {controllers: []string{"a"}, zones: []string{"a"}, teams: defaultTopology.teams},
+		"two zones with one controller each": {controllers: []string{"a", "b"}, zones: defaultTopology.zones, teams: defaultTopology.teams},
+		"a zone without a controller":        {controllers: []string{"a", "a", "a"}, zones: defaultTopology.zones, teams: defaultTopology.teams},
+		"a team without a guarantee": {controllers: defaultTopology.controllers, zones: defaultTopology.zones,
 			teams: `{"name":"red","cpus":0,"cpus_max":32},{"name":"blue","cpus":8,"cpus_max":16}`},
 	} {
 		t.Run(name, func(t *testing.T) { servedAsAnyOther(t, shape) })
 	}
 }
 
-func servedAsAnyOther(t *testing.T, shape shape) {
-	w := newShapedWorld(t, 66, testOperator, shape)
+func servedAsAnyOther(t *testing.T, shape topology) {
+	w := newWorldWithTopology(t, 66, testOperator, shape)
 	if len(w.fleet()) > 0 {
 		t.Fatal("there are machines at the start")
 	}
@@ -48,7 +48,7 @@
 // Two zones with one controller each part, whichever of them leads: both keep what runs there.
 func TestTwoControllersApart(t *testing.T) {
 	for _, refused := range []bool{false, true} {
-		w := newShapedWorld(t, 67, testOperator, shape{controllers: []string{"a", "b"}, zones: usualShape.zones, teams: usualShape.teams})
+		w := newWorldWithTopology(t, 67, testOperator, topology{controllers: []string{"a", "b"}, zones: defaultTopology.zones, teams: defaultTopology.teams})
 		w.awaitLeader()
 		w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -195,7 +195,7 @@
 	stored := 0
 	for _, k := range w.fleet() {
 		keys := tasksOf(k, "j-1")
-		if len(keys) == 0 || k.Gone {
+		if len(keys) == 0 || k.Deleted {
 			continue
 		}
 		if stored > 0 {
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -25,38 +25,38 @@
 	latency = 2 * time.Millisecond
 )
 
-// fate is what the script lets happen to one call: the request is held back
+// deliveryFault is what the script lets happen to one call: the request is held back
 // for a while or lost, and so is the response.
-type fate struct {
+type deliveryFault struct {
 	lost, answerLost bool
 	refused          bool // the connection, at once
 	hold             time.Duration
 }
 
 type world struct {
-	t        testing.TB
-	shape    shape
-	agenda   *emulator.Agenda
-	rng      *rand.Rand
-	cfgs     []*config.Config
-	nodes    []*simNode
-	state    *emulator.StateService
-	cloud    *emulator.Cloud
-	machines *emulator.Fleet
-	copies   map[string][][]byte // reports by machine, for late copies of them
-	finished map[string]bool     // tasks that have completed
-	specs    map[string]map[string]any
-	told     map[string]protocol.JobState // what users were told last
-	toldAt   map[string]time.Duration     // since when
-	stopped  map[string]time.Duration     // when users were told of a cancellation
-	broken   []string
-	events   int // that leaders have handled
-	effects  *effectRecorder
+	t            testing.TB
+	topology     topology
+	queue        *emulator.EventQueue
+	rng          *rand.Rand
+	cfgs         []*config.Config
+	nodes        []*simNode
+	state        *emulator.StateService
+	cloud        *emulator.Cloud
+	machines     *emulator.Fleet
+	copies       map[string][][]byte // reports by machine, for late copies of them
+	finished     map[string]bool     // tasks that have completed
+	specs        map[string]map[string]any
+	lastReplies  map[string]protocol.JobState // what users were told last
+	lastReplyAt  map[string]time.Duration     // since when
+	stopped      map[string]time.Duration     // when users were told of a cancellation
+	broken       []string
+	leaderEvents int // that leaders have handled
+	effects      *effectRecorder
 	checker
 	// script decides the fate of a call from a node; nil: all goes well.
-	script func(node int, c Call) fate
+	script func(node int, c Call) deliveryFault
 	// reports decides whether a worker's report and its answer get through.
-	reports func(w *emulator.Worker, node int) fate
+	reports func(w *emulator.Worker, node int) deliveryFault
 	runs    func(task string) time.Duration
 	// pulls is how long a task waits for its image; nil: a moment.
 	pulls func(task string) time.Duration
@@ -72,12 +72,12 @@
 }
 
 type simNode struct {
-	core  *Controller
-	alive bool
-	life  int
-	born  time.Duration // the steady clock of a process starts with it
-	last  uint64
-	wants map[uint64]func(Reply)
+	controller *Controller
+	alive      bool
+	life       int
+	born       time.Duration // the steady clock of a process starts with it
+	last       uint64
+	waiters    map[uint64]func(Reply)
 	// older: its version knows no probes, and withoutGate no feature gate either, see olderCall.
 	older, withoutGate bool
 	// still: the process handles nothing; held is what waits for it.
@@ -94,27 +94,27 @@
 
 // newWorldWith is a world whose controllers have these operators' settings.
 func newWorldWith(t testing.TB, seed uint64, operator []byte) *world {
-	return newShapedWorld(t, seed, operator, usualShape)
+	return newWorldWithTopology(t, seed, operator, defaultTopology)
 }
 
-// shape is what the settings of a world describe: the zone of each controller, the zones of the
+// topology is what the settings of a world describe: the zone of each controller, the zones of the
 // cloud, and the teams.
-type shape struct {
+type topology struct {
 	controllers, zones []string
 	teams              string
 }
 
-var usualShape = shape{controllers: []string{"a", "a", "b"}, zones: []string{"a", "b"},
+var defaultTopology = topology{controllers: []string{"a", "a", "b"}, zones: []string{"a", "b"},
 	teams: `{"name":"red","cpus":16,"cpus_max":32},{"name":"blue","cpus":8,"cpus_max":16}`}
 
-// newShapedWorld is a world of another shape than usual.
-func newShapedWorld(t testing.TB, seed uint64, operator []byte, shape shape) *world {
-	w := &world{shape: shape, t: t, effects: newEffectRecorder(t), agenda: &emulator.Agenda{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
+// newWorldWithTopology is a world of another shape than usual.
+func newWorldWithTopology(t testing.TB, seed uint64, operator []byte, shape topology) *world {
+	w := &world{topology: shape, t: t, effects: newEffectRecorder(t), queue: &emulator.EventQueue{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
 		copies: map[string][][]byte{}, finished: map[string]bool{},
-		told: map[string]protocol.JobState{}, toldAt: map[string]time.Duration{}, stopped: map[string]time.Duration{}, checker: newChecker(), reportWait: 4 * time.Second,
+		lastReplies: map[string]protocol.JobState{}, lastReplyAt: map[string]time.Duration{}, stopped: map[string]time.Duration{}, checker: newChecker(), reportWait: 4 * time.Second,
 		runs: func(string) time.Duration { return 30 * time.Second }}
 	limits := testSite.state
-	w.state = emulator.NewStateService(w.agenda, emulator.StateLimits{ValueBytes: limits.valueKB << 10, Changes: limits.changes})
+	w.state = emulator.NewStateService(w.queue, emulator.StateLimits{ValueBytes: limits.valueKB << 10, Changes: limits.changes})
 	w.state.MostChanges, w.state.Wrong = limits.changes, func(what string) { w.breaks("%s", what) }
 	w.newCloud()
 	w.newMachines()
@@ -128,11 +128,11 @@
 }
 
 // Now is the world's time.
-func (w *world) Now() time.Duration { return w.agenda.Now() }
+func (w *world) Now() time.Duration { return w.queue.Now() }
 
-func (w *world) at(d time.Duration, do func()) { w.agenda.After(d, do) }
+func (w *world) at(d time.Duration, do func()) { w.queue.After(d, do) }
 
-func (w *world) run(d time.Duration) { w.agenda.RunUntil(w.Now() + d) }
+func (w *world) run(d time.Duration) { w.queue.RunUntil(w.Now() + d) }
 
 // until runs until something holds.
 func (w *world) until(limit time.Duration, what string, holds func() bool) {
@@ -166,7 +166,7 @@
 	n.alive, n.life, n.born, n.scripted = true, n.life+1, w.Now(), nil
 	n.still, n.held = false, nil
 	life := n.life
-	n.wants = map[uint64]func(Reply){}
+	n.waiters = map[uint64]func(Reply){}
 	sink := io.Discard
 	if os.Getenv("CLAYBARROW_TEST_LOG") != "" {
 		sink = os.Stderr
@@ -175,9 +175,9 @@
 		sink = io.MultiWriter(sink, logSink(func(line []byte) { w.logged(i, line) }))
 	}
 	log := slog.New(slog.NewTextHandler(sink, &slog.HandlerOptions{Level: slog.LevelDebug})).With("node", i)
-	n.core = New(w.cfgs[i], rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
+	n.controller = New(w.cfgs[i], rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
 	n.observer = &worldObserver{w: w, node: i}
-	n.core.Observe(n.observer)
+	n.controller.Observe(n.observer)
 	var beat func()
 	beat = func() {
 		if n.alive && n.life == life {
@@ -204,16 +204,16 @@
 		return
 	}
 	steady := time.Duration(float64(w.Now()-n.born) * (1 + n.drift))
-	effects := n.core.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
+	effects := n.controller.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
 	w.effects.record(w, i, effects)
-	if l := n.core.leadership; l != nil && l.ready {
-		w.checkStanding(l)
+	if l := n.controller.leadership; l != nil && l.ready {
+		w.checkSchedulerCache(l)
 	}
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
-			if f := n.wants[e.ID]; f != nil {
-				delete(n.wants, e.ID)
+			if f := n.waiters[e.ID]; f != nil {
+				delete(n.waiters, e.ID)
 				f(e)
 			}
 		case Call:
@@ -237,11 +237,11 @@
 	n.last++
 	req.ID = n.last
 	life, done := n.life, false
-	n.wants[req.ID] = func(r Reply) { done = true; then(r) }
+	n.waiters[req.ID] = func(r Reply) { done = true; then(r) }
 	w.feed(i, req)
 	w.at(5*time.Second, func() {
 		if !done && n.life == life {
-			delete(n.wants, req.ID)
+			delete(n.waiters, req.ID)
 		}
 		if !done {
 			done = true
@@ -265,7 +265,7 @@
 	if w.nodes[i].withoutGate {
 		c = olderCall(c)
 	}
-	var f fate
+	var f deliveryFault
 	if w.script != nil {
 		f = w.script(i, c)
 	}
@@ -324,7 +324,7 @@
 
 func (w *world) leader() int {
 	for i, n := range w.nodes {
-		if n.alive && n.core.leadership != nil && n.core.leadership.ready && n.core.leadership.holdsLease() {
+		if n.alive && n.controller.leadership != nil && n.controller.leadership.ready && n.controller.leadership.holdsLease() {
 			return i
 		}
 	}
@@ -332,7 +332,7 @@
 }
 
 // term is the leader's.
-func (w *world) term() *leadership { return w.nodes[w.awaitLeader()].core.leadership }
+func (w *world) term() *leadership { return w.nodes[w.awaitLeader()].controller.leadership }
 
 func (w *world) awaitLeader() int {
 	w.t.Helper()
@@ -371,7 +371,7 @@
 			w.noteAnswer(uid)
 		}
 		w.checkAnswer(op, uid, r.Status)
-		if r.Status == 404 && w.told[uid] != "" {
+		if r.Status == 404 && w.lastReplies[uid] != "" {
 			w.breaks("forgotten: %s", uid)
 		}
 		if (r.Status == 503 || r.Status == 429) && r.RetryAfter == 0 {
@@ -387,8 +387,8 @@
 // was under way while the user was told something may be answered with what held before: the
 // leader answered it first, and its answer went a longer way.
 func (w *world) tell(uid string, s protocol.JobStatus, sent time.Duration) {
-	before := w.told[uid]
-	if s.State != before && sent < w.toldAt[uid] {
+	before := w.lastReplies[uid]
+	if s.State != before && sent < w.lastReplyAt[uid] {
 		return
 	}
 	if (before == protocol.Done || before == protocol.Cancelled) && s.State != before {
@@ -409,9 +409,9 @@
 		}
 	}
 	if s.State != before {
-		w.toldAt[uid] = w.Now()
+		w.lastReplyAt[uid] = w.Now()
 	}
-	w.told[uid] = s.State
+	w.lastReplies[uid] = s.State
 }
 
 // persist repeats a request at the nodes in turn, as users do.
@@ -445,6 +445,6 @@
 		if n++; n%20 == 1 {
 			w.user(n/20%len(w.nodes), OpPoll, uid, nil)
 		}
-		return w.told[uid] == state
+		return w.lastReplies[uid] == state
 	})
 }
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -30,15 +30,15 @@
 type Machine struct {
 	ID, Addr string
 	Pool
-	Rented time.Duration
-	Up     bool
-	Gone   bool          // deleted or taken: no longer listed
-	Failed time.Duration // when it stopped on its own, 0: it has not
+	Rented  time.Duration
+	Up      bool
+	Deleted bool          // deleted or taken: no longer listed
+	Failed  time.Duration // when it stopped on its own, 0: it has not
 }
 
 // Cloud rents machines.
 type Cloud struct {
-	agenda   *Agenda
+	queue    *EventQueue
 	machines []*Machine // in the order of creation, which is the order of names
 	byName   map[string]*Machine
 	answers  map[string][]string
@@ -67,14 +67,14 @@
 }
 
 // NewCloud makes a cloud without machines.
-func NewCloud(agenda *Agenda) *Cloud {
-	return &Cloud{agenda: agenda, byName: map[string]*Machine{}, answers: map[string][]string{}}
+func NewCloud(agenda *EventQueue) *Cloud {
+	return &Cloud{queue: agenda, byName: map[string]*Machine{}, answers: map[string][]string{}}
 }
 
 // Create makes a machine that begins to boot now.
 func (c *Cloud) Create(pool Pool) *Machine {
 	id := c.Name(len(c.machines) + 1)
-	m := &Machine{ID: id, Addr: c.Addr(id), Pool: pool, Rented: c.agenda.Now()}
+	m := &Machine{ID: id, Addr: c.Addr(id), Pool: pool, Rented: c.queue.Now()}
 	c.machines = append(c.machines, m)
 	c.byName[id] = m
 	if c.Left != nil {
@@ -88,8 +88,8 @@
 
 // Fail notes that a machine has stopped on its own.
 func (c *Cloud) Fail(id string) {
-	if m := c.byName[id]; m != nil && !m.Gone && m.Failed == 0 {
-		m.Failed = c.agenda.Now()
+	if m := c.byName[id]; m != nil && !m.Deleted && m.Failed == 0 {
+		m.Failed = c.queue.Now()
 		c.free(m)
 	}
 }
@@ -105,7 +105,7 @@
 	if c.Down {
 		return statusUnavailable, protocol.Encode(map[string]any{"error": "trouble"})
 	}
-	if c.Rate > 0 && !c.calls.takeBurst(c.agenda.Now(), c.Rate, burstSeconds*c.Rate, 1) {
+	if c.Rate > 0 && !c.calls.takeBurst(c.queue.Now(), c.Rate, burstSeconds*c.Rate, 1) {
 		return statusTooMany, nil
 	}
 	path, query, _ := strings.Cut(target, "?")
@@ -152,7 +152,7 @@
 			m := c.Create(pool)
 			c.answers[request.Request] = append(c.answers[request.Request], m.ID)
 			c.Launch(m)
-			c.agenda.After(c.BootTime(m.Type), func() { m.Up = true })
+			c.queue.After(c.BootTime(m.Type), func() { m.Up = true })
 		}
 	}
 	return 200, protocol.Encode(protocol.MachineNames{Machines: c.answers[request.Request]})
@@ -164,11 +164,11 @@
 		limit = mostListed
 	}
 	after := values.Get("after")
-	now := c.agenda.Now()
+	now := c.queue.Now()
 	first, _ := slices.BinarySearchFunc(c.machines, after, func(m *Machine, name string) int { return strings.Compare(m.ID, name) })
 	out := protocol.MachineList{}
 	for _, m := range c.machines[first:] {
-		if m.ID <= after || m.Gone || now < m.Rented+c.Lag {
+		if m.ID <= after || m.Deleted || now < m.Rented+c.Lag {
 			continue
 		}
 		if len(out.Machines) == limit {
@@ -197,13 +197,13 @@
 	for _, id := range request.Machines {
 		c.Deleted = append(c.Deleted, id)
 		m := c.byName[id]
-		if m == nil || m.Gone {
+		if m == nil || m.Deleted {
 			continue
 		}
 		if m.Failed == 0 {
 			c.free(m)
 		}
-		m.Gone = true
+		m.Deleted = true
 		c.Remove(m)
 	}
 	return 200, nil
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Agenda is a list of things to do at their times, and the clock that goes with it.
-type Agenda struct {
+// EventQueue is a list of things to do at their times, and the clock that goes with it.
+type EventQueue struct {
 	now  time.Duration
 	seq  int
 	list happenings
@@ -23,17 +23,17 @@
 }
 
 // Now is the time that the agenda has reached.
-func (a *Agenda) Now() time.Duration { return a.now }
+func (a *EventQueue) Now() time.Duration { return a.now }
 
 // After has something done a while from now; things due at the same time are done in the
 // order in which they were asked for.
-func (a *Agenda) After(d time.Duration, do func()) {
+func (a *EventQueue) After(d time.Duration, do func()) {
 	a.seq++
 	heap.Push(&a.list, happening{a.now + max(d, 0), a.seq, do})
 }
 
 // RunUntil does all that is due up to a time, which becomes now.
-func (a *Agenda) RunUntil(end time.Duration) {
+func (a *EventQueue) RunUntil(end time.Duration) {
 	for len(a.list) > 0 && a.list[0].at <= end {
 		next := heap.Pop(&a.list).(happening)
 		a.now = max(a.now, next.at)
@@ -43,7 +43,7 @@
 }
 
 // Next is when the next thing is due; false: there is none.
-func (a *Agenda) Next() (time.Duration, bool) {
+func (a *EventQueue) Next() (time.Duration, bool) {
 	if len(a.list) == 0 {
 		return 0, false
 	}
@@ -51,7 +51,7 @@
 }
 
 // Empty says whether there is nothing to do.
-func (a *Agenda) Empty() bool { return len(a.list) == 0 }
+func (a *EventQueue) Empty() bool { return len(a.list) == 0 }
 
 // happenings is a heap by time.
 type happenings []happening
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -14,7 +14,7 @@
 
 // The state service keeps to the protocol's page: rates, sizes, leases, pages and old news.
 func TestStateService(t *testing.T) {
-	agenda := &Agenda{}
+	agenda := &EventQueue{}
 	s := NewStateService(agenda, StateLimits{ValueBytes: 100, Changes: 4, ChangeRate: 5})
 	ask := func(method, path string, body any) (status int, answer []byte) {
 		status = -1
@@ -75,7 +75,7 @@
 
 // A machine caches what it used last, fetches an image once, and refuses what does not fit.
 func TestWorkerImagesAndRefusals(t *testing.T) {
-	agenda := &Agenda{}
+	agenda := &EventQueue{}
 	f := NewFleet(agenda, Timing{Report: time.Second, Lease: time.Minute, Look: time.Second, NextController: time.Second})
 	jobs := map[string]*Job{}
 	f.Jobs = func(uid string) *Job { return jobs[uid] }
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -14,7 +14,7 @@
 // gang lists a gang's tasks under one attempt that are on machines.
 func (f *Fleet) gang(try GangTry) (out []*Task) {
 	for t, k := range f.gangs[try] {
-		if t.Here() && !k.Gone {
+		if t.Here() && !k.Deleted {
 			out = append(out, t)
 		}
 	}
@@ -44,14 +44,14 @@
 
 // gather has a gang's task wait for the others, and starts the gang once the last one is
 // there.
-func (k *Worker) gather(name string, t *Task, job *Job) {
-	f := k.fleet
-	k.setState(name, t, protocol.WaitingForGang, "")
-	f.joinGang(k, t)
+func (w *Worker) gather(name string, t *Task, job *Job) {
+	f := w.fleet
+	w.setState(name, t, protocol.WaitingForGang, "")
+	f.joinGang(w, t)
 	f.startWhole(t.gangTry(), job)
-	f.agenda.After(f.Timing.GangWait, func() {
+	f.queue.After(f.Timing.GangWait, func() {
 		if t.State == protocol.WaitingForGang {
-			k.setState(name, t, protocol.Exited, protocol.CauseIncomplete)
+			w.setState(name, t, protocol.Exited, protocol.CauseIncomplete)
 		}
 	})
 }
@@ -76,7 +76,7 @@
 		f.gangs[try][t].noteChange()
 	}
 	f.Wholes[try.UID]++
-	f.agenda.After(f.RunTime(try.UID+"/0"), func() {
+	f.queue.After(f.RunTime(try.UID+"/0"), func() {
 		if len(f.gang(try)) != len(all) || !whole(protocol.Running) {
 			return
 		}
@@ -98,8 +98,8 @@
 }
 
 // nameOf finds the key of a task on the worker.
-func (k *Worker) nameOf(t *Task) string {
-	for name, other := range k.Tasks {
+func (w *Worker) nameOf(t *Task) string {
+	for name, other := range w.Tasks {
 		if other == t {
 			return name
 		}
@@ -109,17 +109,17 @@
 
 // haltGangTask stops a gang's task: at once, unless it runs and has time to save. Until it
 // ends it is called running, as the protocol's page has it.
-func (k *Worker) haltGangTask(name string, t *Task, job *Job, graceS float64) {
-	f := k.fleet
+func (w *Worker) haltGangTask(name string, t *Task, job *Job, graceS float64) {
+	f := w.fleet
 	if t.Halted == 0 && f.Halted != nil {
 		f.Halted(t, graceS)
 	}
 	if t.State != protocol.Running || job.SaveS == 0 || graceS < job.SaveS {
-		k.setState(name, t, protocol.Exited, protocol.CauseStopped)
+		w.setState(name, t, protocol.Exited, protocol.CauseStopped)
 		return
 	}
 	if t.Halted == 0 {
-		t.Halted = f.agenda.Now()
+		t.Halted = f.queue.Now()
 	}
 }
 
@@ -154,7 +154,7 @@
 			all++
 		}
 	}
-	now := f.agenda.Now()
+	now := f.queue.Now()
 	switch {
 	case all == job.Tasks:
 		t.alone = 0
@@ -177,7 +177,7 @@
 		}
 	}
 	takes := time.Duration(job.SaveS * float64(time.Second))
-	now := f.agenda.Now()
+	now := f.queue.Now()
 	switch {
 	case now < t.Halted+takes:
 	case told == job.Tasks:
--- a/internal/emulator/images.go
+++ b/internal/emulator/images.go
@@ -14,7 +14,7 @@
 // FetchImage is how long a task waits for its image on the worker: a machine fetches an
 // image once for all tasks that need it, at its type's rate. It serves as a Fleet's FetchTime.
 func FetchImage(k *Worker, _ string, job *Job) time.Duration {
-	c, now := &k.images, k.fleet.agenda.Now()
+	c, now := &k.images, k.fleet.queue.Now()
 	if c.ready == nil {
 		c.ready, c.size, c.used = map[string]time.Duration{}, map[string]float64{}, map[string]time.Duration{}
 	}
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -52,7 +52,7 @@
 
 // StateService is a small key-value store with leases, watches and transactions.
 type StateService struct {
-	agenda   *Agenda
+	queue    *EventQueue
 	items    btree.Map[string, *Item]
 	leases   map[uint64]*lease
 	revision uint64
@@ -88,8 +88,8 @@
 }
 
 // NewStateService makes an empty store.
-func NewStateService(agenda *Agenda, limits StateLimits) *StateService {
-	return &StateService{agenda: agenda, leases: map[uint64]*lease{}, Refuse: map[int]bool{}, Limits: limits}
+func NewStateService(agenda *EventQueue, limits StateLimits) *StateService {
+	return &StateService{queue: agenda, leases: map[uint64]*lease{}, Refuse: map[int]bool{}, Limits: limits}
 }
 
 // Item is what a key holds, or nil.
@@ -160,8 +160,8 @@
 	if l == nil {
 		return
 	}
-	if now := s.agenda.Now(); s.Down || now < l.ends {
-		s.agenda.After(max(l.ends-now, leaseExpiryRetry), func() { s.expire(id) })
+	if now := s.queue.Now(); s.Down || now < l.ends {
+		s.queue.After(max(l.ends-now, leaseExpiryRetry), func() { s.expire(id) })
 		return
 	}
 	s.endLease(id)
@@ -184,10 +184,10 @@
 // Outage stops the service for a while; leases have their full time after it.
 func (s *StateService) Outage(d time.Duration) {
 	s.Down = true
-	s.agenda.After(d, func() {
+	s.queue.After(d, func() {
 		s.Down = false
 		for _, l := range s.leases {
-			l.ends = s.agenda.Now() + l.life
+			l.ends = s.queue.Now() + l.life
 		}
 		s.wake()
 	})
@@ -201,7 +201,7 @@
 		reply(statusUnavailable, nil)
 		return
 	}
-	if !s.requests.take(s.agenda.Now(), s.Limits.RequestRate, 1) {
+	if !s.requests.take(s.queue.Now(), s.Limits.RequestRate, 1) {
 		s.Stats.TooMany++
 		reply(statusTooMany, nil)
 		return
@@ -282,8 +282,8 @@
 	}
 	s.lastID++
 	id, life := s.lastID, time.Duration(request.TTLMillis)*time.Millisecond
-	s.leases[id] = &lease{ends: s.agenda.Now() + life, life: life}
-	s.agenda.After(life, func() { s.expire(id) })
+	s.leases[id] = &lease{ends: s.queue.Now() + life, life: life}
+	s.queue.After(life, func() { s.expire(id) })
 	reply(200, protocol.Encode(protocol.LeaseReply{Lease: id}))
 }
 
@@ -297,7 +297,7 @@
 		s.endLease(id)
 		reply(200, nil)
 	default:
-		l.ends = s.agenda.Now() + l.life
+		l.ends = s.queue.Now() + l.life
 		reply(200, nil)
 	}
 }
@@ -314,7 +314,7 @@
 		return
 	}
 	s.watches = append(s.watches, open)
-	s.agenda.After(time.Duration(min(block, maxWatchMillis))*time.Millisecond, func() { s.answerWatch(open, true) })
+	s.queue.After(time.Duration(min(block, maxWatchMillis))*time.Millisecond, func() { s.answerWatch(open, true) })
 }
 
 // transaction is a request to change keys, with values as they came.
@@ -377,7 +377,7 @@
 			return
 		}
 	}
-	if !s.changes.take(s.agenda.Now(), s.Limits.ChangeRate, float64(len(t.Then))) {
+	if !s.changes.take(s.queue.Now(), s.Limits.ChangeRate, float64(len(t.Then))) {
 		s.Stats.TooMany++
 		reply(statusTooMany, nil)
 		return
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -62,7 +62,7 @@
 
 // Fleet is all workers, and what is the same for all of them.
 type Fleet struct {
-	agenda  *Agenda
+	queue   *EventQueue
 	Timing  Timing
 	Workers map[string]*Worker
 	Carrier Carrier
@@ -97,8 +97,8 @@
 }
 
 // NewFleet makes a fleet without workers.
-func NewFleet(agenda *Agenda, timing Timing) *Fleet {
-	return &Fleet{agenda: agenda, Timing: timing, Workers: map[string]*Worker{}, gangs: map[GangTry]map[*Task]*Worker{},
+func NewFleet(agenda *EventQueue, timing Timing) *Fleet {
+	return &Fleet{queue: agenda, Timing: timing, Workers: map[string]*Worker{}, gangs: map[GangTry]map[*Task]*Worker{},
 		savedTasks: map[GangTry]int{}, Wholes: map[string]int{}, Saves: map[string]int{}}
 }
 
@@ -124,7 +124,7 @@
 	fleet *Fleet
 
 	ID, Addr, Type, Zone string
-	Spot, Up, Gone       bool
+	Spot, Up, Deleted    bool
 	Size                 protocol.MachineType
 	// Cut: nothing reaches it and nothing leaves it. AnswersLost: reports arrive, answers
 	// and direct commands don't. ReportsLost: the other way round. Hung: it does nothing
@@ -172,50 +172,50 @@
 }
 
 // Reachable says whether direct commands get through.
-func (k *Worker) Reachable() bool { return k.Up && !k.Gone && !k.Cut && !k.AnswersLost }
+func (w *Worker) Reachable() bool { return w.Up && !w.Deleted && !w.Cut && !w.AnswersLost }
 
 // Boot brings the machine up: it reports from now on.
-func (k *Worker) Boot() {
-	if k.Gone {
+func (w *Worker) Boot() {
+	if w.Deleted {
 		return
 	}
-	k.Up, k.Answered = true, k.fleet.agenda.Now()
-	k.report()
-	k.watchLease()
+	w.Up, w.Answered = true, w.fleet.queue.Now()
+	w.report()
+	w.watchLease()
 }
 
 // Die ends the machine with all that is on it.
-func (k *Worker) Die() {
-	k.Gone, k.Up = true, false
-	k.forget()
-	if k.fleet.Died != nil {
-		k.fleet.Died(k)
+func (w *Worker) Die() {
+	w.Deleted, w.Up = true, false
+	w.forget()
+	if w.fleet.Died != nil {
+		w.fleet.Died(w)
 	}
 }
 
 // forget ends all tasks without a trace.
-func (k *Worker) forget() {
-	for _, name := range slices.Sorted(maps.Keys(k.Tasks)) {
-		k.drop(name)
+func (w *Worker) forget() {
+	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
+		w.drop(name)
 	}
 }
 
-func (k *Worker) drop(name string) {
-	t := k.Tasks[name]
-	delete(k.Tasks, name)
-	k.noteLeft(name, t, t.Here())
-	k.fleet.forgetGang(t)
+func (w *Worker) drop(name string) {
+	t := w.Tasks[name]
+	delete(w.Tasks, name)
+	w.noteLeft(name, t, t.Here())
+	w.fleet.forgetGang(t)
 }
 
 // Hang stops a machine for a while. What comes meanwhile is executed when it goes on, if its
 // lease still runs then.
-func (k *Worker) Hang(d time.Duration) {
-	k.Hung = true
-	k.fleet.agenda.After(d, func() {
-		k.Hung = false
-		held := k.held
-		k.held = nil
-		if k.Gone {
+func (w *Worker) Hang(d time.Duration) {
+	w.Hung = true
+	w.fleet.queue.After(d, func() {
+		w.Hung = false
+		held := w.held
+		w.held = nil
+		if w.Deleted {
 			return
 		}
 		for _, do := range held {
@@ -225,35 +225,35 @@
 }
 
 // watchLease ends the session when the lease has run out.
-func (k *Worker) watchLease() {
-	f := k.fleet
-	if k.Gone {
+func (w *Worker) watchLease() {
+	f := w.fleet
+	if w.Deleted {
 		return
 	}
-	if f.agenda.Now() > k.Answered+f.Timing.Lease {
-		k.Session++
-		k.forget()
-		k.Answered = f.agenda.Now()
-		k.noteChange()
+	if f.queue.Now() > w.Answered+f.Timing.Lease {
+		w.Session++
+		w.forget()
+		w.Answered = f.queue.Now()
+		w.noteChange()
 	}
 	wait := f.Timing.Look
-	if left := k.Answered + f.Timing.Lease - f.agenda.Now(); left > wait {
+	if left := w.Answered + f.Timing.Lease - f.queue.Now(); left > wait {
 		wait = left
 	}
-	f.agenda.After(wait, k.watchLease)
+	f.queue.After(wait, w.watchLease)
 }
 
 // Message is the worker's next report.
-func (k *Worker) Message() protocol.WorkerHeartbeat {
-	k.Seq++
-	m := protocol.WorkerHeartbeat{Machine: k.ID, Addr: k.Addr, Type: k.Type, Zone: k.Zone, Spot: k.Spot, Epoch: k.Session, Sequence: k.Seq, Token: k.Token,
+func (w *Worker) Message() protocol.WorkerHeartbeat {
+	w.Seq++
+	m := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Session, Sequence: w.Seq, Token: w.Token,
 		Tasks: []protocol.TaskStatus{}}
-	if k.Taken > 0 {
-		notice := max(0, (k.Taken - k.fleet.agenda.Now()).Seconds())
+	if w.Taken > 0 {
+		notice := max(0, (w.Taken - w.fleet.queue.Now()).Seconds())
 		m.SpotNoticeS = &notice
 	}
-	for _, name := range slices.Sorted(maps.Keys(k.Tasks)) {
-		t := k.Tasks[name]
+	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
+		t := w.Tasks[name]
 		task, _, _ := strings.Cut(name, "@")
 		m.Tasks = append(m.Tasks, protocol.TaskStatus{Task: task, Attempt: t.Try, State: t.State, Cause: t.Cause, CheckpointSaved: t.Stored})
 	}
@@ -261,65 +261,65 @@
 }
 
 // nextReport has the next report leave after a while, in the place of what was due.
-func (k *Worker) nextReport(d time.Duration) {
-	k.generation++
-	generation := k.generation
-	k.fleet.agenda.After(d, func() {
-		if k.generation == generation {
-			k.report()
+func (w *Worker) nextReport(d time.Duration) {
+	w.generation++
+	generation := w.generation
+	w.fleet.queue.After(d, func() {
+		if w.generation == generation {
+			w.report()
 		}
 	})
 }
 
 // interval is the time until the next report, if nothing changes.
-func (k *Worker) interval() time.Duration {
-	t := k.fleet.Timing
+func (w *Worker) interval() time.Duration {
+	t := w.fleet.Timing
 	if t.Jitter == 0 {
 		return t.Report
 	}
-	return time.Duration(float64(t.Report) * (1 + t.Jitter*(2*k.fleet.Random()-1)))
+	return time.Duration(float64(t.Report) * (1 + t.Jitter*(2*w.fleet.Random()-1)))
 }
 
 // noteChange has a report leave soon, as something in it has changed.
-func (k *Worker) noteChange() {
-	f := k.fleet
-	if f.Timing.LeastPause == 0 || !k.Up || k.Gone {
+func (w *Worker) noteChange() {
+	f := w.fleet
+	if f.Timing.LeastPause == 0 || !w.Up || w.Deleted {
 		return
 	}
-	if k.changed {
+	if w.changed {
 		return
 	}
-	k.changed = true
-	if !k.reporting {
-		k.nextReport(max(0, k.lastReport+f.Timing.LeastPause-f.agenda.Now()))
+	w.changed = true
+	if !w.reporting {
+		w.nextReport(max(0, w.lastReport+f.Timing.LeastPause-f.queue.Now()))
 	}
 }
 
-func (k *Worker) report() {
-	f := k.fleet
-	if k.Gone {
+func (w *Worker) report() {
+	f := w.fleet
+	if w.Deleted {
 		return
 	}
-	if k.Cut || k.Hung {
-		k.nextReport(f.Timing.NextController)
+	if w.Cut || w.Hung {
+		w.nextReport(f.Timing.NextController)
 		return
 	}
-	body := protocol.Encode(k.Message())
-	if k.Reported != nil {
-		k.Reported(body)
+	body := protocol.Encode(w.Message())
+	if w.Reported != nil {
+		w.Reported(body)
 	}
-	sent, session := f.agenda.Now(), k.Session
-	k.reporting, k.changed, k.lastReport = true, false, sent
-	f.Carrier(k, k.Controller, body, func(status int, answer []byte) {
-		k.reporting = false
-		k.takeAnswer(sent, session, status, answer)
+	sent, session := f.queue.Now(), w.Session
+	w.reporting, w.changed, w.lastReport = true, false, sent
+	f.Carrier(w, w.Controller, body, func(status int, answer []byte) {
+		w.reporting = false
+		w.takeAnswer(sent, session, status, answer)
 	})
 }
 
 // takeAnswer does what the answer to a report asks for.
-func (k *Worker) takeAnswer(sent time.Duration, session uint64, status int, body []byte) {
-	f := k.fleet
-	if k.Gone {
+func (w *Worker) takeAnswer(sent time.Duration, session uint64, status int, body []byte) {
+	f := w.fleet
+	if w.Deleted {
 		return
 	}
 	switch status {
@@ -328,64 +328,64 @@
 		if err := protocol.Decode(body, &reply); err != nil {
 			f.wrong("a report's answer can't be read: %v", err)
 		}
-		if reply.Token >= k.Token && session == k.Session {
-			k.raiseToken(reply.Token)
-			k.Answered = sent
-			k.Execute(reply.Commands)
+		if reply.Token >= w.Token && session == w.Session {
+			w.raiseToken(reply.Token)
+			w.Answered = sent
+			w.Execute(reply.Commands)
 		}
-		wait := k.interval()
-		if k.changed {
-			wait = max(0, k.lastReport+f.Timing.LeastPause-f.agenda.Now())
+		wait := w.interval()
+		if w.changed {
+			wait = max(0, w.lastReport+f.Timing.LeastPause-f.queue.Now())
 		}
-		k.nextReport(wait)
+		w.nextReport(wait)
 	case 421:
 		var elsewhere protocol.Redirect
 		_ = protocol.Decode(body, &elsewhere) // a missing name is allowed
-		if n := f.Label(elsewhere.Leader); n >= 0 && n != k.Controller {
-			k.Controller = n
-			k.nextReport(f.Timing.SentAway)
+		if n := f.Label(elsewhere.Leader); n >= 0 && n != w.Controller {
+			w.Controller = n
+			w.nextReport(f.Timing.SentAway)
 			return
 		}
-		k.tryNext()
+		w.tryNext()
 	default:
-		k.tryNext()
+		w.tryNext()
 	}
 }
 
-func (k *Worker) tryNext() {
-	k.Controller = (k.Controller + 1) % k.fleet.Controllers
-	k.nextReport(k.fleet.Timing.NextController)
+func (w *Worker) tryNext() {
+	w.Controller = (w.Controller + 1) % w.fleet.Controllers
+	w.nextReport(w.fleet.Timing.NextController)
 }
 
-func (k *Worker) raiseToken(token uint64) {
-	if token > k.Token {
-		k.Token = token
-		k.noteChange()
+func (w *Worker) raiseToken(token uint64) {
+	if token > w.Token {
+		w.Token = token
+		w.noteChange()
 	}
 }
 
 // Serve answers a direct request, at once or, if the machine hangs, once it goes on.
-func (k *Worker) Serve(path string, body []byte, reply Reply) {
-	if k.Hung {
-		k.held = append(k.held, func() { reply(k.serve(path, body)) })
+func (w *Worker) Serve(path string, body []byte, reply Reply) {
+	if w.Hung {
+		w.held = append(w.held, func() { reply(w.serve(path, body)) })
 		return
 	}
-	reply(k.serve(path, body))
+	reply(w.serve(path, body))
 }
 
-func (k *Worker) serve(path string, body []byte) (int, []byte) {
+func (w *Worker) serve(path string, body []byte) (int, []byte) {
 	if path == "/status" {
-		return 200, protocol.Encode(k.Message())
+		return 200, protocol.Encode(w.Message())
 	}
 	var request protocol.Commands
 	if err := protocol.Decode(body, &request); err != nil {
-		k.fleet.wrong("commands can't be read: %v", err)
+		w.fleet.wrong("commands can't be read: %v", err)
 		return 400, nil
 	}
-	if request.Token < k.Token || request.Epoch != k.Session {
-		return 409, protocol.Encode(k.Message())
+	if request.Token < w.Token || request.Epoch != w.Session {
+		return 409, protocol.Encode(w.Message())
 	}
-	k.raiseToken(request.Token)
-	k.Execute(request.Commands)
-	return 200, protocol.Encode(k.Message())
+	w.raiseToken(request.Token)
+	w.Execute(request.Commands)
+	return 200, protocol.Encode(w.Message())
 }
--- a/internal/membership/world_test.go
+++ b/internal/membership/world_test.go
@@ -13,7 +13,7 @@
 // group is detectors and a network between them on a fake clock. A script breaks what it likes.
 type group struct {
 	t      *testing.T
-	agenda *emulator.Agenda
+	agenda *emulator.EventQueue
 	now    time.Duration
 	random *rand.Rand
 	nodes  map[string]*node
@@ -61,7 +61,7 @@
 }
 
 func newGroup(t *testing.T, seed uint64, n int) *group {
-	g := &group{t: t, agenda: &emulator.Agenda{}, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, bytes: map[string]int{}, sent: map[string]int{},
+	g := &group{t: t, agenda: &emulator.EventQueue{}, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, bytes: map[string]int{}, sent: map[string]int{},
 		cut:     func(string, string) bool { return false },
 		delay:   func(string, string) time.Duration { return 2 * time.Millisecond },
 		changed: func(time.Duration, string, Change) {}}
--- a/internal/scalerun/faults.go
+++ b/internal/scalerun/faults.go
@@ -74,7 +74,7 @@
 func (r *region) rack(share float64) []*emulator.Worker {
 	var up []*emulator.Worker
 	for _, k := range r.fleet.Sorted() {
-		if k.Up && !k.Gone {
+		if k.Up && !k.Deleted {
 			up = append(up, k)
 		}
 	}
--- a/internal/scalerun/loop.go
+++ b/internal/scalerun/loop.go
@@ -10,7 +10,7 @@
 // loop is the goroutine that owns all of a region's stand-ins: it does what is due on their
 // agenda, by the real clock, and what others ask of it.
 type loop struct {
-	agenda *emulator.Agenda
+	agenda *emulator.EventQueue
 	start  time.Time
 	inbox  chan func()
 	done   chan struct{}
@@ -22,7 +22,7 @@
 const inboxSize = 1 << 14
 
 func newLoop() *loop {
-	return &loop{agenda: &emulator.Agenda{}, start: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{})}
+	return &loop{agenda: &emulator.EventQueue{}, start: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{})}
 }
 
 func (l *loop) now() time.Duration { return time.Since(l.start) }
--- a/internal/scalerun/rules.go
+++ b/internal/scalerun/rules.go
@@ -64,7 +64,7 @@
 
 // rules checks the protocol's rules as things happen.
 type rules struct {
-	agenda *emulator.Agenda
+	agenda *emulator.EventQueue
 	region int
 	jobs   map[string]*job
 	teams  map[string]*teamUse
@@ -72,7 +72,7 @@
 	broken chan *BrokenRule
 }
 
-func newRules(agenda *emulator.Agenda, region int, plan *Plan) *rules {
+func newRules(agenda *emulator.EventQueue, region int, plan *Plan) *rules {
 	r := &rules{agenda: agenda, region: region, jobs: map[string]*job{}, teams: map[string]*teamUse{},
 		cancel: seconds(plan.Workers.CancelS), broken: make(chan *BrokenRule, 1)}
 	for i := range plan.Teams.Count {
--- a/internal/scalerun/rules_test.go
+++ b/internal/scalerun/rules_test.go
@@ -97,7 +97,7 @@
 		plan := DefaultPlan()
 		plan.Teams = TeamPlan{Count: 1, CoresMax: 5}
 		plan.Workers.CancelS = 30
-		agenda := &emulator.Agenda{}
+		agenda := &emulator.EventQueue{}
 		fleet := emulator.NewFleet(agenda, emulator.Timing{})
 		b := &bench{rules: newRules(agenda, 0, &plan), one: fleet.Add("i-1", "", "m", "a", false), two: fleet.Add("i-2", "", "m", "b", false)}
 		b.job = &job{uid: "j-1", team: teamName(0), Job: emulator.Job{Tasks: 4, Cores: 2}, done: map[string]bool{}, places: map[string]*place{}, inZone: map[string]int{}}
