--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -9,12 +9,11 @@
 
 // accrueService books the service attained since the last time.
 func (l *leadership) accrueService() {
-	c := l.controller
-	dt := (c.now - l.accrueAt).Seconds()
-	if dt < c.cfg.Lease().Seconds()/20 {
+	dt := (l.controller.env.now - l.accrueAt).Seconds()
+	if dt < l.controller.env.cfg.Lease().Seconds()/20 {
 		return
 	}
-	l.accrueAt = c.now
+	l.accrueAt = l.controller.env.now
 	whole := l.readyCapacity()
 	for _, j := range l.state.Jobs {
 		if j.ActiveAttempts > 0 && !j.Spec.Service {
@@ -25,7 +24,7 @@
 
 // writeCounters stores the attained service in a batch, for a successor.
 func (l *leadership) writeCounters() {
-	limit := l.controller.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
+	limit := l.controller.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
 	var batch []map[string]clusterstate.CounterRow
 	for _, j := range l.state.SortedJobs() {
 		uid := j.Spec.UID
@@ -39,7 +38,7 @@
 		batch[len(batch)-1][uid] = clusterstate.CounterRow{Attained: s.Attained, Upper: s.Upper, Slots: s.Slots,
 			DoneAt: s.DoneAt, AttainedAt: s.AttainedAt, First: s.First, Degr: s.Degr}
 	}
-	at := l.controller.wall
+	at := l.controller.env.wall
 	for i, jobs := range batch {
 		rec := clusterstate.Counters{At: at, Jobs: jobs}
 		l.store.Mark(counterKey(i), statestore.Counters, func() any { return rec }, nil)
@@ -110,6 +109,6 @@
 			args = append(args, name, strconv.FormatFloat(t.Used.Cores, 'f', 0, 64)+"c/"+strconv.FormatFloat(t.Used.Accel, 'f', 0, 64)+"a")
 		}
 	}
-	l.controller.log.Info("fleet", args...)
+	l.controller.env.log.Info("fleet", args...)
 	l.store.Took().Reset()
 }
--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -14,17 +14,17 @@
 func TestCapacityIsWorkedOutOnceForAllCounters(t *testing.T) {
 	w := newWorld(t, 73)
 	c := w.nodes[w.awaitLeader()].controller
-	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.now)
+	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.env.now)
 	job := func(uid string) *clusterstate.Job {
-		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.wall)
+		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		m := l.state.AddMachine("i-" + uid)
 		m.Type, m.Zone, m.Up, m.Size = "m8", "a", true, l.machineSize("m8")
-		l.state.AddAttempt(m, j, 0, l.nextAttemptNumber(), c.now)
+		l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
 		return j
 	}
 	load := func(uid string) {
-		l.loadCounters(clusterstate.Counters{At: c.wall - time.Minute.Milliseconds(), Jobs: map[string]clusterstate.CounterRow{uid: {Slots: 1}}})
+		l.loadCounters(clusterstate.Counters{At: c.env.wall - time.Minute.Milliseconds(), Jobs: map[string]clusterstate.CounterRow{uid: {Slots: 1}}})
 	}
 	first, second := job("j-1"), job("j-2")
 	load("j-1")
--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -36,19 +36,16 @@
 	return n.block<<attemptBlockBits | n.used
 }
 
-func (l *leadership) nextAttemptNumber() uint64 { return l.attemptNumbers.take() }
-
 // reserveAttempts reserves the next block once half of this one is used.
 func (l *leadership) reserveAttempts() {
-	n := &l.attemptNumbers
-	if n.reserving || n.next != 0 || n.left() > 1<<(attemptBlockBits-1) {
+	if l.attemptNumbers.reserving || l.attemptNumbers.next != 0 || l.attemptNumbers.left() > 1<<(attemptBlockBits-1) {
 		return
 	}
-	n.reserving = true
-	reserved := n.block + 1
+	l.attemptNumbers.reserving = true
+	reserved := l.attemptNumbers.block + 1
 	l.store.Mark(keyCounter, statestore.User, func() any { return counterRecord{Token: reserved} }, func() {
-		n.next, n.reserving = reserved, false
+		l.attemptNumbers.next, l.attemptNumbers.reserving = reserved, false
 		l.fillPending = true
-		l.controller.log.Info("a block of attempt numbers is reserved", "token", l.token, "block", reserved)
+		l.controller.env.log.Info("a block of attempt numbers is reserved", "token", l.token, "block", reserved)
 	})
 }
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -8,7 +8,7 @@
 
 // nearlyUse leaves the leader as many numbers of its block.
 func (w *world) nearlyUse(left uint64) {
-	n := &w.term().attemptNumbers
+	n := w.term().attemptNumbers
 	n.used = 1<<attemptBlockBits - 1 - left
 }
 
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -29,15 +29,15 @@
 	w := newWorld(t, 58)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	l.callLimiter = newCallLimiter(config.Resources{FDs: 1 << 16, Cores: c.cfg.Cluster.Resources.Cores})
-	c.effects = nil
+	l.callLimiter = newCallLimiter(config.Resources{FDs: 1 << 16, Cores: c.env.cfg.Cluster.Resources.Cores})
+	c.outbox.effects = nil
 	for i := range 3000 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Addr, m.Listed, m.Up = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), true, true
-		m.ExistedAt, m.LaunchedAt = c.now, c.now
+		m.ExistedAt, m.LaunchedAt = c.env.now, c.env.now
 	}
 	ask := func() int {
-		c.effects = nil
+		c.outbox.effects = nil
 		for _, m := range l.sortedMachines() {
 			l.dispatchCommands(m)
 		}
@@ -47,14 +47,14 @@
 				l.callLimiter.calling, l.callLimiter.hanging = 0, 0
 			}
 		}
-		return len(c.effects)
+		return len(c.outbox.effects)
 	}
 	if n := ask(); n == 0 || n > callsPerCoreBurst {
 		t.Errorf("%d calls at once", n)
 	}
 	asked := 0
 	for range 20 {
-		c.now += 100 * time.Millisecond
+		c.env.now += 100 * time.Millisecond
 		asked += ask()
 	}
 	if asked < 2000 {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -30,7 +30,7 @@
 		a.StopSentAt = 0
 	}
 	a.StopRequested, a.Grace = true, grace
-	l.controller.log.Debug("halt", "task", a.Key().Task, "try", a.Number, "machine", a.Machine.ID, "why", why)
+	l.controller.env.log.Debug("halt", "task", a.Key().Task, "try", a.Number, "machine", a.Machine.ID, "why", why)
 	if a.Durable && !a.Sent {
 		l.removeAttempt(a, neverSent)
 	} else {
@@ -47,7 +47,7 @@
 	if len(m.UnknownTasks) > 0 {
 		return false
 	}
-	again := l.controller.now - l.controller.cfg.Report()
+	again := l.controller.env.now - l.controller.env.cfg.Report()
 	for _, exit := range m.Exited {
 		if exit.Ready && (exit.Sent == 0 || exit.Sent <= again) {
 			return false
@@ -64,12 +64,11 @@
 // pendingCommands lists what the worker is to do now. Directly sent ones go once;
 // those in a report's answer fill in where the direct way fails.
 func (l *leadership) pendingCommands(m *clusterstate.Machine, inReply bool) []protocol.Command {
-	c := l.controller
 	if inReply && m.CallInFlight || l.hasNoCommands(m) {
 		return nil
 	}
 	var out []protocol.Command
-	again := c.cfg.Report()
+	again := l.controller.env.cfg.Report()
 	for _, a := range m.Sorted() {
 		key := a.Key()
 		run := protocol.Command{Verb: protocol.VerbRun, Task: key.Task, Attempt: a.Number}
@@ -77,10 +76,10 @@
 			// A gang's runs leave together, once all its places are durable.
 			(a.Job.Gang == nil || a.StopRequested || a.Job.Gang.Complete())
 		if a.StopRequested {
-			if a.State == protocol.Saving && c.now < a.StopSentAt+seconds(a.Grace)+2*again {
+			if a.State == protocol.Saving && l.controller.env.now < a.StopSentAt+seconds(a.Grace)+2*again {
 				continue
 			}
-			if a.StopSentAt > 0 && c.now < a.StopSentAt+again {
+			if a.StopSentAt > 0 && l.controller.env.now < a.StopSentAt+again {
 				continue
 			}
 			if a.RunLost && !a.Acknowledged {
@@ -97,7 +96,7 @@
 			if a.State == protocol.Saving {
 				grace = 0
 			}
-			a.StopSentAt = c.now
+			a.StopSentAt = l.controller.env.now
 			out = append(out, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: a.Number, GraceS: grace})
 			continue
 		}
@@ -107,21 +106,21 @@
 		}
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(m.UnknownTasks), compareKeys) {
-		if c.now >= m.UnknownTasks[key]+again {
-			m.UnknownTasks[key] = c.now
+		if l.controller.env.now >= m.UnknownTasks[key]+again {
+			m.UnknownTasks[key] = l.controller.env.now
 			out = append(out, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt})
 		}
 	}
 	if m.TokenAcknowledged {
 		for _, key := range slices.SortedFunc(maps.Keys(m.Exited), compareKeys) {
 			g := m.Exited[key]
-			if a := g.Attempt; !g.Ready || (g.Sent > 0 && c.now < g.Sent+again) ||
+			if a := g.Attempt; !g.Ready || (g.Sent > 0 && l.controller.env.now < g.Sent+again) ||
 				// After a clear, a repeated run would start it again: none may
 				// be under way.
 				(a != nil && (a.RunsInFlight > 0 || a.RunLost || a.RunSequence > 0 && m.HeartbeatSequence <= a.RunSequence)) {
 				continue
 			}
-			g.Sent = c.now
+			g.Sent = l.controller.env.now
 			out = append(out, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
 	}
@@ -164,7 +163,7 @@
 // would only time out.
 func (l *leadership) needsProbe(m *clusterstate.Machine) bool {
 	unheard := !m.TokenAcknowledged && !m.Probed && (m.Up || m.Listed)
-	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && l.controller.now > m.LastSeen+l.controller.cfg.Report()*3/2
+	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && l.controller.env.now > m.LastSeen+l.controller.env.cfg.Report()*3/2
 	// The last: others did not answer. Is it them, or can't we reach anybody?
 	return unheard || m.FailedCalls > 0 || overdue || l.probesReachability(m)
 }
@@ -217,25 +216,24 @@
 
 // dispatchCommands sends what there is to send directly, one request at a time.
 func (l *leadership) dispatchCommands(m *clusterstate.Machine) {
-	c := l.controller
-	if m.CallInFlight || m.Addr == "" || c.now < m.NextCall || !l.ready || c.leadership != l || l.verifiesLease() {
+	if m.CallInFlight || m.Addr == "" || l.controller.env.now < m.NextCall || !l.ready || l.ended || l.verifiesLease() {
 		return
 	}
 	probe := l.needsProbe(m)
-	if !m.Seen && !probe || !l.callLimiter.allows(c.now, l.mayHang(m)) {
+	if !m.Seen && !probe || !l.callLimiter.allows(l.controller.env.now, l.mayHang(m)) {
 		return
 	}
 	cmds := l.pendingCommands(m, false)
 	if len(cmds) == 0 && !probe {
 		return
 	}
-	call := &directCall{machine: m, session: m.Epoch, sent: c.now, mayHang: l.mayHang(m)}
+	call := &directCall{machine: m, session: m.Epoch, sent: l.controller.env.now, mayHang: l.mayHang(m)}
 	for _, cmd := range cmds {
 		if cmd.Verb == protocol.VerbRun {
 			call.runs = append(call.runs, m.Attempts[clusterstate.AttemptKey{Task: cmd.Task, Attempt: cmd.Attempt}])
 		}
 	}
-	l.callLimiter.begin(c.now, call.mayHang)
+	l.callLimiter.begin(l.controller.env.now, call.mayHang)
 	m.CallInFlight, m.Probed = true, true
 	body := protocol.Commands{Token: l.token, Epoch: m.Epoch, Commands: cmds}
 	if body.Commands == nil {
@@ -246,8 +244,8 @@
 		until = l.holdsLeaseUntil()
 		l.noteFirstPlacement()
 	}
-	c.callUntil(ToWorker, m.Addr, "POST", "/commands", body, min(c.cfg.Lease()/10, commandTimeout), until, func(res Result) {
-		if c.leadership == l {
+	l.controller.outbox.callUntil(ToWorker, m.Addr, "POST", "/commands", body, min(l.controller.env.cfg.Lease()/10, commandTimeout), until, func(res Result) {
+		if !l.ended {
 			l.onCommandReply(call, res)
 		}
 	})
@@ -255,13 +253,13 @@
 
 // onCommandReply takes the answer to a direct request, or that there was none.
 func (l *leadership) onCommandReply(call *directCall, res Result) {
-	c, m := l.controller, call.machine
+	m := call.machine
 	m.CallInFlight = false
 	l.callLimiter.end(call.mayHang)
 	if res.Status != 0 {
-		l.reachability.noteReached(c.now)
+		l.reach.noteReached(l.controller.env.now)
 	} else if m.LastSeen > call.sent {
-		l.reachability.noteMissed(m.ID, c.now)
+		l.reach.noteMissed(m.ID, l.controller.env.now)
 	}
 	call.settleRuns(res.Status)
 	if l.state.Machines[m.ID] != m {
@@ -271,25 +269,25 @@
 		m.FailedCalls++
 		m.ConnectionFailed, m.LastFailedCallAt = res.ConnectionFailed, call.sent
 		m.Probed = false
-		m.NextCall = c.now + min(c.cfg.Report()/2, c.cfg.LeaderTTL()*2/3)*time.Duration(min(m.FailedCalls, 4))
+		m.NextCall = l.controller.env.now + min(l.controller.env.cfg.Report()/2, l.controller.env.cfg.LeaderTTL()*2/3)*time.Duration(min(m.FailedCalls, 4))
 		return
 	}
 	m.FailedCalls, m.ConnectionFailed = 0, false
 	var msg protocol.WorkerHeartbeat
 	if protocol.Decode(res.Body, &msg) != nil || msg.Machine != m.ID {
-		m.NextCall = c.now + c.cfg.Report()
+		m.NextCall = l.controller.env.now + l.controller.env.cfg.Report()
 		return
 	}
 	l.applyHeartbeat(&msg, false)
-	if c.leadership != l {
+	if l.ended {
 		return
 	}
 	if res.Status == 409 {
 		// The session was not the one we thought; its answer says which.
 		m.Probed = false
-		m.NextCall = c.now + c.cfg.Report()/20
+		m.NextCall = l.controller.env.now + l.controller.env.cfg.Report()/20
 		if msg.Epoch == call.session {
-			m.NextCall = c.now + c.cfg.Report()
+			m.NextCall = l.controller.env.now + l.controller.env.cfg.Report()
 		}
 	}
 	l.dispatchCommands(m)
--- a/internal/controller/conditions.go
+++ b/internal/controller/conditions.go
@@ -41,12 +41,12 @@
 func (l *leadership) watchBootTimes() {
 	booting, late := 0, 0
 	for _, m := range l.state.Machines {
-		t := l.controller.machineType(m.Type)
+		t := l.controller.catalog.machineType(m.Type)
 		if m.Up || m.Releasing || t == nil {
 			continue
 		}
 		booting++
-		if l.controller.now > m.LaunchedAt+seconds(t.BootS*usualBoots) {
+		if l.controller.env.now > m.LaunchedAt+seconds(t.BootS*usualBoots) {
 			late++
 		}
 	}
@@ -54,7 +54,7 @@
 	if l.lateBoots.holds {
 		holds = late > 0 && late*lateIsOver >= booting
 	}
-	l.lateBoots.update(holds, l.controller.now, l.controller.log, "machines come up late", "machines come up in time again", "late", late, "booting", booting)
+	l.lateBoots.update(holds, l.controller.env.now, l.controller.env.log, "machines come up late", "machines come up in time again", "late", late, "booting", booting)
 }
 
 // onPoolShortage says that a pool has too few machines for what was asked, once until it is over.
@@ -64,5 +64,5 @@
 		k = &condition{}
 		l.shortPools[p] = k
 	}
-	k.update(short, l.controller.now, l.controller.log, "pool is short of machines", "pool has machines again", "type", p.Type, "zone", p.Zone, "spot", p.Spot)
+	k.update(short, l.controller.env.now, l.controller.env.log, "pool is short of machines", "pool has machines again", "type", p.Type, "zone", p.Zone, "spot", p.Spot)
 }
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -14,14 +14,14 @@
 	w := newWorld(t, 95)
 	l := w.term()
 	var out bytes.Buffer
-	l.controller.log = slog.New(slog.NewTextHandler(&out, nil))
+	l.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
 	logged := func(what string) int { return strings.Count(out.String(), what) }
 	for _, id := range []string{"i-900001", "i-900002", "i-900003"} {
 		m := l.state.AddMachine(id)
-		m.Type, m.Zone, m.LaunchedAt = "m8", "a", l.controller.now
+		m.Type, m.Zone, m.LaunchedAt = "m8", "a", l.controller.env.now
 	}
 	l.watchBootTimes()
-	l.controller.now += seconds(l.controller.machineType("m8").BootS * 2)
+	l.controller.env.now += seconds(l.controller.catalog.machineType("m8").BootS * 2)
 	for range 5 {
 		l.watchBootTimes()
 	}
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -19,8 +19,7 @@
 // the load falls, would keep them for their few. The larger the fleet, the more
 // machines it empties at a time.
 func (l *leadership) consolidate() {
-	c := l.controller
-	if c.now < l.drainAt || !l.holdsLease() || l.manyUnresponsive() {
+	if l.controller.env.now < l.drainAt || !l.holdsLease() || l.manyUnresponsive() {
 		return
 	}
 	s := l.cache.fullSnapshot()
@@ -114,10 +113,9 @@
 
 // drainMachine has all tasks of a machine move.
 func (l *leadership) drainMachine(m *clusterstate.Machine, tasks int) {
-	c := l.controller
-	c.log.Info("emptying", "machine", m.ID, "type", m.Type, "tasks", tasks)
-	l.drainAt = c.now + 3*c.cfg.Lease()
-	m.DrainUntil = c.now + c.cfg.Lease()
+	l.controller.env.log.Info("emptying", "machine", m.ID, "type", m.Type, "tasks", tasks)
+	l.drainAt = l.controller.env.now + 3*l.controller.env.cfg.Lease()
+	m.DrainUntil = l.controller.env.now + l.controller.env.cfg.Lease()
 	for _, a := range m.Sorted() {
 		l.requestStop(a, a.Job.Spec.SaveS, "moved")
 	}
@@ -147,11 +145,11 @@
 	var out []*scheduler.Job
 	for _, a := range m.Sorted() {
 		service := a.Job.Spec.Service
-		settled := l.controller.longestBootS()
+		settled := l.controller.catalog.longestBootS()
 		if !service {
 			settled *= 0.7
 		}
-		if a.Job.Gang != nil || a.Job.Cancelling || a.StopRequested || a.State != protocol.Running || l.controller.now < a.Since+seconds(settled) ||
+		if a.Job.Gang != nil || a.Job.Cancelling || a.StopRequested || a.State != protocol.Running || l.controller.env.now < a.Since+seconds(settled) ||
 			(!service && (a.Job.Spec.CheckpointS <= 0 || free < 0.5)) {
 			return nil
 		}
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -101,8 +101,7 @@
 // forecastDemand are phantom tasks for what arrives while a machine would boot, for
 // classes whose aims are shorter than that.
 func (l *leadership) forecastDemand() []*scheduler.Job {
-	c := l.controller
-	boot := c.longestBootS()
+	boot := l.controller.catalog.longestBootS()
 	window := 4 * boot
 	var out []*scheduler.Job
 	for _, class := range sortedKeys(l.arrivals) {
@@ -110,11 +109,11 @@
 		if aim <= 0 || aim > 2*boot {
 			continue
 		}
-		tasks, images, sample := l.arrivals[class].since((c.wall - int64(window*1000)) / 1000)
+		tasks, images, sample := l.arrivals[class].since((l.controller.env.wall - int64(window*1000)) / 1000)
 		if sample == nil || !sample.Spec.Service {
 			continue
 		}
-		expect := float64(tasks) / window * boot * c.cfg.Operator.Fleet.Headroom
+		expect := float64(tasks) / window * boot * l.controller.env.cfg.Operator.Fleet.Headroom
 		k := int(expect + 0.5)
 		if k < 1 {
 			k = 1
@@ -140,9 +139,9 @@
 }
 
 // longestBootS is the longest usual boot time.
-func (c *Controller) longestBootS() float64 {
+func (m *machineCatalog) longestBootS() float64 {
 	boot := 0.0
-	for _, t := range c.types {
+	for _, t := range m.types {
 		boot = max(boot, t.BootS)
 	}
 	return boot
--- a/internal/controller/failover.go
+++ b/internal/controller/failover.go
@@ -35,74 +35,74 @@
 )
 
 // successorRank is this controller's place among those who may follow a leader.
-func (c *Controller) successorRank(former string) int {
-	return membership.Rank(c.cfg.Label, c.leaderKeys.counter, c.detection.detector.Successors(former))
+func (e *election) successorRank(former string) int {
+	return membership.Rank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.Successors(former))
 }
 
 // mayCampaign says whether it is this candidate's turn: the first by rank at once, the others one
 // after the other, as a rush of all costs the state service's requests and gains nothing.
-func (c *Controller) mayCampaign() bool {
-	if !c.detection.enabled() {
+func (e *election) mayCampaign() bool {
+	if !e.detection.enabled() {
 		return true
 	}
-	apart := c.cfg.LeaderTTL() / candidateSpacing
-	return c.now >= c.leaderKeys.leaderlessSince+time.Duration(c.successorRank(c.preparation.formerLeader))*apart
+	apart := e.env.cfg.LeaderTTL() / candidateSpacing
+	return e.env.now >= e.leaderKeys.leaderlessSince+time.Duration(e.successorRank(e.preparer.preparation.formerLeader))*apart
 }
 
 // prepareFailover prepares while the leader is suspected, and drops what was prepared once it is not.
-func (c *Controller) prepareFailover() {
-	s := &c.preparation
-	if !c.detection.enabled() || c.leadership != nil {
+func (p *failoverPreparer) prepareFailover() {
+	s := &p.preparation
+	if !p.detection.enabled() || p.controller.leadership != nil {
 		return
 	}
-	if c.leaderKeys.leader != nil {
-		s.formerLeader = c.leaderKeys.leader.Label
+	if p.election.leaderKeys.leader != nil {
+		s.formerLeader = p.election.leaderKeys.leader.Label
 	}
-	leader := c.leaderKeys.leader
+	leader := p.election.leaderKeys.leader
 	if leader == nil {
 		return // the election is on
 	}
-	if leader.Label == c.cfg.Label || c.peerState(leader.Label) == membership.Alive || c.backsOffElection() {
+	if leader.Label == p.env.cfg.Label || p.detection.peerState(leader.Label) == membership.Alive || p.election.backsOffElection() {
 		s.suspectedAt, s.preload = 0, nil
 		return
 	}
-	if !c.leaderKeys.known {
+	if !p.election.leaderKeys.known {
 		return // what was prepared stays: the keys are looked at anew now and then
 	}
 	if s.suspectedAt == 0 {
-		s.suspectedAt = c.now
+		s.suspectedAt = p.env.now
 	}
-	if c.successorRank(leader.Label) < preparingCandidates {
-		c.maintainCandidateLease()
-		c.preloadNextPage(leader.Token)
+	if p.election.successorRank(leader.Label) < preparingCandidates {
+		p.election.maintainCandidateLease()
+		p.preloadNextPage(leader.Token)
 	}
 }
 
 // maintainCandidateLease has a lease at hand, so that an election is one transaction.
-func (c *Controller) maintainCandidateLease() {
-	if c.candidate == nil {
-		c.candidate = &candidate{}
+func (e *election) maintainCandidateLease() {
+	if e.candidate == nil {
+		e.candidate = &candidate{}
 	}
-	candidate := c.candidate
-	ttl := c.cfg.LeaderTTL()
+	candidate := e.candidate
+	ttl := e.env.cfg.LeaderTTL()
 	switch {
-	case candidate.inFlight || c.now < candidate.nextAt || !c.stateRequests.Has(c.now, 1):
-	case candidate.leaseID == 0 || c.now > candidate.leaseAskedAt+ttl*2/3:
-		c.acquireLease(candidate, func() {})
-	case c.now > candidate.leaseAskedAt+ttl/3:
-		c.renewCandidateLease(candidate)
+	case candidate.inFlight || e.env.now < candidate.nextAt || !e.outbox.stateRequests.Has(e.env.now, 1):
+	case candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+ttl*2/3:
+		e.acquireLease(candidate, func() {})
+	case e.env.now > candidate.leaseAskedAt+ttl/3:
+		e.renewCandidateLease(candidate)
 	}
 }
 
 // acquireLease asks for the candidate's lease.
-func (c *Controller) acquireLease(candidate *candidate, then func()) {
+func (e *election) acquireLease(candidate *candidate, then func()) {
 	candidate.inFlight = true
-	sent, ttl := c.now, c.cfg.LeaderTTL()
-	c.stateCall("POST", "/leases", protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()}, ttl/2, func(r Result) {
+	sent, ttl := e.env.now, e.env.cfg.LeaderTTL()
+	e.outbox.stateCall("POST", "/leases", protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()}, ttl/2, func(r Result) {
 		candidate.inFlight = false
 		var lease protocol.LeaseReply
 		if r.Status != 200 || protocol.Decode(r.Body, &lease) != nil {
-			candidate.nextAt = c.now + c.retryPause()
+			candidate.nextAt = e.env.now + e.env.retryPause()
 			return
 		}
 		candidate.leaseID, candidate.leaseAskedAt = lease.Lease, sent
@@ -111,10 +111,10 @@
 }
 
 // renewCandidateLease renews the candidate's lease before an election.
-func (c *Controller) renewCandidateLease(candidate *candidate) {
+func (e *election) renewCandidateLease(candidate *candidate) {
 	candidate.inFlight = true
-	sent, ttl := c.now, c.cfg.LeaderTTL()
-	c.stateCall("POST", fmt.Sprintf("/leases/%d/extend", candidate.leaseID), nil, ttl/2, func(r Result) {
+	sent, ttl := e.env.now, e.env.cfg.LeaderTTL()
+	e.outbox.stateCall("POST", fmt.Sprintf("/leases/%d/extend", candidate.leaseID), nil, ttl/2, func(r Result) {
 		candidate.inFlight = false
 		switch r.Status {
 		case 200:
@@ -122,7 +122,7 @@
 		case 404:
 			candidate.leaseID = 0
 		default:
-			candidate.nextAt = c.now + c.retryPause()
+			candidate.nextAt = e.env.now + e.env.retryPause()
 		}
 	})
 }
@@ -152,19 +152,19 @@
 const recordsPerPage = 1000
 
 // preloadNextPage reads the next page, where the budget allows.
-func (c *Controller) preloadNextPage(token uint64) {
-	s := &c.preparation
+func (p *failoverPreparer) preloadNextPage(token uint64) {
+	s := &p.preparation
 	if s.preload == nil || s.preload.token != token {
-		order := loadOrder(c.leaderKeys.record.storageVersion())
+		order := loadOrder(p.election.leaderKeys.record.storageVersion())
 		s.preload = &recordPreload{token: token, order: order, prefixes: make([]preloadedPrefix, 1, len(order))}
 	}
 	a := s.preload
-	if a.finished || a.inFlight || !c.stateRequests.Has(c.now, 1+preloadReserve*c.stateRequests.Burst()) {
+	if a.finished || a.inFlight || !p.outbox.stateRequests.Has(p.env.now, 1+preloadReserve*p.outbox.stateRequests.Burst()) {
 		return
 	}
 	a.inFlight = true
 	prefix := a.order[len(a.prefixes)-1]
-	c.stateCall("GET", listPath(prefix, a.after), nil, c.cfg.LeaderTTL(), func(res Result) {
+	p.outbox.stateCall("GET", listPath(prefix, a.after), nil, p.env.cfg.LeaderTTL(), func(res Result) {
 		a.inFlight = false
 		if s.preload != a || a.finished {
 			return
@@ -176,11 +176,11 @@
 		}
 		a.bytes += len(res.Body)
 		a.addPage(items)
-		if a.bytes > int(c.cfg.Cluster.Resources.MemMB*(1<<20))/preloadMemoryShare {
+		if a.bytes > int(p.env.cfg.Cluster.Resources.MemMB*(1<<20))/preloadMemoryShare {
 			a.finished = true
 		}
-		if c.leaderKeys.leader != nil && c.leadership == nil {
-			c.preloadNextPage(token)
+		if p.election.leaderKeys.leader != nil && p.controller.leadership == nil {
+			p.preloadNextPage(token)
 		}
 	})
 }
@@ -243,10 +243,9 @@
 // loadPreloaded loads a step from what was read ahead and all that has changed since. It is asked
 // for after the election, when nothing of earlier leaders can be added any more.
 func (l *leadership) loadPreloaded(number int, prefix string, step *preloadedPrefix) {
-	c := l.controller
 	path := fmt.Sprintf("/follow?under=%s&after=%d&blockMs=0", prefix, step.revision)
-	c.stateCall("GET", path, nil, c.cfg.LeaderTTL(), func(res Result) {
-		if c.leadership != l {
+	l.controller.outbox.stateCall("GET", path, nil, l.controller.env.cfg.LeaderTTL(), func(res Result) {
+		if l.ended {
 			return
 		}
 		var events protocol.Events
@@ -263,24 +262,24 @@
 }
 
 // beginFailover begins to note what becomes of a take-over.
-func (c *Controller) beginFailover(token uint64) *Failover {
-	s := &c.preparation
-	h := &Failover{Token: token, Former: s.formerLeader, Suspected: s.suspectedAt, LeaderKeyGone: c.leaderKeys.leaderlessSince, Elected: c.now}
-	s.suspectedAt, s.formerLeader = 0, c.cfg.Label
+func (p *failoverPreparer) beginFailover(token uint64) *Failover {
+	s := &p.preparation
+	h := &Failover{Token: token, Former: s.formerLeader, Suspected: s.suspectedAt, LeaderKeyGone: p.election.leaderKeys.leaderlessSince, Elected: p.env.now}
+	s.suspectedAt, s.formerLeader = 0, p.env.cfg.Label
 	return h
 }
 
 // noteStateLoaded notes that the records are read.
 func (l *leadership) noteStateLoaded() {
 	h := l.failover
-	h.Loaded, h.Jobs, h.Machines = l.controller.now, len(l.state.Jobs), len(l.state.Machines)
+	h.Loaded, h.Jobs, h.Machines = l.controller.env.now, len(l.state.Jobs), len(l.state.Machines)
 	l.preload = nil
 }
 
 // noteFirstPlacement notes the first start of the term, which ends the handover.
 func (l *leadership) noteFirstPlacement() {
 	if h := l.failover; h != nil && h.FirstPlacement == 0 {
-		h.FirstPlacement = l.controller.now
+		h.FirstPlacement = l.controller.env.now
 		l.finishFailover()
 	}
 }
@@ -292,14 +291,14 @@
 	for _, step := range h.Steps() {
 		args = append(args, step.Name+"_s", (step.To - step.From).Seconds())
 	}
-	l.controller.log.Info("handed over", args...)
-	l.controller.observer.FailedOver(*h)
+	l.controller.env.log.Info("handed over", args...)
+	l.controller.env.observer.FailedOver(*h)
 	l.failover = nil
 }
 
 // expireFailover gives up waiting for a first placement.
 func (l *leadership) expireFailover() {
-	if h := l.failover; h != nil && h.Loaded > 0 && l.controller.now > h.Loaded+l.controller.cfg.Lease() {
+	if h := l.failover; h != nil && h.Loaded > 0 && l.controller.env.now > h.Loaded+l.controller.env.cfg.Lease() {
 		l.finishFailover()
 	}
 }
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -277,7 +277,7 @@
 	w.run(8*second - time.Millisecond)
 	early := []string{}
 	w.script = func(node int, c Call) deliveryFault {
-		if node == lead && n.controller.isRecovering() {
+		if node == lead && n.controller.pause.isRecovering() {
 			switch {
 			case c.Target == ToWorker, c.Path == "/multi", c.Path == "/relay", c.Path == "/forward":
 				early = append(early, c.Path)
@@ -287,7 +287,7 @@
 	}
 	n.still = false
 	w.feed(lead, Tick{}) // it goes on
-	if !n.controller.isRecovering() {
+	if !n.controller.pause.isRecovering() {
 		t.Fatal("it does not notice that it stood still")
 	}
 	for _, op := range []Op{OpPoll, OpCancel} {
@@ -308,7 +308,7 @@
 			t.Error("a worker's lease is renewed")
 		}
 	})
-	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.incarnation, Token: n.controller.leadership.token}
+	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.token}
 	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(beat)}, func(r Reply) {
 		var reply protocol.PeerHeartbeatReply
 		if err := protocol.DecodePeer(r.Body, &reply); err != nil || reply.Leader != "" || reply.LeaderClock != 0 {
@@ -319,7 +319,7 @@
 	if len(early) > 0 {
 		t.Errorf("it sent %v first", early)
 	}
-	if n.controller.isRecovering() {
+	if n.controller.pause.isRecovering() {
 		t.Error("it has heard of nobody")
 	}
 	w.settle()
@@ -655,7 +655,7 @@
 		}
 		ahead := func() bool {
 			for i, n := range w.nodes {
-				if a := n.controller.preparation.preload; i != lead && a != nil && a.finished {
+				if a := n.controller.preparer.preparation.preload; i != lead && a != nil && a.finished {
 					return true
 				}
 			}
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -14,17 +14,16 @@
 
 // onTaskError takes the failure of a task.
 func (l *leadership) onTaskError(m *clusterstate.Machine, j *clusterstate.Job, a *clusterstate.Attempt, key clusterstate.AttemptKey) {
-	c := l.controller
-	if a != nil && j.Spec.Service && c.now > a.Since+seconds(c.longestBootS()) {
+	if a != nil && j.Spec.Service && l.controller.env.now > a.Since+seconds(l.controller.catalog.longestBootS()) {
 		l.noteTaskSuccess(j, nil) // it ran for a while before
 	}
-	c.log.Debug("task failed", "task", key.Task, "try", key.Attempt, "machine", m.ID)
+	l.controller.env.log.Debug("task failed", "task", key.Task, "try", key.Attempt, "machine", m.ID)
 	if j.Failures.Waves == 0 || a != nil && a.Since > j.Failures.LastWave {
 		l.backOffJob(j)
 	}
 	switch {
-	case j.Failures.Note(m.ID, c.now):
-		c.log.Info("job fails everywhere", "job", j.Spec.UID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(j.Failures.Machines))
+	case j.Failures.Note(m.ID, l.controller.env.now):
+		l.controller.env.log.Info("job fails everywhere", "job", j.Spec.UID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(j.Failures.Machines))
 		l.withdrawFailures(j)
 	case j.Failures.Everywhere:
 	case m.Faults.Suspect(j.Spec.UID):
@@ -41,7 +40,7 @@
 		return
 	}
 	if j.Failures.Everywhere {
-		l.controller.log.Info("job no longer fails", "job", j.Spec.UID)
+		l.controller.env.log.Info("job no longer fails", "job", j.Spec.UID)
 	}
 	for id := range j.Failures.Machines {
 		other := l.state.Machines[id]
@@ -52,7 +51,7 @@
 		case other.Faults.Confirm(j.Spec.UID):
 			l.logFaultyMachine(other)
 		case other.Faults.Confirmed > 0:
-			other.QuarantinedUntil = max(other.QuarantinedUntil, l.controller.now+l.controller.cfg.Lease())
+			other.QuarantinedUntil = max(other.QuarantinedUntil, l.controller.env.now+l.controller.env.cfg.Lease())
 		}
 	}
 	j.Failures = clusterstate.JobFailures{}
@@ -69,16 +68,16 @@
 
 // logFaultyMachine sets a machine aside for good: it is returned once it is idle.
 func (l *leadership) logFaultyMachine(m *clusterstate.Machine) {
-	l.controller.log.Info("machine is faulty", "machine", m.ID, "type", m.Type, "zone", m.Zone, "jobs", len(m.Faults.Suspects)+m.Faults.Confirmed)
+	l.controller.env.log.Info("machine is faulty", "machine", m.ID, "type", m.Type, "zone", m.Zone, "jobs", len(m.Faults.Suspects)+m.Faults.Confirmed)
 }
 
 // backOffJob delays a failing job, and counts the time as attained service: a job
 // that fails at once would keep the top rank for ever otherwise.
 func (l *leadership) backOffJob(j *clusterstate.Job) {
 	j.Failures.Waves++
-	j.Failures.LastWave = l.controller.now
+	j.Failures.LastWave = l.controller.env.now
 	wait := l.retryDelay(j)
-	j.NotBefore = max(j.NotBefore, l.controller.now+wait)
+	j.NotBefore = max(j.NotBefore, l.controller.env.now+wait)
 	j.Scale.Attained += wait.Seconds() * shareOf(j, l.readyCapacity())
 }
 
@@ -86,11 +85,11 @@
 // room beside it is stuck, or what a cancellation may take if it fails everywhere.
 func (l *leadership) retryDelay(j *clusterstate.Job) time.Duration {
 	const mostDoublings = 8
-	longest := l.controller.cfg.Lease()
+	longest := l.controller.env.cfg.Lease()
 	if j.Failures.Everywhere {
-		longest = max(longest, l.controller.cfg.Cancel())
+		longest = max(longest, l.controller.env.cfg.Cancel())
 	}
-	wait := l.controller.cfg.Report() << min(max(j.Failures.Waves-1, 0), mostDoublings)
+	wait := l.controller.env.cfg.Report() << min(max(j.Failures.Waves-1, 0), mostDoublings)
 	return min(wait, longest)
 }
 
@@ -98,6 +97,6 @@
 // next one waits for the outcome.
 func (l *leadership) noteProbingStart(j *clusterstate.Job) {
 	if j.Failures.Probing() && j.Gang == nil {
-		j.NotBefore = max(j.NotBefore, l.controller.now+l.retryDelay(j))
+		j.NotBefore = max(j.NotBefore, l.controller.env.now+l.retryDelay(j))
 	}
 }
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -26,8 +26,8 @@
 
 // versionStatement is what this controller states of itself.
 func (c *Controller) versionStatement() *protocol.VersionStatement {
-	s := &protocol.VersionStatement{Reads: uint64(newestStorageVersion), Hold: c.cfg.Operator.Upgrade.Hold}
-	if c.cfg.Operator.EndJournal.Enabled {
+	s := &protocol.VersionStatement{Reads: uint64(newestStorageVersion), Hold: c.env.cfg.Operator.Upgrade.Hold}
+	if c.env.cfg.Operator.EndJournal.Enabled {
 		s.Writes = uint64(completionJournalVersion)
 	}
 	return s
@@ -43,7 +43,7 @@
 
 // newGate makes the gate of a term from the record that the election stored.
 func (l *leadership) newGate() *featuregate.Gate {
-	cfg := l.controller.cfg
+	cfg := l.controller.env.cfg
 	settings := featuregate.Settings{Version: completionJournalVersion, Self: cfg.Label, Own: *readVersionStatement(l.controller.versionStatement()),
 		Fits:    cfg.GateFits(),
 		Settled: cfg.LeaderTTL(), Patience: cfg.Lease(), Pause: gatePauseLeases * cfg.Lease()}
@@ -55,7 +55,7 @@
 
 // onVersionStatement takes what a controller states in its heartbeat.
 func (l *leadership) onVersionStatement(ask *protocol.PeerHeartbeat) {
-	l.gate.Heard(l.controller.now, ask.From, ask.Incarnation, readVersionStatement(ask.Versions))
+	l.gate.Heard(l.controller.env.now, ask.From, ask.Incarnation, readVersionStatement(ask.Versions))
 }
 
 // tickFeatureGate carries out what the gate decides. Nothing is decided while this leader does not know
@@ -65,7 +65,7 @@
 		return
 	}
 	before := l.gate.State()
-	action := l.gate.Decide(l.controller.now, before == featuregate.Closing && l.completions.isCompacted())
+	action := l.gate.Decide(l.controller.env.now, before == featuregate.Closing && l.completions.isCompacted())
 	l.noteGate(before)
 	if l.gate.State() == featuregate.Closing {
 		l.completions.close()
@@ -91,7 +91,7 @@
 	change.Applied = func() {
 		before := l.gate.State()
 		l.storedRecord = rec
-		l.gate.Stored(l.controller.now)
+		l.gate.Stored(l.controller.env.now)
 		l.noteGate(before)
 		if l.gate.MayWrite() {
 			l.completions.open()
@@ -99,7 +99,7 @@
 	}
 	change.Refused = func() {
 		before := l.gate.State()
-		l.gate.Failed(l.controller.now)
+		l.gate.Failed(l.controller.env.now)
 		l.noteGate(before)
 	}
 	l.store.ChangeLeader(change)
@@ -125,21 +125,21 @@
 // noteGate tells of a change of state, and of a new reason for a closed gate that is asked for.
 func (l *leadership) noteGate(before featuregate.State) {
 	now, obstacle := l.gate.State(), l.gate.Obstacle()
-	wanted := l.controller.cfg.Operator.EndJournal.Enabled
+	wanted := l.controller.env.cfg.Operator.EndJournal.Enabled
 	seen := &l.gateLogged
-	logsCause := wanted && obstacle != seen.obstacle && l.controller.now >= seen.at+l.controller.cfg.Lease()
+	logsCause := wanted && obstacle != seen.obstacle && l.controller.env.now >= seen.at+l.controller.env.cfg.Lease()
 	if now == before && !logsCause {
 		return
 	}
-	seen.obstacle, seen.at = obstacle, l.controller.now
+	seen.obstacle, seen.at = obstacle, l.controller.env.now
 	statements := l.statements()
 	args := []any{"token", l.token, "state", now.String(), "was", before.String(), "why", obstacle.String()}
 	for _, label := range slices.Sorted(maps.Keys(statements)) {
 		args = append(args, label, statements[label])
 	}
-	l.controller.log.Info("feature gate", args...)
+	l.controller.env.log.Info("feature gate", args...)
 	if now != before {
-		l.controller.observer.GateChanged(GateChange{Token: l.token, At: l.controller.now, From: before, To: now, Why: obstacle.String(), Statements: statements})
+		l.controller.env.observer.GateChanged(GateChange{Token: l.token, At: l.controller.env.now, From: before, To: now, Why: obstacle.String(), Statements: statements})
 	}
 }
 
--- a/internal/controller/fetch_warning.go
+++ b/internal/controller/fetch_warning.go
@@ -10,23 +10,23 @@
 // wait. The settings alone don't tell: the sizes come with the jobs, the rates from the cloud.
 func (l *leadership) warnOfFetch(j *clusterstate.Job) {
 	class, aim := j.Spec.Class, l.waitObjective(j.Spec.Class)
-	if aim <= 0 || l.controller.warnedOfFetch[class] {
+	if aim <= 0 || l.controller.catalog.warnedOfFetch[class] {
 		return
 	}
-	fetch := l.controller.shortestFetch(j)
+	fetch := l.controller.catalog.shortestFetch(j)
 	if fetch <= aim {
 		return
 	}
-	l.controller.warnedOfFetch[class] = true
-	l.controller.log.Warn("settings: cluster.objectives: within_s is shorter than the fetch of an image: tasks start in time only where it is already",
+	l.controller.catalog.warnedOfFetch[class] = true
+	l.controller.env.log.Warn("settings: cluster.objectives: within_s is shorter than the fetch of an image: tasks start in time only where it is already",
 		"class", class, "within_s", aim, "fetch_s", math.Round(fetch*10)/10, "image_gb", j.Spec.ImageGB)
 }
 
 // shortestFetch is how long a job's image takes on the type that fetches fastest, of those that the
 // job may use, in seconds; 0 if nothing is known of them.
-func (c *Controller) shortestFetch(j *clusterstate.Job) float64 {
+func (m *machineCatalog) shortestFetch(j *clusterstate.Job) float64 {
 	fastest := 0.0
-	for _, t := range c.types {
+	for _, t := range m.types {
 		if j.Types == nil || j.Types[t.Name] {
 			fastest = max(fastest, t.FetchGBPerS)
 		}
--- a/internal/controller/fetch_warning_test.go
+++ b/internal/controller/fetch_warning_test.go
@@ -14,7 +14,7 @@
 	w.awaitLeader()
 	var out bytes.Buffer
 	for _, n := range w.nodes {
-		n.controller.log = slog.New(slog.NewTextHandler(&out, nil))
+		n.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
 	}
 	w.submit("j-1", map[string]any{"tier": "web", "sizeGb": 4.0}) // at 1 GB a second, within 5 s
 	w.run(10 * second)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -57,25 +57,25 @@
 	w := newWorld(t, 57)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	lease := c.cfg.Lease()
+	lease := c.env.cfg.Lease()
 	miss := func() {
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			l.reachability.noteMissed(id, c.now)
+			l.reach.noteMissed(id, c.env.now)
 		}
 	}
-	l.reachability.reachedAt, c.now = c.now, c.now+lease
+	l.reach.reachedAt, c.env.now = c.env.now, c.env.now+lease
 	miss()
 	if l.cannotReachWorkers() {
 		t.Error("out of reach before the others could be asked")
 	}
-	c.now += lease / 20
-	l.reachability.noteReached(c.now)
+	c.env.now += lease / 20
+	l.reach.noteReached(c.env.now)
 	if l.cannotReachWorkers() {
 		t.Error("out of reach though a machine answered")
 	}
-	c.now += lease
+	c.env.now += lease
 	miss()
-	c.now += lease/20 + second
+	c.env.now += lease/20 + second
 	if !l.cannotReachWorkers() {
 		t.Error("not out of reach though none answered")
 	}
@@ -127,13 +127,13 @@
 	w := newWorld(t, 52)
 	lead := w.awaitLeader()
 	c := w.nodes[lead].controller
-	fds := c.cfg.Cluster.Resources.FDs
+	fds := c.env.cfg.Cluster.Resources.FDs
 	l := c.leadership
-	c.effects = nil
+	c.outbox.effects = nil
 	for i := range 2 * fds {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Addr, m.Listed = "m8", "b", fmt.Sprintf("10.2.0.%d:1", i), true
-		m.ExistedAt, m.LaunchedAt = c.now, c.now
+		m.ExistedAt, m.LaunchedAt = c.env.now, c.env.now
 		l.dispatchCommands(m)
 	}
 	if l.callLimiter.calling != l.callLimiter.hanging || l.callLimiter.hanging != fds/12 {
@@ -141,7 +141,7 @@
 	}
 	m := l.state.AddMachine("i-000001")
 	m.Type, m.Zone, m.Addr, m.Seen, m.TokenAcknowledged, m.Up = "m8", "a", "10.2.1.1:1", true, true, true
-	m.LastSeen, m.Epoch = c.now, 1
+	m.LastSeen, m.Epoch = c.env.now, 1
 	m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{{Task: "j-9/0", Attempt: 1}: -time.Hour}
 	l.dispatchCommands(m)
 	if l.callLimiter.calling != fds/12+1 {
@@ -156,14 +156,14 @@
 		w := newWorld(t, 53)
 		c := w.nodes[w.awaitLeader()].controller
 		l := c.leadership
-		j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "web", Team: "red", Service: true, Tasks: 2 * machines, Cores: 1, MemoryGB: 1}, c.wall)
+		j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "web", Team: "red", Service: true, Tasks: 2 * machines, Cores: 1, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		for i := range machines {
 			m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 			m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.%d.%d:1", i/256, i%256), l.machineSize("m8")
-			m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered, m.Token = true, true, true, 1, c.now, c.now, l.token
+			m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered, m.Token = true, true, true, 1, c.env.now, c.env.now, l.token
 			for k := range 2 {
-				a := l.state.AddAttempt(m, j, 2*i+k, l.nextAttemptNumber(), c.now)
+				a := l.state.AddAttempt(m, j, 2*i+k, l.attemptNumbers.take(), c.env.now)
 				a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.Running, 1
 			}
 		}
@@ -266,7 +266,7 @@
 		}
 	}
 	m.LastFailedCallAt = now - 2*second
-	l.reachability.noteMissed("i-900007", now)
+	l.reach.noteMissed("i-900007", now)
 	if l.isUnreachable(m, l.zonesHeardSince()) {
 		t.Error("powerless, though others hear what we can't reach")
 	}
@@ -280,7 +280,7 @@
 	l := c.leadership
 	w.run(20 * second) // the types are known and the list is read
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
-		j := l.state.AddJob(&protocol.Spec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.wall)
+		j := l.state.AddJob(&protocol.Spec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		return j
 	}
@@ -289,9 +289,9 @@
 	for i := range 4 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), l.machineSize("m8")
-		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.now, c.now
+		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
 		if i < 3 {
-			a := l.state.AddAttempt(m, web, i, l.nextAttemptNumber(), c.now)
+			a := l.state.AddAttempt(m, web, i, l.attemptNumbers.take(), c.env.now)
 			a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.Running, 1
 		}
 		all = append(all, m)
@@ -299,7 +299,7 @@
 	if l.manyUnresponsive() {
 		t.Error("late though all answer")
 	}
-	all[0].FailedCalls, all[0].LastSeen, l.electedAt = 2, c.now-c.cfg.Lease()/2, c.now-c.cfg.Lease()
+	all[0].FailedCalls, all[0].LastSeen, l.electedAt = 2, c.env.now-c.env.cfg.Lease()/2, c.env.now-c.env.cfg.Lease()
 	if !l.manyUnresponsive() {
 		t.Error("one machine of three is late, and others would be emptied")
 	}
@@ -308,7 +308,7 @@
 	if batch.ActiveAttempts != 0 {
 		t.Error("a batch took the room that a late machine's replica may need")
 	}
-	all[0].FailedCalls, all[0].LastSeen = 0, c.now
+	all[0].FailedCalls, all[0].LastSeen = 0, c.env.now
 	l.runFill()
 	if batch.ActiveAttempts != 1 {
 		t.Error("a batch waits though no machine is late")
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -6,6 +6,20 @@
 	"claybarrow/internal/protocol"
 )
 
+// follower is the part of a controller that does not lead: it stays in contact with the leader, forwards
+// worker heartbeats to it, and renews the workers' leases in its stead while it can't be reached.
+type follower struct {
+	controller *Controller
+	detection  *failureDetection
+	election   *election
+	env        *environment
+	outbox     *outbox
+	pause      *pauseRecovery
+	relay      *leaderRelay
+
+	contact leaderContact
+}
+
 // A zone that is cut off keeps its workers and, where there is one, a
 // controller. That controller is the zone's follower: it answers the workers in
 // the leader's stead, with the token they show and no commands, so that their
@@ -21,8 +35,13 @@
 // a machine there is gone. It needs no disk and no leave given in time: followers
 // that end in the middle of a cut go on where they were.
 
-// follower is what a controller that does not lead knows of the leader.
-type follower struct {
+// newFollower makes a follower that renews leases for the leader until it hears of one: a process that
+// waited for its first request to fail turned away the workers of a cut zone, whose leases had a
+// second left.
+func newFollower() *follower { return &follower{contact: leaderContact{leaderLost: true}} }
+
+// leaderContact is what a controller that does not lead knows of the leader.
+type leaderContact struct {
 	leader      string // who answered as the leader, or is said to lead
 	token       uint64 // of the last answer, with the leader's clock
 	leaderClock uint64
@@ -44,106 +63,106 @@
 
 // leaderLabel is who leads, as far as this controller knows: by the state
 // service or, where that does not answer it, by the leader itself.
-func (c *Controller) leaderLabel() string {
-	if l := c.leaderKeys.leader; l != nil && (c.leaderKeys.known || l.Token >= c.follower.highestToken) {
+func (f *follower) leaderLabel() string {
+	if l := f.election.leaderKeys.leader; l != nil && (f.election.leaderKeys.known || l.Token >= f.contact.highestToken) {
 		return l.Label
 	}
-	if f := &c.follower; f.leader != "" && f.leaderHeardAt > 0 && c.now < f.leaderHeardAt+c.cfg.Lease()/2 {
-		return f.leader
+	if contact := &f.contact; contact.leader != "" && contact.leaderHeardAt > 0 && f.env.now < contact.leaderHeardAt+f.env.cfg.Lease()/2 {
+		return contact.leader
 	}
 	return ""
 }
 
 // heartbeatTarget is the controller that is asked for the leader's clock: whoever leads as far as
 // is known, or is said to by another one.
-func (c *Controller) heartbeatTarget() string {
-	if label := c.leaderLabel(); label != "" {
+func (f *follower) heartbeatTarget() string {
+	if label := f.leaderLabel(); label != "" {
 		return label
 	}
-	if f := &c.follower; f.leader != "" && f.leaderNamedAt > 0 && c.now < f.leaderNamedAt+c.cfg.Lease()/2 {
-		return f.leader
+	if contact := &f.contact; contact.leader != "" && contact.leaderNamedAt > 0 && f.env.now < contact.leaderNamedAt+f.env.cfg.Lease()/2 {
+		return contact.leader
 	}
 	return ""
 }
 
 // sendPeerHeartbeat stays in touch with the leader.
-func (c *Controller) sendPeerHeartbeat() {
-	f := &c.follower
-	if c.leaderKeys.leader != nil {
-		f.highestToken = max(f.highestToken, c.leaderKeys.leader.Token)
+func (f *follower) sendPeerHeartbeat() {
+	contact := &f.contact
+	if f.election.leaderKeys.leader != nil {
+		contact.highestToken = max(contact.highestToken, f.election.leaderKeys.leader.Token)
 	}
-	if c.leadership != nil {
-		*f = follower{highestToken: max(f.highestToken, c.leadership.token), lastServed: f.lastServed}
+	if f.controller.leadership != nil {
+		*contact = leaderContact{highestToken: max(contact.highestToken, f.controller.leadership.token), lastServed: contact.lastServed}
 		return
 	}
-	if f.inFlight || c.now < f.nextAt || len(c.cfg.Siblings) == 0 {
+	if contact.inFlight || f.env.now < contact.nextAt || len(f.env.cfg.Siblings) == 0 {
 		return
 	}
-	asked := c.heartbeatTarget()
-	if asked == "" || asked == c.cfg.Label || (f.leaderLost && f.nextSibling%2 == 1) {
-		asked = c.cfg.Siblings[f.nextSibling/2%len(c.cfg.Siblings)].Label
+	asked := f.heartbeatTarget()
+	if asked == "" || asked == f.env.cfg.Label || (contact.leaderLost && contact.nextSibling%2 == 1) {
+		asked = f.env.cfg.Siblings[contact.nextSibling/2%len(f.env.cfg.Siblings)].Label
 	}
-	addr := c.peerAddr(asked)
+	addr := f.env.peerAddr(asked)
 	if addr == "" {
 		return
 	}
-	f.inFlight = true
-	sent := c.now
-	c.call(ToPeer, addr, "POST", "/heartbeat", protocol.EncodePeer(c.peerHeartbeat()), c.cfg.Lease()/10, func(res Result) {
-		c.onPeerHeartbeatReply(asked, sent, res)
+	contact.inFlight = true
+	sent := f.env.now
+	f.outbox.call(ToPeer, addr, "POST", "/heartbeat", protocol.EncodePeer(f.peerHeartbeat()), f.env.cfg.Lease()/10, func(res Result) {
+		f.onPeerHeartbeatReply(asked, sent, res)
 	})
 }
 
 // onPeerHeartbeatReply takes the answer of the controller that was asked for the leader's clock.
-func (c *Controller) onPeerHeartbeatReply(asked string, sent time.Duration, res Result) {
-	f := &c.follower
-	if sent < c.resumedAt {
-		f.inFlight = false // from before a standstill: it tells nothing of now
+func (f *follower) onPeerHeartbeatReply(asked string, sent time.Duration, res Result) {
+	contact := &f.contact
+	if sent < f.pause.resumedAt {
+		contact.inFlight = false // from before a standstill: it tells nothing of now
 		return
 	}
-	c.noteAnswer(sent, res.Status != 0)
+	f.pause.noteAnswer(sent, res.Status != 0)
 	if res.Status == 200 {
-		c.notePeerAnswer(asked, sent)
+		f.detection.notePeerAnswer(asked, sent)
 	}
-	if c.leadership != nil {
+	if f.controller.leadership != nil {
 		return
 	}
-	f.inFlight, f.nextAt = false, sent+c.cfg.Heartbeat()
+	contact.inFlight, contact.nextAt = false, sent+f.env.cfg.Heartbeat()
 	var g protocol.PeerHeartbeatReply
-	ok := res.Status == 200 && protocol.DecodePeer(res.Body, &g) == nil && g.Token >= f.highestToken
-	if ok && g.Leader != "" && g.Leader != c.cfg.Label {
-		f.highestToken, f.leader, f.leaderNamedAt = max(f.highestToken, g.Token), g.Leader, c.now
+	ok := res.Status == 200 && protocol.DecodePeer(res.Body, &g) == nil && g.Token >= contact.highestToken
+	if ok && g.Leader != "" && g.Leader != f.env.cfg.Label {
+		contact.highestToken, contact.leader, contact.leaderNamedAt = max(contact.highestToken, g.Token), g.Leader, f.env.now
 	}
 	// Only a leader gives a reading of its clock. One that had led, ended and was
 	// back in a zone that is cut off once heard from the other controller there that
 	// it leads, said so itself, and passed for the leader: the other one no longer
 	// renewed the zone's leases.
 	if !ok || g.Leader != asked || g.LeaderClock == 0 {
-		f.nextSibling++
-		if asked == c.leaderLabel() {
+		contact.nextSibling++
+		if asked == f.leaderLabel() {
 			// A connection that was not made in time may have been held up.
-			f.connectionRefused = res.ConnectionFailed && c.now < sent+c.cfg.Lease()/20
+			contact.connectionRefused = res.ConnectionFailed && f.env.now < sent+f.env.cfg.Lease()/20
 		}
-		c.noteLeaderUnanswered()
+		f.noteLeaderUnanswered()
 		return
 	}
-	if f.servesLeases {
-		c.log.Info("the leader is heard again", "leader", g.Leader, "token", g.Token)
+	if contact.servesLeases {
+		f.env.log.Info("the leader is heard again", "leader", g.Leader, "token", g.Token)
 	}
-	f.leaderLost, f.connectionRefused, f.servesLeases, f.leaderHeardAt = false, false, false, c.now
-	f.leaderProbes = leaderProbes{}
-	f.token, f.leaderClock = g.Token, g.LeaderClock
+	contact.leaderLost, contact.connectionRefused, contact.servesLeases, contact.leaderHeardAt = false, false, false, f.env.now
+	contact.leaderProbes = leaderProbes{}
+	contact.token, contact.leaderClock = g.Token, g.LeaderClock
 }
 
 // peerHeartbeat is what this controller tells a leader.
-func (c *Controller) peerHeartbeat() protocol.PeerHeartbeat {
-	f := &c.follower
-	ask := protocol.PeerHeartbeat{From: c.cfg.Label, Incarnation: c.incarnation, Token: f.highestToken, ServedMS: -1, UptimeMS: c.now.Milliseconds(), Versions: c.versionStatement()}
-	if f.token == f.highestToken {
-		ask.LeaderClock = f.leaderClock
+func (f *follower) peerHeartbeat() protocol.PeerHeartbeat {
+	contact := &f.contact
+	ask := protocol.PeerHeartbeat{From: f.env.cfg.Label, Incarnation: f.env.incarnation, Token: contact.highestToken, ServedMS: -1, UptimeMS: f.env.now.Milliseconds(), Versions: f.controller.versionStatement()}
+	if contact.token == contact.highestToken {
+		ask.LeaderClock = contact.leaderClock
 	}
-	if f.lastServed > 0 {
-		ask.ServedMS = (c.now - f.lastServed).Milliseconds()
+	if contact.lastServed > 0 {
+		ask.ServedMS = (f.env.now - contact.lastServed).Milliseconds()
 	}
 	return ask
 }
@@ -155,77 +174,77 @@
 // 4 s there and as long for the next controller that had ended, and their leases ran out.
 // After that a leader that the state service still names is there, and workers go to it if they
 // can reach it (leadertrial.go).
-func (c *Controller) renewsLeaseForLeader(msg *protocol.WorkerHeartbeat) bool {
-	f := &c.follower
-	if !f.leaderLost || msg.Zone != c.cfg.Zone || msg.Token == 0 {
+func (f *follower) renewsLeaseForLeader(msg *protocol.WorkerHeartbeat) bool {
+	contact := &f.contact
+	if !contact.leaderLost || msg.Zone != f.env.cfg.Zone || msg.Token == 0 {
 		return false
 	}
-	if c.leaderKeys.known && c.leaderKeys.leader != nil && c.now > f.leaderLostAt+c.maxFailoverTime() && c.sendsWorkerToLeader(msg) {
+	if f.election.leaderKeys.known && f.election.leaderKeys.leader != nil && f.env.now > contact.leaderLostAt+f.env.maxFailoverTime() && f.sendsWorkerToLeader(msg) {
 		return false
 	}
-	if !f.servesLeases {
-		c.log.Info("renewing leases for the leader in this zone", "token", msg.Token)
+	if !contact.servesLeases {
+		f.env.log.Info("renewing leases for the leader in this zone", "token", msg.Token)
 	}
-	f.servesLeases, f.lastServed = true, c.now
+	contact.servesLeases, contact.lastServed = true, f.env.now
 	return true
 }
 
 // noteLeaderUnanswered notes that the leader did not answer. Is it lost, or are we? The
 // state service tells, if it answers us.
-func (c *Controller) noteLeaderUnanswered() {
-	f := &c.follower
-	if !f.leaderLost {
-		f.leaderLost, f.leaderLostAt = true, c.now
+func (f *follower) noteLeaderUnanswered() {
+	contact := &f.contact
+	if !contact.leaderLost {
+		contact.leaderLost, contact.leaderLostAt = true, f.env.now
 	}
-	if c.leaderKeys.known && c.now > f.keysCheckedAt+c.cfg.LeaderTTL() {
-		f.keysCheckedAt = c.now
-		c.leaderKeys.refresh(c.now)
+	if f.election.leaderKeys.known && f.env.now > contact.keysCheckedAt+f.env.cfg.LeaderTTL() {
+		contact.keysCheckedAt = f.env.now
+		f.election.leaderKeys.refresh(f.env.now)
 	}
 }
 
 // maxFailoverTime is how long it takes at the most until the state service no longer names a
 // leader that has ended: its lease, and the election of the next.
-func (c *Controller) maxFailoverTime() time.Duration { return 2 * c.cfg.LeaderTTL() }
+func (e *environment) maxFailoverTime() time.Duration { return 2 * e.cfg.LeaderTTL() }
 
-func (c *Controller) replyLeaseOnly(from requester, msg *protocol.WorkerHeartbeat) {
-	c.reply(from, 200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: msg.Token, Commands: []protocol.Command{}}), 0)
+func (f *follower) replyLeaseOnly(from requester, msg *protocol.WorkerHeartbeat) {
+	f.outbox.reply(from, 200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: msg.Token, Commands: []protocol.Command{}}), 0)
 }
 
 // forwardsHeartbeat says whether the worker's report is passed on to the leader: workers
 // report to a controller of their own zone, so that none has to look for one
 // when the zone is cut off. Looking took up to 4 s a controller, and longer than
 // a lease where the next two were outside.
-func (c *Controller) forwardsHeartbeat(msg *protocol.WorkerHeartbeat) bool {
-	f := &c.follower
-	return msg.Zone == c.cfg.Zone && f.token != 0 && f.token >= f.highestToken && !f.leaderLost && c.peerAddr(f.leader) != ""
+func (f *follower) forwardsHeartbeat(msg *protocol.WorkerHeartbeat) bool {
+	contact := &f.contact
+	return msg.Zone == f.env.cfg.Zone && contact.token != 0 && contact.token >= contact.highestToken && !contact.leaderLost && f.env.peerAddr(contact.leader) != ""
 }
 
 // forwardTimeout is well inside the 4 s that a worker waits: one whose leader is
 // cut off from us must get our own answer in that time.
 const forwardTimeout = heartbeatTimeout / 2
 
-func (c *Controller) forwardHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
-	leader := c.follower.leader
-	within := min(c.cfg.Lease()/8, forwardTimeout)
-	deadline := c.now + within
-	relay := protocol.Relay{Op: string(OpWorkerHeartbeat), Body: body, From: c.cfg.Label}
-	c.sendToLeader(&leaderRequest{from: from, leader: leader, path: "/forward", relay: relay, deadline: deadline, then: func(res Result) {
+func (f *follower) forwardHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
+	leader := f.contact.leader
+	within := min(f.env.cfg.Lease()/8, forwardTimeout)
+	deadline := f.env.now + within
+	relay := protocol.Relay{Op: string(OpWorkerHeartbeat), Body: body, From: f.env.cfg.Label}
+	f.relay.sendToLeader(&leaderRequest{from: from, leader: leader, path: "/forward", relay: relay, deadline: deadline, then: func(res Result) {
 		reply, ok := readRelayReply(res)
-		f := &c.follower
+		contact := &f.contact
 		switch {
-		case c.leadership != nil:
-			c.leadership.answerForwardedHeartbeat(from, msg, body)
+		case f.controller.leadership != nil:
+			f.controller.leadership.answerForwardedHeartbeat(from, msg, body)
 		case ok:
-			c.reply(from, reply.Status, reply.Body, reply.RetryAfter)
+			f.outbox.reply(from, reply.Status, reply.Body, reply.RetryAfter)
 		default:
-			if leader == f.leader {
-				c.noteLeaderUnanswered()
+			if leader == contact.leader {
+				f.noteLeaderUnanswered()
 			}
-			if c.renewsLeaseForLeader(msg) {
-				c.replyLeaseOnly(from, msg)
+			if f.renewsLeaseForLeader(msg) {
+				f.replyLeaseOnly(from, msg)
 				return
 			}
-			c.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: c.leaderLabel()}), 0)
+			f.outbox.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: f.leaderLabel()}), 0)
 		}
 	}})
 }
@@ -245,8 +264,8 @@
 // onPeerHeartbeat answers a controller that stays in touch with the leader.
 func (c *Controller) onPeerHeartbeat(from requester, body []byte) {
 	var ask protocol.PeerHeartbeat
-	if protocol.DecodePeer(body, &ask) != nil || c.peerAddr(ask.From) == "" {
-		c.reply(from, 400, nil, 0)
+	if protocol.DecodePeer(body, &ask) != nil || c.env.peerAddr(ask.From) == "" {
+		c.outbox.reply(from, 400, nil, 0)
 		return
 	}
 	l := c.leadership
@@ -254,34 +273,34 @@
 		c.endLeadership("another controller knows a later leader")
 		l = nil
 	}
-	g := protocol.PeerHeartbeatReply{Token: c.follower.highestToken, Versions: c.versionStatement()}
+	g := protocol.PeerHeartbeatReply{Token: c.follower.contact.highestToken, Versions: c.versionStatement()}
 	if l != nil && l.verifiesLease() && c.detection.enabled() {
-		c.reply(from, 200, protocol.EncodePeer(g), 0) // it may have been replaced
+		c.outbox.reply(from, 200, protocol.EncodePeer(g), 0) // it may have been replaced
 		return
 	}
 	if l == nil {
-		if label := c.leaderLabel(); label != c.cfg.Label {
+		if label := c.follower.leaderLabel(); label != c.env.cfg.Label {
 			g.Leader = label // our own is that of an earlier process
 		}
-		c.reply(from, 200, protocol.EncodePeer(g), 0)
+		c.outbox.reply(from, 200, protocol.EncodePeer(g), 0)
 		return
 	}
-	g.Leader, g.Token, g.LeaderClock = c.cfg.Label, l.token, uint64(c.now)
+	g.Leader, g.Token, g.LeaderClock = c.env.cfg.Label, l.token, uint64(c.env.now)
 	l.onVersionStatement(&ask)
 	p := l.peers[ask.From]
-	p.lastHeard = c.now
+	p.lastHeard = c.env.now
 	if p.firstHeard == 0 {
-		p.firstHeard = c.now
+		p.firstHeard = c.env.now
 	}
 	if p.incarnation != ask.Incarnation {
-		p.incarnation, p.lastServed = ask.Incarnation, c.now
-		p.startedAt = c.now - time.Duration(ask.UptimeMS)*time.Millisecond
+		p.incarnation, p.lastServed = ask.Incarnation, c.env.now
+		p.startedAt = c.env.now - time.Duration(ask.UptimeMS)*time.Millisecond
 	}
 	if ask.ServedMS >= 0 {
-		p.lastServed = max(p.lastServed, c.now-time.Duration(ask.ServedMS)*time.Millisecond)
+		p.lastServed = max(p.lastServed, c.env.now-time.Duration(ask.ServedMS)*time.Millisecond)
 	}
 	if ask.Token == l.token && ask.LeaderClock != 0 {
 		p.servedKnownUntil = max(p.servedKnownUntil, time.Duration(ask.LeaderClock))
 	}
-	c.reply(from, 200, protocol.EncodePeer(g), 0)
+	c.outbox.reply(from, 200, protocol.EncodePeer(g), 0)
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -70,7 +70,7 @@
 		j.Gang.Apply(clusterstate.StopRequested)
 	}
 	if grace > 0 {
-		grace += l.controller.cfg.GangPeer().Seconds()
+		grace += l.controller.env.cfg.GangPeer().Seconds()
 	}
 	for _, a := range j.Gang.Attempts() {
 		if a.Number == try {
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -191,12 +191,12 @@
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	w.run(20 * second)
-	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.wall)
+	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.env.wall)
 	j.Stored, j.Cancelling = true, true
 	m := l.state.AddMachine("i-900000")
 	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.Up = "m8", "a", true, true, true
 	m.Epoch, m.Sequence, m.HeartbeatSequence, m.Token = 1, 10, 10, l.token
-	a := l.state.AddAttempt(m, j, 0, l.nextAttemptNumber(), c.now)
+	a := l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
 	a.Durable, a.Sent, a.Epoch, a.RunSequence, a.StopRequested = true, true, 1, 10, true
 	report := func(seq uint64, reported bool) {
 		l.applyHeartbeat(&protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Sequence: seq, Token: l.token}, reported)
@@ -215,12 +215,12 @@
 func TestBackOffIsBounded(t *testing.T) {
 	w := newWorld(t, 78)
 	c := w.nodes[w.awaitLeader()].controller
-	j := c.leadership.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: 1, Cores: 1}, c.wall)
+	j := c.leadership.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: 1, Cores: 1}, c.env.wall)
 	for range 20 {
 		c.leadership.backOffJob(j)
 	}
-	if j.NotBefore > c.now+c.cfg.Lease() {
-		t.Errorf("waits for %v", j.NotBefore-c.now)
+	if j.NotBefore > c.env.now+c.env.cfg.Lease() {
+		t.Errorf("waits for %v", j.NotBefore-c.env.now)
 	}
 }
 
@@ -231,7 +231,7 @@
 	w.run(40 * second)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	l.peers, l.electedAt = map[string]*peer{}, c.now
+	l.peers, l.electedAt = map[string]*peer{}, c.env.now
 	if l.isLeaseExpired(l.state.AddMachine("i-900000")) {
 		t.Error("a lease is called over at the election")
 	}
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -26,8 +26,8 @@
 }
 
 func newAssignments(c *Controller) assignments {
-	report := c.cfg.Report().Seconds()
-	rate := max(float64(c.cfg.FleetSize())/c.cfg.Lease().Seconds(), leastMoves/report)
+	report := c.env.cfg.Report().Seconds()
+	rate := max(float64(c.env.cfg.FleetSize())/c.env.cfg.Lease().Seconds(), leastMoves/report)
 	return assignments{zones: map[string]*membership.Assignment{}, moves: ratelimit.New(rate, rate*report)}
 }
 
@@ -36,13 +36,12 @@
 
 // zoneServers are the controllers of a zone that may serve machines, sorted.
 func (l *leadership) zoneServers(zone string) []string {
-	c := l.controller
 	var out []string
-	if c.cfg.Zone == zone {
-		out = append(out, c.cfg.Label)
+	if l.controller.env.cfg.Zone == zone {
+		out = append(out, l.controller.env.cfg.Label)
 	}
-	for _, s := range c.cfg.Siblings {
-		if s.Zone == zone && c.detection.detector.Serves(s.Label, c.now) {
+	for _, s := range l.controller.env.cfg.Siblings {
+		if s.Zone == zone && l.controller.detection.detector.Serves(s.Label, l.controller.env.now) {
 			out = append(out, s.Label)
 		}
 	}
@@ -63,17 +62,16 @@
 // assignedRedirect names the controller that the worker is to report to instead of the one that
 // its report came by, or none.
 func (l *leadership) assignedRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
-	c := l.controller
-	by := c.cfg.Label
+	by := l.controller.env.cfg.Label
 	if from.relay {
 		by = from.by
 	}
-	if by == "" || m.Zone == "" || msg.Token != l.token || c.now < l.electedAt+c.cfg.Lease()/2 {
+	if by == "" || m.Zone == "" || msg.Token != l.token || l.controller.env.now < l.electedAt+l.controller.env.cfg.Lease()/2 {
 		return ""
 	}
 	owner := l.ownerOf(m)
-	if by == c.cfg.Label {
-		l.assignments.own.noteForwarded(c.now)
+	if by == l.controller.env.cfg.Label {
+		l.assignments.own.noteForwarded(l.controller.env.now)
 	}
 	if owner == "" || owner == by || !l.isInContact(owner) {
 		return ""
@@ -86,23 +84,23 @@
 	if m.RedirectedProcess != process {
 		m.FailedRedirects = 0
 	}
-	if c.now < m.NoRedirectUntil || !l.assignments.moves.Has(c.now, 1) || !way.accepts(c.now, c.cfg.Report()) {
+	if l.controller.env.now < m.NoRedirectUntil || !l.assignments.moves.Has(l.controller.env.now, 1) || !way.accepts(l.controller.env.now, l.controller.env.cfg.Report()) {
 		return ""
 	}
-	l.assignments.moves.Take(c.now, 1)
-	m.RedirectedAt, m.RedirectedTo, m.RedirectedProcess = c.now, owner, process
-	c.observer.MachineRedirected(m.ID, owner)
+	l.assignments.moves.Take(l.controller.env.now, 1)
+	m.RedirectedAt, m.RedirectedTo, m.RedirectedProcess = l.controller.env.now, owner, process
+	l.controller.env.observer.MachineRedirected(m.ID, owner)
 	return owner
 }
 
 // isInContact says whether machines may be sent to a controller now: it is not suspected, and what
 // it passes on reaches us.
 func (l *leadership) isInContact(label string) bool {
-	c, p := l.controller, l.peers[label]
-	if label == c.cfg.Label {
+	p := l.peers[label]
+	if label == l.controller.env.cfg.Label {
 		return true
 	}
-	return p != nil && p.lastHeard > 0 && c.now < p.lastHeard+c.cfg.Lease()/8 && c.detection.detector.TakesWork(label, c.now)
+	return p != nil && p.lastHeard > 0 && l.controller.env.now < p.lastHeard+l.controller.env.cfg.Lease()/8 && l.controller.detection.detector.TakesWork(label, l.controller.env.now)
 }
 
 // routeTo is the way of workers to a controller, and which process that is. A machine that came
@@ -112,5 +110,5 @@
 	if p := l.peers[label]; p != nil {
 		return &p.route, p.incarnation
 	}
-	return &l.assignments.own, l.controller.incarnation
+	return &l.assignments.own, l.controller.env.incarnation
 }
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -69,11 +69,10 @@
 // zone that is in touch with us, or none. A worker that comes back from there
 // can't reach it, and is left alone for a while.
 func (l *leadership) redirectTarget(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
-	c := l.controller
-	if c.detection.enabled() {
+	if l.controller.detection.enabled() {
 		return l.assignedRedirect(m, msg, from)
 	}
-	if from.relay || m.Zone == c.cfg.Zone || m.Zone == "" || msg.Token != l.token || c.now < l.electedAt+c.cfg.Lease()/2 {
+	if from.relay || m.Zone == l.controller.env.cfg.Zone || m.Zone == "" || msg.Token != l.token || l.controller.env.now < l.electedAt+l.controller.env.cfg.Lease()/2 {
 		return ""
 	}
 	to := l.nearestController(m.Zone)
@@ -90,41 +89,41 @@
 		l.onWorkerReturned(m, &p.route)
 		return ""
 	}
-	if c.now < m.NoRedirectUntil || !p.route.accepts(c.now, c.cfg.Report()) {
+	if l.controller.env.now < m.NoRedirectUntil || !p.route.accepts(l.controller.env.now, l.controller.env.cfg.Report()) {
 		return ""
 	}
-	m.RedirectedAt, m.RedirectedProcess = c.now, p.incarnation
+	m.RedirectedAt, m.RedirectedProcess = l.controller.env.now, p.incarnation
 	return to
 }
 
 // onWorkerReturned notes that a worker reports to us again though it was sent to another
 // controller.
 func (l *leadership) onWorkerReturned(m *clusterstate.Machine, way *heartbeatRoute) {
-	c := l.controller
-	if c.now > m.RedirectedAt+3*c.cfg.Lease() {
+	if l.controller.env.now > m.RedirectedAt+3*l.controller.env.cfg.Lease() {
 		m.FailedRedirects = 0 // it was there for long
 	}
-	m.NoRedirectUntil = c.now + c.cfg.Lease()/2<<min(m.FailedRedirects, maxBackoffDoublings)
+	m.NoRedirectUntil = l.controller.env.now + l.controller.env.cfg.Lease()/2<<min(m.FailedRedirects, maxBackoffDoublings)
 	m.FailedRedirects++
 	m.RedirectedAt = 0
-	way.noteReturn(c.now, c.cfg.Lease())
+	way.noteReturn(l.controller.env.now, l.controller.env.cfg.Lease())
 }
 
 // nearestController is the controller of a zone that is in touch with us, if any: of several
 // the one whose next neighbour of the same zone is tried soonest after it.
 func (l *leadership) nearestController(zone string) string {
-	c := l.controller
 	var near []string
-	for _, s := range c.cfg.Siblings {
+	for _, s := range l.controller.env.cfg.Siblings {
 		asked := l.peers[s.Label].lastHeard
-		if s.Zone == zone && asked > 0 && c.now < asked+c.cfg.Lease()/8 {
+		if s.Zone == zone && asked > 0 && l.controller.env.now < asked+l.controller.env.cfg.Lease()/8 {
 			near = append(near, s.Label)
 		}
 	}
 	if len(near) == 0 {
 		return ""
 	}
-	return slices.MinFunc(near, func(a, b string) int { return cmp.Compare(c.controllersBetween(a), c.controllersBetween(b)) })
+	return slices.MinFunc(near, func(a, b string) int {
+		return cmp.Compare(l.controller.env.controllersBetween(a), l.controller.env.controllersBetween(b))
+	})
 }
 
 // noteForwardedBy notes by which controller a report came. Older versions don't tell:
@@ -135,7 +134,7 @@
 		p = l.onlyPeerIn(zone)
 	}
 	if p != nil {
-		p.route.noteForwarded(l.controller.now)
+		p.route.noteForwarded(l.controller.env.now)
 	}
 }
 
@@ -157,10 +156,10 @@
 // controllersBetween is how many controllers a worker tries between this one and the next of
 // the same zone, should it end: they go through them in turn, and each that is
 // cut off costs 4 s of a lease.
-func (c *Controller) controllersBetween(label string) int {
+func (e *environment) controllersBetween(label string) int {
 	type node struct{ label, zone string }
-	all := []node{{c.cfg.Label, c.cfg.Zone}}
-	for _, s := range c.cfg.Siblings {
+	all := []node{{e.cfg.Label, e.cfg.Zone}}
+	for _, s := range e.cfg.Siblings {
 		all = append(all, node{s.Label, s.Zone})
 	}
 	slices.SortFunc(all, func(a, b node) int {
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -210,7 +210,7 @@
 	if got.Status != 200 || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
 		t.Errorf("answered %d with %+v", got.Status, reply)
 	}
-	if l.leaseOnlyReplyAt != l.controller.now {
+	if l.leaseOnlyReplyAt != l.controller.env.now {
 		t.Error("the answer does not count against the proof by time")
 	}
 	report(0)
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -35,7 +35,7 @@
 	// What ended before it could be cancelled is done.
 	j.Finishing, j.Cancelling = true, false
 	l.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
-		l.controller.log.Info("done", "job", uid)
+		l.controller.env.log.Info("done", "job", uid)
 		l.state.Terminal[uid] = clusterstate.TerminalState{Tasks: j.Spec.Tasks}
 		l.completions.releaseJobEntries(j)
 		l.deleteCompletionRecords(j)
--- a/internal/controller/leader_probes.go
+++ b/internal/controller/leader_probes.go
@@ -54,24 +54,24 @@
 // our own connections are refused at once, so are the workers', and each may try. Where they get
 // no answer, a worker waits for it at each controller, which may take longer than its lease: then
 // one goes at a time, and before half the time that a leader may coast only one without tasks.
-func (c *Controller) sendsWorkerToLeader(msg *protocol.WorkerHeartbeat) bool {
-	f := &c.follower
-	t := &f.leaderProbes
-	lease := c.cfg.Lease()
-	if t.noteReturned(msg.Machine, c.now, lease) || c.now < t.next || len(t.sent) >= maxProbingWorkers {
+func (f *follower) sendsWorkerToLeader(msg *protocol.WorkerHeartbeat) bool {
+	contact := &f.contact
+	t := &contact.leaderProbes
+	lease := f.env.cfg.Lease()
+	if t.noteReturned(msg.Machine, f.env.now, lease) || f.env.now < t.next || len(t.sent) >= maxProbingWorkers {
 		return false
 	}
-	refusedSearch := time.Duration(len(c.cfg.Siblings))*heartbeatRetryPause + c.cfg.Report()*5/4
-	if f.connectionRefused && refusedSearch < lease/2 {
-		t.noteSent(msg.Machine, c.now)
+	refusedSearch := time.Duration(len(f.env.cfg.Siblings))*heartbeatRetryPause + f.env.cfg.Report()*5/4
+	if contact.connectionRefused && refusedSearch < lease/2 {
+		t.noteSent(msg.Machine, f.env.now)
 		return true
 	}
-	if t.last > 0 && c.now < t.last+c.workerSearchTime() {
+	if t.last > 0 && f.env.now < t.last+f.env.workerSearchTime() {
 		return false
 	}
-	if len(msg.Tasks) > 0 && c.now < f.leaderLostAt+c.cfg.Coast()/2 {
+	if len(msg.Tasks) > 0 && f.env.now < contact.leaderLostAt+f.env.cfg.Coast()/2 {
 		return false
 	}
-	t.noteSent(msg.Machine, c.now)
+	t.noteSent(msg.Machine, f.env.now)
 	return true
 }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -92,7 +92,7 @@
 	}
 	var out bytes.Buffer
 	for _, n := range w.nodes {
-		n.controller.log = slog.New(slog.NewTextHandler(&out, nil))
+		n.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
 	}
 	w.partZones(refused, 40*second)
 	for range 40 {
@@ -169,7 +169,7 @@
 	core := w.nodes[2].controller
 	sent := func(machine string, tasks int) bool {
 		msg := &protocol.WorkerHeartbeat{Machine: machine, Zone: "b", Token: 1, Tasks: make([]protocol.TaskStatus, tasks)}
-		return !core.renewsLeaseForLeader(msg)
+		return !core.follower.renewsLeaseForLeader(msg)
 	}
 	if sent("i-1", 3) {
 		t.Error("a worker with tasks is sent first")
@@ -181,12 +181,12 @@
 	if sent("i-2", 0) {
 		t.Error("a worker that came back is sent again")
 	}
-	w.run(core.workerSearchTime() + time.Second)
+	w.run(core.env.workerSearchTime() + time.Second)
 	if !sent("i-3", 0) || sent("i-2", 0) {
 		t.Error("the next trial is not made")
 	}
-	w.until(core.cfg.Coast(), "one with tasks is sent", func() bool { return sent("i-1", 3) })
-	if core.now < core.follower.leaderLostAt+core.cfg.Coast()/2 {
+	w.until(core.env.cfg.Coast(), "one with tasks is sent", func() bool { return sent("i-1", 3) })
+	if core.env.now < core.follower.contact.leaderLostAt+core.env.cfg.Coast()/2 {
 		t.Error("a worker with tasks is sent early")
 	}
 }
@@ -202,17 +202,17 @@
 	l := c.leadership
 	m := l.state.AddMachine("i-900000")
 	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.Up = "m8", "b", true, true, true
-	m.LastAnswered, m.TokenAcknowledgedAt, m.LastSeen = c.now-c.cfg.Lease(), c.now-c.cfg.Lease(), c.now
+	m.LastAnswered, m.TokenAcknowledgedAt, m.LastSeen = c.env.now-c.env.cfg.Lease(), c.env.now-c.env.cfg.Lease(), c.env.now
 	p := l.peers[w.cfgs[2].Label]
-	p.lastHeard, p.servedKnownUntil, p.lastServed = c.now, c.now, 0
+	p.lastHeard, p.servedKnownUntil, p.lastServed = c.env.now, c.env.now, 0
 	if !l.cannotReachControllers(m) {
 		t.Fatal("with the zone's controller in touch, its reports are not taken for lost")
 	}
-	p.servedKnownUntil = c.now - c.cfg.Lease()
+	p.servedKnownUntil = c.env.now - c.env.cfg.Lease()
 	if l.cannotReachControllers(m) {
 		t.Error("a heartbeat that was held up passes for touch")
 	}
-	p.servedKnownUntil, p.lastServed = c.now, c.now-c.cfg.Lease()/4
+	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.Lease()/4
 	if l.cannotReachControllers(m) {
 		t.Error("the zone's controller renewed its lease")
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -26,26 +26,27 @@
 	storedRecord leaderRecord
 	gate         *featuregate.Gate
 	gateLogged   gateLog
-	completions  completionRecorder
+	completions  *completionRecorder
 
 	leaseConfirmedAt time.Duration // sending of the last confirmed renewal
 	renewLeaseAt     time.Duration
 	renewalInFlight  bool
 	coasting         bool
 	electedAt        time.Duration // when the election was won
+	ended            bool          // the leadership is over
 	ready            bool          // the ledger is read
 	leaseOnlyReplyAt time.Duration // when a worker was last answered without commands
 	// verifyingLeaseUntil: after a standstill, see suspended.
 	verifyingLeaseUntil time.Duration
 
 	state        *clusterstate.State
-	userRequests userRequests
+	userRequests *userRequests
 
-	attemptNumbers attemptNumbers
+	attemptNumbers *attemptNumbers
 	callLimiter    callLimiter
 	timers         []timer
 
-	reachability reachability
+	reach *reachability
 
 	// What the scheduler keeps.
 	cache        *schedulerCache
@@ -115,36 +116,37 @@
 
 func newLeadership(c *Controller, elected *leaderRecord, version uint64, confirmed time.Duration) *leadership {
 	token := elected.Token
-	l := &leadership{controller: c, token: token, leaseID: elected.LeaseID, storedRecord: *elected, leaseConfirmedAt: confirmed, electedAt: c.now,
-		renewLeaseAt:   c.now + c.cfg.LeaderTTL()/8,
-		state:          clusterstate.New(c.cfg.LayoutBytes(), c.cfg.ValueBytes()),
+	l := &leadership{controller: c, token: token, leaseID: elected.LeaseID, storedRecord: *elected, leaseConfirmedAt: confirmed, electedAt: c.env.now,
+		renewLeaseAt:   c.env.now + c.env.cfg.LeaderTTL()/8,
+		state:          clusterstate.New(c.env.cfg.LayoutBytes(), c.env.cfg.ValueBytes()),
 		arrivals:       map[string]*arrivalHistory{},
 		reservations:   map[string]reservation{},
-		callLimiter:    newCallLimiter(c.cfg.Cluster.Resources),
+		callLimiter:    newCallLimiter(c.env.cfg.Cluster.Resources),
 		searchedJobs:   map[string]bool{},
 		peers:          map[string]*peer{},
 		reconnectedAt:  map[string]time.Duration{},
-		roundAt:        c.now + seconds(c.cfg.Operator.Green.RoundS),
-		fillAt:         c.now + seconds(c.cfg.Operator.Green.FillS),
-		countersAt:     c.now + seconds(c.cfg.Operator.Green.CountersS),
-		accrueAt:       c.now,
+		roundAt:        c.env.now + seconds(c.env.cfg.Operator.Green.RoundS),
+		fillAt:         c.env.now + seconds(c.env.cfg.Operator.Green.FillS),
+		countersAt:     c.env.now + seconds(c.env.cfg.Operator.Green.CountersS),
+		accrueAt:       c.env.now,
 		shortPools:     map[scheduler.Pool]*condition{},
 		assignments:    newAssignments(c),
-		attemptNumbers: attemptNumbers{block: token},
-		failover:       &Failover{Token: token, Elected: c.now},
+		attemptNumbers: &attemptNumbers{block: token},
+		reach: &reachability{},
+		failover:       &Failover{Token: token, Elected: c.env.now},
 	}
 	l.store = l.newStore(version)
 	l.gate = l.newGate()
 	l.completions = l.newCompletionRecorder()
 	l.userRequests = newUserRequests(l)
 	l.pool = l.newPool()
-	for _, t := range c.cfg.Cluster.Teams {
+	for _, t := range c.env.cfg.Cluster.Teams {
 		l.state.Quotas[t.Name] = &scheduler.Quota{
 			Guaranteed: scheduler.Need{Cores: t.Cores, Accel: t.Accelerators},
 			Maximum:    scheduler.Need{Cores: t.CoresMax, Accel: t.AccelMax}}
 	}
 	l.cache = newSchedulerCache(l)
-	for _, s := range c.cfg.Siblings {
+	for _, s := range c.env.cfg.Siblings {
 		l.peers[s.Label] = &peer{zone: s.Zone}
 	}
 	return l
@@ -208,7 +210,7 @@
 	m.Type, m.Zone, m.Spot, m.Addr = rec.Type, rec.Zone, rec.Spot, rec.Addr
 	m.Recorded = true
 	m.Releasing, m.ReleaseStored = rec.Return, rec.Return
-	m.ExistedAt, m.LaunchedAt = l.controller.now, l.controller.now
+	m.ExistedAt, m.LaunchedAt = l.controller.env.now, l.controller.env.now
 	for _, e := range rec.Attempts {
 		j := l.state.Jobs[e.Job]
 		if j == nil {
@@ -217,7 +219,7 @@
 		if e.Index >= j.Spec.Tasks || e.Index < 0 {
 			continue
 		}
-		a := l.state.AddAttempt(m, j, e.Index, e.Number, l.controller.now)
+		a := l.state.AddAttempt(m, j, e.Index, e.Number, l.controller.env.now)
 		a.Durable, a.Loaded, a.Sent = true, true, true
 		l.noteImageUse(m, j)
 		m.Up = true
@@ -228,7 +230,7 @@
 // job that held its slots meanwhile must not look younger than it is and set
 // off stops.
 func (l *leadership) loadCounters(rec clusterstate.Counters) {
-	age := max(0, float64(l.controller.wall-rec.At)/1000)
+	age := max(0, float64(l.controller.env.wall-rec.At)/1000)
 	whole := l.loadedCapacity()
 	for uid, row := range rec.Jobs {
 		j := l.state.Jobs[uid]
@@ -257,7 +259,6 @@
 
 // onStateLoaded starts the work of a leader once the ledger is read.
 func (l *leadership) onStateLoaded() {
-	c := l.controller
 	l.ready, l.loadCapacity = true, nil
 	for _, uid := range sortedKeys(l.state.Jobs) {
 		j := l.state.Jobs[uid]
@@ -285,7 +286,7 @@
 	}
 	l.orphanedCompletions = nil
 	l.completions.logLoaded()
-	c.log.Info("ledger read", "token", l.token, "jobs", len(l.state.Jobs), "terminal", len(l.state.Terminal), "machines", len(l.state.Machines))
+	l.controller.env.log.Info("ledger read", "token", l.token, "jobs", len(l.state.Jobs), "terminal", len(l.state.Terminal), "machines", len(l.state.Machines))
 	l.fillPending = true
 	l.noteStateLoaded()
 }
@@ -312,14 +313,13 @@
 }
 
 func (l *leadership) tick() {
-	c := l.controller
 	l.renewLeaderLease()
-	if c.leadership != l {
+	if l.ended {
 		return
 	}
 	due := l.timers
 	l.timers = nil
-	l.timers = append(runDue(due, c.now), l.timers...)
+	l.timers = append(runDue(due, l.controller.env.now), l.timers...)
 	if !l.ready || l.verifiesLease() {
 		return
 	}
@@ -338,7 +338,7 @@
 
 // afterEvent runs after every message: what piled up leaves.
 func (l *leadership) afterEvent() {
-	if l.controller.leadership != l || !l.ready || l.verifiesLease() {
+	if l.ended || !l.ready || l.verifiesLease() {
 		return
 	}
 	// What is decided while a transaction is under way could only leave with the
@@ -350,7 +350,7 @@
 }
 
 func (l *leadership) machineSize(typ string) scheduler.Need {
-	if t, ok := l.controller.typeInfo[typ]; ok {
+	if t, ok := l.controller.catalog.typeInfo[typ]; ok {
 		return scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB}
 	}
 	return scheduler.Need{}
--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -14,33 +14,32 @@
 type poolHost struct{ leader *leadership }
 
 func (l *leadership) newPool() *machinepool.Pool {
-	c := l.controller
-	times := machinepool.Times{Lease: c.cfg.Lease(), ListLag: c.cfg.ListLag(),
-		ListEvery: max(c.cfg.ListLag()/2, seconds(4/c.cfg.Cluster.Cloud.RPS))}
-	return machinepool.New(poolHost{l}, c.log, times, l.token)
+	times := machinepool.Times{Lease: l.controller.env.cfg.Lease(), ListLag: l.controller.env.cfg.ListLag(),
+		ListEvery: max(l.controller.env.cfg.ListLag()/2, seconds(4/l.controller.env.cfg.Cluster.Cloud.RPS))}
+	return machinepool.New(poolHost{l}, l.controller.env.log, times, l.token)
 }
 
 // Now is part of machinepool.Host.
-func (h poolHost) Now() time.Duration { return h.leader.controller.now }
+func (h poolHost) Now() time.Duration { return h.leader.controller.env.now }
 
 // Call is part of machinepool.Host.
 func (h poolHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
-	h.leader.controller.cloudCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
+	h.leader.controller.outbox.cloudCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
 }
 
 // MayCall is part of machinepool.Host.
 func (h poolHost) MayCall() bool {
-	return h.leader.controller.cloudRequests.Has(h.leader.controller.now, 1)
+	return h.leader.controller.outbox.cloudRequests.Has(h.leader.controller.env.now, 1)
 }
 
 // Pause is part of machinepool.Host.
-func (h poolHost) Pause() time.Duration { return h.leader.controller.retryPause() }
+func (h poolHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
 
 // Later is part of machinepool.Host.
 func (h poolHost) Later(at time.Duration, do func()) { h.leader.runAt(at, do) }
 
 // Ended is part of machinepool.Host.
-func (h poolHost) Ended() bool { return h.leader.controller.leadership != h.leader }
+func (h poolHost) Ended() bool { return h.leader.ended }
 
 // Listed is part of machinepool.Host.
 func (h poolHost) Listed(l *protocol.ListedMachine) { h.leader.onListed(l) }
@@ -70,36 +69,34 @@
 
 // Launched is part of machinepool.Host.
 func (h poolHost) Launched(p scheduler.Pool, name string, asked time.Duration) {
-	l := h.leader
-	m := l.state.AddMachine(name)
+	m := h.leader.state.AddMachine(name)
 	m.Type, m.Zone, m.Spot = p.Type, p.Zone, p.Spot
-	m.Size = l.machineSize(m.Type)
-	m.ExistedAt, m.LaunchedAt = l.controller.now, asked
-	l.storeMachine(m, statestore.Lazy, nil)
+	m.Size = h.leader.machineSize(m.Type)
+	m.ExistedAt, m.LaunchedAt = h.leader.controller.env.now, asked
+	h.leader.storeMachine(m, statestore.Lazy, nil)
 }
 
 // Short is part of machinepool.Host.
 func (h poolHost) Short(p scheduler.Pool, short bool) {
 	h.leader.onPoolShortage(p, short)
 	if short {
-		h.leader.planAt = h.leader.controller.now
+		h.leader.planAt = h.leader.controller.env.now
 	}
 }
 
 func (l *leadership) onListed(listed *protocol.ListedMachine) {
-	c := l.controller
 	m := l.state.Machines[listed.ID]
 	if m == nil {
 		m = l.state.AddMachine(listed.ID)
-		m.ExistedAt = c.now
-		m.LaunchedAt = c.now - seconds(listed.AgeS)
-		c.log.Info("machine found in the list", "machine", listed.ID, "type", listed.Type, "zone", listed.Zone, "state", listed.State)
+		m.ExistedAt = l.controller.env.now
+		m.LaunchedAt = l.controller.env.now - seconds(listed.AgeS)
+		l.controller.env.log.Info("machine found in the list", "machine", listed.ID, "type", listed.Type, "zone", listed.Zone, "state", listed.State)
 	}
 	if m.Type == "" {
 		m.Type, m.Zone, m.Spot = listed.Type, listed.Zone, listed.Spot
 		m.Size = l.machineSize(m.Type)
 	}
-	if age := c.now - seconds(listed.AgeS); age < m.LaunchedAt {
+	if age := l.controller.env.now - seconds(listed.AgeS); age < m.LaunchedAt {
 		m.LaunchedAt = age
 	}
 	if listed.Addr != "" {
@@ -107,7 +104,7 @@
 	}
 	m.Listed = listed.State == "running"
 	if listed.State == "failed" && !m.Releasing {
-		c.log.Info("machine failed", "machine", m.ID, "tasks", len(m.Attempts))
+		l.controller.env.log.Info("machine failed", "machine", m.ID, "tasks", len(m.Attempts))
 		for _, a := range m.Sorted() {
 			l.removeAttempt(a, machineFailed)
 		}
@@ -120,7 +117,7 @@
 // would be in it.
 func (l *leadership) removeUnlisted(asked time.Duration, seen map[string]bool) {
 	for _, m := range l.sortedMachines() {
-		if !seen[m.ID] && asked > m.ExistedAt+2*l.controller.cfg.ListLag()+l.controller.cfg.ListLag()/5 {
+		if !seen[m.ID] && asked > m.ExistedAt+2*l.controller.env.cfg.ListLag()+l.controller.env.cfg.ListLag()/5 {
 			l.removeMachine(m, machineUnlisted)
 		}
 	}
@@ -131,7 +128,7 @@
 	if l.state.Machines[m.ID] != m {
 		return
 	}
-	l.controller.log.Info("machine gone", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
+	l.controller.env.log.Info("machine gone", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
 	for _, a := range m.Sorted() {
 		l.removeAttempt(a, why)
 	}
@@ -146,7 +143,7 @@
 	if m.Releasing {
 		return
 	}
-	l.controller.log.Info("returning", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "why", why)
+	l.controller.env.log.Info("returning", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "why", why)
 	m.Releasing = true
 	l.storeMachine(m, statestore.Done, func() { m.ReleaseStored = true })
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -26,12 +26,11 @@
 
 // noteImageUse notes that a task of the job has its image on the machine.
 func (l *leadership) noteImageUse(m *clusterstate.Machine, j *clusterstate.Job) {
-	m.UseImage(j.Spec.Image, j.Spec.ImageGB, l.controller.typeInfo[m.Type].CacheGB)
+	m.UseImage(j.Spec.Image, j.Spec.ImageGB, l.controller.catalog.typeInfo[m.Type].CacheGB)
 }
 
 // watchMachines looks at what time alone tells.
 func (l *leadership) watchMachines() {
-	c := l.controller
 	for _, m := range l.sortedMachines() {
 		if m.SpotNotice {
 			l.evacuateBeforeReclaim(m)
@@ -45,7 +44,7 @@
 			}
 		}
 		l.dispatchCommands(m)
-		if c.leadership != l {
+		if l.ended {
 			return
 		}
 		if len(m.Attempts) == 0 && m.Epoch <= m.ExpiredEpoch {
@@ -56,7 +55,7 @@
 		}
 		if m.Seen {
 			m.ExpiredEpoch = m.Epoch
-			c.log.Info("machine is silent, its lease is over", "machine", m.ID, "tasks", len(m.Attempts))
+			l.controller.env.log.Info("machine is silent, its lease is over", "machine", m.ID, "tasks", len(m.Attempts))
 		}
 		m.TokenAcknowledged, m.Probed = false, false
 		for _, a := range m.Sorted() {
@@ -69,13 +68,12 @@
 
 // evacuateBeforeReclaim has tasks with checkpoints saved before the machine is taken.
 func (l *leadership) evacuateBeforeReclaim(m *clusterstate.Machine) {
-	c := l.controller
 	for _, a := range m.Sorted() {
 		s := a.Job.Spec
 		if s.CheckpointS <= 0 {
 			continue
 		}
-		if c.now > m.ReclaimedBy-seconds(s.SaveS)-2*c.cfg.Report()-c.cfg.Lease()/10 {
+		if l.controller.env.now > m.ReclaimedBy-seconds(s.SaveS)-2*l.controller.env.cfg.Report()-l.controller.env.cfg.Lease()/10 {
 			l.requestStop(a, s.SaveS+1, "the machine is taken back")
 		}
 	}
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -10,8 +10,7 @@
 // isLeaseExpired says whether the worker's lease is proved over: nobody can have
 // answered it for that long.
 func (l *leadership) isLeaseExpired(m *clusterstate.Machine) bool {
-	c := l.controller
-	lease := config.Drift(c.cfg.Lease()) + c.cfg.Lease()/50
+	lease := config.Drift(l.controller.env.cfg.Lease()) + l.controller.env.cfg.Lease()/50
 	// An earlier term of our own may have answered it until we were elected.
 	last := max(m.LastAnswered, m.TokenAcknowledgedAt, l.electedAt, l.leaseOnlyReplyAt)
 	for _, p := range l.peers {
@@ -27,10 +26,10 @@
 		if p.firstHeard > 0 {
 			last = max(last, p.firstHeard)
 		} else {
-			last = max(last, l.electedAt+config.Drift(c.cfg.Coast()))
+			last = max(last, l.electedAt+config.Drift(l.controller.env.cfg.Coast()))
 		}
 	}
-	if c.now <= last+lease || m.LastSeen+lease > c.now {
+	if l.controller.env.now <= last+lease || m.LastSeen+lease > l.controller.env.now {
 		return false
 	}
 	for _, p := range l.peers {
@@ -45,7 +44,6 @@
 // silent, those of other zones are not, and a controller of the zone, silent
 // too, may be keeping their leases.
 func (l *leadership) detectPartitions() {
-	c := l.controller
 	type count struct{ up, silent int }
 	zones := map[string]*count{}
 	for _, m := range l.state.Machines {
@@ -58,7 +56,7 @@
 			zones[m.Zone] = z
 		}
 		z.up++
-		if c.now-max(m.LastSeen, l.electedAt) > c.cfg.Lease()*3/10 {
+		if l.controller.env.now-max(m.LastSeen, l.electedAt) > l.controller.env.cfg.Lease()*3/10 {
 			z.silent++
 		}
 	}
@@ -70,7 +68,7 @@
 	for _, p := range l.peers {
 		asked[p.zone] = max(asked[p.zone], p.lastHeard, l.electedAt)
 	}
-	delete(asked, c.cfg.Zone)
+	delete(asked, l.controller.env.cfg.Zone)
 	partitioned := map[string]time.Duration{}
 	for zone, at := range asked {
 		z := zones[zone]
@@ -79,26 +77,26 @@
 		}
 		since, was := l.partitioned[zone]
 		if !was {
-			since = c.now
+			since = l.controller.env.now
 		}
 		// Once partitioned, it stays so until something there is heard, or for as long
 		// as its follower may act: its silent machines may have been returned.
-		if c.now > at+c.cfg.Lease()/4 && z.silent*5 >= z.up*4 &&
-			(was && c.now < since+c.cfg.Coast() || !was && heard && z.silent > 0) {
+		if l.controller.env.now > at+l.controller.env.cfg.Lease()/4 && z.silent*5 >= z.up*4 &&
+			(was && l.controller.env.now < since+l.controller.env.cfg.Coast() || !was && heard && z.silent > 0) {
 			partitioned[zone] = since
 		}
 	}
 	for zone := range partitioned {
 		if _, was := l.partitioned[zone]; !was {
-			c.log.Info("zone is partitioned", "zone", zone, "machines", zones[zone].up)
+			l.controller.env.log.Info("zone is partitioned", "zone", zone, "machines", zones[zone].up)
 		}
 	}
 	for zone := range l.partitioned {
 		if _, is := partitioned[zone]; !is {
-			c.log.Info("zone is no longer partitioned", "zone", zone)
+			l.controller.env.log.Info("zone is no longer partitioned", "zone", zone)
 			// Its workers need a moment to find the leader again: they were once
 			// all returned as silent when a cut had ended.
-			l.reconnectedAt[zone] = c.now
+			l.reconnectedAt[zone] = l.controller.env.now
 		}
 	}
 	l.partitioned = partitioned
@@ -111,14 +109,13 @@
 // longer than a lease. Its machines are returned, as their tasks can go on
 // elsewhere only with the cloud's word.
 func (l *leadership) controllerLost(zone string) bool {
-	c := l.controller
-	if !l.isPartitioned(zone) || c.now < l.electedAt+c.cfg.Lease() {
+	if !l.isPartitioned(zone) || l.controller.env.now < l.electedAt+l.controller.env.cfg.Lease() {
 		return false
 	}
 	controllers, heard, ended := 0, 0, 0
 	// Those that ended with that leader started about when we were elected, or
 	// later; an end some time before the cut is no sign.
-	with := l.electedAt - c.cfg.Lease()/4
+	with := l.electedAt - l.controller.env.cfg.Lease()/4
 	if with < 0 {
 		ended++ // we ended ourselves
 	}
@@ -142,7 +139,7 @@
 	// lease. Where it does not, its workers found their controller again, which
 	// renews leases for the leader: the machines of a zone of 158 were once returned
 	// with all that ran on them.
-	if c.workerSearchTime() <= c.cfg.Lease() {
+	if l.controller.env.workerSearchTime() <= l.controller.env.cfg.Lease() {
 		return false
 	}
 	for _, m := range l.state.Machines {
@@ -155,8 +152,8 @@
 
 // workerSearchTime is how long a worker may need to go through all the other controllers
 // when none of them answers.
-func (c *Controller) workerSearchTime() time.Duration {
-	return time.Duration(len(c.cfg.Siblings))*(heartbeatTimeout+heartbeatRetryPause) + c.cfg.Report()*5/4
+func (e *environment) workerSearchTime() time.Duration {
+	return time.Duration(len(e.cfg.Siblings))*(heartbeatTimeout+heartbeatRetryPause) + e.cfg.Report()*5/4
 }
 
 // isPartitioned says whether the zone is cut off.
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -2,6 +2,23 @@
 
 import "time"
 
+// pauseRecovery detects that the process was paused, and tracks whether it has heard of anybody since.
+type pauseRecovery struct {
+	controller *Controller
+	detection  *failureDetection
+	election   *election
+	env        *environment
+	follower   *follower
+	outbox     *outbox
+	pending    *pendingTable
+	preparer   *failoverPreparer
+	relay      *leaderRelay
+
+	// recoveringUntil: the process stood still and has heard of nobody since; until when at most.
+	recoveringUntil time.Duration
+	resumedAt       time.Duration // when it last went on after that
+}
+
 // A process may stand still for seconds while its clocks run on: the machine pauses, or
 // another takes its core. What it believes then is old, and what piled up meanwhile is
 // read at once. So a leader that wakes first asks the state service whether its lease
@@ -10,62 +27,62 @@
 // not listened.
 
 // detectPause looks at how long nothing was handled, and returns true after a standstill.
-func (c *Controller) detectPause(gap time.Duration) bool {
-	if c.now == 0 || gap <= c.cfg.LeaderTTL() {
+func (p *pauseRecovery) detectPause(gap time.Duration) bool {
+	if p.env.now == 0 || gap <= p.env.cfg.LeaderTTL() {
 		return false
 	}
-	c.log.Info("stood still", "seconds", gap.Seconds(), "leads", c.leadership != nil)
-	c.observer.Resumed(gap, c.leadership != nil)
+	p.env.log.Info("stood still", "seconds", gap.Seconds(), "leads", p.controller.leadership != nil)
+	p.env.observer.Resumed(gap, p.controller.leadership != nil)
 	return true
 }
 
 // recoverFromPause has the leadership looked at anew.
-func (c *Controller) recoverFromPause() {
-	if c.detection.enabled() {
-		c.discardStaleDecisions()
+func (p *pauseRecovery) recoverFromPause() {
+	if p.detection.enabled() {
+		p.discardStaleDecisions()
 	}
-	if l := c.leadership; l != nil {
-		l.verifyingLeaseUntil = c.now + c.maxFailoverTime()
-		l.renewalInFlight, l.renewLeaseAt = false, c.now
+	if l := p.controller.leadership; l != nil {
+		l.verifyingLeaseUntil = p.env.now + p.env.maxFailoverTime()
+		l.renewalInFlight, l.renewLeaseAt = false, p.env.now
 		l.renewLeaderLease()
 		return
 	}
-	c.leaderKeys.refresh(c.now)
+	p.election.leaderKeys.refresh(p.env.now)
 }
 
 // discardStaleDecisions forgets what a controller had decided before it stood still: to campaign, to
 // answer workers for a leader that was lost then, to pass on what users still wait for. It
 // takes part in nothing before it has heard of somebody, or for as long as a succession takes.
-func (c *Controller) discardStaleDecisions() {
-	c.recoveringUntil, c.resumedAt = c.now+c.maxFailoverTime(), c.now
-	c.candidate = nil
-	c.preparation = failoverPreparation{}
-	f := &c.follower
-	c.follower = follower{highestToken: f.highestToken, lastServed: f.lastServed, inFlight: f.inFlight, nextAt: c.now}
-	for _, id := range sortedRequests(c.pendingRequests) {
-		waiting := c.pendingRequests[id]
-		delete(c.pendingRequests, id)
-		c.replyUnavailable(waiting.from)
+func (p *pauseRecovery) discardStaleDecisions() {
+	p.recoveringUntil, p.resumedAt = p.env.now+p.env.maxFailoverTime(), p.env.now
+	p.election.candidate = nil
+	p.preparer.preparation = failoverPreparation{}
+	contact := &p.follower.contact
+	p.follower.contact = leaderContact{highestToken: contact.highestToken, lastServed: contact.lastServed, inFlight: contact.inFlight, nextAt: p.env.now}
+	for _, id := range sortedRequests(p.pending.pendingRequests) {
+		waiting := p.pending.pendingRequests[id]
+		delete(p.pending.pendingRequests, id)
+		p.outbox.replyUnavailable(waiting.from)
 	}
-	for _, r := range c.retries {
+	for _, r := range p.relay.retries {
 		if r.request.path == "/forward" {
-			c.replyUnavailable(r.request.from)
+			p.outbox.replyUnavailable(r.request.from)
 		}
 	}
-	c.retries = nil
+	p.relay.retries = nil
 }
 
 // noteAnswer notes the outcome of a request that was sent at a time.
-func (c *Controller) noteAnswer(sent time.Duration, answered bool) {
-	if answered && sent >= c.resumedAt {
-		c.recoveringUntil = 0
+func (p *pauseRecovery) noteAnswer(sent time.Duration, answered bool) {
+	if answered && sent >= p.resumedAt {
+		p.recoveringUntil = 0
 	}
 }
 
 // isRecovering says whether the process stood still and has heard of nobody since.
-func (c *Controller) isRecovering() bool { return c.now < c.recoveringUntil }
+func (p *pauseRecovery) isRecovering() bool { return p.env.now < p.recoveringUntil }
 
 // verifiesLease says whether this leader does not know yet, after a standstill, whether it
 // still is one. Where the state service does not answer at all it goes on as a coasting
 // leader does.
-func (l *leadership) verifiesLease() bool { return l.controller.now < l.verifyingLeaseUntil }
+func (l *leadership) verifiesLease() bool { return l.controller.env.now < l.verifyingLeaseUntil }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -47,26 +47,24 @@
 // probesReachability says whether a machine is asked for a sign of life, as others did not
 // answer though they are there: one that lately reported by another controller.
 func (l *leadership) probesReachability(m *clusterstate.Machine) bool {
-	c := l.controller
-	if l.reachability.missedMachines[m.ID] || !m.TokenAcknowledged || c.now >= m.LastSeen+2*c.cfg.Report() {
+	if l.reach.missedMachines[m.ID] || !m.TokenAcknowledged || l.controller.env.now >= m.LastSeen+2*l.controller.env.cfg.Report() {
 		return false
 	}
-	return len(l.reachability.missedMachines) > 0 && c.now > l.reachability.reachedAt+c.cfg.Lease()/20 || l.samplesReachability()
+	return len(l.reach.missedMachines) > 0 && l.controller.env.now > l.reach.reachedAt+l.controller.env.cfg.Lease()/20 || l.samplesReachability()
 }
 
 // samplesReachability says whether one more machine is asked for a sign of life because none has given
 // any directly for a while: a leader that had nothing to say to its workers did not notice that it
 // couldn't reach them, and those that reported to it lost their leases.
 func (l *leadership) samplesReachability() bool {
-	c := l.controller
-	if !c.detection.enabled() || c.now <= l.reachability.reachedAt+c.cfg.Lease()/10 {
+	if !l.controller.detection.enabled() || l.controller.env.now <= l.reach.reachedAt+l.controller.env.cfg.Lease()/10 {
 		return false
 	}
-	if c.now > l.reachability.sampledAt+c.cfg.Lease()/20 {
-		l.reachability.sampledAt, l.reachability.samples = c.now, 0
+	if l.controller.env.now > l.reach.sampledAt+l.controller.env.cfg.Lease()/20 {
+		l.reach.sampledAt, l.reach.samples = l.controller.env.now, 0
 	}
-	l.reachability.samples++
-	return l.reachability.samples <= minMissedMachines
+	l.reach.samples++
+	return l.reach.samples <= minMissedMachines
 }
 
 // cannotReachWorkers says whether the workers are there for others and not for us.
@@ -74,8 +72,8 @@
 	// Several machines that hear no answer may be missed at once while there was nothing to say to
 	// others: those that can be reached answer a probe well within a twentieth of a
 	// lease. Once it has stepped down, others have had their chance.
-	return len(l.reachability.missedMachines) >= minMissedMachines && l.controller.now > l.reachability.reachedAt+l.controller.cfg.Lease()/10 &&
-		l.controller.now > l.reachability.suspectAt+l.controller.cfg.Lease()/20 && l.controller.now >= l.controller.electionBackoffUntil
+	return len(l.reach.missedMachines) >= minMissedMachines && l.controller.env.now > l.reach.reachedAt+l.controller.env.cfg.Lease()/10 &&
+		l.controller.env.now > l.reach.suspectAt+l.controller.env.cfg.Lease()/20 && l.controller.env.now >= l.controller.election.electionBackoffUntil
 }
 
 // minMissedMachines is how many machines have to be missed before a leader gives up: one
@@ -85,20 +83,19 @@
 // stepDown ends the leadership and its lease, so that another controller takes
 // over at once. This one stands back as long as the others have a chance to.
 func (l *leadership) stepDown() {
-	c := l.controller
-	c.log.Info("stepping down: workers answer others, not us", "token", l.token, "machines", len(l.reachability.missedMachines))
-	c.electionBackoffUntil = c.now + 4*c.cfg.Lease()
-	c.leaderKeys.revokedLease = l.leaseID
-	c.endLeadership("it can't reach the workers")
-	c.revokeLease(l.leaseID)
+	l.controller.env.log.Info("stepping down: workers answer others, not us", "token", l.token, "machines", len(l.reach.missedMachines))
+	l.controller.election.electionBackoffUntil = l.controller.env.now + 4*l.controller.env.cfg.Lease()
+	l.controller.election.leaderKeys.revokedLease = l.leaseID
+	l.controller.endLeadership("it can't reach the workers")
+	l.controller.outbox.revokeLease(l.leaseID)
 }
 
 // revokeLease gives a lease back, if that can be done.
-func (c *Controller) revokeLease(lease uint64) {
-	c.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, c.cfg.LeaderTTL()/2, func(Result) {})
+func (o *outbox) revokeLease(lease uint64) {
+	o.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, o.env.cfg.LeaderTTL()/2, func(Result) {})
 }
 
 // backsOffElection says whether this controller leaves the leadership to others.
-func (c *Controller) backsOffElection() bool {
-	return c.now < c.electionBackoffUntil && c.now < c.leaderKeys.leaderlessSince+c.cfg.Lease()/5
+func (e *election) backsOffElection() bool {
+	return e.env.now < e.electionBackoffUntil && e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.Lease()/5
 }
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -13,8 +13,8 @@
 	onRunning(m *clusterstate.Machine, a *clusterstate.Attempt)
 	// adoptUnknownAttempt takes a task that the ledger does not have there; nil: nothing is known of it at all.
 	adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt
-	// removeAttempt takes an attempt that is proved to be no longer on the machine.
-	removeAttempt(a *clusterstate.Attempt, why absenceProof)
+	// onAbsent takes an attempt that is proved to be no longer on the machine.
+	onAbsent(a *clusterstate.Attempt, why absenceProof)
 }
 
 // reconciliation sets the newest message of a machine against what the ledger has there.
@@ -69,7 +69,7 @@
 	}
 	for _, a := range r.machine.Sorted() {
 		if !r.reported[a.Key()] && a.Sent && r.provesAbsence(a) {
-			r.handler.removeAttempt(a, absentFromHeartbeat)
+			r.handler.onAbsent(a, absentFromHeartbeat)
 		}
 	}
 }
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -25,7 +25,7 @@
 	return nil
 }
 
-func (n *notedOutcomes) removeAttempt(a *clusterstate.Attempt, _ absenceProof) {
+func (n *notedOutcomes) onAbsent(a *clusterstate.Attempt, _ absenceProof) {
 	n.gones = append(n.gones, a.Key().Task)
 }
 
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -9,6 +9,18 @@
 	"claybarrow/internal/protocol"
 )
 
+// leaderRelay passes requests on to the leader, directly or by a controller that reaches it.
+type leaderRelay struct {
+	controller *Controller
+	detection  *failureDetection
+	env        *environment
+	follower   *follower
+	outbox     *outbox
+	pending    *pendingTable
+
+	retries []retry
+}
+
 // Users' requests and workers' reports go to the leader. While it is suspected because we don't
 // reach it, and another controller does, they go by that one: one hop, never more. A connection
 // that could not be made is tried once more after a short pause, spread so that controllers
@@ -41,15 +53,15 @@
 }
 
 // sendToLeader sends a request to the leader by the way that is known to work.
-func (c *Controller) sendToLeader(q *leaderRequest) {
+func (r *leaderRelay) sendToLeader(q *leaderRequest) {
 	to, relay := q.leader, q.relay
-	if via := c.relayPath(q); via != "" {
+	if via := r.relayPath(q); via != "" {
 		to, relay.To = via, q.leader
-		c.observer.Rerouted()
+		r.env.observer.Rerouted()
 	}
 	body := protocol.EncodePeer(relay)
-	c.call(ToPeer, c.peerAddr(to), "POST", q.path, body, q.deadline-c.now, func(res Result) {
-		if res.Status == 0 && res.ConnectionFailed && c.scheduleRetry(q) {
+	r.outbox.call(ToPeer, r.env.peerAddr(to), "POST", q.path, body, q.deadline-r.env.now, func(res Result) {
+		if res.Status == 0 && res.ConnectionFailed && r.scheduleRetry(q) {
 			return
 		}
 		q.then(res)
@@ -58,79 +70,79 @@
 
 // relayPath is the controller that reaches the leader, while we don't; "": the direct way is as
 // good as any.
-func (c *Controller) relayPath(q *leaderRequest) string {
-	if !c.detection.enabled() || q.relay.To != "" || q.from.relay {
+func (r *leaderRelay) relayPath(q *leaderRequest) string {
+	if !r.detection.enabled() || q.relay.To != "" || q.from.relay {
 		return "" // what came by another controller goes on directly or not at all
 	}
-	via, _ := c.detection.detector.Way(q.leader)
+	via, _ := r.detection.detector.Way(q.leader)
 	return via
 }
 
 // scheduleRetry has a request sent once more, if there is time; false: there is not.
-func (c *Controller) scheduleRetry(q *leaderRequest) bool {
-	at := c.now + c.retryPause()
-	if !c.detection.enabled() || q.retried || c.leadership != nil || at >= q.deadline {
+func (r *leaderRelay) scheduleRetry(q *leaderRequest) bool {
+	at := r.env.now + r.env.retryPause()
+	if !r.detection.enabled() || q.retried || r.controller.leadership != nil || at >= q.deadline {
 		return false
 	}
 	q.retried = true
-	c.observer.Retried()
-	c.retries = append(c.retries, retry{at: at, request: q})
+	r.env.observer.Retried()
+	r.retries = append(r.retries, retry{at: at, request: q})
 	return true
 }
 
 // runRetries sends what is due once more. One whose time is over meanwhile is given up.
-func (c *Controller) runRetries() {
-	due := c.retries
-	c.retries = nil
-	for _, r := range due {
+func (r *leaderRelay) runRetries() {
+	due := r.retries
+	r.retries = nil
+	for _, next := range due {
 		switch {
-		case c.now < r.at:
-			c.retries = append(c.retries, r)
-		case c.now >= r.request.deadline || c.leadership != nil:
-			r.request.then(Result{})
+		case r.env.now < next.at:
+			r.retries = append(r.retries, next)
+		case r.env.now >= next.request.deadline || r.controller.leadership != nil:
+			next.request.then(Result{})
 		default:
-			c.sendToLeader(r.request)
+			r.sendToLeader(next.request)
 		}
 	}
 }
 
 // relayToLeader passes a request on and answers it, at the latest when its time is over.
-func (c *Controller) relayToLeader(from requester, leader, path string, relay protocol.Relay) {
-	if c.peerAddr(leader) == "" || c.isUnreachable(leader) || len(c.pendingRequests) >= c.cfg.Cluster.Resources.FDs/2 {
-		c.replyUnavailable(from)
+func (r *leaderRelay) relayToLeader(from requester, leader, path string, relay protocol.Relay) {
+	if r.env.peerAddr(leader) == "" || r.isUnreachable(leader) || len(r.pending.pendingRequests) >= r.env.cfg.Cluster.Resources.FDs/2 {
+		r.outbox.replyUnavailable(from)
 		return
 	}
-	c.pendingRequests[from.id] = &pendingRequest{from: from, deadline: c.now + decisionTimeout}
-	c.sendToLeader(&leaderRequest{from: from, leader: leader, path: path, relay: relay, deadline: c.now + relayTimeout, then: func(res Result) {
-		if c.pendingRequests[from.id] == nil {
+	r.pending.pendingRequests[from.id] = &pendingRequest{from: from, deadline: r.env.now + decisionTimeout}
+	r.sendToLeader(&leaderRequest{from: from, leader: leader, path: path, relay: relay, deadline: r.env.now + relayTimeout, then: func(res Result) {
+		if r.pending.pendingRequests[from.id] == nil {
 			return
 		}
-		delete(c.pendingRequests, from.id)
+		delete(r.pending.pendingRequests, from.id)
 		reply, ok := readRelayReply(res)
 		if !ok {
-			c.replyUnavailable(from)
+			r.outbox.replyUnavailable(from)
 			return
 		}
-		c.reply(from, reply.Status, reply.Body, reply.RetryAfter)
+		r.outbox.reply(from, reply.Status, reply.Body, reply.RetryAfter)
 	}})
 }
 
 // isUnreachable says whether a controller is dead to us and to all that we asked: waiting for its
 // answer would be in vain.
-func (c *Controller) isUnreachable(label string) bool {
-	if c.peerState(label) != membership.Dead {
+func (r *leaderRelay) isUnreachable(label string) bool {
+	if r.detection.peerState(label) != membership.Dead {
 		return false
 	}
-	_, reached := c.detection.detector.Way(label)
+	_, reached := r.detection.detector.Way(label)
 	return !reached
 }
 
 // forwardRelay sends a request on to the leader for a controller that does not reach it. It is not
 // sent on a second time.
-func (c *Controller) forwardRelay(from requester, q Request, relay protocol.Relay) {
-	leader := c.leaderLabel()
-	if !c.detection.enabled() || relay.To == "" || relay.To != leader || leader == c.cfg.Label {
-		c.replyUnavailable(from)
+func (r *leaderRelay) forwardRelay(from requester, q Request, relay protocol.Relay) {
+	leader := r.follower.leaderLabel()
+	if !r.detection.enabled() || relay.To == "" || relay.To != leader || leader == r.env.cfg.Label {
+		r.outbox.replyUnavailable(from)
 		return
 	}
 	relay.To = ""
@@ -138,7 +150,7 @@
 	if q.Op == OpForwardedHeartbeat {
 		path = "/forward"
 	}
-	c.relayToLeader(from, leader, path, relay)
+	r.relayToLeader(from, leader, path, relay)
 }
 
 // readRelayReply reads the leader's answer to what was passed on.
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -12,7 +12,7 @@
 func (l *leadership) scaleIn(needed map[string]bool) {
 	look := l.newScaleInPass(needed)
 	for _, m := range l.sortedMachines() {
-		if m.Releasing || l.controller.machineType(m.Type) == nil {
+		if m.Releasing || l.controller.catalog.machineType(m.Type) == nil {
 			continue
 		}
 		if why := look.releaseReason(m); why != "" {
@@ -37,7 +37,7 @@
 	for _, m := range l.state.Machines {
 		if m.Up && !m.Releasing && !l.isPartitioned(m.Zone) {
 			up++
-			if l.silentFor(m) > l.controller.cfg.Lease()*2/5 {
+			if l.silentFor(m) > l.controller.env.cfg.Lease()*2/5 {
 				silent++
 			}
 		}
@@ -53,11 +53,11 @@
 // releaseReason is why a machine is returned now, or "" if it stays; what keeps it for now is
 // noted as use of it.
 func (p *scaleInPass) releaseReason(m *clusterstate.Machine) string {
-	l, now := p.leader, p.leader.controller.now
+	now := p.leader.controller.env.now
 	switch {
 	case p.controllerLost[m.Zone] && len(m.Attempts) > 0:
 		return "its zone is cut off and the controller there has ended"
-	case l.isPartitioned(m.Zone) && m.Up:
+	case p.leader.isPartitioned(m.Zone) && m.Up:
 		// Its follower may be keeping its tasks alive. Even without one, what
 		// must be spread waits for this zone, and for a cut's length a
 		// machine with its images is worth more than a new one.
@@ -69,7 +69,7 @@
 	if why := p.silentReleaseReason(m); why != "" {
 		return why
 	}
-	if l.silentFor(m) > l.controller.cfg.Lease()*2/5 {
+	if p.leader.silentFor(m) > p.leader.controller.env.cfg.Lease()*2/5 {
 		// Hanging or cut off, it may come back with its images; a dead one is
 		// soon called failed by the cloud. It was once returned as idle when
 		// its lease was over, seconds before it would have come back.
@@ -81,37 +81,36 @@
 
 // bootingReleaseReason is why a machine that is not up is returned.
 func (p *scaleInPass) bootingReleaseReason(m *clusterstate.Machine) string {
-	l, c := p.leader, p.leader.controller
-	if c.now > max(m.LaunchedAt+seconds(c.machineType(m.Type).BootS*longestBoot), l.electedAt+c.cfg.Lease()/2) {
+	if p.leader.controller.env.now > max(m.LaunchedAt+seconds(p.leader.controller.catalog.machineType(m.Type).BootS*longestBoot), p.leader.electedAt+p.leader.controller.env.cfg.Lease()/2) {
 		// Not at once after a take-over: idle machines that have long been up have
 		// no record, and asking thousands takes a while (scale run, 5,500
 		// workers: 107 were returned within the first second).
 		return "did not come up"
 	}
 	if p.needed[m.ID] || m.IdleSince == 0 {
-		m.IdleSince = c.now
+		m.IdleSince = p.leader.controller.env.now
 	}
 	return ""
 }
 
 // silentReleaseReason is why a machine that does not answer is returned.
 func (p *scaleInPass) silentReleaseReason(m *clusterstate.Machine) string {
-	l, lease := p.leader, p.leader.controller.cfg.Lease()
+	lease := p.leader.controller.env.cfg.Lease()
 	switch {
-	case !p.manySilent && l.isUnreachable(m, p.zonesHeardSince) && l.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
+	case !p.manySilent && p.leader.isUnreachable(m, p.zonesHeardSince) && p.leader.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
 		return "no connection to it, while its zone is heard"
-	case !p.manySilent && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && l.silentFor(m) > lease/2:
+	case !p.manySilent && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && p.leader.silentFor(m) > lease/2:
 		// After a take-over the proof by time is far away, and the cloud's
 		// word that the machine is gone comes sooner. A machine that this
 		// leader did hear is left alone: cut off or hanging, its tasks go
 		// on until its lease ends, and it may come back.
 		return "not heard since the take-over"
-	case m.UnseenAnswers > 2 && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && len(m.Attempts) > 0 && l.controller.now > l.electedAt+lease:
+	case m.UnseenAnswers > 2 && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && len(m.Attempts) > 0 && p.leader.controller.env.now > p.leader.electedAt+lease:
 		// It reports and never shows our token: it hears no answer, so its
 		// lease is over, but no message of it can prove that what an earlier
 		// leader started there is gone.
 		return "it has not heard us since the take-over"
-	case !p.manySilent && m.FailedCalls > 0 && l.silentFor(m) > 3*lease:
+	case !p.manySilent && m.FailedCalls > 0 && p.leader.silentFor(m) > 3*lease:
 		return "silent"
 	}
 	return ""
@@ -119,16 +118,15 @@
 
 // idleReleaseReason is why a machine that answers is returned.
 func (p *scaleInPass) idleReleaseReason(m *clusterstate.Machine) string {
-	c := p.leader.controller
-	boot := seconds(c.machineType(m.Type).BootS)
+	boot := seconds(p.leader.controller.catalog.machineType(m.Type).BootS)
 	switch {
 	case len(m.Attempts) > 0 || p.needed[m.ID]:
-		m.IdleSince = c.now
+		m.IdleSince = p.leader.controller.env.now
 	case m.Faults.Faulty:
 		return "faulty"
-	case c.now < m.DrainUntil:
+	case p.leader.controller.env.now < m.DrainUntil:
 		return "emptied"
-	case c.now > m.IdleSince+time.Duration(float64(boot)*c.cfg.Operator.Fleet.IdleRatio):
+	case p.leader.controller.env.now > m.IdleSince+time.Duration(float64(boot)*p.leader.controller.env.cfg.Operator.Fleet.IdleRatio):
 		return "idle"
 	}
 	return ""
@@ -140,7 +138,7 @@
 // much sooner than its lease; hanging machines take connections, and are left
 // alone, as they may go on within their lease.
 func (l *leadership) isUnreachable(m *clusterstate.Machine, heardByZone map[string]time.Duration) bool {
-	return m.ConnectionFailed && m.FailedCalls > 1 && len(l.reachability.missedMachines) == 0 && !l.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt &&
+	return m.ConnectionFailed && m.FailedCalls > 1 && len(l.reach.missedMachines) == 0 && !l.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt &&
 		l.restartsQuickly(m)
 }
 
@@ -174,12 +172,12 @@
 // a lease. The machine may only be cut off, and come back with them: a wrong guess
 // costs the fetch, a right one gains the rest of the lease.
 func (l *leadership) restartsQuickly(m *clusterstate.Machine) bool {
-	t := l.controller.machineType(m.Type)
+	t := l.controller.catalog.machineType(m.Type)
 	if t == nil {
 		return false
 	}
 	for _, a := range m.Attempts {
-		if s := a.Job.Spec; s.Service && s.ImageGB > t.FetchGBPerS*l.controller.cfg.Lease().Seconds() {
+		if s := a.Job.Spec; s.Service && s.ImageGB > t.FetchGBPerS*l.controller.env.cfg.Lease().Seconds() {
 			return false
 		}
 	}
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -70,16 +70,16 @@
 	b.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
 	c := New(slopeConfig(b, workers), rand.New(rand.NewPCG(1, 1)), log)
-	c.now, c.wall = time.Hour, 1_700_000_000_000
+	c.env.now, c.env.wall = time.Hour, 1_700_000_000_000
 	for _, t := range []protocol.MachineType{
 		{Name: "m16", Cores: 16, MemoryGB: 64, CacheGB: 400, FetchGBPerS: 2, Price: 1, SpotPrice: 0.4, BootS: 35, Zones: []string{"a", "b", "c"}},
 		{Name: "g64", Cores: 64, Accelerators: 8, MemoryGB: 384, CacheGB: 400, FetchGBPerS: 2, Price: 20, SpotPrice: 8, BootS: 45, Zones: []string{"a", "b", "c"}},
 	} {
-		c.typeInfo[t.Name] = t
-		c.types = append(c.types, &scheduler.Type{Name: t.Name, Size: scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
+		c.catalog.typeInfo[t.Name] = t
+		c.catalog.types = append(c.catalog.types, &scheduler.Type{Name: t.Name, Size: scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
 			Price: t.Price, SpotPrice: t.SpotPrice, Zones: t.Zones, BootS: t.BootS, FetchGBPerS: t.FetchGBPerS})
 	}
-	l := newLeadership(c, &leaderRecord{Token: 1, LeaseID: 1}, 1, c.now)
+	l := newLeadership(c, &leaderRecord{Token: 1, LeaseID: 1}, 1, c.env.now)
 	l.ready = true
 	c.leadership = l
 	f := &slopeFleet{core: c, term: l, random: rand.New(rand.NewPCG(2, 2))}
@@ -94,16 +94,16 @@
 		list.Machines = append(list.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, State: "running"})
 	}
 	f.term.pool = f.term.newPool()
-	f.core.cloudRequests.Refill()
+	f.core.outbox.cloudRequests.Refill()
 	f.term.pool.Tick()
-	for _, e := range f.core.effects {
+	for _, e := range f.core.outbox.effects {
 		if call, isCall := e.(Call); isCall && strings.HasPrefix(call.Path, "/machines?") {
-			then := f.core.calls[call.ID]
-			delete(f.core.calls, call.ID)
+			then := f.core.outbox.calls[call.ID]
+			delete(f.core.outbox.calls, call.ID)
 			then(Result{ID: call.ID, Status: 200, Body: protocol.Encode(list)})
 		}
 	}
-	f.core.effects = f.core.effects[:0]
+	f.core.outbox.effects = f.core.outbox.effects[:0]
 }
 
 // newSlopeFleet is a leader whose fleet is busy: each machine has about ten tasks, every
@@ -111,7 +111,7 @@
 func newSlopeFleet(b *testing.B, workers int) *slopeFleet {
 	b.Helper()
 	f := newSlopeLeader(b, workers)
-	teams := len(f.core.cfg.Cluster.Teams)
+	teams := len(f.core.env.cfg.Cluster.Teams)
 	for i := range workers {
 		f.addMachine(i)
 	}
@@ -140,7 +140,7 @@
 	m.Zone, m.Addr = string(rune('a'+i%3)), "10.1.0.1:1"
 	m.Size = f.term.machineSize(m.Type)
 	m.Seen, m.TokenAcknowledged, m.Up, m.Listed, m.Recorded, m.Epoch, m.Token = true, true, true, true, true, 1, 1
-	m.LastSeen, m.LastAnswered, m.TokenAcknowledgedAt, m.Probed = f.core.now, f.core.now, f.core.now, true
+	m.LastSeen, m.LastAnswered, m.TokenAcknowledgedAt, m.Probed = f.core.env.now, f.core.env.now, f.core.env.now, true
 	m.UseImage(fmt.Sprintf("img-%02d", i%12), 5, 400)
 }
 
@@ -149,14 +149,14 @@
 	spec := &protocol.Spec{UID: uid, Class: []string{"web", "scoring"}[i%2], Team: fmt.Sprintf("team-%d", team), Service: service, Priority: protocol.Normal,
 		Tasks: slopeTasksPerJob, Cores: need.Cores, Accelerators: need.Accel, MemoryGB: need.Mem, Image: fmt.Sprintf("img-%02d", i%12), ImageGB: 5,
 		Spread: service && need.Accel == 0, CheckpointS: 15, SaveS: 3, EstimateS: 90}
-	job := f.term.state.AddJob(spec, f.core.wall-int64(i%3600)*1000)
+	job := f.term.state.AddJob(spec, f.core.env.wall-int64(i%3600)*1000)
 	job.Stored = true
 	return job
 }
 
 // run puts a task on a machine, as one that has run for a while.
 func (f *slopeFleet) run(job *clusterstate.Job, index int, m *clusterstate.Machine) {
-	a := f.term.state.AddAttempt(m, job, index, f.term.nextAttemptNumber(), f.core.now-time.Minute)
+	a := f.term.state.AddAttempt(m, job, index, f.term.attemptNumbers.take(), f.core.env.now-time.Minute)
 	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
 	a.SetState(protocol.Running)
 	f.tasks = append(f.tasks, a)
@@ -189,24 +189,24 @@
 // the fleet as it would be.
 func (f *slopeFleet) settleStarts() {
 	for {
-		f.core.effects = f.core.effects[:0]
-		f.core.stateChanges.Refill()
-		f.core.stateRequests.Refill()
+		f.core.outbox.effects = f.core.outbox.effects[:0]
+		f.core.outbox.stateChanges.Refill()
+		f.core.outbox.stateRequests.Refill()
 		f.term.flush()
 		if !f.answerTransaction() {
 			break
 		}
 	}
-	f.core.effects = f.core.effects[:0]
-	clear(f.core.calls)
+	f.core.outbox.effects = f.core.outbox.effects[:0]
+	clear(f.core.outbox.calls)
 }
 
 // answerTransaction has the transaction that just left apply; false: there is none.
 func (f *slopeFleet) answerTransaction() bool {
-	for _, e := range f.core.effects {
+	for _, e := range f.core.outbox.effects {
 		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
 			f.revision++
-			f.core.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TxnReply{Revision: f.revision})})
+			f.core.outbox.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TxnReply{Revision: f.revision})})
 			return true
 		}
 	}
@@ -338,7 +338,7 @@
 			for _, a := range f.tasks {
 				a.StopRequested, a.Machine.DrainUntil = false, 0
 			}
-			f.core.effects = f.core.effects[:0]
+			f.core.outbox.effects = f.core.outbox.effects[:0]
 			b.StartTimer()
 		}
 	})
@@ -365,7 +365,7 @@
 		for b.Loop() {
 			f.term.planScaling()
 			b.StopTimer()
-			f.core.effects = f.core.effects[:0]
+			f.core.outbox.effects = f.core.outbox.effects[:0]
 			f.freshPool()
 			b.StartTimer()
 		}
@@ -401,7 +401,7 @@
 		l.fillAt, l.roundAt, l.planAt = 1<<60, 1<<60, 1<<60
 		f.keepBusy() // no fill: that is measured by itself
 		list := l.sortedMachines()
-		at := Clock{Steady: f.core.now, Wall: f.core.wall}
+		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
 		n, bytes := 0, 0
 		b.ResetTimer()
 		for b.Loop() {
@@ -456,12 +456,12 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.keepBusy()
-		at := Clock{Steady: f.core.now, Wall: f.core.wall}
+		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
 			n++
-			clear(f.core.pendingRequests)
+			clear(f.core.pending.pendingRequests)
 			f.core.Handle(at, Request{ID: uint64(n), Op: OpSubmit, Body: slopeSubmission(n)})
 		}
 	})
@@ -471,7 +471,7 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.keepBusy()
-		at := Clock{Steady: f.core.now, Wall: f.core.wall}
+		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
 		b.ResetTimer()
 		for b.Loop() {
 			f.core.Handle(at, Request{ID: 1, Op: OpPoll, UID: "j-00000001"})
@@ -484,13 +484,13 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.keepBusy()
-		at := Clock{Steady: f.core.now, Wall: f.core.wall}
+		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
 			f.core.Handle(at, Request{ID: uint64(n + 1), Op: OpCancel, UID: fmt.Sprintf("j-%08d", n)})
 			n++
-			clear(f.core.pendingRequests)
+			clear(f.core.pending.pendingRequests)
 		}
 	})
 }
@@ -507,8 +507,8 @@
 		for b.Loop() {
 			b.StopTimer()
 			f.settleStarts()
-			f.core.stateChanges.Refill()
-			for range f.core.cfg.Cluster.State.TxnOps {
+			f.core.outbox.stateChanges.Refill()
+			for range f.core.env.cfg.Cluster.State.TxnOps {
 				l.storeMachine(list[n%len(list)], statestore.Start, nil)
 				n++
 			}
@@ -542,7 +542,7 @@
 			add(clusterstate.MachinePrefix+m.ID, m.Record())
 		}
 		for i, rows := range f.counters() {
-			add(counterKey(i), clusterstate.Counters{At: f.core.wall - 30_000, Jobs: rows})
+			add(counterKey(i), clusterstate.Counters{At: f.core.env.wall - 30_000, Jobs: rows})
 		}
 		bytes := 0
 		for _, it := range items {
@@ -550,7 +550,7 @@
 		}
 		b.ResetTimer()
 		for b.Loop() {
-			l := newLeadership(f.core, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.core.now)
+			l := newLeadership(f.core, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.core.env.now)
 			for _, it := range items {
 				l.store.Loaded(it.Key, it.Version)
 				if err := l.loadRecord(it); err != nil {
@@ -559,7 +559,7 @@
 			}
 			f.core.leadership = l
 			l.onStateLoaded()
-			f.core.effects = f.core.effects[:0]
+			f.core.outbox.effects = f.core.outbox.effects[:0]
 		}
 		b.ReportMetric(float64(len(items)), "records")
 		b.ReportMetric(float64(bytes), "record-bytes")
@@ -574,21 +574,21 @@
 		list := f.term.sortedMachines()
 		for i, a := range slices.Clone(f.tasks) {
 			if i%3 == 0 {
-				old := f.term.state.AddAttempt(list[(i+7)%len(list)], a.Job, a.Index, 1, f.core.now)
+				old := f.term.state.AddAttempt(list[(i+7)%len(list)], a.Job, a.Index, 1, f.core.env.now)
 				old.Durable, old.Loaded, old.Sent = true, true, true
 			}
 		}
 		b.ResetTimer()
 		for b.Loop() {
 			f.term.onStateLoaded()
-			f.core.effects = f.core.effects[:0]
+			f.core.outbox.effects = f.core.outbox.effects[:0]
 		}
 	})
 }
 
 // counters are the stored counters of the fleet's batches.
 func (f *slopeFleet) counters() []map[string]clusterstate.CounterRow {
-	limit := f.core.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
+	limit := f.core.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
 	batches := []map[string]clusterstate.CounterRow{{}}
 	for _, j := range f.term.state.SortedJobs() {
 		if j.Spec.Service {
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -73,7 +73,7 @@
 func (c *schedulerCache) rebuild() {
 	c.fleet, c.known = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
 	c.listed, c.machines = nil, nil
-	c.types = c.leader.controller.typesGeneration
+	c.types = c.leader.controller.catalog.typesGeneration
 }
 
 // snapshotForFill is what a fill decides from; nil if no job waits or no machine may be used.
@@ -126,18 +126,17 @@
 // snapshotForRound is what a round decides from: all jobs, and what runs. The round must be ended with
 // endRound.
 func (c *schedulerCache) snapshotForRound() *scheduler.Snapshot {
-	l := c.leader
 	out := c.emptySnapshot()
-	claims := l.activeReservations()
+	claims := c.leader.activeReservations()
 	c.syncFleet(out)
-	jobs := make(map[*clusterstate.Job]*scheduler.Job, len(l.state.Jobs))
-	views := make([]scheduler.Job, len(l.state.Jobs)) // one allocation for all
-	for i, j := range l.state.SortedJobs() {
+	jobs := make(map[*clusterstate.Job]*scheduler.Job, len(c.leader.state.Jobs))
+	views := make([]scheduler.Job, len(c.leader.state.Jobs)) // one allocation for all
+	for i, j := range c.leader.state.SortedJobs() {
 		if !j.Stored {
 			continue
 		}
-		waiting, resume := l.waitingTasks(j)
-		l.updateJobView(&views[i], j, waiting, resume, claims[j.Spec.UID])
+		waiting, resume := c.leader.waitingTasks(j)
+		c.leader.updateJobView(&views[i], j, waiting, resume, claims[j.Spec.UID])
 		if len(waiting) > 0 {
 			views[i].InZone = j.InZone()
 		}
@@ -152,7 +151,7 @@
 	for _, e := range c.machines {
 		if e.inFleet {
 			first := len(running)
-			running = l.appendPreemptible(running, e.machine, jobs)
+			running = c.leader.appendPreemptible(running, e.machine, jobs)
 			e.view.Running = running[first:len(running):len(running)]
 		}
 	}
@@ -168,39 +167,37 @@
 
 // emptySnapshot is an empty snapshot of the fleet.
 func (c *schedulerCache) emptySnapshot() *scheduler.Snapshot {
-	if c.types != c.leader.controller.typesGeneration {
+	if c.types != c.leader.controller.catalog.typesGeneration {
 		c.rebuild()
 	}
-	return &scheduler.Snapshot{Quotas: c.teams, UpperCap: c.leader.controller.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
+	return &scheduler.Snapshot{Quotas: c.teams, UpperCap: c.leader.controller.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
 }
 
 // syncFleet has a snapshot know machines and teams as they are now.
 func (c *schedulerCache) syncFleet(out *scheduler.Snapshot) {
-	l := c.leader
 	c.syncMachineList()
 	c.syncMachines(out)
 	if out.Capacity.Cores == 0 {
-		out.Capacity = l.readyCapacity()
+		out.Capacity = c.leader.readyCapacity()
 	}
-	for name, t := range l.state.Quotas {
+	for name, t := range c.leader.state.Quotas {
 		if c.teams[name] == nil {
 			c.teams[name] = &scheduler.Quota{}
 		}
 		*c.teams[name] = *t
 	}
-	l.reserveServiceQuota(c.teams)
+	c.leader.reserveServiceQuota(c.teams)
 }
 
 // waitingJobs lists those that wait.
 func (c *schedulerCache) waitingJobs(claims map[string]int) []*scheduler.Job {
-	l := c.leader
-	for _, j := range l.state.TakeOpenedJobs() {
+	for _, j := range c.leader.state.TakeOpenedJobs() {
 		c.addWaiting(j)
 	}
 	list, ordered := c.jobViews[:0], c.ordered[:0]
 	for _, j := range c.ordered {
 		kept := c.waiting[j]
-		if l.state.Jobs[j.Spec.UID] != j {
+		if c.leader.state.Jobs[j.Spec.UID] != j {
 			delete(c.waiting, j)
 			continue
 		}
@@ -323,8 +320,7 @@
 
 // syncMachines draws those anew that have changed, and lists the usable ones.
 func (c *schedulerCache) syncMachines(out *scheduler.Snapshot) {
-	l := c.leader
-	now := l.controller.now
+	now := c.leader.controller.env.now
 	list := c.machineViews[:0]
 	for _, e := range c.machines {
 		m := e.machine
@@ -334,12 +330,12 @@
 		if now < m.DrainUntil {
 			out.Moving = out.Moving || movesReplicas(m)
 		}
-		if !l.isSchedulable(m) {
+		if !c.leader.isSchedulable(m) {
 			c.dropMachine(e)
 			continue
 		}
-		if !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size || e.view.ReservedFor != l.reservations[m.ID].job {
-			t := l.controller.machineType(m.Type)
+		if !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size || e.view.ReservedFor != c.leader.reservations[m.ID].job {
+			t := c.leader.controller.catalog.machineType(m.Type)
 			if t == nil {
 				c.dropMachine(e)
 				continue
@@ -376,7 +372,7 @@
 		}
 		if !c.drifted {
 			c.drifted = true
-			c.leader.controller.log.Error("the scheduler's view differs from the ledger", "machine", e.machine.ID)
+			c.leader.controller.env.log.Error("the scheduler's view differs from the ledger", "machine", e.machine.ID)
 		}
 		c.rebuild()
 		return
@@ -387,7 +383,7 @@
 // matchesState says whether a machine that nothing seems to have changed is as the ledger has it.
 func (c *schedulerCache) matchesState(e *cachedMachine) bool {
 	m := e.machine
-	if c.types != c.leader.controller.typesGeneration || !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
+	if c.types != c.leader.controller.catalog.typesGeneration || !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
 		e.view.ReservedFor != c.leader.reservations[m.ID].job {
 		return true // drawn anew at the next fill
 	}
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -103,7 +103,7 @@
 // It is the oracle of that view.
 func (l *leadership) snapshot(running, booting bool) *scheduler.Snapshot {
 	c := l.controller
-	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperCap: c.cfg.Operator.Green.UpperCap, Capacity: l.readyCapacity()}
+	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.readyCapacity()}
 	for name, t := range l.state.Quotas {
 		clone := *t
 		s.Quotas[name] = &clone
@@ -129,11 +129,11 @@
 	}
 	views := make([]scheduler.Machine, 0, len(l.state.Machines)) // one allocation for all
 	for _, m := range l.sortedMachines() {
-		t := c.machineType(m.Type)
+		t := c.catalog.machineType(m.Type)
 		if t == nil {
 			continue
 		}
-		if c.now < m.DrainUntil {
+		if c.env.now < m.DrainUntil {
 			s.Moving = s.Moving || movesReplicas(m)
 		}
 		views = append(views, l.machineView(m, t))
@@ -163,9 +163,9 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	c := w.nodes[lead].controller
 	var logged bytes.Buffer
-	c.log = slog.New(slog.NewTextHandler(&logged, nil))
+	c.env.log = slog.New(slog.NewTextHandler(&logged, nil))
 	l := c.leadership
-	j := l.state.AddJob(&protocol.Spec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.wall)
+	j := l.state.AddJob(&protocol.Spec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
 	j.Stored = true // it waits for ever, so that fills have something to look at
 	l.runFill()
 	if d := differenceOfSnapshots(l); d != "" {
@@ -195,12 +195,12 @@
 	for i := range 4 {
 		m := l.state.AddMachine("i-90000" + string(rune('0'+i)))
 		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", "10.2.0.1:1", l.machineSize("m8")
-		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.now, c.now
+		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
 	}
 	add := func(uid string, change func(*protocol.Spec)) *clusterstate.Job {
 		spec := &protocol.Spec{UID: uid, Class: "web", Team: "red", Tasks: 3, Cores: 8, MemoryGB: 1}
 		change(spec)
-		j := l.state.AddJob(spec, c.wall)
+		j := l.state.AddJob(spec, c.env.wall)
 		j.Stored = true
 		return j
 	}
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -21,7 +21,7 @@
 		}
 	}
 	if n.Cores == 0 {
-		for _, t := range l.controller.types {
+		for _, t := range l.controller.catalog.types {
 			n = n.Plus(t.Size)
 		}
 	}
@@ -62,8 +62,7 @@
 // startableTasks is what may be started now of the tasks that wait: nothing for a while after
 // failures, and one at a time while it is tried whether the job still fails.
 func (l *leadership) startableTasks(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
-	c := l.controller
-	if j.Cancelling || j.Finishing || c.now < j.NotBefore {
+	if j.Cancelling || j.Finishing || l.controller.env.now < j.NotBefore {
 		waiting, resume = nil, 0
 	}
 	if j.Failures.Probing() && j.Gang == nil && len(waiting) > 1 {
@@ -72,7 +71,7 @@
 	if j.ActiveAttempts > 0 || j.Cancelling || j.Finishing {
 		j.WaitingSince = 0
 	} else if j.WaitingSince == 0 {
-		j.WaitingSince = c.now
+		j.WaitingSince = l.controller.env.now
 	}
 	return waiting, resume
 }
@@ -81,7 +80,7 @@
 func (l *leadership) activeReservations() map[string]int {
 	claims := map[string]int{}
 	for id, cl := range l.reservations {
-		if j := l.state.Jobs[cl.job]; j == nil || j.Cancelling || l.controller.now >= cl.until || l.state.Machines[id] == nil {
+		if j := l.state.Jobs[cl.job]; j == nil || j.Cancelling || l.controller.env.now >= cl.until || l.state.Machines[id] == nil {
 			delete(l.reservations, id)
 		} else {
 			claims[cl.job] += cl.tasks
@@ -92,15 +91,14 @@
 
 // updateJobView has a view be of a job as it is now, but for its places by zone.
 func (l *leadership) updateJobView(sj *scheduler.Job, j *clusterstate.Job, waiting []int, resume, claims int) {
-	c := l.controller
 	describeJob(sj, j)
 	sj.Waiting, sj.Resume = waiting, resume
 	sj.AimS = l.waitObjective(j.Spec.Class)
-	sj.Plain = sj.IsPlain(c.types)
+	sj.Plain = sj.IsPlain(l.controller.catalog.types)
 	sj.LeftS, sj.Late = l.deadlineSlack(j)
-	sj.Patient = float64(c.wall-j.Submitted)/1000 > 2*c.longestBootS()
-	sj.Avoid = j.Failures.Avoid(c.now, c.cfg.Cancel())
-	sj.Starved = j.WaitingSince > 0 && c.now > j.WaitingSince+seconds(c.longestBootS())
+	sj.Patient = float64(l.controller.env.wall-j.Submitted)/1000 > 2*l.controller.catalog.longestBootS()
+	sj.Avoid = j.Failures.Avoid(l.controller.env.now, l.controller.env.cfg.Cancel())
+	sj.Starved = j.WaitingSince > 0 && l.controller.env.now > j.WaitingSince+seconds(l.controller.catalog.longestBootS())
 	sj.Reserved = min(claims, len(sj.Waiting))
 }
 
@@ -109,7 +107,7 @@
 	if m.Up || m.Releasing || l.isPartitioned(m.Zone) {
 		return nil
 	}
-	if t := l.controller.machineType(m.Type); t != nil && l.controller.now < m.LaunchedAt+seconds(t.BootS*usualBoots) {
+	if t := l.controller.catalog.machineType(m.Type); t != nil && l.controller.env.now < m.LaunchedAt+seconds(t.BootS*usualBoots) {
 		return t
 	}
 	return nil
@@ -117,7 +115,7 @@
 
 // machineView is a machine as the scheduler sees it, without what is on it.
 func (l *leadership) machineView(m *clusterstate.Machine, t *scheduler.Type) scheduler.Machine {
-	entries := l.controller.cfg.ValueBytes() / clusterstate.EntryBytes
+	entries := l.controller.env.cfg.ValueBytes() / clusterstate.EntryBytes
 	return scheduler.Machine{ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot, Free: m.Size.Minus(m.Used),
 		Room: entries - len(m.Attempts), Used: len(m.Attempts) > 0, ReservedFor: l.reservations[m.ID].job, ImageSet: l.state.ImageSet(m)}
 }
@@ -144,7 +142,7 @@
 func (l *leadership) appendPreemptible(list []scheduler.RunningTask, m *clusterstate.Machine, jobs map[*clusterstate.Job]*scheduler.Job) []scheduler.RunningTask {
 	for _, a := range m.Sorted() {
 		if sj := jobs[a.Job]; sj != nil && !a.StopRequested {
-			list = append(list, scheduler.RunningTask{Job: sj, Index: a.Index, SinceS: (l.controller.now - a.Since).Seconds()})
+			list = append(list, scheduler.RunningTask{Job: sj, Index: a.Index, SinceS: (l.controller.env.now - a.Since).Seconds()})
 		}
 	}
 	return list
@@ -154,12 +152,12 @@
 // arrives in three rounds. Batches that fill a limit to the brim make each new
 // replica wait for a round's stop and a save, and some aims are a second.
 func (l *leadership) reserveServiceQuota(teams map[string]*scheduler.Quota) {
-	window := 4 * l.controller.longestBootS()
+	window := 4 * l.controller.catalog.longestBootS()
 	if window == 0 {
 		return
 	}
-	from := (l.controller.wall - int64(window*1000)) / 1000
-	rounds := 3 * l.controller.cfg.Operator.Green.RoundS / window
+	from := (l.controller.env.wall - int64(window*1000)) / 1000
+	rounds := 3 * l.controller.env.cfg.Operator.Green.RoundS / window
 	for _, a := range l.arrivals {
 		for _, second := range a.recent(from) {
 			for team, need := range second.services {
@@ -174,7 +172,7 @@
 // waitObjective is the shortest waiting time that the users aim at for a class.
 func (l *leadership) waitObjective(class string) float64 {
 	aim := 0.0
-	for _, o := range l.controller.cfg.Cluster.Objectives {
+	for _, o := range l.controller.env.cfg.Cluster.Objectives {
 		if o.Kind == "wait" && o.Class == class && (aim == 0 || o.WithinS < aim) {
 			aim = o.WithinS
 		}
@@ -191,7 +189,7 @@
 	if j.Spec.Service || j.Spec.DeadlineS <= 0 {
 		return left, false
 	}
-	end := float64(l.controller.wall-j.Submitted)/1000 + j.Spec.EstimateS/2
+	end := float64(l.controller.env.wall-j.Submitted)/1000 + j.Spec.EstimateS/2
 	late = true
 	for _, times := range l.deadlineMultiples(j.Spec.Class) {
 		if due := j.Spec.DeadlineS * times; end <= due {
@@ -204,7 +202,7 @@
 // deadlineMultiples are the multiples of a class's deadlines that the users aim at.
 func (l *leadership) deadlineMultiples(class string) []float64 {
 	out := []float64{1}
-	for _, o := range l.controller.cfg.Cluster.Objectives {
+	for _, o := range l.controller.env.cfg.Cluster.Objectives {
 		if o.Kind == "deadline" && o.Class == class && o.Times > 0 {
 			out = append(out, o.Times)
 		}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -11,32 +11,31 @@
 
 // runScheduling is called at every tick.
 func (l *leadership) runScheduling() {
-	c := l.controller
-	g := c.cfg.Operator.Green
+	g := l.controller.env.cfg.Operator.Green
 	l.accrueService()
 	l.userRequests.dropAbandonedSubmissions()
-	if c.now >= l.fillAt {
-		l.fillAt = c.now + seconds(g.FillS)
+	if l.controller.env.now >= l.fillAt {
+		l.fillAt = l.controller.env.now + seconds(g.FillS)
 		l.fillPending = true
 	}
-	if c.now >= l.roundAt && l.fleetReported() {
-		l.roundAt = c.now + seconds(g.RoundS)
+	if l.controller.env.now >= l.roundAt && l.fleetReported() {
+		l.roundAt = l.controller.env.now + seconds(g.RoundS)
 		l.runRound()
 		l.consolidate()
 		l.cache.verify()
 	}
-	if c.now >= l.countersAt {
-		l.countersAt = c.now + seconds(g.CountersS)
+	if l.controller.env.now >= l.countersAt {
+		l.countersAt = l.controller.env.now + seconds(g.CountersS)
 		l.writeCounters()
 	}
-	if c.now >= l.summaryAt {
-		l.summaryAt = c.now + c.cfg.Lease()
+	if l.controller.env.now >= l.summaryAt {
+		l.summaryAt = l.controller.env.now + l.controller.env.cfg.Lease()
 		l.logFleetSummary()
 	}
-	if c.now >= l.planAt {
+	if l.controller.env.now >= l.planAt {
 		l.detectPartitions()
 		l.watchBootTimes()
-		l.planAt = c.now + c.cfg.LeaderTTL()*2/3
+		l.planAt = l.controller.env.now + l.controller.env.cfg.LeaderTTL()*2/3
 		l.fillPending = true // delays of failing jobs and set-aside machines end with time
 		l.planScaling()
 	}
@@ -46,7 +45,7 @@
 // are in the ledger of the state service.
 func (l *leadership) runFill() {
 	l.fillPending = false
-	if !l.holdsLease() || len(l.controller.types) == 0 || !l.attemptNumbers.enough() {
+	if !l.holdsLease() || len(l.controller.catalog.types) == 0 || !l.attemptNumbers.enough() {
 		return
 	}
 	s := l.cache.snapshotForFill()
@@ -66,7 +65,7 @@
 		case j.Gang != nil && j.Gang.State == clusterstate.GangGathering:
 			tries[j] = j.Gang.Number // it replaces a lost task while the others gather
 		default:
-			tries[j] = l.nextAttemptNumber()
+			tries[j] = l.attemptNumbers.take()
 		}
 		l.startTask(j, p.Index, l.state.Machines[p.Machine.ID], tries[j])
 	}
@@ -78,7 +77,6 @@
 }
 
 func (l *leadership) startTask(j *clusterstate.Job, index int, m *clusterstate.Machine, try uint64) {
-	c := l.controller
 	if cl := l.reservations[m.ID]; cl.job == j.Spec.UID {
 		if cl.tasks--; cl.tasks > 0 {
 			l.reservations[m.ID] = cl
@@ -86,9 +84,9 @@
 			delete(l.reservations, m.ID)
 		}
 	}
-	a := l.state.AddAttempt(m, j, index, try, c.now)
+	a := l.state.AddAttempt(m, j, index, try, l.controller.env.now)
 	l.noteProbingStart(j)
-	c.log.Debug("start", "task", a.Key().Task, "try", a.Number, "machine", m.ID)
+	l.controller.env.log.Debug("start", "task", a.Key().Task, "try", a.Number, "machine", m.ID)
 	priority := statestore.Start
 	if j.Spec.Service {
 		priority = statestore.Replica
@@ -117,10 +115,9 @@
 
 // runRound is GREEN's: jobs gain slots, and tasks ranked past capacity stop.
 func (l *leadership) runRound() {
-	c := l.controller
 	for _, j := range l.state.Jobs {
 		if !j.Spec.Service && j.Gang == nil {
-			j.Scale.Round(j.Done, j.Spec.Tasks, c.cfg.Operator.Green.Gamma)
+			j.Scale.Round(j.Done, j.Spec.Tasks, l.controller.env.cfg.Operator.Green.Gamma)
 		}
 	}
 	if !l.holdsLease() {
@@ -133,7 +130,7 @@
 	s.Jobs = append(s.Jobs, l.forecastDemand()...)
 	s.Jobs = append(s.Jobs, l.forecastReplacements()...)
 	s.Fill() // what finds room needs no stop
-	preemption := s.Stops(max(c.cfg.Cluster.State.TxnOps, len(s.Machines)/4), l.searchedJobs)
+	preemption := s.Stops(max(l.controller.env.cfg.Cluster.State.TxnOps, len(s.Machines)/4), l.searchedJobs)
 	patience := map[string]time.Duration{} // by job: until its victims must be gone
 	for _, st := range preemption.Stops {
 		patience[st.For.ID] = max(patience[st.For.ID], l.stopDuration(st.Victim.Job))
@@ -142,7 +139,7 @@
 	for _, kept := range preemption.Reservations {
 		cl := l.reservations[kept.Machine.ID]
 		cl.job = kept.Job.ID
-		cl.until = c.now + c.cfg.Lease() + patience[kept.Job.ID]
+		cl.until = l.controller.env.now + l.controller.env.cfg.Lease() + patience[kept.Job.ID]
 		cl.tasks += kept.Tasks
 		l.reservations[kept.Machine.ID] = cl
 	}
@@ -151,7 +148,7 @@
 // stopDuration is how long a task may take to end in good order.
 func (l *leadership) stopDuration(victim *scheduler.Job) time.Duration {
 	if victim.Gang {
-		return seconds(victim.SaveS) + l.controller.cfg.GangPeer()
+		return seconds(victim.SaveS) + l.controller.env.cfg.GangPeer()
 	}
 	return seconds(victim.SaveS)
 }
@@ -161,7 +158,7 @@
 	m := l.state.Machines[st.Machine.ID]
 	for _, a := range m.Sorted() {
 		if a.Job.Spec.UID == st.Victim.Job.ID && a.Index == st.Victim.Index {
-			l.controller.log.Info("stopping", "task", a.Key().Task, "machine", m.ID, "for", st.For.ID)
+			l.controller.env.log.Info("stopping", "task", a.Key().Task, "machine", m.ID, "for", st.For.ID)
 			a.Preempted = true
 			l.requestStop(a, a.Job.Spec.SaveS, "a round's stop")
 		}
@@ -185,13 +182,12 @@
 )
 
 func (l *leadership) maxLaunches() int {
-	return max(minLaunches, l.controller.cfg.FleetSize()/fleetShareOfLaunch)
+	return max(minLaunches, l.controller.env.cfg.FleetSize()/fleetShareOfLaunch)
 }
 
 // planScaling rents what waiting and expected work needs, and returns what it doesn't.
 func (l *leadership) planScaling() {
-	c := l.controller
-	if len(c.types) == 0 || !l.pool.HasList() || !l.holdsLease() {
+	if len(l.controller.catalog.types) == 0 || !l.pool.HasList() || !l.holdsLease() {
 		return
 	}
 	s := l.cache.snapshotForPlan()
@@ -200,7 +196,7 @@
 	inFlight := map[scheduler.Pool]int{}
 	for _, q := range l.pool.Launching() {
 		inFlight[q.Pool] += q.Count
-		if t := c.machineType(q.Type); t != nil {
+		if t := l.controller.catalog.machineType(q.Type); t != nil {
 			for range q.Count {
 				s.AddMachine(&scheduler.Machine{Type: t, Zone: q.Zone, Spot: q.Spot, Free: t.Size, Room: 1 << 20, Booting: true})
 			}
@@ -208,8 +204,8 @@
 	}
 	// What boots in a zone that is cut off can't be heard, and costs all the same.
 	blocked := func(p scheduler.Pool) bool { return l.isPartitioned(p.Zone) || l.pool.IsShort(p) || inFlight[p] > 0 }
-	for _, want := range s.Plan(c.types, blocked, l.maxLaunches()) {
-		if !c.cloudRequests.Has(c.now, 1) {
+	for _, want := range s.Plan(l.controller.catalog.types, blocked, l.maxLaunches()) {
+		if !l.controller.outbox.cloudRequests.Has(l.controller.env.now, 1) {
 			break
 		}
 		l.pool.Launch(want.Pool, want.Count)
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -15,10 +15,9 @@
 // newStore makes the writer of a term's records. The election wrote the counter and the leader key in
 // one transaction, of this version.
 func (l *leadership) newStore(version uint64) *statestore.Writer {
-	c := l.controller
-	limits := statestore.Limits{Changes: c.cfg.Cluster.State.Both().TxnOps, ValueBytes: c.cfg.ValueBytes(), Timeout: c.cfg.LeaderTTL() / 2}
+	limits := statestore.Limits{Changes: l.controller.env.cfg.Cluster.State.Both().TxnOps, ValueBytes: l.controller.env.cfg.ValueBytes(), Timeout: l.controller.env.cfg.LeaderTTL() / 2}
 	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.leaderEntry(l.storedRecord), Equal: equalLeader}
-	w := statestore.NewWriter(recordHost{l}, c.log, limits, &c.stateChanges, key)
+	w := statestore.NewWriter(recordHost{l}, l.controller.env.log, limits, &l.controller.outbox.stateChanges, key)
 	w.Loaded(keyCounter, version)
 	if l.storedRecord.StorageVersion != 0 {
 		w.Loaded(keyLease, version)
@@ -42,44 +41,43 @@
 }
 
 // Now is part of statestore.Host.
-func (h recordHost) Now() time.Duration { return h.leader.controller.now }
+func (h recordHost) Now() time.Duration { return h.leader.controller.env.now }
 
 // Call is part of statestore.Host.
 func (h recordHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
-	h.leader.controller.stateCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
+	h.leader.controller.outbox.stateCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
 }
 
 // MayCall is part of statestore.Host.
 func (h recordHost) MayCall() bool {
-	return h.leader.controller.stateRequests.Has(h.leader.controller.now, 1)
+	return h.leader.controller.outbox.stateRequests.Has(h.leader.controller.env.now, 1)
 }
 
 // Pause is part of statestore.Host.
-func (h recordHost) Pause() time.Duration { return h.leader.controller.retryPause() }
+func (h recordHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
 
 // End is part of statestore.Host.
 func (h recordHost) End(why string) { h.leader.controller.endLeadership(why) }
 
 // Ended is part of statestore.Host.
-func (h recordHost) Ended() bool { return h.leader.controller.leadership != h.leader }
+func (h recordHost) Ended() bool { return h.leader.ended }
 
 // Unavailable is part of statestore.Host.
-func (h recordHost) Unavailable() { h.leader.refusePendingRequests() }
+func (h recordHost) Unavailable() { h.leader.controller.pending.refusePendingRequests() }
 
 // Abandoned is part of statestore.Host: what waits for the record must not wait for ever.
 func (h recordHost) Abandoned(key string) {
-	l := h.leader
-	if id, isMachine := strings.CutPrefix(key, clusterstate.MachinePrefix); isMachine && l.state.Machines[id] != nil {
-		l.abandonMachine(l.state.Machines[id])
+	if id, isMachine := strings.CutPrefix(key, clusterstate.MachinePrefix); isMachine && h.leader.state.Machines[id] != nil {
+		h.leader.abandonMachine(h.leader.state.Machines[id])
 		return
 	}
 	if isJournalKey(key) {
-		l.completions.abandon()
+		h.leader.completions.abandon()
 		return
 	}
 	uid, isJob := strings.CutPrefix(key, clusterstate.JobPrefix)
 	if isJob {
-		l.userRequests.abandonSubmission(uid)
+		h.leader.userRequests.abandonSubmission(uid)
 	}
 }
 
@@ -91,7 +89,7 @@
 
 // abandonMachine drops what was to be started on a machine whose record can't be written.
 func (l *leadership) abandonMachine(m *clusterstate.Machine) {
-	m.QuarantinedUntil = l.controller.now + l.controller.cfg.Lease()
+	m.QuarantinedUntil = l.controller.env.now + l.controller.env.cfg.Lease()
 	for _, a := range m.Sorted() {
 		if !a.Durable {
 			l.removeAttempt(a, notRecorded)
--- a/internal/controller/takeover_attempts_test.go
+++ b/internal/controller/takeover_attempts_test.go
@@ -16,9 +16,9 @@
 	const machines = 5000
 	w := newWorld(t, 75)
 	c := w.nodes[w.awaitLeader()].controller
-	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.now)
+	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.env.now)
 	c.leadership = l
-	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: machines, Cores: 1, MemoryGB: 1}, c.wall)
+	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: machines, Cores: 1, MemoryGB: 1}, c.env.wall)
 	j.Stored = true
 	for i := range machines {
 		entries := []clusterstate.AttemptEntry{{Job: "j-1", Index: i, Number: 100}, {Job: "j-1", Index: (i + 1) % machines, Number: 7}}
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -36,15 +36,15 @@
 	Values, Ends, Waiting, Unreadable int
 }
 
-func (l *leadership) newCompletionRecorder() completionRecorder {
-	cfg := l.controller.cfg
+func (l *leadership) newCompletionRecorder() *completionRecorder {
+	cfg := l.controller.env.cfg
 	limits := completionjournal.Limits{ValueBytes: cfg.ValueBytes(), CompactAfter: compactionLeases * cfg.Lease(),
 		Values: min(journalPages*pageBytes/cfg.ValueBytes()+1, journalPages*recordsPerPage)}
-	journal := completionjournal.New(l.token, limits, l.store, compactionHost{l}, func() time.Duration { return l.controller.now })
+	journal := completionjournal.New(l.token, limits, l.store, compactionHost{l}, func() time.Duration { return l.controller.env.now })
 	if l.gate.MayWrite() {
 		journal.Open()
 	}
-	return completionRecorder{leader: l, journal: journal}
+	return &completionRecorder{leader: l, journal: journal}
 }
 
 // open has ends go to the journal from now on, close to their records.
@@ -53,7 +53,7 @@
 
 // abandon takes back a value that the state service takes in no form.
 func (r *completionRecorder) abandon() {
-	r.leader.controller.log.Error("the journal of ends is given up in this term: the state service refuses a value")
+	r.leader.controller.env.log.Error("the journal of ends is given up in this term: the state service refuses a value")
 	r.journal.Abandon()
 }
 
@@ -64,11 +64,11 @@
 // tick folds what is due.
 func (r *completionRecorder) tick() {
 	r.journal.Tick()
-	c := r.leader.controller
-	if c.now >= r.reported+c.cfg.Lease() {
-		r.reported = c.now
+
+	if r.leader.controller.env.now >= r.reported+r.leader.controller.env.cfg.Lease() {
+		r.reported = r.leader.controller.env.now
 		values, ends, waiting := r.journal.Size()
-		c.observer.JournalSized(JournalSize{Values: values, Ends: ends, Waiting: waiting, Unreadable: r.unreadable})
+		r.leader.controller.env.observer.JournalSized(JournalSize{Values: values, Ends: ends, Waiting: waiting, Unreadable: r.unreadable})
 	}
 }
 
@@ -122,21 +122,20 @@
 
 // Compact is part of completionjournal.Compactor.
 func (f compactionHost) Compact(entry completionjournal.Entry, key string, priority statestore.Priority) {
-	l := f.leader
 	if entry.Machine != "" {
-		if m := l.state.Machines[entry.Machine]; m != nil {
-			l.storeMachine(m, priority, nil)
-		} else if !l.store.IsPending(key) && l.store.Version(key) == 0 {
-			l.completions.releaseRecord(key) // its record is deleted
+		if m := f.leader.state.Machines[entry.Machine]; m != nil {
+			f.leader.storeMachine(m, priority, nil)
+		} else if !f.leader.store.IsPending(key) && f.leader.store.Version(key) == 0 {
+			f.leader.completions.releaseRecord(key) // its record is deleted
 		} else {
-			l.store.Mark(key, priority, func() any { return nil }, nil)
+			f.leader.store.Mark(key, priority, func() any { return nil }, nil)
 		}
 		return
 	}
-	if j := l.state.Jobs[entry.Job]; j != nil {
-		l.completions.storeCompletions(j, entry.Index, priority, nil)
+	if j := f.leader.state.Jobs[entry.Job]; j != nil {
+		f.leader.completions.storeCompletions(j, entry.Index, priority, nil)
 	} else {
-		l.completions.releaseRecord(key) // the job is over
+		f.leader.completions.releaseRecord(key) // the job is over
 	}
 }
 
@@ -169,23 +168,22 @@
 // apply brings the ledger to what an entry says, and tells which record lacks it. A record that was
 // written later than the value, or with it, has all that the value says and may know better.
 func (r *completionRecorder) apply(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
-	l := r.leader
-	j := l.state.Jobs[entry.Job]
+	j := r.leader.state.Jobs[entry.Job]
 	if entry.Machine == "" {
 		if j == nil || entry.Index >= j.Spec.Tasks {
 			return "", false
 		}
-		return l.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
+		return r.leader.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
 	}
-	m, key := l.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
-	if m == nil || j == nil || l.store.Version(key) >= version {
+	m, key := r.leader.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
+	if m == nil || j == nil || r.leader.store.Version(key) >= version {
 		return "", false
 	}
 	a := m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(entry.Job, entry.Index), Attempt: entry.Attempt}]
 	if a == nil {
 		return "", false
 	}
-	l.state.RemoveAttempt(a)
+	r.leader.state.RemoveAttempt(a)
 	return key, true
 }
 
@@ -195,7 +193,7 @@
 		return
 	}
 	values, ends, _ := r.journal.Size()
-	r.leader.controller.log.Info("journal of ends read", "token", r.leader.token, "values", values, "ends", ends,
+	r.leader.controller.env.log.Info("journal of ends read", "token", r.leader.token, "values", values, "ends", ends,
 		"superfluous", r.redundantEntries, "unreadable", r.unreadable)
 }
 
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -16,8 +16,8 @@
 
 // shadow is what a leader elected now would find: a term that has read the store.
 func (ro *rollout) shadow() *leadership {
-	core := New(ro.cfgs[0], ro.rng, ro.nodes[0].controller.log)
-	core.now = ro.Now()
+	core := New(ro.cfgs[0], ro.rng, ro.nodes[0].controller.env.log)
+	core.env.now = ro.Now()
 	rec, _ := ro.stored()
 	l := newLeadership(core, &rec, 1, 0)
 	for _, prefix := range loadOrder(rec.storageVersion()) {
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -11,7 +11,7 @@
 	if g := m.Exited[key]; g != nil {
 		return
 	}
-	c := l.controller
+
 	g := &clusterstate.ExitedTask{Attempt: m.Attempts[key], Ready: true}
 	m.Exited[key] = g
 	if g.Attempt != nil {
@@ -25,7 +25,7 @@
 		}
 		return
 	}
-	c.log.Debug("exited", "task", key.Task, "try", key.Attempt, "machine", m.ID, "cause", t.Cause)
+	l.controller.env.log.Debug("exited", "task", key.Task, "try", key.Attempt, "machine", m.ID, "cause", t.Cause)
 	switch t.Cause {
 	case protocol.CauseDone:
 		l.noteTaskSuccess(j, m)
@@ -54,10 +54,10 @@
 		l.onTaskError(m, j, g.Attempt, key)
 	case protocol.CauseNoRoom, protocol.CauseBusy:
 		// The machine knows better than the ledger: leave it alone a moment.
-		m.QuarantinedUntil = max(m.QuarantinedUntil, c.now+c.cfg.Report())
+		m.QuarantinedUntil = max(m.QuarantinedUntil, l.controller.env.now+l.controller.env.cfg.Report())
 	case protocol.CauseStopped, protocol.CausePeersLost:
 	case protocol.CauseIncomplete:
-		if c.now >= j.NotBefore {
+		if l.controller.env.now >= j.NotBefore {
 			l.backOffJob(j) // once for all its tasks
 		}
 	default:
@@ -91,9 +91,9 @@
 		l.noteImageUse(m, a.Job)
 	}
 	if len(m.Attempts) == 0 {
-		m.IdleSince = l.controller.now
+		m.IdleSince = l.controller.env.now
 	}
-	l.controller.log.Debug("gone", "task", a.Key().Task, "try", a.Number, "machine", m.ID, "why", why)
+	l.controller.env.log.Debug("gone", "task", a.Key().Task, "try", a.Number, "machine", m.ID, "why", why)
 	j := a.Job
 	if !j.Spec.Service && a.Sent && !a.Preempted && !j.IsDone(a.Index) && a.Exit != protocol.CauseError && a.Exit != protocol.CauseNoRoom {
 		j.MarkInterrupted(a.Index)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -23,8 +23,8 @@
 	waiters []requester
 }
 
-func newUserRequests(l *leadership) userRequests {
-	return userRequests{leader: l, pendingSubmissions: map[string]*pendingSubmission{}, cancelWaiters: map[string][]requester{}}
+func newUserRequests(l *leadership) *userRequests {
+	return &userRequests{leader: l, pendingSubmissions: map[string]*pendingSubmission{}, cancelWaiters: map[string][]requester{}}
 }
 
 // handle answers a user's request, at once or when what it asks for is durable.
@@ -37,7 +37,7 @@
 	case OpCancel:
 		u.cancel(from, uid)
 	default:
-		u.leader.controller.reply(from, 400, nil, 0)
+		u.leader.controller.outbox.reply(from, 400, nil, 0)
 	}
 }
 
@@ -64,32 +64,31 @@
 
 // submit takes a submission, or says why it is not taken.
 func (u *userRequests) submit(from requester, body []byte) {
-	l, c := u.leader, u.leader.controller
 	uid, spec, err := protocol.ParseSubmission(body)
 	if u.answerKnownJob(from, uid) {
 		return
 	}
 	if err != nil {
-		c.log.Info("malformed submission", "job", uid, "err", err)
-		c.reply(from, 400, nil, 0)
+		u.leader.controller.env.log.Info("malformed submission", "job", uid, "err", err)
+		u.leader.controller.outbox.reply(from, 400, nil, 0)
 		return
 	}
 	if submission := u.pendingSubmissions[uid]; submission != nil {
-		if l.addPending(from) {
+		if u.leader.controller.pending.addPending(from) {
 			submission.waiters = append(submission.waiters, from)
 		}
 		return
 	}
-	if len(c.types) == 0 {
-		c.replyUnavailable(from)
+	if len(u.leader.controller.catalog.types) == 0 {
+		u.leader.controller.outbox.replyUnavailable(from)
 		return
 	}
 	if why := u.infeasibleReason(spec); why != "" {
-		c.log.Info("can never run", "job", uid, "why", why)
-		c.reply(from, 422, nil, 0)
+		u.leader.controller.env.log.Info("can never run", "job", uid, "why", why)
+		u.leader.controller.outbox.reply(from, 422, nil, 0)
 		return
 	}
-	if l.addPending(from) {
+	if u.leader.controller.pending.addPending(from) {
 		u.storeSubmission(from, uid, spec)
 	}
 }
@@ -97,17 +96,16 @@
 // answerKnownJob answers a submission that can be answered by its id alone: a job accepted before is answered
 // first, whatever its repeat holds, and who is not certainly the leader decides nothing.
 func (u *userRequests) answerKnownJob(from requester, uid string) bool {
-	l, c := u.leader, u.leader.controller
 	if s, ok := u.terminalStatus(uid); ok {
-		c.replyStatus(from, 200, s)
+		u.leader.controller.outbox.replyStatus(from, 200, s)
 		return true
 	}
-	if !l.ready || !l.holdsLease() {
-		c.replyUnavailable(from)
+	if !u.leader.ready || !u.leader.holdsLease() {
+		u.leader.controller.outbox.replyUnavailable(from)
 		return true
 	}
-	if j := l.state.Jobs[uid]; j != nil && j.Stored {
-		l.replyAsLeader(from, 200, u.activeStatus(j))
+	if j := u.leader.state.Jobs[uid]; j != nil && j.Stored {
+		u.leader.replyAsLeader(from, 200, u.activeStatus(j))
 		return true
 	}
 	return false
@@ -115,19 +113,18 @@
 
 // storeSubmission has a job's record written; its users are told once it is durable.
 func (u *userRequests) storeSubmission(from requester, uid string, spec *protocol.Spec) {
-	l, c := u.leader, u.leader.controller
-	j := l.state.AddJob(spec, c.wall)
+	j := u.leader.state.AddJob(spec, u.leader.controller.env.wall)
 	submission := &pendingSubmission{job: j, waiters: []requester{from}}
 	u.pendingSubmissions[uid] = submission
-	l.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
+	u.leader.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
 		delete(u.pendingSubmissions, uid)
 		j.Stored = true
-		c.log.Info("accepted", "job", uid, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-		l.recordArrival(j)
-		l.fillPending = true
+		u.leader.controller.env.log.Info("accepted", "job", uid, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
+		u.leader.recordArrival(j)
+		u.leader.fillPending = true
 		for _, w := range submission.waiters {
-			if l.takePending(w) {
-				l.replyAsLeader(w, 201, u.activeStatus(j))
+			if u.leader.controller.pending.takePending(w) {
+				u.leader.replyAsLeader(w, 201, u.activeStatus(j))
 			}
 		}
 	})
@@ -136,29 +133,27 @@
 // dropAbandonedSubmissions takes back submissions that nobody waits for any more, if they
 // have not left: their users were told to come back.
 func (u *userRequests) dropAbandonedSubmissions() {
-	l := u.leader
 	for _, uid := range sortedKeys(u.pendingSubmissions) {
 		submission := u.pendingSubmissions[uid]
-		if slices.ContainsFunc(submission.waiters, func(a requester) bool { return l.controller.pendingRequests[a.id] != nil }) {
+		if slices.ContainsFunc(submission.waiters, func(a requester) bool { return u.leader.controller.pending.pendingRequests[a.id] != nil }) {
 			continue
 		}
-		if l.store.Unmark(clusterstate.JobPrefix + uid) {
+		if u.leader.store.Unmark(clusterstate.JobPrefix + uid) {
 			delete(u.pendingSubmissions, uid)
-			l.state.RemoveJob(uid)
+			u.leader.state.RemoveJob(uid)
 		}
 	}
 }
 
 // infeasibleReason says why a job can never run here, or nothing.
 func (u *userRequests) infeasibleReason(s *protocol.Spec) string {
-	l, c := u.leader, u.leader.controller
-	team := l.state.Quotas[s.Team]
+	team := u.leader.state.Quotas[s.Team]
 	if team == nil {
 		return "unknown team"
 	}
 	need := scheduler.Need{Cores: s.Cores, Accel: s.Accelerators, Mem: s.MemoryGB}
 	zones := map[string]bool{}
-	for _, t := range c.types {
+	for _, t := range u.leader.controller.catalog.types {
 		if !need.Fits(t.Size) || s.Types != nil && !slices.Contains(s.Types, t.Name) {
 			continue
 		}
@@ -188,19 +183,18 @@
 // states never change and may be told even by a leader that can't know whether
 // it still is one; the rest only by one that is, with a complete ledger.
 func (u *userRequests) findActiveJob(from requester, uid string) *clusterstate.Job {
-	l, c := u.leader, u.leader.controller
 	if s, ok := u.terminalStatus(uid); ok {
-		c.replyStatus(from, 200, s)
+		u.leader.controller.outbox.replyStatus(from, 200, s)
 		return nil
 	}
-	j := l.state.Jobs[uid]
+	j := u.leader.state.Jobs[uid]
 	switch {
-	case !l.ready || !l.holdsLease():
-		c.replyUnavailable(from)
+	case !u.leader.ready || !u.leader.holdsLease():
+		u.leader.controller.outbox.replyUnavailable(from)
 	case j == nil:
-		c.replyUntil(from, 404, nil, 0, l.holdsLeaseUntil())
+		u.leader.controller.outbox.replyUntil(from, 404, nil, 0, u.leader.holdsLeaseUntil())
 	case !j.Stored:
-		c.replyUnavailable(from) // about to be accepted: not durable yet
+		u.leader.controller.outbox.replyUnavailable(from) // about to be accepted: not durable yet
 	default:
 		return j
 	}
@@ -209,47 +203,44 @@
 
 // poll answers a user's question.
 func (u *userRequests) poll(from requester, uid string) {
-	l := u.leader
 	// One that is about to be done or cancelled is told so once that is durable;
 	// until then what it was before is still true for its user.
 	if j := u.findActiveJob(from, uid); j != nil {
-		l.replyAsLeader(from, 200, u.activeStatus(j))
+		u.leader.replyAsLeader(from, 200, u.activeStatus(j))
 	}
 }
 
 // cancel stops a job's tasks; its user is told once the last one is proved gone.
 func (u *userRequests) cancel(from requester, uid string) {
-	l, c := u.leader, u.leader.controller
 	j := u.findActiveJob(from, uid)
-	if j == nil || !l.addPending(from) {
+	if j == nil || !u.leader.controller.pending.addPending(from) {
 		return
 	}
-	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(a requester) bool { return c.pendingRequests[a.id] == nil })
+	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(a requester) bool { return u.leader.controller.pending.pendingRequests[a.id] == nil })
 	u.cancelWaiters[uid] = append(waiting, from)
 	if j.Cancelling || j.Finishing {
 		return // answered when that is durable
 	}
-	c.log.Info("cancelling", "job", uid)
+	u.leader.controller.env.log.Info("cancelling", "job", uid)
 	j.Cancelling = true
-	l.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, nil)
+	u.leader.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, nil)
 	// Nothing it does from here on is of use.
-	for _, m := range l.sortedMachines() {
+	for _, m := range u.leader.sortedMachines() {
 		for _, a := range m.Sorted() {
 			if a.Job == j {
-				l.requestStop(a, 0, "cancelled")
+				u.leader.requestStop(a, 0, "cancelled")
 			}
 		}
 	}
-	l.completeCancellation(j)
+	u.leader.completeCancellation(j)
 }
 
 // replyCancelled tells those who wait for a job's cancellation what became of it.
 func (u *userRequests) replyCancelled(uid string) {
-	l := u.leader
 	s, _ := u.terminalStatus(uid)
 	for _, a := range u.cancelWaiters[uid] {
-		if l.takePending(a) {
-			l.controller.replyStatus(a, 200, s)
+		if u.leader.controller.pending.takePending(a) {
+			u.leader.controller.outbox.replyStatus(a, 200, s)
 		}
 	}
 	delete(u.cancelWaiters, uid)
@@ -261,12 +252,12 @@
 	if submission == nil {
 		return
 	}
-	l := u.leader
+
 	for _, from := range submission.waiters {
-		if l.takePending(from) {
-			l.controller.replyUnavailable(from)
+		if u.leader.controller.pending.takePending(from) {
+			u.leader.controller.outbox.replyUnavailable(from)
 		}
 	}
 	delete(u.pendingSubmissions, uid)
-	l.state.RemoveJob(uid)
+	u.leader.state.RemoveJob(uid)
 }
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -12,29 +12,29 @@
 func (c *Controller) onWorkerHeartbeat(from requester, body []byte) {
 	var msg protocol.WorkerHeartbeat
 	if err := protocol.Decode(body, &msg); err != nil || msg.Machine == "" {
-		c.reply(from, 400, nil, 0)
+		c.outbox.reply(from, 400, nil, 0)
 		return
 	}
 	l := c.leadership
-	if c.isRecovering() {
-		c.replyUnavailable(from) // it knows nothing yet, not even whether it leads
+	if c.pause.isRecovering() {
+		c.outbox.replyUnavailable(from) // it knows nothing yet, not even whether it leads
 		return
 	}
 	if l == nil {
-		if c.renewsLeaseForLeader(&msg) {
-			c.replyLeaseOnly(from, &msg)
+		if c.follower.renewsLeaseForLeader(&msg) {
+			c.follower.replyLeaseOnly(from, &msg)
 			return
 		}
-		if c.forwardsHeartbeat(&msg) {
-			c.forwardHeartbeat(from, &msg, body)
+		if c.follower.forwardsHeartbeat(&msg) {
+			c.follower.forwardHeartbeat(from, &msg, body)
 			return
 		}
-		leader := c.leaderLabel()
-		if leader == "" || leader == c.cfg.Label {
-			c.replyUnavailable(from)
+		leader := c.follower.leaderLabel()
+		if leader == "" || leader == c.env.cfg.Label {
+			c.outbox.replyUnavailable(from)
 			return
 		}
-		c.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: leader}), 0)
+		c.outbox.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: leader}), 0)
 		return
 	}
 	if !l.ready || l.verifiesLease() {
@@ -42,29 +42,29 @@
 		return
 	}
 	m, fresh := l.applyHeartbeat(&msg, true)
-	if c.leadership != l {
-		c.replyUnavailable(from)
+	if l.ended {
+		c.outbox.replyUnavailable(from)
 		return
 	}
 	if !fresh {
 		// A late copy, or a machine that is gone: no evidence and no sign of
 		// life, and an answer would reach nobody.
-		c.replyUnavailable(from)
+		c.outbox.replyUnavailable(from)
 		return
 	}
 	if from.relay {
 		l.noteForwardedBy(from.by, m.Zone)
 	}
 	if label := l.redirectTarget(m, &msg, from); label != "" {
-		c.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: label}), 0)
+		c.outbox.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: label}), 0)
 		return
 	}
 	if !from.relay {
-		l.reachability.noteReached(c.now)
+		l.reach.noteReached(c.env.now)
 	}
-	m.LastAnswered = c.now
+	m.LastAnswered = c.env.now
 	reply := protocol.WorkerHeartbeatReply{Token: l.token, Commands: l.pendingCommands(m, true)}
-	c.reply(from, 200, protocol.Encode(reply), 0)
+	c.outbox.reply(from, 200, protocol.Encode(reply), 0)
 }
 
 // answerForwardedHeartbeat answers a report that we passed on to another leader, who did not answer,
@@ -72,14 +72,13 @@
 // each controller that has ended. It may have answered a direct request since: then the
 // report is no evidence, but its lease is renewed all the same.
 func (l *leadership) answerForwardedHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
-	c := l.controller
 	m := l.state.Machines[msg.Machine]
 	if !l.ready || m == nil || m.Epoch != msg.Epoch || msg.Sequence > m.Sequence || msg.Token > l.token {
-		c.onWorkerHeartbeat(from, body)
+		l.controller.onWorkerHeartbeat(from, body)
 		return
 	}
-	m.LastAnswered = c.now
-	c.reply(from, 200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: l.token, Commands: []protocol.Command{}}), 0)
+	m.LastAnswered = l.controller.env.now
+	l.controller.outbox.reply(from, 200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: l.token, Commands: []protocol.Command{}}), 0)
 }
 
 // renewWithoutCommands keeps a worker whose report comes while the ledger is being read, or before a
@@ -87,24 +86,22 @@
 // token that it shows, as a follower does. Turned away, it would wait for each controller
 // that has ended.
 func (l *leadership) renewWithoutCommands(from requester, msg *protocol.WorkerHeartbeat) {
-	c := l.controller
 	if msg.Token > l.token {
-		c.endLeadership("a worker has seen a higher token")
+		l.controller.endLeadership("a worker has seen a higher token")
 	}
 	if msg.Token > l.token || msg.Token == 0 || from.relay {
-		c.replyUnavailable(from)
+		l.controller.outbox.replyUnavailable(from)
 		return
 	}
-	l.leaseOnlyReplyAt = c.now
-	c.replyLeaseOnly(from, msg)
+	l.leaseOnlyReplyAt = l.controller.env.now
+	l.controller.follower.replyLeaseOnly(from, msg)
 }
 
 // applyHeartbeat takes a worker's report, sent by itself or as an answer to a direct
 // request. It returns false for what is not the machine's newest message.
 func (l *leadership) applyHeartbeat(msg *protocol.WorkerHeartbeat, reported bool) (*clusterstate.Machine, bool) {
-	c := l.controller
 	if msg.Token > l.token {
-		c.endLeadership("a worker has seen a higher token")
+		l.controller.endLeadership("a worker has seen a higher token")
 		return nil, false
 	}
 	if l.pool.WasRemoved(msg.Machine) {
@@ -113,9 +110,9 @@
 	m := l.state.Machines[msg.Machine]
 	if m == nil {
 		// Nobody expected it: it is used, or returned when idle.
-		c.log.Info("unexpected machine", "machine", msg.Machine, "type", msg.Type, "zone", msg.Zone)
+		l.controller.env.log.Info("unexpected machine", "machine", msg.Machine, "type", msg.Type, "zone", msg.Zone)
 		m = l.state.AddMachine(msg.Machine)
-		m.ExistedAt, m.LaunchedAt = c.now, c.now
+		m.ExistedAt, m.LaunchedAt = l.controller.env.now, l.controller.env.now
 	}
 	if m.Type == "" {
 		m.Type, m.Zone, m.Spot = msg.Type, msg.Zone, msg.Spot
@@ -129,24 +126,24 @@
 		return m, false
 	}
 	if !m.Seen {
-		m.IdleSince = c.now
+		m.IdleSince = l.controller.env.now
 	}
 	if !m.Up {
-		c.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
+		l.controller.env.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
-	sign := m.Apply(message, l.token, c.now, c.cfg.Lease())
+	sign := m.Apply(message, l.token, l.controller.env.now, l.controller.env.cfg.Lease())
 	m.Up = true
 	if sign.AnswersLost {
-		c.log.Info("answers don't reach the machine", "machine", m.ID, "session", msg.Epoch)
+		l.controller.env.log.Info("answers don't reach the machine", "machine", m.ID, "session", msg.Epoch)
 	}
 	if sign.LeaseExpired {
-		c.log.Info("session lapsed", "machine", m.ID, "session", msg.Epoch)
+		l.controller.env.log.Info("session lapsed", "machine", m.ID, "session", msg.Epoch)
 	}
 	l.fillPending = l.fillPending || sign.FirstToken
 	if msg.SpotNoticeS != nil {
-		by := c.now + seconds(max(0, min(*msg.SpotNoticeS, 1e6)))
+		by := l.controller.env.now + seconds(max(0, min(*msg.SpotNoticeS, 1e6)))
 		if !m.SpotNotice {
-			c.log.Info("notice", "machine", m.ID, "seconds", *msg.SpotNoticeS)
+			l.controller.env.log.Info("notice", "machine", m.ID, "seconds", *msg.SpotNoticeS)
 			m.SpotNotice, m.ReclaimedBy = true, by
 			l.fillPending = true
 		}
@@ -159,9 +156,12 @@
 // onRunning takes the beginning of an attempt's run: its image is there.
 func (l *leadership) onRunning(m *clusterstate.Machine, a *clusterstate.Attempt) {
 	l.noteImageUse(m, a.Job)
-	l.controller.log.Debug("running", "task", a.Key().Task, "try", a.Number, "machine", m.ID)
+	l.controller.env.log.Debug("running", "task", a.Key().Task, "try", a.Number, "machine", m.ID)
 }
 
+// onAbsent takes an attempt that the machine no longer has.
+func (l *leadership) onAbsent(a *clusterstate.Attempt, why absenceProof) { l.removeAttempt(a, why) }
+
 // adoptUnknownAttempt notes an attempt that the ledger did not have on that machine. Its
 // presence blocks a second start; it is halted.
 func (l *leadership) adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
@@ -175,13 +175,13 @@
 			m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{}
 		}
 		if _, known := m.UnknownTasks[key]; !known {
-			l.controller.log.Info("unknown task", "task", key.Task, "try", key.Attempt, "machine", m.ID)
+			l.controller.env.log.Info("unknown task", "task", key.Task, "try", key.Attempt, "machine", m.ID)
 			m.UnknownTasks[key] = 0
 		}
 		return nil
 	}
-	l.controller.log.Info("task not in the ledger", "task", key.Task, "try", key.Attempt, "machine", m.ID)
-	a := l.state.AddAttempt(m, j, index, key.Attempt, l.controller.now)
+	l.controller.env.log.Info("task not in the ledger", "task", key.Task, "try", key.Attempt, "machine", m.ID)
+	a := l.state.AddAttempt(m, j, index, key.Attempt, l.controller.env.now)
 	a.Durable, a.Loaded = true, true
 	l.requestStop(a, j.Spec.SaveS, "not in the ledger")
 	l.storeMachine(m, statestore.Lazy, nil)
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -14,7 +14,7 @@
 	w := newWorld(t, 96)
 	l := w.term()
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
-		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, l.controller.wall)
+		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, l.controller.env.wall)
 		j.Stored = true
 		return j
 	}
@@ -22,10 +22,10 @@
 	for i := range 100 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Size = "m8", "a", l.machineSize("m8")
-		l.startTask(array, i, m, l.nextAttemptNumber())
+		l.startTask(array, i, m, l.attemptNumbers.take())
 	}
 	for i, id := range []string{"i-900099", "i-900098"} {
-		l.startTask(service, i, l.state.Machines[id], l.nextAttemptNumber())
+		l.startTask(service, i, l.state.Machines[id], l.attemptNumbers.take())
 	}
 	txn := l.store.Compose()
 	if txn == nil || len(txn.Puts) < 2 {
