--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -19,18 +19,18 @@
 		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		m := l.state.AddMachine("i-" + uid)
-		m.Type, m.Zone, m.Up, m.Size = "m8", "a", true, l.machineSize("m8")
+		m.Type, m.Zone, m.Up, m.Size = "m8", "a", true, l.machines.machineSize("m8")
 		l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
 		return j
 	}
 	load := func(uid string) {
-		l.loadCounters(clusterstate.Counters{At: c.env.wall - time.Minute.Milliseconds(), Jobs: map[string]clusterstate.CounterRow{uid: {Slots: 1}}})
+		l.loader.loadCounters(clusterstate.Counters{At: c.env.wall - time.Minute.Milliseconds(), Jobs: map[string]clusterstate.CounterRow{uid: {Slots: 1}}})
 	}
 	first, second := job("j-1"), job("j-2")
 	load("j-1")
 	for range 50 {
 		m := l.state.AddMachine("i-" + string(rune('a'+len(l.state.Machines))))
-		m.Up, m.Size = true, l.machineSize("m8")
+		m.Up, m.Size = true, l.machines.machineSize("m8")
 	}
 	load("j-2")
 	if first.Scale.Attained == 0 || first.Scale.Attained != second.Scale.Attained {
--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -13,6 +13,11 @@
 
 // attemptNumbers gives out numbers from the blocks that are this leader's.
 type attemptNumbers struct {
+	env       *environment
+	lease     *leaderLease
+	placement *taskScheduler
+	store     *statestore.Writer
+
 	block     uint64 // a token that is this leader's for good
 	used      uint64 // numbers of it
 	next      uint64 // the next block; 0: not durably reserved
@@ -37,15 +42,15 @@
 }
 
 // reserveAttempts reserves the next block once half of this one is used.
-func (l *leadership) reserveAttempts() {
-	if l.attemptNumbers.reserving || l.attemptNumbers.next != 0 || l.attemptNumbers.left() > 1<<(attemptBlockBits-1) {
+func (n *attemptNumbers) reserveAttempts() {
+	if n.reserving || n.next != 0 || n.left() > 1<<(attemptBlockBits-1) {
 		return
 	}
-	l.attemptNumbers.reserving = true
-	reserved := l.attemptNumbers.block + 1
-	l.store.Mark(keyCounter, statestore.User, func() any { return counterRecord{Token: reserved} }, func() {
-		l.attemptNumbers.next, l.attemptNumbers.reserving = reserved, false
-		l.fillPending = true
-		l.controller.env.log.Info("a block of attempt numbers is reserved", "token", l.token, "block", reserved)
+	n.reserving = true
+	reserved := n.block + 1
+	n.store.Mark(keyCounter, statestore.User, func() any { return counterRecord{Token: reserved} }, func() {
+		n.next, n.reserving = reserved, false
+		n.placement.fillPending = true
+		n.env.log.Info("a block of attempt numbers is reserved", "token", n.lease.token, "block", reserved)
 	})
 }
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -17,7 +17,7 @@
 func TestAttemptNumbersBeyondABlock(t *testing.T) {
 	w := newWorld(t, 71)
 	w.awaitLeader()
-	token := w.term().token
+	token := w.term().lease.token
 	w.nearlyUse(leastLeft + 3)
 	w.run(2 * second)
 	w.nearlyUse(3)
@@ -41,13 +41,13 @@
 			t.Errorf("number %d is of a block that a later leader gets, the counter is %d", try, counter.Token)
 		}
 	}
-	if w.term().token != token {
+	if w.term().lease.token != token {
 		t.Error("the leader changed")
 	}
 	// The next leader's token is beyond the block.
 	w.crash(w.leader())
 	w.awaitLeader()
-	if next := w.term().token; next <= counter.Token {
+	if next := w.term().lease.token; next <= counter.Token {
 		t.Errorf("the next leader has token %d, block %d was used", next, counter.Token)
 	}
 	w.awaitTold(90*second, "j-1", "done")
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -29,7 +29,7 @@
 	w := newWorld(t, 58)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	l.callLimiter = newCallLimiter(config.Resources{FDs: 1 << 16, Cores: c.env.cfg.Cluster.Resources.Cores})
+	l.dispatcher.callLimiter = newCallLimiter(config.Resources{FDs: 1 << 16, Cores: c.env.cfg.Cluster.Resources.Cores})
 	c.outbox.effects = nil
 	for i := range 3000 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
@@ -38,13 +38,13 @@
 	}
 	ask := func() int {
 		c.outbox.effects = nil
-		for _, m := range l.sortedMachines() {
-			l.dispatchCommands(m)
+		for _, m := range l.machines.sortedMachines() {
+			l.dispatcher.dispatchCommands(m)
 		}
-		for _, m := range l.sortedMachines() {
+		for _, m := range l.machines.sortedMachines() {
 			if m.CallInFlight { // as if it had answered
 				m.CallInFlight, m.TokenAcknowledged, m.Probed = false, true, true
-				l.callLimiter.calling, l.callLimiter.hanging = 0, 0
+				l.dispatcher.callLimiter.calling, l.dispatcher.callLimiter.hanging = 0, 0
 			}
 		}
 		return len(c.outbox.effects)
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -12,30 +12,19 @@
 	"claybarrow/internal/ratelimit"
 )
 
-// requestStop has an attempt stopped, and with it all of its gang.
-func (l *leadership) requestStop(a *clusterstate.Attempt, grace float64, why string) {
-	if a.Job.Gang != nil && !a.Job.Finishing {
-		l.requestGangStop(a.Job, a.Number, grace, why)
-		return
-	}
-	l.requestAttemptStop(a, grace, why)
-}
+// commandDispatcher sends workers their commands, directly or in the replies to their heartbeats, and
+// repeats them until the worker is known to have had them.
+type commandDispatcher struct {
+	env        *environment
+	heartbeats *heartbeatReceiver
+	lease      *leaderLease
+	loader     *stateLoader
+	outbox     *outbox
+	reach      *reachability
+	state      *clusterstate.State
+	trace      *failoverTrace
 
-// requestAttemptStop has one attempt stopped. What never left is dropped at once.
-func (l *leadership) requestAttemptStop(a *clusterstate.Attempt, grace float64, why string) {
-	if a.StopRequested && grace >= a.Grace {
-		return
-	}
-	if a.StopRequested {
-		a.StopSentAt = 0
-	}
-	a.StopRequested, a.Grace = true, grace
-	l.controller.env.log.Debug("halt", "task", a.Key().Task, "try", a.Number, "machine", a.Machine.ID, "why", why)
-	if a.Durable && !a.Sent {
-		l.removeAttempt(a, neverSent)
-	} else {
-		l.dispatchCommands(a.Machine)
-	}
+	callLimiter callLimiter
 }
 
 // hasNoCommands tells most machines of a fleet apart without any list being made:
@@ -43,11 +32,11 @@
 // What was said lately, and ends that are not durable yet, are nothing to say either: during
 // an array of thousands of short tasks most machines had some, and the lists made for them
 // at every tick took a fifth of a leader's time.
-func (l *leadership) hasNoCommands(m *clusterstate.Machine) bool {
+func (d *commandDispatcher) hasNoCommands(m *clusterstate.Machine) bool {
 	if len(m.UnknownTasks) > 0 {
 		return false
 	}
-	again := l.controller.env.now - l.controller.env.cfg.Report()
+	again := d.env.now - d.env.cfg.Report()
 	for _, exit := range m.Exited {
 		if exit.Ready && (exit.Sent == 0 || exit.Sent <= again) {
 			return false
@@ -63,23 +52,23 @@
 
 // pendingCommands lists what the worker is to do now. Directly sent ones go once;
 // those in a report's answer fill in where the direct way fails.
-func (l *leadership) pendingCommands(m *clusterstate.Machine, inReply bool) []protocol.Command {
-	if inReply && m.CallInFlight || l.hasNoCommands(m) {
+func (d *commandDispatcher) pendingCommands(m *clusterstate.Machine, inReply bool) []protocol.Command {
+	if inReply && m.CallInFlight || d.hasNoCommands(m) {
 		return nil
 	}
 	var out []protocol.Command
-	again := l.controller.env.cfg.Report()
+	again := d.env.cfg.Report()
 	for _, a := range m.Sorted() {
 		key := a.Key()
 		run := protocol.Command{Verb: protocol.VerbRun, Task: key.Task, Attempt: a.Number}
-		mayRun := a.Durable && !a.Acknowledged && !a.Loaded && !m.Releasing && l.holdsLease() &&
+		mayRun := a.Durable && !a.Acknowledged && !a.Loaded && !m.Releasing && d.lease.holdsLease() &&
 			// A gang's runs leave together, once all its places are durable.
 			(a.Job.Gang == nil || a.StopRequested || a.Job.Gang.Complete())
 		if a.StopRequested {
-			if a.State == protocol.Saving && l.controller.env.now < a.StopSentAt+seconds(a.Grace)+2*again {
+			if a.State == protocol.Saving && d.env.now < a.StopSentAt+seconds(a.Grace)+2*again {
 				continue
 			}
-			if a.StopSentAt > 0 && l.controller.env.now < a.StopSentAt+again {
+			if a.StopSentAt > 0 && d.env.now < a.StopSentAt+again {
 				continue
 			}
 			if a.RunLost && !a.Acknowledged {
@@ -90,37 +79,37 @@
 					continue
 				}
 				out = append(out, run)
-				l.noteRunSent(a, m, inReply)
+				d.noteRunSent(a, m, inReply)
 			}
 			grace := a.Grace
 			if a.State == protocol.Saving {
 				grace = 0
 			}
-			a.StopSentAt = l.controller.env.now
+			a.StopSentAt = d.env.now
 			out = append(out, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: a.Number, GraceS: grace})
 			continue
 		}
 		if mayRun && (!inReply || m.FailedCalls > 0) {
 			out = append(out, run)
-			l.noteRunSent(a, m, inReply)
+			d.noteRunSent(a, m, inReply)
 		}
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(m.UnknownTasks), compareKeys) {
-		if l.controller.env.now >= m.UnknownTasks[key]+again {
-			m.UnknownTasks[key] = l.controller.env.now
+		if d.env.now >= m.UnknownTasks[key]+again {
+			m.UnknownTasks[key] = d.env.now
 			out = append(out, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt})
 		}
 	}
 	if m.TokenAcknowledged {
 		for _, key := range slices.SortedFunc(maps.Keys(m.Exited), compareKeys) {
 			g := m.Exited[key]
-			if a := g.Attempt; !g.Ready || (g.Sent > 0 && l.controller.env.now < g.Sent+again) ||
+			if a := g.Attempt; !g.Ready || (g.Sent > 0 && d.env.now < g.Sent+again) ||
 				// After a clear, a repeated run would start it again: none may
 				// be under way.
 				(a != nil && (a.RunsInFlight > 0 || a.RunLost || a.RunSequence > 0 && m.HeartbeatSequence <= a.RunSequence)) {
 				continue
 			}
-			g.Sent = l.controller.env.now
+			g.Sent = d.env.now
 			out = append(out, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
 	}
@@ -131,7 +120,7 @@
 	return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-func (l *leadership) noteRunSent(a *clusterstate.Attempt, m *clusterstate.Machine, inReply bool) {
+func (d *commandDispatcher) noteRunSent(a *clusterstate.Attempt, m *clusterstate.Machine, inReply bool) {
 	a.Sent, a.Epoch = true, m.Epoch
 	if inReply {
 		a.RunSequence = m.HeartbeatSequence
@@ -141,7 +130,7 @@
 }
 
 // mayHang says whether a direct request to the machine may well hang.
-func (l *leadership) mayHang(m *clusterstate.Machine) bool {
+func (d *commandDispatcher) mayHang(m *clusterstate.Machine) bool {
 	return !m.TokenAcknowledged || m.FailedCalls > 0
 }
 
@@ -161,11 +150,11 @@
 // needsProbe says whether an empty request is worth a call. It brings our token to a
 // machine that may be up, and tells whether the direct way works again. A booting one
 // would only time out.
-func (l *leadership) needsProbe(m *clusterstate.Machine) bool {
+func (d *commandDispatcher) needsProbe(m *clusterstate.Machine) bool {
 	unheard := !m.TokenAcknowledged && !m.Probed && (m.Up || m.Listed)
-	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && l.controller.env.now > m.LastSeen+l.controller.env.cfg.Report()*3/2
+	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && d.env.now > m.LastSeen+d.env.cfg.Report()*3/2
 	// The last: others did not answer. Is it them, or can't we reach anybody?
-	return unheard || m.FailedCalls > 0 || overdue || l.probesReachability(m)
+	return unheard || m.FailedCalls > 0 || overdue || d.reach.probesReachability(m)
 }
 
 // Direct calls are bounded by what the processor can take beside the sockets: each costs a
@@ -215,82 +204,82 @@
 }
 
 // dispatchCommands sends what there is to send directly, one request at a time.
-func (l *leadership) dispatchCommands(m *clusterstate.Machine) {
-	if m.CallInFlight || m.Addr == "" || l.controller.env.now < m.NextCall || !l.ready || l.ended || l.verifiesLease() {
+func (d *commandDispatcher) dispatchCommands(m *clusterstate.Machine) {
+	if m.CallInFlight || m.Addr == "" || d.env.now < m.NextCall || !d.loader.ready || d.lease.ended || d.lease.verifiesLease() {
 		return
 	}
-	probe := l.needsProbe(m)
-	if !m.Seen && !probe || !l.callLimiter.allows(l.controller.env.now, l.mayHang(m)) {
+	probe := d.needsProbe(m)
+	if !m.Seen && !probe || !d.callLimiter.allows(d.env.now, d.mayHang(m)) {
 		return
 	}
-	cmds := l.pendingCommands(m, false)
+	cmds := d.pendingCommands(m, false)
 	if len(cmds) == 0 && !probe {
 		return
 	}
-	call := &directCall{machine: m, session: m.Epoch, sent: l.controller.env.now, mayHang: l.mayHang(m)}
+	call := &directCall{machine: m, session: m.Epoch, sent: d.env.now, mayHang: d.mayHang(m)}
 	for _, cmd := range cmds {
 		if cmd.Verb == protocol.VerbRun {
 			call.runs = append(call.runs, m.Attempts[clusterstate.AttemptKey{Task: cmd.Task, Attempt: cmd.Attempt}])
 		}
 	}
-	l.callLimiter.begin(l.controller.env.now, call.mayHang)
+	d.callLimiter.begin(d.env.now, call.mayHang)
 	m.CallInFlight, m.Probed = true, true
-	body := protocol.Commands{Token: l.token, Epoch: m.Epoch, Commands: cmds}
+	body := protocol.Commands{Token: d.lease.token, Epoch: m.Epoch, Commands: cmds}
 	if body.Commands == nil {
 		body.Commands = []protocol.Command{}
 	}
 	until := time.Duration(0)
 	if len(call.runs) > 0 {
-		until = l.holdsLeaseUntil()
-		l.noteFirstPlacement()
+		until = d.lease.holdsLeaseUntil()
+		d.trace.noteFirstPlacement()
 	}
-	l.controller.outbox.callUntil(ToWorker, m.Addr, "POST", "/commands", body, min(l.controller.env.cfg.Lease()/10, commandTimeout), until, func(res Result) {
-		if !l.ended {
-			l.onCommandReply(call, res)
+	d.outbox.callUntil(ToWorker, m.Addr, "POST", "/commands", body, min(d.env.cfg.Lease()/10, commandTimeout), until, func(res Result) {
+		if !d.lease.ended {
+			d.onCommandReply(call, res)
 		}
 	})
 }
 
 // onCommandReply takes the answer to a direct request, or that there was none.
-func (l *leadership) onCommandReply(call *directCall, res Result) {
+func (d *commandDispatcher) onCommandReply(call *directCall, res Result) {
 	m := call.machine
 	m.CallInFlight = false
-	l.callLimiter.end(call.mayHang)
+	d.callLimiter.end(call.mayHang)
 	if res.Status != 0 {
-		l.reach.noteReached(l.controller.env.now)
+		d.reach.noteReached(d.env.now)
 	} else if m.LastSeen > call.sent {
-		l.reach.noteMissed(m.ID, l.controller.env.now)
+		d.reach.noteMissed(m.ID, d.env.now)
 	}
 	call.settleRuns(res.Status)
-	if l.state.Machines[m.ID] != m {
+	if d.state.Machines[m.ID] != m {
 		return
 	}
 	if res.Status != 200 && res.Status != 409 {
 		m.FailedCalls++
 		m.ConnectionFailed, m.LastFailedCallAt = res.ConnectionFailed, call.sent
 		m.Probed = false
-		m.NextCall = l.controller.env.now + min(l.controller.env.cfg.Report()/2, l.controller.env.cfg.LeaderTTL()*2/3)*time.Duration(min(m.FailedCalls, 4))
+		m.NextCall = d.env.now + min(d.env.cfg.Report()/2, d.env.cfg.LeaderTTL()*2/3)*time.Duration(min(m.FailedCalls, 4))
 		return
 	}
 	m.FailedCalls, m.ConnectionFailed = 0, false
 	var msg protocol.WorkerHeartbeat
 	if protocol.Decode(res.Body, &msg) != nil || msg.Machine != m.ID {
-		m.NextCall = l.controller.env.now + l.controller.env.cfg.Report()
+		m.NextCall = d.env.now + d.env.cfg.Report()
 		return
 	}
-	l.applyHeartbeat(&msg, false)
-	if l.ended {
+	d.heartbeats.applyHeartbeat(&msg, false)
+	if d.lease.ended {
 		return
 	}
 	if res.Status == 409 {
 		// The session was not the one we thought; its answer says which.
 		m.Probed = false
-		m.NextCall = l.controller.env.now + l.controller.env.cfg.Report()/20
+		m.NextCall = d.env.now + d.env.cfg.Report()/20
 		if msg.Epoch == call.session {
-			m.NextCall = l.controller.env.now + l.controller.env.cfg.Report()
+			m.NextCall = d.env.now + d.env.cfg.Report()
 		}
 	}
-	l.dispatchCommands(m)
+	d.dispatchCommands(m)
 }
 
 // settleRuns notes what became of the runs that the request carried: without an answer
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -20,25 +20,25 @@
 		m := l.state.AddMachine(id)
 		m.Type, m.Zone, m.LaunchedAt = "m8", "a", l.controller.env.now
 	}
-	l.watchBootTimes()
+	l.scaler.watchBootTimes()
 	l.controller.env.now += seconds(l.controller.catalog.machineType("m8").BootS * 2)
 	for range 5 {
-		l.watchBootTimes()
+		l.scaler.watchBootTimes()
 	}
 	if logged("machines come up late") != 1 || logged("in time again") != 0 {
 		t.Errorf("late boots: %s", out.String())
 	}
-	for _, m := range l.sortedMachines() {
+	for _, m := range l.machines.sortedMachines() {
 		m.Up = true
 	}
-	l.watchBootTimes()
-	l.watchBootTimes()
+	l.scaler.watchBootTimes()
+	l.scaler.watchBootTimes()
 	if logged("in time again") != 1 {
 		t.Errorf("boots in time again: %s", out.String())
 	}
 	p := scheduler.Pool{Type: "m8", Zone: "a"}
 	for _, short := range []bool{true, true, false, false, true} {
-		l.onPoolShortage(p, short)
+		l.scaler.onPoolShortage(p, short)
 	}
 	if logged("pool is short") != 2 || logged("pool has machines") != 1 {
 		t.Errorf("pools: %s", out.String())
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -3,12 +3,29 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"claybarrow/internal/clusterstate"
+	"claybarrow/internal/machinepool"
 	"claybarrow/internal/protocol"
 	"claybarrow/internal/scheduler"
 )
 
+// consolidator drains expensive machines whose tasks can go on elsewhere at once.
+type consolidator struct {
+	attempts   *attemptTracker
+	cache      *schedulerCache
+	catalog    *machineCatalog
+	env        *environment
+	forecast   *demandForecast
+	lease      *leaderLease
+	partitions *partitionDetector
+	pool       *machinepool.Pool
+	state      *clusterstate.State
+
+	drainAt time.Duration
+}
+
 // consolidationWork bounds what one go at emptying looks at, in machines: it copies
 // the fleet for each machine that might be emptied, and a leader of thousands must
 // renew its lease meanwhile.
@@ -18,28 +35,28 @@
 // where their images are: long-lived replicas, and the last tasks of batches when
 // the load falls, would keep them for their few. The larger the fleet, the more
 // machines it empties at a time.
-func (l *leadership) consolidate() {
-	if l.controller.env.now < l.drainAt || !l.holdsLease() || l.manyUnresponsive() {
+func (c *consolidator) consolidate() {
+	if c.env.now < c.drainAt || !c.lease.holdsLease() || c.manyUnresponsive() {
 		return
 	}
-	s := l.cache.fullSnapshot()
+	s := c.cache.fullSnapshot()
 	s.Fill()
 	if replicaWaits(s) {
 		return
 	}
 	most := 1 + len(s.Machines)/10
-	candidates := l.drainCandidates(s)
+	candidates := c.drainCandidates(s)
 	s.Looked = 0
 	for _, candidate := range candidates[:min(len(candidates), 2*most)] {
 		if s.Looked > consolidationWork {
 			break // what is left comes with the next time
 		}
-		rest := s.WithoutMachine(candidate.id, candidate.tasks, l.forecastDemand)
+		rest := s.WithoutMachine(candidate.id, candidate.tasks, c.forecast.forecastDemand)
 		if rest == nil {
 			continue
 		}
 		s = rest
-		l.drainMachine(l.state.Machines[candidate.id], len(candidate.tasks))
+		c.drainMachine(c.state.Machines[candidate.id], len(candidate.tasks))
 		if most--; most == 0 {
 			break
 		}
@@ -62,11 +79,11 @@
 
 // drainCandidates lists the dear machines with much free room, those where that costs most
 // first.
-func (l *leadership) drainCandidates(s *scheduler.Snapshot) []drainCandidate {
-	wanted := l.kindsInDemand()
+func (c *consolidator) drainCandidates(s *scheduler.Snapshot) []drainCandidate {
+	wanted := c.kindsInDemand()
 	var list []drainCandidate
 	for _, sm := range s.Machines {
-		m := l.state.Machines[sm.ID]
+		m := c.state.Machines[sm.ID]
 		free := scheduler.Share(m.Size.Minus(m.Used), m.Size)
 		if len(m.Attempts) == 0 || free < 0.25 || !s.IsExpensive(sm) || wanted[machineKind{m.Type, m.Spot}] || sm.ReservedFor != "" || sm.Free != m.Size.Minus(m.Used) {
 			continue
@@ -75,7 +92,7 @@
 		if sm.Spot {
 			price = sm.Type.SpotPrice
 		}
-		if jobs := l.movableTasks(m, free); jobs != nil {
+		if jobs := c.movableTasks(m, free); jobs != nil {
 			list = append(list, drainCandidate{m.ID, price * free, jobs})
 		}
 	}
@@ -90,14 +107,14 @@
 }
 
 // kindsInDemand are those that more than a few are coming of.
-func (l *leadership) kindsInDemand() map[machineKind]bool {
+func (c *consolidator) kindsInDemand() map[machineKind]bool {
 	coming, up := map[machineKind]int{}, map[machineKind]int{}
-	for _, q := range l.pool.Launching() {
+	for _, q := range c.pool.Launching() {
 		coming[machineKind{q.Type, q.Spot}] += q.Count
 	}
-	for _, m := range l.state.Machines {
+	for _, m := range c.state.Machines {
 		switch {
-		case m.Releasing || l.isPartitioned(m.Zone):
+		case m.Releasing || c.partitions.isPartitioned(m.Zone):
 		case m.Up:
 			up[machineKind{m.Type, m.Spot}]++
 		default:
@@ -112,22 +129,22 @@
 }
 
 // drainMachine has all tasks of a machine move.
-func (l *leadership) drainMachine(m *clusterstate.Machine, tasks int) {
-	l.controller.env.log.Info("emptying", "machine", m.ID, "type", m.Type, "tasks", tasks)
-	l.drainAt = l.controller.env.now + 3*l.controller.env.cfg.Lease()
-	m.DrainUntil = l.controller.env.now + l.controller.env.cfg.Lease()
+func (c *consolidator) drainMachine(m *clusterstate.Machine, tasks int) {
+	c.env.log.Info("emptying", "machine", m.ID, "type", m.Type, "tasks", tasks)
+	c.drainAt = c.env.now + 3*c.env.cfg.Lease()
+	m.DrainUntil = c.env.now + c.env.cfg.Lease()
 	for _, a := range m.Sorted() {
-		l.requestStop(a, a.Job.Spec.SaveS, "moved")
+		c.attempts.requestStop(a, a.Job.Spec.SaveS, "moved")
 	}
 }
 
 // manyUnresponsive says whether more than one machine in fifty with tasks does not answer:
 // the room that others have to spare is about to be needed. Thirty machines were
 // once emptied while 54 hung, ten seconds before their leases were over.
-func (l *leadership) manyUnresponsive() bool {
+func (c *consolidator) manyUnresponsive() bool {
 	late, busy := 0, 0
-	for _, m := range l.state.Machines {
-		if len(m.Attempts) == 0 || m.Releasing || l.isPartitioned(m.Zone) {
+	for _, m := range c.state.Machines {
+		if len(m.Attempts) == 0 || m.Releasing || c.partitions.isPartitioned(m.Zone) {
 			continue
 		}
 		busy++
@@ -141,15 +158,15 @@
 // movableTasks lists a machine's tasks as jobs of one task each, if all of them are
 // replicas that have run for a while or, on a machine that is half empty, tasks
 // that can save.
-func (l *leadership) movableTasks(m *clusterstate.Machine, free float64) []*scheduler.Job {
+func (c *consolidator) movableTasks(m *clusterstate.Machine, free float64) []*scheduler.Job {
 	var out []*scheduler.Job
 	for _, a := range m.Sorted() {
 		service := a.Job.Spec.Service
-		settled := l.controller.catalog.longestBootS()
+		settled := c.catalog.longestBootS()
 		if !service {
 			settled *= 0.7
 		}
-		if a.Job.Gang != nil || a.Job.Cancelling || a.StopRequested || a.State != protocol.Running || l.controller.env.now < a.Since+seconds(settled) ||
+		if a.Job.Gang != nil || a.Job.Cancelling || a.StopRequested || a.State != protocol.Running || c.env.now < a.Since+seconds(settled) ||
 			(!service && (a.Job.Spec.CheckpointS <= 0 || free < 0.5)) {
 			return nil
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -4,11 +4,9 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"time"
 
 	"claybarrow/internal/config"
 	"claybarrow/internal/protocol"
-	"claybarrow/internal/scheduler"
 )
 
 // Controller owns all state of a controller.
@@ -26,19 +24,6 @@
 	detection  *failureDetection
 }
 
-// pendingRequest is somebody whose answer needs something that is under way.
-type pendingRequest struct {
-	from     requester
-	deadline time.Duration
-}
-
-// requester is who asked: a user or worker directly, or another controller for one.
-type requester struct {
-	id    uint64
-	relay bool
-	by    string // the controller that forwarded a report, if it tells
-}
-
 // New makes a controller. Random numbers are injected so that failures replay.
 func New(cfg *config.Config, rng *rand.Rand, log *slog.Logger) *Controller {
 	env := &environment{cfg: cfg, rng: rng, log: log, observer: noObserver{}, incarnation: fmt.Sprintf("%016x", rng.Uint64())}
@@ -129,75 +114,41 @@
 	}
 }
 
-func (o *outbox) call(t Target, addr, method, path string, body any, timeout time.Duration, then func(Result)) {
-	o.callUntil(t, addr, method, path, body, timeout, 0, then)
-}
-
-// callUntil is a call that must not leave after a moment.
-func (o *outbox) callUntil(t Target, addr, method, path string, body any, timeout, until time.Duration, then func(Result)) {
-	o.lastCall++
-	o.calls[o.lastCall] = then
-	e := Call{ID: o.lastCall, Target: t, Addr: addr, Method: method, Path: path, Timeout: timeout, ValidUntil: until}
-	if b, ok := body.([]byte); ok {
-		e.Body = b
-	} else if body != nil {
-		e.Body = protocol.Encode(body)
+func (c *Controller) endLeadership(why string) {
+	l := c.leadership
+	if l == nil {
+		return
 	}
-	o.effects = append(o.effects, e)
-}
-
-func (o *outbox) stateCall(method, path string, body any, timeout time.Duration, then func(Result)) {
-	o.stateRequests.Take(o.env.now, 1)
-	sent := o.env.now
-	o.call(ToState, o.env.cfg.Services.State, method, path, body, timeout, func(r Result) {
-		o.pause.noteAnswer(sent, r.Status != 0)
-		then(r)
-	})
-}
-
-func (o *outbox) cloudCall(method, path string, body any, timeout time.Duration, then func(Result)) {
-	o.cloudRequests.Take(o.env.now, 1)
-	o.call(ToCloud, o.env.cfg.Services.Cloud, method, path, body, timeout, then)
+	c.env.log.Info("no longer leader", "token", l.lease.token, "why", why)
+	l.lease.ended = true
+	c.leadership = nil
+	l.controller.pending.refusePendingRequests()
+	// Whatever else the view says may be old: read it again before acting.
+	c.election.leaderKeys.leader, c.election.leaderKeys.leaderlessSince = nil, c.env.now
+	c.election.leaderKeys.refresh(c.env.now)
 }
 
-// retryPause is a short wait before something is tried again, spread so that the
-// controllers don't do it in step.
-func (e *environment) retryPause() time.Duration {
-	base := e.cfg.LeaderTTL() / 16
-	return base + time.Duration(e.rng.Int64N(int64(base)+1))
+func (c *Controller) becomeLeader(rec *leaderRecord, version uint64) {
+	candidate := c.election.candidate
+	c.election.candidate = nil
+	c.env.log.Info("leader", "token", rec.Token, "lease", rec.LeaseID)
+	c.leadership = newLeadership(c, rec, version, candidate.leaseAskedAt)
+	c.leadership.trace.failover, c.leadership.loader.preload = c.preparer.beginFailover(rec.Token), c.preparer.preparation.preload
+	c.preparer.preparation.preload = nil
+	c.leadership.loader.loadState()
 }
 
-// refreshMachineTypes fetches the machine types, at the start and then now and then, as
-// the current prices come with them.
-func (m *machineCatalog) refreshMachineTypes() {
-	if m.typesInFlight || m.env.now < m.typesRefreshAt || !m.outbox.cloudRequests.Has(m.env.now, 1) {
+// shutDown ends in good order: a leader gives its lease back, so that another one takes over at
+// once, and the others are told.
+func (c *Controller) shutDown() {
+	if !c.detection.enabled() {
 		return
 	}
-	m.typesInFlight = true
-	m.outbox.cloudCall("GET", "/flavors", nil, m.env.cfg.Lease()/4, func(r Result) {
-		m.typesInFlight = false
-		var list protocol.MachineTypes
-		if r.Status != 200 || protocol.Decode(r.Body, &list) != nil || len(list.Types) == 0 {
-			m.typesRefreshAt = m.env.now + m.env.cfg.LeaderTTL()/2
-			return
-		}
-		m.typesRefreshAt = m.env.now + 12*m.env.cfg.Lease()
-		m.types = m.types[:0]
-		m.typesGeneration++
-		for _, t := range list.Types {
-			m.typeInfo[t.Name] = t
-			m.types = append(m.types, &scheduler.Type{Name: t.Name,
-				Size:  scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
-				Price: t.Price, SpotPrice: t.SpotPrice, Zones: t.Zones, BootS: t.BootS, FetchGBPerS: t.FetchGBPerS})
-		}
-	})
-}
-
-func (m *machineCatalog) machineType(name string) *scheduler.Type {
-	for _, t := range m.types {
-		if t.Name == name {
-			return t
-		}
+	if l := c.leadership; l != nil {
+		c.election.leaderKeys.revokedLease = l.lease.leaseID
+		c.endLeadership("the process is told to end")
+		c.outbox.revokeLease(l.lease.leaseID)
 	}
-	return nil
+	c.election.electionBackoffUntil = c.env.now + c.env.cfg.Coast()
+	c.detection.applyDetectorActions(c.detection.detector.Leave(c.detection.detectorClock()))
 }
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -8,6 +8,17 @@
 	"claybarrow/internal/scheduler"
 )
 
+// demandForecast predicts the tasks that will arrive while a machine boots, from recent arrivals.
+type demandForecast struct {
+	catalog  *machineCatalog
+	env      *environment
+	health   *machineHealth
+	machines *machineRegistry
+	views    *schedulerViews
+
+	arrivals map[string]*arrivalHistory
+}
+
 // arrivalHistory are a class's recent arrivals, for the room kept free: added up by the second,
 // oldest first.
 type arrivalHistory struct {
@@ -27,14 +38,14 @@
 // maxArrivalSeconds bounds what is kept of a class. Room is kept for four boots' worth.
 const maxArrivalSeconds = 3600
 
-func (l *leadership) recordArrival(j *clusterstate.Job) {
-	a := l.arrivals[j.Spec.Class]
+func (f *demandForecast) recordArrival(j *clusterstate.Job) {
+	a := f.arrivals[j.Spec.Class]
 	if a == nil {
 		a = &arrivalHistory{}
-		l.arrivals[j.Spec.Class] = a
+		f.arrivals[j.Spec.Class] = a
 	}
 	a.add(j)
-	l.warnOfFetch(j)
+	f.warnOfFetch(j)
 }
 
 // add notes a job's arrival. After a take-over they come in no order.
@@ -80,10 +91,10 @@
 
 // forecastReplacements stand for the replicas on machines that are overdue, so that their
 // next machines boot while the proof that they are gone is still awaited.
-func (l *leadership) forecastReplacements() []*scheduler.Job {
+func (f *demandForecast) forecastReplacements() []*scheduler.Job {
 	var out []*scheduler.Job
-	for _, m := range l.sortedMachines() {
-		if !l.isOverdue(m) {
+	for _, m := range f.machines.sortedMachines() {
+		if !f.health.isOverdue(m) {
 			continue
 		}
 		for _, a := range m.Sorted() {
@@ -100,20 +111,20 @@
 
 // forecastDemand are phantom tasks for what arrives while a machine would boot, for
 // classes whose aims are shorter than that.
-func (l *leadership) forecastDemand() []*scheduler.Job {
-	boot := l.controller.catalog.longestBootS()
+func (f *demandForecast) forecastDemand() []*scheduler.Job {
+	boot := f.catalog.longestBootS()
 	window := 4 * boot
 	var out []*scheduler.Job
-	for _, class := range sortedKeys(l.arrivals) {
-		aim := l.waitObjective(class)
+	for _, class := range sortedKeys(f.arrivals) {
+		aim := f.views.waitObjective(class)
 		if aim <= 0 || aim > 2*boot {
 			continue
 		}
-		tasks, images, sample := l.arrivals[class].since((l.controller.env.wall - int64(window*1000)) / 1000)
+		tasks, images, sample := f.arrivals[class].since((f.env.wall - int64(window*1000)) / 1000)
 		if sample == nil || !sample.Spec.Service {
 			continue
 		}
-		expect := float64(tasks) / window * boot * l.controller.env.cfg.Operator.Fleet.Headroom
+		expect := float64(tasks) / window * boot * f.env.cfg.Operator.Fleet.Headroom
 		k := int(expect + 0.5)
 		if k < 1 {
 			k = 1
@@ -137,12 +148,3 @@
 	}
 	return out
 }
-
-// longestBootS is the longest usual boot time.
-func (m *machineCatalog) longestBootS() float64 {
-	boot := 0.0
-	for _, t := range m.types {
-		boot = max(boot, t.BootS)
-	}
-	return boot
-}
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -63,7 +63,7 @@
 				w.steadyLoad()
 				w.run(70*second + time.Duration(seed)*testLeaderLease/measuredSeeds)
 				lead := w.awaitLeader()
-				token := w.term().token
+				token := w.term().lease.token
 				var first time.Duration
 				begins := w.machines.Begins
 				w.machines.Begins = func(k *emulator.Worker, task string, t *emulator.Task) {
@@ -112,10 +112,10 @@
 	for seed := range uint64(seeds) {
 		w := newWorldWith(b, 3100+seed, operator)
 		w.replicas()
-		began, token := w.Now(), w.term().token
+		began, token := w.Now(), w.term().lease.token
 		trouble(w)
 		w.run(lasts)
-		sum.leaders += float64(w.term().token - token)
+		sum.leaders += float64(w.term().lease.token - token)
 		for _, n := range w.nodes {
 			for _, c := range n.observer.changes {
 				switch {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -2,12 +2,9 @@
 
 import (
 	"fmt"
-	"net/url"
-	"slices"
-	"strings"
 	"time"
 
-	"claybarrow/internal/config"
+	"claybarrow/internal/membership"
 	"claybarrow/internal/protocol"
 )
 
@@ -33,20 +30,6 @@
 	inFlight     bool
 }
 
-func (c *Controller) endLeadership(why string) {
-	l := c.leadership
-	if l == nil {
-		return
-	}
-	c.env.log.Info("no longer leader", "token", l.token, "why", why)
-	l.ended = true
-	c.leadership = nil
-	l.controller.pending.refusePendingRequests()
-	// Whatever else the view says may be old: read it again before acting.
-	c.election.leaderKeys.leader, c.election.leaderKeys.leaderlessSince = nil, c.env.now
-	c.election.leaderKeys.refresh(c.env.now)
-}
-
 // watchLeaderKeys keeps the leadership keys in sight: a list, then a watch after it.
 func (e *election) watchLeaderKeys() {
 	keys := &e.leaderKeys
@@ -154,125 +137,139 @@
 	})
 }
 
-func (c *Controller) becomeLeader(rec *leaderRecord, version uint64) {
-	candidate := c.election.candidate
-	c.election.candidate = nil
-	c.env.log.Info("leader", "token", rec.Token, "lease", rec.LeaseID)
-	c.leadership = newLeadership(c, rec, version, candidate.leaseAskedAt)
-	c.leadership.failover, c.leadership.preload = c.preparer.beginFailover(rec.Token), c.preparer.preparation.preload
-	c.preparer.preparation.preload = nil
-	c.leadership.loadState()
+// successorRank is this controller's place among those who may follow a leader.
+func (e *election) successorRank(former string) int {
+	return membership.Rank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.Successors(former))
 }
 
-// renewLeaderLease renews the leader's lease well before it runs out, counted from
-// when the renewal was sent.
-func (l *leadership) renewLeaderLease() {
-	ttl := l.controller.env.cfg.LeaderTTL()
-	if l.controller.env.now > l.leaseConfirmedAt+l.controller.env.cfg.Coast() && !l.holdsLease() {
-		l.controller.endLeadership("no renewal of the lease for as long as a leader may coast")
-		return
+// mayCampaign says whether it is this candidate's turn: the first by rank at once, the others one
+// after the other, as a rush of all costs the state service's requests and gains nothing.
+func (e *election) mayCampaign() bool {
+	if !e.detection.enabled() {
+		return true
 	}
-	if l.renewalInFlight || l.controller.env.now < l.renewLeaseAt {
-		return
+	apart := e.env.cfg.LeaderTTL() / candidateSpacing
+	return e.env.now >= e.leaderKeys.leaderlessSince+time.Duration(e.successorRank(e.preparer.preparation.formerLeader))*apart
+}
+
+// maintainCandidateLease has a lease at hand, so that an election is one transaction.
+func (e *election) maintainCandidateLease() {
+	if e.candidate == nil {
+		e.candidate = &candidate{}
 	}
-	l.renewalInFlight = true
-	sent := l.controller.env.now
-	path := fmt.Sprintf("/leases/%d/extend", l.leaseID)
-	l.controller.outbox.stateCall("POST", path, nil, ttl/3, func(res Result) {
-		l.renewalInFlight = false
-		if l.ended {
+	candidate := e.candidate
+	ttl := e.env.cfg.LeaderTTL()
+	switch {
+	case candidate.inFlight || e.env.now < candidate.nextAt || !e.outbox.stateRequests.Has(e.env.now, 1):
+	case candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+ttl*2/3:
+		e.acquireLease(candidate, func() {})
+	case e.env.now > candidate.leaseAskedAt+ttl/3:
+		e.renewCandidateLease(candidate)
+	}
+}
+
+// acquireLease asks for the candidate's lease.
+func (e *election) acquireLease(candidate *candidate, then func()) {
+	candidate.inFlight = true
+	sent, ttl := e.env.now, e.env.cfg.LeaderTTL()
+	e.outbox.stateCall("POST", "/leases", protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()}, ttl/2, func(r Result) {
+		candidate.inFlight = false
+		var lease protocol.LeaseReply
+		if r.Status != 200 || protocol.Decode(r.Body, &lease) != nil {
+			candidate.nextAt = e.env.now + e.env.retryPause()
 			return
 		}
-		switch res.Status {
+		candidate.leaseID, candidate.leaseAskedAt = lease.Lease, sent
+		then()
+	})
+}
+
+// renewCandidateLease renews the candidate's lease before an election.
+func (e *election) renewCandidateLease(candidate *candidate) {
+	candidate.inFlight = true
+	sent, ttl := e.env.now, e.env.cfg.LeaderTTL()
+	e.outbox.stateCall("POST", fmt.Sprintf("/leases/%d/extend", candidate.leaseID), nil, ttl/2, func(r Result) {
+		candidate.inFlight = false
+		switch r.Status {
 		case 200:
-			if !l.holdsLease() {
-				l.controller.env.log.Info("state service answers again", "token", l.token)
-			}
-			l.leaseConfirmedAt = max(l.leaseConfirmedAt, sent)
-			l.verifyingLeaseUntil = 0
-			l.renewLeaseAt = sent + ttl/5
+			candidate.leaseAskedAt = sent
 		case 404:
-			l.controller.endLeadership("the lease has ended")
+			candidate.leaseID = 0
 		default:
-			l.renewLeaseAt = l.controller.env.now + ttl/10
-			if !l.holdsLease() && !l.coasting {
-				l.coasting = true
-				l.controller.env.log.Info("coasting: the lease is not confirmed", "token", l.token)
-			}
-			return
+			candidate.nextAt = e.env.now + e.env.retryPause()
 		}
-		l.coasting = false
 	})
 }
 
-// holdsLease says whether nobody else can have become leader: the lease, counted
-// from the sending of its last confirmed renewal and shortened by the clocks'
-// drift, still runs.
-func (l *leadership) holdsLease() bool { return l.controller.env.now < l.holdsLeaseUntil() }
-
-func (l *leadership) holdsLeaseUntil() time.Duration {
-	ttl := l.controller.env.cfg.LeaderTTL()
-	return l.leaseConfirmedAt + 2*ttl - config.Drift(ttl)
-}
-
-// loadState reads the whole ledger after the election was won: whatever earlier leaders
-// wrote is there by now, and nothing of theirs can be added any more.
-func (l *leadership) loadState() {
-	l.loadPage(0, "")
+// supportsStoredVersion says whether this version reads the records that are stored; one that does not
+// leaves the leadership to those that do.
+func (e *election) supportsStoredVersion() bool {
+	keys := &e.leaderKeys
+	if keys.record == nil || keys.record.storageVersion() <= newestStorageVersion {
+		return true
+	}
+	if !keys.unsupportedLogged {
+		keys.unsupportedLogged = true
+		e.env.log.Error("records are stored in a form that this version does not read: it leaves the leadership to others",
+			"form", keys.record.StorageVersion, "reads", uint64(newestStorageVersion))
+	}
+	return false
 }
 
-func (l *leadership) loadPage(step int, after string) {
-	order := loadOrder(l.storedRecord.storageVersion())
-	if step == len(order) {
-		l.onStateLoaded()
+// observeLeader looks at who leads by the keys.
+func (e *election) observeLeader() {
+	keys := &e.leaderKeys
+	rec := keys.currentLeader()
+	if rec == nil {
+		if keys.leader != nil || keys.leaderlessSince == 0 {
+			keys.leaderlessSince = e.env.now
+		}
+		keys.leader = nil
 		return
 	}
-	if ahead := l.preload.recordsUnder(order[step]); ahead != nil && after == "" {
-		l.loadPreloaded(step, order[step], ahead)
-		return
+	if keys.loggedToken != rec.Token {
+		// Once: a follower in a cut reads the keys anew every few seconds.
+		keys.loggedToken = rec.Token
+		e.env.log.Info("leader seen", "leader", rec.Label, "token", rec.Token)
 	}
-	l.controller.outbox.stateCall("GET", listPath(order[step], after), nil, l.controller.env.cfg.LeaderTTL(), func(res Result) {
-		if l.ended {
-			return
-		}
-		var items protocol.Items
-		if res.Status != 200 || protocol.Decode(res.Body, &items) != nil {
-			l.runAt(l.controller.env.now+l.controller.env.retryPause(), func() { l.loadPage(step, after) })
-			return
+	keys.leader = rec
+	if e.controller.leadership != nil {
+		// A watch that was open when we won tells of ourselves, or of somebody
+		// who came after us.
+		if rec.Token > e.controller.leadership.lease.token {
+			e.controller.endLeadership("a later leader's key")
 		}
-		l.loadRecords(items.Items)
-		if items.More && len(items.Items) > 0 {
-			l.loadPage(step, items.Items[len(items.Items)-1].Key)
-			return
-		}
-		l.loadPage(step+1, "")
-	})
-}
-
-// listPath is the path of the page of records after a key.
-func listPath(prefix, after string) string {
-	path := "/store?under=" + prefix + "&limit=1000"
-	if after != "" {
-		path += "&after=" + url.QueryEscape(after)
+		return
+	}
+	if rec.Label != e.env.cfg.Label {
+		return
+	}
+	if rec.Incarnation == e.env.incarnation && e.candidate != nil && rec.LeaseID == e.candidate.leaseID {
+		// Our own transaction, whose answer was lost, did apply.
+		e.controller.becomeLeader(rec, keys.recordVersion)
+		return
 	}
-	return path
+	e.revokeFormerLease(rec.LeaseID)
 }
 
-// loadRecords takes records that were read.
-func (l *leadership) loadRecords(items []protocol.Item) {
-	for _, it := range items {
-		l.store.Loaded(it.Key, it.Version)
-		if err := l.loadRecord(it); err != nil {
-			l.controller.env.log.Error("a record can't be read", "key", it.Key, "err", err)
-		}
+// revokeFormerLease ends the lease of an earlier process of ours, or of a transaction of ours that we
+// gave up. That is safe, as its writes are fenced.
+func (e *election) revokeFormerLease(lease uint64) {
+	keys := &e.leaderKeys
+	if keys.revokedLease == lease {
+		return
 	}
+	keys.revokedLease = lease
+	e.env.log.Info("ending the lease of an earlier incarnation", "lease", lease)
+	e.outbox.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, e.env.cfg.LeaderTTL()/2, func(res Result) {
+		if res.Status == 0 || res.Status >= 429 {
+			keys.revokedLease = 0
+			keys.refresh(e.env.now + e.env.retryPause())
+		}
+	})
 }
 
-// peerAddr is the leader's peer address as far as we know one.
-func (e *environment) peerAddr(label string) string {
-	i := slices.IndexFunc(e.cfg.Siblings, func(p config.Peer) bool { return p.Label == label })
-	if i < 0 {
-		return ""
-	}
-	return strings.TrimSpace(e.cfg.Siblings[i].Addr)
+// backsOffElection says whether this controller leaves the leadership to others.
+func (e *election) backsOffElection() bool {
+	return e.env.now < e.electionBackoffUntil && e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.Lease()/5
 }
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -152,18 +152,3 @@
 	}
 	return d.detector.StateOf(label)
 }
-
-// shutDown ends in good order: a leader gives its lease back, so that another one takes over at
-// once, and the others are told.
-func (c *Controller) shutDown() {
-	if !c.detection.enabled() {
-		return
-	}
-	if l := c.leadership; l != nil {
-		c.election.leaderKeys.revokedLease = l.leaseID
-		c.endLeadership("the process is told to end")
-		c.outbox.revokeLease(l.leaseID)
-	}
-	c.election.electionBackoffUntil = c.env.now + c.env.cfg.Coast()
-	c.detection.applyDetectorActions(c.detection.detector.Leave(c.detection.detectorClock()))
-}
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -308,7 +308,7 @@
 			t.Error("a worker's lease is renewed")
 		}
 	})
-	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.token}
+	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.lease.token}
 	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(beat)}, func(r Reply) {
 		var reply protocol.PeerHeartbeatReply
 		if err := protocol.DecodePeer(r.Body, &reply); err != nil || reply.Leader != "" || reply.LeaderClock != 0 {
@@ -406,7 +406,7 @@
 		w := newMembershipWorld(t, uint64(960+k))
 		w.replicas()
 		lead := w.awaitLeader()
-		token := w.term().token
+		token := w.term().lease.token
 		began := w.Now()
 		w.script = func(node int, c Call) deliveryFault {
 			if c.Target != ToPeer {
@@ -419,7 +419,7 @@
 			return deliveryFault{lost: between && int(w.Now()/second)%5 < 2}
 		}
 		w.run(60 * second)
-		if w.awaitLeader() != lead || w.term().token != token {
+		if w.awaitLeader() != lead || w.term().lease.token != token {
 			t.Errorf("loss %v: the leader changed", loss)
 		}
 		for i, n := range w.nodes {
@@ -495,7 +495,7 @@
 		l := w.term()
 		for _, m := range l.state.Machines {
 			k := w.byID(m.ID)
-			if k != nil && k.Up && !k.Deleted && m.Zone == "a" && label(k.Controller) != l.ownerOf(m) {
+			if k != nil && k.Up && !k.Deleted && m.Zone == "a" && label(k.Controller) != l.router.ownerOf(m) {
 				return false
 			}
 		}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -29,7 +29,7 @@
 	w.until(90*second, "it is found out", func() bool {
 		return w.term().state.Jobs["j-9"] != nil && w.term().state.Jobs["j-9"].Failures.Everywhere
 	})
-	for _, m := range w.term().sortedMachines() {
+	for _, m := range w.term().machines.sortedMachines() {
 		if m.Faults.Faulty || len(m.Faults.Suspects) > 0 || m.QuarantinedUntil > 0 {
 			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
 		}
@@ -64,7 +64,7 @@
 	if m := w.term().state.Machines[bad]; m != nil && !m.Faults.Faulty {
 		t.Errorf("%d tasks failed on it: %+v", w.failures, m.Faults)
 	}
-	for _, m := range w.term().sortedMachines() {
+	for _, m := range w.term().machines.sortedMachines() {
 		if m.ID != bad && (m.Faults.Faulty || m.Faults.Confirmed > 0) {
 			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
 		}
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -10,6 +10,20 @@
 	"claybarrow/internal/statestore"
 )
 
+// gateKeeper is the leader's part in the feature gate: it hears what the controllers support, and stores the
+// gate's state in the leader key.
+type gateKeeper struct {
+	completions *completionRecorder
+	env         *environment
+	lease       *leaderLease
+	store       *statestore.Writer
+
+	// storedRecord is the leader record as it is stored, gate decides on its form.
+	storedRecord leaderRecord
+	gate         *featuregate.Gate
+	gateLogged   gateLog
+}
+
 // The leader's part in the feature gate: it hears what the controllers state of themselves, and
 // stores the gate's state in the leader key, whose version is a condition of all that any leader
 // writes. So whatever was sent under an earlier state, and arrives late, is refused.
@@ -50,59 +64,59 @@
 	for _, s := range cfg.Siblings {
 		settings.Peers = append(settings.Peers, s.Label)
 	}
-	return featuregate.New(settings, l.storedRecord.gateState())
+	return featuregate.New(settings, l.gating.storedRecord.gateState())
 }
 
 // onVersionStatement takes what a controller states in its heartbeat.
-func (l *leadership) onVersionStatement(ask *protocol.PeerHeartbeat) {
-	l.gate.Heard(l.controller.env.now, ask.From, ask.Incarnation, readVersionStatement(ask.Versions))
+func (g *gateKeeper) onVersionStatement(ask *protocol.PeerHeartbeat) {
+	g.gate.Heard(g.env.now, ask.From, ask.Incarnation, readVersionStatement(ask.Versions))
 }
 
 // tickFeatureGate carries out what the gate decides. Nothing is decided while this leader does not know
 // whether it still is one.
-func (l *leadership) tickFeatureGate() {
-	if !l.holdsLease() {
+func (g *gateKeeper) tickFeatureGate() {
+	if !g.lease.holdsLease() {
 		return
 	}
-	before := l.gate.State()
-	action := l.gate.Decide(l.controller.env.now, before == featuregate.Closing && l.completions.isCompacted())
-	l.noteGate(before)
-	if l.gate.State() == featuregate.Closing {
-		l.completions.close()
+	before := g.gate.State()
+	action := g.gate.Decide(g.env.now, before == featuregate.Closing && g.completions.isCompacted())
+	g.noteGate(before)
+	if g.gate.State() == featuregate.Closing {
+		g.completions.close()
 	}
-	rec := l.storedRecord
+	rec := g.storedRecord
 	switch action {
 	case featuregate.StoreOpen:
 		rec.StorageVersion, rec.Closing = uint64(completionJournalVersion), false
-		lease := protocol.Change{Put: keyLease, Value: leaseRecord{Token: l.token}, Lease: l.leaseID}
-		l.storeGate(rec, &statestore.LeaderChange{Puts: []protocol.Change{lease}})
+		lease := protocol.Change{Put: keyLease, Value: leaseRecord{Token: g.lease.token}, Lease: g.lease.leaseID}
+		g.storeGate(rec, &statestore.LeaderChange{Puts: []protocol.Change{lease}})
 	case featuregate.StoreClosing:
 		rec.Closing = true
-		l.storeGate(rec, &statestore.LeaderChange{})
+		g.storeGate(rec, &statestore.LeaderChange{})
 	case featuregate.StoreClosed:
 		rec.StorageVersion, rec.Closing = 0, false
-		l.storeGate(rec, &statestore.LeaderChange{Deletes: []string{keyLease}})
+		g.storeGate(rec, &statestore.LeaderChange{Deletes: []string{keyLease}})
 	}
 }
 
 // storeGate stores the leader key with another state of the gate.
-func (l *leadership) storeGate(rec leaderRecord, change *statestore.LeaderChange) {
-	change.Entry = l.leaderEntry(rec)
+func (g *gateKeeper) storeGate(rec leaderRecord, change *statestore.LeaderChange) {
+	change.Entry = g.leaderEntry(rec)
 	change.Applied = func() {
-		before := l.gate.State()
-		l.storedRecord = rec
-		l.gate.Stored(l.controller.env.now)
-		l.noteGate(before)
-		if l.gate.MayWrite() {
-			l.completions.open()
+		before := g.gate.State()
+		g.storedRecord = rec
+		g.gate.Stored(g.env.now)
+		g.noteGate(before)
+		if g.gate.MayWrite() {
+			g.completions.open()
 		}
 	}
 	change.Refused = func() {
-		before := l.gate.State()
-		l.gate.Failed(l.controller.env.now)
-		l.noteGate(before)
+		before := g.gate.State()
+		g.gate.Failed(g.env.now)
+		g.noteGate(before)
 	}
-	l.store.ChangeLeader(change)
+	g.store.ChangeLeader(change)
 }
 
 // gateLog is what was last logged of the gate.
@@ -123,30 +137,30 @@
 }
 
 // noteGate tells of a change of state, and of a new reason for a closed gate that is asked for.
-func (l *leadership) noteGate(before featuregate.State) {
-	now, obstacle := l.gate.State(), l.gate.Obstacle()
-	wanted := l.controller.env.cfg.Operator.EndJournal.Enabled
-	seen := &l.gateLogged
-	logsCause := wanted && obstacle != seen.obstacle && l.controller.env.now >= seen.at+l.controller.env.cfg.Lease()
+func (g *gateKeeper) noteGate(before featuregate.State) {
+	now, obstacle := g.gate.State(), g.gate.Obstacle()
+	wanted := g.env.cfg.Operator.EndJournal.Enabled
+	seen := &g.gateLogged
+	logsCause := wanted && obstacle != seen.obstacle && g.env.now >= seen.at+g.env.cfg.Lease()
 	if now == before && !logsCause {
 		return
 	}
-	seen.obstacle, seen.at = obstacle, l.controller.env.now
-	statements := l.statements()
-	args := []any{"token", l.token, "state", now.String(), "was", before.String(), "why", obstacle.String()}
+	seen.obstacle, seen.at = obstacle, g.env.now
+	statements := g.statements()
+	args := []any{"token", g.lease.token, "state", now.String(), "was", before.String(), "why", obstacle.String()}
 	for _, label := range slices.Sorted(maps.Keys(statements)) {
 		args = append(args, label, statements[label])
 	}
-	l.controller.env.log.Info("feature gate", args...)
+	g.env.log.Info("feature gate", args...)
 	if now != before {
-		l.controller.env.observer.GateChanged(GateChange{Token: l.token, At: l.controller.env.now, From: before, To: now, Why: obstacle.String(), Statements: statements})
+		g.env.observer.GateChanged(GateChange{Token: g.lease.token, At: g.env.now, From: before, To: now, Why: obstacle.String(), Statements: statements})
 	}
 }
 
 // statements words what the others last stated.
-func (l *leadership) statements() map[string]string {
+func (g *gateKeeper) statements() map[string]string {
 	out := map[string]string{}
-	for label, s := range l.gate.Statements() {
+	for label, s := range g.gate.Statements() {
 		out[label] = s.String()
 	}
 	return out
--- a/internal/controller/fetch_warning.go
+++ b/internal/controller/fetch_warning.go
@@ -8,17 +8,17 @@
 
 // warnOfFetch tells operators once of a class whose images take longer to fetch than its tasks may
 // wait. The settings alone don't tell: the sizes come with the jobs, the rates from the cloud.
-func (l *leadership) warnOfFetch(j *clusterstate.Job) {
-	class, aim := j.Spec.Class, l.waitObjective(j.Spec.Class)
-	if aim <= 0 || l.controller.catalog.warnedOfFetch[class] {
+func (f *demandForecast) warnOfFetch(j *clusterstate.Job) {
+	class, aim := j.Spec.Class, f.views.waitObjective(j.Spec.Class)
+	if aim <= 0 || f.catalog.warnedOfFetch[class] {
 		return
 	}
-	fetch := l.controller.catalog.shortestFetch(j)
+	fetch := f.catalog.shortestFetch(j)
 	if fetch <= aim {
 		return
 	}
-	l.controller.catalog.warnedOfFetch[class] = true
-	l.controller.env.log.Warn("settings: cluster.objectives: within_s is shorter than the fetch of an image: tasks start in time only where it is already",
+	f.catalog.warnedOfFetch[class] = true
+	f.env.log.Warn("settings: cluster.objectives: within_s is shorter than the fetch of an image: tasks start in time only where it is already",
 		"class", class, "within_s", aim, "fetch_s", math.Round(fetch*10)/10, "image_gb", j.Spec.ImageGB)
 }
 
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -65,18 +65,18 @@
 	}
 	l.reach.reachedAt, c.env.now = c.env.now, c.env.now+lease
 	miss()
-	if l.cannotReachWorkers() {
+	if l.reach.cannotReachWorkers() {
 		t.Error("out of reach before the others could be asked")
 	}
 	c.env.now += lease / 20
 	l.reach.noteReached(c.env.now)
-	if l.cannotReachWorkers() {
+	if l.reach.cannotReachWorkers() {
 		t.Error("out of reach though a machine answered")
 	}
 	c.env.now += lease
 	miss()
 	c.env.now += lease/20 + second
-	if !l.cannotReachWorkers() {
+	if !l.reach.cannotReachWorkers() {
 		t.Error("not out of reach though none answered")
 	}
 }
@@ -108,7 +108,7 @@
 	}
 	w.run(55 * second)
 	lead = w.leader()
-	if l := w.nodes[lead].controller.leadership; !l.isPartitioned("b") {
+	if l := w.nodes[lead].controller.leadership; !l.partitions.isPartitioned("b") {
 		t.Fatal("the zone is not dark: the test shows nothing")
 	}
 	for _, id := range w.cloud.Deleted {
@@ -134,17 +134,17 @@
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Addr, m.Listed = "m8", "b", fmt.Sprintf("10.2.0.%d:1", i), true
 		m.ExistedAt, m.LaunchedAt = c.env.now, c.env.now
-		l.dispatchCommands(m)
+		l.dispatcher.dispatchCommands(m)
 	}
-	if l.callLimiter.calling != l.callLimiter.hanging || l.callLimiter.hanging != fds/12 {
-		t.Errorf("%d calls under way, %d of them may hang, with %d sockets", l.callLimiter.calling, l.callLimiter.hanging, fds)
+	if l.dispatcher.callLimiter.calling != l.dispatcher.callLimiter.hanging || l.dispatcher.callLimiter.hanging != fds/12 {
+		t.Errorf("%d calls under way, %d of them may hang, with %d sockets", l.dispatcher.callLimiter.calling, l.dispatcher.callLimiter.hanging, fds)
 	}
 	m := l.state.AddMachine("i-000001")
 	m.Type, m.Zone, m.Addr, m.Seen, m.TokenAcknowledged, m.Up = "m8", "a", "10.2.1.1:1", true, true, true
 	m.LastSeen, m.Epoch = c.env.now, 1
 	m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{{Task: "j-9/0", Attempt: 1}: -time.Hour}
-	l.dispatchCommands(m)
-	if l.callLimiter.calling != fds/12+1 {
+	l.dispatcher.dispatchCommands(m)
+	if l.dispatcher.callLimiter.calling != fds/12+1 {
 		t.Error("a machine that answers waits for those that don't")
 	}
 }
@@ -160,24 +160,24 @@
 		j.Stored = true
 		for i := range machines {
 			m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
-			m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.%d.%d:1", i/256, i%256), l.machineSize("m8")
-			m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered, m.Token = true, true, true, 1, c.env.now, c.env.now, l.token
+			m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.%d.%d:1", i/256, i%256), l.machines.machineSize("m8")
+			m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered, m.Token = true, true, true, 1, c.env.now, c.env.now, l.lease.token
 			for k := range 2 {
 				a := l.state.AddAttempt(m, j, 2*i+k, l.attemptNumbers.take(), c.env.now)
 				a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.Running, 1
 			}
 		}
 		m := l.state.Machines["i-900000"]
-		body := protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Token: l.token}
+		body := protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Token: l.lease.token}
 		for _, a := range m.Sorted() {
 			body.Tasks = append(body.Tasks, protocol.TaskStatus{Task: a.Key().Task, Attempt: a.Number, State: protocol.Running})
 		}
-		l.sortedMachines()
-		tick = testing.AllocsPerRun(20, func() { l.watchMachines() })
+		l.machines.sortedMachines()
+		tick = testing.AllocsPerRun(20, func() { l.health.watchMachines() })
 		report = testing.AllocsPerRun(20, func() {
 			body.Sequence++
-			l.applyHeartbeat(&body, true)
-			l.pendingCommands(m, true)
+			l.heartbeats.applyHeartbeat(&body, true)
+			l.dispatcher.pendingCommands(m, true)
 		})
 		return tick, report
 	}
@@ -261,13 +261,13 @@
 		want   bool
 	}{{now - 2*second, true}, {now + second, false}} {
 		m.LastFailedCallAt = tc.failed
-		if got := l.isUnreachable(m, l.zonesHeardSince()); got != tc.want {
+		if got := l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()); got != tc.want {
 			t.Errorf("call failed at %v, zone heard up to %v: powerless %v", tc.failed, now, got)
 		}
 	}
 	m.LastFailedCallAt = now - 2*second
 	l.reach.noteMissed("i-900007", now)
-	if l.isUnreachable(m, l.zonesHeardSince()) {
+	if l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()) {
 		t.Error("powerless, though others hear what we can't reach")
 	}
 }
@@ -288,7 +288,7 @@
 	var all []*clusterstate.Machine
 	for i := range 4 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
-		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), l.machineSize("m8")
+		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), l.machines.machineSize("m8")
 		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
 		if i < 3 {
 			a := l.state.AddAttempt(m, web, i, l.attemptNumbers.take(), c.env.now)
@@ -296,20 +296,20 @@
 		}
 		all = append(all, m)
 	}
-	if l.manyUnresponsive() {
+	if l.consolidator.manyUnresponsive() {
 		t.Error("late though all answer")
 	}
-	all[0].FailedCalls, all[0].LastSeen, l.electedAt = 2, c.env.now-c.env.cfg.Lease()/2, c.env.now-c.env.cfg.Lease()
-	if !l.manyUnresponsive() {
+	all[0].FailedCalls, all[0].LastSeen, l.lease.electedAt = 2, c.env.now-c.env.cfg.Lease()/2, c.env.now-c.env.cfg.Lease()
+	if !l.consolidator.manyUnresponsive() {
 		t.Error("one machine of three is late, and others would be emptied")
 	}
 	batch := add("j-2", false, 1)
-	l.runFill()
+	l.placement.runFill()
 	if batch.ActiveAttempts != 0 {
 		t.Error("a batch took the room that a late machine's replica may need")
 	}
 	all[0].FailedCalls, all[0].LastSeen = 0, c.env.now
-	l.runFill()
+	l.placement.runFill()
 	if batch.ActiveAttempts != 1 {
 		t.Error("a batch waits though no machine is late")
 	}
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -92,7 +92,7 @@
 		contact.highestToken = max(contact.highestToken, f.election.leaderKeys.leader.Token)
 	}
 	if f.controller.leadership != nil {
-		*contact = leaderContact{highestToken: max(contact.highestToken, f.controller.leadership.token), lastServed: contact.lastServed}
+		*contact = leaderContact{highestToken: max(contact.highestToken, f.controller.leadership.lease.token), lastServed: contact.lastServed}
 		return
 	}
 	if contact.inFlight || f.env.now < contact.nextAt || len(f.env.cfg.Siblings) == 0 {
@@ -202,10 +202,6 @@
 	}
 }
 
-// maxFailoverTime is how long it takes at the most until the state service no longer names a
-// leader that has ended: its lease, and the election of the next.
-func (e *environment) maxFailoverTime() time.Duration { return 2 * e.cfg.LeaderTTL() }
-
 func (f *follower) replyLeaseOnly(from requester, msg *protocol.WorkerHeartbeat) {
 	f.outbox.reply(from, 200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: msg.Token, Commands: []protocol.Command{}}), 0)
 }
@@ -233,7 +229,7 @@
 		contact := &f.contact
 		switch {
 		case f.controller.leadership != nil:
-			f.controller.leadership.answerForwardedHeartbeat(from, msg, body)
+			f.controller.leadership.heartbeats.answerForwardedHeartbeat(from, msg, body)
 		case ok:
 			f.outbox.reply(from, reply.Status, reply.Body, reply.RetryAfter)
 		default:
@@ -248,59 +244,3 @@
 		}
 	}})
 }
-
-// peer is what a leader knows of another controller.
-type peer struct {
-	zone        string
-	incarnation string
-	firstHeard  time.Duration // when it was first heard in this term
-	lastHeard   time.Duration // and last
-	startedAt   time.Duration // when its process did, by our clock
-	// servedKnownUntil: up to here it had served nobody later than served.
-	servedKnownUntil, lastServed time.Duration
-	route                        heartbeatRoute
-}
-
-// onPeerHeartbeat answers a controller that stays in touch with the leader.
-func (c *Controller) onPeerHeartbeat(from requester, body []byte) {
-	var ask protocol.PeerHeartbeat
-	if protocol.DecodePeer(body, &ask) != nil || c.env.peerAddr(ask.From) == "" {
-		c.outbox.reply(from, 400, nil, 0)
-		return
-	}
-	l := c.leadership
-	if l != nil && ask.Token > l.token {
-		c.endLeadership("another controller knows a later leader")
-		l = nil
-	}
-	g := protocol.PeerHeartbeatReply{Token: c.follower.contact.highestToken, Versions: c.versionStatement()}
-	if l != nil && l.verifiesLease() && c.detection.enabled() {
-		c.outbox.reply(from, 200, protocol.EncodePeer(g), 0) // it may have been replaced
-		return
-	}
-	if l == nil {
-		if label := c.follower.leaderLabel(); label != c.env.cfg.Label {
-			g.Leader = label // our own is that of an earlier process
-		}
-		c.outbox.reply(from, 200, protocol.EncodePeer(g), 0)
-		return
-	}
-	g.Leader, g.Token, g.LeaderClock = c.env.cfg.Label, l.token, uint64(c.env.now)
-	l.onVersionStatement(&ask)
-	p := l.peers[ask.From]
-	p.lastHeard = c.env.now
-	if p.firstHeard == 0 {
-		p.firstHeard = c.env.now
-	}
-	if p.incarnation != ask.Incarnation {
-		p.incarnation, p.lastServed = ask.Incarnation, c.env.now
-		p.startedAt = c.env.now - time.Duration(ask.UptimeMS)*time.Millisecond
-	}
-	if ask.ServedMS >= 0 {
-		p.lastServed = max(p.lastServed, c.env.now-time.Duration(ask.ServedMS)*time.Millisecond)
-	}
-	if ask.Token == l.token && ask.LeaderClock != 0 {
-		p.servedKnownUntil = max(p.servedKnownUntil, time.Duration(ask.LeaderClock))
-	}
-	c.outbox.reply(from, 200, protocol.EncodePeer(g), 0)
-}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -9,26 +9,26 @@
 // are all in the ledger, under one number, goes on. Any other is cleared and starts anew,
 // as nobody knows which of its tasks an earlier leader, or an older version that
 // starts them one by one, has sent.
-func (l *leadership) verifyGang(j *clusterstate.Job) {
+func (t *attemptTracker) verifyGang(j *clusterstate.Job) {
 	if j.Gang == nil || j.ActiveAttempts == 0 || j.Gang.Complete() {
 		return
 	}
 	j.Gang.Apply(clusterstate.PlacesIncomplete)
-	l.abortGang(j, "its gang is not complete in the ledger")
+	t.abortGang(j, "its gang is not complete in the ledger")
 }
 
 // startGang sends the runs of a gang once the last of its places is durable.
-func (l *leadership) startGang(j *clusterstate.Job) {
+func (t *attemptTracker) startGang(j *clusterstate.Job) {
 	if j.Gang == nil || !j.Gang.Complete() {
 		return
 	}
 	for _, a := range j.Gang.Attempts() {
-		l.dispatchCommands(a.Machine)
+		t.dispatcher.dispatchCommands(a.Machine)
 	}
 }
 
 // gangTaskGone decides what the end of one task means for the rest of its gang.
-func (l *leadership) gangTaskGone(a *clusterstate.Attempt, reason absenceProof) {
+func (t *attemptTracker) gangTaskGone(a *clusterstate.Attempt, reason absenceProof) {
 	g := a.Job.Gang
 	if g == nil || a.Number != g.Number || g.State == clusterstate.GangDone || endedAsTold(a, reason) {
 		return
@@ -40,7 +40,7 @@
 		event = clusterstate.TaskReplaceable
 	}
 	if g.Apply(event) && g.State == clusterstate.GangBroken {
-		l.abortGang(a.Job, "a task of its gang is gone")
+		t.abortGang(a.Job, "a task of its gang is gone")
 	}
 }
 
@@ -57,33 +57,33 @@
 }
 
 // abortGang stops all that may be left of a gang's attempt, at once.
-func (l *leadership) abortGang(j *clusterstate.Job, why string) {
+func (t *attemptTracker) abortGang(j *clusterstate.Job, why string) {
 	for _, a := range j.Gang.Attempts() {
-		l.requestAttemptStop(a, 0, why)
+		t.requestAttemptStop(a, 0, why)
 	}
 }
 
 // requestGangStop stops all tasks under the attempt's number in the same breath and with
 // the same leeway, which leaves them time to wait for one another after saving.
-func (l *leadership) requestGangStop(j *clusterstate.Job, try uint64, grace float64, why string) {
+func (t *attemptTracker) requestGangStop(j *clusterstate.Job, try uint64, grace float64, why string) {
 	if try == j.Gang.Number {
 		j.Gang.Apply(clusterstate.StopRequested)
 	}
 	if grace > 0 {
-		grace += l.controller.env.cfg.GangPeer().Seconds()
+		grace += t.env.cfg.GangPeer().Seconds()
 	}
 	for _, a := range j.Gang.Attempts() {
 		if a.Number == try {
-			l.requestAttemptStop(a, grace, why)
+			t.requestAttemptStop(a, grace, why)
 		}
 	}
 }
 
 // completeGang notes that a gang is done, as one of its tasks is.
-func (l *leadership) completeGang(j *clusterstate.Job) {
+func (t *attemptTracker) completeGang(j *clusterstate.Job) {
 	j.Gang.Apply(clusterstate.TaskDone)
 	for i := range j.Spec.Tasks {
 		j.MarkDone(i)
 	}
-	l.completeJob(j)
+	t.jobs.completeJob(j)
 }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -195,11 +195,11 @@
 	j.Stored, j.Cancelling = true, true
 	m := l.state.AddMachine("i-900000")
 	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.Up = "m8", "a", true, true, true
-	m.Epoch, m.Sequence, m.HeartbeatSequence, m.Token = 1, 10, 10, l.token
+	m.Epoch, m.Sequence, m.HeartbeatSequence, m.Token = 1, 10, 10, l.lease.token
 	a := l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
 	a.Durable, a.Sent, a.Epoch, a.RunSequence, a.StopRequested = true, true, 1, 10, true
 	report := func(seq uint64, reported bool) {
-		l.applyHeartbeat(&protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Sequence: seq, Token: l.token}, reported)
+		l.heartbeats.applyHeartbeat(&protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Sequence: seq, Token: l.lease.token}, reported)
 	}
 	report(11, false) // an answer to a direct request: the run may still be in the other
 	if j.ActiveAttempts != 1 {
@@ -217,7 +217,7 @@
 	c := w.nodes[w.awaitLeader()].controller
 	j := c.leadership.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: 1, Cores: 1}, c.env.wall)
 	for range 20 {
-		c.leadership.backOffJob(j)
+		c.leadership.failures.backOffJob(j)
 	}
 	if j.NotBefore > c.env.now+c.env.cfg.Lease() {
 		t.Errorf("waits for %v", j.NotBefore-c.env.now)
@@ -231,8 +231,8 @@
 	w.run(40 * second)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	l.peers, l.electedAt = map[string]*peer{}, c.env.now
-	if l.isLeaseExpired(l.state.AddMachine("i-900000")) {
+	l.peers, l.lease.electedAt = map[string]*peer{}, c.env.now
+	if l.health.isLeaseExpired(l.state.AddMachine("i-900000")) {
 		t.Error("a lease is called over at the election")
 	}
 }
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -35,13 +35,13 @@
 const leastMoves = 4
 
 // zoneServers are the controllers of a zone that may serve machines, sorted.
-func (l *leadership) zoneServers(zone string) []string {
+func (r *heartbeatRouter) zoneServers(zone string) []string {
 	var out []string
-	if l.controller.env.cfg.Zone == zone {
-		out = append(out, l.controller.env.cfg.Label)
+	if r.env.cfg.Zone == zone {
+		out = append(out, r.env.cfg.Label)
 	}
-	for _, s := range l.controller.env.cfg.Siblings {
-		if s.Zone == zone && l.controller.detection.detector.Serves(s.Label, l.controller.env.now) {
+	for _, s := range r.env.cfg.Siblings {
+		if s.Zone == zone && r.detection.detector.Serves(s.Label, r.env.now) {
 			out = append(out, s.Label)
 		}
 	}
@@ -50,65 +50,65 @@
 }
 
 // ownerOf is the controller that a machine's reports fall to; "": its zone has none.
-func (l *leadership) ownerOf(m *clusterstate.Machine) string {
-	a := l.assignments.zones[m.Zone]
+func (r *heartbeatRouter) ownerOf(m *clusterstate.Machine) string {
+	a := r.assignments.zones[m.Zone]
 	if a == nil {
 		a = &membership.Assignment{}
-		l.assignments.zones[m.Zone] = a
+		r.assignments.zones[m.Zone] = a
 	}
-	return a.Owner(m.ID, l.zoneServers(m.Zone))
+	return a.Owner(m.ID, r.zoneServers(m.Zone))
 }
 
 // assignedRedirect names the controller that the worker is to report to instead of the one that
 // its report came by, or none.
-func (l *leadership) assignedRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
-	by := l.controller.env.cfg.Label
+func (r *heartbeatRouter) assignedRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
+	by := r.env.cfg.Label
 	if from.relay {
 		by = from.by
 	}
-	if by == "" || m.Zone == "" || msg.Token != l.token || l.controller.env.now < l.electedAt+l.controller.env.cfg.Lease()/2 {
+	if by == "" || m.Zone == "" || msg.Token != r.lease.token || r.env.now < r.lease.electedAt+r.env.cfg.Lease()/2 {
 		return ""
 	}
-	owner := l.ownerOf(m)
-	if by == l.controller.env.cfg.Label {
-		l.assignments.own.noteForwarded(l.controller.env.now)
+	owner := r.ownerOf(m)
+	if by == r.env.cfg.Label {
+		r.assignments.own.noteForwarded(r.env.now)
 	}
-	if owner == "" || owner == by || !l.isInContact(owner) {
+	if owner == "" || owner == by || !r.isInContact(owner) {
 		return ""
 	}
-	way, process := l.routeTo(owner)
+	way, process := r.routeTo(owner)
 	if m.RedirectedTo == owner && m.RedirectedProcess == process && m.RedirectedAt > 0 {
-		l.onWorkerReturned(m, way)
+		r.onWorkerReturned(m, way)
 		return ""
 	}
 	if m.RedirectedProcess != process {
 		m.FailedRedirects = 0
 	}
-	if l.controller.env.now < m.NoRedirectUntil || !l.assignments.moves.Has(l.controller.env.now, 1) || !way.accepts(l.controller.env.now, l.controller.env.cfg.Report()) {
+	if r.env.now < m.NoRedirectUntil || !r.assignments.moves.Has(r.env.now, 1) || !way.accepts(r.env.now, r.env.cfg.Report()) {
 		return ""
 	}
-	l.assignments.moves.Take(l.controller.env.now, 1)
-	m.RedirectedAt, m.RedirectedTo, m.RedirectedProcess = l.controller.env.now, owner, process
-	l.controller.env.observer.MachineRedirected(m.ID, owner)
+	r.assignments.moves.Take(r.env.now, 1)
+	m.RedirectedAt, m.RedirectedTo, m.RedirectedProcess = r.env.now, owner, process
+	r.env.observer.MachineRedirected(m.ID, owner)
 	return owner
 }
 
 // isInContact says whether machines may be sent to a controller now: it is not suspected, and what
 // it passes on reaches us.
-func (l *leadership) isInContact(label string) bool {
-	p := l.peers[label]
-	if label == l.controller.env.cfg.Label {
+func (r *heartbeatRouter) isInContact(label string) bool {
+	p := r.peers[label]
+	if label == r.env.cfg.Label {
 		return true
 	}
-	return p != nil && p.lastHeard > 0 && l.controller.env.now < p.lastHeard+l.controller.env.cfg.Lease()/8 && l.controller.detection.detector.TakesWork(label, l.controller.env.now)
+	return p != nil && p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.cfg.Lease()/8 && r.detection.detector.TakesWork(label, r.env.now)
 }
 
 // routeTo is the way of workers to a controller, and which process that is. A machine that came
 // back from there can't reach it, and is left alone for a while; what an earlier process
 // of the same label did not take counts for nothing.
-func (l *leadership) routeTo(label string) (*heartbeatRoute, string) {
-	if p := l.peers[label]; p != nil {
+func (r *heartbeatRouter) routeTo(label string) (*heartbeatRoute, string) {
+	if p := r.peers[label]; p != nil {
 		return &p.route, p.incarnation
 	}
-	return &l.assignments.own, l.controller.env.incarnation
+	return &r.assignments.own, r.env.incarnation
 }
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -9,6 +9,16 @@
 	"claybarrow/internal/protocol"
 )
 
+// heartbeatRouter decides which controller each worker sends its heartbeats to.
+type heartbeatRouter struct {
+	detection *failureDetection
+	env       *environment
+	lease     *leaderLease
+	peers     map[string]*peer
+
+	assignments assignments
+}
+
 // Workers report to a controller of their own zone, which forwards the reports to
 // the leader, so that none has to look for it when the zone is cut off. A controller
 // that is in touch with the leader may still be out of reach of the workers. So the
@@ -68,53 +78,53 @@
 // redirectTarget names the controller that the worker is to report to: one of its own
 // zone that is in touch with us, or none. A worker that comes back from there
 // can't reach it, and is left alone for a while.
-func (l *leadership) redirectTarget(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
-	if l.controller.detection.enabled() {
-		return l.assignedRedirect(m, msg, from)
+func (r *heartbeatRouter) redirectTarget(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
+	if r.detection.enabled() {
+		return r.assignedRedirect(m, msg, from)
 	}
-	if from.relay || m.Zone == l.controller.env.cfg.Zone || m.Zone == "" || msg.Token != l.token || l.controller.env.now < l.electedAt+l.controller.env.cfg.Lease()/2 {
+	if from.relay || m.Zone == r.env.cfg.Zone || m.Zone == "" || msg.Token != r.lease.token || r.env.now < r.lease.electedAt+r.env.cfg.Lease()/2 {
 		return ""
 	}
-	to := l.nearestController(m.Zone)
+	to := r.nearestController(m.Zone)
 	if to == "" {
 		return ""
 	}
-	p := l.peers[to]
+	p := r.peers[to]
 	// One that has ended since is no reason: on a day of restarts one after the
 	// other the workers of a zone were left with the leader, and lost in a cut.
 	// As its end may not be known yet, the first time counts for little.
 	if m.RedirectedProcess != p.incarnation {
 		m.FailedRedirects = 0
 	} else if m.RedirectedAt > 0 {
-		l.onWorkerReturned(m, &p.route)
+		r.onWorkerReturned(m, &p.route)
 		return ""
 	}
-	if l.controller.env.now < m.NoRedirectUntil || !p.route.accepts(l.controller.env.now, l.controller.env.cfg.Report()) {
+	if r.env.now < m.NoRedirectUntil || !p.route.accepts(r.env.now, r.env.cfg.Report()) {
 		return ""
 	}
-	m.RedirectedAt, m.RedirectedProcess = l.controller.env.now, p.incarnation
+	m.RedirectedAt, m.RedirectedProcess = r.env.now, p.incarnation
 	return to
 }
 
 // onWorkerReturned notes that a worker reports to us again though it was sent to another
 // controller.
-func (l *leadership) onWorkerReturned(m *clusterstate.Machine, way *heartbeatRoute) {
-	if l.controller.env.now > m.RedirectedAt+3*l.controller.env.cfg.Lease() {
+func (r *heartbeatRouter) onWorkerReturned(m *clusterstate.Machine, way *heartbeatRoute) {
+	if r.env.now > m.RedirectedAt+3*r.env.cfg.Lease() {
 		m.FailedRedirects = 0 // it was there for long
 	}
-	m.NoRedirectUntil = l.controller.env.now + l.controller.env.cfg.Lease()/2<<min(m.FailedRedirects, maxBackoffDoublings)
+	m.NoRedirectUntil = r.env.now + r.env.cfg.Lease()/2<<min(m.FailedRedirects, maxBackoffDoublings)
 	m.FailedRedirects++
 	m.RedirectedAt = 0
-	way.noteReturn(l.controller.env.now, l.controller.env.cfg.Lease())
+	way.noteReturn(r.env.now, r.env.cfg.Lease())
 }
 
 // nearestController is the controller of a zone that is in touch with us, if any: of several
 // the one whose next neighbour of the same zone is tried soonest after it.
-func (l *leadership) nearestController(zone string) string {
+func (r *heartbeatRouter) nearestController(zone string) string {
 	var near []string
-	for _, s := range l.controller.env.cfg.Siblings {
-		asked := l.peers[s.Label].lastHeard
-		if s.Zone == zone && asked > 0 && l.controller.env.now < asked+l.controller.env.cfg.Lease()/8 {
+	for _, s := range r.env.cfg.Siblings {
+		asked := r.peers[s.Label].lastHeard
+		if s.Zone == zone && asked > 0 && r.env.now < asked+r.env.cfg.Lease()/8 {
 			near = append(near, s.Label)
 		}
 	}
@@ -122,26 +132,26 @@
 		return ""
 	}
 	return slices.MinFunc(near, func(a, b string) int {
-		return cmp.Compare(l.controller.env.controllersBetween(a), l.controller.env.controllersBetween(b))
+		return cmp.Compare(r.env.controllersBetween(a), r.env.controllersBetween(b))
 	})
 }
 
 // noteForwardedBy notes by which controller a report came. Older versions don't tell:
 // then it is the zone's, if it has only one.
-func (l *leadership) noteForwardedBy(label, zone string) {
-	p := l.peers[label]
+func (r *heartbeatRouter) noteForwardedBy(label, zone string) {
+	p := r.peers[label]
 	if label == "" {
-		p = l.onlyPeerIn(zone)
+		p = r.onlyPeerIn(zone)
 	}
 	if p != nil {
-		p.route.noteForwarded(l.controller.env.now)
+		p.route.noteForwarded(r.env.now)
 	}
 }
 
 // onlyPeerIn is the single other controller of a zone, or nil.
-func (l *leadership) onlyPeerIn(zone string) *peer {
+func (r *heartbeatRouter) onlyPeerIn(zone string) *peer {
 	var only *peer
-	for _, p := range l.peers {
+	for _, p := range r.peers {
 		if p.zone != zone {
 			continue
 		}
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -197,7 +197,7 @@
 	})
 	w.run(second)
 	l := w.nodes[next].controller.leadership
-	if l.ready {
+	if l.loader.ready {
 		t.Fatal("the ledger is read")
 	}
 	var got Reply
@@ -210,14 +210,14 @@
 	if got.Status != 200 || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
 		t.Errorf("answered %d with %+v", got.Status, reply)
 	}
-	if l.leaseOnlyReplyAt != l.controller.env.now {
+	if l.heartbeats.leaseOnlyReplyAt != l.controller.env.now {
 		t.Error("the answer does not count against the proof by time")
 	}
 	report(0)
 	if got.Status != 503 {
 		t.Errorf("a worker without a leader yet is answered %d", got.Status)
 	}
-	report(l.token + 1)
+	report(l.lease.token + 1)
 	if got.Status != 503 || w.nodes[next].controller.leadership != nil {
 		t.Errorf("a worker with a higher token is answered %d", got.Status)
 	}
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -15,7 +15,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	l := w.term()
-	known := l.sortedMachines()[0]
+	known := l.machines.sortedMachines()[0]
 	before := len(known.Attempts)
 	for _, listed := range []protocol.ListedMachine{
 		{ID: "i-900009", Type: "m8", Zone: "a", State: "paused", AgeS: 5},
@@ -25,7 +25,7 @@
 		{ID: known.ID, Type: "other", Zone: "b", State: "paused"},
 		{},
 	} {
-		l.onListed(&listed)
+		l.machines.onListed(&listed)
 	}
 	if known.Type != "m8" || len(known.Attempts) != before || known.Releasing {
 		t.Errorf("a listed machine changed: %+v", known)
@@ -58,8 +58,8 @@
 		t.Error("odd input made jobs or tasks")
 	}
 	var ghosts []*clusterstate.Machine
-	for _, m := range l.sortedMachines() {
-		if m.Type == "unheard-of" && l.isSchedulable(m) {
+	for _, m := range l.machines.sortedMachines() {
+		if m.Type == "unheard-of" && l.health.isSchedulable(m) {
 			ghosts = append(ghosts, m)
 		}
 	}
--- a/internal/controller/leader_keys.go
+++ b/internal/controller/leader_keys.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"math"
 	"time"
 
@@ -152,71 +151,3 @@
 	k.counter, k.counterVersion = rec.Token, revision
 	k.record, k.recordVersion, k.leader, k.leaseKeyPresent = rec, revision, rec, rec.StorageVersion != 0
 }
-
-// supportsStoredVersion says whether this version reads the records that are stored; one that does not
-// leaves the leadership to those that do.
-func (e *election) supportsStoredVersion() bool {
-	keys := &e.leaderKeys
-	if keys.record == nil || keys.record.storageVersion() <= newestStorageVersion {
-		return true
-	}
-	if !keys.unsupportedLogged {
-		keys.unsupportedLogged = true
-		e.env.log.Error("records are stored in a form that this version does not read: it leaves the leadership to others",
-			"form", keys.record.StorageVersion, "reads", uint64(newestStorageVersion))
-	}
-	return false
-}
-
-// observeLeader looks at who leads by the keys.
-func (e *election) observeLeader() {
-	keys := &e.leaderKeys
-	rec := keys.currentLeader()
-	if rec == nil {
-		if keys.leader != nil || keys.leaderlessSince == 0 {
-			keys.leaderlessSince = e.env.now
-		}
-		keys.leader = nil
-		return
-	}
-	if keys.loggedToken != rec.Token {
-		// Once: a follower in a cut reads the keys anew every few seconds.
-		keys.loggedToken = rec.Token
-		e.env.log.Info("leader seen", "leader", rec.Label, "token", rec.Token)
-	}
-	keys.leader = rec
-	if e.controller.leadership != nil {
-		// A watch that was open when we won tells of ourselves, or of somebody
-		// who came after us.
-		if rec.Token > e.controller.leadership.token {
-			e.controller.endLeadership("a later leader's key")
-		}
-		return
-	}
-	if rec.Label != e.env.cfg.Label {
-		return
-	}
-	if rec.Incarnation == e.env.incarnation && e.candidate != nil && rec.LeaseID == e.candidate.leaseID {
-		// Our own transaction, whose answer was lost, did apply.
-		e.controller.becomeLeader(rec, keys.recordVersion)
-		return
-	}
-	e.revokeFormerLease(rec.LeaseID)
-}
-
-// revokeFormerLease ends the lease of an earlier process of ours, or of a transaction of ours that we
-// gave up. That is safe, as its writes are fenced.
-func (e *election) revokeFormerLease(lease uint64) {
-	keys := &e.leaderKeys
-	if keys.revokedLease == lease {
-		return
-	}
-	keys.revokedLease = lease
-	e.env.log.Info("ending the lease of an earlier incarnation", "lease", lease)
-	e.outbox.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, e.env.cfg.LeaderTTL()/2, func(res Result) {
-		if res.Status == 0 || res.Status >= 429 {
-			keys.revokedLease = 0
-			keys.refresh(e.env.now + e.env.retryPause())
-		}
-	})
-}
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -205,15 +205,15 @@
 	m.LastAnswered, m.TokenAcknowledgedAt, m.LastSeen = c.env.now-c.env.cfg.Lease(), c.env.now-c.env.cfg.Lease(), c.env.now
 	p := l.peers[w.cfgs[2].Label]
 	p.lastHeard, p.servedKnownUntil, p.lastServed = c.env.now, c.env.now, 0
-	if !l.cannotReachControllers(m) {
+	if !l.health.cannotReachControllers(m) {
 		t.Fatal("with the zone's controller in touch, its reports are not taken for lost")
 	}
 	p.servedKnownUntil = c.env.now - c.env.cfg.Lease()
-	if l.cannotReachControllers(m) {
+	if l.health.cannotReachControllers(m) {
 		t.Error("a heartbeat that was held up passes for touch")
 	}
 	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.Lease()/4
-	if l.cannotReachControllers(m) {
+	if l.health.cannotReachControllers(m) {
 		t.Error("the zone's controller renewed its lease")
 	}
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -3,20 +3,34 @@
 import (
 	"maps"
 	"slices"
+	"time"
 
 	"claybarrow/internal/clusterstate"
+	"claybarrow/internal/machinepool"
+	"claybarrow/internal/protocol"
+	"claybarrow/internal/scheduler"
 	"claybarrow/internal/statestore"
 )
 
+// machineRegistry takes machines in and out of the cluster state, and has their records stored.
+type machineRegistry struct {
+	attempts *attemptTracker
+	catalog  *machineCatalog
+	env      *environment
+	pool     *machinepool.Pool
+	state    *clusterstate.State
+	store    *statestore.Writer
+}
+
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // sortedMachines lists the machines in a fixed order, so runs replay.
-func (l *leadership) sortedMachines() []*clusterstate.Machine { return l.state.SortedMachines() }
+func (r *machineRegistry) sortedMachines() []*clusterstate.Machine { return r.state.SortedMachines() }
 
 // storeMachine marks the machine's record to be written.
-func (l *leadership) storeMachine(m *clusterstate.Machine, priority statestore.Priority, then func()) {
-	l.store.Mark(clusterstate.MachinePrefix+m.ID, priority, func() any {
-		if l.state.Machines[m.ID] != m {
+func (r *machineRegistry) storeMachine(m *clusterstate.Machine, priority statestore.Priority, then func()) {
+	r.store.Mark(clusterstate.MachinePrefix+m.ID, priority, func() any {
+		if r.state.Machines[m.ID] != m {
 			return nil
 		}
 		m.Recorded = true
@@ -25,56 +39,92 @@
 }
 
 // noteImageUse notes that a task of the job has its image on the machine.
-func (l *leadership) noteImageUse(m *clusterstate.Machine, j *clusterstate.Job) {
-	m.UseImage(j.Spec.Image, j.Spec.ImageGB, l.controller.catalog.typeInfo[m.Type].CacheGB)
+func (r *machineRegistry) noteImageUse(m *clusterstate.Machine, j *clusterstate.Job) {
+	m.UseImage(j.Spec.Image, j.Spec.ImageGB, r.catalog.typeInfo[m.Type].CacheGB)
 }
 
-// watchMachines looks at what time alone tells.
-func (l *leadership) watchMachines() {
-	for _, m := range l.sortedMachines() {
-		if m.SpotNotice {
-			l.evacuateBeforeReclaim(m)
-		}
-		if len(m.Attempts) > 0 && l.cannotReachControllers(m) {
-			// Its lease runs out: what is there goes on elsewhere sooner.
-			for _, a := range m.Sorted() {
-				if l.leaseUnrenewed(m, l.evacuateAfter(a)) {
-					l.requestStop(a, a.Job.Spec.SaveS, "the machine reaches no controller")
-				}
-			}
-		}
-		l.dispatchCommands(m)
-		if l.ended {
-			return
-		}
-		if len(m.Attempts) == 0 && m.Epoch <= m.ExpiredEpoch {
-			continue
-		}
-		if !l.isLeaseExpired(m) {
-			continue
-		}
-		if m.Seen {
-			m.ExpiredEpoch = m.Epoch
-			l.controller.env.log.Info("machine is silent, its lease is over", "machine", m.ID, "tasks", len(m.Attempts))
-		}
-		m.TokenAcknowledged, m.Probed = false, false
+func (r *machineRegistry) machineSize(typ string) scheduler.Need {
+	if t, ok := r.catalog.typeInfo[typ]; ok {
+		return scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB}
+	}
+	return scheduler.Need{}
+}
+
+func (r *machineRegistry) onListed(listed *protocol.ListedMachine) {
+	m := r.state.Machines[listed.ID]
+	if m == nil {
+		m = r.state.AddMachine(listed.ID)
+		m.ExistedAt = r.env.now
+		m.LaunchedAt = r.env.now - seconds(listed.AgeS)
+		r.env.log.Info("machine found in the list", "machine", listed.ID, "type", listed.Type, "zone", listed.Zone, "state", listed.State)
+	}
+	if m.Type == "" {
+		m.Type, m.Zone, m.Spot = listed.Type, listed.Zone, listed.Spot
+		m.Size = r.machineSize(m.Type)
+	}
+	if age := r.env.now - seconds(listed.AgeS); age < m.LaunchedAt {
+		m.LaunchedAt = age
+	}
+	if listed.Addr != "" {
+		m.Addr = listed.Addr
+	}
+	m.Listed = listed.State == "running"
+	if listed.State == "failed" && !m.Releasing {
+		r.env.log.Info("machine failed", "machine", m.ID, "tasks", len(m.Attempts))
 		for _, a := range m.Sorted() {
-			l.removeAttempt(a, leaseExpired)
+			r.attempts.removeAttempt(a, machineFailed)
 		}
-		clear(m.Exited)
-		clear(m.UnknownTasks)
+		r.releaseMachine(m, "failed")
 	}
 }
 
-// evacuateBeforeReclaim has tasks with checkpoints saved before the machine is taken.
-func (l *leadership) evacuateBeforeReclaim(m *clusterstate.Machine) {
-	for _, a := range m.Sorted() {
-		s := a.Job.Spec
-		if s.CheckpointS <= 0 {
-			continue
+// removeUnlisted drops machines that are gone: a list describes a moment at most
+// twice the lag before it was asked for, and one that surely existed by then
+// would be in it.
+func (r *machineRegistry) removeUnlisted(asked time.Duration, seen map[string]bool) {
+	for _, m := range r.sortedMachines() {
+		if !seen[m.ID] && asked > m.ExistedAt+2*r.env.cfg.ListLag()+r.env.cfg.ListLag()/5 {
+			r.removeMachine(m, machineUnlisted)
 		}
-		if l.controller.env.now > m.ReclaimedBy-seconds(s.SaveS)-2*l.controller.env.cfg.Report()-l.controller.env.cfg.Lease()/10 {
-			l.requestStop(a, s.SaveS+1, "the machine is taken back")
+	}
+}
+
+// removeMachine takes a machine that is proved gone out of the ledger.
+func (r *machineRegistry) removeMachine(m *clusterstate.Machine, why absenceProof) {
+	if r.state.Machines[m.ID] != m {
+		return
+	}
+	r.env.log.Info("machine gone", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
+	for _, a := range m.Sorted() {
+		r.attempts.removeAttempt(a, why)
+	}
+	r.state.RemoveMachine(m)
+	r.pool.Remove(m.ID)
+	r.storeMachine(m, statestore.Lazy, nil)
+}
+
+// releaseMachine returns a machine. The mark is durable before the deletion leaves,
+// so that a late deletion hits nothing in use.
+func (r *machineRegistry) releaseMachine(m *clusterstate.Machine, why string) {
+	if m.Releasing {
+		return
+	}
+	r.env.log.Info("returning", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "why", why)
+	m.Releasing = true
+	r.storeMachine(m, statestore.Done, func() { m.ReleaseStored = true })
+}
+
+// abandonMachine drops what was to be started on a machine whose record can't be written.
+func (r *machineRegistry) abandonMachine(m *clusterstate.Machine) {
+	m.QuarantinedUntil = r.env.now + r.env.cfg.Lease()
+	for _, a := range m.Sorted() {
+		if !a.Durable {
+			r.attempts.removeAttempt(a, notRecorded)
 		}
 	}
+	// A record that was stored under a higher limit may not fit any more. The mark
+	// only keeps a later leader from using the machine until the deletion comes,
+	// which costs its tasks as a machine's end does; without the deletion an
+	// unreachable machine would be waited for without end.
+	m.ReleaseStored = m.ReleaseStored || m.Releasing
 }
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -42,9 +42,9 @@
 		p.discardStaleDecisions()
 	}
 	if l := p.controller.leadership; l != nil {
-		l.verifyingLeaseUntil = p.env.now + p.env.maxFailoverTime()
-		l.renewalInFlight, l.renewLeaseAt = false, p.env.now
-		l.renewLeaderLease()
+		l.lease.verifyingLeaseUntil = p.env.now + p.env.maxFailoverTime()
+		l.lease.renewalInFlight, l.lease.renewLeaseAt = false, p.env.now
+		l.lease.renewLeaderLease()
 		return
 	}
 	p.election.leaderKeys.refresh(p.env.now)
@@ -81,8 +81,3 @@
 
 // isRecovering says whether the process stood still and has heard of nobody since.
 func (p *pauseRecovery) isRecovering() bool { return p.env.now < p.recoveringUntil }
-
-// verifiesLease says whether this leader does not know yet, after a standstill, whether it
-// still is one. Where the state service does not answer at all it goes on as a coasting
-// leader does.
-func (l *leadership) verifiesLease() bool { return l.controller.env.now < l.verifyingLeaseUntil }
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -33,7 +33,7 @@
 		w.run(d - time.Millisecond)
 		replaced := false
 		for i, n := range w.nodes {
-			replaced = replaced || i != lead && n.controller.leadership != nil && n.controller.leadership.ready
+			replaced = replaced || i != lead && n.controller.leadership != nil && n.controller.leadership.loader.ready
 		}
 		if !replaced {
 			t.Fatalf("after %v nobody else leads", d)
@@ -73,7 +73,7 @@
 	w.run(second)
 	w.standStill(lead, 4*second)
 	w.run(15 * second)
-	if l := w.nodes[lead].controller.leadership; l == nil || l.verifiesLease() {
+	if l := w.nodes[lead].controller.leadership; l == nil || l.lease.verifiesLease() {
 		t.Error("it does not lead any more")
 	}
 	w.awaitTold(90*second, "j-1", "done")
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"time"
 
 	"claybarrow/internal/clusterstate"
@@ -19,6 +18,10 @@
 
 // reachability is what a leader knows of its own way to the workers.
 type reachability struct {
+	detection *failureDetection
+	election  *election
+	env       *environment
+
 	reachedAt      time.Duration   // last direct sign of any worker
 	missedMachines map[string]bool // machines missed since
 	suspectAt      time.Duration   // when the first of them was
@@ -46,34 +49,34 @@
 
 // probesReachability says whether a machine is asked for a sign of life, as others did not
 // answer though they are there: one that lately reported by another controller.
-func (l *leadership) probesReachability(m *clusterstate.Machine) bool {
-	if l.reach.missedMachines[m.ID] || !m.TokenAcknowledged || l.controller.env.now >= m.LastSeen+2*l.controller.env.cfg.Report() {
+func (r *reachability) probesReachability(m *clusterstate.Machine) bool {
+	if r.missedMachines[m.ID] || !m.TokenAcknowledged || r.env.now >= m.LastSeen+2*r.env.cfg.Report() {
 		return false
 	}
-	return len(l.reach.missedMachines) > 0 && l.controller.env.now > l.reach.reachedAt+l.controller.env.cfg.Lease()/20 || l.samplesReachability()
+	return len(r.missedMachines) > 0 && r.env.now > r.reachedAt+r.env.cfg.Lease()/20 || r.samplesReachability()
 }
 
 // samplesReachability says whether one more machine is asked for a sign of life because none has given
 // any directly for a while: a leader that had nothing to say to its workers did not notice that it
 // couldn't reach them, and those that reported to it lost their leases.
-func (l *leadership) samplesReachability() bool {
-	if !l.controller.detection.enabled() || l.controller.env.now <= l.reach.reachedAt+l.controller.env.cfg.Lease()/10 {
+func (r *reachability) samplesReachability() bool {
+	if !r.detection.enabled() || r.env.now <= r.reachedAt+r.env.cfg.Lease()/10 {
 		return false
 	}
-	if l.controller.env.now > l.reach.sampledAt+l.controller.env.cfg.Lease()/20 {
-		l.reach.sampledAt, l.reach.samples = l.controller.env.now, 0
+	if r.env.now > r.sampledAt+r.env.cfg.Lease()/20 {
+		r.sampledAt, r.samples = r.env.now, 0
 	}
-	l.reach.samples++
-	return l.reach.samples <= minMissedMachines
+	r.samples++
+	return r.samples <= minMissedMachines
 }
 
 // cannotReachWorkers says whether the workers are there for others and not for us.
-func (l *leadership) cannotReachWorkers() bool {
+func (r *reachability) cannotReachWorkers() bool {
 	// Several machines that hear no answer may be missed at once while there was nothing to say to
 	// others: those that can be reached answer a probe well within a twentieth of a
 	// lease. Once it has stepped down, others have had their chance.
-	return len(l.reach.missedMachines) >= minMissedMachines && l.controller.env.now > l.reach.reachedAt+l.controller.env.cfg.Lease()/10 &&
-		l.controller.env.now > l.reach.suspectAt+l.controller.env.cfg.Lease()/20 && l.controller.env.now >= l.controller.election.electionBackoffUntil
+	return len(r.missedMachines) >= minMissedMachines && r.env.now > r.reachedAt+r.env.cfg.Lease()/10 &&
+		r.env.now > r.suspectAt+r.env.cfg.Lease()/20 && r.env.now >= r.election.electionBackoffUntil
 }
 
 // minMissedMachines is how many machines have to be missed before a leader gives up: one
@@ -83,19 +86,9 @@
 // stepDown ends the leadership and its lease, so that another controller takes
 // over at once. This one stands back as long as the others have a chance to.
 func (l *leadership) stepDown() {
-	l.controller.env.log.Info("stepping down: workers answer others, not us", "token", l.token, "machines", len(l.reach.missedMachines))
+	l.controller.env.log.Info("stepping down: workers answer others, not us", "token", l.lease.token, "machines", len(l.reach.missedMachines))
 	l.controller.election.electionBackoffUntil = l.controller.env.now + 4*l.controller.env.cfg.Lease()
-	l.controller.election.leaderKeys.revokedLease = l.leaseID
+	l.controller.election.leaderKeys.revokedLease = l.lease.leaseID
 	l.controller.endLeadership("it can't reach the workers")
-	l.controller.outbox.revokeLease(l.leaseID)
-}
-
-// revokeLease gives a lease back, if that can be done.
-func (o *outbox) revokeLease(lease uint64) {
-	o.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, o.env.cfg.LeaderTTL()/2, func(Result) {})
-}
-
-// backsOffElection says whether this controller leaves the leadership to others.
-func (e *election) backsOffElection() bool {
-	return e.env.now < e.electionBackoffUntil && e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.Lease()/5
+	l.controller.outbox.revokeLease(l.lease.leaseID)
 }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"claybarrow/internal/membership"
@@ -159,7 +157,3 @@
 	ok := res.Status == 200 && protocol.DecodePeer(res.Body, &reply) == nil && reply.Status >= 200 && reply.Status <= 599
 	return reply, ok
 }
-
-func sortedRequests(pending map[uint64]*pendingRequest) []uint64 {
-	return slices.Sorted(maps.Keys(pending))
-}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -14,31 +14,6 @@
 	retryAfterSeconds = 1 // seconds
 )
 
-func (o *outbox) reply(to requester, status int, body []byte, retryAfter int) {
-	o.replyUntil(to, status, body, retryAfter, 0)
-}
-
-func (o *outbox) replyUntil(to requester, status int, body []byte, retryAfter int, until time.Duration) {
-	if to.relay {
-		body = protocol.EncodePeer(protocol.RelayReply{Status: status, Body: body, RetryAfter: retryAfter})
-		status, retryAfter = 200, 0
-	}
-	o.effects = append(o.effects, Reply{ID: to.id, Status: status, Body: body, RetryAfter: retryAfter, ValidUntil: until})
-}
-
-// replyAsLeader answers with what only a leader may say, and only as long as it is certain
-// to be one.
-func (l *leadership) replyAsLeader(to requester, status int, s protocol.JobStatus) {
-	l.controller.outbox.replyUntil(to, status, protocol.Encode(s), 0, l.holdsLeaseUntil())
-}
-
-// replyUnavailable answers at once that it can't be decided now.
-func (o *outbox) replyUnavailable(to requester) { o.reply(to, 503, nil, retryAfterSeconds) }
-
-func (o *outbox) replyStatus(to requester, status int, s protocol.JobStatus) {
-	o.reply(to, status, protocol.Encode(s), 0)
-}
-
 func (c *Controller) onRequest(q Request) {
 	from := requester{id: q.ID}
 	if c.pause.isRecovering() && q.Op.needsLeader() {
@@ -98,7 +73,7 @@
 // one only a moment ago; what can't be decided is answered 503 at once.
 func (c *Controller) isReady() bool {
 	if c.leadership != nil {
-		return c.leadership.ready || c.env.now < c.leadership.electedAt+c.env.cfg.Lease()
+		return c.leadership.loader.ready || c.env.now < c.leadership.lease.electedAt+c.env.cfg.Lease()
 	}
 	if !c.election.leaderKeys.known && c.election.leaderKeys.leader == nil && c.election.leaderKeys.leaderlessSince == 0 {
 		return false
@@ -129,40 +104,9 @@
 	r.relayToLeader(from, r.follower.leaderLabel(), "/relay", protocol.Relay{Op: string(q.Op), UID: q.UID, Body: q.Body})
 }
 
-// expirePendingRequests answers what was given up, at once and finally.
-func (p *pendingTable) expirePendingRequests() {
-	for _, id := range sortedRequests(p.pendingRequests) {
-		if w := p.pendingRequests[id]; p.env.now >= w.deadline {
-			delete(p.pendingRequests, id)
-			p.outbox.replyUnavailable(w.from)
-		}
-	}
-}
-
-// addPending notes that the requester is answered later, or refused at its deadline.
-func (p *pendingTable) addPending(from requester) bool {
-	if len(p.pendingRequests) >= p.env.cfg.Cluster.Resources.FDs/2 {
-		p.outbox.reply(from, 429, nil, retryAfterSeconds)
-		return false
-	}
-	p.pendingRequests[from.id] = &pendingRequest{from: from, deadline: p.env.now + decisionTimeout}
-	return true
-}
-
-// refusePendingRequests answers all that wait, at once and with when to come back.
-func (p *pendingTable) refusePendingRequests() {
-	for _, id := range sortedRequests(p.pendingRequests) {
-		w := p.pendingRequests[id]
-		delete(p.pendingRequests, id)
-		p.outbox.replyUnavailable(w.from)
-	}
-}
-
-// takePending says whether the requester still waits, and ends that.
-func (p *pendingTable) takePending(from requester) bool {
-	if p.pendingRequests[from.id] == nil {
-		return false
-	}
-	delete(p.pendingRequests, from.id)
-	return true
+// requester is who asked: a user or worker directly, or another controller for one.
+type requester struct {
+	id    uint64
+	relay bool
+	by    string // the controller that forwarded a report, if it tells
 }
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -253,7 +253,7 @@
 			ro.states = append(ro.states, state)
 		}
 		for i, n := range ro.nodes {
-			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.holdsLease() && rec.StorageVersion != 0 {
+			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.lease.holdsLease() && rec.StorageVersion != 0 {
 				ro.breaks("n%d of the older version leads with the gate %s", i, rec.gateState())
 			}
 		}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -774,7 +774,7 @@
 	lead := w.awaitLeader()
 	l := w.nodes[lead].controller.leadership
 	touch := func(incarnation string, served int64) {
-		body := protocol.EncodePeer(protocol.PeerHeartbeat{From: "n2", Incarnation: incarnation, Token: l.token, ServedMS: served})
+		body := protocol.EncodePeer(protocol.PeerHeartbeat{From: "n2", Incarnation: incarnation, Token: l.lease.token, ServedMS: served})
 		w.ask(lead, Request{Op: OpPeerHeartbeat, Body: body}, func(Reply) {})
 	}
 	if lead == 2 {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -9,21 +9,21 @@
 )
 
 // scaleIn returns machines that are of no use any more.
-func (l *leadership) scaleIn(needed map[string]bool) {
-	look := l.newScaleInPass(needed)
-	for _, m := range l.sortedMachines() {
-		if m.Releasing || l.controller.catalog.machineType(m.Type) == nil {
+func (a *autoscaler) scaleIn(needed map[string]bool) {
+	pass := a.newScaleInPass(needed)
+	for _, m := range a.machines.sortedMachines() {
+		if m.Releasing || a.catalog.machineType(m.Type) == nil {
 			continue
 		}
-		if why := look.releaseReason(m); why != "" {
-			l.releaseMachine(m, why)
+		if why := pass.releaseReason(m); why != "" {
+			a.machines.releaseMachine(m, why)
 		}
 	}
 }
 
 // scaleInPass is one look at all machines.
 type scaleInPass struct {
-	leader *leadership
+	scaler *autoscaler
 	needed map[string]bool // those that waiting and expected work will be on
 	// manySilent: many silent machines at once speak of our own network, not of theirs.
 	manySilent      bool
@@ -32,32 +32,32 @@
 	spare           *spareCapacity
 }
 
-func (l *leadership) newScaleInPass(needed map[string]bool) *scaleInPass {
+func (a *autoscaler) newScaleInPass(needed map[string]bool) *scaleInPass {
 	silent, up := 0, 0
-	for _, m := range l.state.Machines {
-		if m.Up && !m.Releasing && !l.isPartitioned(m.Zone) {
+	for _, m := range a.state.Machines {
+		if m.Up && !m.Releasing && !a.partitions.isPartitioned(m.Zone) {
 			up++
-			if l.silentFor(m) > l.controller.env.cfg.Lease()*2/5 {
+			if a.health.silentFor(m) > a.env.cfg.Lease()*2/5 {
 				silent++
 			}
 		}
 	}
-	look := &scaleInPass{leader: l, needed: needed, manySilent: silent > 2 && silent > up/3,
-		controllerLost: map[string]bool{}, zonesHeardSince: l.zonesHeardSince(), spare: &spareCapacity{leader: l}}
-	for zone := range l.partitioned {
-		look.controllerLost[zone] = l.controllerLost(zone)
+	pass := &scaleInPass{scaler: a, needed: needed, manySilent: silent > 2 && silent > up/3,
+		controllerLost: map[string]bool{}, zonesHeardSince: a.zonesHeardSince(), spare: &spareCapacity{cache: a.cache}}
+	for zone := range a.partitions.partitioned {
+		pass.controllerLost[zone] = a.partitions.controllerLost(zone)
 	}
-	return look
+	return pass
 }
 
 // releaseReason is why a machine is returned now, or "" if it stays; what keeps it for now is
 // noted as use of it.
 func (p *scaleInPass) releaseReason(m *clusterstate.Machine) string {
-	now := p.leader.controller.env.now
+	now := p.scaler.env.now
 	switch {
 	case p.controllerLost[m.Zone] && len(m.Attempts) > 0:
 		return "its zone is cut off and the controller there has ended"
-	case p.leader.isPartitioned(m.Zone) && m.Up:
+	case p.scaler.partitions.isPartitioned(m.Zone) && m.Up:
 		// Its follower may be keeping its tasks alive. Even without one, what
 		// must be spread waits for this zone, and for a cut's length a
 		// machine with its images is worth more than a new one.
@@ -69,7 +69,7 @@
 	if why := p.silentReleaseReason(m); why != "" {
 		return why
 	}
-	if p.leader.silentFor(m) > p.leader.controller.env.cfg.Lease()*2/5 {
+	if p.scaler.health.silentFor(m) > p.scaler.env.cfg.Lease()*2/5 {
 		// Hanging or cut off, it may come back with its images; a dead one is
 		// soon called failed by the cloud. It was once returned as idle when
 		// its lease was over, seconds before it would have come back.
@@ -81,36 +81,36 @@
 
 // bootingReleaseReason is why a machine that is not up is returned.
 func (p *scaleInPass) bootingReleaseReason(m *clusterstate.Machine) string {
-	if p.leader.controller.env.now > max(m.LaunchedAt+seconds(p.leader.controller.catalog.machineType(m.Type).BootS*longestBoot), p.leader.electedAt+p.leader.controller.env.cfg.Lease()/2) {
+	if p.scaler.env.now > max(m.LaunchedAt+seconds(p.scaler.catalog.machineType(m.Type).BootS*longestBoot), p.scaler.lease.electedAt+p.scaler.env.cfg.Lease()/2) {
 		// Not at once after a take-over: idle machines that have long been up have
 		// no record, and asking thousands takes a while (scale run, 5,500
 		// workers: 107 were returned within the first second).
 		return "did not come up"
 	}
 	if p.needed[m.ID] || m.IdleSince == 0 {
-		m.IdleSince = p.leader.controller.env.now
+		m.IdleSince = p.scaler.env.now
 	}
 	return ""
 }
 
 // silentReleaseReason is why a machine that does not answer is returned.
 func (p *scaleInPass) silentReleaseReason(m *clusterstate.Machine) string {
-	lease := p.leader.controller.env.cfg.Lease()
+	lease := p.scaler.env.cfg.Lease()
 	switch {
-	case !p.manySilent && p.leader.isUnreachable(m, p.zonesHeardSince) && p.leader.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
+	case !p.manySilent && p.scaler.isUnreachable(m, p.zonesHeardSince) && p.scaler.health.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
 		return "no connection to it, while its zone is heard"
-	case !p.manySilent && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && p.leader.silentFor(m) > lease/2:
+	case !p.manySilent && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && p.scaler.health.silentFor(m) > lease/2:
 		// After a take-over the proof by time is far away, and the cloud's
 		// word that the machine is gone comes sooner. A machine that this
 		// leader did hear is left alone: cut off or hanging, its tasks go
 		// on until its lease ends, and it may come back.
 		return "not heard since the take-over"
-	case m.UnseenAnswers > 2 && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && len(m.Attempts) > 0 && p.leader.controller.env.now > p.leader.electedAt+lease:
+	case m.UnseenAnswers > 2 && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+lease:
 		// It reports and never shows our token: it hears no answer, so its
 		// lease is over, but no message of it can prove that what an earlier
 		// leader started there is gone.
 		return "it has not heard us since the take-over"
-	case !p.manySilent && m.FailedCalls > 0 && p.leader.silentFor(m) > 3*lease:
+	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > 3*lease:
 		return "silent"
 	}
 	return ""
@@ -118,15 +118,15 @@
 
 // idleReleaseReason is why a machine that answers is returned.
 func (p *scaleInPass) idleReleaseReason(m *clusterstate.Machine) string {
-	boot := seconds(p.leader.controller.catalog.machineType(m.Type).BootS)
+	boot := seconds(p.scaler.catalog.machineType(m.Type).BootS)
 	switch {
 	case len(m.Attempts) > 0 || p.needed[m.ID]:
-		m.IdleSince = p.leader.controller.env.now
+		m.IdleSince = p.scaler.env.now
 	case m.Faults.Faulty:
 		return "faulty"
-	case p.leader.controller.env.now < m.DrainUntil:
+	case p.scaler.env.now < m.DrainUntil:
 		return "emptied"
-	case p.leader.controller.env.now > m.IdleSince+time.Duration(float64(boot)*p.leader.controller.env.cfg.Operator.Fleet.IdleRatio):
+	case p.scaler.env.now > m.IdleSince+time.Duration(float64(boot)*p.scaler.env.cfg.Operator.Fleet.IdleRatio):
 		return "idle"
 	}
 	return ""
@@ -137,16 +137,16 @@
 // heard since and we reach all that others hear. The cloud's deletion proves it
 // much sooner than its lease; hanging machines take connections, and are left
 // alone, as they may go on within their lease.
-func (l *leadership) isUnreachable(m *clusterstate.Machine, heardByZone map[string]time.Duration) bool {
-	return m.ConnectionFailed && m.FailedCalls > 1 && len(l.reach.missedMachines) == 0 && !l.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt &&
-		l.restartsQuickly(m)
+func (a *autoscaler) isUnreachable(m *clusterstate.Machine, heardByZone map[string]time.Duration) bool {
+	return m.ConnectionFailed && m.FailedCalls > 1 && len(a.reach.missedMachines) == 0 && !a.partitions.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt &&
+		a.restartsQuickly(m)
 }
 
 // spareCapacity is what ready machines have to spare beside all that waits, for the tasks of
 // machines that are most probably gone.
 type spareCapacity struct {
-	leader *leadership
-	left   *scheduler.Snapshot // nil: not looked at yet
+	cache *schedulerCache
+	left  *scheduler.Snapshot // nil: not looked at yet
 }
 
 // absorbs says whether all tasks of a machine have room elsewhere now, and takes that
@@ -158,7 +158,7 @@
 		return false // nothing is gained
 	}
 	if s.left == nil {
-		s.left = s.leader.cache.fullSnapshot()
+		s.left = s.cache.fullSnapshot()
 		s.left.Fill()
 	}
 	var jobs []*scheduler.Job
@@ -171,13 +171,13 @@
 // restartsQuickly says whether a machine's replicas fetch their images in less than
 // a lease. The machine may only be cut off, and come back with them: a wrong guess
 // costs the fetch, a right one gains the rest of the lease.
-func (l *leadership) restartsQuickly(m *clusterstate.Machine) bool {
-	t := l.controller.catalog.machineType(m.Type)
+func (a *autoscaler) restartsQuickly(m *clusterstate.Machine) bool {
+	t := a.catalog.machineType(m.Type)
 	if t == nil {
 		return false
 	}
-	for _, a := range m.Attempts {
-		if s := a.Job.Spec; s.Service && s.ImageGB > t.FetchGBPerS*l.controller.env.cfg.Lease().Seconds() {
+	for _, attempt := range m.Attempts {
+		if s := attempt.Job.Spec; s.Service && s.ImageGB > t.FetchGBPerS*a.env.cfg.Lease().Seconds() {
 			return false
 		}
 	}
@@ -186,9 +186,9 @@
 
 // zonesHeardSince tells, by zone, since when a tenth of its machines, two at least, have
 // been heard: a zone that has just been cut off has none after the cut.
-func (l *leadership) zonesHeardSince() map[string]time.Duration {
+func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
 	heard := map[string][]time.Duration{}
-	for _, m := range l.state.Machines {
+	for _, m := range a.state.Machines {
 		if m.Up && !m.Releasing {
 			heard[m.Zone] = append(heard[m.Zone], m.LastSeen)
 		}
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -80,7 +80,7 @@
 			Price: t.Price, SpotPrice: t.SpotPrice, Zones: t.Zones, BootS: t.BootS, FetchGBPerS: t.FetchGBPerS})
 	}
 	l := newLeadership(c, &leaderRecord{Token: 1, LeaseID: 1}, 1, c.env.now)
-	l.ready = true
+	l.loader.ready = true
 	c.leadership = l
 	f := &slopeFleet{core: c, term: l, random: rand.New(rand.NewPCG(2, 2))}
 	f.freshPool()
@@ -90,7 +90,7 @@
 // freshPool has a machine pool that has rented nothing and read a list of the fleet.
 func (f *slopeFleet) freshPool() {
 	var list protocol.MachineList
-	for _, m := range f.term.sortedMachines() {
+	for _, m := range f.term.machines.sortedMachines() {
 		list.Machines = append(list.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, State: "running"})
 	}
 	f.term.pool = f.term.newPool()
@@ -121,7 +121,7 @@
 		if i%slopeTasksPerJob == 0 {
 			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Need{Cores: 1, Mem: 2})
 		}
-		f.run(job, i%slopeTasksPerJob, f.term.sortedMachines()[i%workers])
+		f.run(job, i%slopeTasksPerJob, f.term.machines.sortedMachines()[i%workers])
 	}
 	f.fillUp()
 	for i := range int(float64(workers) * slopeWaitingPerWorker) {
@@ -138,7 +138,7 @@
 	m := f.term.state.AddMachine(fmt.Sprintf("i-%06d", i))
 	m.Type = []string{"m16", "g64"}[i%2]
 	m.Zone, m.Addr = string(rune('a'+i%3)), "10.1.0.1:1"
-	m.Size = f.term.machineSize(m.Type)
+	m.Size = f.term.machines.machineSize(m.Type)
 	m.Seen, m.TokenAcknowledged, m.Up, m.Listed, m.Recorded, m.Epoch, m.Token = true, true, true, true, true, 1, 1
 	m.LastSeen, m.LastAnswered, m.TokenAcknowledgedAt, m.Probed = f.core.env.now, f.core.env.now, f.core.env.now, true
 	m.UseImage(fmt.Sprintf("img-%02d", i%12), 5, 400)
@@ -166,7 +166,7 @@
 // accelerators.
 func (f *slopeFleet) fillUp() {
 	big := f.addJob("j-big", 0, false, scheduler.Need{})
-	for i, m := range f.term.sortedMachines() {
+	for i, m := range f.term.machines.sortedMachines() {
 		left := scheduler.Need{}
 		if i%3 == 0 {
 			left = scheduler.Need{Cores: 14, Accel: 2, Mem: 60}
@@ -232,7 +232,7 @@
 func BenchmarkSlopeFill(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.term.runFill()
+		f.term.placement.runFill()
 		f.settleStarts()
 		var worst time.Duration
 		b.ResetTimer()
@@ -244,7 +244,7 @@
 			f.settleStarts()
 			b.StartTimer()
 			started := time.Now()
-			f.term.runFill()
+			f.term.placement.runFill()
 			worst = max(worst, time.Since(started))
 		}
 		b.ReportMetric(float64(worst.Microseconds())/1000, "worst-ms")
@@ -261,7 +261,7 @@
 			runtime.GC()
 			before := f.term.attemptNumbers.used
 			b.StartTimer()
-			f.term.runFill()
+			f.term.placement.runFill()
 			placed = int(f.term.attemptNumbers.used - before)
 		}
 		b.ReportMetric(float64(placed), "placed")
@@ -281,11 +281,11 @@
 func BenchmarkSlopeRound(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.term.runFill()
+		f.term.placement.runFill()
 		f.settleStarts()
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.runRound()
+			f.term.placement.runRound()
 		}
 	})
 }
@@ -301,11 +301,11 @@
 			for _, j := range f.waiting {
 				j.Spec.Priority, j.Spec.Service = protocol.Production, true
 			}
-			f.term.runFill()
+			f.term.placement.runFill()
 			f.settleStarts()
 			runtime.GC()
 			b.StartTimer()
-			f.term.runRound()
+			f.term.placement.runRound()
 			b.StopTimer()
 			stops = 0
 			for _, a := range f.tasks {
@@ -332,8 +332,8 @@
 		}
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.drainAt = 0
-			f.term.consolidate()
+			f.term.consolidator.drainAt = 0
+			f.term.consolidator.consolidate()
 			b.StopTimer()
 			for _, a := range f.tasks {
 				a.StopRequested, a.Machine.DrainUntil = false, 0
@@ -359,11 +359,11 @@
 func BenchmarkSlopePlan(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.term.runFill()
+		f.term.placement.runFill()
 		f.settleStarts()
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.planScaling()
+			f.term.scaler.planScaling()
 			b.StopTimer()
 			f.core.outbox.effects = f.core.outbox.effects[:0]
 			f.freshPool()
@@ -376,7 +376,7 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		l := f.term
-		l.fillAt, l.roundAt, l.planAt, l.countersAt, l.summaryAt, l.renewLeaseAt = 1<<60, 1<<60, 1<<60, 1<<60, 1<<60, 1<<60
+		l.placement.fillAt, l.placement.roundAt, l.placement.planAt, l.placement.countersAt, l.placement.summaryAt, l.lease.renewLeaseAt = 1<<60, 1<<60, 1<<60, 1<<60, 1<<60, 1<<60
 		b.ResetTimer()
 		for b.Loop() {
 			l.tick()
@@ -398,9 +398,9 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		l := f.term
-		l.fillAt, l.roundAt, l.planAt = 1<<60, 1<<60, 1<<60
+		l.placement.fillAt, l.placement.roundAt, l.placement.planAt = 1<<60, 1<<60, 1<<60
 		f.keepBusy() // no fill: that is measured by itself
-		list := l.sortedMachines()
+		list := l.machines.sortedMachines()
 		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
 		n, bytes := 0, 0
 		b.ResetTimer()
@@ -501,7 +501,7 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		l := f.term
-		list := l.sortedMachines()
+		list := l.machines.sortedMachines()
 		n, changes, bytes := 0, 0, 0
 		b.ResetTimer()
 		for b.Loop() {
@@ -509,7 +509,7 @@
 			f.settleStarts()
 			f.core.outbox.stateChanges.Refill()
 			for range f.core.env.cfg.Cluster.State.TxnOps {
-				l.storeMachine(list[n%len(list)], statestore.Start, nil)
+				l.machines.storeMachine(list[n%len(list)], statestore.Start, nil)
 				n++
 			}
 			b.StartTimer()
@@ -538,7 +538,7 @@
 		for i := range 10 * workers {
 			add(fmt.Sprintf("%sj-o%07d", clusterstate.JobPrefix, i), clusterstate.JobRecord{State: protocol.Done, Tasks: 12})
 		}
-		for _, m := range f.term.sortedMachines() {
+		for _, m := range f.term.machines.sortedMachines() {
 			add(clusterstate.MachinePrefix+m.ID, m.Record())
 		}
 		for i, rows := range f.counters() {
@@ -553,12 +553,12 @@
 			l := newLeadership(f.core, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.core.env.now)
 			for _, it := range items {
 				l.store.Loaded(it.Key, it.Version)
-				if err := l.loadRecord(it); err != nil {
+				if err := l.loader.loadRecord(it); err != nil {
 					b.Fatal(err)
 				}
 			}
 			f.core.leadership = l
-			l.onStateLoaded()
+			l.loader.onStateLoaded()
 			f.core.outbox.effects = f.core.outbox.effects[:0]
 		}
 		b.ReportMetric(float64(len(items)), "records")
@@ -571,7 +571,7 @@
 func BenchmarkSlopeTakeOverOldRecords(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		list := f.term.sortedMachines()
+		list := f.term.machines.sortedMachines()
 		for i, a := range slices.Clone(f.tasks) {
 			if i%3 == 0 {
 				old := f.term.state.AddAttempt(list[(i+7)%len(list)], a.Job, a.Index, 1, f.core.env.now)
@@ -580,7 +580,7 @@
 		}
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.onStateLoaded()
+			f.term.loader.onStateLoaded()
 			f.core.outbox.effects = f.core.outbox.effects[:0]
 		}
 	})
@@ -629,7 +629,7 @@
 			}
 			return f
 		}) / float64(workers)
-		list := f.term.sortedMachines()
+		list := f.term.machines.sortedMachines()
 		var jobs []*clusterstate.Job
 		perWaiting := heapOf(func() any {
 			for i := range workers {
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -17,10 +17,17 @@
 // say when a fill begins, so a cancellation, a machine that is lost or a lower limit need no
 // care of their own.
 type schedulerCache struct {
-	leader   *leadership
+	catalog   *machineCatalog
+	env       *environment
+	health    *machineHealth
+	placement *taskScheduler
+	state     *clusterstate.State
+	views     *schedulerViews
+
 	fleet    *scheduler.Fleet
 	types    int // the generation of the machine types
 	listed   []*clusterstate.Machine
+	registry *machineRegistry
 	machines []*cachedMachine // in the order of listed
 	known    map[*clusterstate.Machine]*cachedMachine
 	waiting  map[*clusterstate.Job]*cachedJob
@@ -60,26 +67,22 @@
 	zonesRevision uint64
 }
 
-func newSchedulerCache(l *leadership) *schedulerCache {
-	s := &schedulerCache{leader: l, teams: map[string]*scheduler.Quota{}, waiting: map[*clusterstate.Job]*cachedJob{}}
-	s.rebuild()
-	for _, j := range l.state.Jobs {
-		s.addWaiting(j)
-	}
-	return s
+// newSchedulerCache makes a cache that knows nothing yet: rebuild follows once it has what it works with.
+func newSchedulerCache() *schedulerCache {
+	return &schedulerCache{teams: map[string]*scheduler.Quota{}, waiting: map[*clusterstate.Job]*cachedJob{}}
 }
 
 // rebuild forgets what it knows of the machines.
 func (c *schedulerCache) rebuild() {
 	c.fleet, c.known = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
 	c.listed, c.machines = nil, nil
-	c.types = c.leader.controller.catalog.typesGeneration
+	c.types = c.catalog.typesGeneration
 }
 
 // snapshotForFill is what a fill decides from; nil if no job waits or no machine may be used.
 func (c *schedulerCache) snapshotForFill() *scheduler.Snapshot {
 	out := c.emptySnapshot()
-	if out.Jobs = c.waitingJobs(c.leader.activeReservations()); len(out.Jobs) == 0 {
+	if out.Jobs = c.waitingJobs(c.placement.activeReservations()); len(out.Jobs) == 0 {
 		return nil
 	}
 	c.syncFleet(out)
@@ -92,7 +95,7 @@
 // fullSnapshot is what a fill decides from, also with nothing that waits.
 func (c *schedulerCache) fullSnapshot() *scheduler.Snapshot {
 	out := c.emptySnapshot()
-	out.Jobs = c.waitingJobs(c.leader.activeReservations())
+	out.Jobs = c.waitingJobs(c.placement.activeReservations())
 	c.syncFleet(out)
 	return out
 }
@@ -104,8 +107,8 @@
 	c.ready = len(out.Machines)
 	place := len(c.machines) * placeGap * 2
 	for _, m := range c.listed {
-		if t := c.leader.bootingType(m); t != nil {
-			view := c.leader.machineView(m, t)
+		if t := c.views.bootingType(m); t != nil {
+			view := c.views.machineView(m, t)
 			view.Booting = true
 			place++
 			out.Machines = append(out.Machines, &view)
@@ -127,16 +130,16 @@
 // endRound.
 func (c *schedulerCache) snapshotForRound() *scheduler.Snapshot {
 	out := c.emptySnapshot()
-	claims := c.leader.activeReservations()
+	claims := c.placement.activeReservations()
 	c.syncFleet(out)
-	jobs := make(map[*clusterstate.Job]*scheduler.Job, len(c.leader.state.Jobs))
-	views := make([]scheduler.Job, len(c.leader.state.Jobs)) // one allocation for all
-	for i, j := range c.leader.state.SortedJobs() {
+	jobs := make(map[*clusterstate.Job]*scheduler.Job, len(c.state.Jobs))
+	views := make([]scheduler.Job, len(c.state.Jobs)) // one allocation for all
+	for i, j := range c.state.SortedJobs() {
 		if !j.Stored {
 			continue
 		}
-		waiting, resume := c.leader.waitingTasks(j)
-		c.leader.updateJobView(&views[i], j, waiting, resume, claims[j.Spec.UID])
+		waiting, resume := c.views.waitingTasks(j)
+		c.views.updateJobView(&views[i], j, waiting, resume, claims[j.Spec.UID])
 		if len(waiting) > 0 {
 			views[i].InZone = j.InZone()
 		}
@@ -151,7 +154,7 @@
 	for _, e := range c.machines {
 		if e.inFleet {
 			first := len(running)
-			running = c.leader.appendPreemptible(running, e.machine, jobs)
+			running = c.views.appendPreemptible(running, e.machine, jobs)
 			e.view.Running = running[first:len(running):len(running)]
 		}
 	}
@@ -167,10 +170,10 @@
 
 // emptySnapshot is an empty snapshot of the fleet.
 func (c *schedulerCache) emptySnapshot() *scheduler.Snapshot {
-	if c.types != c.leader.controller.catalog.typesGeneration {
+	if c.types != c.catalog.typesGeneration {
 		c.rebuild()
 	}
-	return &scheduler.Snapshot{Quotas: c.teams, UpperCap: c.leader.controller.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
+	return &scheduler.Snapshot{Quotas: c.teams, UpperCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
 }
 
 // syncFleet has a snapshot know machines and teams as they are now.
@@ -178,26 +181,26 @@
 	c.syncMachineList()
 	c.syncMachines(out)
 	if out.Capacity.Cores == 0 {
-		out.Capacity = c.leader.readyCapacity()
+		out.Capacity = c.views.readyCapacity()
 	}
-	for name, t := range c.leader.state.Quotas {
+	for name, t := range c.state.Quotas {
 		if c.teams[name] == nil {
 			c.teams[name] = &scheduler.Quota{}
 		}
 		*c.teams[name] = *t
 	}
-	c.leader.reserveServiceQuota(c.teams)
+	c.views.reserveServiceQuota(c.teams)
 }
 
 // waitingJobs lists those that wait.
 func (c *schedulerCache) waitingJobs(claims map[string]int) []*scheduler.Job {
-	for _, j := range c.leader.state.TakeOpenedJobs() {
+	for _, j := range c.state.TakeOpenedJobs() {
 		c.addWaiting(j)
 	}
 	list, ordered := c.jobViews[:0], c.ordered[:0]
 	for _, j := range c.ordered {
 		kept := c.waiting[j]
-		if c.leader.state.Jobs[j.Spec.UID] != j {
+		if c.state.Jobs[j.Spec.UID] != j {
 			delete(c.waiting, j)
 			continue
 		}
@@ -232,7 +235,7 @@
 		kept.drawn, kept.revision = true, j.Revision()
 		kept.waiting, kept.resume = j.AppendWaitingTasks(kept.waiting[:0], maxWaitingTasks)
 	}
-	return c.leader.startableTasks(j, kept.waiting, kept.resume)
+	return c.views.startableTasks(j, kept.waiting, kept.resume)
 }
 
 // jobView is a job as the scheduler sees it now. Amounts that change by themselves are always
@@ -243,7 +246,7 @@
 	if inZone == nil || j.Gang != nil || kept.zonesRevision != j.Revision() || kept.view.Held != j.ActiveAttempts {
 		inZone, kept.zonesRevision = j.InZone(), j.Revision()
 	}
-	c.leader.updateJobView(&kept.view, j, waiting, resume, claims)
+	c.views.updateJobView(&kept.view, j, waiting, resume, claims)
 	kept.view.InZone = inZone
 	return &kept.view
 }
@@ -253,7 +256,7 @@
 
 // syncMachineList takes in machines that have come and drops those that are gone.
 func (c *schedulerCache) syncMachineList() {
-	list := c.leader.sortedMachines()
+	list := c.registry.sortedMachines()
 	if len(list) == len(c.listed) && (len(list) == 0 || &list[0] == &c.listed[0]) {
 		return
 	}
@@ -320,7 +323,7 @@
 
 // syncMachines draws those anew that have changed, and lists the usable ones.
 func (c *schedulerCache) syncMachines(out *scheduler.Snapshot) {
-	now := c.leader.controller.env.now
+	now := c.env.now
 	list := c.machineViews[:0]
 	for _, e := range c.machines {
 		m := e.machine
@@ -330,12 +333,12 @@
 		if now < m.DrainUntil {
 			out.Moving = out.Moving || movesReplicas(m)
 		}
-		if !c.leader.isSchedulable(m) {
+		if !c.health.isSchedulable(m) {
 			c.dropMachine(e)
 			continue
 		}
-		if !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size || e.view.ReservedFor != c.leader.reservations[m.ID].job {
-			t := c.leader.controller.catalog.machineType(m.Type)
+		if !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size || e.view.ReservedFor != c.placement.reservations[m.ID].job {
+			t := c.catalog.machineType(m.Type)
 			if t == nil {
 				c.dropMachine(e)
 				continue
@@ -350,7 +353,7 @@
 // refreshMachine has a machine be as the ledger has it.
 func (c *schedulerCache) refreshMachine(e *cachedMachine, t *scheduler.Type) {
 	m := e.machine
-	e.view = c.leader.machineView(m, t)
+	e.view = c.views.machineView(m, t)
 	setImages(&e.view, m)
 	e.revision, e.size, e.inFleet = m.Revision(), m.Size, true
 	c.fleet.Update(&e.view, e.place)
@@ -372,7 +375,7 @@
 		}
 		if !c.drifted {
 			c.drifted = true
-			c.leader.controller.env.log.Error("the scheduler's view differs from the ledger", "machine", e.machine.ID)
+			c.env.log.Error("the scheduler's view differs from the ledger", "machine", e.machine.ID)
 		}
 		c.rebuild()
 		return
@@ -383,11 +386,11 @@
 // matchesState says whether a machine that nothing seems to have changed is as the ledger has it.
 func (c *schedulerCache) matchesState(e *cachedMachine) bool {
 	m := e.machine
-	if c.types != c.leader.controller.catalog.typesGeneration || !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
-		e.view.ReservedFor != c.leader.reservations[m.ID].job {
+	if c.types != c.catalog.typesGeneration || !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
+		e.view.ReservedFor != c.placement.reservations[m.ID].job {
 		return true // drawn anew at the next fill
 	}
-	fresh := c.leader.machineView(m, e.view.Type)
+	fresh := c.views.machineView(m, e.view.Type)
 	setImages(&fresh, m)
 	return fresh.Free == e.view.Free && fresh.Room == e.view.Room && fresh.Used == e.view.Used && fresh.Zone == e.view.Zone &&
 		fresh.Spot == e.view.Spot && fresh.Type.Name == m.Type && fresh.ImageSet == e.view.ImageSet &&
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -103,24 +103,24 @@
 // It is the oracle of that view.
 func (l *leadership) snapshot(running, booting bool) *scheduler.Snapshot {
 	c := l.controller
-	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.readyCapacity()}
+	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.views.readyCapacity()}
 	for name, t := range l.state.Quotas {
 		clone := *t
 		s.Quotas[name] = &clone
 	}
-	l.reserveServiceQuota(s.Quotas)
+	l.views.reserveServiceQuota(s.Quotas)
 	jobs := map[*clusterstate.Job]*scheduler.Job{}
-	claims := l.activeReservations()
+	claims := l.placement.activeReservations()
 	for _, j := range l.state.SortedJobs() {
 		if !j.Stored {
 			continue
 		}
-		waiting, resume := l.waitingTasks(j)
+		waiting, resume := l.views.waitingTasks(j)
 		if len(waiting) == 0 && !running {
 			continue
 		}
 		sj := &scheduler.Job{}
-		l.updateJobView(sj, j, waiting, resume, claims[j.Spec.UID])
+		l.views.updateJobView(sj, j, waiting, resume, claims[j.Spec.UID])
 		if len(waiting) > 0 {
 			sj.InZone = j.InZone()
 		}
@@ -128,7 +128,7 @@
 		s.Jobs = append(s.Jobs, sj)
 	}
 	views := make([]scheduler.Machine, 0, len(l.state.Machines)) // one allocation for all
-	for _, m := range l.sortedMachines() {
+	for _, m := range l.machines.sortedMachines() {
 		t := c.catalog.machineType(m.Type)
 		if t == nil {
 			continue
@@ -136,15 +136,15 @@
 		if c.env.now < m.DrainUntil {
 			s.Moving = s.Moving || movesReplicas(m)
 		}
-		views = append(views, l.machineView(m, t))
+		views = append(views, l.views.machineView(m, t))
 		sm := &views[len(views)-1]
 		switch {
-		case l.isSchedulable(m):
+		case l.health.isSchedulable(m):
 			setImages(sm, m)
 			if running {
-				sm.Running = l.appendPreemptible(nil, m, jobs)
+				sm.Running = l.views.appendPreemptible(nil, m, jobs)
 			}
-		case booting && l.bootingType(m) != nil:
+		case booting && l.views.bootingType(m) != nil:
 			sm.Booting = true
 		default:
 			continue
@@ -167,11 +167,11 @@
 	l := c.leadership
 	j := l.state.AddJob(&protocol.Spec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
 	j.Stored = true // it waits for ever, so that fills have something to look at
-	l.runFill()
+	l.placement.runFill()
 	if d := differenceOfSnapshots(l); d != "" {
 		t.Fatal(d)
 	}
-	m := w.term().sortedMachines()[0]
+	m := w.term().machines.sortedMachines()[0]
 	m.Used = m.Used.Plus(scheduler.Need{Cores: 1})
 	for range 3 {
 		l.cache.verify()
@@ -194,7 +194,7 @@
 	c := l.controller
 	for i := range 4 {
 		m := l.state.AddMachine("i-90000" + string(rune('0'+i)))
-		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", "10.2.0.1:1", l.machineSize("m8")
+		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", "10.2.0.1:1", l.machines.machineSize("m8")
 		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
 	}
 	add := func(uid string, change func(*protocol.Spec)) *clusterstate.Job {
@@ -204,12 +204,12 @@
 		j.Stored = true
 		return j
 	}
-	l.recordArrival(add("j-1", func(s *protocol.Spec) { s.Service, s.Tasks, s.Cores = true, 1, 4 }))
+	l.forecast.recordArrival(add("j-1", func(s *protocol.Spec) { s.Service, s.Tasks, s.Cores = true, 1, 4 }))
 	gang := add("j-2", func(s *protocol.Spec) { s.Gang, s.Tasks, s.Cores = true, 7, 8 })
 	gang.WaitingSince = 1
 	add("j-3", func(s *protocol.Spec) { s.Cores = 7 })
 	for range 3 {
-		l.runFill()
+		l.placement.runFill()
 		if d := differenceOfSnapshots(l); d != "" {
 			t.Fatal(d)
 		}
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -8,20 +8,30 @@
 	"claybarrow/internal/scheduler"
 )
 
+// schedulerViews describes jobs and machines to the scheduler.
+type schedulerViews struct {
+	catalog    *machineCatalog
+	env        *environment
+	forecast   *demandForecast
+	partitions *partitionDetector
+	placement  *taskScheduler
+	state      *clusterstate.State
+}
+
 func shareOf(j *clusterstate.Job, capacity scheduler.Need) float64 {
 	return scheduler.Share(j.Need, capacity)
 }
 
 // readyCapacity is what the ready machines hold, or one of each if there are none.
-func (l *leadership) readyCapacity() scheduler.Need {
+func (v *schedulerViews) readyCapacity() scheduler.Need {
 	var n scheduler.Need
-	for _, m := range l.state.Machines {
+	for _, m := range v.state.Machines {
 		if m.Up && !m.Releasing {
 			n = n.Plus(m.Size)
 		}
 	}
 	if n.Cores == 0 {
-		for _, t := range l.controller.catalog.types {
+		for _, t := range v.catalog.types {
 			n = n.Plus(t.Size)
 		}
 	}
@@ -54,15 +64,15 @@
 
 // waitingTasks lists what waits of a job now; the first of them, as many as it says, were
 // interrupted.
-func (l *leadership) waitingTasks(j *clusterstate.Job) (waiting []int, resume int) {
+func (v *schedulerViews) waitingTasks(j *clusterstate.Job) (waiting []int, resume int) {
 	waiting, resume = j.WaitingTasks(maxWaitingTasks)
-	return l.startableTasks(j, waiting, resume)
+	return v.startableTasks(j, waiting, resume)
 }
 
 // startableTasks is what may be started now of the tasks that wait: nothing for a while after
 // failures, and one at a time while it is tried whether the job still fails.
-func (l *leadership) startableTasks(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
-	if j.Cancelling || j.Finishing || l.controller.env.now < j.NotBefore {
+func (v *schedulerViews) startableTasks(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
+	if j.Cancelling || j.Finishing || v.env.now < j.NotBefore {
 		waiting, resume = nil, 0
 	}
 	if j.Failures.Probing() && j.Gang == nil && len(waiting) > 1 {
@@ -71,17 +81,17 @@
 	if j.ActiveAttempts > 0 || j.Cancelling || j.Finishing {
 		j.WaitingSince = 0
 	} else if j.WaitingSince == 0 {
-		j.WaitingSince = l.controller.env.now
+		j.WaitingSince = v.env.now
 	}
 	return waiting, resume
 }
 
 // activeReservations counts the tasks that machines are kept for, by job, and drops what is over.
-func (l *leadership) activeReservations() map[string]int {
+func (t *taskScheduler) activeReservations() map[string]int {
 	claims := map[string]int{}
-	for id, cl := range l.reservations {
-		if j := l.state.Jobs[cl.job]; j == nil || j.Cancelling || l.controller.env.now >= cl.until || l.state.Machines[id] == nil {
-			delete(l.reservations, id)
+	for id, cl := range t.reservations {
+		if j := t.state.Jobs[cl.job]; j == nil || j.Cancelling || t.env.now >= cl.until || t.state.Machines[id] == nil {
+			delete(t.reservations, id)
 		} else {
 			claims[cl.job] += cl.tasks
 		}
@@ -90,34 +100,34 @@
 }
 
 // updateJobView has a view be of a job as it is now, but for its places by zone.
-func (l *leadership) updateJobView(sj *scheduler.Job, j *clusterstate.Job, waiting []int, resume, claims int) {
+func (v *schedulerViews) updateJobView(sj *scheduler.Job, j *clusterstate.Job, waiting []int, resume, claims int) {
 	describeJob(sj, j)
 	sj.Waiting, sj.Resume = waiting, resume
-	sj.AimS = l.waitObjective(j.Spec.Class)
-	sj.Plain = sj.IsPlain(l.controller.catalog.types)
-	sj.LeftS, sj.Late = l.deadlineSlack(j)
-	sj.Patient = float64(l.controller.env.wall-j.Submitted)/1000 > 2*l.controller.catalog.longestBootS()
-	sj.Avoid = j.Failures.Avoid(l.controller.env.now, l.controller.env.cfg.Cancel())
-	sj.Starved = j.WaitingSince > 0 && l.controller.env.now > j.WaitingSince+seconds(l.controller.catalog.longestBootS())
+	sj.AimS = v.waitObjective(j.Spec.Class)
+	sj.Plain = sj.IsPlain(v.catalog.types)
+	sj.LeftS, sj.Late = v.deadlineSlack(j)
+	sj.Patient = float64(v.env.wall-j.Submitted)/1000 > 2*v.catalog.longestBootS()
+	sj.Avoid = j.Failures.Avoid(v.env.now, v.env.cfg.Cancel())
+	sj.Starved = j.WaitingSince > 0 && v.env.now > j.WaitingSince+seconds(v.catalog.longestBootS())
 	sj.Reserved = min(claims, len(sj.Waiting))
 }
 
 // bootingType is the type of a machine that will most probably be up soon; nil: it won't.
-func (l *leadership) bootingType(m *clusterstate.Machine) *scheduler.Type {
-	if m.Up || m.Releasing || l.isPartitioned(m.Zone) {
+func (v *schedulerViews) bootingType(m *clusterstate.Machine) *scheduler.Type {
+	if m.Up || m.Releasing || v.partitions.isPartitioned(m.Zone) {
 		return nil
 	}
-	if t := l.controller.catalog.machineType(m.Type); t != nil && l.controller.env.now < m.LaunchedAt+seconds(t.BootS*usualBoots) {
+	if t := v.catalog.machineType(m.Type); t != nil && v.env.now < m.LaunchedAt+seconds(t.BootS*usualBoots) {
 		return t
 	}
 	return nil
 }
 
 // machineView is a machine as the scheduler sees it, without what is on it.
-func (l *leadership) machineView(m *clusterstate.Machine, t *scheduler.Type) scheduler.Machine {
-	entries := l.controller.env.cfg.ValueBytes() / clusterstate.EntryBytes
+func (v *schedulerViews) machineView(m *clusterstate.Machine, t *scheduler.Type) scheduler.Machine {
+	entries := v.env.cfg.ValueBytes() / clusterstate.EntryBytes
 	return scheduler.Machine{ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot, Free: m.Size.Minus(m.Used),
-		Room: entries - len(m.Attempts), Used: len(m.Attempts) > 0, ReservedFor: l.reservations[m.ID].job, ImageSet: l.state.ImageSet(m)}
+		Room: entries - len(m.Attempts), Used: len(m.Attempts) > 0, ReservedFor: v.placement.reservations[m.ID].job, ImageSet: v.state.ImageSet(m)}
 }
 
 // setImages tells which images a machine has, and which it is fetching.
@@ -139,10 +149,10 @@
 }
 
 // appendPreemptible adds a machine's tasks that may be stopped for others to a list.
-func (l *leadership) appendPreemptible(list []scheduler.RunningTask, m *clusterstate.Machine, jobs map[*clusterstate.Job]*scheduler.Job) []scheduler.RunningTask {
+func (v *schedulerViews) appendPreemptible(list []scheduler.RunningTask, m *clusterstate.Machine, jobs map[*clusterstate.Job]*scheduler.Job) []scheduler.RunningTask {
 	for _, a := range m.Sorted() {
 		if sj := jobs[a.Job]; sj != nil && !a.StopRequested {
-			list = append(list, scheduler.RunningTask{Job: sj, Index: a.Index, SinceS: (l.controller.env.now - a.Since).Seconds()})
+			list = append(list, scheduler.RunningTask{Job: sj, Index: a.Index, SinceS: (v.env.now - a.Since).Seconds()})
 		}
 	}
 	return list
@@ -151,14 +161,14 @@
 // reserveServiceQuota leaves a little of each team's limit to its services: as much as
 // arrives in three rounds. Batches that fill a limit to the brim make each new
 // replica wait for a round's stop and a save, and some aims are a second.
-func (l *leadership) reserveServiceQuota(teams map[string]*scheduler.Quota) {
-	window := 4 * l.controller.catalog.longestBootS()
+func (v *schedulerViews) reserveServiceQuota(teams map[string]*scheduler.Quota) {
+	window := 4 * v.catalog.longestBootS()
 	if window == 0 {
 		return
 	}
-	from := (l.controller.env.wall - int64(window*1000)) / 1000
-	rounds := 3 * l.controller.env.cfg.Operator.Green.RoundS / window
-	for _, a := range l.arrivals {
+	from := (v.env.wall - int64(window*1000)) / 1000
+	rounds := 3 * v.env.cfg.Operator.Green.RoundS / window
+	for _, a := range v.forecast.arrivals {
 		for _, second := range a.recent(from) {
 			for team, need := range second.services {
 				if t := teams[team]; t != nil {
@@ -170,9 +180,9 @@
 }
 
 // waitObjective is the shortest waiting time that the users aim at for a class.
-func (l *leadership) waitObjective(class string) float64 {
+func (v *schedulerViews) waitObjective(class string) float64 {
 	aim := 0.0
-	for _, o := range l.controller.env.cfg.Cluster.Objectives {
+	for _, o := range v.env.cfg.Cluster.Objectives {
 		if o.Kind == "wait" && o.Class == class && (aim == 0 || o.WithinS < aim) {
 			aim = o.WithinS
 		}
@@ -184,14 +194,14 @@
 // times that the users aim at, with its tasks started now and running for half
 // of what their owner says, as estimates are often wrong by half. Infinite: it
 // has no deadline, or late: none of those times can be met any more.
-func (l *leadership) deadlineSlack(j *clusterstate.Job) (left float64, late bool) {
+func (v *schedulerViews) deadlineSlack(j *clusterstate.Job) (left float64, late bool) {
 	left = math.Inf(1)
 	if j.Spec.Service || j.Spec.DeadlineS <= 0 {
 		return left, false
 	}
-	end := float64(l.controller.env.wall-j.Submitted)/1000 + j.Spec.EstimateS/2
+	end := float64(v.env.wall-j.Submitted)/1000 + j.Spec.EstimateS/2
 	late = true
-	for _, times := range l.deadlineMultiples(j.Spec.Class) {
+	for _, times := range v.deadlineMultiples(j.Spec.Class) {
 		if due := j.Spec.DeadlineS * times; end <= due {
 			left, late = min(left, due-end), false
 		}
@@ -200,9 +210,9 @@
 }
 
 // deadlineMultiples are the multiples of a class's deadlines that the users aim at.
-func (l *leadership) deadlineMultiples(class string) []float64 {
+func (v *schedulerViews) deadlineMultiples(class string) []float64 {
 	out := []float64{1}
-	for _, o := range l.controller.env.cfg.Cluster.Objectives {
+	for _, o := range v.env.cfg.Cluster.Objectives {
 		if o.Kind == "deadline" && o.Class == class && o.Times > 0 {
 			out = append(out, o.Times)
 		}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -16,10 +16,10 @@
 // one transaction, of this version.
 func (l *leadership) newStore(version uint64) *statestore.Writer {
 	limits := statestore.Limits{Changes: l.controller.env.cfg.Cluster.State.Both().TxnOps, ValueBytes: l.controller.env.cfg.ValueBytes(), Timeout: l.controller.env.cfg.LeaderTTL() / 2}
-	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.leaderEntry(l.storedRecord), Equal: equalLeader}
+	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.gating.leaderEntry(l.gating.storedRecord), Equal: equalLeader}
 	w := statestore.NewWriter(recordHost{l}, l.controller.env.log, limits, &l.controller.outbox.stateChanges, key)
 	w.Loaded(keyCounter, version)
-	if l.storedRecord.StorageVersion != 0 {
+	if l.gating.storedRecord.StorageVersion != 0 {
 		w.Loaded(keyLease, version)
 	}
 	return w
@@ -27,11 +27,11 @@
 
 // leaderEntry is how the leader key holds a record: on the leader's lease, or permanently while the
 // feature gate is not closed.
-func (l *leadership) leaderEntry(rec leaderRecord) statestore.LeaderEntry {
+func (g *gateKeeper) leaderEntry(rec leaderRecord) statestore.LeaderEntry {
 	if rec.StorageVersion != 0 {
 		return statestore.LeaderEntry{Record: rec}
 	}
-	return statestore.LeaderEntry{Record: rec, Lease: l.leaseID}
+	return statestore.LeaderEntry{Record: rec, Lease: g.lease.leaseID}
 }
 
 // equalLeader says whether a value that was read is a leader record.
@@ -60,7 +60,7 @@
 func (h recordHost) End(why string) { h.leader.controller.endLeadership(why) }
 
 // Ended is part of statestore.Host.
-func (h recordHost) Ended() bool { return h.leader.ended }
+func (h recordHost) Ended() bool { return h.leader.lease.ended }
 
 // Unavailable is part of statestore.Host.
 func (h recordHost) Unavailable() { h.leader.controller.pending.refusePendingRequests() }
@@ -68,7 +68,7 @@
 // Abandoned is part of statestore.Host: what waits for the record must not wait for ever.
 func (h recordHost) Abandoned(key string) {
 	if id, isMachine := strings.CutPrefix(key, clusterstate.MachinePrefix); isMachine && h.leader.state.Machines[id] != nil {
-		h.leader.abandonMachine(h.leader.state.Machines[id])
+		h.leader.machines.abandonMachine(h.leader.state.Machines[id])
 		return
 	}
 	if isJournalKey(key) {
@@ -86,25 +86,3 @@
 
 // Stored is part of statestore.Host.
 func (h recordHost) Stored(key string) { h.leader.completions.journal.Stored(key) }
-
-// abandonMachine drops what was to be started on a machine whose record can't be written.
-func (l *leadership) abandonMachine(m *clusterstate.Machine) {
-	m.QuarantinedUntil = l.controller.env.now + l.controller.env.cfg.Lease()
-	for _, a := range m.Sorted() {
-		if !a.Durable {
-			l.removeAttempt(a, notRecorded)
-		}
-	}
-	// A record that was stored under a higher limit may not fit any more. The mark
-	// only keeps a later leader from using the machine until the deletion comes,
-	// which costs its tasks as a machine's end does; without the deletion an
-	// unreachable machine would be waited for without end.
-	m.ReleaseStored = m.ReleaseStored || m.Releasing
-}
-
-// flush sends what is to be written, as long as nobody else can have become leader.
-func (l *leadership) flush() {
-	if l.ready && l.holdsLease() {
-		l.store.Flush()
-	}
-}
--- a/internal/controller/takeover_attempts_test.go
+++ b/internal/controller/takeover_attempts_test.go
@@ -22,14 +22,14 @@
 	j.Stored = true
 	for i := range machines {
 		entries := []clusterstate.AttemptEntry{{Job: "j-1", Index: i, Number: 100}, {Job: "j-1", Index: (i + 1) % machines, Number: 7}}
-		l.loadMachine(fmt.Sprintf("i-9%05d", i), clusterstate.MachineRecord{Type: "m8", Zone: "a", Addr: "10.2.0.1:1", Attempts: entries})
+		l.loader.loadMachine(fmt.Sprintf("i-9%05d", i), clusterstate.MachineRecord{Type: "m8", Zone: "a", Addr: "10.2.0.1:1", Attempts: entries})
 	}
 	began := time.Now()
-	l.onStateLoaded()
+	l.loader.onStateLoaded()
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("it took %v", took)
 	}
-	for _, m := range l.sortedMachines() {
+	for _, m := range l.machines.sortedMachines() {
 		for _, a := range m.Sorted() {
 			if a.StopRequested != (a.Number == 7) {
 				t.Fatalf("attempt %d of task %d is to be stopped: %v", a.Number, a.Index, a.StopRequested)
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -13,7 +13,12 @@
 // completionRecorder has the ends of tasks stored: in the journal of ends while the feature gate is open,
 // and in the records of jobs and machines otherwise.
 type completionRecorder struct {
-	leader  *leadership
+	env      *environment
+	lease    *leaderLease
+	machines *machineRegistry
+	state    *clusterstate.State
+	store    *statestore.Writer
+
 	journal *completionjournal.Journal
 	// load's findings, told once the records are read.
 	values, unreadable, redundantEntries int
@@ -40,11 +45,11 @@
 	cfg := l.controller.env.cfg
 	limits := completionjournal.Limits{ValueBytes: cfg.ValueBytes(), CompactAfter: compactionLeases * cfg.Lease(),
 		Values: min(journalPages*pageBytes/cfg.ValueBytes()+1, journalPages*recordsPerPage)}
-	journal := completionjournal.New(l.token, limits, l.store, compactionHost{l}, func() time.Duration { return l.controller.env.now })
-	if l.gate.MayWrite() {
+	journal := completionjournal.New(l.lease.token, limits, l.store, compactionHost{l}, func() time.Duration { return l.controller.env.now })
+	if l.gating.gate.MayWrite() {
 		journal.Open()
 	}
-	return &completionRecorder{leader: l, journal: journal}
+	return &completionRecorder{journal: journal}
 }
 
 // open has ends go to the journal from now on, close to their records.
@@ -53,7 +58,7 @@
 
 // abandon takes back a value that the state service takes in no form.
 func (r *completionRecorder) abandon() {
-	r.leader.controller.env.log.Error("the journal of ends is given up in this term: the state service refuses a value")
+	r.env.log.Error("the journal of ends is given up in this term: the state service refuses a value")
 	r.journal.Abandon()
 }
 
@@ -65,17 +70,17 @@
 func (r *completionRecorder) tick() {
 	r.journal.Tick()
 
-	if r.leader.controller.env.now >= r.reported+r.leader.controller.env.cfg.Lease() {
-		r.reported = r.leader.controller.env.now
+	if r.env.now >= r.reported+r.env.cfg.Lease() {
+		r.reported = r.env.now
 		values, ends, waiting := r.journal.Size()
-		r.leader.controller.env.observer.JournalSized(JournalSize{Values: values, Ends: ends, Waiting: waiting, Unreadable: r.unreadable})
+		r.env.observer.JournalSized(JournalSize{Values: values, Ends: ends, Waiting: waiting, Unreadable: r.unreadable})
 	}
 }
 
 // recordCompletion has a task's completion stored; then is called once it is durable.
 func (r *completionRecorder) recordCompletion(j *clusterstate.Job, index int, then func()) {
 	if r.journal.Takes() {
-		r.journal.Add(completionjournal.Entry{Job: j.Spec.UID, Index: index}, r.leader.state.CompletionKey(j, index), then)
+		r.journal.Add(completionjournal.Entry{Job: j.Spec.UID, Index: index}, r.state.CompletionKey(j, index), then)
 		return
 	}
 	r.storeCompletions(j, index, statestore.Done, then)
@@ -93,12 +98,12 @@
 		r.journal.Add(entry, clusterstate.MachinePrefix+m.ID, nil)
 		return
 	}
-	r.leader.storeMachine(m, statestore.Lazy, nil)
+	r.machines.storeMachine(m, statestore.Lazy, nil)
 }
 
 // storeCompletions marks the record of completions that has the task to be written.
 func (r *completionRecorder) storeCompletions(j *clusterstate.Job, index int, priority statestore.Priority, then func()) {
-	r.leader.store.Mark(r.leader.state.CompletionKey(j, index), priority, func() any { return r.leader.state.CompletionRecord(j, index) }, then)
+	r.store.Mark(r.state.CompletionKey(j, index), priority, func() any { return r.state.CompletionRecord(j, index) }, then)
 }
 
 // releaseJobEntries notes that a job's final state is durable, which makes all its completions redundant.
@@ -106,7 +111,7 @@
 	if r.journal.Empty() {
 		return
 	}
-	for _, key := range r.leader.state.CompletionKeys(j) {
+	for _, key := range r.state.CompletionKeys(j) {
 		r.releaseRecord(key)
 	}
 }
@@ -124,7 +129,7 @@
 func (f compactionHost) Compact(entry completionjournal.Entry, key string, priority statestore.Priority) {
 	if entry.Machine != "" {
 		if m := f.leader.state.Machines[entry.Machine]; m != nil {
-			f.leader.storeMachine(m, priority, nil)
+			f.leader.machines.storeMachine(m, priority, nil)
 		} else if !f.leader.store.IsPending(key) && f.leader.store.Version(key) == 0 {
 			f.leader.completions.releaseRecord(key) // its record is deleted
 		} else {
@@ -168,22 +173,22 @@
 // apply brings the ledger to what an entry says, and tells which record lacks it. A record that was
 // written later than the value, or with it, has all that the value says and may know better.
 func (r *completionRecorder) apply(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
-	j := r.leader.state.Jobs[entry.Job]
+	j := r.state.Jobs[entry.Job]
 	if entry.Machine == "" {
 		if j == nil || entry.Index >= j.Spec.Tasks {
 			return "", false
 		}
-		return r.leader.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
+		return r.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
 	}
-	m, key := r.leader.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
-	if m == nil || j == nil || r.leader.store.Version(key) >= version {
+	m, key := r.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
+	if m == nil || j == nil || r.store.Version(key) >= version {
 		return "", false
 	}
 	a := m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(entry.Job, entry.Index), Attempt: entry.Attempt}]
 	if a == nil {
 		return "", false
 	}
-	r.leader.state.RemoveAttempt(a)
+	r.state.RemoveAttempt(a)
 	return key, true
 }
 
@@ -193,7 +198,7 @@
 		return
 	}
 	values, ends, _ := r.journal.Size()
-	r.leader.controller.env.log.Info("journal of ends read", "token", r.leader.token, "values", values, "ends", ends,
+	r.env.log.Info("journal of ends read", "token", r.lease.token, "values", values, "ends", ends,
 		"superfluous", r.redundantEntries, "unreadable", r.unreadable)
 }
 
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -28,7 +28,7 @@
 				items = append(items, protocol.Item{Key: key, Value: it.Value, Version: it.Version})
 			}
 		}
-		l.loadRecords(items)
+		l.loader.loadRecords(items)
 	}
 	return l
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -12,7 +12,20 @@
 // userRequests are what users ask of a leader: submissions whose records are being written, and
 // cancellations whose users wait for the last task's end.
 type userRequests struct {
-	leader             *leadership
+	attempts  *attemptTracker
+	catalog   *machineCatalog
+	env       *environment
+	forecast  *demandForecast
+	jobs      *jobCompletion
+	lease     *leaderLease
+	loader    *stateLoader
+	machines  *machineRegistry
+	outbox    *outbox
+	pending   *pendingTable
+	placement *taskScheduler
+	state     *clusterstate.State
+	store     *statestore.Writer
+
 	pendingSubmissions map[string]*pendingSubmission
 	cancelWaiters      map[string][]requester
 }
@@ -23,8 +36,8 @@
 	waiters []requester
 }
 
-func newUserRequests(l *leadership) *userRequests {
-	return &userRequests{leader: l, pendingSubmissions: map[string]*pendingSubmission{}, cancelWaiters: map[string][]requester{}}
+func newUserRequests() *userRequests {
+	return &userRequests{pendingSubmissions: map[string]*pendingSubmission{}, cancelWaiters: map[string][]requester{}}
 }
 
 // handle answers a user's request, at once or when what it asks for is durable.
@@ -37,13 +50,13 @@
 	case OpCancel:
 		u.cancel(from, uid)
 	default:
-		u.leader.controller.outbox.reply(from, 400, nil, 0)
+		u.outbox.reply(from, 400, nil, 0)
 	}
 }
 
 // terminalStatus is the final state of a job that is over.
 func (u *userRequests) terminalStatus(uid string) (protocol.JobStatus, bool) {
-	f, ok := u.leader.state.Terminal[uid]
+	f, ok := u.state.Terminal[uid]
 	if !ok {
 		return protocol.JobStatus{}, false
 	}
@@ -69,26 +82,26 @@
 		return
 	}
 	if err != nil {
-		u.leader.controller.env.log.Info("malformed submission", "job", uid, "err", err)
-		u.leader.controller.outbox.reply(from, 400, nil, 0)
+		u.env.log.Info("malformed submission", "job", uid, "err", err)
+		u.outbox.reply(from, 400, nil, 0)
 		return
 	}
 	if submission := u.pendingSubmissions[uid]; submission != nil {
-		if u.leader.controller.pending.addPending(from) {
+		if u.pending.addPending(from) {
 			submission.waiters = append(submission.waiters, from)
 		}
 		return
 	}
-	if len(u.leader.controller.catalog.types) == 0 {
-		u.leader.controller.outbox.replyUnavailable(from)
+	if len(u.catalog.types) == 0 {
+		u.outbox.replyUnavailable(from)
 		return
 	}
 	if why := u.infeasibleReason(spec); why != "" {
-		u.leader.controller.env.log.Info("can never run", "job", uid, "why", why)
-		u.leader.controller.outbox.reply(from, 422, nil, 0)
+		u.env.log.Info("can never run", "job", uid, "why", why)
+		u.outbox.reply(from, 422, nil, 0)
 		return
 	}
-	if u.leader.controller.pending.addPending(from) {
+	if u.pending.addPending(from) {
 		u.storeSubmission(from, uid, spec)
 	}
 }
@@ -97,15 +110,15 @@
 // first, whatever its repeat holds, and who is not certainly the leader decides nothing.
 func (u *userRequests) answerKnownJob(from requester, uid string) bool {
 	if s, ok := u.terminalStatus(uid); ok {
-		u.leader.controller.outbox.replyStatus(from, 200, s)
+		u.outbox.replyStatus(from, 200, s)
 		return true
 	}
-	if !u.leader.ready || !u.leader.holdsLease() {
-		u.leader.controller.outbox.replyUnavailable(from)
+	if !u.loader.ready || !u.lease.holdsLease() {
+		u.outbox.replyUnavailable(from)
 		return true
 	}
-	if j := u.leader.state.Jobs[uid]; j != nil && j.Stored {
-		u.leader.replyAsLeader(from, 200, u.activeStatus(j))
+	if j := u.state.Jobs[uid]; j != nil && j.Stored {
+		u.replyAsLeader(from, 200, u.activeStatus(j))
 		return true
 	}
 	return false
@@ -113,18 +126,18 @@
 
 // storeSubmission has a job's record written; its users are told once it is durable.
 func (u *userRequests) storeSubmission(from requester, uid string, spec *protocol.Spec) {
-	j := u.leader.state.AddJob(spec, u.leader.controller.env.wall)
+	j := u.state.AddJob(spec, u.env.wall)
 	submission := &pendingSubmission{job: j, waiters: []requester{from}}
 	u.pendingSubmissions[uid] = submission
-	u.leader.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
+	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
 		delete(u.pendingSubmissions, uid)
 		j.Stored = true
-		u.leader.controller.env.log.Info("accepted", "job", uid, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-		u.leader.recordArrival(j)
-		u.leader.fillPending = true
+		u.env.log.Info("accepted", "job", uid, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
+		u.forecast.recordArrival(j)
+		u.placement.fillPending = true
 		for _, w := range submission.waiters {
-			if u.leader.controller.pending.takePending(w) {
-				u.leader.replyAsLeader(w, 201, u.activeStatus(j))
+			if u.pending.takePending(w) {
+				u.replyAsLeader(w, 201, u.activeStatus(j))
 			}
 		}
 	})
@@ -135,25 +148,25 @@
 func (u *userRequests) dropAbandonedSubmissions() {
 	for _, uid := range sortedKeys(u.pendingSubmissions) {
 		submission := u.pendingSubmissions[uid]
-		if slices.ContainsFunc(submission.waiters, func(a requester) bool { return u.leader.controller.pending.pendingRequests[a.id] != nil }) {
+		if slices.ContainsFunc(submission.waiters, func(a requester) bool { return u.pending.pendingRequests[a.id] != nil }) {
 			continue
 		}
-		if u.leader.store.Unmark(clusterstate.JobPrefix + uid) {
+		if u.store.Unmark(clusterstate.JobPrefix + uid) {
 			delete(u.pendingSubmissions, uid)
-			u.leader.state.RemoveJob(uid)
+			u.state.RemoveJob(uid)
 		}
 	}
 }
 
 // infeasibleReason says why a job can never run here, or nothing.
 func (u *userRequests) infeasibleReason(s *protocol.Spec) string {
-	team := u.leader.state.Quotas[s.Team]
+	team := u.state.Quotas[s.Team]
 	if team == nil {
 		return "unknown team"
 	}
 	need := scheduler.Need{Cores: s.Cores, Accel: s.Accelerators, Mem: s.MemoryGB}
 	zones := map[string]bool{}
-	for _, t := range u.leader.controller.catalog.types {
+	for _, t := range u.catalog.types {
 		if !need.Fits(t.Size) || s.Types != nil && !slices.Contains(s.Types, t.Name) {
 			continue
 		}
@@ -184,17 +197,17 @@
 // it still is one; the rest only by one that is, with a complete ledger.
 func (u *userRequests) findActiveJob(from requester, uid string) *clusterstate.Job {
 	if s, ok := u.terminalStatus(uid); ok {
-		u.leader.controller.outbox.replyStatus(from, 200, s)
+		u.outbox.replyStatus(from, 200, s)
 		return nil
 	}
-	j := u.leader.state.Jobs[uid]
+	j := u.state.Jobs[uid]
 	switch {
-	case !u.leader.ready || !u.leader.holdsLease():
-		u.leader.controller.outbox.replyUnavailable(from)
+	case !u.loader.ready || !u.lease.holdsLease():
+		u.outbox.replyUnavailable(from)
 	case j == nil:
-		u.leader.controller.outbox.replyUntil(from, 404, nil, 0, u.leader.holdsLeaseUntil())
+		u.outbox.replyUntil(from, 404, nil, 0, u.lease.holdsLeaseUntil())
 	case !j.Stored:
-		u.leader.controller.outbox.replyUnavailable(from) // about to be accepted: not durable yet
+		u.outbox.replyUnavailable(from) // about to be accepted: not durable yet
 	default:
 		return j
 	}
@@ -206,41 +219,41 @@
 	// One that is about to be done or cancelled is told so once that is durable;
 	// until then what it was before is still true for its user.
 	if j := u.findActiveJob(from, uid); j != nil {
-		u.leader.replyAsLeader(from, 200, u.activeStatus(j))
+		u.replyAsLeader(from, 200, u.activeStatus(j))
 	}
 }
 
 // cancel stops a job's tasks; its user is told once the last one is proved gone.
 func (u *userRequests) cancel(from requester, uid string) {
 	j := u.findActiveJob(from, uid)
-	if j == nil || !u.leader.controller.pending.addPending(from) {
+	if j == nil || !u.pending.addPending(from) {
 		return
 	}
-	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(a requester) bool { return u.leader.controller.pending.pendingRequests[a.id] == nil })
+	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(a requester) bool { return u.pending.pendingRequests[a.id] == nil })
 	u.cancelWaiters[uid] = append(waiting, from)
 	if j.Cancelling || j.Finishing {
 		return // answered when that is durable
 	}
-	u.leader.controller.env.log.Info("cancelling", "job", uid)
+	u.env.log.Info("cancelling", "job", uid)
 	j.Cancelling = true
-	u.leader.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, nil)
+	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, nil)
 	// Nothing it does from here on is of use.
-	for _, m := range u.leader.sortedMachines() {
+	for _, m := range u.machines.sortedMachines() {
 		for _, a := range m.Sorted() {
 			if a.Job == j {
-				u.leader.requestStop(a, 0, "cancelled")
+				u.attempts.requestStop(a, 0, "cancelled")
 			}
 		}
 	}
-	u.leader.completeCancellation(j)
+	u.jobs.completeCancellation(j)
 }
 
 // replyCancelled tells those who wait for a job's cancellation what became of it.
 func (u *userRequests) replyCancelled(uid string) {
 	s, _ := u.terminalStatus(uid)
 	for _, a := range u.cancelWaiters[uid] {
-		if u.leader.controller.pending.takePending(a) {
-			u.leader.controller.outbox.replyStatus(a, 200, s)
+		if u.pending.takePending(a) {
+			u.outbox.replyStatus(a, 200, s)
 		}
 	}
 	delete(u.cancelWaiters, uid)
@@ -254,10 +267,16 @@
 	}
 
 	for _, from := range submission.waiters {
-		if u.leader.controller.pending.takePending(from) {
-			u.leader.controller.outbox.replyUnavailable(from)
+		if u.pending.takePending(from) {
+			u.outbox.replyUnavailable(from)
 		}
 	}
 	delete(u.pendingSubmissions, uid)
-	u.leader.state.RemoveJob(uid)
+	u.state.RemoveJob(uid)
+}
+
+// replyAsLeader answers with what only a leader may say, and only as long as it is certain
+// to be one.
+func (u *userRequests) replyAsLeader(to requester, status int, s protocol.JobStatus) {
+	u.outbox.replyUntil(to, status, protocol.Encode(s), 0, u.lease.holdsLeaseUntil())
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -206,7 +206,7 @@
 	steady := time.Duration(float64(w.Now()-n.born) * (1 + n.drift))
 	effects := n.controller.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
 	w.effects.record(w, i, effects)
-	if l := n.controller.leadership; l != nil && l.ready {
+	if l := n.controller.leadership; l != nil && l.loader.ready {
 		w.checkSchedulerCache(l)
 	}
 	for _, e := range effects {
@@ -324,7 +324,7 @@
 
 func (w *world) leader() int {
 	for i, n := range w.nodes {
-		if n.alive && n.controller.leadership != nil && n.controller.leadership.ready && n.controller.leadership.holdsLease() {
+		if n.alive && n.controller.leadership != nil && n.controller.leadership.loader.ready && n.controller.leadership.lease.holdsLease() {
 			return i
 		}
 	}
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -21,11 +21,11 @@
 	array, service := add("j-1", false, 100), add("j-2", true, 2)
 	for i := range 100 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
-		m.Type, m.Zone, m.Size = "m8", "a", l.machineSize("m8")
-		l.startTask(array, i, m, l.attemptNumbers.take())
+		m.Type, m.Zone, m.Size = "m8", "a", l.machines.machineSize("m8")
+		l.placement.startTask(array, i, m, l.attemptNumbers.take())
 	}
 	for i, id := range []string{"i-900099", "i-900098"} {
-		l.startTask(service, i, l.state.Machines[id], l.attemptNumbers.take())
+		l.placement.startTask(service, i, l.state.Machines[id], l.attemptNumbers.take())
 	}
 	txn := l.store.Compose()
 	if txn == nil || len(txn.Puts) < 2 {
