--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -51,6 +51,6 @@
 	n.store.Mark(keyCounter, statestore.User, func() any { return counterRecord{Token: reserved} }, func() {
 		n.next, n.reserving = reserved, false
 		n.placement.fillPending = true
-		n.env.log.Info("a block of attempt numbers is reserved", "token", n.lease.token, "block", reserved)
+		n.env.log.Info("attempt number block reserved", "token", n.lease.token, "block", reserved)
 	})
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -34,7 +34,7 @@
 		a.StopSentAt = 0
 	}
 	a.StopRequested, a.Grace = true, grace
-	t.env.log.Debug("halt", "task", a.Key().Task, "try", a.Number, "machine", a.Machine.ID, "why", why)
+	t.env.log.Debug("stop requested", "task", a.Key().Task, "attempt", a.Number, "machine", a.Machine.ID, "reason", why)
 	if a.Durable && !a.Sent {
 		t.removeAttempt(a, neverSent)
 	} else {
@@ -67,7 +67,7 @@
 	if len(m.Attempts) == 0 {
 		m.IdleSince = t.env.now
 	}
-	t.env.log.Debug("gone", "task", a.Key().Task, "try", a.Number, "machine", m.ID, "why", why)
+	t.env.log.Debug("attempt removed", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID, "reason", why)
 	j := a.Job
 	if !j.Spec.Service && a.Sent && !a.Preempted && !j.IsDone(a.Index) && a.Exit != protocol.CauseError && a.Exit != protocol.CauseNoRoom {
 		j.MarkInterrupted(a.Index)
--- a/internal/controller/conditions.go
+++ b/internal/controller/conditions.go
@@ -22,5 +22,5 @@
 		log.Info(begins, args...)
 		return
 	}
-	log.Info(over, append(args, "seconds", int((now-c.since).Seconds()))...)
+	log.Info(over, append(args, "duration_s", int((now-c.since).Seconds()))...)
 }
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -25,7 +25,7 @@
 	for range 5 {
 		l.scaler.watchBootTimes()
 	}
-	if logged("machines come up late") != 1 || logged("in time again") != 0 {
+	if logged("machine boots are late") != 1 || logged("on time again") != 0 {
 		t.Errorf("late boots: %s", out.String())
 	}
 	for _, m := range l.machines.sortedMachines() {
@@ -33,14 +33,14 @@
 	}
 	l.scaler.watchBootTimes()
 	l.scaler.watchBootTimes()
-	if logged("in time again") != 1 {
+	if logged("on time again") != 1 {
 		t.Errorf("boots in time again: %s", out.String())
 	}
 	p := scheduler.Pool{Type: "m8", Zone: "a"}
 	for _, short := range []bool{true, true, false, false, true} {
 		l.scaler.onPoolShortage(p, short)
 	}
-	if logged("pool is short") != 2 || logged("pool has machines") != 1 {
+	if logged("pool short of capacity") != 2 || logged("pool has capacity") != 1 {
 		t.Errorf("pools: %s", out.String())
 	}
 }
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -130,7 +130,7 @@
 
 // drainMachine has all tasks of a machine move.
 func (c *consolidator) drainMachine(m *clusterstate.Machine, tasks int) {
-	c.env.log.Info("emptying", "machine", m.ID, "type", m.Type, "tasks", tasks)
+	c.env.log.Info("draining machine", "machine", m.ID, "type", m.Type, "tasks", tasks)
 	c.drainAt = c.env.now + 3*c.env.cfg.Lease()
 	m.DrainUntil = c.env.now + c.env.cfg.Lease()
 	for _, a := range m.Sorted() {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -119,7 +119,7 @@
 	if l == nil {
 		return
 	}
-	c.env.log.Info("no longer leader", "token", l.lease.token, "why", why)
+	c.env.log.Info("leadership ended", "token", l.lease.token, "reason", why)
 	l.lease.ended = true
 	c.leadership = nil
 	l.controller.pending.refusePendingRequests()
@@ -131,7 +131,7 @@
 func (c *Controller) becomeLeader(rec *leaderRecord, version uint64) {
 	candidate := c.election.candidate
 	c.election.candidate = nil
-	c.env.log.Info("leader", "token", rec.Token, "lease", rec.LeaseID)
+	c.env.log.Info("elected leader", "token", rec.Token, "lease", rec.LeaseID)
 	c.leadership = newLeadership(c, rec, version, candidate.leaseAskedAt)
 	c.leadership.trace.failover, c.leadership.loader.preload = c.preparer.beginFailover(rec.Token), c.preparer.preparation.preload
 	c.preparer.preparation.preload = nil
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -52,7 +52,7 @@
 				keys.nextAt = e.env.now + e.env.retryPause()
 				if !keys.listFailureLogged {
 					keys.listFailureLogged = true
-					e.env.log.Info("the state service does not tell who leads", "addr", e.env.cfg.Services.State, "status", r.Status)
+					e.env.log.Info("listing the leader keys failed", "addr", e.env.cfg.Services.State, "status", r.Status)
 				}
 				return
 			}
@@ -210,8 +210,8 @@
 	}
 	if !keys.unsupportedLogged {
 		keys.unsupportedLogged = true
-		e.env.log.Error("records are stored in a form that this version does not read: it leaves the leadership to others",
-			"form", keys.record.StorageVersion, "reads", uint64(newestStorageVersion))
+		e.env.log.Error("stored records need a newer version, not campaigning",
+			"stored", keys.record.StorageVersion, "reads", uint64(newestStorageVersion))
 	}
 	return false
 }
@@ -230,7 +230,7 @@
 	if keys.loggedToken != rec.Token {
 		// Once: a follower in a cut reads the keys anew every few seconds.
 		keys.loggedToken = rec.Token
-		e.env.log.Info("leader seen", "leader", rec.Label, "token", rec.Token)
+		e.env.log.Info("leader observed", "leader", rec.Label, "token", rec.Token)
 	}
 	keys.leader = rec
 	if e.controller.leadership != nil {
@@ -260,7 +260,7 @@
 		return
 	}
 	keys.revokedLease = lease
-	e.env.log.Info("ending the lease of an earlier incarnation", "lease", lease)
+	e.env.log.Info("revoking the lease of an earlier incarnation", "lease", lease)
 	e.outbox.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, e.env.cfg.LeaderTTL()/2, func(res Result) {
 		if res.Status == 0 || res.Status >= 429 {
 			keys.revokedLease = 0
--- a/internal/controller/failover_trace.go
+++ b/internal/controller/failover_trace.go
@@ -31,11 +31,11 @@
 // finishFailover tells of it once.
 func (t *failoverTrace) finishFailover() {
 	h := t.failover
-	args := []any{"token", h.Token, "former", h.Former, "read_ahead", h.Preloaded}
+	args := []any{"token", h.Token, "former_leader", h.Former, "preloaded", h.Preloaded}
 	for _, step := range h.Steps() {
 		args = append(args, step.Name+"_s", (step.To - step.From).Seconds())
 	}
-	t.env.log.Info("handed over", args...)
+	t.env.log.Info("failover finished", args...)
 	t.env.observer.FailedOver(*h)
 	t.failover = nil
 }
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -82,7 +82,7 @@
 		case membership.Drop:
 			d.env.observer.Dropped(action)
 			if action.First {
-				d.env.log.Info("a peer's message is dropped", "peer", action.Label, "why", string(action.Reason))
+				d.env.log.Info("peer message dropped", "controller", action.Label, "reason", string(action.Reason))
 			}
 		}
 	}
@@ -137,8 +137,8 @@
 
 // onMemberChange logs a change of state and tells those whom it concerns.
 func (d *failureDetection) onMemberChange(change membership.Change) {
-	d.env.log.Info("controller is "+change.To.String(), "controller", change.Label, "was", change.From.String(),
-		"why", string(change.Reason), "incarnation", uint64(change.Incarnation), "after_s", change.After.Seconds())
+	d.env.log.Info("controller is "+change.To.String(), "controller", change.Label, "previous", change.From.String(),
+		"reason", string(change.Reason), "incarnation", uint64(change.Incarnation), "after_s", change.After.Seconds())
 	d.env.observer.MemberChanged(change)
 	if change.Label == d.follower.leaderLabel() && change.To == membership.Suspect {
 		d.preparer.preparation.suspectedAt = d.env.now
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -25,13 +25,13 @@
 	if a != nil && j.Spec.Service && f.env.now > a.Since+seconds(f.catalog.longestBootS()) {
 		f.noteTaskSuccess(j, nil) // it ran for a while before
 	}
-	f.env.log.Debug("task failed", "task", key.Task, "try", key.Attempt, "machine", m.ID)
+	f.env.log.Debug("task failed", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
 	if j.Failures.Waves == 0 || a != nil && a.Since > j.Failures.LastWave {
 		f.backOffJob(j)
 	}
 	switch {
 	case j.Failures.Note(m.ID, f.env.now):
-		f.env.log.Info("job fails everywhere", "job", j.Spec.UID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(j.Failures.Machines))
+		f.env.log.Info("job failing on every machine tried", "job", j.Spec.UID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(j.Failures.Machines))
 		f.withdrawFailures(j)
 	case j.Failures.Everywhere:
 	case m.Faults.Suspect(j.Spec.UID):
@@ -48,7 +48,7 @@
 		return
 	}
 	if j.Failures.Everywhere {
-		f.env.log.Info("job no longer fails", "job", j.Spec.UID)
+		f.env.log.Info("job no longer failing", "job", j.Spec.UID)
 	}
 	for id := range j.Failures.Machines {
 		other := f.state.Machines[id]
@@ -76,7 +76,7 @@
 
 // logFaultyMachine sets a machine aside for good: it is returned once it is idle.
 func (f *failureTracker) logFaultyMachine(m *clusterstate.Machine) {
-	f.env.log.Info("machine is faulty", "machine", m.ID, "type", m.Type, "zone", m.Zone, "jobs", len(m.Faults.Suspects)+m.Faults.Confirmed)
+	f.env.log.Info("machine quarantined", "machine", m.ID, "type", m.Type, "zone", m.Zone, "failed_jobs", len(m.Faults.Suspects)+m.Faults.Confirmed)
 }
 
 // backOffJob delays a failing job, and counts the time as attained service: a job
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -147,11 +147,11 @@
 	}
 	seen.obstacle, seen.at = obstacle, g.env.now
 	statements := g.statements()
-	args := []any{"token", g.lease.token, "state", now.String(), "was", before.String(), "why", obstacle.String()}
+	args := []any{"token", g.lease.token, "state", now.String(), "previous", before.String(), "reason", obstacle.String()}
 	for _, label := range slices.Sorted(maps.Keys(statements)) {
 		args = append(args, label, statements[label])
 	}
-	g.env.log.Info("feature gate", args...)
+	g.env.log.Info("feature gate state", args...)
 	if now != before {
 		g.env.observer.GateChanged(GateChange{Token: g.lease.token, At: g.env.now, From: before, To: now, Why: obstacle.String(), Statements: statements})
 	}
--- a/internal/controller/fetch_warning.go
+++ b/internal/controller/fetch_warning.go
@@ -18,7 +18,7 @@
 		return
 	}
 	f.catalog.warnedOfFetch[class] = true
-	f.env.log.Warn("settings: cluster.objectives: within_s is shorter than the fetch of an image: tasks start in time only where it is already",
+	f.env.log.Warn("settings: cluster.objectives: within_s is shorter than the image fetch: tasks start in time only where the image is cached",
 		"class", class, "within_s", aim, "fetch_s", math.Round(fetch*10)/10, "image_gb", j.Spec.ImageGB)
 }
 
--- a/internal/controller/fleet_summary.go
+++ b/internal/controller/fleet_summary.go
@@ -61,7 +61,7 @@
 			held[j.Spec.Class] += j.ActiveAttempts
 		}
 	}
-	args := []any{"txns", f.store.Took().TotalCount(), "txn_p99_ms", f.store.Took().ValueAtQuantile(99), "jobs", len(f.state.Jobs), "busy", up, "idle", idle, "booting", booting, "renting", len(f.pool.Launching())}
+	args := []any{"transactions", f.store.Took().TotalCount(), "transaction_p99_ms", f.store.Took().ValueAtQuantile(99), "jobs", len(f.state.Jobs), "busy", up, "idle", idle, "booting", booting, "launching", len(f.pool.Launching())}
 	for _, class := range sortedKeys(waiting) {
 		args = append(args, class, strconv.Itoa(held[class])+"+"+strconv.Itoa(waiting[class]))
 	}
@@ -74,6 +74,6 @@
 			args = append(args, name, strconv.FormatFloat(t.Used.Cores, 'f', 0, 64)+"c/"+strconv.FormatFloat(t.Used.Accel, 'f', 0, 64)+"a")
 		}
 	}
-	f.env.log.Info("fleet", args...)
+	f.env.log.Info("fleet summary", args...)
 	f.store.Took().Reset()
 }
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -147,7 +147,7 @@
 		return
 	}
 	if contact.servesLeases {
-		f.env.log.Info("the leader is heard again", "leader", g.Leader, "token", g.Token)
+		f.env.log.Info("leader reachable again", "leader", g.Leader, "token", g.Token)
 	}
 	contact.leaderLost, contact.connectionRefused, contact.servesLeases, contact.leaderHeardAt = false, false, false, f.env.now
 	contact.leaderProbes = leaderProbes{}
@@ -183,7 +183,7 @@
 		return false
 	}
 	if !contact.servesLeases {
-		f.env.log.Info("renewing leases for the leader in this zone", "token", msg.Token)
+		f.env.log.Info("renewing worker leases for the unreachable leader", "token", msg.Token)
 	}
 	contact.servesLeases, contact.lastServed = true, f.env.now
 	return true
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -45,7 +45,7 @@
 	// What ended before it could be cancelled is done.
 	j.Finishing, j.Cancelling = true, false
 	c.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
-		c.env.log.Info("done", "job", uid)
+		c.env.log.Info("job done", "job", uid)
 		c.state.Terminal[uid] = clusterstate.TerminalState{Tasks: j.Spec.Tasks}
 		c.completions.releaseJobEntries(j)
 		c.deleteCompletionRecords(j)
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -47,7 +47,7 @@
 		switch res.Status {
 		case 200:
 			if !l.holdsLease() {
-				l.env.log.Info("state service answers again", "token", l.token)
+				l.env.log.Info("leader lease confirmed again", "token", l.token)
 			}
 			l.leaseConfirmedAt = max(l.leaseConfirmedAt, sent)
 			l.verifyingLeaseUntil = 0
@@ -58,7 +58,7 @@
 			l.renewLeaseAt = l.env.now + ttl/10
 			if !l.holdsLease() && !l.coasting {
 				l.coasting = true
-				l.env.log.Info("coasting: the lease is not confirmed", "token", l.token)
+				l.env.log.Info("leader lease not confirmed, coasting", "token", l.token)
 			}
 			return
 		}
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -104,7 +104,7 @@
 	if w.leader() != lead {
 		t.Errorf("leader %d, was %d", w.leader(), lead)
 	}
-	if n := strings.Count(out.String(), "leader seen"); n > 0 {
+	if n := strings.Count(out.String(), "leader observed"); n > 0 {
 		t.Errorf("the same leader is logged %d times", n)
 	}
 	// The zones are together again, and what the leader asks of machines directly is answered
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -124,7 +124,7 @@
 		}
 		if m.Seen {
 			m.ExpiredEpoch = m.Epoch
-			h.env.log.Info("machine is silent, its lease is over", "machine", m.ID, "tasks", len(m.Attempts))
+			h.env.log.Info("worker lease expired", "machine", m.ID, "tasks", len(m.Attempts))
 		}
 		m.TokenAcknowledged, m.Probed = false, false
 		for _, a := range m.Sorted() {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -56,7 +56,7 @@
 		m = r.state.AddMachine(listed.ID)
 		m.ExistedAt = r.env.now
 		m.LaunchedAt = r.env.now - seconds(listed.AgeS)
-		r.env.log.Info("machine found in the list", "machine", listed.ID, "type", listed.Type, "zone", listed.Zone, "state", listed.State)
+		r.env.log.Info("machine discovered in the cloud's list", "machine", listed.ID, "type", listed.Type, "zone", listed.Zone, "state", listed.State)
 	}
 	if m.Type == "" {
 		m.Type, m.Zone, m.Spot = listed.Type, listed.Zone, listed.Spot
@@ -70,7 +70,7 @@
 	}
 	m.Listed = listed.State == "running"
 	if listed.State == "failed" && !m.Releasing {
-		r.env.log.Info("machine failed", "machine", m.ID, "tasks", len(m.Attempts))
+		r.env.log.Info("machine failed in the cloud's list", "machine", m.ID, "tasks", len(m.Attempts))
 		for _, a := range m.Sorted() {
 			r.attempts.removeAttempt(a, machineFailed)
 		}
@@ -94,7 +94,7 @@
 	if r.state.Machines[m.ID] != m {
 		return
 	}
-	r.env.log.Info("machine gone", "machine", m.ID, "why", why, "tasks", len(m.Attempts))
+	r.env.log.Info("machine removed", "machine", m.ID, "reason", why, "tasks", len(m.Attempts))
 	for _, a := range m.Sorted() {
 		r.attempts.removeAttempt(a, why)
 	}
@@ -109,7 +109,7 @@
 	if m.Releasing {
 		return
 	}
-	r.env.log.Info("returning", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "why", why)
+	r.env.log.Info("releasing machine", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "reason", why)
 	m.Releasing = true
 	r.storeMachine(m, statestore.Done, func() { m.ReleaseStored = true })
 }
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -65,12 +65,12 @@
 	}
 	for zone := range partitioned {
 		if _, was := d.partitioned[zone]; !was {
-			d.env.log.Info("zone is partitioned", "zone", zone, "machines", zones[zone].up)
+			d.env.log.Info("zone partitioned", "zone", zone, "machines", zones[zone].up)
 		}
 	}
 	for zone := range d.partitioned {
 		if _, is := partitioned[zone]; !is {
-			d.env.log.Info("zone is no longer partitioned", "zone", zone)
+			d.env.log.Info("zone partition healed", "zone", zone)
 			// Its workers need a moment to find the leader again: they were once
 			// all returned as silent when a cut had ended.
 			d.reconnectedAt[zone] = d.env.now
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -31,7 +31,7 @@
 	if p.env.now == 0 || gap <= p.env.cfg.LeaderTTL() {
 		return false
 	}
-	p.env.log.Info("stood still", "seconds", gap.Seconds(), "leads", p.controller.leadership != nil)
+	p.env.log.Info("process pause detected", "duration_s", gap.Seconds(), "leader", p.controller.leadership != nil)
 	p.env.observer.Resumed(gap, p.controller.leadership != nil)
 	return true
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -86,7 +86,7 @@
 // stepDown ends the leadership and its lease, so that another controller takes
 // over at once. This one stands back as long as the others have a chance to.
 func (l *leadership) stepDown() {
-	l.controller.env.log.Info("stepping down: workers answer others, not us", "token", l.lease.token, "machines", len(l.reach.missedMachines))
+	l.controller.env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reach.missedMachines))
 	l.controller.election.electionBackoffUntil = l.controller.env.now + 4*l.controller.env.cfg.Lease()
 	l.controller.election.leaderKeys.revokedLease = l.lease.leaseID
 	l.controller.endLeadership("it can't reach the workers")
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -90,11 +90,11 @@
 
 // readLog takes a line that a controller logs.
 func (ro *rollout) readLog(node int, line []byte) {
-	if bytes.Contains(line, []byte("can't be read")) {
+	if bytes.Contains(line, []byte("stored record is unreadable")) {
 		ro.breaks("n%d: %s", node, line)
 	}
-	planned := bytes.Contains(line, []byte("why=moved")) || bytes.Contains(line, []byte(`why="a round's stop"`))
-	if !planned || !bytes.Contains(line, []byte("msg=halt")) {
+	planned := bytes.Contains(line, []byte("reason=moved")) || bytes.Contains(line, []byte(`reason="a round's stop"`))
+	if !planned || !bytes.Contains(line, []byte("msg=\"stop requested\"")) {
 		return
 	}
 	for field := range strings.FieldsSeq(string(line)) {
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -53,7 +53,7 @@
 	if a.lateBoots.holds {
 		holds = late > 0 && late*lateIsOver >= booting
 	}
-	a.lateBoots.update(holds, a.env.now, a.env.log, "machines come up late", "machines come up in time again", "late", late, "booting", booting)
+	a.lateBoots.update(holds, a.env.now, a.env.log, "machine boots are late", "machine boots are on time again", "late", late, "booting", booting)
 }
 
 // onPoolShortage says that a pool has too few machines for what was asked, once until it is over.
@@ -63,7 +63,7 @@
 		k = &condition{}
 		a.shortPools[p] = k
 	}
-	k.update(short, a.env.now, a.env.log, "pool is short of machines", "pool has machines again", "type", p.Type, "zone", p.Zone, "spot", p.Spot)
+	k.update(short, a.env.now, a.env.log, "machine pool short of capacity", "machine pool has capacity again", "type", p.Type, "zone", p.Zone, "spot", p.Spot)
 }
 
 // One plan rents a few machines at a time, so that what comes up meanwhile is used first: 64, or
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -375,7 +375,7 @@
 		}
 		if !c.drifted {
 			c.drifted = true
-			c.env.log.Error("the scheduler's view differs from the ledger", "machine", e.machine.ID)
+			c.env.log.Error("scheduler cache differs from the cluster state", "machine", e.machine.ID)
 		}
 		c.rebuild()
 		return
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -176,7 +176,7 @@
 	for range 3 {
 		l.cache.verify()
 	}
-	if n := strings.Count(logged.String(), "differs from the ledger"); n != 1 || !strings.Contains(logged.String(), m.ID) {
+	if n := strings.Count(logged.String(), "differs from the cluster state"); n != 1 || !strings.Contains(logged.String(), m.ID) {
 		t.Errorf("logged %d times: %s", n, logged.String())
 	}
 	if d := differenceOfSnapshots(l); d != "" {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -129,7 +129,7 @@
 	}
 	a := t.state.AddAttempt(m, j, index, try, t.env.now)
 	t.failures.noteProbingStart(j)
-	t.env.log.Debug("start", "task", a.Key().Task, "try", a.Number, "machine", m.ID)
+	t.env.log.Debug("task placed", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
 	priority := statestore.Start
 	if j.Spec.Service {
 		priority = statestore.Replica
@@ -201,7 +201,7 @@
 	m := t.state.Machines[st.Machine.ID]
 	for _, a := range m.Sorted() {
 		if a.Job.Spec.UID == st.Victim.Job.ID && a.Index == st.Victim.Index {
-			t.env.log.Info("stopping", "task", a.Key().Task, "machine", m.ID, "for", st.For.ID)
+			t.env.log.Info("preempting task", "task", a.Key().Task, "machine", m.ID, "preemptor", st.For.ID)
 			a.Preempted = true
 			t.attempts.requestStop(a, a.Job.Spec.SaveS, "a round's stop")
 		}
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -89,7 +89,7 @@
 	for _, it := range items {
 		s.store.Loaded(it.Key, it.Version)
 		if err := s.loadRecord(it); err != nil {
-			s.env.log.Error("a record can't be read", "key", it.Key, "err", err)
+			s.env.log.Error("stored record is unreadable", "key", it.Key, "err", err)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 	}
 	s.orphanedCompletions = nil
 	s.completions.logLoaded()
-	s.env.log.Info("ledger read", "token", s.lease.token, "jobs", len(s.state.Jobs), "terminal", len(s.state.Terminal), "machines", len(s.state.Machines))
+	s.env.log.Info("cluster state loaded", "token", s.lease.token, "jobs", len(s.state.Jobs), "terminal_jobs", len(s.state.Terminal), "machines", len(s.state.Machines))
 	s.placement.fillPending = true
 	s.trace.noteStateLoaded()
 }
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -58,7 +58,7 @@
 
 // abandon takes back a value that the state service takes in no form.
 func (r *completionRecorder) abandon() {
-	r.env.log.Error("the journal of ends is given up in this term: the state service refuses a value")
+	r.env.log.Error("completion journal disabled for this leadership: the state service rejects a value")
 	r.journal.Abandon()
 }
 
@@ -198,8 +198,8 @@
 		return
 	}
 	values, ends, _ := r.journal.Size()
-	r.env.log.Info("journal of ends read", "token", r.lease.token, "values", values, "ends", ends,
-		"superfluous", r.redundantEntries, "unreadable", r.unreadable)
+	r.env.log.Info("completion journal loaded", "token", r.lease.token, "values", values, "completions", ends,
+		"redundant", r.redundantEntries, "unreadable", r.unreadable)
 }
 
 // isJournalKey says whether a key is one of the journal's.
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -25,7 +25,7 @@
 		}
 		return
 	}
-	h.env.log.Debug("exited", "task", key.Task, "try", key.Attempt, "machine", m.ID, "cause", t.Cause)
+	h.env.log.Debug("task exited", "task", key.Task, "attempt", key.Attempt, "machine", m.ID, "cause", t.Cause)
 	switch t.Cause {
 	case protocol.CauseDone:
 		h.failures.noteTaskSuccess(j, m)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if err != nil {
-		u.env.log.Info("malformed submission", "job", uid, "err", err)
+		u.env.log.Info("submission rejected as malformed", "job", uid, "err", err)
 		u.outbox.reply(from, 400, nil, 0)
 		return
 	}
@@ -97,7 +97,7 @@
 		return
 	}
 	if why := u.infeasibleReason(spec); why != "" {
-		u.env.log.Info("can never run", "job", uid, "why", why)
+		u.env.log.Info("submission rejected as infeasible", "job", uid, "reason", why)
 		u.outbox.reply(from, 422, nil, 0)
 		return
 	}
@@ -132,7 +132,7 @@
 	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
 		delete(u.pendingSubmissions, uid)
 		j.Stored = true
-		u.env.log.Info("accepted", "job", uid, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
+		u.env.log.Info("job accepted", "job", uid, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
 		u.forecast.recordArrival(j)
 		u.placement.fillPending = true
 		for _, w := range submission.waiters {
@@ -234,7 +234,7 @@
 	if j.Cancelling || j.Finishing {
 		return // answered when that is durable
 	}
-	u.env.log.Info("cancelling", "job", uid)
+	u.env.log.Info("job cancellation accepted", "job", uid)
 	j.Cancelling = true
 	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, nil)
 	// Nothing it does from here on is of use.
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -132,7 +132,7 @@
 	m := h.state.Machines[msg.Machine]
 	if m == nil {
 		// Nobody expected it: it is used, or returned when idle.
-		h.env.log.Info("unexpected machine", "machine", msg.Machine, "type", msg.Type, "zone", msg.Zone)
+		h.env.log.Info("heartbeat from an unknown machine", "machine", msg.Machine, "type", msg.Type, "zone", msg.Zone)
 		m = h.state.AddMachine(msg.Machine)
 		m.ExistedAt, m.LaunchedAt = h.env.now, h.env.now
 	}
@@ -156,16 +156,16 @@
 	sign := m.Apply(message, h.lease.token, h.env.now, h.env.cfg.Lease())
 	m.Up = true
 	if sign.AnswersLost {
-		h.env.log.Info("answers don't reach the machine", "machine", m.ID, "session", msg.Epoch)
+		h.env.log.Info("machine receives no answers", "machine", m.ID, "epoch", msg.Epoch)
 	}
 	if sign.LeaseExpired {
-		h.env.log.Info("session lapsed", "machine", m.ID, "session", msg.Epoch)
+		h.env.log.Info("agent epoch expired", "machine", m.ID, "epoch", msg.Epoch)
 	}
 	h.placement.fillPending = h.placement.fillPending || sign.FirstToken
 	if msg.SpotNoticeS != nil {
 		by := h.env.now + seconds(max(0, min(*msg.SpotNoticeS, 1e6)))
 		if !m.SpotNotice {
-			h.env.log.Info("notice", "machine", m.ID, "seconds", *msg.SpotNoticeS)
+			h.env.log.Info("spot reclaim notice", "machine", m.ID, "notice_s", *msg.SpotNoticeS)
 			m.SpotNotice, m.ReclaimedBy = true, by
 			h.placement.fillPending = true
 		}
@@ -178,7 +178,7 @@
 // onRunning takes the beginning of an attempt's run: its image is there.
 func (h *heartbeatReceiver) onRunning(m *clusterstate.Machine, a *clusterstate.Attempt) {
 	h.machines.noteImageUse(m, a.Job)
-	h.env.log.Debug("running", "task", a.Key().Task, "try", a.Number, "machine", m.ID)
+	h.env.log.Debug("task running", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
 }
 
 // onAbsent takes an attempt that the machine no longer has.
@@ -199,12 +199,12 @@
 			m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{}
 		}
 		if _, known := m.UnknownTasks[key]; !known {
-			h.env.log.Info("unknown task", "task", key.Task, "try", key.Attempt, "machine", m.ID)
+			h.env.log.Info("heartbeat lists an unknown task", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
 			m.UnknownTasks[key] = 0
 		}
 		return nil
 	}
-	h.env.log.Info("task not in the ledger", "task", key.Task, "try", key.Attempt, "machine", m.ID)
+	h.env.log.Info("heartbeat lists an unrecorded attempt", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
 	a := h.state.AddAttempt(m, j, index, key.Attempt, h.env.now)
 	a.Durable, a.Loaded = true, true
 	h.attempts.requestStop(a, j.Spec.SaveS, "not in the ledger")
--- a/internal/scalerun/detection.go
+++ b/internal/scalerun/detection.go
@@ -62,6 +62,18 @@
 	message, node, controller string
 }
 
+// Messages of the controllers' logs. Those before belong to older versions, whose logs a plan with an
+// upgrade reads too.
+const (
+	logElected       = "elected leader"
+	logElectedBefore = "leader"
+	logLoaded        = "cluster state loaded"
+	logLoadedBefore  = "ledger read"
+
+	logUnreadable       = "stored record is unreadable"
+	logUnreadableBefore = "a record can't be read"
+)
+
 var logPattern = regexp.MustCompile(`^time=(\S+) level=\S+ msg=("[^"]*"|\S+) node=(\S+)(?:.* controller=(\S+))?`)
 
 // readLog reads what a log tells of members and leaders.
@@ -126,9 +138,9 @@
 			out.DeadAll = max(out.DeadAll, since(l.at))
 		case l.message == "controller is alive" && l.controller == f.label:
 			first(&out.AliveMS, l.at)
-		case l.message == "leader" && l.node != f.label:
+		case (l.message == logElected || l.message == logElectedBefore) && l.node != f.label:
 			first(&out.ElectedMS, l.at)
-		case l.message == "ledger read" && l.node != f.label:
+		case (l.message == logLoaded || l.message == logLoadedBefore) && l.node != f.label:
 			first(&out.LoadedMS, l.at)
 		}
 	}
--- a/internal/scalerun/ownership_test.go
+++ b/internal/scalerun/ownership_test.go
@@ -25,15 +25,25 @@
 	}
 }
 
-// Times of detection come from the controllers' logs.
+// Times of detection come from the controllers' logs, which older versions word otherwise.
 func TestDetectionFromLogs(t *testing.T) {
+	for name, words := range map[string][2]string{
+		"this version":   {`"elected leader"`, `"cluster state loaded"`},
+		"older versions": {"leader", `"ledger read"`},
+	} {
+		t.Run(name, func(t *testing.T) { checkDetectionFromLogs(t, words[0], words[1]) })
+	}
+}
+
+func checkDetectionFromLogs(t *testing.T, elected, loaded string) {
+	t.Helper()
 	at := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 	log := filepath.Join(t.TempDir(), "log")
 	text := `time=2026-12-02T09:59:59.000Z level=INFO msg="controller is suspect" node=c1 controller=c0 was=alive
 time=2026-12-02T10:00:00.500Z level=INFO msg="controller is suspect" node=c1 controller=c0 was=alive why="neither we nor others reach it"
 time=2026-12-02T10:00:00.700Z level=INFO msg="controller is suspect" node=c2 controller=c0 was=alive
-time=2026-12-02T10:00:01.250Z level=INFO msg=leader node=c2 token=2 lease=3
-time=2026-12-02T10:00:01.300Z level=INFO msg="ledger read" node=c2 token=2
+time=2026-12-02T10:00:01.250Z level=INFO msg=` + elected + ` node=c2 token=2 lease=3
+time=2026-12-02T10:00:01.300Z level=INFO msg=` + loaded + ` node=c2 token=2
 not a line of a log
 time=2026-12-02T10:00:03.000Z level=INFO msg="controller is dead" node=c1 controller=c0 was=suspect
 `
--- a/internal/scalerun/upgrade.go
+++ b/internal/scalerun/upgrade.go
@@ -145,7 +145,7 @@
 		if err != nil {
 			continue // it never started
 		}
-		out.Unreadable += bytes.Count(raw, []byte("a record can't be read"))
+		out.Unreadable += bytes.Count(raw, []byte(logUnreadable)) + bytes.Count(raw, []byte(logUnreadableBefore))
 	}
 	return out
 }
