--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -17,16 +17,16 @@
 }
 
 // requestStop has an attempt stopped, and with it all of its gang.
-func (t *attemptTracker) requestStop(a *clusterstate.Attempt, grace float64, why string) {
+func (t *attemptTracker) requestStop(a *clusterstate.Attempt, grace float64, reason stopReason) {
 	if a.Job.Gang != nil && !a.Job.Finishing {
-		t.requestGangStop(a.Job, a.Number, grace, why)
+		t.requestGangStop(a.Job, a.Number, grace, reason)
 		return
 	}
-	t.requestAttemptStop(a, grace, why)
+	t.requestAttemptStop(a, grace, reason)
 }
 
 // requestAttemptStop has one attempt stopped. What never left is dropped at once.
-func (t *attemptTracker) requestAttemptStop(a *clusterstate.Attempt, grace float64, why string) {
+func (t *attemptTracker) requestAttemptStop(a *clusterstate.Attempt, grace float64, reason stopReason) {
 	if a.StopRequested && grace >= a.Grace {
 		return
 	}
@@ -34,7 +34,7 @@
 		a.StopSentAt = 0
 	}
 	a.StopRequested, a.Grace = true, grace
-	t.env.log.Debug("stop requested", "task", a.Key().Task, "attempt", a.Number, "machine", a.Machine.ID, "reason", why)
+	t.env.log.Debug("stop requested", "task", a.Key().Task, "attempt", a.Number, "machine", a.Machine.ID, "reason", reason)
 	if a.Durable && !a.Sent {
 		t.removeAttempt(a, neverSent)
 	} else {
@@ -48,13 +48,13 @@
 // Proofs that an attempt is gone.
 const (
 	reportedExited      absenceProof = "exited"
-	neverSent           absenceProof = "never sent"
-	notRecorded         absenceProof = "it can't be recorded"
-	absentFromHeartbeat absenceProof = "absent from the machine's report"
-	leaseExpired        absenceProof = "the worker's lease is over"
-	machineFailed       absenceProof = "the machine has failed"
-	machineDeleted      absenceProof = "deleted"
-	machineUnlisted     absenceProof = "no longer listed"
+	neverSent           absenceProof = "start never sent"
+	notRecorded         absenceProof = "record rejected"
+	absentFromHeartbeat absenceProof = "absent from heartbeat"
+	leaseExpired        absenceProof = "worker lease expired"
+	machineFailed       absenceProof = "machine failed"
+	machineDeleted      absenceProof = "machine deleted"
+	machineUnlisted     absenceProof = "machine no longer listed"
 )
 
 // removeAttempt takes an attempt that is proved gone out of the ledger.
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -134,7 +134,7 @@
 	c.drainAt = c.env.now + 3*c.env.cfg.Lease()
 	m.DrainUntil = c.env.now + c.env.cfg.Lease()
 	for _, a := range m.Sorted() {
-		c.attempts.requestStop(a, a.Job.Spec.SaveS, "moved")
+		c.attempts.requestStop(a, a.Job.Spec.SaveS, stopConsolidation)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -114,12 +114,12 @@
 	}
 }
 
-func (c *Controller) endLeadership(why string) {
+func (c *Controller) endLeadership(reason endReason) {
 	l := c.leadership
 	if l == nil {
 		return
 	}
-	c.env.log.Info("leadership ended", "token", l.lease.token, "reason", why)
+	c.env.log.Info("leadership ended", "token", l.lease.token, "reason", reason)
 	l.lease.ended = true
 	c.leadership = nil
 	l.controller.pending.refusePendingRequests()
@@ -146,7 +146,7 @@
 	}
 	if l := c.leadership; l != nil {
 		c.election.leaderKeys.revokedLease = l.lease.leaseID
-		c.endLeadership("the process is told to end")
+		c.endLeadership(endShutdown)
 		c.outbox.revokeLease(l.lease.leaseID)
 	}
 	c.election.electionBackoffUntil = c.env.now + c.env.cfg.Coast()
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -237,7 +237,7 @@
 		// A watch that was open when we won tells of ourselves, or of somebody
 		// who came after us.
 		if rec.Token > e.controller.leadership.lease.token {
-			e.controller.endLeadership("a later leader's key")
+			e.controller.endLeadership(endLaterLeaderKey)
 		}
 		return
 	}
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -14,7 +14,7 @@
 		return
 	}
 	j.Gang.Apply(clusterstate.PlacesIncomplete)
-	t.abortGang(j, "its gang is not complete in the ledger")
+	t.abortGang(j, stopGangIncomplete)
 }
 
 // startGang sends the runs of a gang once the last of its places is durable.
@@ -40,7 +40,7 @@
 		event = clusterstate.TaskReplaceable
 	}
 	if g.Apply(event) && g.State == clusterstate.GangBroken {
-		t.abortGang(a.Job, "a task of its gang is gone")
+		t.abortGang(a.Job, stopGangTaskLost)
 	}
 }
 
@@ -57,15 +57,15 @@
 }
 
 // abortGang stops all that may be left of a gang's attempt, at once.
-func (t *attemptTracker) abortGang(j *clusterstate.Job, why string) {
+func (t *attemptTracker) abortGang(j *clusterstate.Job, reason stopReason) {
 	for _, a := range j.Gang.Attempts() {
-		t.requestAttemptStop(a, 0, why)
+		t.requestAttemptStop(a, 0, reason)
 	}
 }
 
 // requestGangStop stops all tasks under the attempt's number in the same breath and with
 // the same leeway, which leaves them time to wait for one another after saving.
-func (t *attemptTracker) requestGangStop(j *clusterstate.Job, try uint64, grace float64, why string) {
+func (t *attemptTracker) requestGangStop(j *clusterstate.Job, try uint64, grace float64, reason stopReason) {
 	if try == j.Gang.Number {
 		j.Gang.Apply(clusterstate.StopRequested)
 	}
@@ -74,7 +74,7 @@
 	}
 	for _, a := range j.Gang.Attempts() {
 		if a.Number == try {
-			t.requestAttemptStop(a, grace, why)
+			t.requestAttemptStop(a, grace, reason)
 		}
 	}
 }
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -30,7 +30,7 @@
 func (l *leaderLease) renewLeaderLease() {
 	ttl := l.env.cfg.LeaderTTL()
 	if l.env.now > l.leaseConfirmedAt+l.env.cfg.Coast() && !l.holdsLease() {
-		l.controller.endLeadership("no renewal of the lease for as long as a leader may coast")
+		l.controller.endLeadership(endLeaseUnconfirmed)
 		return
 	}
 	if l.renewalInFlight || l.env.now < l.renewLeaseAt {
@@ -53,7 +53,7 @@
 			l.verifyingLeaseUntil = 0
 			l.renewLeaseAt = sent + ttl/5
 		case 404:
-			l.controller.endLeadership("the lease has ended")
+			l.controller.endLeadership(endLeaseExpired)
 		default:
 			l.renewLeaseAt = l.env.now + ttl/10
 			if !l.holdsLease() && !l.coasting {
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -108,7 +108,7 @@
 			// Its lease runs out: what is there goes on elsewhere sooner.
 			for _, a := range m.Sorted() {
 				if h.leaseUnrenewed(m, h.evacuateAfter(a)) {
-					h.attempts.requestStop(a, a.Job.Spec.SaveS, "the machine reaches no controller")
+					h.attempts.requestStop(a, a.Job.Spec.SaveS, stopNoController)
 				}
 			}
 		}
@@ -143,7 +143,7 @@
 			continue
 		}
 		if h.env.now > m.ReclaimedBy-seconds(s.SaveS)-2*h.env.cfg.Report()-h.env.cfg.Lease()/10 {
-			h.attempts.requestStop(a, s.SaveS+1, "the machine is taken back")
+			h.attempts.requestStop(a, s.SaveS+1, stopSpotReclaim)
 		}
 	}
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -74,7 +74,7 @@
 		for _, a := range m.Sorted() {
 			r.attempts.removeAttempt(a, machineFailed)
 		}
-		r.releaseMachine(m, "failed")
+		r.releaseMachine(m, releaseFailed)
 	}
 }
 
@@ -105,11 +105,11 @@
 
 // releaseMachine returns a machine. The mark is durable before the deletion leaves,
 // so that a late deletion hits nothing in use.
-func (r *machineRegistry) releaseMachine(m *clusterstate.Machine, why string) {
+func (r *machineRegistry) releaseMachine(m *clusterstate.Machine, reason releaseReason) {
 	if m.Releasing {
 		return
 	}
-	r.env.log.Info("releasing machine", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "reason", why)
+	r.env.log.Info("releasing machine", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "reason", reason)
 	m.Releasing = true
 	r.storeMachine(m, statestore.Done, func() { m.ReleaseStored = true })
 }
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -27,7 +27,7 @@
 	}
 	l := c.leadership
 	if l != nil && ask.Token > l.lease.token {
-		c.endLeadership("another controller knows a later leader")
+		c.endLeadership(endPeerKnowsLater)
 		l = nil
 	}
 	g := protocol.PeerHeartbeatReply{Token: c.follower.contact.highestToken, Versions: c.versionStatement()}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -89,6 +89,6 @@
 	l.controller.env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reach.missedMachines))
 	l.controller.election.electionBackoffUntil = l.controller.env.now + 4*l.controller.env.cfg.Lease()
 	l.controller.election.leaderKeys.revokedLease = l.lease.leaseID
-	l.controller.endLeadership("it can't reach the workers")
+	l.controller.endLeadership(endWorkersUnreachable)
 	l.controller.outbox.revokeLease(l.lease.leaseID)
 }
--- /dev/null
+++ b/internal/controller/reasons.go
@@ -0,0 +1,63 @@
+package controller
+
+// endReason is why a leadership ended, as the log tells it. The store of a leadership has reasons of its own.
+type endReason string
+
+// Reasons for the end of a leadership.
+const (
+	endLeaseUnconfirmed   endReason = "lease not renewed within the coasting limit"
+	endLeaseExpired       endReason = "lease expired"
+	endLaterLeaderKey     endReason = "leader key has a later token"
+	endPeerKnowsLater     endReason = "a peer knows a later leader"
+	endWorkerSawLater     endReason = "a worker has seen a higher token"
+	endWorkersUnreachable endReason = "workers unreachable"
+	endShutdown           endReason = "shutdown"
+)
+
+// stopReason is why an attempt is requested to stop.
+type stopReason string
+
+// Reasons to stop an attempt.
+const (
+	stopPreempted      stopReason = "preempted"
+	stopConsolidation  stopReason = "consolidation"
+	stopSpotReclaim    stopReason = "spot reclaim notice"
+	stopNoController   stopReason = "machine reaches no controller"
+	stopJobCancelled   stopReason = "job cancelled"
+	stopUnwantedOnLoad stopReason = "not wanted after failover"
+	stopUnrecorded     stopReason = "attempt not recorded"
+	stopGangIncomplete stopReason = "gang incomplete in the stored records"
+	stopGangTaskLost   stopReason = "gang lost a task"
+)
+
+// releaseReason is why a machine is released.
+type releaseReason string
+
+// Reasons to release a machine.
+const (
+	// keepMachine: the machine is not released.
+	keepMachine              releaseReason = ""
+	releaseControllerLost    releaseReason = "zone partitioned and its controller lost"
+	releaseBootTimedOut      releaseReason = "boot timed out"
+	releaseUnreachable       releaseReason = "unreachable while its zone is reachable"
+	releaseUnheardOnFailover releaseReason = "no heartbeat since failover"
+	releaseAnswersLost       releaseReason = "no answer received since failover"
+	releaseSilent            releaseReason = "no heartbeat"
+	releaseQuarantined       releaseReason = "quarantined"
+	releaseDrained           releaseReason = "drained"
+	releaseIdle              releaseReason = "idle"
+	releaseFailed            releaseReason = "failed in the cloud's list"
+)
+
+// infeasibility is why a job can never run here.
+type infeasibility string
+
+// Reasons why a job can never run.
+const (
+	// feasible: nothing speaks against the job.
+	feasible            infeasibility = ""
+	unknownTeam         infeasibility = "unknown team"
+	noMachineTypeFits   infeasibility = "a task fits no allowed machine type"
+	gangCannotSpread    infeasibility = "the whole gang can't be spread over one zone"
+	exceedsQuotaMaximum infeasibility = "exceeds the team's maximum quota"
+)
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -93,7 +93,7 @@
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
 		ro.breaks("n%d: %s", node, line)
 	}
-	planned := bytes.Contains(line, []byte("reason=moved")) || bytes.Contains(line, []byte(`reason="a round's stop"`))
+	planned := bytes.Contains(line, []byte("reason=consolidation")) || bytes.Contains(line, []byte("reason=preempted"))
 	if !planned || !bytes.Contains(line, []byte("msg=\"stop requested\"")) {
 		return
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -15,8 +15,8 @@
 		if m.Releasing || a.catalog.machineType(m.Type) == nil {
 			continue
 		}
-		if why := pass.releaseReason(m); why != "" {
-			a.machines.releaseMachine(m, why)
+		if reason := pass.releaseReason(m); reason != keepMachine {
+			a.machines.releaseMachine(m, reason)
 		}
 	}
 }
@@ -52,84 +52,84 @@
 
 // releaseReason is why a machine is returned now, or "" if it stays; what keeps it for now is
 // noted as use of it.
-func (p *scaleInPass) releaseReason(m *clusterstate.Machine) string {
+func (p *scaleInPass) releaseReason(m *clusterstate.Machine) releaseReason {
 	now := p.scaler.env.now
 	switch {
 	case p.controllerLost[m.Zone] && len(m.Attempts) > 0:
-		return "its zone is cut off and the controller there has ended"
+		return releaseControllerLost
 	case p.scaler.partitions.isPartitioned(m.Zone) && m.Up:
 		// Its follower may be keeping its tasks alive. Even without one, what
 		// must be spread waits for this zone, and for a cut's length a
 		// machine with its images is worth more than a new one.
 		m.IdleSince = now
-		return ""
+		return keepMachine
 	case !m.Up:
 		return p.bootingReleaseReason(m)
 	}
-	if why := p.silentReleaseReason(m); why != "" {
-		return why
+	if reason := p.silentReleaseReason(m); reason != keepMachine {
+		return reason
 	}
 	if p.scaler.health.silentFor(m) > p.scaler.env.cfg.Lease()*2/5 {
 		// Hanging or cut off, it may come back with its images; a dead one is
 		// soon called failed by the cloud. It was once returned as idle when
 		// its lease was over, seconds before it would have come back.
 		m.IdleSince = now
-		return ""
+		return keepMachine
 	}
 	return p.idleReleaseReason(m)
 }
 
 // bootingReleaseReason is why a machine that is not up is returned.
-func (p *scaleInPass) bootingReleaseReason(m *clusterstate.Machine) string {
+func (p *scaleInPass) bootingReleaseReason(m *clusterstate.Machine) releaseReason {
 	if p.scaler.env.now > max(m.LaunchedAt+seconds(p.scaler.catalog.machineType(m.Type).BootS*longestBoot), p.scaler.lease.electedAt+p.scaler.env.cfg.Lease()/2) {
 		// Not at once after a take-over: idle machines that have long been up have
 		// no record, and asking thousands takes a while (scale run, 5,500
 		// workers: 107 were returned within the first second).
-		return "did not come up"
+		return releaseBootTimedOut
 	}
 	if p.needed[m.ID] || m.IdleSince == 0 {
 		m.IdleSince = p.scaler.env.now
 	}
-	return ""
+	return keepMachine
 }
 
 // silentReleaseReason is why a machine that does not answer is returned.
-func (p *scaleInPass) silentReleaseReason(m *clusterstate.Machine) string {
+func (p *scaleInPass) silentReleaseReason(m *clusterstate.Machine) releaseReason {
 	lease := p.scaler.env.cfg.Lease()
 	switch {
 	case !p.manySilent && p.scaler.isUnreachable(m, p.zonesHeardSince) && p.scaler.health.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
-		return "no connection to it, while its zone is heard"
+		return releaseUnreachable
 	case !p.manySilent && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && p.scaler.health.silentFor(m) > lease/2:
 		// After a take-over the proof by time is far away, and the cloud's
 		// word that the machine is gone comes sooner. A machine that this
 		// leader did hear is left alone: cut off or hanging, its tasks go
 		// on until its lease ends, and it may come back.
-		return "not heard since the take-over"
+		return releaseUnheardOnFailover
 	case m.UnseenAnswers > 2 && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+lease:
 		// It reports and never shows our token: it hears no answer, so its
 		// lease is over, but no message of it can prove that what an earlier
 		// leader started there is gone.
-		return "it has not heard us since the take-over"
+		return releaseAnswersLost
 	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > 3*lease:
-		return "silent"
+		return releaseSilent
 	}
-	return ""
+	return keepMachine
 }
 
 // idleReleaseReason is why a machine that answers is returned.
-func (p *scaleInPass) idleReleaseReason(m *clusterstate.Machine) string {
+func (p *scaleInPass) idleReleaseReason(m *clusterstate.Machine) releaseReason {
 	boot := seconds(p.scaler.catalog.machineType(m.Type).BootS)
 	switch {
 	case len(m.Attempts) > 0 || p.needed[m.ID]:
 		m.IdleSince = p.scaler.env.now
 	case m.Faults.Faulty:
-		return "faulty"
+		return releaseQuarantined
 	case p.scaler.env.now < m.DrainUntil:
-		return "emptied"
+		return releaseDrained
 	case p.scaler.env.now > m.IdleSince+time.Duration(float64(boot)*p.scaler.env.cfg.Operator.Fleet.IdleRatio):
-		return "idle"
+		return releaseIdle
 	}
-	return ""
+	return keepMachine
 }
 
 // isUnreachable says whether a machine is most probably gone with all that is on it:
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -203,7 +203,7 @@
 		if a.Job.Spec.UID == st.Victim.Job.ID && a.Index == st.Victim.Index {
 			t.env.log.Info("preempting task", "task", a.Key().Task, "machine", m.ID, "preemptor", st.For.ID)
 			a.Preempted = true
-			t.attempts.requestStop(a, a.Job.Spec.SaveS, "a round's stop")
+			t.attempts.requestStop(a, a.Job.Spec.SaveS, stopPreempted)
 		}
 	}
 }
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -246,7 +246,7 @@
 		m.Size = s.machines.machineSize(m.Type)
 		for _, a := range m.Sorted() {
 			if a.Job.IsDone(a.Index) || a.Job.Cancelling || a.Number < newest[taskRef{a.Job, a.Index}] {
-				s.attempts.requestStop(a, 0, "not wanted after the take-over")
+				s.attempts.requestStop(a, 0, stopUnwantedOnLoad)
 			}
 		}
 	}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -57,7 +57,7 @@
 func (h recordHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
 
 // End is part of statestore.Host.
-func (h recordHost) End(why string) { h.leader.controller.endLeadership(why) }
+func (h recordHost) End(why string) { h.leader.controller.endLeadership(endReason(why)) }
 
 // Ended is part of statestore.Host.
 func (h recordHost) Ended() bool { return h.leader.lease.ended }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -96,8 +96,8 @@
 		u.outbox.replyUnavailable(from)
 		return
 	}
-	if why := u.infeasibleReason(spec); why != "" {
-		u.env.log.Info("submission rejected as infeasible", "job", uid, "reason", why)
+	if reason := u.infeasibleReason(spec); reason != feasible {
+		u.env.log.Info("submission rejected as infeasible", "job", uid, "reason", reason)
 		u.outbox.reply(from, 422, nil, 0)
 		return
 	}
@@ -159,10 +159,10 @@
 }
 
 // infeasibleReason says why a job can never run here, or nothing.
-func (u *userRequests) infeasibleReason(s *protocol.Spec) string {
+func (u *userRequests) infeasibleReason(s *protocol.Spec) infeasibility {
 	team := u.state.Quotas[s.Team]
 	if team == nil {
-		return "unknown team"
+		return unknownTeam
 	}
 	need := scheduler.Need{Cores: s.Cores, Accel: s.Accelerators, Mem: s.MemoryGB}
 	zones := map[string]bool{}
@@ -177,19 +177,19 @@
 		}
 	}
 	if len(zones) == 0 {
-		return "a task fits no allowed machine type"
+		return noMachineTypeFits
 	}
 	if s.Gang && s.Spread && s.Tasks > 1 && (s.OneZone || len(zones) == 1) {
-		return "the whole gang can't be spread over one zone"
+		return gangCannotSpread
 	}
 	whole := need
 	if s.Service || s.Gang {
 		whole = need.Times(float64(s.Tasks))
 	}
 	if !(&scheduler.Quota{Maximum: team.Maximum}).WithinMaximum(whole) {
-		return "more than the team's limit"
+		return exceedsQuotaMaximum
 	}
-	return ""
+	return feasible
 }
 
 // findActiveJob returns an accepted job that is not over. For all else it answers: final
@@ -241,7 +241,7 @@
 	for _, m := range u.machines.sortedMachines() {
 		for _, a := range m.Sorted() {
 			if a.Job == j {
-				u.attempts.requestStop(a, 0, "cancelled")
+				u.attempts.requestStop(a, 0, stopJobCancelled)
 			}
 		}
 	}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -109,7 +109,7 @@
 // that has ended.
 func (h *heartbeatReceiver) renewWithoutCommands(from requester, msg *protocol.WorkerHeartbeat) {
 	if msg.Token > h.lease.token {
-		h.controller.endLeadership("a worker has seen a higher token")
+		h.controller.endLeadership(endWorkerSawLater)
 	}
 	if msg.Token > h.lease.token || msg.Token == 0 || from.relay {
 		h.outbox.replyUnavailable(from)
@@ -123,7 +123,7 @@
 // request. It returns false for what is not the machine's newest message.
 func (h *heartbeatReceiver) applyHeartbeat(msg *protocol.WorkerHeartbeat, reported bool) (*clusterstate.Machine, bool) {
 	if msg.Token > h.lease.token {
-		h.controller.endLeadership("a worker has seen a higher token")
+		h.controller.endLeadership(endWorkerSawLater)
 		return nil, false
 	}
 	if h.pool.WasRemoved(msg.Machine) {
@@ -207,7 +207,7 @@
 	h.env.log.Info("heartbeat lists an unrecorded attempt", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
 	a := h.state.AddAttempt(m, j, index, key.Attempt, h.env.now)
 	a.Durable, a.Loaded = true, true
-	h.attempts.requestStop(a, j.Spec.SaveS, "not in the ledger")
+	h.attempts.requestStop(a, j.Spec.SaveS, stopUnrecorded)
 	h.machines.storeMachine(m, statestore.Lazy, nil)
 	return a
 }
