--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -75,7 +75,7 @@
 
 // A leader without the state service, and a follower in a zone that is cut off,
 // must outlast a lease by far, or they would keep nothing alive.
-func TestCoastOutlastsLease(t *testing.T) {
+func TestOutageToleranceOutlastsLease(t *testing.T) {
 	c, err := Parse(platform(t, nil), nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -63,7 +63,7 @@
 }
 
 // A handover is a span from the suspicion to the first placement, with a child for each step.
-func TestTraceOfAHandover(t *testing.T) {
+func TestTraceOfFailover(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace.json")
 	start := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	r, err := New(settings(t, file), start)
@@ -100,7 +100,7 @@
 }
 
 // A change of the feature gate is a span with its reason and what every controller stated.
-func TestTraceOfTheGate(t *testing.T) {
+func TestTraceOfFeatureGate(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "trace.json")
 	r, err := New(settings(t, file), time.Now())
 	if err != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestTraceFileThatCantBeOpened(t *testing.T) {
+func TestUnopenableTraceFile(t *testing.T) {
 	if _, err := New(settings(t, filepath.Join(t.TempDir(), "no", "such", "folder")), time.Now()); err == nil || !strings.Contains(err.Error(), "telemetry.trace_file") {
 		t.Errorf("the error is %v", err)
 	}
--- a/internal/transport/graceful_shutdown_test.go
+++ b/internal/transport/graceful_shutdown_test.go
@@ -16,10 +16,10 @@
 	"claybarrow/internal/membership"
 )
 
-// farewell is a core that says goodbye to an address when it is told to end.
-type farewell struct{ addr string }
+// shutdownCore is a core that says goodbye to an address when it is told to end.
+type shutdownCore struct{ addr string }
 
-func (f farewell) Handle(_ controller.Clock, ev controller.Event) []controller.Effect {
+func (f shutdownCore) Handle(_ controller.Clock, ev controller.Event) []controller.Effect {
 	if _, ends := ev.(controller.Shutdown); ends {
 		return []controller.Effect{controller.Call{ID: 1, Target: controller.ToPeer, Addr: f.addr, Method: "POST", Path: "/probe", Timeout: time.Second}}
 	}
@@ -37,9 +37,9 @@
 	return l.Addr().String()
 }
 
-func endingNode(t *testing.T, core Core) *Node {
+func newShutdownServer(t *testing.T, core Core) *Server {
 	t.Helper()
-	n := node(t)
+	n := newTestServer(t)
 	n.core = core
 	n.cfg.ClientListen, n.cfg.PeerListen = freeAddress(t), freeAddress(t)
 	n.cfg.Cluster.Resources = config.Resources{Cores: 1, MemMB: 64, FDs: 64}
@@ -49,7 +49,7 @@
 
 // A process that is told to end sends what it has to say first, and waits a tenth of a lease at the most
 // for those that don't answer.
-func TestGoodbye(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	for _, hangs := range []bool{false, true} {
 		var said atomic.Int32
 		release := make(chan struct{})
@@ -59,7 +59,7 @@
 				<-release
 			}
 		}))
-		n := endingNode(t, farewell{strings.TrimPrefix(peer.URL, "http://")})
+		n := newShutdownServer(t, shutdownCore{strings.TrimPrefix(peer.URL, "http://")})
 		ctx, end := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go func() { done <- n.Run(ctx) }()
@@ -82,26 +82,26 @@
 }
 
 // A command that was decided before a standstill does not leave after the time that it was decided for.
-func TestCallAfterAStandstill(t *testing.T) {
+func TestExpiredCallIsNotSent(t *testing.T) {
 	reached := false
 	worker := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached = true }))
 	defer worker.Close()
-	n := node(t)
+	n := newTestServer(t)
 	n.start = time.Now().Add(-time.Minute)
 	call := controller.Call{Target: controller.ToWorker, Addr: strings.TrimPrefix(worker.URL, "http://"), Method: "POST", Path: "/commands", Timeout: time.Second}
 	call.ValidUntil = 30 * time.Second
-	if _, _, err := n.exchange(context.Background(), call); !errors.Is(err, errTooLate) || reached {
+	if _, _, err := n.send(context.Background(), call); !errors.Is(err, errExpired) || reached {
 		t.Errorf("too late: %v, reached %v", err, reached)
 	}
 	call.ValidUntil = 2 * time.Minute
-	if status, _, err := n.exchange(context.Background(), call); status != 200 || err != nil || !reached {
+	if status, _, err := n.send(context.Background(), call); status != 200 || err != nil || !reached {
 		t.Errorf("in time: %d, %v", status, err)
 	}
 }
 
 // Probes are bounded before they are read, and metrics are there only if somebody asked for them.
 func TestPeerRoutes(t *testing.T) {
-	n := node(t)
+	n := newTestServer(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go n.loop(ctx, ctx, make(chan struct{}))
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -12,57 +12,57 @@
 	"claybarrow/internal/protocol"
 )
 
-func (n *Node) userRoutes() http.Handler {
+func (s *Server) userRoutes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/jobs", n.handler(controller.OpSubmit, true))
-	mux.HandleFunc("GET /api/jobs/{id}", n.handler(controller.OpPoll, false))
-	mux.HandleFunc("POST /api/jobs/{id}/withdraw", n.handler(controller.OpCancel, false))
-	mux.HandleFunc("GET /ready", n.handler(controller.OpReady, false))
-	mux.HandleFunc("POST /hello", n.handler(controller.OpWorkerHeartbeat, true))
+	mux.HandleFunc("POST /api/jobs", s.handler(controller.OpSubmit, true))
+	mux.HandleFunc("GET /api/jobs/{id}", s.handler(controller.OpPoll, false))
+	mux.HandleFunc("POST /api/jobs/{id}/withdraw", s.handler(controller.OpCancel, false))
+	mux.HandleFunc("GET /ready", s.handler(controller.OpReady, false))
+	mux.HandleFunc("POST /hello", s.handler(controller.OpWorkerHeartbeat, true))
 	return mux
 }
 
-func (n *Node) peerRoutes() http.Handler {
+func (s *Server) peerRoutes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /relay", n.handler(controller.OpRelay, true))
-	mux.HandleFunc("POST /heartbeat", n.handler(controller.OpPeerHeartbeat, true))
-	mux.HandleFunc("POST /forward", n.handler(controller.OpForwardedHeartbeat, true))
-	mux.HandleFunc("POST /probe", n.handler(controller.OpProbe, true))
-	if n.metrics != nil {
-		mux.Handle("GET /metrics", n.metrics)
+	mux.HandleFunc("POST /relay", s.handler(controller.OpRelay, true))
+	mux.HandleFunc("POST /heartbeat", s.handler(controller.OpPeerHeartbeat, true))
+	mux.HandleFunc("POST /forward", s.handler(controller.OpForwardedHeartbeat, true))
+	mux.HandleFunc("POST /probe", s.handler(controller.OpProbe, true))
+	if s.metrics != nil {
+		mux.Handle("GET /metrics", s.metrics)
 	}
 	return mux
 }
 
-// replyWithin bounds how long a request may be with the core: users give up
+// replyTimeout bounds how long a request may be with the core: users give up
 // after 5 s, and the core itself answers long before.
-const replyWithin = 4500 * time.Millisecond
+const replyTimeout = 4500 * time.Millisecond
 
 // Shares of the socket limit, in percent. With the direct requests to workers
 // that are under way, an eighth (see package controller), they leave a twentieth for
 // the state service, the cloud and the process itself.
 const (
-	clientConns = 50 // users and workers, by client_listen
-	peerConns   = 12 // from other controllers
-	peerCalls   = 8  // to other controllers
-	workerIdle  = 12 // kept open to workers
+	clientConnPercent     = 50 // users and workers, by client_listen
+	peerConnPercent       = 12 // from other controllers
+	peerCallPercent       = 8  // to other controllers
+	workerIdleConnPercent = 12 // kept open to workers
 )
 
 // Percentages of the room at client_listen from where on a connection is closed
 // after its answer: users' go first, workers' later.
 const (
-	usersGo   = 70
-	workersGo = 85
+	closeUsersAbovePercent   = 70
+	closeWorkersAbovePercent = 85
 )
 
-// stateAnswers bounds the answers of the state service that wait for the core: it has a few
+// stateResultQueue bounds the answers of the state service that wait for the core: it has a few
 // requests under way at a time.
-const stateAnswers = 64
+const stateResultQueue = 64
 
-// dialWithin bounds the making of a connection however long the workers' lease.
-const dialWithin = 2 * time.Second
+// maxDialTimeout bounds the making of a connection however long the workers' lease.
+const maxDialTimeout = 2 * time.Second
 
-func (n *Node) handler(op controller.Op, wantBody bool) http.HandlerFunc {
+func (s *Server) handler(op controller.Op, wantBody bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		req := controller.Request{Op: op, UID: r.PathValue("id")}
 		if wantBody {
@@ -84,35 +84,35 @@
 			}
 			req.Body = body
 		}
-		a := ask{req: req, answer: make(chan controller.Reply, 1)}
-		queue := n.asks
-		leaveAt := usersGo
+		a := pendingRequest{request: req, reply: make(chan controller.Reply, 1)}
+		queue := s.requests
+		leaveAt := closeUsersAbovePercent
 		switch op {
 		case controller.OpForwardedHeartbeat, controller.OpPeerHeartbeat, controller.OpProbe:
-			queue, leaveAt = n.reports, 100
+			queue, leaveAt = s.heartbeats, 100
 		case controller.OpWorkerHeartbeat:
-			queue, leaveAt = n.reports, workersGo
+			queue, leaveAt = s.heartbeats, closeWorkersAbovePercent
 		case controller.OpRelay:
 			leaveAt = 100
 		}
-		if n.users.busier(leaveAt) {
+		if s.userListener.usedAbove(leaveAt) {
 			// Room for those that come by the same listener.
 			w.Header().Set("Connection", "close")
 		}
-		timer := time.NewTimer(replyWithin)
+		timer := time.NewTimer(replyTimeout)
 		defer timer.Stop()
 		select {
 		case queue <- a:
 		default:
 			// The queue is bounded: answered at once, with when to come back.
-			n.away.add()
+			s.shedding.countRejection()
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		select {
-		case reply := <-a.answer:
-			if reply.ValidUntil > 0 && n.now().Steady > reply.ValidUntil {
+		case reply := <-a.reply:
+			if reply.ValidUntil > 0 && s.now().Steady > reply.ValidUntil {
 				// The process stood still since: another leader may know better.
 				reply = controller.Reply{Status: http.StatusServiceUnavailable, RetryAfter: 1}
 			}
--- a/internal/transport/limiter.go
+++ b/internal/transport/limiter.go
@@ -17,16 +17,16 @@
 // if none is idle is the new one closed at once.
 type connLimiter struct {
 	net.Listener
-	most int
+	maxConns int
 
 	mu   sync.Mutex
 	open int
 	// idle are the connections without a request, least lately used first.
-	idle *list.List
-	at   map[*limitedConn]*list.Element
+	idle         *list.List
+	idleElements map[*limitedConn]*list.Element
 }
 
-func openDoor(addr string, most int) (*connLimiter, error) {
+func listen(addr string, most int) (*connLimiter, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
@@ -35,81 +35,81 @@
 }
 
 func newConnLimiter(l net.Listener, most int) *connLimiter {
-	return &connLimiter{Listener: l, most: max(1, most), idle: list.New(), at: map[*limitedConn]*list.Element{}}
+	return &connLimiter{Listener: l, maxConns: max(1, most), idle: list.New(), idleElements: map[*limitedConn]*list.Element{}}
 }
 
 // Accept takes the next connection that there is room for.
-func (d *connLimiter) Accept() (net.Conn, error) {
+func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
-		conn, err := d.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil, err
 			}
 			// Out of sockets is no reason to end: let an idle one go, wait a
 			// little and go on.
-			d.letGo()
+			l.closeLongestIdle()
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if d.full() && !d.letGo() {
+		if l.full() && !l.closeLongestIdle() {
 			conn.Close()
 			continue
 		}
-		d.mu.Lock()
-		d.open++
-		d.mu.Unlock()
-		return &limitedConn{Conn: conn, connLimiter: d}, nil
+		l.mu.Lock()
+		l.open++
+		l.mu.Unlock()
+		return &limitedConn{Conn: conn, connLimiter: l}, nil
 	}
 }
 
-func (d *connLimiter) full() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.open >= d.most
+func (l *connLimiter) full() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open >= l.maxConns
 }
 
-// letGo closes the connection that has been idle for longest.
-func (d *connLimiter) letGo() bool {
-	d.mu.Lock()
-	e := d.idle.Front()
+// closeLongestIdle closes the connection that has been idle for longest.
+func (l *connLimiter) closeLongestIdle() bool {
+	l.mu.Lock()
+	e := l.idle.Front()
 	if e == nil {
-		d.mu.Unlock()
+		l.mu.Unlock()
 		return false
 	}
-	c := d.idle.Remove(e).(*limitedConn)
-	delete(d.at, c)
-	d.mu.Unlock()
+	c := l.idle.Remove(e).(*limitedConn)
+	delete(l.idleElements, c)
+	l.mu.Unlock()
 	c.Close()
 	return true
 }
 
-// note follows a connection's state. One that is new and has sent nothing yet is
+// trackState follows a connection's state. One that is new and has sent nothing yet is
 // as idle as one between two requests.
-func (d *connLimiter) note(conn net.Conn, state http.ConnState) {
+func (l *connLimiter) trackState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*limitedConn)
 	if !ok {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if e := d.at[c]; e != nil {
-		d.idle.Remove(e)
-		delete(d.at, c)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if e := l.idleElements[c]; e != nil {
+		l.idle.Remove(e)
+		delete(l.idleElements, c)
 	}
 	if (state == http.StateNew || state == http.StateIdle) && !c.closed {
-		d.at[c] = d.idle.PushBack(c)
+		l.idleElements[c] = l.idle.PushBack(c)
 	}
 }
 
-// busier says whether more than so many percent of the room is taken.
-func (d *connLimiter) busier(percent int) bool {
-	if d == nil {
+// usedAbove says whether more than so many percent of the room is taken.
+func (l *connLimiter) usedAbove(percent int) bool {
+	if l == nil {
 		return false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.open*100 > d.most*percent
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open*100 > l.maxConns*percent
 }
 
 type limitedConn struct {
@@ -125,9 +125,9 @@
 	if !c.closed {
 		c.closed = true
 		d.open--
-		if e := d.at[c]; e != nil {
+		if e := d.idleElements[c]; e != nil {
 			d.idle.Remove(e)
-			delete(d.at, c)
+			delete(d.idleElements, c)
 		}
 	}
 	d.mu.Unlock()
--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// turnedAway counts requests that were refused as the queue before the core was full, and
+// loadShedding counts requests that were refused as the queue before the core was full, and
 // says when that begins and when it is over.
-type turnedAway struct {
-	count atomic.Int64
+type loadShedding struct {
+	rejected atomic.Int64
 	// Of the one goroutine that looks: whether it goes on, the count when it began and when
 	// last looked at, and when it last grew.
-	holds         bool
-	before, seen  int64
-	began, latest time.Duration
+	active                     bool
+	rejectedBefore, lastSeen   int64
+	startedAt, lastRejectionAt time.Duration
 }
 
-// add notes a request that was refused.
-func (t *turnedAway) add() { t.count.Add(1) }
+// countRejection notes a request that was refused.
+func (t *loadShedding) countRejection() { t.rejected.Add(1) }
 
-// look logs a beginning, or an end after a spell without refusals.
-func (t *turnedAway) look(now, spell time.Duration, log *slog.Logger) {
-	count := t.count.Load()
-	if count > t.seen {
-		t.latest = now
-		if !t.holds {
-			t.holds, t.began, t.before = true, now, t.seen
+// logChanges logs a beginning, or an end after a spell without refusals.
+func (t *loadShedding) logChanges(now, spell time.Duration, log *slog.Logger) {
+	count := t.rejected.Load()
+	if count > t.lastSeen {
+		t.lastRejectionAt = now
+		if !t.active {
+			t.active, t.startedAt, t.rejectedBefore = true, now, t.lastSeen
 			log.Info("requests are turned away", "why", "more come than can be answered")
 		}
 	}
-	t.seen = count
-	if t.holds && now > t.latest+spell {
-		t.holds = false
-		log.Info("requests are no longer turned away", "requests", count-t.before, "seconds", int((t.latest - t.began).Seconds()))
+	t.lastSeen = count
+	if t.active && now > t.lastRejectionAt+spell {
+		t.active = false
+		log.Info("requests are no longer turned away", "requests", count-t.rejectedBefore, "seconds", int((t.lastRejectionAt - t.startedAt).Seconds()))
 	}
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -28,41 +28,41 @@
 	Handle(controller.Clock, controller.Event) []controller.Effect
 }
 
-// Node runs the core's goroutine and the transport actors round it.
-type Node struct {
-	cfg   *config.Config
-	core  Core
-	log   *slog.Logger
-	inbox chan controller.Event
-	// state takes the state service's answers, which go before all others: after a change of
+// Server runs the core's goroutine and the transport actors round it.
+type Server struct {
+	cfg     *config.Config
+	core    Core
+	log     *slog.Logger
+	results chan controller.Event
+	// stateResults takes the state service's answers, which go before all others: after a change of
 	// leader thousands of workers answer at once, and the lease's renewal once waited behind
 	// them until the new leader had lost it.
-	state   chan controller.Event
-	asks    chan ask // users, other controllers, the load balancer
-	reports chan ask // workers
-	users   *connLimiter
-	away    turnedAway
-	clients map[controller.Target]*http.Client
-	start   time.Time
+	stateResults chan controller.Event
+	requests     chan pendingRequest // users, other controllers, the load balancer
+	heartbeats   chan pendingRequest // workers
+	userListener *connLimiter
+	shedding     loadShedding
+	clients      map[controller.Target]*http.Client
+	start        time.Time
 	// metrics serves what operators count; nil: nobody asked for it.
 	metrics http.Handler
-	// ending counts the requests that say goodbye, once the process is told to end.
-	ending sync.WaitGroup
+	// shutdownCalls counts the requests that say goodbye, once the process is told to end.
+	shutdownCalls sync.WaitGroup
 }
 
-type ask struct {
-	req    controller.Request
-	answer chan controller.Reply
+type pendingRequest struct {
+	request controller.Request
+	reply   chan controller.Reply
 }
 
 // New makes a node round a core.
-func New(cfg *config.Config, core Core, log *slog.Logger) *Node {
+func New(cfg *config.Config, core Core, log *slog.Logger) *Server {
 	fds := cfg.Cluster.Resources.FDs
 	client := func(perHost, idle int) *http.Client {
 		return &http.Client{
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 			Transport: &http.Transport{
-				DialContext:         (&net.Dialer{Timeout: min(cfg.Lease()/5, dialWithin)}).DialContext,
+				DialContext:         (&net.Dialer{Timeout: min(cfg.Lease()/5, maxDialTimeout)}).DialContext,
 				MaxConnsPerHost:     perHost,
 				MaxIdleConnsPerHost: perHost,
 				MaxIdleConns:        idle,
@@ -70,107 +70,107 @@
 				DisableCompression:  true,
 			}}
 	}
-	return &Node{cfg: cfg, core: core, log: log,
-		inbox: make(chan controller.Event, fds),
-		state: make(chan controller.Event, stateAnswers),
+	return &Server{cfg: cfg, core: core, log: log,
+		results:      make(chan controller.Event, fds),
+		stateResults: make(chan controller.Event, stateResultQueue),
 		// What waits here is answered within a second or so even by a slow
 		// share of a core; more than that is refused at once.
-		asks: make(chan ask, max(16, fds/4)),
+		requests: make(chan pendingRequest, max(16, fds/4)),
 		// Each worker waits for one answer at a time, so this is bounded by the
 		// connections there can be.
-		reports: make(chan ask, max(16, fds/2)),
-		start:   time.Now(),
+		heartbeats: make(chan pendingRequest, max(16, fds/2)),
+		start:      time.Now(),
 		clients: map[controller.Target]*http.Client{
 			controller.ToState:  client(8, 8),
 			controller.ToCloud:  client(4, 4),
-			controller.ToWorker: client(2, fds*workerIdle/100),
-			controller.ToPeer:   client(max(4, fds*peerCalls/100/max(1, len(cfg.Siblings))), fds*peerCalls/100),
+			controller.ToWorker: client(2, fds*workerIdleConnPercent/100),
+			controller.ToPeer:   client(max(4, fds*peerCallPercent/100/max(1, len(cfg.Siblings))), fds*peerCallPercent/100),
 		}}
 }
 
 // Start is the zero of the core's steady clock.
-func (n *Node) Start() time.Time { return n.start }
+func (s *Server) Start() time.Time { return s.start }
 
 // ServeMetrics has the peers' listener answer GET /metrics. It is called before Run.
-func (n *Node) ServeMetrics(handler http.Handler) { n.metrics = handler }
+func (s *Server) ServeMetrics(handler http.Handler) { s.metrics = handler }
 
 // Run serves until the context ends.
-func (n *Node) Run(ctx context.Context) error {
+func (s *Server) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	users, err := openDoor(n.cfg.ClientListen, n.cfg.Cluster.Resources.FDs*clientConns/100)
+	users, err := listen(s.cfg.ClientListen, s.cfg.Cluster.Resources.FDs*clientConnPercent/100)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	n.users = users
-	peers, err := openDoor(n.cfg.PeerListen, n.cfg.Cluster.Resources.FDs*peerConns/100)
+	s.userListener = users
+	peers, err := listen(s.cfg.PeerListen, s.cfg.Cluster.Resources.FDs*peerConnPercent/100)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	failed := make(chan error, 2)
-	for _, s := range []struct {
+	for _, served := range []struct {
 		l *connLimiter
 		h http.Handler
-	}{{users, n.userRoutes()}, {peers, n.peerRoutes()}} {
-		server := &http.Server{Handler: s.h, ReadHeaderTimeout: n.cfg.Lease(), ReadTimeout: n.cfg.Lease(),
-			WriteTimeout: n.cfg.Lease(), IdleTimeout: 4 * n.cfg.Lease(), MaxHeaderBytes: 8 << 10,
-			ConnState: s.l.note,
-			ErrorLog:  slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
-		go func() { failed <- server.Serve(s.l) }()
+	}{{users, s.userRoutes()}, {peers, s.peerRoutes()}} {
+		server := &http.Server{Handler: served.h, ReadHeaderTimeout: s.cfg.Lease(), ReadTimeout: s.cfg.Lease(),
+			WriteTimeout: s.cfg.Lease(), IdleTimeout: 4 * s.cfg.Lease(), MaxHeaderBytes: 8 << 10,
+			ConnState: served.l.trackState,
+			ErrorLog:  slog.NewLogLogger(s.log.Handler(), slog.LevelDebug)}
+		go func() { failed <- server.Serve(served.l) }()
 		defer server.Close()
 	}
 	calls, stopCalls := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopCalls()
 	ended := make(chan struct{})
-	go n.loop(ctx, calls, ended)
+	go s.loop(ctx, calls, ended)
 	select {
 	case <-ctx.Done():
-		n.awaitGoodbye(ended)
+		s.awaitGracefulShutdown(ended)
 		return nil
 	case err := <-failed:
 		return err
 	}
 }
 
-// awaitGoodbye waits for the last requests of a process that ends in good order, a tenth of a
+// awaitGracefulShutdown waits for the last requests of a process that ends in good order, a tenth of a
 // lease at the most.
-func (n *Node) awaitGoodbye(ended <-chan struct{}) {
+func (s *Server) awaitGracefulShutdown(ended <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
 		<-ended
-		n.ending.Wait()
+		s.shutdownCalls.Wait()
 		close(done)
 	}()
 	select {
 	case <-done:
-	case <-time.After(n.cfg.Lease() / 10):
+	case <-time.After(s.cfg.Lease() / 10):
 	}
 }
 
 // loop is the one goroutine that owns all state. Requests to others go on until their own
 // context ends.
-func (n *Node) loop(ctx, calls context.Context, ended chan<- struct{}) {
+func (s *Server) loop(ctx, calls context.Context, ended chan<- struct{}) {
 	defer close(ended)
-	ticker := time.NewTicker(n.cfg.Tick())
+	ticker := time.NewTicker(s.cfg.Tick())
 	defer ticker.Stop()
 	waiting := map[uint64]chan controller.Reply{}
 	var last uint64
-	ask := func(a ask) controller.Event {
+	ask := func(a pendingRequest) controller.Event {
 		last++
-		a.req.ID = last
-		waiting[last] = a.answer
-		return a.req
+		a.request.ID = last
+		waiting[last] = a.reply
+		return a.request
 	}
 	for {
-		ev := n.next(ctx, ticker.C, ask)
+		ev := s.next(ctx, ticker.C, ask)
 		if ev == nil {
-			n.sayGoodbye(calls)
+			s.sendShutdownCalls(calls)
 			return
 		}
 		if _, tick := ev.(controller.Tick); tick {
-			n.away.look(n.now().Steady, n.cfg.Lease(), n.log)
+			s.shedding.logChanges(s.now().Steady, s.cfg.Lease(), s.log)
 		}
-		for _, e := range n.core.Handle(n.now(), ev) {
+		for _, e := range s.core.Handle(s.now(), ev) {
 			switch e := e.(type) {
 			case controller.Reply:
 				if ch := waiting[e.ID]; ch != nil {
@@ -178,24 +178,24 @@
 					delete(waiting, e.ID)
 				}
 			case controller.Call:
-				go n.call(calls, e)
+				go s.call(calls, e)
 			}
 		}
 	}
 }
 
-// sayGoodbye sends what the core has to say at its end. Nobody waits for the answers.
-func (n *Node) sayGoodbye(calls context.Context) {
-	for _, e := range n.core.Handle(n.now(), controller.Shutdown{}) {
+// sendShutdownCalls sends what the core has to say at its end. Nobody waits for the answers.
+func (s *Server) sendShutdownCalls(calls context.Context) {
+	for _, e := range s.core.Handle(s.now(), controller.Shutdown{}) {
 		call, isCall := e.(controller.Call)
 		if !isCall {
 			continue
 		}
-		n.ending.Add(1)
+		s.shutdownCalls.Add(1)
 		go func() {
-			defer n.ending.Done()
-			if _, _, err := n.exchange(calls, call); err != nil {
-				n.log.Debug("no response", "addr", call.Addr, "path", call.Path, "err", err)
+			defer s.shutdownCalls.Done()
+			if _, _, err := s.send(calls, call); err != nil {
+				s.log.Debug("no response", "addr", call.Addr, "path", call.Path, "err", err)
 			}
 		}()
 	}
@@ -204,52 +204,52 @@
 // next is the next event; nil: the context has ended. Time and the state service go first,
 // then answers and workers: a flood of users must cost neither the leadership nor the workers'
 // leases, and a flood of workers not the leadership.
-func (n *Node) next(ctx context.Context, ticks <-chan time.Time, asked func(ask) controller.Event) controller.Event {
+func (s *Server) next(ctx context.Context, ticks <-chan time.Time, asked func(pendingRequest) controller.Event) controller.Event {
 	select {
-	case ev := <-n.state:
+	case ev := <-s.stateResults:
 		return ev
 	case <-ticks:
 		return controller.Tick{}
 	default:
 	}
 	select {
-	case ev := <-n.inbox:
+	case ev := <-s.results:
 		return ev
-	case a := <-n.reports:
+	case a := <-s.heartbeats:
 		return asked(a)
 	default:
 	}
 	select {
 	case <-ctx.Done():
 		return nil
-	case ev := <-n.state:
+	case ev := <-s.stateResults:
 		return ev
-	case ev := <-n.inbox:
+	case ev := <-s.results:
 		return ev
-	case a := <-n.reports:
+	case a := <-s.heartbeats:
 		return asked(a)
 	case <-ticks:
 		return controller.Tick{}
-	case a := <-n.asks:
+	case a := <-s.requests:
 		return asked(a)
 	}
 }
 
-func (n *Node) now() controller.Clock {
+func (s *Server) now() controller.Clock {
 	t := time.Now()
-	return controller.Clock{Steady: t.Sub(n.start), Wall: t.UnixMilli()}
+	return controller.Clock{Steady: t.Sub(s.start), Wall: t.UnixMilli()}
 }
 
-func (n *Node) call(ctx context.Context, c controller.Call) {
+func (s *Server) call(ctx context.Context, c controller.Call) {
 	connected := false
-	status, body, err := n.exchange(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	status, body, err := s.send(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected = true }}), c)
 	if err != nil {
-		n.log.Debug("no response", "addr", c.Addr, "path", c.Path, "err", err)
+		s.log.Debug("no response", "addr", c.Addr, "path", c.Path, "err", err)
 	}
-	answers := n.inbox
+	answers := s.results
 	if c.Target == controller.ToState {
-		answers = n.state
+		answers = s.stateResults
 	}
 	select {
 	case answers <- controller.Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: !connected}:
@@ -257,12 +257,12 @@
 	}
 }
 
-// errTooLate is of a request that must not leave any more.
-var errTooLate = errors.New("the process stood still since the request was decided")
+// errExpired is of a request that must not leave any more.
+var errExpired = errors.New("the process stood still since the request was decided")
 
-func (n *Node) exchange(ctx context.Context, c controller.Call) (int, []byte, error) {
-	if c.ValidUntil > 0 && n.now().Steady > c.ValidUntil {
-		return 0, nil, errTooLate
+func (s *Server) send(ctx context.Context, c controller.Call) (int, []byte, error) {
+	if c.ValidUntil > 0 && s.now().Steady > c.ValidUntil {
+		return 0, nil, errExpired
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -273,7 +273,7 @@
 	if len(c.Body) > 0 {
 		req.Header.Set("Content-Type", contentType(c.Target))
 	}
-	res, err := n.clients[c.Target].Do(req)
+	res, err := s.clients[c.Target].Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-func node(t *testing.T) *Node {
+func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	cfg := &config.Config{}
 	cfg.Cluster.Workers = config.Workers{ReportS: 1, LeaseS: 10, CancelS: 35}
@@ -42,7 +42,7 @@
 }
 
 func TestRoutes(t *testing.T) {
-	n := node(t)
+	n := newTestServer(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go n.loop(ctx, ctx, make(chan struct{}))
@@ -85,8 +85,8 @@
 
 // An answer that was decided before a standstill, and is sent after the leader's
 // lease may have ended, is replaced: another leader may have told otherwise.
-func TestAnswerAfterAStandstill(t *testing.T) {
-	n := node(t)
+func TestExpiredReplyIsReplaced(t *testing.T) {
+	n := newTestServer(t)
 	n.start = time.Now().Add(-time.Minute) // what was decided is up to a minute old
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -95,7 +95,7 @@
 	if w := send(n.userRoutes(), "GET", "/api/jobs/j-1", nil); w.Code != 503 || w.Header().Get("Retry-After") == "" {
 		t.Errorf("too late: %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 	}
-	m := node(t)
+	m := newTestServer(t)
 	m.core = fixed{controller.Reply{Status: 404, ValidUntil: time.Minute}}
 	go m.loop(ctx, ctx, make(chan struct{}))
 	if w := send(m.userRoutes(), "GET", "/api/jobs/j-1", nil); w.Code != 404 {
@@ -105,24 +105,24 @@
 
 // A flood that the core can't follow is refused at once, with when to come
 // back, and the workers' queue stays open.
-func TestFlood(t *testing.T) {
-	n := node(t) // its loop does not run: nothing is taken from the queues
+func TestFullQueueIsRefusedAtOnce(t *testing.T) {
+	n := newTestServer(t) // its loop does not run: nothing is taken from the queues
 	h := n.userRoutes()
-	for range cap(n.asks) {
-		n.asks <- ask{}
+	for range cap(n.requests) {
+		n.requests <- pendingRequest{}
 	}
 	w := send(h, "GET", "/api/jobs/j-1", nil)
 	if w.Code != 503 || w.Header().Get("Retry-After") == "" {
 		t.Errorf("flooded: %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 	}
-	if len(n.reports) != 0 || cap(n.reports) == 0 {
+	if len(n.heartbeats) != 0 || cap(n.heartbeats) == 0 {
 		t.Error("the flood reached the workers' queue")
 	}
 	// As sockets get short, users' connections end with the answer, and workers'
 	// only later.
-	n.users = newConnLimiter(nil, 100)
-	for range cap(n.reports) {
-		n.reports <- ask{} // so that reports, too, are answered at once
+	n.userListener = newConnLimiter(nil, 100)
+	for range cap(n.heartbeats) {
+		n.heartbeats <- pendingRequest{} // so that reports, too, are answered at once
 	}
 	closes := func(method, path string) bool {
 		return send(h, method, path, nil).Header().Get("Connection") == "close"
@@ -131,7 +131,7 @@
 		open           int
 		users, workers bool
 	}{{70, false, false}, {71, true, false}, {86, true, true}} {
-		n.users.open = tc.open
+		n.userListener.open = tc.open
 		if u, w := closes("GET", "/ready"), closes("POST", "/hello"); u != tc.users || w != tc.workers {
 			t.Errorf("%d of 100 open: users' connections end %v, workers' %v", tc.open, u, w)
 		}
@@ -151,7 +151,7 @@
 
 // When the limiter is full, the connection that has been idle for longest gives way;
 // one with a request under way never does.
-func TestFullDoorLetsTheIdleGo(t *testing.T) {
+func TestFullLimiterClosesTheLongestIdle(t *testing.T) {
 	p := &pipes{}
 	d := newConnLimiter(p, 3)
 	accept := func() net.Conn {
@@ -159,15 +159,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.note(c, http.StateNew)
+		d.trackState(c, http.StateNew)
 		return c
 	}
 	a, b, c := accept(), accept(), accept()
 	for _, x := range []net.Conn{a, b, c} {
-		d.note(x, http.StateActive)
+		d.trackState(x, http.StateActive)
 	}
-	d.note(c, http.StateIdle)
-	d.note(b, http.StateIdle)
+	d.trackState(c, http.StateIdle)
+	d.trackState(b, http.StateIdle)
 	accept()
 	for i, open := range []bool{true, true, false, true} {
 		// A pipe that one end has closed takes no deadline.
@@ -190,16 +190,16 @@
 // of these before users: a new leader of 5,500 workers once lost its lease while the answer to its
 // renewal waited behind theirs, and the next one after it (scale run, four leaders in four seconds).
 func TestStateServiceGoesFirst(t *testing.T) {
-	n := &Node{inbox: make(chan controller.Event, 8), state: make(chan controller.Event, 8), asks: make(chan ask, 8), reports: make(chan ask, 8)}
+	n := &Server{results: make(chan controller.Event, 8), stateResults: make(chan controller.Event, 8), requests: make(chan pendingRequest, 8), heartbeats: make(chan pendingRequest, 8)}
 	ticks := make(chan time.Time, 1)
-	asked := func(a ask) controller.Event { return a.req }
+	asked := func(a pendingRequest) controller.Event { return a.request }
 	for id := range uint64(4) {
-		n.inbox <- controller.Result{ID: 100 + id}
-		n.reports <- ask{req: controller.Request{ID: 200 + id}}
-		n.asks <- ask{req: controller.Request{ID: 300 + id}}
+		n.results <- controller.Result{ID: 100 + id}
+		n.heartbeats <- pendingRequest{request: controller.Request{ID: 200 + id}}
+		n.requests <- pendingRequest{request: controller.Request{ID: 300 + id}}
 	}
-	n.state <- controller.Result{ID: 1}
-	n.state <- controller.Result{ID: 2}
+	n.stateResults <- controller.Result{ID: 1}
+	n.stateResults <- controller.Result{ID: 2}
 	ticks <- time.Time{}
 	answers, time := 0, 0
 	for range 3 {
