--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -6,33 +6,42 @@
 	"time"
 )
 
-// loadShedding counts requests that were refused as the queue before the core was full, and
-// says when that begins and when it is over.
+// loadShedding counts the requests that were refused because the queue before the event loop was
+// full, and logs when a period of refusals starts and when it has ended.
 type loadShedding struct {
+	// rejected is added to by the HTTP handlers.
 	rejected atomic.Int64
-	// Of the one goroutine that looks: whether it goes on, the count when it began and when
-	// last looked at, and when it last grew.
-	active                     bool
-	rejectedBefore, lastSeen   int64
-	startedAt, lastRejectionAt time.Duration
+
+	// What follows belongs to the event loop alone. Times are readings of the steady clock.
+	active         bool
+	rejectedBefore int64 // the count when the period started
+	lastSeen       int64 // the count at the last call of logChanges
+	startedAt      time.Duration
+	// lastRejectionAt is when the count was last seen to have grown.
+	lastRejectionAt time.Duration
 }
 
-// countRejection notes a request that was refused.
+// countRejection counts a request that was refused.
 func (t *loadShedding) countRejection() { t.rejected.Add(1) }
 
-// logChanges logs a beginning, or an end after a spell without refusals.
-func (t *loadShedding) logChanges(now, spell time.Duration, log *slog.Logger) {
-	count := t.rejected.Load()
-	if count > t.lastSeen {
+// logChanges logs the start of a period of refusals, and its end once there was no refusal for
+// longer than quiet.
+func (t *loadShedding) logChanges(now, quiet time.Duration, log *slog.Logger) {
+	rejected := t.rejected.Load()
+	if rejected > t.lastSeen {
 		t.lastRejectionAt = now
 		if !t.active {
-			t.active, t.startedAt, t.rejectedBefore = true, now, t.lastSeen
-			log.Info("requests are turned away", "why", "more come than can be answered")
+			t.active = true
+			t.startedAt = now
+			t.rejectedBefore = t.lastSeen
+			log.Info("load shedding started", "reason", "the request queue is full")
 		}
 	}
-	t.lastSeen = count
-	if t.active && now > t.lastRejectionAt+spell {
+	t.lastSeen = rejected
+	if t.active && now > t.lastRejectionAt+quiet {
 		t.active = false
-		log.Info("requests are no longer turned away", "requests", count-t.rejectedBefore, "seconds", int((t.lastRejectionAt - t.startedAt).Seconds()))
+		log.Info("load shedding ended",
+			"requests", rejected-t.rejectedBefore,
+			"seconds", int((t.lastRejectionAt - t.startedAt).Seconds()))
 	}
 }
