--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -9,51 +9,56 @@
 	"time"
 )
 
-// connLimiter is a listener with a bounded number of connections, so that room stays
-// for the state service, the cloud and the workers. When it is full, the
-// connection that has been idle for longest gives way to the new one: when a
-// controller ends or its peers can't be reached, all workers of a zone or two
-// turn to one listener, and most of what is open there then waits for nothing. Only
-// if none is idle is the new one closed at once.
+// connLimiter is a listener with a bounded number of connections, so that sockets stay free for
+// the state service, the cloud and the workers. When it is full, the connection that has been idle
+// for longest is closed in favour of the new one: when a controller ends or its peers can't be
+// reached, all workers of a zone or two turn to one listener, and most connections open there then
+// wait for nothing. The new connection is closed at once only if no other is idle.
 type connLimiter struct {
 	net.Listener
 	maxConns int
 
 	mu   sync.Mutex
 	open int
-	// idle are the connections without a request, least lately used first.
+	// idle holds the connections without a request under way, least recently used first.
 	idle         *list.List
 	idleElements map[*limitedConn]*list.Element
 }
 
-func listen(addr string, most int) (*connLimiter, error) {
-	l, err := net.Listen("tcp4", addr)
+func listen(addr string, maxConns int) (*connLimiter, error) {
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	return newConnLimiter(l, most), nil
+	return newConnLimiter(listener, maxConns), nil
 }
 
-func newConnLimiter(l net.Listener, most int) *connLimiter {
-	return &connLimiter{Listener: l, maxConns: max(1, most), idle: list.New(), idleElements: map[*limitedConn]*list.Element{}}
+func newConnLimiter(listener net.Listener, maxConns int) *connLimiter {
+	return &connLimiter{
+		Listener:     listener,
+		maxConns:     max(1, maxConns),
+		idle:         list.New(),
+		idleElements: map[*limitedConn]*list.Element{},
+	}
 }
 
-// Accept takes the next connection that there is room for.
+// Accept returns the next connection that there is room for. Its only error is that of a closed
+// listener.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return nil, err
+		}
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return nil, err
-			}
-			// Out of sockets is no reason to end: let an idle one go, wait a
-			// little and go on.
+			// Running out of sockets must not end the server: close an idle connection, and
+			// try again after a pause.
 			l.closeLongestIdle()
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if l.full() && !l.closeLongestIdle() {
-			conn.Close()
+			closeConn(conn)
 			continue
 		}
 		l.mu.Lock()
@@ -69,40 +74,52 @@
 	return l.open >= l.maxConns
 }
 
-// closeLongestIdle closes the connection that has been idle for longest.
+// closeLongestIdle closes the connection that has been idle for longest. It returns false if none
+// is idle.
 func (l *connLimiter) closeLongestIdle() bool {
 	l.mu.Lock()
-	e := l.idle.Front()
-	if e == nil {
+	oldest := l.idle.Front()
+	if oldest == nil {
 		l.mu.Unlock()
 		return false
 	}
-	c := l.idle.Remove(e).(*limitedConn)
-	delete(l.idleElements, c)
+	conn := l.idle.Remove(oldest).(*limitedConn)
+	delete(l.idleElements, conn)
 	l.mu.Unlock()
-	c.Close()
+	// Close takes the lock itself.
+	closeConn(conn)
 	return true
 }
 
-// trackState follows a connection's state. One that is new and has sent nothing yet is
-// as idle as one between two requests.
+// closeConn closes a connection in favour of others. An error is of no use: the socket is free all
+// the same, and the server may have closed the connection at the same moment.
+func closeConn(conn net.Conn) { _ = conn.Close() }
+
+// trackState is the http.Server's ConnState hook. A connection that is new and has sent nothing
+// yet counts as idle, like one between two requests.
 func (l *connLimiter) trackState(conn net.Conn, state http.ConnState) {
-	c, ok := conn.(*limitedConn)
+	limited, ok := conn.(*limitedConn)
 	if !ok {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.idleElements[c]; e != nil {
-		l.idle.Remove(e)
-		delete(l.idleElements, c)
+	l.forgetIdle(limited)
+	if (state == http.StateNew || state == http.StateIdle) && !limited.closed {
+		l.idleElements[limited] = l.idle.PushBack(limited)
 	}
-	if (state == http.StateNew || state == http.StateIdle) && !c.closed {
-		l.idleElements[c] = l.idle.PushBack(c)
+}
+
+// forgetIdle takes a connection from the idle ones. The caller holds the lock.
+func (l *connLimiter) forgetIdle(conn *limitedConn) {
+	if element := l.idleElements[conn]; element != nil {
+		l.idle.Remove(element)
+		delete(l.idleElements, conn)
 	}
 }
 
-// usedAbove says whether more than so many percent of the room is taken.
+// usedAbove says whether more than this percentage of the allowed connections are open. A server
+// that does not listen yet has none.
 func (l *connLimiter) usedAbove(percent int) bool {
 	if l == nil {
 		return false
@@ -112,24 +129,22 @@
 	return l.open*100 > l.maxConns*percent
 }
 
+// limitedConn is a connection that its connLimiter counts.
 type limitedConn struct {
 	net.Conn
 	connLimiter *connLimiter
 	closed      bool // guarded by the connLimiter's lock
 }
 
-// Close closes the connection and counts it out once.
+// Close closes the connection. However often it is called, the connection is counted out once.
 func (c *limitedConn) Close() error {
-	d := c.connLimiter
-	d.mu.Lock()
+	limiter := c.connLimiter
+	limiter.mu.Lock()
 	if !c.closed {
 		c.closed = true
-		d.open--
-		if e := d.idleElements[c]; e != nil {
-			d.idle.Remove(e)
-			delete(d.idleElements, c)
-		}
+		limiter.open--
+		limiter.forgetIdle(c)
 	}
-	d.mu.Unlock()
+	limiter.mu.Unlock()
 	return c.Conn.Close()
 }
--- /dev/null
+++ b/internal/transport/event_loop.go
@@ -0,0 +1,86 @@
+package transport
+
+import (
+	"context"
+	"time"
+
+	"claybarrow/internal/controller"
+)
+
+// now reads both clocks.
+func (s *Server) now() controller.Clock {
+	t := time.Now()
+	return controller.Clock{Steady: t.Sub(s.start), Wall: t.UnixMilli()}
+}
+
+// loop is the one goroutine that calls the core. It ends with ctx; requests that it has sent go on
+// until calls ends.
+func (s *Server) loop(ctx, calls context.Context, ended chan<- struct{}) {
+	defer close(ended)
+	ticker := time.NewTicker(s.cfg.Tick())
+	defer ticker.Stop()
+	waiting := map[uint64]chan controller.Reply{}
+	var lastID uint64
+	register := func(pending pendingRequest) controller.Event {
+		lastID++
+		pending.request.ID = lastID
+		waiting[lastID] = pending.reply
+		return pending.request
+	}
+	for {
+		event := s.next(ctx, ticker.C, register)
+		if event == nil {
+			s.sendShutdownCalls(calls)
+			return
+		}
+		if _, isTick := event.(controller.Tick); isTick {
+			s.shedding.logChanges(s.now().Steady, s.cfg.Lease(), s.log)
+		}
+		for _, effect := range s.core.Handle(s.now(), event) {
+			switch effect := effect.(type) {
+			case controller.Reply:
+				if reply := waiting[effect.ID]; reply != nil {
+					reply <- effect // buffered, written once
+					delete(waiting, effect.ID)
+				}
+			case controller.Call:
+				go s.call(calls, effect)
+			}
+		}
+	}
+}
+
+// next returns the next event, or nil once the context has ended. register gives a request its ID.
+// Time and the state service go first, then the other answers and heartbeats, and users last: a
+// flood of users must cost neither the leadership nor the workers' leases, and a flood of workers
+// not the leadership.
+func (s *Server) next(ctx context.Context, ticks <-chan time.Time, register func(pendingRequest) controller.Event) controller.Event {
+	select {
+	case event := <-s.stateResults:
+		return event
+	case <-ticks:
+		return controller.Tick{}
+	default:
+	}
+	select {
+	case event := <-s.results:
+		return event
+	case pending := <-s.heartbeats:
+		return register(pending)
+	default:
+	}
+	select {
+	case <-ctx.Done():
+		return nil
+	case event := <-s.stateResults:
+		return event
+	case event := <-s.results:
+		return event
+	case pending := <-s.heartbeats:
+		return register(pending)
+	case <-ticks:
+		return controller.Tick{}
+	case pending := <-s.requests:
+		return register(pending)
+	}
+}
--- /dev/null
+++ b/internal/transport/graceful_shutdown.go
@@ -0,0 +1,41 @@
+package transport
+
+import (
+	"context"
+	"time"
+
+	"claybarrow/internal/controller"
+)
+
+// sendShutdownCalls sends the core's last requests: a leader revokes its lease, and the other
+// controllers are told that this one leaves. The core does not see the answers.
+func (s *Server) sendShutdownCalls(calls context.Context) {
+	for _, effect := range s.core.Handle(s.now(), controller.Shutdown{}) {
+		call, isCall := effect.(controller.Call)
+		if !isCall {
+			continue
+		}
+		s.shutdownCalls.Add(1)
+		go func() {
+			defer s.shutdownCalls.Done()
+			if _, _, err := s.send(calls, call); err != nil {
+				s.logFailedCall(call, err)
+			}
+		}()
+	}
+}
+
+// awaitGracefulShutdown waits for the event loop and the last requests, a tenth of the workers'
+// lease at most.
+func (s *Server) awaitGracefulShutdown(loopEnded <-chan struct{}) {
+	done := make(chan struct{})
+	go func() {
+		<-loopEnded
+		s.shutdownCalls.Wait()
+		close(done)
+	}()
+	select {
+	case <-done:
+	case <-time.After(s.cfg.Lease() / 10):
+	}
+}
--- /dev/null
+++ b/internal/transport/routes.go
@@ -0,0 +1,67 @@
+package transport
+
+import (
+	"net/http"
+
+	"claybarrow/internal/controller"
+	"claybarrow/internal/membership"
+	"claybarrow/internal/protocol"
+)
+
+// clientRoutes are served at client_listen, to users, workers and the load balancer.
+func (s *Server) clientRoutes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /api/jobs", s.handleWithBody(controller.OpSubmit))
+	mux.HandleFunc("GET /api/jobs/{id}", s.handle(controller.OpPoll))
+	mux.HandleFunc("POST /api/jobs/{id}/withdraw", s.handle(controller.OpCancel))
+	mux.HandleFunc("GET /ready", s.handle(controller.OpReady))
+	mux.HandleFunc("POST /hello", s.handleWithBody(controller.OpWorkerHeartbeat))
+	return mux
+}
+
+// peerRoutes are served at peer_listen, to other controllers and to the scraper of metrics.
+func (s *Server) peerRoutes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /relay", s.handleWithBody(controller.OpRelay))
+	mux.HandleFunc("POST /heartbeat", s.handleWithBody(controller.OpPeerHeartbeat))
+	mux.HandleFunc("POST /forward", s.handleWithBody(controller.OpForwardedHeartbeat))
+	mux.HandleFunc("POST /probe", s.handleWithBody(controller.OpProbe))
+	if s.metrics != nil {
+		mux.Handle("GET /metrics", s.metrics)
+	}
+	return mux
+}
+
+// admission is how requests of one operation are let in.
+type admission struct {
+	queue chan pendingRequest
+	// maxBodyBytes bounds the body, where the operation has one.
+	maxBodyBytes int64
+	// closeAbovePercent is the use of client_listen above which the connection is closed after
+	// the answer.
+	closeAbovePercent int
+}
+
+// admissionOf returns how requests of an operation are let in. Workers and other controllers have
+// a queue of their own: a flood of users must not cost a worker its lease.
+func (s *Server) admissionOf(op controller.Op) admission {
+	a := admission{queue: s.requests, maxBodyBytes: protocol.MaxBody, closeAbovePercent: closeUsersAbovePercent}
+	switch op {
+	case controller.OpSubmit, controller.OpPoll, controller.OpCancel, controller.OpReady:
+		// As set above.
+	case controller.OpWorkerHeartbeat:
+		a.queue, a.closeAbovePercent = s.heartbeats, closeWorkersAbovePercent
+	case controller.OpPeerHeartbeat:
+		a.queue, a.closeAbovePercent = s.heartbeats, neverClosePercent
+	case controller.OpForwardedHeartbeat:
+		a.queue, a.closeAbovePercent = s.heartbeats, neverClosePercent
+		a.maxBodyBytes += forwardingOverheadBytes
+	case controller.OpProbe:
+		a.queue, a.closeAbovePercent = s.heartbeats, neverClosePercent
+		a.maxBodyBytes = membership.MostBytes
+	case controller.OpRelay:
+		a.closeAbovePercent = neverClosePercent
+		a.maxBodyBytes += forwardingOverheadBytes
+	}
+	return a
+}
