--- /dev/null
+++ b/internal/protocol/cloud.go
@@ -0,0 +1,52 @@
+package protocol
+
+// MachineType is one of the types of machines that the cloud rents out.
+type MachineType struct {
+	Name         string   `msgpack:"name"`
+	Cores        float64  `msgpack:"cores"`
+	Accelerators float64  `msgpack:"accelerators"`
+	MemoryGB     float64  `msgpack:"ramGb"`
+	CacheGB      float64  `msgpack:"localGb"`    // local disk for images
+	FetchGBPerS  float64  `msgpack:"pullGbPerS"` // rate at which images are fetched
+	Price        float64  `msgpack:"rate"`       // on demand
+	SpotPrice    float64  `msgpack:"lowPrice"`
+	BootS        float64  `msgpack:"startupS"` // seconds from launch until it is usually up
+	Zones        []string `msgpack:"yards"`    // where the type is offered
+}
+
+// MachineTypes is the cloud's list of machine types.
+type MachineTypes struct {
+	Types []MachineType `msgpack:"flavours"`
+}
+
+// LaunchRequest asks the cloud for machines. MachineNames answers it.
+type LaunchRequest struct {
+	// Request identifies the request: repeated with the same one, it launches nothing more.
+	Request string `msgpack:"hire"`
+	Type    string `msgpack:"flavour"`
+	Zone    string `msgpack:"yard"`
+	Spot    bool   `msgpack:"borrowed"`
+	Count   int    `msgpack:"number"`
+}
+
+// MachineNames holds machines' IDs: those that a launch gave, or those that are to be deleted.
+type MachineNames struct {
+	Machines []string `msgpack:"hosts"`
+}
+
+// ListedMachine is one machine in the cloud's list.
+type ListedMachine struct {
+	ID    string  `msgpack:"uid"`
+	Addr  string  `msgpack:"addr"`
+	Type  string  `msgpack:"flavour"`
+	Zone  string  `msgpack:"yard"`
+	Spot  bool    `msgpack:"borrowed"`
+	State string  `msgpack:"standing"`
+	AgeS  float64 `msgpack:"heldS"` // seconds since the launch
+}
+
+// MachineList is one page of the cloud's list of machines.
+type MachineList struct {
+	Machines []ListedMachine `msgpack:"hosts"`
+	More     bool            `msgpack:"more"` // there is another page
+}
--- /dev/null
+++ b/internal/protocol/submission_fields.go
@@ -0,0 +1,161 @@
+package protocol
+
+// Bounds of a submission's values and of its nesting.
+const (
+	maxTextBytes  = 200
+	maxListLength = 1000
+	maxAmount     = 1e12
+	maxDepth      = 16
+	// headersPerLevel is how many bytes that look like containers' headers are allowed in a row
+	// for each level of maxDepth: a text may hold such bytes, too.
+	headersPerLevel = 20
+)
+
+// presence says whether a field may be null or left out.
+type presence bool
+
+const (
+	required presence = false
+	optional presence = true
+)
+
+// submissionFields reads the fields of a submission and keeps the first error.
+type submissionFields struct {
+	values map[string]any
+	err    error
+}
+
+// fail records an error of a field unless there is one already.
+func (f *submissionFields) fail(field, reason string) {
+	if f.err == nil {
+		f.err = &ValidationError{Field: field, Reason: reason}
+	}
+}
+
+// value returns a field's value, and false if it is null or left out.
+func (f *submissionFields) value(field string, presence presence) (any, bool) {
+	value := f.values[field]
+	if value == nil && presence == required {
+		f.fail(field, "missing")
+	}
+	return value, value != nil
+}
+
+func (f *submissionFields) text(field string, presence presence) string {
+	value, ok := f.value(field, presence)
+	if !ok {
+		return ""
+	}
+	text, ok := validText(value)
+	if !ok {
+		f.fail(field, "not a text of 1 to 200 bytes")
+	}
+	return text
+}
+
+// validText returns the text that a value is, and false if it is none, empty or too long.
+func validText(value any) (string, bool) {
+	text, ok := value.(string)
+	return text, ok && text != "" && len(text) <= maxTextBytes
+}
+
+func (f *submissionFields) flag(field string) bool {
+	value, ok := f.value(field, required)
+	if !ok {
+		return false
+	}
+	flag, ok := value.(bool)
+	if !ok {
+		f.fail(field, "not true or false")
+	}
+	return flag
+}
+
+func (f *submissionFields) amount(field string, presence presence) float64 {
+	value, ok := f.value(field, presence)
+	if !ok {
+		return 0
+	}
+	amount, ok := number(value)
+	// Not >= 0 is also true of a NaN.
+	if !ok || !(amount >= 0) || amount > maxAmount {
+		f.fail(field, "not an amount of 0 or more")
+		return 0
+	}
+	return amount
+}
+
+// number accepts whole numbers and floating-point ones alike: MessagePack writers differ.
+func number(value any) (float64, bool) {
+	switch n := value.(type) {
+	case int8:
+		return float64(n), true
+	case int16:
+		return float64(n), true
+	case int32:
+		return float64(n), true
+	case int64:
+		return float64(n), true
+	case uint8:
+		return float64(n), true
+	case uint16:
+		return float64(n), true
+	case uint32:
+		return float64(n), true
+	case uint64:
+		return float64(n), true
+	case float32:
+		return float64(n), true
+	case float64:
+		return n, true
+	}
+	return 0, false
+}
+
+// decodeSubmission reads a map with texts as keys from a body of any origin.
+func decodeSubmission(body []byte) (map[string]any, error) {
+	if len(body) > MaxBody {
+		return nil, ErrBodyTooLarge
+	}
+	// The decoder recurses once a level: the depth is bounded before it runs.
+	if nestedTooDeeply(body) {
+		return nil, ErrNestedTooDeeply
+	}
+	var value any
+	if err := Decode(body, &value); err != nil {
+		return nil, err
+	}
+	values, ok := value.(map[string]any)
+	if !ok {
+		return nil, ErrNotAMap
+	}
+	return values, nil
+}
+
+// nestedTooDeeply is a rough bound: very many headers of containers in a row can only be nesting,
+// as each container needs a byte or more before its first scalar.
+func nestedTooDeeply(body []byte) bool {
+	inARow := 0
+	for _, b := range body {
+		if !isContainerHeader(b) {
+			inARow = 0
+			continue
+		}
+		inARow++
+		if inARow > headersPerLevel*maxDepth {
+			return true
+		}
+	}
+	return false
+}
+
+// isContainerHeader says whether a byte starts a map or an array in MessagePack.
+func isContainerHeader(b byte) bool {
+	const (
+		fixedMap   = 0x80 // with the length in the lower half
+		fixedArray = 0x90
+		array16    = 0xdc
+		map32      = 0xdf // array32 and map16 are in between
+	)
+	return b&0xf0 == fixedMap || b&0xf0 == fixedArray || (b >= array16 && b <= map32)
+}
