--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -10,57 +10,74 @@
 // What controllers of both older versions (686f0af and 4297efa, which agree) send one
 // another, byte by byte as they wrote it: read as it was meant, and written the same.
 func TestPeerMessagesOfOlderVersions(t *testing.T) {
-	for name, tc := range map[string]struct {
-		wrote      string
+	for _, tc := range []struct {
+		name       string
+		encoded    string
 		want, into any
 	}{
-		"heartbeat":       {"a601626e3102626162030704090520060c", &PeerHeartbeat{From: "n1", Incarnation: "ab", Token: 7, LeaderClock: 9, ServedMS: -1, UptimeMS: 12}, &PeerHeartbeat{}},
-		"heartbeat reply": {"a301626e3002070309", &PeerHeartbeatReply{Leader: "n0", Token: 7, LeaderClock: 9}, &PeerHeartbeatReply{}},
-		"relay":           {"a301667375626d697402636a2d3103420102", &Relay{Op: "submit", UID: "j-1", Body: []byte{1, 2}}, &Relay{}},
-		"relay reply":     {"a3011901f70241010301", &RelayReply{Status: 503, Body: []byte{1}, RetryAfter: 1}, &RelayReply{}},
+		{"heartbeat", "a601626e3102626162030704090520060c",
+			&PeerHeartbeat{From: "n1", Incarnation: "ab", Token: 7, LeaderClock: 9, ServedMS: -1, UptimeMS: 12}, &PeerHeartbeat{}},
+		{"heartbeat reply", "a301626e3002070309",
+			&PeerHeartbeatReply{Leader: "n0", Token: 7, LeaderClock: 9}, &PeerHeartbeatReply{}},
+		{"forwarded request", "a301667375626d697402636a2d3103420102",
+			&Relay{Op: "submit", UID: "j-1", Body: []byte{1, 2}}, &Relay{}},
+		{"forwarded request's reply", "a3011901f70241010301",
+			&RelayReply{Status: 503, Body: []byte{1}, RetryAfter: 1}, &RelayReply{}},
 	} {
-		raw, err := hex.DecodeString(tc.wrote)
-		if err != nil {
-			t.Fatal(err)
+		t.Run(tc.name, func(t *testing.T) {
+			raw, err := hex.DecodeString(tc.encoded)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := DecodePeer(raw, tc.into); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(tc.want, tc.into); diff != "" {
+				t.Errorf("read as (-want +got):\n%s", diff)
+			}
+			if got := hex.EncodeToString(EncodePeer(tc.want)); got != tc.encoded {
+				t.Errorf("written as %s", got)
+			}
+		})
+	}
+}
+
+// What this version adds is left out where there is none of it, and ignored by older versions.
+func TestOlderVersionsIgnoreNewFields(t *testing.T) {
+	t.Run("forwarded request", func(t *testing.T) {
+		type olderRelay struct {
+			Op   string `cbor:"1,keyasint"`
+			UID  string `cbor:"2,keyasint,omitempty"`
+			Body []byte `cbor:"3,keyasint,omitempty"`
 		}
-		if err := DecodePeer(raw, tc.into); err != nil {
-			t.Errorf("%s: %v", name, err)
-			continue
+		var older olderRelay
+		if err := DecodePeer(EncodePeer(Relay{Op: "poll", UID: "j-1", To: "n0"}), &older); err != nil || older.UID != "j-1" {
+			t.Errorf("an older version reads %+v, %v", older, err)
 		}
-		if diff := cmp.Diff(tc.want, tc.into); diff != "" {
-			t.Errorf("%s is read as (-want +got):\n%s", name, diff)
+	})
+	t.Run("heartbeat", func(t *testing.T) {
+		type olderHeartbeat struct {
+			From        string `cbor:"1,keyasint"`
+			Incarnation string `cbor:"2,keyasint"`
+			ServedMS    int64  `cbor:"5,keyasint"`
 		}
-		if got := hex.EncodeToString(EncodePeer(tc.want)); got != tc.wrote {
-			t.Errorf("%s is written as %s", name, got)
+		var older olderHeartbeat
+		stating := PeerHeartbeat{From: "n1", Incarnation: "ab", ServedMS: -1, Versions: &VersionStatement{Reads: 1, Writes: 1, Hold: true}}
+		if err := DecodePeer(EncodePeer(stating), &older); err != nil || older != (olderHeartbeat{"n1", "ab", -1}) {
+			t.Errorf("an older version reads %+v, %v", older, err)
 		}
-	}
-	// What this version adds is left out where there is none of it, and ignored by the others.
-	type olderRelay struct {
-		Op   string `cbor:"1,keyasint"`
-		UID  string `cbor:"2,keyasint,omitempty"`
-		Body []byte `cbor:"3,keyasint,omitempty"`
-	}
-	var older olderRelay
-	if err := DecodePeer(EncodePeer(Relay{Op: "poll", UID: "j-1", To: "n0"}), &older); err != nil || older.UID != "j-1" {
-		t.Errorf("an older version reads %+v, %v", older, err)
-	}
-	type olderHeartbeat struct {
-		From        string `cbor:"1,keyasint"`
-		Incarnation string `cbor:"2,keyasint"`
-		ServedMS    int64  `cbor:"5,keyasint"`
-	}
-	var olderBeat olderHeartbeat
-	stating := PeerHeartbeat{From: "n1", Incarnation: "ab", ServedMS: -1, Versions: &VersionStatement{Reads: 1, Writes: 1, Hold: true}}
-	if err := DecodePeer(EncodePeer(stating), &olderBeat); err != nil || olderBeat != (olderHeartbeat{"n1", "ab", -1}) {
-		t.Errorf("an older version reads %+v, %v", olderBeat, err)
-	}
-	var read PeerHeartbeat
-	if err := DecodePeer(EncodePeer(stating), &read); err != nil || cmp.Diff(stating, read) != "" {
-		t.Errorf("a statement is read as %+v, %v", read.Versions, err)
-	}
-	// Fields that are not known yet do no harm.
-	var h PeerHeartbeat
-	if err := DecodePeer(EncodePeer(map[int]any{1: "n1", 2: "ab", 5: -1, 99: "later"}), &h); err != nil || h.From != "n1" {
-		t.Errorf("a later version's heartbeat: %+v, %v", h, err)
+		var read PeerHeartbeat
+		if err := DecodePeer(EncodePeer(stating), &read); err != nil || cmp.Diff(stating, read) != "" {
+			t.Errorf("a statement is read as %+v, %v", read.Versions, err)
+		}
+	})
+}
+
+// Fields that are not known yet do no harm.
+func TestFieldsOfLaterVersionsAreIgnored(t *testing.T) {
+	var heartbeat PeerHeartbeat
+	later := map[int]any{1: "n1", 2: "ab", 5: -1, 99: "later"}
+	if err := DecodePeer(EncodePeer(later), &heartbeat); err != nil || heartbeat.From != "n1" {
+		t.Errorf("a later version's heartbeat: %+v, %v", heartbeat, err)
 	}
 }
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"bytes"
+	"errors"
+	"fmt"
 	"maps"
 	"math"
 	"testing"
@@ -16,31 +18,93 @@
 	return m
 }
 
-func TestSubmission(t *testing.T) {
-	good := []map[string]any{
+func TestValidSubmission(t *testing.T) {
+	for _, change := range []map[string]any{
 		{}, {"shards": 16.0}, {"cores": 8}, {"flavours": nil}, {"dueS": nil}, {"yard": "a"}, {"shape": "service"},
 		{"shards": 100_000}, {"accelerators": 0},
+	} {
+		t.Run(fmt.Sprint(change), func(t *testing.T) {
+			if _, spec, err := ParseSubmission(Encode(submission(change))); err != nil || spec == nil {
+				t.Error(err)
+			}
+		})
 	}
-	for _, change := range good {
-		if _, s, err := ParseSubmission(Encode(submission(change))); err != nil || s == nil {
-			t.Errorf("%v: %v", change, err)
-		}
+}
+
+// Each invalid value is refused with an error that names its field, whose text is logged.
+func TestInvalidSubmission(t *testing.T) {
+	for _, tc := range []struct {
+		field string
+		value any
+		want  string
+	}{
+		{"uid", "x", "uid: not in the form of a job id"},
+		{"uid", 7, "uid: not a text of 1 to 200 bytes"},
+		{"shards", 0, "shards: not a whole number from 1 to 100000"},
+		{"shards", 100_001, "shards: not a whole number from 1 to 100000"},
+		{"shards", 1.5, "shards: not a whole number from 1 to 100000"},
+		{"shards", -1, "shards: not an amount of 0 or more"},
+		{"shards", "16", "shards: not an amount of 0 or more"},
+		{"cores", math.NaN(), "cores: not an amount of 0 or more"},
+		{"cores", -1.0, "cores: not an amount of 0 or more"},
+		{"cores", math.Inf(1), "cores: not an amount of 0 or more"},
+		{"cores", nil, "cores: missing"},
+		{"cores", true, "cores: not an amount of 0 or more"},
+		{"ramGb", "64", "ramGb: not an amount of 0 or more"},
+		{"rank", "top", `rank: "top" is unknown`},
+		{"shape", 1, "shape: not a text of 1 to 200 bytes"},
+		{"shape", "ring", `shape: "ring" is neither batch, service nor group`},
+		{"together", 1, "together: not true or false"},
+		{"borrowed", nil, "borrowed: missing"},
+		{"flavours", "g8", "flavours: not a list"},
+		{"flavours", []any{1}, "flavours: not a list of texts"},
+		{"yard", 4, "yard: not a text of 1 to 200 bytes"},
+		{"owner", "", "owner: not a text of 1 to 200 bytes"},
+		{"bundle", nil, "bundle: missing"},
+		{"dueS", -1.0, "dueS: not an amount of 0 or more"},
+		{"expectS", "1", "expectS: not an amount of 0 or more"},
+	} {
+		t.Run(fmt.Sprintf("%s %v", tc.field, tc.value), func(t *testing.T) {
+			_, spec, err := ParseSubmission(Encode(submission(map[string]any{tc.field: tc.value})))
+			if err == nil || spec != nil {
+				t.Fatal("the submission was taken")
+			}
+			var invalid *ValidationError
+			if !errors.As(err, &invalid) || invalid.Field != tc.field || err.Error() != tc.want {
+				t.Errorf("%v, want %s", err, tc.want)
+			}
+		})
+	}
+}
+
+func TestSubmissionOfNoResources(t *testing.T) {
+	change := map[string]any{"cores": 0, "accelerators": 0, "ramGb": 0}
+	_, spec, err := ParseSubmission(Encode(submission(change)))
+	var invalid *ValidationError
+	if !errors.As(err, &invalid) || invalid.Field != "cores" || spec != nil {
+		t.Errorf("%v", err)
 	}
-	bad := []map[string]any{
-		{"uid": "x"}, {"uid": 7}, {"shards": 0}, {"shards": 100_001}, {"shards": 1.5}, {"shards": -1}, {"shards": "16"},
-		{"cores": math.NaN()}, {"cores": -1.0}, {"cores": math.Inf(1)}, {"cores": nil}, {"cores": true}, {"ramGb": "64"},
-		{"rank": "top"}, {"shape": 1}, {"shape": "ring"}, {"together": 1}, {"borrowed": nil}, {"flavours": "g8"},
-		{"flavours": []any{1}}, {"yard": 4}, {"owner": ""}, {"bundle": nil}, {"dueS": -1.0}, {"expectS": "1"},
+}
+
+// A damaged repeat of an accepted job is answered by its ID.
+func TestUIDOfInvalidSubmission(t *testing.T) {
+	uid, _, err := ParseSubmission(Encode(submission(map[string]any{"rank": "top"})))
+	if err == nil || uid != "j-000412" {
+		t.Errorf("uid of an invalid submission: %q, %v", uid, err)
 	}
-	for _, change := range bad {
-		if _, s, err := ParseSubmission(Encode(submission(change))); err == nil || s != nil {
-			t.Errorf("%v was taken", change)
+}
+
+// Where several fields are wrong, the first by the order of reading is reported.
+func TestFirstInvalidFieldIsReported(t *testing.T) {
+	change := map[string]any{}
+	order := []string{"flavours", "shards", "rank", "shape", "expectS", "together", "sizeGb", "yard", "tier"}
+	for _, field := range order {
+		change[field] = []any{1}
+		var invalid *ValidationError
+		if _, _, err := ParseSubmission(Encode(submission(change))); !errors.As(err, &invalid) || invalid.Field != field {
+			t.Errorf("%v, want one of %s", err, field)
 		}
 	}
-	// A damaged repeat of an accepted job is answered by its id.
-	if uid, _, err := ParseSubmission(Encode(submission(map[string]any{"rank": "top"}))); err == nil || uid != "j-000412" {
-		t.Errorf("uid of a malformed submission: %q, %v", uid, err)
-	}
 }
 
 // Each field has to be there; those that may be null may also be left out.
@@ -49,23 +113,46 @@
 	for field := range submission(nil) {
 		without := submission(nil)
 		delete(without, field)
-		for how, m := range map[string]map[string]any{"missing": without, "null": submission(map[string]any{field: nil})} {
-			if _, _, err := ParseSubmission(Encode(m)); (err == nil) != mayBeNull[field] {
-				t.Errorf("%s %s: %v", field, how, err)
-			}
+		for how, values := range map[string]map[string]any{
+			"missing": without,
+			"null":    submission(map[string]any{field: nil}),
+		} {
+			t.Run(field+" "+how, func(t *testing.T) {
+				if _, _, err := ParseSubmission(Encode(values)); (err == nil) != mayBeNull[field] {
+					t.Error(err)
+				}
+			})
 		}
 	}
 }
 
+// Bodies that hold no submission are refused, with the error that says which kind they are of.
 func TestMalformedBodies(t *testing.T) {
-	deep := bytes.Repeat([]byte{0x91}, 60_000)
-	for name, body := range map[string][]byte{
-		"empty": nil, "text": []byte("hello"), "list": Encode([]int{1}), "cut": Encode(submission(nil))[:40],
-		"deep": deep, "deep pairs": bytes.Repeat([]byte{0x92, 0xc0}, 30_000), "huge array": {0xdd, 0xff, 0xff, 0xff, 0xff}, "huge map": {0xdf, 0xff, 0xff, 0xff, 0xff},
-		"large": make([]byte, MaxBody+1), "bytes after the end": append(Encode(submission(nil)), 0xc0), "number keys": Encode(map[int]int{1: 2}),
+	for _, tc := range []struct {
+		name string
+		body []byte
+		want error
+	}{
+		{"empty", nil, ErrMalformed},
+		{"text", []byte("hello"), ErrMalformed},
+		{"list", Encode([]int{1}), ErrNotAMap},
+		{"cut", Encode(submission(nil))[:40], ErrMalformed},
+		{"deep", bytes.Repeat([]byte{0x91}, 60_000), ErrNestedTooDeeply},
+		{"deep pairs", bytes.Repeat([]byte{0x92, 0xc0}, 30_000), ErrMalformed},
+		{"huge array", []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
+		{"huge map", []byte{0xdf, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
+		{"large", make([]byte, MaxBody+1), ErrBodyTooLarge},
+		{"bytes after the end", append(Encode(submission(nil)), 0xc0), ErrMalformed},
+		{"number keys", Encode(map[int]int{1: 2}), nil}, // the decoder's own error
 	} {
-		if _, s, err := ParseSubmission(body); err == nil || s != nil {
-			t.Errorf("%s was taken", name)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			_, spec, err := ParseSubmission(tc.body)
+			if err == nil || spec != nil {
+				t.Fatal("the body was taken")
+			}
+			if tc.want != nil && !errors.Is(err, tc.want) {
+				t.Errorf("%v, want %v", err, tc.want)
+			}
+		})
 	}
 }
