--- a/internal/config/gate_test.go
+++ b/internal/config/feature_gate_test.go
@@ -28,7 +28,7 @@
 	} {
 		cfg := sized(t, 100, 1, 350, c.operator)
 		cfg.Cluster.State.TxnOps = c.txnOps
-		told := strings.Join(cfg.gateWarnings(), "\n")
+		told := strings.Join(cfg.featureGateWarnings(), "\n")
 		for _, text := range []string{order, waits, needs} {
 			want := strings.Contains(strings.Join(c.want, "\n"), text)
 			if strings.Contains(told, text) != want {
--- /dev/null
+++ b/internal/config/validate.go
@@ -0,0 +1,173 @@
+package config
+
+import (
+	"fmt"
+	"math"
+	"net"
+)
+
+// minWriteRPS is the lowest rate of changes that leaves any for what nobody waits for, beside the
+// half of a second's worth that is kept for what somebody does.
+const minWriteRPS = 3
+
+// validate returns the error of the first setting that is wrong.
+func (c *Config) validate() error {
+	for _, validatePart := range []func() error{
+		c.validateAddresses,
+		c.validateSiblings,
+		c.validateTeams,
+		c.validateNextState,
+		c.validateRanges,
+		c.validateMembership,
+	} {
+		if err := validatePart(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Config) validateAddresses() error {
+	for _, address := range []struct{ field, value string }{
+		{"client_listen", c.ClientListen},
+		{"peer_listen", c.PeerListen},
+		{"services.cloud", c.Services.Cloud},
+		{"services.state", c.Services.State},
+	} {
+		if err := validateAddress(address.field, address.value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func validateAddress(field, value string) error {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		return &FieldError{Source: PlatformSource, Field: field, Reason: err.Error(), Err: err}
+	}
+	return nil
+}
+
+// missingOrTwice is the reason of a name that is empty or not unique.
+const missingOrTwice = "missing or used twice"
+
+func (c *Config) validateSiblings() error {
+	if c.Label == "" {
+		return &FieldError{Source: PlatformSource, Field: "label", Reason: "missing"}
+	}
+	seen := map[string]bool{c.Label: true}
+	for i, sibling := range c.Siblings {
+		path := fmt.Sprintf("siblings[%d]", i)
+		if sibling.Label == "" || seen[sibling.Label] {
+			return &FieldError{Source: PlatformSource, Field: path + ".label", Reason: missingOrTwice}
+		}
+		seen[sibling.Label] = true
+		if err := validateAddress(path+".peer_addr", sibling.Addr); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c *Config) validateTeams() error {
+	seen := map[string]bool{}
+	for i, team := range c.Cluster.Teams {
+		path := fmt.Sprintf("cluster.teams[%d]", i)
+		if team.Name == "" || seen[team.Name] {
+			return &FieldError{Source: PlatformSource, Field: path + ".name", Reason: missingOrTwice}
+		}
+		seen[team.Name] = true
+		for _, amount := range []float64{team.Cores, team.CoresMax, team.Accelerators, team.AccelMax} {
+			if !(amount >= 0) || math.IsInf(amount, 0) {
+				return &FieldError{Source: PlatformSource, Field: path, Reason: "amounts must be 0 or more"}
+			}
+		}
+	}
+	return nil
+}
+
+// validateNextState refuses limits to come that are negative. Their ranges are those of the limits
+// that hold now, and apply to the lower of both (validateRanges).
+func (c *Config) validateNextState() error {
+	next := c.Cluster.State.Next
+	if next == nil {
+		return nil
+	}
+	for _, limit := range []struct {
+		field string
+		value float64
+	}{
+		{"rps", next.RPS},
+		{"write_rps", next.WriteRPS},
+		{"value_kb", next.ValueKB},
+		{"txn_ops", float64(next.TxnOps)},
+	} {
+		if !(limit.value >= 0) {
+			return &FieldError{Source: PlatformSource, Field: "cluster.state.next." + limit.field,
+				Value: limit.value, Reason: "is not 0 or more"}
+		}
+	}
+	return nil
+}
+
+// fieldRange is the range that a number must be in, with both ends.
+type fieldRange struct {
+	field           string
+	value, min, max float64
+}
+
+// validateEach returns the error of the first number that is out of range. A NaN is in no range.
+func validateEach(source Source, ranges []fieldRange) error {
+	for _, r := range ranges {
+		if !(r.value >= r.min && r.value <= r.max) {
+			return &FieldError{Source: source, Field: r.field, Value: r.value,
+				Reason: fmt.Sprintf("is not between %v and %v", r.min, r.max)}
+		}
+	}
+	return nil
+}
+
+func (c *Config) validateRanges() error {
+	if err := validateEach(PlatformSource, c.platformRanges()); err != nil {
+		return err
+	}
+	return validateEach(OperatorSource, c.operatorRanges())
+}
+
+func (c *Config) platformRanges() []fieldRange {
+	workers, state, cloud, resources := c.Cluster.Workers, c.Cluster.State, c.Cluster.Cloud, c.Cluster.Resources
+	both := state.Both()
+	return []fieldRange{
+		{"cluster.workers.report_s", workers.ReportS, 0.01, 3600},
+		{"cluster.workers.lease_s", workers.LeaseS, 0.5, 3600},
+		{"cluster.workers.cancel_s", workers.CancelS, workers.LeaseS, 86400},
+		{"cluster.state.rps", state.RPS, 5, 1e9},
+		{"cluster.state.write_rps", state.WriteRPS, minWriteRPS, 1e9},
+		{"cluster.state.value_kb", state.ValueKB, 1, 1e6},
+		{"cluster.state.txn_ops", float64(state.TxnOps), 2, 1e6},
+		{"cluster.state.next.rps", both.RPS, 5, 1e9},
+		{"cluster.state.next.write_rps", both.WriteRPS, minWriteRPS, 1e9},
+		{"cluster.state.next.value_kb", both.ValueKB, 1, 1e6},
+		{"cluster.state.next.txn_ops", float64(both.TxnOps), 2, 1e6},
+		{"cluster.workers.gang_peer_s", workers.GangPeerS, 0, 3600},
+		{"cluster.cloud.rps", cloud.RPS, 0.1, 1e9},
+		{"cluster.cloud.list_lag_s", cloud.ListLagS, 0, 3600},
+		{"cluster.resources.cores", resources.Cores, 0.001, 1e6},
+		{"cluster.resources.mem_mb", resources.MemMB, 16, 1e9},
+		{"cluster.resources.fd_limit", float64(resources.FDs), 32, 1e9},
+	}
+}
+
+func (c *Config) operatorRanges() []fieldRange {
+	green, fleet := c.Operator.Green, c.Operator.Fleet
+	return []fieldRange{
+		{"green.gamma", green.Gamma, 0, 1},
+		{"green.upper_cap", green.UpperCap, 0, 1},
+		{"green.round_s", green.RoundS, 1, 86400},
+		{"green.fill_s", green.FillS, 0.1, 86400},
+		{"green.counters_s", green.CountersS, 1, 86400},
+		{"fleet.headroom", fleet.Headroom, 0, 100},
+		{"fleet.idle_ratio", fleet.IdleRatio, 0, 1000},
+		{"fleet.machines", float64(fleet.Machines), 0, 1e6},
+	}
+}
--- /dev/null
+++ b/internal/config/value_size.go
@@ -0,0 +1,11 @@
+package config
+
+const bytesPerKB = 1024
+
+// ValueBytes is the state service's limit on one value, now and later, in bytes.
+func (c *Config) ValueBytes() int { return int(c.Cluster.State.Both().ValueKB * bytesPerKB) }
+
+// LayoutBytes is what the layout of stored completions is computed from, in bytes: the limit on a
+// value as it was when the first were written, whatever it will be, as a key must not change its
+// meaning.
+func (c *Config) LayoutBytes() int { return int(c.Cluster.State.ValueKB * bytesPerKB) }
