--- /dev/null
+++ b/internal/telemetry/metrics.go
@@ -0,0 +1,112 @@
+package telemetry
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"claybarrow/internal/controller"
+	"claybarrow/internal/membership"
+)
+
+// ServeHTTP answers with the metrics in the Prometheus text format.
+func (r *Recorder) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
+	r.set.WritePrometheus(w)
+}
+
+func (r *Recorder) setGauge(name string, value float64) {
+	r.set.GetOrCreateGauge(name, nil).Set(value)
+}
+
+func (r *Recorder) count(name string) { r.set.GetOrCreateCounter(name).Inc() }
+
+func (r *Recorder) observeSeconds(name string, d time.Duration) {
+	r.set.GetOrCreateHistogram(name).Update(d.Seconds())
+}
+
+// Detector records the state of the failure detector: its local health (0: healthy) and its
+// counters.
+func (r *Recorder) Detector(health int, counters membership.Counters) {
+	r.setGauge("claybarrow_observer_health", float64(health))
+	for name, value := range map[string]uint64{
+		"probes":            counters.Probes,
+		"answers":           counters.Answers,
+		"failures":          counters.Failures,
+		"witnesses_asked":   counters.WitnessesAsked,
+		"witnesses_reached": counters.WitnessesReached,
+		"suspicions":        counters.Suspicions,
+		"deaths":            counters.Deaths,
+		"refutations":       counters.Refutations,
+		"false_suspicions":  counters.FalseSuspicions,
+		"false_deaths":      counters.FalseDeaths,
+		"stalls":            counters.Stalls,
+		"bytes_sent":        counters.BytesSent,
+		"bytes_received":    counters.BytesReceived,
+		"probes_for_others": counters.OnBehalf,
+	} {
+		r.set.GetOrCreateCounter("claybarrow_membership_" + name + "_total").Set(value)
+	}
+}
+
+// MemberChanged records a change of another controller's state: 0 alive, 1 suspect, 2 dead, 3 left.
+func (r *Recorder) MemberChanged(change membership.Change) {
+	if gauge := r.memberStates[change.Label]; gauge != nil {
+		gauge.Set(float64(change.To))
+	}
+	r.count(fmt.Sprintf(`claybarrow_member_changes_total{controller=%q,to=%q}`, change.Label, change.To))
+}
+
+// Dropped counts a message of another controller that was refused.
+func (r *Recorder) Dropped(drop membership.Drop) {
+	reason := strings.ReplaceAll(string(drop.Reason), " ", "_")
+	r.count(fmt.Sprintf(`claybarrow_messages_dropped_total{reason=%q}`, reason))
+}
+
+// countGateChange sets the feature gate's state: 0 closed, 1 opening, 2 open, 3 closing.
+func (r *Recorder) countGateChange(change controller.GateChange) {
+	r.setGauge("claybarrow_feature_gate_state", float64(change.To))
+	r.count(fmt.Sprintf(`claybarrow_feature_gate_changes_total{to=%q}`, change.To))
+}
+
+// JournalSized records what the journal of task completions holds.
+func (r *Recorder) JournalSized(size controller.JournalSize) {
+	for name, value := range map[string]int{
+		"values":     size.Values,
+		"ends":       size.Ends,
+		"waiting":    size.Waiting,
+		"unreadable": size.Unreadable,
+	} {
+		r.setGauge("claybarrow_end_journal_"+name, float64(value))
+	}
+}
+
+// MachineRedirected counts a machine that was redirected to another controller.
+func (r *Recorder) MachineRedirected(_, to string) {
+	r.count(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to))
+}
+
+// Rerouted counts a request that reached the leader by way of another controller.
+func (r *Recorder) Rerouted() { r.count("claybarrow_requests_detoured_total") }
+
+// Retried counts a request to the leader that was sent once more.
+func (r *Recorder) Retried() { r.count("claybarrow_requests_retried_total") }
+
+// Resumed records that the process did nothing for some time, and whether it led then.
+func (r *Recorder) Resumed(stoodStill time.Duration, led bool) {
+	r.count(fmt.Sprintf(`claybarrow_standstills_total{led="%t"}`, led))
+	r.observeSeconds("claybarrow_standstill_seconds", stoodStill)
+}
+
+// countFailover records how long the steps of a change of leader took. A step whose begin or end
+// is unknown is left out.
+func (r *Recorder) countFailover(failover controller.Failover) {
+	r.count("claybarrow_handovers_total")
+	if failover.Loaded > 0 {
+		r.observeSeconds("claybarrow_handover_load_seconds", failover.Loaded-failover.Elected)
+	}
+	if failover.LeaderKeyGone > 0 {
+		r.observeSeconds("claybarrow_handover_election_seconds", failover.Elected-failover.LeaderKeyGone)
+	}
+}
--- /dev/null
+++ b/internal/telemetry/traces.go
@@ -0,0 +1,84 @@
+package telemetry
+
+import (
+	"context"
+	"errors"
+	"os"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/exporters/stdout/stdouttrace"
+	"go.opentelemetry.io/otel/sdk/resource"
+	sdktrace "go.opentelemetry.io/otel/sdk/trace"
+	"go.opentelemetry.io/otel/trace"
+
+	"claybarrow/internal/controller"
+)
+
+const (
+	serviceName   = "claybarrow"
+	traceFileMode = 0o644
+)
+
+// openTraces appends spans to a file, with this controller's label as the instance's ID.
+func (r *Recorder) openTraces(path, label string) error {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, traceFileMode)
+	if err != nil {
+		return err
+	}
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(file))
+	if err != nil {
+		return errors.Join(err, file.Close())
+	}
+	r.traceFile = file
+	r.traceProvider = sdktrace.NewTracerProvider(
+		sdktrace.WithBatcher(exporter),
+		sdktrace.WithResource(resource.NewSchemaless(
+			attribute.String("service.name", serviceName),
+			attribute.String("service.instance.id", label))))
+	r.tracer = r.traceProvider.Tracer(serviceName)
+	return nil
+}
+
+// at is a reading of the controller's steady clock as a time of day.
+func (r *Recorder) at(reading time.Duration) trace.SpanEventOption {
+	return trace.WithTimestamp(r.start.Add(reading))
+}
+
+// traceFailover writes a span from the suspicion (or the end of the former leader's key) to the
+// first placement, with its steps as children.
+func (r *Recorder) traceFailover(failover controller.Failover) {
+	if r.tracer == nil {
+		return
+	}
+	steps := failover.Steps()
+	ctx, span := r.tracer.Start(context.Background(), "handover", r.at(steps[0].From), trace.WithAttributes(
+		attribute.Int64("token", int64(failover.Token)),
+		attribute.String("former", failover.Former),
+		attribute.Int("jobs", failover.Jobs),
+		attribute.Int("machines", failover.Machines),
+		attribute.Int("records_read_ahead", failover.Preloaded)))
+	for _, step := range steps {
+		_, child := r.tracer.Start(ctx, step.Name, r.at(step.From))
+		child.End(r.at(step.To))
+	}
+	span.End(r.at(steps[len(steps)-1].To))
+}
+
+// traceGateChange writes a span of no length with the reason and what every controller stated.
+func (r *Recorder) traceGateChange(change controller.GateChange) {
+	if r.tracer == nil {
+		return
+	}
+	attributes := []attribute.KeyValue{
+		attribute.Int64("token", int64(change.Token)),
+		attribute.String("from", change.From.String()),
+		attribute.String("to", change.To.String()),
+		attribute.String("why", change.Why),
+	}
+	for label, statement := range change.Statements {
+		attributes = append(attributes, attribute.String("statement."+label, statement))
+	}
+	_, span := r.tracer.Start(context.Background(), "feature gate", r.at(change.At), trace.WithAttributes(attributes...))
+	span.End(r.at(change.At))
+}
