--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -16,13 +16,14 @@
 	"claybarrow/internal/membership"
 )
 
-func settings(t *testing.T, trace string) *config.Config {
+// settings returns those of a controller with two peers, metrics and, if named, a trace file.
+func settings(t *testing.T, traceFile string) *config.Config {
 	t.Helper()
 	cfg := &config.Config{}
 	cfg.Label = "n0"
 	cfg.Siblings = []config.Peer{{Label: "n1"}, {Label: "n2"}}
 	cfg.Operator.Telemetry.Metrics = true
-	cfg.Operator.Telemetry.TraceFile = trace
+	cfg.Operator.Telemetry.TraceFile = traceFile
 	return cfg
 }
 
@@ -62,25 +63,43 @@
 	}
 }
 
-// A handover is a span from the suspicion to the first placement, with a child for each step.
-func TestTraceOfFailover(t *testing.T) {
+// tracesOf returns what a recorder writes to its trace file until it is closed.
+func tracesOf(t *testing.T, start time.Time, record func(*Recorder)) string {
+	t.Helper()
 	file := filepath.Join(t.TempDir(), "trace.json")
-	start := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	r, err := New(settings(t, file), start)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.FailedOver(controller.Failover{Token: 3, Former: "n1", Suspected: 10 * time.Second, LeaderKeyGone: 11 * time.Second,
-		Elected: 11*time.Second + 20*time.Millisecond, Loaded: 11*time.Second + 90*time.Millisecond, FirstPlacement: 12 * time.Second, Jobs: 5, Machines: 7})
+	record(r)
 	if err := r.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile(file)
+	traces, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen := map[string]time.Duration{}
-	decoder := json.NewDecoder(strings.NewReader(string(raw)))
+	return string(traces)
+}
+
+// A change of leader is a span from the suspicion to the first placement, with a child for each step.
+func TestTraceOfFailover(t *testing.T) {
+	start := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
+	traces := tracesOf(t, start, func(r *Recorder) {
+		r.FailedOver(controller.Failover{
+			Token:          3,
+			Former:         "n1",
+			Suspected:      10 * time.Second,
+			LeaderKeyGone:  11 * time.Second,
+			Elected:        11*time.Second + 20*time.Millisecond,
+			Loaded:         11*time.Second + 90*time.Millisecond,
+			FirstPlacement: 12 * time.Second,
+			Jobs:           5,
+			Machines:       7,
+		})
+	})
+	durations := map[string]time.Duration{}
+	decoder := json.NewDecoder(strings.NewReader(traces))
 	for decoder.More() {
 		var span struct {
 			Name               string
@@ -89,35 +108,30 @@
 		if err := decoder.Decode(&span); err != nil {
 			t.Fatal(err)
 		}
-		seen[span.Name] = span.EndTime.Sub(span.StartTime)
+		durations[span.Name] = span.EndTime.Sub(span.StartTime)
 	}
-	for name, want := range map[string]time.Duration{"handover": 2 * time.Second, "suspicion": time.Second, "election": 20 * time.Millisecond,
-		"load": 70 * time.Millisecond, "placement": 910 * time.Millisecond} {
-		if seen[name] != want {
-			t.Errorf("span %s takes %v, not %v", name, seen[name], want)
+	for name, want := range map[string]time.Duration{
+		"handover":  2 * time.Second,
+		"suspicion": time.Second,
+		"election":  20 * time.Millisecond,
+		"load":      70 * time.Millisecond,
+		"placement": 910 * time.Millisecond,
+	} {
+		if durations[name] != want {
+			t.Errorf("span %s takes %v, not %v", name, durations[name], want)
 		}
 	}
 }
 
 // A change of the feature gate is a span with its reason and what every controller stated.
 func TestTraceOfFeatureGate(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "trace.json")
-	r, err := New(settings(t, file), time.Now())
-	if err != nil {
-		t.Fatal(err)
-	}
-	r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Why: "n1 is told to hold",
-		Statements: map[string]string{"n1": "reads 1, writes 1, holds", "n2": "no statement"}})
-	if err := r.Close(context.Background()); err != nil {
-		t.Fatal(err)
-	}
-	raw, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
+	traces := tracesOf(t, time.Now(), func(r *Recorder) {
+		r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Why: "n1 is told to hold",
+			Statements: map[string]string{"n1": "reads 1, writes 1, holds", "n2": "no statement"}})
+	})
 	for _, text := range []string{`"feature gate"`, `"closing"`, "n1 is told to hold", "statement.n1", "reads 1, writes 1, holds", "no statement"} {
-		if !strings.Contains(string(raw), text) {
-			t.Errorf("no %s in %s", text, raw)
+		if !strings.Contains(traces, text) {
+			t.Errorf("no %s in %s", text, traces)
 		}
 	}
 }
