--- /dev/null
+++ b/cmd/claybarrow/check.go
@@ -0,0 +1,26 @@
+package main
+
+import (
+	"fmt"
+	"os"
+
+	"claybarrow/internal/config"
+)
+
+type checkCmd struct{ settingsFlags }
+
+// Run reads the settings as Serve would. Warnings go to the standard error and are no error.
+func (c checkCmd) Run() error {
+	cfg, err := config.Load(c.Config, c.Operator)
+	if err != nil {
+		return err
+	}
+	for _, warning := range cfg.Warnings() {
+		fmt.Fprintln(os.Stderr, "claybarrow: warning:", warning)
+	}
+	if _, err := logLevel(os.Getenv(logLevelVariable)); err != nil {
+		return err
+	}
+	fmt.Println("settings are in order")
+	return nil
+}
--- /dev/null
+++ b/cmd/claybarrow/log_test.go
@@ -0,0 +1,45 @@
+package main
+
+import (
+	"bytes"
+	"log/slog"
+	"strings"
+	"testing"
+)
+
+func TestLogLevel(t *testing.T) {
+	for _, tc := range []struct {
+		value string
+		want  slog.Level
+		err   string
+	}{
+		{value: "", want: slog.LevelInfo},
+		{value: "info", want: slog.LevelInfo},
+		{value: "error", want: slog.LevelError},
+		{value: "debug", want: slog.LevelDebug},
+		{value: "warn", err: `LOG_LEVEL: "warn" is not error, info or debug`},
+	} {
+		t.Run("LOG_LEVEL="+tc.value, func(t *testing.T) {
+			level, err := logLevel(tc.value)
+			if tc.err != "" {
+				if err == nil || err.Error() != tc.err {
+					t.Fatalf("%v, want %s", err, tc.err)
+				}
+				return
+			}
+			if err != nil || level != tc.want {
+				t.Errorf("%v, %v, want %v", level, err, tc.want)
+			}
+		})
+	}
+}
+
+func TestLoggerMarksLinesWithLabel(t *testing.T) {
+	var out bytes.Buffer
+	log := newLogger(&out, slog.LevelInfo, "n0")
+	log.Debug("below the level")
+	log.Info("starting")
+	if lines := strings.Count(out.String(), "\n"); lines != 1 || !strings.Contains(out.String(), "msg=starting node=n0") {
+		t.Errorf("logged:\n%s", out.String())
+	}
+}
