--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -1,7 +1,6 @@
 package protocol
 
 import (
-	"errors"
 	"fmt"
 	"math"
 )
@@ -45,13 +44,6 @@
 	"idle":       Idle,
 }
 
-// Errors of a body that holds no submission at all.
-var (
-	ErrBodyTooLarge    = errors.New("body too large")
-	ErrNestedTooDeeply = errors.New("nested too deeply")
-	ErrNotAMap         = errors.New("not a map")
-)
-
 // ValidationError is the error of a submission with a field that is missing or invalid.
 type ValidationError struct {
 	Field  string // by the protocol's name
