--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -22,26 +22,26 @@
 }
 
 // countRejection counts a request that was refused.
-func (t *loadShedding) countRejection() { t.rejected.Add(1) }
+func (s *loadShedding) countRejection() { s.rejected.Add(1) }
 
 // logChanges logs the start of a period of refusals, and its end once there was no refusal for
 // longer than quiet.
-func (t *loadShedding) logChanges(now, quiet time.Duration, log *slog.Logger) {
-	rejected := t.rejected.Load()
-	if rejected > t.lastSeen {
-		t.lastRejectionAt = now
-		if !t.active {
-			t.active = true
-			t.startedAt = now
-			t.rejectedBefore = t.lastSeen
+func (s *loadShedding) logChanges(now, quiet time.Duration, log *slog.Logger) {
+	rejected := s.rejected.Load()
+	if rejected > s.lastSeen {
+		s.lastRejectionAt = now
+		if !s.active {
+			s.active = true
+			s.startedAt = now
+			s.rejectedBefore = s.lastSeen
 			log.Info("load shedding started", "reason", "the request queue is full")
 		}
 	}
-	t.lastSeen = rejected
-	if t.active && now > t.lastRejectionAt+quiet {
-		t.active = false
+	s.lastSeen = rejected
+	if s.active && now > s.lastRejectionAt+quiet {
+		s.active = false
 		log.Info("load shedding ended",
-			"requests", rejected-t.rejectedBefore,
-			"seconds", int((t.lastRejectionAt - t.startedAt).Seconds()))
+			"requests", rejected-s.rejectedBefore,
+			"seconds", int((s.lastRejectionAt - s.startedAt).Seconds()))
 	}
 }
