--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -6,33 +6,42 @@
 	"time"
 )
 
-// turnedAway counts requests that were refused as the queue before the core was full, and
-// says when that begins and when it is over.
-type turnedAway struct {
-	count atomic.Int64
-	// Of the one goroutine that looks: whether it goes on, the count when it began and when
-	// last looked at, and when it last grew.
-	holds         bool
-	before, seen  int64
-	began, latest time.Duration
+// loadShedding counts the requests that were refused because the queue before the event loop was
+// full, and logs when a period of refusals starts and when it has ended.
+type loadShedding struct {
+	// rejected is added to by the HTTP handlers.
+	rejected atomic.Int64
+
+	// What follows belongs to the event loop alone. Times are readings of the steady clock.
+	active         bool
+	rejectedBefore int64 // the count when the period started
+	lastSeen       int64 // the count at the last call of logChanges
+	startedAt      time.Duration
+	// lastRejectionAt is when the count was last seen to have grown.
+	lastRejectionAt time.Duration
 }
 
-// add notes a request that was refused.
-func (t *turnedAway) add() { t.count.Add(1) }
+// countRejection counts a request that was refused.
+func (s *loadShedding) countRejection() { s.rejected.Add(1) }
 
-// look logs a beginning, or an end after a spell without refusals.
-func (t *turnedAway) look(now, spell time.Duration, log *slog.Logger) {
-	count := t.count.Load()
-	if count > t.seen {
-		t.latest = now
-		if !t.holds {
-			t.holds, t.began, t.before = true, now, t.seen
-			log.Info("requests are turned away", "why", "more come than can be answered")
+// logChanges logs the start of a period of refusals, and its end once there was no refusal for
+// longer than quiet.
+func (s *loadShedding) logChanges(now, quiet time.Duration, log *slog.Logger) {
+	rejected := s.rejected.Load()
+	if rejected > s.lastSeen {
+		s.lastRejectionAt = now
+		if !s.active {
+			s.active = true
+			s.startedAt = now
+			s.rejectedBefore = s.lastSeen
+			log.Info("load shedding started", "reason", "the request queue is full")
 		}
 	}
-	t.seen = count
-	if t.holds && now > t.latest+spell {
-		t.holds = false
-		log.Info("requests are no longer turned away", "requests", count-t.before, "seconds", int((t.latest - t.began).Seconds()))
+	s.lastSeen = rejected
+	if s.active && now > s.lastRejectionAt+quiet {
+		s.active = false
+		log.Info("load shedding ended",
+			"requests", rejected-s.rejectedBefore,
+			"seconds", int((s.lastRejectionAt - s.startedAt).Seconds()))
 	}
 }
