--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -33,8 +33,8 @@
 
 // Ratios of a worker that does not hear us.
 const (
-	// unseenByExpiry is how many unseen answers a lapsed session counts for.
-	unseenByExpiry = 3
+	// unseenAnswersPerExpiry is how many unseen answers a lapsed session counts for.
+	unseenAnswersPerExpiry = 3
 	// quarantineLeases is how long such a machine is set aside.
 	quarantineLeases = 2
 )
@@ -57,7 +57,7 @@
 	switch {
 	case sign.LeaseExpired && a.LastAnswered > 0 && now-a.LastAnswered < lease/2:
 		sign.AnswersLost = true
-		a.UnseenAnswers += unseenByExpiry
+		a.UnseenAnswers += unseenAnswersPerExpiry
 		a.QuarantinedUntil = now + quarantineLeases*lease
 	case msg.Heartbeat && a.LastAnswered > 0 && msg.Token < token:
 		a.UnseenAnswers++
--- a/internal/clusterstate/agent_state_test.go
+++ b/internal/clusterstate/agent_state_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("it hears: %+v, %d unseen", sign, s.UnseenAnswers)
 	}
 	s.LastAnswered = 3 * time.Second
-	if sign := s.Apply(HeartbeatHeader{Epoch: 2, Sequence: 5, Token: token, Heartbeat: true}, token, 7*time.Second, lease); !sign.LeaseExpired || !sign.AnswersLost || s.UnseenAnswers != unseenByExpiry || s.QuarantinedUntil != 27*time.Second {
+	if sign := s.Apply(HeartbeatHeader{Epoch: 2, Sequence: 5, Token: token, Heartbeat: true}, token, 7*time.Second, lease); !sign.LeaseExpired || !sign.AnswersLost || s.UnseenAnswers != unseenAnswersPerExpiry || s.QuarantinedUntil != 27*time.Second {
 		t.Errorf("lapsed though it was answered: %+v, %+v", sign, s)
 	}
 	if sign := s.Apply(HeartbeatHeader{Epoch: 3, Sequence: 6, Token: token, Heartbeat: true}, token, 40*time.Second, lease); !sign.LeaseExpired || sign.AnswersLost {
--- a/internal/clusterstate/attempt.go
+++ b/internal/clusterstate/attempt.go
@@ -49,8 +49,8 @@
 // Key names the attempt on its machine.
 func (a *Attempt) Key() AttemptKey { return AttemptKey{TaskName(a.Job.Spec.UID, a.Index), a.Number} }
 
-// starting says whether it may still need its image.
-func (a *Attempt) starting() bool { return a.State == "" || a.State == protocol.FetchingImage }
+// mayNeedImage says whether it may still need its image.
+func (a *Attempt) mayNeedImage() bool { return a.State == "" || a.State == protocol.FetchingImage }
 
 // SetState notes the worker's word for the attempt's state.
 func (a *Attempt) SetState(s protocol.TaskState) {
@@ -60,16 +60,16 @@
 	if s == protocol.Running {
 		a.Job.Running++
 	}
-	if a.starting() {
-		a.Machine.starting--
+	if a.mayNeedImage() {
+		a.Machine.startingAttempts--
 	}
 	a.Machine.revision++
 	a.State = s
-	if a.starting() {
-		a.Machine.starting++
+	if a.mayNeedImage() {
+		a.Machine.startingAttempts++
 	}
 	if a.Job.Gang != nil {
-		a.Job.Gang.noteState(a, s == protocol.Running || s == protocol.Saving)
+		a.Job.Gang.applyTaskState(a, s == protocol.Running || s == protocol.Saving)
 	}
 }
 
--- a/internal/clusterstate/completion_records.go
+++ b/internal/clusterstate/completion_records.go
@@ -27,49 +27,49 @@
 }
 
 const (
-	// partTasks is how many tasks' completions a part holds: 512 bytes, some 700 as they
+	// tasksPerPart is how many tasks' completions a part holds: 512 bytes, some 700 as they
 	// are stored, less than the least limit on values that the settings may have.
-	partTasks = 4096
-	// recordBytes bounds what a record of completions takes beside the bits.
-	recordBytes = 64
+	tasksPerPart = 4096
+	// recordOverheadBytes bounds what a record of completions takes beside the bits.
+	recordOverheadBytes = 64
 )
 
-// layout tells which of a job's records holds a task's completion.
-type layout struct {
-	// chunk is how many tasks one chunk has, head how many of them its record holds.
-	chunk, head int
+// completionLayout tells which of a job's records holds a task's completion.
+type completionLayout struct {
+	// tasksPerChunk is how many tasks one chunk has, head how many of them its record holds.
+	tasksPerChunk, tasksPerHead int
 }
 
-func newLayout(layoutBytes, valueBytes int) layout {
+func newCompletionLayout(layoutBytes, valueBytes int) completionLayout {
 	chunk := max(64, layoutBytes/2*6/64*64)
-	fits := (valueBytes - recordBytes) * 3 / 4 * 8 / 64 * 64 // as base64
-	return layout{chunk: chunk, head: min(chunk, max(64, fits))}
+	fits := (valueBytes - recordOverheadBytes) * 3 / 4 * 8 / 64 * 64 // as base64
+	return completionLayout{tasksPerChunk: chunk, tasksPerHead: min(chunk, max(64, fits))}
 }
 
-// doneRange is the range of tasks that a record holds.
-type doneRange struct {
-	key         string
-	first, last int // last is not in it
+// recordRange is the range of tasks that a record holds.
+type recordRange struct {
+	key        string
+	first, end int // end is not in it
 }
 
 // CompletionKey is the key of the record that holds the task's completion.
-func (s *State) CompletionKey(j *Job, index int) string { return s.doneRange(j, index).key }
+func (s *State) CompletionKey(j *Job, index int) string { return s.rangeOf(j, index).key }
 
-func (s *State) doneRange(j *Job, index int) doneRange {
-	chunk := index / s.layout.chunk
-	first := chunk * s.layout.chunk
-	if index < first+s.layout.head && !j.oversized[chunk] {
-		return doneRange{CompletionPrefix + j.Spec.UID + "/" + strconv.Itoa(chunk), first, min(first+s.layout.head, j.Spec.Tasks)}
+func (s *State) rangeOf(j *Job, index int) recordRange {
+	chunk := index / s.layout.tasksPerChunk
+	first := chunk * s.layout.tasksPerChunk
+	if index < first+s.layout.tasksPerHead && !j.oversizedChunks[chunk] {
+		return recordRange{CompletionPrefix + j.Spec.UID + "/" + strconv.Itoa(chunk), first, min(first+s.layout.tasksPerHead, j.Spec.Tasks)}
 	}
-	part := index / partTasks
-	return doneRange{CompletionPartPrefix + j.Spec.UID + "/" + strconv.Itoa(part), part * partTasks, min((part+1)*partTasks, j.Spec.Tasks)}
+	part := index / tasksPerPart
+	return recordRange{CompletionPartPrefix + j.Spec.UID + "/" + strconv.Itoa(part), part * tasksPerPart, min((part+1)*tasksPerPart, j.Spec.Tasks)}
 }
 
 // CompletionRecord renders the record that holds the task's completion.
 func (s *State) CompletionRecord(j *Job, index int) CompletionRecord {
-	in := s.doneRange(j, index)
-	raw := make([]byte, (in.last-in.first+7)/8)
-	for i := in.first; i < in.last; i++ {
+	in := s.rangeOf(j, index)
+	raw := make([]byte, (in.end-in.first+7)/8)
+	for i := in.first; i < in.end; i++ {
 		if j.IsDone(i) {
 			raw[(i-in.first)/8] |= 1 << ((i - in.first) % 8)
 		}
@@ -80,11 +80,11 @@
 // CompletionKeys lists the keys of all records of completions that the job may have.
 func (s *State) CompletionKeys(j *Job) []string {
 	keys := map[string]bool{}
-	for i := 0; i < j.Spec.Tasks; i += s.layout.chunk {
-		keys[CompletionPrefix+j.Spec.UID+"/"+strconv.Itoa(i/s.layout.chunk)] = true
+	for i := 0; i < j.Spec.Tasks; i += s.layout.tasksPerChunk {
+		keys[CompletionPrefix+j.Spec.UID+"/"+strconv.Itoa(i/s.layout.tasksPerChunk)] = true
 	}
-	for i := 0; i < j.Spec.Tasks; i += partTasks {
-		keys[CompletionPartPrefix+j.Spec.UID+"/"+strconv.Itoa(i/partTasks)] = true
+	for i := 0; i < j.Spec.Tasks; i += tasksPerPart {
+		keys[CompletionPartPrefix+j.Spec.UID+"/"+strconv.Itoa(i/tasksPerPart)] = true
 	}
 	return slices.Sorted(maps.Keys(keys))
 }
@@ -92,14 +92,14 @@
 // LoadCompletions reads a record back. It returns false for one of a job that is over.
 func (s *State) LoadCompletions(key string, r CompletionRecord) (bool, error) {
 	rest, chunked := strings.CutPrefix(key, CompletionPrefix)
-	length := s.layout.chunk
+	length := s.layout.tasksPerChunk
 	if !chunked {
 		rest = strings.TrimPrefix(key, CompletionPartPrefix)
-		length = partTasks
+		length = tasksPerPart
 	}
 	uid, number, ok := strings.Cut(rest, "/")
 	n, err := strconv.Atoi(number)
-	if !ok || err != nil || n < 0 || n > maxChunk {
+	if !ok || err != nil || n < 0 || n > maxRecordNumber {
 		return true, fmt.Errorf("key %q: not a range of completions", key)
 	}
 	j := s.Jobs[uid]
@@ -110,21 +110,21 @@
 	if err != nil {
 		return true, fmt.Errorf("key %q: %w", key, err)
 	}
-	j.markDoneFrom(n*length, raw)
-	if chunked && len(raw)*8 > s.layout.head {
-		if j.oversized == nil {
-			j.oversized = map[int]bool{}
+	j.markRangeDone(n*length, raw)
+	if chunked && len(raw)*8 > s.layout.tasksPerHead {
+		if j.oversizedChunks == nil {
+			j.oversizedChunks = map[int]bool{}
 		}
-		j.oversized[n] = true
+		j.oversizedChunks[n] = true
 	}
 	return true, nil
 }
 
-// maxChunk bounds the number in a key of completions.
-const maxChunk = 1 << 20
+// maxRecordNumber bounds the number in a key of completions.
+const maxRecordNumber = 1 << 20
 
-// markDoneFrom notes the completions of a range of tasks.
-func (j *Job) markDoneFrom(first int, raw []byte) {
+// markRangeDone notes the completions of a range of tasks.
+func (j *Job) markRangeDone(first int, raw []byte) {
 	for i, byteOf := range raw {
 		for byteOf != 0 {
 			bit := bits.TrailingZeros8(byteOf)
--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -174,7 +174,7 @@
 			t.Fatalf("%s is not listed", key)
 		}
 	}
-	for _, key := range []string{"d/j-1", "d/j-1/x", "p/j-1/-1", fmt.Sprintf("p/j-1/%d", maxChunk+1)} {
+	for _, key := range []string{"d/j-1", "d/j-1/x", "p/j-1/-1", fmt.Sprintf("p/j-1/%d", maxRecordNumber+1)} {
 		if _, err := b.LoadCompletions(key, CompletionRecord{}); err == nil {
 			t.Errorf("%s is accepted", key)
 		}
--- a/internal/clusterstate/failures.go
+++ b/internal/clusterstate/failures.go
@@ -17,8 +17,8 @@
 
 // Failures that tell a job's fault from a machine's.
 const (
-	probeFrom      = 2 // machines, from which on a job is tried with one task at a time
-	everywhereFrom = 3 // machines, from which on its failures are its own fault
+	probingMachines  = 2 // machines, from which on a job is tried with one task at a time
+	jobFaultMachines = 3 // machines, from which on its failures are its own fault
 )
 
 // Note notes a failure on a machine. It returns true if that shows that the failures are
@@ -31,12 +31,12 @@
 		f.Machines = map[string]time.Duration{}
 	}
 	f.Machines[machine] = now
-	f.Everywhere = len(f.Machines) >= everywhereFrom
+	f.Everywhere = len(f.Machines) >= jobFaultMachines
 	return f.Everywhere
 }
 
 // Probing says whether the job is tried with one task at a time.
-func (f *JobFailures) Probing() bool { return f.Everywhere || len(f.Machines) >= probeFrom }
+func (f *JobFailures) Probing() bool { return f.Everywhere || len(f.Machines) >= probingMachines }
 
 // Avoid names the machines that the job is kept off: where it failed within the given
 // time, unless the fault is its own.
@@ -67,7 +67,7 @@
 const (
 	suspectWeight   = 1
 	confirmedWeight = 2
-	faultyFrom      = 3
+	faultyThreshold = 3
 )
 
 // Suspect notes that a task of the job failed there. It returns true if that makes the
@@ -80,7 +80,7 @@
 		f.Suspects = map[string]bool{}
 	}
 	f.Suspects[job] = true
-	return f.judge()
+	return f.updateFaulty()
 }
 
 // Confirm notes that the job has completed a task elsewhere. It returns true if that makes
@@ -91,7 +91,7 @@
 	}
 	delete(f.Suspects, job)
 	f.Confirmed++
-	return f.judge()
+	return f.updateFaulty()
 }
 
 // Withdraw takes the job's failures back: they are its own fault.
@@ -104,7 +104,7 @@
 	}
 }
 
-func (f *MachineFaults) judge() bool {
-	f.Faulty = suspectWeight*len(f.Suspects)+confirmedWeight*f.Confirmed >= faultyFrom
+func (f *MachineFaults) updateFaulty() bool {
+	f.Faulty = suspectWeight*len(f.Suspects)+confirmedWeight*f.Confirmed >= faultyThreshold
 	return f.Faulty
 }
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// noteState notes the worker's word for the state of one of the tasks.
-func (g *Gang) noteState(a *Attempt, begun bool) {
+// applyTaskState notes the worker's word for the state of one of the tasks.
+func (g *Gang) applyTaskState(a *Attempt, begun bool) {
 	if begun && a.Number == g.Number {
 		g.Apply(TaskRunning)
 	}
--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -8,8 +8,8 @@
 
 // imageUse is an image that a machine is believed to have cached.
 type imageUse struct {
-	sizeGB float64
-	last   uint64 // when it was last used, in the order of uses
+	sizeGB  float64
+	lastUse uint64 // when it was last used, in the order of uses
 }
 
 // UseImage notes that the machine has the image and uses it now. A machine caches the most
@@ -19,11 +19,11 @@
 	if m.imageUses == nil {
 		m.imageUses = map[string]imageUse{}
 	}
-	m.lastUse++
+	m.lastImageUse++
 	if !m.Images[name] {
 		m.imagesChanged()
 	}
-	m.imageUses[name] = imageUse{sizeGB: sizeGB, last: m.lastUse}
+	m.imageUses[name] = imageUse{sizeGB: sizeGB, lastUse: m.lastImageUse}
 	m.Images[name] = true
 	if cacheGB <= 0 {
 		return
@@ -33,7 +33,7 @@
 		total += use.sizeGB
 	}
 	for total > cacheGB {
-		oldest := m.leastRecentImage()
+		oldest := m.leastRecentlyUsedImage()
 		if oldest == "" {
 			return
 		}
@@ -44,15 +44,15 @@
 	}
 }
 
-// leastRecentImage is the image that is dropped next, if any may be.
-func (m *Machine) leastRecentImage() string {
+// leastRecentlyUsedImage is the image that is dropped next, if any may be.
+func (m *Machine) leastRecentlyUsedImage() string {
 	needed := map[string]bool{}
 	for _, a := range m.Attempts {
 		needed[a.Job.Spec.Image] = true
 	}
 	oldest := ""
 	for name, use := range m.imageUses {
-		if !needed[name] && (oldest == "" || use.last < m.imageUses[oldest].last) {
+		if !needed[name] && (oldest == "" || use.lastUse < m.imageUses[oldest].lastUse) {
 			oldest = name
 		}
 	}
@@ -65,8 +65,8 @@
 	m.revision++
 }
 
-// mostImageSets bounds the numbers that are given to sets of images.
-const mostImageSets = 1 << 16
+// maxImageSets bounds the numbers that are given to sets of images.
+const maxImageSets = 1 << 16
 
 // ImageSet is a number that machines share which have the same images; it is at least 1.
 func (s *State) ImageSet(m *Machine) int {
@@ -76,8 +76,8 @@
 	name := strings.Join(slices.Sorted(maps.Keys(m.Images)), "\n")
 	set, known := s.imageSets[name]
 	if !known {
-		if len(s.imageSets) >= mostImageSets {
-			s.forgetImageSets()
+		if len(s.imageSets) >= maxImageSets {
+			s.resetImageSets()
 		}
 		s.lastImageSet++
 		set = s.lastImageSet
@@ -87,8 +87,8 @@
 	return set
 }
 
-// forgetImageSets begins anew, as most sets are long gone. Numbers are not used again.
-func (s *State) forgetImageSets() {
+// resetImageSets begins anew, as most sets are long gone. Numbers are not used again.
+func (s *State) resetImageSets() {
 	s.imageSets = map[string]int{}
 	for _, m := range s.Machines {
 		m.imageSet = 0
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -27,21 +27,21 @@
 	Need      scheduler.Need
 	Types     map[string]bool
 
-	done []uint64
-	// oversized are the chunks whose stored record is larger than may be written now.
-	oversized      map[int]bool
-	Done           int
-	held           map[int]int // attempts in the ledger, by task
-	heldBits       []uint64    // tasks that have any, like done
-	inZone         map[string]int
-	ActiveAttempts int
-	Running        int
-	resume         map[int]bool // interrupted tasks, which go on first
+	doneBits []uint64
+	// oversizedChunks are the chunks whose stored record is larger than may be written now.
+	oversizedChunks map[int]bool
+	Done            int
+	attemptsByTask  map[int]int // attempts in the ledger, by task
+	placedBits      []uint64    // tasks that have any, like done
+	attemptsByZone  map[string]int
+	ActiveAttempts  int
+	Running         int
+	interrupted     map[int]bool // interrupted tasks, which go on first
 	// Gang is a gang's current attempt; nil: the job is no gang.
 	Gang *Gang
 	// revision changes with the tasks that wait, see Revision.
-	revision uint64
-	isOpened bool // in the ledger's list of opened jobs
+	revision       uint64
+	isInOpenedJobs bool // in the ledger's list of opened jobs
 
 	// WaitingSince is since when it has waited with no task anywhere, 0: it does not.
 	WaitingSince time.Duration
@@ -60,8 +60,8 @@
 // AddJob puts a job in the ledger.
 func (s *State) AddJob(spec *protocol.Spec, submitted int64) *Job {
 	j := &Job{Spec: spec, Submitted: submitted, Scale: scheduler.NewScale(),
-		Need: scheduler.Need{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB},
-		done: make([]uint64, (spec.Tasks+63)/64), heldBits: make([]uint64, (spec.Tasks+63)/64), held: map[int]int{}, inZone: map[string]int{}}
+		Need:     scheduler.Need{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB},
+		doneBits: make([]uint64, (spec.Tasks+63)/64), placedBits: make([]uint64, (spec.Tasks+63)/64), attemptsByTask: map[int]int{}, attemptsByZone: map[string]int{}}
 	if spec.Gang {
 		j.Gang = &Gang{tasks: spec.Tasks}
 	}
@@ -94,31 +94,31 @@
 }
 
 // IsDone says whether the task has completed.
-func (j *Job) IsDone(i int) bool { return j.done[i/64]&(1<<(i%64)) != 0 }
+func (j *Job) IsDone(i int) bool { return j.doneBits[i/64]&(1<<(i%64)) != 0 }
 
 // MarkDone notes a completion; false if it was known.
 func (j *Job) MarkDone(i int) bool {
 	if j.IsDone(i) {
 		return false
 	}
-	j.done[i/64] |= 1 << (i % 64)
+	j.doneBits[i/64] |= 1 << (i % 64)
 	j.Done++
 	j.revision++
 	return true
 }
 
 // AttemptsOf is how many attempts of the task may be somewhere.
-func (j *Job) AttemptsOf(i int) int { return j.held[i] }
+func (j *Job) AttemptsOf(i int) int { return j.attemptsByTask[i] }
 
 // InZone is a copy of the counts of attempts by zone.
-func (j *Job) InZone() map[string]int { return maps.Clone(j.inZone) }
+func (j *Job) InZone() map[string]int { return maps.Clone(j.attemptsByZone) }
 
 // MarkInterrupted notes a task that was stopped, but not by rank.
 func (j *Job) MarkInterrupted(index int) {
-	if j.resume == nil {
-		j.resume = map[int]bool{}
+	if j.interrupted == nil {
+		j.interrupted = map[int]bool{}
 	}
-	j.resume[index] = true
+	j.interrupted[index] = true
 	j.revision++
 }
 
@@ -135,8 +135,8 @@
 // OpenTasks is how many tasks are neither done nor on a machine, as far as is known.
 func (j *Job) OpenTasks() int {
 	open := j.Spec.Tasks
-	for w := range j.done {
-		open -= bits.OnesCount64(j.done[w] | j.heldBits[w])
+	for w := range j.doneBits {
+		open -= bits.OnesCount64(j.doneBits[w] | j.placedBits[w])
 	}
 	return open
 }
@@ -147,22 +147,22 @@
 		return out, 0
 	}
 	if j.Gang != nil {
-		return append(out, j.waitingOfGang()...), 0
+		return append(out, j.waitingGangTasks()...), 0
 	}
-	for _, i := range slices.Sorted(maps.Keys(j.resume)) {
-		if len(out) < limit && !j.IsDone(i) && j.held[i] == 0 {
+	for _, i := range slices.Sorted(maps.Keys(j.interrupted)) {
+		if len(out) < limit && !j.IsDone(i) && j.attemptsByTask[i] == 0 {
 			out = append(out, i)
 		}
 	}
 	resume = len(out)
 	// 64 tasks at a time: of an array of thousands most are done or held.
-	for w := range j.done {
-		for open := ^(j.done[w] | j.heldBits[w]); open != 0; open &= open - 1 {
+	for w := range j.doneBits {
+		for open := ^(j.doneBits[w] | j.placedBits[w]); open != 0; open &= open - 1 {
 			i := w*64 + bits.TrailingZeros64(open)
 			if i >= j.Spec.Tasks || len(out) >= limit {
 				return out, resume
 			}
-			if !j.resume[i] {
+			if !j.interrupted[i] {
 				out = append(out, i)
 			}
 		}
@@ -170,15 +170,15 @@
 	return out, resume
 }
 
-// waitingOfGang lists a gang's tasks that may be started: all of them once all of the
+// waitingGangTasks lists a gang's tasks that may be started: all of them once all of the
 // attempt before is proved gone, or those that were lost while the others gather. Lost
 // tasks of a broken attempt are not replaced while any of it is left.
-func (j *Job) waitingOfGang() (out []int) {
+func (j *Job) waitingGangTasks() (out []int) {
 	if j.ActiveAttempts > 0 && !j.Gang.Replaces() {
 		return nil
 	}
 	for i := range j.Spec.Tasks {
-		if j.held[i] == 0 {
+		if j.attemptsByTask[i] == 0 {
 			out = append(out, i)
 		}
 	}
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -16,11 +16,11 @@
 	Spot                 bool
 	Size                 scheduler.Need
 	Attempts             map[AttemptKey]*Attempt
-	sorted               []*Attempt // kept by Sorted
+	sortedAttempts       []*Attempt // kept by Sorted
 	Exited               map[AttemptKey]*ExitedTask
 	Used                 scheduler.Need
-	// starting counts the attempts that may still need their image.
-	starting int
+	// startingAttempts counts the attempts that may still need their image.
+	startingAttempts int
 	// UnknownTasks are tasks of jobs that the ledger does not have, with the time of the
 	// last halt.
 	UnknownTasks map[AttemptKey]time.Duration
@@ -41,9 +41,9 @@
 	SpotNotice  bool
 	ReclaimedBy time.Duration
 	// Images are those it is believed to have, see UseImage.
-	Images    map[string]bool
-	imageUses map[string]imageUse
-	lastUse   uint64
+	Images       map[string]bool
+	imageUses    map[string]imageUse
+	lastImageUse uint64
 	// imageSet names the images that it has, see ImageSet; 0: not known yet.
 	imageSet int
 	// revision changes with what is on the machine, see Revision.
@@ -77,7 +77,7 @@
 	if m == nil {
 		m = &Machine{ID: id, Attempts: map[AttemptKey]*Attempt{}, Exited: map[AttemptKey]*ExitedTask{}, Images: map[string]bool{}}
 		s.Machines[id] = m
-		s.sorted = nil
+		s.sortedMachines = nil
 	}
 	return m
 }
@@ -87,34 +87,34 @@
 func (m *Machine) Revision() uint64 { return m.revision }
 
 // Starting says whether any task on the machine may still need its image.
-func (m *Machine) Starting() bool { return m.starting > 0 }
+func (m *Machine) Starting() bool { return m.startingAttempts > 0 }
 
 // RemoveMachine takes a machine out of the ledger.
 func (s *State) RemoveMachine(m *Machine) {
 	delete(s.Machines, m.ID)
-	s.sorted = nil
+	s.sortedMachines = nil
 }
 
 // SortedMachines lists the machines by name. The list is kept until a machine
 // comes or goes, as it is asked for at every tick, and is never changed: who
 // goes through it may add and remove machines meanwhile.
 func (s *State) SortedMachines() []*Machine {
-	if s.sorted == nil {
-		s.sorted = slices.Collect(maps.Values(s.Machines))
-		slices.SortFunc(s.sorted, func(x, y *Machine) int { return strings.Compare(x.ID, y.ID) })
+	if s.sortedMachines == nil {
+		s.sortedMachines = slices.Collect(maps.Values(s.Machines))
+		slices.SortFunc(s.sortedMachines, func(x, y *Machine) int { return strings.Compare(x.ID, y.ID) })
 	}
-	return s.sorted
+	return s.sortedMachines
 }
 
 // Sorted lists the machine's attempts in a fixed order, so runs replay. The list is kept until
 // an attempt comes or goes, and is never changed: who goes through it may drop attempts
 // meanwhile.
 func (m *Machine) Sorted() []*Attempt {
-	if m.sorted == nil && len(m.Attempts) > 0 {
-		m.sorted = slices.Collect(maps.Values(m.Attempts))
-		slices.SortFunc(m.sorted, func(x, y *Attempt) int {
+	if m.sortedAttempts == nil && len(m.Attempts) > 0 {
+		m.sortedAttempts = slices.Collect(maps.Values(m.Attempts))
+		slices.SortFunc(m.sortedAttempts, func(x, y *Attempt) int {
 			return cmp.Or(cmp.Compare(x.Number, y.Number), cmp.Compare(x.Index, y.Index)) // a gang's have one number
 		})
 	}
-	return m.sorted
+	return m.sortedAttempts
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -15,10 +15,10 @@
 	Terminal map[string]TerminalState
 	Machines map[string]*Machine
 	Quotas   map[string]*scheduler.Quota
-	layout   layout
+	layout   completionLayout
 	// Kept until something comes or goes, see SortedMachines.
-	sorted     []*Machine
-	sortedJobs []*Job
+	sortedMachines []*Machine
+	sortedJobs     []*Job
 	// opened are the jobs that may have come to wait since somebody last asked.
 	opened []*Job
 	// imageSets are numbers of sets of images, by their names.
@@ -30,19 +30,19 @@
 // of completions is computed from, valueBytes the limit that is written within.
 func New(layoutBytes, valueBytes int) *State {
 	return &State{Jobs: map[string]*Job{}, Terminal: map[string]TerminalState{}, Machines: map[string]*Machine{},
-		Quotas: map[string]*scheduler.Quota{}, imageSets: map[string]int{}, layout: newLayout(layoutBytes, valueBytes)}
+		Quotas: map[string]*scheduler.Quota{}, imageSets: map[string]int{}, layout: newCompletionLayout(layoutBytes, valueBytes)}
 }
 
 // AddAttempt notes that an attempt may be on the machine.
 func (s *State) AddAttempt(m *Machine, j *Job, index int, try uint64, now time.Duration) *Attempt {
 	a := &Attempt{Job: j, Index: index, Number: try, Machine: m, Since: now}
-	m.Attempts[a.Key()], m.sorted = a, nil
+	m.Attempts[a.Key()], m.sortedAttempts = a, nil
 	m.Used = m.Used.Plus(j.Need)
-	j.held[index]++
-	j.heldBits[index/64] |= 1 << (index % 64)
-	m.starting++
-	delete(j.resume, index)
-	j.inZone[m.Zone]++
+	j.attemptsByTask[index]++
+	j.placedBits[index/64] |= 1 << (index % 64)
+	m.startingAttempts++
+	delete(j.interrupted, index)
+	j.attemptsByZone[m.Zone]++
 	j.ActiveAttempts++
 	j.revision++
 	m.revision++
@@ -62,19 +62,19 @@
 		return
 	}
 	delete(m.Attempts, a.Key())
-	m.sorted = nil
+	m.sortedAttempts = nil
 	m.Used = m.Used.Minus(j.Need)
-	if j.held[a.Index]--; j.held[a.Index] <= 0 {
-		delete(j.held, a.Index)
-		j.heldBits[a.Index/64] &^= 1 << (a.Index % 64)
+	if j.attemptsByTask[a.Index]--; j.attemptsByTask[a.Index] <= 0 {
+		delete(j.attemptsByTask, a.Index)
+		j.placedBits[a.Index/64] &^= 1 << (a.Index % 64)
 	}
-	j.inZone[m.Zone]--
+	j.attemptsByZone[m.Zone]--
 	j.ActiveAttempts--
 	j.revision++
 	m.revision++
 	s.markOpened(j)
 	a.SetState("")
-	m.starting--
+	m.startingAttempts--
 	if j.Gang != nil {
 		j.Gang.remove(a)
 	}
@@ -85,8 +85,8 @@
 
 // markOpened notes that a job may have tasks that wait.
 func (s *State) markOpened(j *Job) {
-	if !j.isOpened {
-		j.isOpened = true
+	if !j.isInOpenedJobs {
+		j.isInOpenedJobs = true
 		s.opened = append(s.opened, j)
 	}
 }
@@ -100,7 +100,7 @@
 	out := s.opened
 	s.opened = nil
 	for _, j := range out {
-		j.isOpened = false
+		j.isInOpenedJobs = false
 	}
 	return out
 }
--- a/internal/clusterstate/views_test.go
+++ b/internal/clusterstate/views_test.go
@@ -84,7 +84,7 @@
 		t.Error("the same images, different numbers")
 	}
 	before := b.ImageSet(one)
-	for i := range mostImageSets + 1 {
+	for i := range maxImageSets + 1 {
 		two.UseImage(fmt.Sprint("z-", i), 1, 1)
 		b.ImageSet(two)
 	}
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -35,65 +35,65 @@
 const (
 	// envelopeBytes bounds what a value takes beside its body, as JSON with the fields' Go names.
 	envelopeBytes = 160
-	// mostValueBytes keeps a value from filling a transaction that others wait for.
-	mostValueBytes = 24 << 10
-	// rewriteShare is the part of a full value up to which it is written anew with what has come
+	// maxValueBytes keeps a value from filling a transaction that others wait for.
+	maxValueBytes = 24 << 10
+	// rewriteFraction is the part of a full value up to which it is written anew with what has come
 	// since: a value that is begun costs one change more, its deletion.
-	rewriteShare = 4
-	// foldsPerTick bounds the values whose folding begins at a time.
-	foldsPerTick = 4
+	rewriteFraction = 4
+	// compactionsPerTick bounds the values whose folding begins at a time.
+	compactionsPerTick = 4
 )
 
 // Journal is a leader's. Ends wait until the next transaction takes what has piled up.
 type Journal struct {
-	token   uint64
-	limits  Limits
-	store   Store
-	folder  Compactor
-	now     func() time.Duration
-	enabled bool
+	token     uint64
+	limits    Limits
+	store     Store
+	compactor Compactor
+	now       func() time.Duration
+	enabled   bool
 
 	// pending are the ends that no stored value has.
-	pending []*end
+	pending []*entryState
 	// tail is the value that is written next or was written last. marked: its write waits or is
 	// under way; rendered are the pending ends that its last rendering took.
-	tail     *value
-	marked   bool
-	rendered []*end
-	wrote    bool // that rendering was no deletion
-	urgent   bool // somebody waits for a pending end
-	next     uint64
+	tail            *valueState
+	writePending    bool
+	renderedEntries []*entryState
+	renderedValue   bool // that rendering was no deletion
+	hasWaiter       bool // somebody waits for a pending end
+	lastNumber      uint64
 	// values are all that may be stored, in the order in which they were begun.
-	values   []*value
-	byRecord map[string][]*end
+	values   []*valueState
+	byRecord map[string][]*entryState
 }
 
-// end is an entry with the record that makes it redundant.
-type end struct {
-	entry  Entry
-	record string
-	then   func() // called once it is durable, here or in its record; nil: nobody waits
-	value  *value // nil: it is pending
-	// covered: the record was rendered with it. folded: it was stored so. asked: the folder was.
-	covered, folded, asked bool
+// entryState is an entry with the record that makes it redundant.
+type entryState struct {
+	entry     Entry
+	record    string
+	onDurable func()      // called once it is durable, here or in its record; nil: nobody waits
+	value     *valueState // nil: it is pending
+	// rendered: the record was rendered with it. folded: it was stored so. asked: the folder was.
+	rendered, compacted, compactionRequested bool
 }
 
-// value is a key of the journal.
-type value struct {
-	key     string
-	bytes   int    // of its body, as last rendered
-	ends    []*end // as stored
-	open    int    // of these, not folded
-	begun   time.Duration
-	stored  bool
-	folding bool
-	leaving bool // its deletion waits
+// valueState is a key of the journal.
+type valueState struct {
+	key         string
+	bodyBytes   int           // of its body, as last rendered
+	entries     []*entryState // as stored
+	uncompacted int           // of these, not folded
+	createdAt   time.Duration
+	stored      bool
+	compacting  bool
+	deleting    bool // its deletion waits
 }
 
 // New makes the journal of a term. It takes no ends until it is opened.
 func New(token uint64, limits Limits, store Store, folder Compactor, now func() time.Duration) *Journal {
-	limits.ValueBytes = min(limits.ValueBytes, mostValueBytes)
-	return &Journal{token: token, limits: limits, store: store, folder: folder, now: now, byRecord: map[string][]*end{}}
+	limits.ValueBytes = min(limits.ValueBytes, maxValueBytes)
+	return &Journal{token: token, limits: limits, store: store, compactor: folder, now: now, byRecord: map[string][]*entryState{}}
 }
 
 // Open has the journal take ends from now on.
@@ -105,10 +105,10 @@
 		return
 	}
 	j.enabled = false
-	if j.marked && j.store.Unmark(j.tail.key) {
-		j.marked, j.rendered = false, nil
+	if j.writePending && j.store.Unmark(j.tail.key) {
+		j.writePending, j.renderedEntries = false, nil
 		if !j.tail.stored {
-			j.drop(j.tail)
+			j.forget(j.tail)
 		}
 	}
 }
@@ -119,10 +119,10 @@
 // Size is what the journal holds: values, the ends in them that are not folded, and ends that wait.
 func (j *Journal) Size() (values, open, pending int) {
 	for _, v := range j.values {
-		open += v.open
+		open += v.uncompacted
 	}
 	for _, e := range j.pending {
-		if !e.folded {
+		if !e.compacted {
 			pending++
 		}
 	}
@@ -132,36 +132,36 @@
 // Empty says whether nothing is stored in the journal's form, and nothing waits to be.
 func (j *Journal) Empty() bool {
 	_, _, pending := j.Size()
-	return len(j.values) == 0 && pending == 0 && !j.marked
+	return len(j.values) == 0 && pending == 0 && !j.writePending
 }
 
 // Add takes an end. record is the key of the record that will have it. then is called once it is
 // durable; nil: nobody waits for that.
 func (j *Journal) Add(entry Entry, record string, then func()) {
-	e := &end{entry: entry, record: record, then: then}
+	e := &entryState{entry: entry, record: record, onDurable: then}
 	j.pending = append(j.pending, e)
 	j.byRecord[record] = append(j.byRecord[record], e)
-	j.urgent = j.urgent || then != nil
-	j.mark()
+	j.hasWaiter = j.hasWaiter || then != nil
+	j.scheduleWrite()
 }
 
 // Adopt takes the entries of a value that an earlier leader stored and that some record still lacks.
 func (j *Journal) Adopt(key string, ends map[Entry]string) {
-	v := &value{key: key, begun: j.now(), stored: true, bytes: j.limits.ValueBytes}
+	v := &valueState{key: key, createdAt: j.now(), stored: true, bodyBytes: j.limits.ValueBytes}
 	j.values = append(j.values, v)
 	for entry, record := range ends {
-		e := &end{entry: entry, record: record, value: v}
-		v.ends = append(v.ends, e)
+		e := &entryState{entry: entry, record: record, value: v}
+		v.entries = append(v.entries, e)
 		j.byRecord[record] = append(j.byRecord[record], e)
 	}
-	v.open = len(v.ends)
-	slices.SortFunc(v.ends, func(a, b *end) int { return compareEntries(a.entry, b.entry) })
+	v.uncompacted = len(v.entries)
+	slices.SortFunc(v.entries, func(a, b *entryState) int { return compareEntries(a.entry, b.entry) })
 }
 
 // Rendered notes that a record was rendered as it is now, and so has all ends added until now.
 func (j *Journal) Rendered(record string) {
 	for _, e := range j.byRecord[record] {
-		e.covered = true
+		e.rendered = true
 	}
 }
 
@@ -171,9 +171,9 @@
 	if len(ends) == 0 {
 		return
 	}
-	var left []*end
+	var left []*entryState
 	for _, e := range ends {
-		if !e.covered {
+		if !e.rendered {
 			left = append(left, e)
 		}
 	}
@@ -183,83 +183,83 @@
 		j.byRecord[record] = left
 	}
 	for _, e := range ends {
-		if e.covered {
-			j.fold(e)
+		if e.rendered {
+			j.markCompacted(e)
 		}
 	}
 }
 
-// fold notes that an end is redundant.
-func (j *Journal) fold(e *end) {
-	if e.folded {
+// markCompacted notes that an end is redundant.
+func (j *Journal) markCompacted(e *entryState) {
+	if e.compacted {
 		return
 	}
-	e.folded = true
-	e.durable()
+	e.compacted = true
+	e.notifyDurable()
 	v := e.value
 	if v == nil {
 		return
 	}
-	if v.open--; v.open == 0 && v != j.tail {
-		j.remove(v)
+	if v.uncompacted--; v.uncompacted == 0 && v != j.tail {
+		j.deleteValue(v)
 	}
 }
 
-func (e *end) durable() {
-	if then := e.then; then != nil {
-		e.then = nil
+func (e *entryState) notifyDurable() {
+	if then := e.onDurable; then != nil {
+		e.onDurable = nil
 		then()
 	}
 }
 
-func (v *value) unfolded() []*end {
-	var out []*end
-	for _, e := range v.ends {
-		if !e.folded {
+func (v *valueState) uncompactedEntries() []*entryState {
+	var out []*entryState
+	for _, e := range v.entries {
+		if !e.compacted {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// mark asks for the tail to be written, as urgently as what waits is.
-func (j *Journal) mark() {
-	if !j.enabled || j.marked && !j.store.IsPending(j.tail.key) {
+// scheduleWrite asks for the tail to be written, as urgently as what waits is.
+func (j *Journal) scheduleWrite() {
+	if !j.enabled || j.writePending && !j.store.IsPending(j.tail.key) {
 		return // what is under way is followed by another write
 	}
 	priority := statestore.Lazy
-	if j.urgent {
+	if j.hasWaiter {
 		priority = statestore.Done
 	}
-	if j.marked {
-		j.store.Mark(j.tail.key, priority, j.render, nil)
+	if j.writePending {
+		j.store.Mark(j.tail.key, priority, j.renderTail, nil)
 		return
 	}
 	j.chooseTail()
-	j.marked = true
-	j.store.Mark(j.tail.key, priority, j.render, j.written)
+	j.writePending = true
+	j.store.Mark(j.tail.key, priority, j.renderTail, j.tailStored)
 }
 
 // chooseTail keeps the tail while it is short, or begins another value.
 func (j *Journal) chooseTail() {
-	if t := j.tail; t != nil && !t.folding && !t.leaving && t.bytes < j.limits.ValueBytes/rewriteShare {
+	if t := j.tail; t != nil && !t.compacting && !t.deleting && t.bodyBytes < j.limits.ValueBytes/rewriteFraction {
 		return
 	}
 	former := j.tail
-	j.next++
-	j.tail = &value{key: Key(j.token, j.next), begun: j.now()}
+	j.lastNumber++
+	j.tail = &valueState{key: Key(j.token, j.lastNumber), createdAt: j.now()}
 	j.values = append(j.values, j.tail)
-	if former != nil && former.stored && former.open == 0 {
-		j.remove(former)
+	if former != nil && former.stored && former.uncompacted == 0 {
+		j.deleteValue(former)
 	}
 }
 
-// render makes the tail's value of what it has and of as much as fits of what waits; nil: of nothing.
-func (j *Journal) render() any {
-	kept := j.tail.unfolded()
-	waiting := make([]*end, 0, len(j.pending))
+// renderTail makes the tail's value of what it has and of as much as fits of what waits; nil: of nothing.
+func (j *Journal) renderTail() any {
+	kept := j.tail.uncompactedEntries()
+	waiting := make([]*entryState, 0, len(j.pending))
 	for _, e := range j.pending {
-		if e.waits() {
+		if e.needsValue() {
 			waiting = append(waiting, e)
 		}
 	}
@@ -279,75 +279,75 @@
 		n = sort.Search(n, func(n int) bool { return !j.fits(encode(n + 1)) })
 		out = encode(n)
 	}
-	j.rendered = waiting[:n]
-	j.tail.bytes = len(out.Body)
+	j.renderedEntries = waiting[:n]
+	j.tail.bodyBytes = len(out.Body)
 	if n < len(waiting) {
-		j.tail.bytes = j.limits.ValueBytes // it is full
+		j.tail.bodyBytes = j.limits.ValueBytes // it is full
 	}
-	if j.wrote = len(kept)+n > 0; !j.wrote {
+	if j.renderedValue = len(kept)+n > 0; !j.renderedValue {
 		return nil
 	}
 	return out
 }
 
-// waits says whether a pending end needs a value: what a record was just rendered with does not,
+// needsValue says whether a pending end needs a value: what a record was just rendered with does not,
 // unless somebody waits for it.
-func (e *end) waits() bool { return !e.folded && (!e.covered || e.then != nil) }
+func (e *entryState) needsValue() bool { return !e.compacted && (!e.rendered || e.onDurable != nil) }
 
-func (v *value) number() uint64 {
+func (v *valueState) number() uint64 {
 	_, number, _ := ParseKey(v.key)
 	return number
 }
 
 func (j *Journal) fits(v Value) bool { return len(v.Body)+envelopeBytes <= j.limits.ValueBytes }
 
-// written notes that the tail is stored as it was last rendered.
-func (j *Journal) written() {
+// tailStored notes that the tail is stored as it was last rendered.
+func (j *Journal) tailStored() {
 	t := j.tail
-	j.marked = false
-	t.ends = append(t.unfolded(), j.rendered...)
-	t.stored = j.wrote
-	for _, e := range j.rendered {
+	j.writePending = false
+	t.entries = append(t.uncompactedEntries(), j.renderedEntries...)
+	t.stored = j.renderedValue
+	for _, e := range j.renderedEntries {
 		e.value = t
 	}
-	t.open = len(t.unfolded())
-	j.pending = slices.DeleteFunc(j.pending, func(e *end) bool { return e.value != nil || e.folded })
-	ready := j.rendered
-	j.rendered = nil
+	t.uncompacted = len(t.uncompactedEntries())
+	j.pending = slices.DeleteFunc(j.pending, func(e *entryState) bool { return e.value != nil || e.compacted })
+	ready := j.renderedEntries
+	j.renderedEntries = nil
 	if !t.stored {
-		j.drop(t)
+		j.forget(t)
 	}
 	for _, e := range ready {
-		e.durable()
+		e.notifyDurable()
 	}
-	j.urgent = slices.ContainsFunc(j.pending, func(e *end) bool { return e.then != nil })
-	if slices.ContainsFunc(j.pending, (*end).waits) {
-		j.mark()
+	j.hasWaiter = slices.ContainsFunc(j.pending, func(e *entryState) bool { return e.onDurable != nil })
+	if slices.ContainsFunc(j.pending, (*entryState).needsValue) {
+		j.scheduleWrite()
 	}
 }
 
-// drop forgets a value that is not there.
-func (j *Journal) drop(v *value) {
-	j.values = slices.DeleteFunc(j.values, func(x *value) bool { return x == v })
+// forget forgets a value that is not there.
+func (j *Journal) forget(v *valueState) {
+	j.values = slices.DeleteFunc(j.values, func(x *valueState) bool { return x == v })
 	if j.tail == v {
 		j.tail = nil
 	}
 }
 
-// remove deletes a value whose ends are all folded.
-func (j *Journal) remove(v *value) {
-	if v.leaving {
+// deleteValue deletes a value whose ends are all folded.
+func (j *Journal) deleteValue(v *valueState) {
+	if v.deleting {
 		return
 	}
-	v.leaving = true
+	v.deleting = true
 	if j.tail == v {
 		j.tail = nil
 	}
-	j.store.Mark(v.key, j.foldPriority(), func() any { return nil }, func() { j.drop(v) })
+	j.store.Mark(v.key, j.compactionPriority(), func() any { return nil }, func() { j.forget(v) })
 }
 
-// foldPriority is lazy, but once half of the values are there folding must not starve.
-func (j *Journal) foldPriority() statestore.Priority {
+// compactionPriority is lazy, but once half of the values are there folding must not starve.
+func (j *Journal) compactionPriority() statestore.Priority {
 	if len(j.values) > j.limits.Values/2 {
 		return statestore.Done
 	}
@@ -357,66 +357,66 @@
 // Abandon takes back a value that the state service takes in no form: what was to be in it goes to
 // its records, and so does all that comes later in this term.
 func (j *Journal) Abandon() {
-	j.marked, j.rendered, j.enabled = false, nil, false
+	j.writePending, j.renderedEntries, j.enabled = false, nil, false
 	if j.tail != nil && !j.tail.stored {
-		j.drop(j.tail)
+		j.forget(j.tail)
 	}
 }
 
 // Tick folds what is old, the oldest first, and all of it once the journal is closed.
 func (j *Journal) Tick() {
 	if !j.enabled {
-		j.foldPending()
+		j.compactPending()
 	}
 	begun := 0
 	for _, v := range slices.Clone(j.values) {
-		if begun == foldsPerTick {
+		if begun == compactionsPerTick {
 			return
 		}
-		if v.leaving || v == j.tail && j.marked || !v.stored {
+		if v.deleting || v == j.tail && j.writePending || !v.stored {
 			continue
 		}
-		old := j.now() >= v.begun+j.limits.CompactAfter
+		old := j.now() >= v.createdAt+j.limits.CompactAfter
 		switch {
-		case v.open == 0 && (old || !j.enabled):
-			j.remove(v)
-		case !v.folding && (old || !j.enabled || len(j.values) > j.limits.Values/2):
+		case v.uncompacted == 0 && (old || !j.enabled):
+			j.deleteValue(v)
+		case !v.compacting && (old || !j.enabled || len(j.values) > j.limits.Values/2):
 			begun++
-			j.foldValue(v)
+			j.compactValue(v)
 		}
 	}
 }
 
-// foldPending has the records take what no value will.
-func (j *Journal) foldPending() {
-	if j.marked {
+// compactPending has the records take what no value will.
+func (j *Journal) compactPending() {
+	if j.writePending {
 		return // a value with it is under way
 	}
 	for _, e := range slices.Clone(j.pending) {
-		if !e.asked && !e.folded {
+		if !e.compactionRequested && !e.compacted {
 			priority := statestore.Lazy
-			if e.then != nil {
+			if e.onDurable != nil {
 				priority = statestore.Done
 			}
-			e.asked = true
-			j.folder.Compact(e.entry, e.record, priority)
+			e.compactionRequested = true
+			j.compactor.Compact(e.entry, e.record, priority)
 		}
 	}
-	j.pending = slices.DeleteFunc(j.pending, func(e *end) bool { return e.folded })
+	j.pending = slices.DeleteFunc(j.pending, func(e *entryState) bool { return e.compacted })
 }
 
-func (j *Journal) foldValue(v *value) {
-	v.folding = true
+func (j *Journal) compactValue(v *valueState) {
+	v.compacting = true
 	if j.tail == v {
 		j.tail = nil
 	}
-	for _, e := range v.unfolded() {
-		if !e.asked {
-			e.asked = true
-			j.folder.Compact(e.entry, e.record, j.foldPriority())
+	for _, e := range v.uncompactedEntries() {
+		if !e.compactionRequested {
+			e.compactionRequested = true
+			j.compactor.Compact(e.entry, e.record, j.compactionPriority())
 		}
 	}
-	if v.open == 0 {
-		j.remove(v)
+	if v.uncompacted == 0 {
+		j.deleteValue(v)
 	}
 }
--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -32,7 +32,7 @@
 type fakeWrite struct {
 	priority statestore.Priority
 	render   func() any
-	then     []func()
+	onStored []func()
 }
 
 func newFakeStore(t *testing.T, limits Limits) *fakeStore {
@@ -52,7 +52,7 @@
 	}
 	w.priority, w.render = min(w.priority, priority), render
 	if then != nil {
-		w.then = append(w.then, then)
+		w.onStored = append(w.onStored, then)
 	}
 }
 
@@ -70,8 +70,8 @@
 	s.Mark(record, priority, func() any { return maps.Clone(s.truth[record]) }, nil)
 }
 
-// end adds an end, which its record's owner knows from then on.
-func (s *fakeStore) end(e Entry, then func()) {
+// add adds an end, which its record's owner knows from then on.
+func (s *fakeStore) add(e Entry, then func()) {
 	record := recordOf(e)
 	if s.truth[record] == nil {
 		s.truth[record] = map[Entry]bool{}
@@ -93,9 +93,9 @@
 
 // transaction is what left together.
 type transaction struct {
-	keys   []string
-	values []any
-	then   [][]func()
+	keys     []string
+	values   []any
+	onStored [][]func()
 }
 
 // compose renders up to n writes.
@@ -107,7 +107,7 @@
 		s.Unmark(key)
 		t.keys = append(t.keys, key)
 		t.values = append(t.values, w.render())
-		t.then = append(t.then, w.then)
+		t.onStored = append(t.onStored, w.onStored)
 		if strings.HasPrefix(key, "m/") || strings.HasPrefix(key, "d/") {
 			s.journal.Rendered(key)
 		}
@@ -133,7 +133,7 @@
 			delete(s.stored, key)
 			s.deletions++
 		}
-		for _, f := range t.then[i] {
+		for _, f := range t.onStored[i] {
 			f()
 		}
 	}
@@ -187,7 +187,7 @@
 				}
 			}
 		}
-		ends := randomEnds(random, 300)
+		ends := randomEntries(random, 300)
 		for len(ends) > 0 {
 			switch random.IntN(6) {
 			case 0, 1, 2:
@@ -198,7 +198,7 @@
 				if e.Machine == "" {
 					then = func() { told[e] = true }
 				}
-				s.end(e, then)
+				s.add(e, then)
 			case 3:
 				if flying == nil {
 					flying = s.compose(1 + random.IntN(4))
@@ -237,9 +237,9 @@
 	}
 }
 
-func done(index int) Entry { return Entry{Job: "j-000001", Index: index} }
+func completionOf(index int) Entry { return Entry{Job: "j-000001", Index: index} }
 
-func left(machine string, attempt uint64) Entry {
+func departureOf(machine string, attempt uint64) Entry {
 	return Entry{Job: "j-000001", Index: int(attempt), Machine: machine, Attempt: attempt}
 }
 
@@ -248,21 +248,21 @@
 func TestValuesFillUp(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	for i := range 3 {
-		s.end(left("i-000001", uint64(i)), nil)
+		s.add(departureOf("i-000001", uint64(i)), nil)
 		s.flush()
 	}
 	if keys := slices.Collect(maps.Keys(s.stored)); len(keys) != 1 || keys[0] != Key(7, 1) {
 		t.Errorf("values %v", keys)
 	}
 	for i := range 200 {
-		s.end(left(fmt.Sprintf("i-%06d", i), uint64(1000+i)), nil)
+		s.add(departureOf(fmt.Sprintf("i-%06d", i), uint64(1000+i)), nil)
 	}
 	s.apply(s.compose(1))
 	entries, err := Decode(Key(7, 1), s.stored[Key(7, 1)])
 	if err != nil {
 		t.Fatal(err)
 	}
-	more := Encode(7, 1, append(entries, left(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
+	more := Encode(7, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
 	if have := len(s.stored[Key(7, 1)].Body) + envelopeBytes; have > usualLimits.ValueBytes || len(more.Body)+envelopeBytes <= usualLimits.ValueBytes {
 		t.Errorf("a value of %d bytes with %d ends, one more would make it %d", have, len(entries), len(more.Body)+envelopeBytes)
 	}
@@ -276,21 +276,21 @@
 func TestRecordRenderedBeforeAnEnd(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	told := 0
-	s.end(done(1), func() { told++ })
-	s.Compact(done(1), recordOf(done(1)), statestore.Start)
+	s.add(completionOf(1), func() { told++ })
+	s.Compact(completionOf(1), recordOf(completionOf(1)), statestore.Start)
 	s.Unmark(Key(7, 1)) // the journal's own write waits
-	s.Mark(Key(7, 1), statestore.Done, s.journal.render, s.journal.written)
+	s.Mark(Key(7, 1), statestore.Done, s.journal.renderTail, s.journal.tailStored)
 	under := s.compose(1)
-	if under.keys[0] != recordOf(done(1)) {
+	if under.keys[0] != recordOf(completionOf(1)) {
 		t.Fatal(under.keys)
 	}
-	s.end(done(2), func() { told += 10 })
+	s.add(completionOf(2), func() { told += 10 })
 	s.apply(under)
 	if told != 1 {
 		t.Errorf("told %d: the record has the first end alone", told)
 	}
 	s.flush()
-	if told != 11 || !s.read()[done(2)] {
+	if told != 11 || !s.read()[completionOf(2)] {
 		t.Errorf("told %d", told)
 	}
 }
@@ -301,15 +301,15 @@
 	limits.Values, limits.ValueBytes = 4, 300
 	s := newFakeStore(t, limits)
 	for i := range 60 {
-		s.end(left(fmt.Sprintf("i-%06d", i), uint64(i)), nil)
-		if s.IsPending(Key(7, s.journal.next)) {
+		s.add(departureOf(fmt.Sprintf("i-%06d", i), uint64(i)), nil)
+		if s.IsPending(Key(7, s.journal.lastNumber)) {
 			s.apply(s.compose(1))
 		}
 		if n, _, _ := s.journal.Size(); n > limits.Values {
 			t.Fatalf("%d values", n)
 		}
 	}
-	if s.journal.Takes() || s.journal.foldPriority() != statestore.Done {
+	if s.journal.Takes() || s.journal.compactionPriority() != statestore.Done {
 		t.Error("a full journal takes ends, or folds them when there is time")
 	}
 	for range 20 {
@@ -325,12 +325,12 @@
 func TestAbandonedValue(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	told := false
-	s.end(done(1), func() { told = true })
+	s.add(completionOf(1), func() { told = true })
 	s.Unmark(Key(7, 1))
 	s.journal.Abandon()
 	s.journal.Tick()
 	s.flush()
-	if !told || !s.records[recordOf(done(1))][done(1)] || !s.journal.Empty() || s.journal.Takes() {
+	if !told || !s.records[recordOf(completionOf(1))][completionOf(1)] || !s.journal.Empty() || s.journal.Takes() {
 		t.Errorf("told %v, records %v", told, s.records)
 	}
 }
@@ -338,7 +338,7 @@
 // Values of earlier leaders are folded and deleted, those that no record lacks at once.
 func TestAdoptedValues(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
-	e := left("i-000001", 1)
+	e := departureOf("i-000001", 1)
 	s.truth[recordOf(e)] = map[Entry]bool{e: true}
 	for n, missing := range []map[Entry]string{{e: recordOf(e)}, {}} {
 		key := Key(5, uint64(n))
--- a/internal/completionjournal/value.go
+++ b/internal/completionjournal/value.go
@@ -30,16 +30,16 @@
 
 // Bounds of what is read, whatever a value claims.
 const (
-	mostTasks   = 100_000 // of a job, by the protocol
-	mostEntries = 1 << 18 // of a value
+	maxTasks   = 100_000 // of a job, by the protocol
+	maxEntries = 1 << 18 // of a value
 )
 
 // Why a value can't be read.
 var (
-	ErrForm      = errors.New("a later form")
-	ErrPlace     = errors.New("it belongs under another key")
-	ErrChecksum  = errors.New("the checksum differs")
-	ErrMalformed = errors.New("malformed")
+	ErrFormatVersion = errors.New("a later form")
+	ErrWrongKey      = errors.New("it belongs under another key")
+	ErrChecksum      = errors.New("the checksum differs")
+	ErrMalformed     = errors.New("malformed")
 )
 
 // Value is what a key of the journal holds. The state service takes text and numbers only.
@@ -53,27 +53,27 @@
 	Body string `msgpack:"b"`
 }
 
-// entries is the body: ends by job and by machine.
-type entries struct {
-	Done []doneTasks    `cbor:"1,keyasint,omitempty"`
-	Left []leftAttempts `cbor:"2,keyasint,omitempty"`
+// valueBody is the body: ends by job and by machine.
+type valueBody struct {
+	Completions []jobCompletions    `cbor:"1,keyasint,omitempty"`
+	Departures  []machineDepartures `cbor:"2,keyasint,omitempty"`
 }
 
-// doneTasks are tasks of a job, as a roaring bitmap.
-type doneTasks struct {
+// jobCompletions are tasks of a job, as a roaring bitmap.
+type jobCompletions struct {
 	_     struct{} `cbor:",toarray"`
 	Job   string
 	Tasks []byte
 }
 
-// leftAttempts are attempts that have left a machine.
-type leftAttempts struct {
+// machineDepartures are attempts that have left a machine.
+type machineDepartures struct {
 	_        struct{} `cbor:",toarray"`
 	Machine  string
-	Attempts []leftAttempt
+	Attempts []departedAttempt
 }
 
-type leftAttempt struct {
+type departedAttempt struct {
 	_      struct{} `cbor:",toarray"`
 	Job    string
 	Index  uint32
@@ -108,7 +108,7 @@
 
 // Encode makes the value of a key.
 func Encode(token, number uint64, ends []Entry) Value {
-	body, err := cbor.Marshal(group(ends))
+	body, err := cbor.Marshal(groupEntries(ends))
 	if err != nil {
 		panic(fmt.Sprintf("completionjournal: %v", err)) // values of our own types always encode
 	}
@@ -116,9 +116,9 @@
 		Body: base64.StdEncoding.EncodeToString(body)}
 }
 
-// group orders ends by job and machine, each in the order of its first end.
-func group(ends []Entry) entries {
-	var out entries
+// groupEntries orders ends by job and machine, each in the order of its first end.
+func groupEntries(ends []Entry) valueBody {
+	var out valueBody
 	tasks := map[string]*roaring.Bitmap{}
 	var jobs []string
 	machines := map[string]int{}
@@ -133,11 +133,11 @@
 		}
 		at, known := machines[e.Machine]
 		if !known {
-			at = len(out.Left)
+			at = len(out.Departures)
 			machines[e.Machine] = at
-			out.Left = append(out.Left, leftAttempts{Machine: e.Machine})
+			out.Departures = append(out.Departures, machineDepartures{Machine: e.Machine})
 		}
-		out.Left[at].Attempts = append(out.Left[at].Attempts, leftAttempt{Job: e.Job, Index: uint32(e.Index), Number: e.Attempt})
+		out.Departures[at].Attempts = append(out.Departures[at].Attempts, departedAttempt{Job: e.Job, Index: uint32(e.Index), Number: e.Attempt})
 	}
 	for _, job := range jobs {
 		tasks[job].RunOptimize()
@@ -145,7 +145,7 @@
 		if err != nil {
 			panic(fmt.Sprintf("completionjournal: %v", err)) // it is written to memory
 		}
-		out.Done = append(out.Done, doneTasks{Job: job, Tasks: packed})
+		out.Completions = append(out.Completions, jobCompletions{Job: job, Tasks: packed})
 	}
 	return out
 }
@@ -167,11 +167,11 @@
 	case !ok:
 		return nil, fmt.Errorf("%w: the key is none of the journal's", ErrMalformed)
 	case v.Form > Form:
-		return nil, fmt.Errorf("%w: %d, %d is read", ErrForm, v.Form, Form)
+		return nil, fmt.Errorf("%w: %d, %d is read", ErrFormatVersion, v.Form, Form)
 	case v.Form == 0:
 		return nil, fmt.Errorf("%w: no form", ErrMalformed)
 	case v.Token != token || v.Number != number:
-		return nil, fmt.Errorf("%w: %s", ErrPlace, Key(v.Token, v.Number))
+		return nil, fmt.Errorf("%w: %s", ErrWrongKey, Key(v.Token, v.Number))
 	}
 	body, err := base64.StdEncoding.DecodeString(v.Body)
 	if err != nil {
@@ -180,31 +180,31 @@
 	if checksum(token, number, body) != v.Sum {
 		return nil, ErrChecksum
 	}
-	var grouped entries
+	var grouped valueBody
 	if err := cbor.Unmarshal(body, &grouped); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
-	return ungroup(grouped)
+	return listEntries(grouped)
 }
 
-// ungroup lists the ends, those of tasks first.
-func ungroup(in entries) ([]Entry, error) {
+// listEntries lists the ends, those of tasks first.
+func listEntries(in valueBody) ([]Entry, error) {
 	var out []Entry
-	for _, d := range in.Done {
+	for _, d := range in.Completions {
 		tasks, err := readBitmap(d.Tasks)
 		if err != nil {
 			return nil, fmt.Errorf("%w: tasks of %s: %v", ErrMalformed, d.Job, err)
 		}
-		if uint64(len(out))+tasks.GetCardinality() > mostEntries {
+		if uint64(len(out))+tasks.GetCardinality() > maxEntries {
 			return nil, fmt.Errorf("%w: too many entries", ErrMalformed)
 		}
 		for _, index := range tasks.ToArray() {
 			out = append(out, Entry{Job: d.Job, Index: int(index)})
 		}
 	}
-	for _, l := range in.Left {
+	for _, l := range in.Departures {
 		for _, a := range l.Attempts {
-			if l.Machine == "" || a.Index >= mostTasks {
+			if l.Machine == "" || a.Index >= maxTasks {
 				return nil, fmt.Errorf("%w: an attempt of no machine or task", ErrMalformed)
 			}
 			out = append(out, Entry{Job: a.Job, Index: int(a.Index), Machine: l.Machine, Attempt: a.Number})
@@ -228,7 +228,7 @@
 	if err := tasks.Validate(); err != nil {
 		return nil, err
 	}
-	if !tasks.IsEmpty() && tasks.Maximum() >= mostTasks {
+	if !tasks.IsEmpty() && tasks.Maximum() >= maxTasks {
 		return nil, fmt.Errorf("task %d", tasks.Maximum())
 	}
 	return tasks, nil
--- a/internal/completionjournal/value_test.go
+++ b/internal/completionjournal/value_test.go
@@ -14,12 +14,12 @@
 	"claybarrow/internal/protocol"
 )
 
-// randomEnds are different ends of a few jobs and machines.
-func randomEnds(random *rand.Rand, n int) []Entry {
+// randomEntries are different ends of a few jobs and machines.
+func randomEntries(random *rand.Rand, n int) []Entry {
 	seen := map[Entry]bool{}
 	var out []Entry
 	for len(out) < n {
-		e := Entry{Job: "j-" + strconv.Itoa(100000+random.IntN(9)), Index: random.IntN(mostTasks)}
+		e := Entry{Job: "j-" + strconv.Itoa(100000+random.IntN(9)), Index: random.IntN(maxTasks)}
 		if random.IntN(2) == 0 {
 			e.Machine, e.Attempt = "i-"+strconv.Itoa(100000+random.IntN(9)), random.Uint64()
 		}
@@ -35,7 +35,7 @@
 func TestValuesAreReadAsTheyWereWritten(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for n := range 200 {
-		ends := randomEnds(random, n)
+		ends := randomEntries(random, n)
 		var stored Value
 		if err := protocol.Decode(protocol.Encode(Encode(7, 3, ends)), &stored); err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 	return Value{Form: Form, Token: token, Number: number, Sum: checksum(token, number, body), Body: base64.StdEncoding.EncodeToString(body)}
 }
 
-func sealedEntries(t testing.TB, in entries) Value {
+func sealedBody(t testing.TB, in valueBody) Value {
 	body, err := cbor.Marshal(in)
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 		alter(&v)
 		return v
 	}
-	beyond, err := roaring.BitmapOf(mostTasks).ToBytes()
+	beyond, err := roaring.BitmapOf(maxTasks).ToBytes()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,10 +93,10 @@
 		v    Value
 		want error
 	}{
-		{"a later form", Key(5, 1), change(func(v *Value) { v.Form = Form + 1 }), ErrForm},
+		{"a later form", Key(5, 1), change(func(v *Value) { v.Form = Form + 1 }), ErrFormatVersion},
 		{"no form", Key(5, 1), change(func(v *Value) { v.Form = 0 }), ErrMalformed},
-		{"of another token", Key(6, 1), good, ErrPlace},
-		{"of another number, as if doubled", Key(5, 2), good, ErrPlace},
+		{"of another token", Key(6, 1), good, ErrWrongKey},
+		{"of another number, as if doubled", Key(5, 2), good, ErrWrongKey},
 		{"token changed in place", Key(6, 1), change(func(v *Value) { v.Token = 6 }), ErrChecksum},
 		{"truncated", Key(5, 1), change(func(v *Value) { v.Body = v.Body[:len(v.Body)-4] }), ErrChecksum},
 		{"no base64", Key(5, 1), change(func(v *Value) { v.Body = "?" + v.Body[1:] }), ErrMalformed},
@@ -104,10 +104,10 @@
 		{"another checksum", Key(5, 1), change(func(v *Value) { v.Sum++ }), ErrChecksum},
 		{"nothing", Key(5, 1), Value{}, ErrMalformed},
 		{"not CBOR", Key(5, 1), sealed(5, 1, []byte{0xff}), ErrMalformed},
-		{"no bitmap", Key(5, 1), sealedEntries(t, entries{Done: []doneTasks{{Job: "j-000001", Tasks: []byte("bitmap")}}}), ErrMalformed},
-		{"a task that no job has", Key(5, 1), sealedEntries(t, entries{Done: []doneTasks{{Job: "j-000001", Tasks: beyond}}}), ErrMalformed},
-		{"an attempt of no machine", Key(5, 1), sealedEntries(t, entries{Left: []leftAttempts{{Attempts: []leftAttempt{{Job: "j-000001"}}}}}), ErrMalformed},
-		{"an index that no job has", Key(5, 1), sealedEntries(t, entries{Left: []leftAttempts{{Machine: "i-1", Attempts: []leftAttempt{{Index: mostTasks}}}}}), ErrMalformed},
+		{"no bitmap", Key(5, 1), sealedBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: []byte("bitmap")}}}), ErrMalformed},
+		{"a task that no job has", Key(5, 1), sealedBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: beyond}}}), ErrMalformed},
+		{"an attempt of no machine", Key(5, 1), sealedBody(t, valueBody{Departures: []machineDepartures{{Attempts: []departedAttempt{{Job: "j-000001"}}}}}), ErrMalformed},
+		{"an index that no job has", Key(5, 1), sealedBody(t, valueBody{Departures: []machineDepartures{{Machine: "i-1", Attempts: []departedAttempt{{Index: maxTasks}}}}}), ErrMalformed},
 		{"a key of something else", "g/5/one", good, ErrMalformed},
 		{"a key with a leading zero", "g/05/1", good, ErrMalformed},
 	} {
@@ -120,7 +120,7 @@
 // FuzzDecode has bodies of any kind decoded: none may end the process or claim what no job has.
 func FuzzDecode(f *testing.F) {
 	for _, ends := range [][]Entry{nil, {{Job: "j-000001", Index: 1}}, {{Job: "j-000001", Index: 2, Machine: "i-000001", Attempt: 9}}} {
-		body, err := cbor.Marshal(group(ends))
+		body, err := cbor.Marshal(groupEntries(ends))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -132,7 +132,7 @@
 			t.Error("entries beside an error")
 		}
 		for _, e := range entries {
-			if e.Index < 0 || e.Index >= mostTasks {
+			if e.Index < 0 || e.Index >= maxTasks {
 				t.Errorf("%+v", e)
 			}
 		}
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -71,15 +71,15 @@
 
 // The causes.
 const (
-	NoCause   Cause = ""
-	Unheard   Cause = "is not heard"
-	Older     Cause = "is of a version without the gate"
-	Unread    Cause = "does not read the form"
-	Off       Cause = "has the feature off"
-	Held      Cause = "is told to hold the gate closed"
-	Unsettled Cause = "has not stated the form for a leader's lease"
-	Quiet     Cause = "closed the gate lately"
-	Unfit     Cause = "can't store the opening within the state service's limits"
+	NoCause                 Cause = ""
+	NotHeard                Cause = "is not heard"
+	NoStatement             Cause = "is of a version without the gate"
+	CannotRead              Cause = "does not read the form"
+	FeatureOff              Cause = "has the feature off"
+	HeldClosed              Cause = "is told to hold the gate closed"
+	NotSettled              Cause = "has not stated the form for a leader's lease"
+	RecentlyClosed          Cause = "closed the gate lately"
+	ExceedsTransactionLimit Cause = "can't store the opening within the state service's limits"
 )
 
 // Obstacle is a cause and the controller that it comes from.
@@ -118,7 +118,7 @@
 
 // The actions. Each is answered by Stored or Failed.
 const (
-	Nothing Action = iota
+	NoAction Action = iota
 	StoreOpen
 	StoreClosing
 	StoreClosed
@@ -130,22 +130,22 @@
 	state    State
 	obstacle Obstacle
 	peers    map[string]*peer
-	// storing: an action is under way. closingStored: a successor would go on closing.
-	storing, closingStored bool
+	// actionPending: an action is under way. closingStored: a successor would go on closing.
+	actionPending, closingStored bool
 	// notBefore is when the gate may act again after a closing or a failure.
-	notBefore time.Duration
-	paused    bool
+	notBefore  time.Duration
+	backingOff bool
 }
 
 // peer is what a gate knows of another controller.
 type peer struct {
-	incarnation string
-	heard       time.Duration // last
-	known       bool          // heard at all
-	since       time.Duration // since when it states the form without a gap
-	olderSince  time.Duration
-	older       bool
-	statement   *Statement
+	incarnation         string
+	lastHeard           time.Duration // last
+	everHeard           bool          // heard at all
+	statedSince         time.Duration // statedSince when it states the form without a gap
+	lacksStatementSince time.Duration
+	lacksStatement      bool
+	statement           *Statement
 }
 
 // New makes the gate of a new leader with the state that is stored: Closed, Open or Closing.
@@ -170,7 +170,7 @@
 func (g *Gate) Statements() map[string]*Statement {
 	out := map[string]*Statement{}
 	for label, p := range g.peers {
-		if p.known {
+		if p.everHeard {
 			out[label] = p.statement
 		}
 	}
@@ -183,66 +183,66 @@
 	if p == nil {
 		return
 	}
-	gap := now - p.heard
+	gap := now - p.lastHeard
 	switch {
 	case statement != nil:
-		p.older = false
-	case !p.older || gap > g.settings.Patience:
-		p.older, p.olderSince = true, now
+		p.lacksStatement = false
+	case !p.lacksStatement || gap > g.settings.Patience:
+		p.lacksStatement, p.lacksStatementSince = true, now
 	}
-	continues := p.known && p.incarnation == incarnation && gap <= g.settings.Settled
+	continues := p.everHeard && p.incarnation == incarnation && gap <= g.settings.Settled
 	if !continues || g.objection(label, p.statement) != NoCause {
-		p.since = now
+		p.statedSince = now
 	}
-	p.known, p.heard, p.incarnation, p.statement = true, now, incarnation, statement
+	p.everHeard, p.lastHeard, p.incarnation, p.statement = true, now, incarnation, statement
 }
 
 // objection is what a statement has against an open gate.
 func (g *Gate) objection(label string, s *Statement) Cause {
 	switch {
 	case s == nil:
-		return Older
+		return NoStatement
 	case s.Reads < g.settings.Version:
-		return Unread
+		return CannotRead
 	case s.Hold:
-		return Held
+		return HeldClosed
 	case s.Writes < g.settings.Version:
-		return Off
+		return FeatureOff
 	case label == g.settings.Self && !g.settings.Fits:
-		return Unfit
+		return ExceedsTransactionLimit
 	}
 	return NoCause
 }
 
 // Decide says what is to be stored next. folded: nothing is stored in the new form.
 func (g *Gate) Decide(now time.Duration, folded bool) Action {
-	if g.storing {
-		return Nothing
+	if g.actionPending {
+		return NoAction
 	}
 	if g.state == Open {
-		if g.obstacle = g.whyClose(now); g.obstacle.Cause != NoCause {
+		if g.obstacle = g.closingObstacle(now); g.obstacle.Cause != NoCause {
 			g.state = Closing
 		}
 	}
-	action := Nothing
+	action := NoAction
 	switch {
 	case g.state == Closed:
-		if g.obstacle = g.whyNotOpen(now); g.obstacle.Cause == NoCause {
+		if g.obstacle = g.openingObstacle(now); g.obstacle.Cause == NoCause {
 			g.state, action = Opening, StoreOpen
 		}
-	case g.state != Closing || g.paused && now < g.notBefore:
+	case g.state != Closing || g.backingOff && now < g.notBefore:
 	case !g.closingStored:
 		action = StoreClosing
 	case folded:
 		action = StoreClosed
 	}
-	g.storing = action != Nothing
+	g.actionPending = action != NoAction
 	return action
 }
 
 // Stored notes that the action is durable.
 func (g *Gate) Stored(now time.Duration) {
-	g.storing, g.paused = false, false
+	g.actionPending, g.backingOff = false, false
 	switch {
 	case g.state == Opening:
 		g.state = Open
@@ -250,32 +250,32 @@
 		g.closingStored = true
 	case g.state == Closing:
 		g.state, g.closingStored = Closed, false
-		g.notBefore, g.paused = now+g.settings.Pause, true
+		g.notBefore, g.backingOff = now+g.settings.Pause, true
 	}
 }
 
 // Failed notes that the action was refused for good; it is tried again after a pause.
 func (g *Gate) Failed(now time.Duration) {
-	g.storing = false
+	g.actionPending = false
 	if g.state == Opening {
 		g.state = Closed
 	}
-	g.notBefore, g.paused = now+g.settings.Pause, true
+	g.notBefore, g.backingOff = now+g.settings.Pause, true
 }
 
-// whyClose is the first reason to close an open gate. Silence is none: whoever comes back older
+// closingObstacle is the first reason to close an open gate. Silence is none: whoever comes back older
 // is heard then.
-func (g *Gate) whyClose(now time.Duration) Obstacle {
+func (g *Gate) closingObstacle(now time.Duration) Obstacle {
 	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
 	for _, label := range slices.Sorted(maps.Keys(g.peers)) {
 		p := g.peers[label]
-		if !p.known || now > p.heard+g.settings.Settled {
+		if !p.everHeard || now > p.lastHeard+g.settings.Settled {
 			continue
 		}
 		cause := g.objection(label, p.statement)
-		if cause == Older && now <= p.olderSince+g.settings.Patience {
+		if cause == NoStatement && now <= p.lacksStatementSince+g.settings.Patience {
 			continue
 		}
 		if cause != NoCause {
@@ -285,33 +285,33 @@
 	return Obstacle{}
 }
 
-// whyNotOpen is the first reason to leave a closed gate closed.
-func (g *Gate) whyNotOpen(now time.Duration) Obstacle {
+// openingObstacle is the first reason to leave a closed gate closed.
+func (g *Gate) openingObstacle(now time.Duration) Obstacle {
 	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
-	if g.paused && now < g.notBefore {
-		return Obstacle{g.settings.Self, Quiet}
+	if g.backingOff && now < g.notBefore {
+		return Obstacle{g.settings.Self, RecentlyClosed}
 	}
 	for _, label := range slices.Sorted(maps.Keys(g.peers)) {
-		if cause := g.unsettled(now, label); cause != NoCause {
+		if cause := g.peerObjection(now, label); cause != NoCause {
 			return Obstacle{label, cause}
 		}
 	}
 	return Obstacle{}
 }
 
-// unsettled is why a controller does not count as one that has stated the form for long enough.
-func (g *Gate) unsettled(now time.Duration, label string) Cause {
+// peerObjection is why a controller does not count as one that has stated the form for long enough.
+func (g *Gate) peerObjection(now time.Duration, label string) Cause {
 	p := g.peers[label]
-	if !p.known || now > p.heard+g.settings.Settled {
-		return Unheard
+	if !p.everHeard || now > p.lastHeard+g.settings.Settled {
+		return NotHeard
 	}
 	if cause := g.objection(label, p.statement); cause != NoCause {
 		return cause
 	}
-	if now < p.since+g.settings.Settled {
-		return Unsettled
+	if now < p.statedSince+g.settings.Settled {
+		return NotSettled
 	}
 	return NoCause
 }
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -41,13 +41,13 @@
 	}{
 		{"all state it", ready, both(&ready), Obstacle{}},
 		{"forms beyond the known", ready, both(&Statement{Reads: 9, Writes: 9}), Obstacle{}},
-		{"one is silent", ready, map[string]*Statement{"n1": &ready}, Obstacle{"n2", Unheard}},
-		{"one is older", ready, map[string]*Statement{"n1": nil, "n2": &ready}, Obstacle{"n1", Older}},
-		{"one does not read it", ready, map[string]*Statement{"n1": old, "n2": &ready}, Obstacle{"n1", Unread}},
-		{"one has it off", ready, map[string]*Statement{"n1": {Reads: 1}, "n2": &ready}, Obstacle{"n1", Off}},
-		{"one holds", ready, map[string]*Statement{"n1": &ready, "n2": {Reads: 1, Writes: 1, Hold: true}}, Obstacle{"n2", Held}},
-		{"we hold", Statement{Reads: 1, Writes: 1, Hold: true}, both(&ready), Obstacle{"n0", Held}},
-		{"an unknown label is no controller", ready, map[string]*Statement{"n1": &ready, "n9": &ready}, Obstacle{"n2", Unheard}},
+		{"one is silent", ready, map[string]*Statement{"n1": &ready}, Obstacle{"n2", NotHeard}},
+		{"one is older", ready, map[string]*Statement{"n1": nil, "n2": &ready}, Obstacle{"n1", NoStatement}},
+		{"one does not read it", ready, map[string]*Statement{"n1": old, "n2": &ready}, Obstacle{"n1", CannotRead}},
+		{"one has it off", ready, map[string]*Statement{"n1": {Reads: 1}, "n2": &ready}, Obstacle{"n1", FeatureOff}},
+		{"one holds", ready, map[string]*Statement{"n1": &ready, "n2": {Reads: 1, Writes: 1, Hold: true}}, Obstacle{"n2", HeldClosed}},
+		{"we hold", Statement{Reads: 1, Writes: 1, Hold: true}, both(&ready), Obstacle{"n0", HeldClosed}},
+		{"an unknown label is no controller", ready, map[string]*Statement{"n1": &ready, "n9": &ready}, Obstacle{"n2", NotHeard}},
 	} {
 		g := newGate(Closed, c.own)
 		now := beats(g, 0, settled+settled/3, c.heard)
@@ -72,7 +72,7 @@
 		at := beats(g, 0, settled-settled/3, both(&ready))
 		disturb(g, at)
 		at = beats(g, at+settled/3, settled/3, both(&ready))
-		if g.Decide(at, true) != Nothing {
+		if g.Decide(at, true) != NoAction {
 			t.Errorf("%s: it opens", name)
 		}
 		if at = beats(g, at, 2*settled, both(&ready)); g.Decide(at, true) != StoreOpen {
@@ -82,7 +82,7 @@
 	g := newGate(Closed, ready)
 	beats(g, 0, settled, both(&ready))
 	at := beats(g, 3*settled, settled/3, both(&ready))
-	if g.Decide(at, true) != Nothing {
+	if g.Decide(at, true) != NoAction {
 		t.Error("it opens after a gap")
 	}
 }
@@ -92,22 +92,22 @@
 func TestStates(t *testing.T) {
 	g := newGate(Closed, ready)
 	now := beats(g, 0, 2*settled, both(&ready))
-	if g.Decide(now, true) != StoreOpen || g.State() != Opening || g.MayWrite() || g.Decide(now, true) != Nothing {
+	if g.Decide(now, true) != StoreOpen || g.State() != Opening || g.MayWrite() || g.Decide(now, true) != NoAction {
 		t.Fatal(g.State())
 	}
 	g.Stored(now)
-	if !g.MayWrite() || g.Decide(now, false) != Nothing {
+	if !g.MayWrite() || g.Decide(now, false) != NoAction {
 		t.Fatal(g.State())
 	}
 	now = beats(g, now, 2*settled, map[string]*Statement{"n1": &ready, "n2": {Reads: 1, Writes: 1, Hold: true}})
-	if g.Decide(now, false) != StoreClosing || g.MayWrite() || g.Obstacle() != (Obstacle{"n2", Held}) {
+	if g.Decide(now, false) != StoreClosing || g.MayWrite() || g.Obstacle() != (Obstacle{"n2", HeldClosed}) {
 		t.Fatal(g.State(), g.Obstacle())
 	}
-	if g.Decide(now, true) != Nothing {
+	if g.Decide(now, true) != NoAction {
 		t.Fatal("it closes before its closing is stored")
 	}
 	g.Stored(now)
-	if g.Decide(now, false) != Nothing {
+	if g.Decide(now, false) != NoAction {
 		t.Fatal("it closes before all is folded")
 	}
 	if g.Decide(now, true) != StoreClosed || g.State() != Closing {
@@ -116,7 +116,7 @@
 	g.Stored(now)
 	closed := now
 	now = beats(g, now, pause-settled, both(&ready))
-	if g.State() != Closed || g.Decide(now, true) != Nothing || g.Obstacle().Cause != Quiet {
+	if g.State() != Closed || g.Decide(now, true) != NoAction || g.Obstacle().Cause != RecentlyClosed {
 		t.Fatal(g.State(), g.Obstacle())
 	}
 	now = beats(g, now, 2*settled, both(&ready))
@@ -124,7 +124,7 @@
 		t.Fatal("it does not open again")
 	}
 	g.Failed(now)
-	if g.State() != Closed || g.Decide(now, true) != Nothing {
+	if g.State() != Closed || g.Decide(now, true) != NoAction {
 		t.Fatal("what was refused is tried again at once")
 	}
 }
@@ -135,7 +135,7 @@
 		t.Error("an open gate is closed")
 	}
 	g := newGate(Closing, ready)
-	if g.MayWrite() || g.Decide(0, false) != Nothing || g.Decide(0, true) != StoreClosed {
+	if g.MayWrite() || g.Decide(0, false) != NoAction || g.Decide(0, true) != StoreClosed {
 		t.Error("it does not go on closing")
 	}
 	if g := newGate(Open, Statement{Reads: 1}); g.Decide(0, true) != StoreClosing {
@@ -149,7 +149,7 @@
 	older := map[string]*Statement{"n1": nil, "n2": &ready}
 	g := newGate(Open, ready)
 	now := beats(g, 0, patience, older)
-	if g.Decide(now, true) != Nothing {
+	if g.Decide(now, true) != NoAction {
 		t.Error("it closes early")
 	}
 	if now = beats(g, now, 2*settled, older); g.Decide(now, true) != StoreClosing {
@@ -159,17 +159,17 @@
 	now = 0
 	for range 20 {
 		now = beats(g, now, patience/3, older)
-		if g.Decide(now, true) != Nothing {
+		if g.Decide(now, true) != NoAction {
 			t.Fatal("it flaps")
 		}
 		now = beats(g, now, settled, both(&ready))
 	}
 	now = beats(g, now, patience/2, older) + 2*patience
-	if g.Decide(now, true) != Nothing {
+	if g.Decide(now, true) != NoAction {
 		t.Error("silence closes it")
 	}
 	beats(g, now, settled, older)
-	if g.Decide(now+settled, true) != Nothing {
+	if g.Decide(now+settled, true) != NoAction {
 		t.Error("an older process is counted from before its silence")
 	}
 }
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -116,10 +116,10 @@
 		}
 		fmt.Fprint(&b, "/", i, st.token-t.token, st.last-t.version, t.waits, t.kind, t.action)
 		if g := t.gate; g != nil {
-			fmt.Fprint(&b, g.state, g.storing, g.closingStored, g.paused, s.age(g.notBefore))
+			fmt.Fprint(&b, g.state, g.actionPending, g.closingStored, g.backingOff, s.age(g.notBefore))
 			for n := range 3 {
-				if p := g.peers[fmt.Sprint(n)]; p != nil && p.known {
-					fmt.Fprint(&b, ":", n, p.statement != nil, p.older, s.age(p.heard), s.age(p.since), s.age(p.olderSince))
+				if p := g.peers[fmt.Sprint(n)]; p != nil && p.everHeard {
+					fmt.Fprint(&b, ":", n, p.statement != nil, p.lacksStatement, s.age(p.lastHeard), s.age(p.statedSince), s.age(p.lacksStatementSince))
 				}
 			}
 		}
@@ -206,9 +206,9 @@
 		return
 	}
 	term.version = s.store.version
-	if term.action != Nothing {
+	if term.action != NoAction {
 		term.gate.Stored(s.now)
-		term.action = Nothing
+		term.action = NoAction
 	}
 }
 
