--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -2,66 +2,80 @@
 
 import "time"
 
-// AgentState is what is known of a worker's session by its messages: reports and answers to direct
-// requests, which may come late, twice and in any order.
+// AgentState is what the leader knows of the agent process on a machine from the agent's messages:
+// heartbeats and answers to direct calls. Messages may arrive late, more than once and in any order.
+//
+// All times are on the leader's own clock (Controller.now), not on the agent's.
 type AgentState struct {
-	// The newest message: its session and sequence number, the token it had.
+	// Epoch, Sequence and Token are those of the newest message. The agent takes a new epoch when it
+	// starts and when its lease has expired. The token is the leader's fencing token that the agent
+	// knew when it sent the message.
 	Epoch, Sequence, Token uint64
-	HeartbeatSequence      uint64 // of the newest report
+	// HeartbeatSequence is the sequence number of the newest heartbeat.
+	HeartbeatSequence uint64
+	// LastSeen is when the newest message arrived, LastAnswered when the leader last answered a
+	// heartbeat.
 	LastSeen, LastAnswered time.Duration
-	TokenAcknowledgedAt    time.Duration // when it first showed our token
-	TokenAcknowledged      bool
-	Seen                   bool // heard of in this term
-	// ExpiredEpoch and older ones are proved over.
-	ExpiredEpoch     uint64
-	UnseenAnswers    int // answered reports that show an old token, or lapses
+	// TokenAcknowledgedAt is when the agent first showed this leader's token.
+	TokenAcknowledgedAt time.Duration
+	TokenAcknowledged   bool
+	// Seen is set once a message has arrived in this leader's term.
+	Seen bool
+	// ExpiredEpoch is the newest epoch that is proved over; all older ones are over too.
+	ExpiredEpoch uint64
+	// UnseenAnswers counts the evidence that the leader's answers do not reach the agent: one for each
+	// answered heartbeat with an older token, unseenAnswersPerExpiry for an expired lease.
+	UnseenAnswers int
+	// QuarantinedUntil is until when the machine gets no new work.
 	QuarantinedUntil time.Duration
 }
 
-// HeartbeatHeader is what a message says of its sender's session.
+// HeartbeatHeader is the part of an agent's message that identifies the sender and the message.
 type HeartbeatHeader struct {
 	Epoch, Sequence, Token uint64
-	// Heartbeat: it is one, not an answer to a direct request.
+	// Heartbeat is set for a heartbeat, and not for an answer to a direct call.
 	Heartbeat bool
 }
 
-// IsNewest says whether a message is newer than all before: others are no evidence and no sign of life.
+// IsNewest reports whether a message is newer than all before it and of an epoch that may still be
+// current. Any other message proves nothing, not even that the agent is alive.
 func (a *AgentState) IsNewest(msg HeartbeatHeader) bool {
 	older := msg.Epoch < a.Epoch || msg.Epoch == a.Epoch && msg.Sequence <= a.Sequence
 	return !older && msg.Epoch > a.ExpiredEpoch
 }
 
-// Ratios of a worker that does not hear us.
 const (
-	// unseenAnswersPerExpiry is how many unseen answers a lapsed session counts for.
+	// unseenAnswersPerExpiry is how many unseen answers a lease that expired in spite of the leader's
+	// answers counts for.
 	unseenAnswersPerExpiry = 3
-	// quarantineLeases is how long such a machine is set aside.
+	// quarantineLeases is for how many agent leases a machine with such an agent is quarantined.
 	quarantineLeases = 2
 )
 
 // Observation is what a newest message shows.
 type Observation struct {
-	// LeaseExpired: the worker's lease ran out since the last one.
+	// LeaseExpired: the agent's lease expired since the message before.
 	LeaseExpired bool
-	// AnswersLost: it did though we answered all the while.
+	// AnswersLost: it expired although the leader had answered less than half a lease ago.
 	AnswersLost bool
-	// ShowsToken: it shows our token; First: for the first time in this term.
+	// ShowsToken: the agent has this leader's token. FirstToken: for the first time in this term.
 	ShowsToken, FirstToken bool
 }
 
-// Apply takes a newest message, under a leader's token and the workers' lease.
+// Apply records a message for which IsNewest holds. token is the leader's own, lease the length of an
+// agent's lease.
 func (a *AgentState) Apply(msg HeartbeatHeader, token uint64, now, lease time.Duration) Observation {
-	sign := Observation{LeaseExpired: a.Seen && msg.Epoch > a.Epoch, ShowsToken: msg.Token == token}
-	// Answers are lost: its session lapsed although we answered all the while, or
-	// several answered reports in a row still show an old token.
+	observation := Observation{LeaseExpired: a.Seen && msg.Epoch > a.Epoch, ShowsToken: msg.Token == token}
+	// The answers are lost if the lease expired although the leader answered all the while, or if
+	// several answered heartbeats in a row still show an older token.
 	switch {
-	case sign.LeaseExpired && a.LastAnswered > 0 && now-a.LastAnswered < lease/2:
-		sign.AnswersLost = true
+	case observation.LeaseExpired && a.LastAnswered > 0 && now-a.LastAnswered < lease/2:
+		observation.AnswersLost = true
 		a.UnseenAnswers += unseenAnswersPerExpiry
 		a.QuarantinedUntil = now + quarantineLeases*lease
 	case msg.Heartbeat && a.LastAnswered > 0 && msg.Token < token:
 		a.UnseenAnswers++
-	case sign.ShowsToken && !sign.LeaseExpired && now > a.QuarantinedUntil:
+	case observation.ShowsToken && !observation.LeaseExpired && now > a.QuarantinedUntil:
 		a.UnseenAnswers = 0
 	}
 	a.Epoch, a.Sequence, a.Token = msg.Epoch, msg.Sequence, msg.Token
@@ -69,8 +83,8 @@
 		a.HeartbeatSequence = msg.Sequence
 	}
 	a.LastSeen, a.Seen = now, true
-	if sign.ShowsToken && !a.TokenAcknowledged {
-		a.TokenAcknowledged, a.TokenAcknowledgedAt, sign.FirstToken = true, now, true
+	if observation.ShowsToken && !a.TokenAcknowledged {
+		a.TokenAcknowledged, a.TokenAcknowledgedAt, observation.FirstToken = true, now, true
 	}
-	return sign
+	return observation
 }
--- a/internal/clusterstate/attempt.go
+++ b/internal/clusterstate/attempt.go
@@ -8,84 +8,105 @@
 	"claybarrow/internal/protocol"
 )
 
-// Attempt is one start of a task that may be on its machine.
+// Attempt is one start of a task, which may be on its machine until it is proved gone.
 type Attempt struct {
-	Job     *Job
-	Index   int
+	Job   *Job
+	Index int
+	// Number is unique to the attempt, but for a gang's tasks, which share one. Later numbers are
+	// larger, also those of later leaders.
 	Number  uint64
 	Machine *Machine
-	// Durable: written ahead, so the run may leave. Loaded: from the ledger of
-	// an earlier leader, whose commands may be under way until the worker has
-	// our token.
-	Durable, Loaded bool
-	// Sent: a run left us in Session. Acked: the worker is known to have had
-	// it. Lost: a direct run had no answer, so a copy may still be executed
-	// while the session lasts. RunSequence: the report whose answer carried a run.
-	Sent, Acknowledged, RunLost bool
-	Epoch                       uint64
-	RunSequence                 uint64
-	RunsInFlight                int // direct runs under way
-	State                       protocol.TaskState
-	Since                       time.Duration
-	// StopRequested: it is to be stopped. Grace is what it has for saving.
-	// Yielded: a round stopped it for work that ranks before it. Exit is the
-	// worker's word for its end.
+
+	// Durable: the machine's record with the attempt is stored, so the run command may be sent.
+	Durable bool
+	// Loaded: the attempt was read from the records of an earlier leader, whose commands may still be
+	// on their way until the agent has acknowledged this leader's token.
+	Loaded bool
+
+	// Sent: a run command was sent to the agent in Epoch.
+	Sent bool
+	// Acknowledged: the agent is known to have received it.
+	Acknowledged bool
+	// RunLost: a direct run command had no answer, so a copy of it may still be carried out while the
+	// epoch lasts.
+	RunLost bool
+	// Epoch is the agent's epoch in which the run command was sent.
+	Epoch uint64
+	// RunSequence is the sequence number of the heartbeat whose answer carried a run command.
+	RunSequence uint64
+	// RunsInFlight counts the direct run commands that have no answer yet.
+	RunsInFlight int
+
+	// State is the newest one that the agent reported; empty before its first report. Change it with
+	// SetState.
+	State protocol.TaskState
+	// Since is when the attempt was added, by the leader's clock.
+	Since time.Duration
+
+	// StopRequested: the attempt is to be stopped.
 	StopRequested bool
-	Preempted     bool
-	Exit          protocol.ExitCause
-	StopSentAt    time.Duration
-	Grace         float64
+	// Preempted: it is stopped for work of a higher priority.
+	Preempted bool
+	// Exit is the cause of its end as the agent reported it.
+	Exit protocol.ExitCause
+	// StopSentAt is when the last stop command was sent, by the leader's clock.
+	StopSentAt time.Duration
+	// Grace is the time in seconds that the task has to save a checkpoint before it is killed.
+	Grace float64
 }
 
-// AttemptKey names the attempt.
+// AttemptKey identifies an attempt on a machine.
 type AttemptKey struct {
+	// Task is the task's name as TaskName makes it.
 	Task    string
 	Attempt uint64
 }
 
-// TaskName is the wire's name of a task.
+// TaskName is the name of a task in messages to and from agents: the job's UID, a slash and the index.
 func TaskName(uid string, index int) string { return uid + "/" + strconv.Itoa(index) }
 
-// Key names the attempt on its machine.
+// ParseTask reads a name that TaskName has made.
+func ParseTask(name string) (uid string, index int, ok bool) {
+	uid, digits, found := strings.Cut(name, "/")
+	index, err := strconv.Atoi(digits)
+	return uid, index, found && err == nil && index >= 0
+}
+
+// Key identifies the attempt on its machine.
 func (a *Attempt) Key() AttemptKey { return AttemptKey{TaskName(a.Job.Spec.UID, a.Index), a.Number} }
 
-// mayNeedImage says whether it may still need its image.
+// mayNeedImage reports whether the agent may still have to fetch the image.
 func (a *Attempt) mayNeedImage() bool { return a.State == "" || a.State == protocol.FetchingImage }
 
-// SetState notes the worker's word for the attempt's state.
-func (a *Attempt) SetState(s protocol.TaskState) {
+// SetState records the state that the agent reported, and keeps the counts of the job, the machine
+// and the gang in step with it.
+func (a *Attempt) SetState(state protocol.TaskState) {
 	if a.State == protocol.Running {
 		a.Job.Running--
 	}
-	if s == protocol.Running {
+	if state == protocol.Running {
 		a.Job.Running++
 	}
 	if a.mayNeedImage() {
 		a.Machine.startingAttempts--
 	}
 	a.Machine.revision++
-	a.State = s
+	a.State = state
 	if a.mayNeedImage() {
 		a.Machine.startingAttempts++
 	}
 	if a.Job.Gang != nil {
-		a.Job.Gang.applyTaskState(a, s == protocol.Running || s == protocol.Saving)
+		a.Job.Gang.applyTaskState(a)
 	}
 }
 
-// ExitedTask is an exited attempt that the worker still reports and that is to be
-// cleared when that is safe.
+// ExitedTask is an exited attempt that the agent still reports. It is told to forget the attempt by a
+// clear command, once that is safe.
 type ExitedTask struct {
-	// Attempt is nil if the ledger did not have it.
+	// Attempt is nil if the cluster state does not have it.
 	Attempt *Attempt
-	// Ready: whatever its end means is durable.
+	// Ready: all that follows from the exit is stored, so the clear command may be sent.
 	Ready bool
-	Sent  time.Duration // of the last clear
-}
-
-// ParseTask reads the wire's name of a task.
-func ParseTask(s string) (uid string, index int, ok bool) {
-	uid, n, found := strings.Cut(s, "/")
-	i, err := strconv.Atoi(n)
-	return uid, i, found && err == nil && i >= 0
+	// Sent is when the last clear command was sent, by the leader's clock.
+	Sent time.Duration
 }
--- a/internal/clusterstate/failures.go
+++ b/internal/clusterstate/failures.go
@@ -2,27 +2,30 @@
 
 import "time"
 
-// JobFailures is what is known of a job's failures since one of its tasks last
-// completed.
+// JobFailures is what is known of a job's failures since one of its tasks last completed. It is kept
+// in memory only: a new leader begins with none.
 type JobFailures struct {
-	// Waves counts failures: those of tasks that had all begun before the first of them
-	// are one. LastWave is when the last one began.
-	Waves    int
+	// Waves counts failures for the job's back-off. Failures of tasks that had all started before the
+	// first of them failed count as one.
+	Waves int
+	// LastWave is when the last of these began, by the leader's clock.
 	LastWave time.Duration
-	// Machines are those where tasks have failed, with the time of the last failure.
+	// Machines are those where tasks have failed, with the time of the last failure there.
 	Machines map[string]time.Duration
-	// Everywhere: they are the job's own fault, as it has failed on several machines.
+	// Everywhere: the failures are the job's own fault, as its tasks have failed on several machines.
 	Everywhere bool
 }
 
-// Failures that tell a job's fault from a machine's.
+// Numbers of machines with failures of a job.
 const (
-	probingMachines  = 2 // machines, from which on a job is tried with one task at a time
-	jobFaultMachines = 3 // machines, from which on its failures are its own fault
+	// probingMachines is from how many on the job may have only one task started at a time.
+	probingMachines = 2
+	// jobFaultMachines is from how many on the failures are taken for the job's own fault.
+	jobFaultMachines = 3
 )
 
-// Note notes a failure on a machine. It returns true if that shows that the failures are
-// the job's own fault.
+// Note records a failure on a machine. It returns true if that is the one which shows that the
+// failures are the job's own fault.
 func (f *JobFailures) Note(machine string, now time.Duration) bool {
 	if f.Everywhere {
 		return false
@@ -35,42 +38,43 @@
 	return f.Everywhere
 }
 
-// Probing says whether the job is tried with one task at a time.
+// Probing reports whether only one task of the job may be started at a time.
 func (f *JobFailures) Probing() bool { return f.Everywhere || len(f.Machines) >= probingMachines }
 
-// Avoid names the machines that the job is kept off: where it failed within the given
-// time, unless the fault is its own.
+// Avoid returns the machines that the job must not be placed on: those where it failed within the
+// given time, unless the failures are its own fault.
 func (f *JobFailures) Avoid(now, within time.Duration) map[string]bool {
 	if f.Everywhere || len(f.Machines) == 0 {
 		return nil
 	}
-	out := map[string]bool{}
-	for id, at := range f.Machines {
-		if now < at+within {
-			out[id] = true
+	avoided := map[string]bool{}
+	for id, failedAt := range f.Machines {
+		if now < failedAt+within {
+			avoided[id] = true
 		}
 	}
-	return out
+	return avoided
 }
 
-// MachineFaults is the evidence that a machine is faulty, since a task last completed on it.
+// MachineFaults is the evidence that a machine is faulty, since a task last completed on it. It is kept
+// in memory only: a new leader begins with none.
 type MachineFaults struct {
-	// Suspects are jobs whose tasks failed there, which may be their own fault.
+	// Suspects are the jobs with a failed task there, which may be the job's own fault.
 	Suspects map[string]bool
-	// Confirmed counts jobs that failed there and completed tasks elsewhere.
+	// Confirmed counts the jobs that failed there and completed tasks elsewhere.
 	Confirmed int
-	// Faulty: the evidence is enough, the machine is given no more work.
+	// Faulty: the evidence is enough, and the machine is given no more work. It stays set.
 	Faulty bool
 }
 
-// Weights of the evidence against a machine.
+// Weights of the evidence against a machine, and the sum from which on it is faulty.
 const (
 	suspectWeight   = 1
 	confirmedWeight = 2
 	faultyThreshold = 3
 )
 
-// Suspect notes that a task of the job failed there. It returns true if that makes the
+// Suspect records that a task of the job failed on the machine. It returns true if that makes the
 // machine faulty.
 func (f *MachineFaults) Suspect(job string) bool {
 	if f.Faulty {
@@ -83,7 +87,7 @@
 	return f.updateFaulty()
 }
 
-// Confirm notes that the job has completed a task elsewhere. It returns true if that makes
+// Confirm records that a suspected job has completed a task elsewhere. It returns true if that makes
 // the machine faulty.
 func (f *MachineFaults) Confirm(job string) bool {
 	if f.Faulty || !f.Suspects[job] {
@@ -94,10 +98,10 @@
 	return f.updateFaulty()
 }
 
-// Withdraw takes the job's failures back: they are its own fault.
+// Withdraw drops the job's failures from the evidence, as they are its own fault.
 func (f *MachineFaults) Withdraw(job string) { delete(f.Suspects, job) }
 
-// Clear drops the evidence: a task has completed there.
+// Clear drops the evidence, as a task has completed on the machine. A faulty machine stays faulty.
 func (f *MachineFaults) Clear() {
 	if !f.Faulty {
 		*f = MachineFaults{}
--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -6,88 +6,104 @@
 	"strings"
 )
 
-// imageUse is an image that a machine is believed to have cached.
+// ImageCache is the leader's estimate of the images in a machine's cache. It is kept in memory only: a
+// new leader knows the images of the attempts that it loads and learns the rest.
+type ImageCache struct {
+	// Images are the names of the images that the machine is believed to have.
+	Images map[string]bool
+
+	uses         map[string]imageUse
+	lastImageUse uint64 // the number of the last use
+	// imageSet is the number of the set of Images; 0: not looked up since they changed.
+	imageSet int
+}
+
+// imageUse is the last use of a cached image.
 type imageUse struct {
 	sizeGB  float64
-	lastUse uint64 // when it was last used, in the order of uses
+	lastUse uint64 // uses of a machine's images are numbered from 1
 }
 
-// UseImage notes that the machine has the image and uses it now. A machine caches the most
-// recently used images: those that no longer fit are dropped, but none that a task needs.
-// A cache of size 0 is taken for one without a bound.
+// UseImage records that the machine has the image and uses it now. A machine caches the images that it
+// used last: those that no longer fit into the cache are dropped, except those that a task there
+// needs. A cacheGB of 0 or less means an unbounded cache.
 func (m *Machine) UseImage(name string, sizeGB, cacheGB float64) {
-	if m.imageUses == nil {
-		m.imageUses = map[string]imageUse{}
+	if m.uses == nil {
+		m.uses = map[string]imageUse{}
 	}
 	m.lastImageUse++
 	if !m.Images[name] {
 		m.imagesChanged()
 	}
-	m.imageUses[name] = imageUse{sizeGB: sizeGB, lastUse: m.lastImageUse}
+	m.uses[name] = imageUse{sizeGB: sizeGB, lastUse: m.lastImageUse}
 	m.Images[name] = true
-	if cacheGB <= 0 {
-		return
+	if cacheGB > 0 {
+		m.evictImages(cacheGB)
 	}
-	total := 0.0
-	for _, use := range m.imageUses {
-		total += use.sizeGB
+}
+
+// evictImages drops the least recently used images until the rest fits into the cache.
+func (m *Machine) evictImages(cacheGB float64) {
+	totalGB := 0.0
+	for _, use := range m.uses {
+		totalGB += use.sizeGB
 	}
-	for total > cacheGB {
+	for totalGB > cacheGB {
 		oldest := m.leastRecentlyUsedImage()
 		if oldest == "" {
 			return
 		}
-		total -= m.imageUses[oldest].sizeGB
-		delete(m.imageUses, oldest)
+		totalGB -= m.uses[oldest].sizeGB
+		delete(m.uses, oldest)
 		delete(m.Images, oldest)
 		m.imagesChanged()
 	}
 }
 
-// leastRecentlyUsedImage is the image that is dropped next, if any may be.
+// leastRecentlyUsedImage is the image to drop next; empty if tasks need all of them.
 func (m *Machine) leastRecentlyUsedImage() string {
 	needed := map[string]bool{}
 	for _, a := range m.Attempts {
 		needed[a.Job.Spec.Image] = true
 	}
 	oldest := ""
-	for name, use := range m.imageUses {
-		if !needed[name] && (oldest == "" || use.lastUse < m.imageUses[oldest].lastUse) {
+	for name, use := range m.uses {
+		if !needed[name] && (oldest == "" || use.lastUse < m.uses[oldest].lastUse) {
 			oldest = name
 		}
 	}
 	return oldest
 }
 
-// imagesChanged notes that the machine has other images now.
 func (m *Machine) imagesChanged() {
 	m.imageSet = 0
 	m.revision++
 }
 
-// maxImageSets bounds the numbers that are given to sets of images.
+// maxImageSets bounds the memory that the numbers of image sets take.
 const maxImageSets = 1 << 16
 
-// ImageSet is a number that machines share which have the same images; it is at least 1.
+// ImageSet returns a number, at least 1, that all machines with the same images share. It lets the
+// scheduler compare machines' images without comparing the sets.
 func (s *State) ImageSet(m *Machine) int {
 	if m.imageSet != 0 {
 		return m.imageSet
 	}
 	name := strings.Join(slices.Sorted(maps.Keys(m.Images)), "\n")
-	set, known := s.imageSets[name]
+	number, known := s.imageSets[name]
 	if !known {
 		if len(s.imageSets) >= maxImageSets {
 			s.resetImageSets()
 		}
 		s.lastImageSet++
-		set = s.lastImageSet
-		s.imageSets[name] = set
+		number = s.lastImageSet
+		s.imageSets[name] = number
 	}
-	m.imageSet = set
-	return set
+	m.imageSet = number
+	return number
 }
 
-// resetImageSets begins anew, as most sets are long gone. Numbers are not used again.
+// resetImageSets forgets all sets, as most of them are of no machine any more. Numbers are not reused.
 func (s *State) resetImageSets() {
 	s.imageSets = map[string]int{}
 	for _, m := range s.Machines {
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -11,57 +11,76 @@
 	"claybarrow/internal/scheduler"
 )
 
-// Job is a job that is not over.
+// Job is a job that is not over. Its spec, Submitted and Cancelling are stored in a JobRecord and the
+// completions of its tasks in CompletionRecords; the rest is rebuilt or starts afresh at a failover.
 type Job struct {
-	Spec      *protocol.Spec
-	Submitted int64 // time of day, ms
-	// Stored: the job's record is durable, the user may be told so.
+	Spec *protocol.Spec
+	// Submitted is when the job was submitted, in ms since the epoch by the wall clock of the controller
+	// that accepted it.
+	Submitted int64
+	// Stored: the job's record is stored, so the user may be told that the job is accepted.
 	Stored bool
-	// Cancelling: no starts any more, and whatever runs is stopped, by this leader
-	// or a later one: the request is stored.
+	// Cancelling: no task may be started any more, and all that run are to be stopped. The request is
+	// stored, so a later leader goes on with it.
 	Cancelling bool
-	// Finishing: all tasks are done, or cancelled and proved gone, and the last
-	// record is being written.
+	// Finishing: all tasks are done, or cancelled and proved gone, and the final record is being
+	// written.
 	Finishing bool
-	Scale     scheduler.Scale
-	Need      scheduler.Need
-	Types     map[string]bool
-
-	doneBits []uint64
-	// oversizedChunks are the chunks whose stored record is larger than may be written now.
-	oversizedChunks map[int]bool
-	Done            int
-	attemptsByTask  map[int]int // attempts in the ledger, by task
-	placedBits      []uint64    // tasks that have any, like done
-	attemptsByZone  map[string]int
-	ActiveAttempts  int
-	Running         int
-	interrupted     map[int]bool // interrupted tasks, which go on first
-	// Gang is a gang's current attempt; nil: the job is no gang.
+	// Scale is the job's attained service and its number of slots.
+	Scale scheduler.Scale
+	// Need is what one task needs.
+	Need scheduler.Need
+	// Types are the machine types that the tasks may run on; nil: any.
+	Types map[string]bool
+
+	// Done counts the tasks that have completed.
+	Done int
+	// ActiveAttempts counts the attempts that may be on machines, Running those that were last reported
+	// running.
+	ActiveAttempts int
+	Running        int
+	// Gang is the current attempt of a gang; nil if the job is no gang.
 	Gang *Gang
-	// revision changes with the tasks that wait, see Revision.
-	revision       uint64
-	isInOpenedJobs bool // in the ledger's list of opened jobs
 
-	// WaitingSince is since when it has waited with no task anywhere, 0: it does not.
+	// WaitingSince is since when the job has waited without any task on a machine, by the leader's clock;
+	// 0: it does not.
 	WaitingSince time.Duration
-
-	// NotBefore is when the next start may be made, after failures.
-	Failures  JobFailures
+	// Failures are those since a task last completed.
+	Failures JobFailures
+	// NotBefore is the earliest time for the next start after failures, by the leader's clock.
 	NotBefore time.Duration
+
+	doneTasks      taskSet
+	placedTasks    taskSet        // tasks with an attempt that may be on a machine
+	attemptsByTask map[int]int    // numbers of such attempts
+	attemptsByZone map[string]int // and by zone
+	interrupted    map[int]bool   // interrupted tasks, which are started first
+	// oversizedChunks are the chunks whose stored completion record is larger than one may be now.
+	oversizedChunks map[int]bool
+	revision        uint64 // see Revision
+	isInOpenedJobs  bool   // the job is in State.opened
 }
 
-// TerminalState is what is kept of a job that is over.
+// TerminalState is what is kept of a job that is over, to answer questions about it.
 type TerminalState struct {
+	// Cancelled: the job was cancelled; otherwise it is done.
 	Cancelled bool
-	Tasks     int
+	// Tasks is the number of its tasks if it is done.
+	Tasks int
 }
 
-// AddJob puts a job in the ledger.
+// AddJob adds a job. submitted is in ms since the epoch.
 func (s *State) AddJob(spec *protocol.Spec, submitted int64) *Job {
-	j := &Job{Spec: spec, Submitted: submitted, Scale: scheduler.NewScale(),
-		Need:     scheduler.Need{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB},
-		doneBits: make([]uint64, (spec.Tasks+63)/64), placedBits: make([]uint64, (spec.Tasks+63)/64), attemptsByTask: map[int]int{}, attemptsByZone: map[string]int{}}
+	j := &Job{
+		Spec:           spec,
+		Submitted:      submitted,
+		Scale:          scheduler.NewScale(),
+		Need:           scheduler.Need{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB},
+		doneTasks:      newTaskSet(spec.Tasks),
+		placedTasks:    newTaskSet(spec.Tasks),
+		attemptsByTask: map[int]int{},
+		attemptsByZone: map[string]int{},
+	}
 	if spec.Gang {
 		j.Gang = &Gang{tasks: spec.Tasks}
 	}
@@ -77,43 +96,66 @@
 	return j
 }
 
-// RemoveJob takes a job out of the ledger.
+// RemoveJob removes a job that is over.
 func (s *State) RemoveJob(uid string) {
 	delete(s.Jobs, uid)
 	s.sortedJobs = nil
 }
 
-// SortedJobs lists the jobs by name. Like SortedMachines, the list is kept until a job comes
-// or goes, and is never changed.
+// SortedJobs lists the jobs by UID. Like that of SortedMachines, the list is kept until a job is added
+// or removed, and is never changed in place.
 func (s *State) SortedJobs() []*Job {
 	if s.sortedJobs == nil {
-		s.sortedJobs = slices.Collect(maps.Values(s.Jobs))
-		slices.SortFunc(s.sortedJobs, func(x, y *Job) int { return strings.Compare(x.Spec.UID, y.Spec.UID) })
+		s.sortedJobs = slices.SortedFunc(maps.Values(s.Jobs), func(x, y *Job) int {
+			return strings.Compare(x.Spec.UID, y.Spec.UID)
+		})
 	}
 	return s.sortedJobs
 }
 
-// IsDone says whether the task has completed.
-func (j *Job) IsDone(i int) bool { return j.doneBits[i/64]&(1<<(i%64)) != 0 }
+// IsDone reports whether the task has completed.
+func (j *Job) IsDone(index int) bool { return j.doneTasks.contains(index) }
 
-// MarkDone notes a completion; false if it was known.
-func (j *Job) MarkDone(i int) bool {
-	if j.IsDone(i) {
+// MarkDone records that the task has completed. It returns false if that was known.
+func (j *Job) MarkDone(index int) bool {
+	if j.IsDone(index) {
 		return false
 	}
-	j.doneBits[i/64] |= 1 << (i % 64)
+	j.doneTasks.add(index)
 	j.Done++
 	j.revision++
 	return true
 }
 
-// AttemptsOf is how many attempts of the task may be somewhere.
-func (j *Job) AttemptsOf(i int) int { return j.attemptsByTask[i] }
+// AttemptsOf is the number of the task's attempts that may be on machines.
+func (j *Job) AttemptsOf(index int) int { return j.attemptsByTask[index] }
 
-// InZone is a copy of the counts of attempts by zone.
+// InZone returns the number of attempts in each zone. The map is a copy.
 func (j *Job) InZone() map[string]int { return maps.Clone(j.attemptsByZone) }
 
-// MarkInterrupted notes a task that was stopped, but not by rank.
+// addAttempt keeps the job's counts in step with an attempt that State.AddAttempt adds.
+func (j *Job) addAttempt(a *Attempt) {
+	j.attemptsByTask[a.Index]++
+	j.placedTasks.add(a.Index)
+	delete(j.interrupted, a.Index)
+	j.attemptsByZone[a.Machine.Zone]++
+	j.ActiveAttempts++
+	j.revision++
+}
+
+// removeAttempt keeps the job's counts in step with an attempt that State.RemoveAttempt removes.
+func (j *Job) removeAttempt(a *Attempt) {
+	if j.attemptsByTask[a.Index]--; j.attemptsByTask[a.Index] <= 0 {
+		delete(j.attemptsByTask, a.Index)
+		j.placedTasks.remove(a.Index)
+	}
+	j.attemptsByZone[a.Machine.Zone]--
+	j.ActiveAttempts--
+	j.revision++
+}
+
+// MarkInterrupted records that a task was stopped, other than by preemption. It is started again before
+// the job's other tasks.
 func (j *Job) MarkInterrupted(index int) {
 	if j.interrupted == nil {
 		j.interrupted = map[int]bool{}
@@ -122,65 +164,60 @@
 	j.revision++
 }
 
-// Revision changes whenever a task of the job starts, ends or is interrupted. It serves those
-// who keep a view of what waits; a gang's waiting tasks hang on its state too.
+// Revision changes whenever a task of the job is placed, ends or is interrupted. A cache of the job's
+// waiting tasks is current while the revision is the same; those of a gang also depend on its state.
 func (j *Job) Revision() uint64 { return j.revision }
 
-// WaitingTasks lists up to limit tasks that may be started. The first of them, as
-// many as it says, were interrupted.
-func (j *Job) WaitingTasks(limit int) (out []int, resume int) {
-	return j.AppendWaitingTasks(nil, limit)
-}
+// OpenTasks is the number of tasks that are neither done nor on a machine, as far as is known.
+func (j *Job) OpenTasks() int { return j.Spec.Tasks - j.doneTasks.unionSize(j.placedTasks) }
 
-// OpenTasks is how many tasks are neither done nor on a machine, as far as is known.
-func (j *Job) OpenTasks() int {
-	open := j.Spec.Tasks
-	for w := range j.doneBits {
-		open -= bits.OnesCount64(j.doneBits[w] | j.placedBits[w])
-	}
-	return open
+// WaitingTasks lists up to limit tasks that may be started. The first ones, as many as interrupted
+// says, were interrupted.
+func (j *Job) WaitingTasks(limit int) (tasks []int, interrupted int) {
+	return j.AppendWaitingTasks(nil, limit)
 }
 
-// AppendWaitingTasks is Waiting with a list to use.
-func (j *Job) AppendWaitingTasks(out []int, limit int) (_ []int, resume int) {
+// AppendWaitingTasks is WaitingTasks with a slice to append to, which must be empty. It saves an
+// allocation for each job in each scheduling pass.
+func (j *Job) AppendWaitingTasks(tasks []int, limit int) (_ []int, interrupted int) {
 	if j.Cancelling || j.Finishing {
-		return out, 0
+		return tasks, 0
 	}
 	if j.Gang != nil {
-		return append(out, j.waitingGangTasks()...), 0
+		return j.appendWaitingGangTasks(tasks), 0
 	}
-	for _, i := range slices.Sorted(maps.Keys(j.interrupted)) {
-		if len(out) < limit && !j.IsDone(i) && j.attemptsByTask[i] == 0 {
-			out = append(out, i)
+	for _, index := range slices.Sorted(maps.Keys(j.interrupted)) {
+		if len(tasks) < limit && !j.IsDone(index) && !j.placedTasks.contains(index) {
+			tasks = append(tasks, index)
 		}
 	}
-	resume = len(out)
-	// 64 tasks at a time: of an array of thousands most are done or held.
-	for w := range j.doneBits {
-		for open := ^(j.doneBits[w] | j.placedBits[w]); open != 0; open &= open - 1 {
-			i := w*64 + bits.TrailingZeros64(open)
-			if i >= j.Spec.Tasks || len(out) >= limit {
-				return out, resume
+	interrupted = len(tasks)
+	// Whole words at a time, as most tasks of a large array are done or placed.
+	for word := range j.doneTasks {
+		for open := ^(j.doneTasks[word] | j.placedTasks[word]); open != 0; open &= open - 1 {
+			index := word*bitsPerWord + bits.TrailingZeros64(open)
+			if index >= j.Spec.Tasks || len(tasks) >= limit {
+				return tasks, interrupted
 			}
-			if !j.interrupted[i] {
-				out = append(out, i)
+			if !j.interrupted[index] {
+				tasks = append(tasks, index)
 			}
 		}
 	}
-	return out, resume
+	return tasks, interrupted
 }
 
-// waitingGangTasks lists a gang's tasks that may be started: all of them once all of the
-// attempt before is proved gone, or those that were lost while the others gather. Lost
-// tasks of a broken attempt are not replaced while any of it is left.
-func (j *Job) waitingGangTasks() (out []int) {
+// appendWaitingGangTasks appends a gang's tasks that may be started: all of them once the whole attempt
+// before is proved gone, or those that were lost while the others gather. Lost tasks of a broken
+// attempt are not replaced while any of it is left.
+func (j *Job) appendWaitingGangTasks(tasks []int) []int {
 	if j.ActiveAttempts > 0 && !j.Gang.Replaces() {
-		return nil
+		return tasks
 	}
-	for i := range j.Spec.Tasks {
-		if j.attemptsByTask[i] == 0 {
-			out = append(out, i)
+	for index := range j.Spec.Tasks {
+		if !j.placedTasks.contains(index) {
+			tasks = append(tasks, index)
 		}
 	}
-	return out
+	return tasks
 }
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -10,110 +10,169 @@
 	"claybarrow/internal/scheduler"
 )
 
-// Machine is a machine and all that may be on it.
+// Machine is a machine and all attempts that may be on it. Its identity, its attempts and Releasing are
+// stored in a MachineRecord; the rest is kept in memory and starts afresh at a failover. All times are on
+// the leader's clock (Controller.now).
 type Machine struct {
 	ID, Type, Zone, Addr string
-	Spot                 bool
-	Size                 scheduler.Need
-	Attempts             map[AttemptKey]*Attempt
-	sortedAttempts       []*Attempt // kept by Sorted
-	Exited               map[AttemptKey]*ExitedTask
-	Used                 scheduler.Need
-	// startingAttempts counts the attempts that may still need their image.
-	startingAttempts int
-	// UnknownTasks are tasks of jobs that the ledger does not have, with the time of the
-	// last halt.
+	// Spot: the cloud may reclaim the machine.
+	Spot bool
+	// Size is the machine's resources, Used what the attempts on it need.
+	Size, Used scheduler.Need
+	// Attempts are those that may be there. Add and remove them with State.AddAttempt and
+	// State.RemoveAttempt.
+	Attempts map[AttemptKey]*Attempt
+	// Exited are the exited attempts that the agent still reports.
+	Exited map[AttemptKey]*ExitedTask
+	// UnknownTasks are reported tasks of jobs that the cluster state does not have, with the time of
+	// the last stop command.
 	UnknownTasks map[AttemptKey]time.Duration
 
-	AgentState
-	// DrainUntil: its replicas are being moved, nothing new comes meanwhile.
+	// Faults is the evidence that the machine is faulty.
+	Faults MachineFaults
+	// DrainUntil is until when its replicas are being moved away, and nothing new is placed on it.
 	DrainUntil time.Duration
-	Faults     MachineFaults
 
-	// RedirectedAt is when it was told to report to a controller of its zone, RedirectedProcess
-	// which process that was; until NoRedirectUntil it reports to the leader itself,
-	// longer with each time that it came back from there.
-	RedirectedAt, NoRedirectUntil time.Duration
-	RedirectedProcess             string
-	RedirectedTo                  string // and its label
-	FailedRedirects               int
+	AgentState
+	DirectCallState
+	RedirectState
+	RentalState
+	SpotReclaim
+	ImageCache
 
-	SpotNotice  bool
-	ReclaimedBy time.Duration
-	// Images are those it is believed to have, see UseImage.
-	Images       map[string]bool
-	imageUses    map[string]imageUse
-	lastImageUse uint64
-	// imageSet names the images that it has, see ImageSet; 0: not known yet.
-	imageSet int
-	// revision changes with what is on the machine, see Revision.
-	revision uint64
-
-	// ExistedAt is when it surely existed; a list surely younger without it
-	// proves that it is gone.
-	ExistedAt     time.Duration
-	LaunchedAt    time.Duration // when the rental was asked for, as far as known
-	Up            bool          // has reported at some time
-	Listed        bool          // the cloud calls it running
-	Releasing     bool          // to be deleted
-	ReleaseStored bool          // the mark is durable, the deletion may leave
-	IdleSince     time.Duration
-	Recorded      bool
-
-	// The direct link: one call in flight.
+	sortedAttempts []*Attempt // nil: not sorted since the attempts changed; see Sorted
+	// startingAttempts counts the attempts whose image the agent may still have to fetch.
+	startingAttempts int
+	revision         uint64 // see Revision
+}
+
+// DirectCallState is the state of the leader's direct calls to the agent. There is at most one call in
+// flight.
+type DirectCallState struct {
 	CallInFlight bool
-	FailedCalls  int
-	// ConnectionFailed: with the last call not even a connection could be made; LastFailedCallAt is
-	// when that call left.
+	// FailedCalls counts the calls in a row that were not answered with status 200 or 409.
+	FailedCalls int
+	// ConnectionFailed: for the last failed call not even a connection could be made.
 	ConnectionFailed bool
+	// LastFailedCallAt is when that call was sent.
 	LastFailedCallAt time.Duration
-	NextCall         time.Duration
-	Probed           bool
+	// NextCall is the earliest time for the next call.
+	NextCall time.Duration
+	// Probed: a call was sent, and has neither failed nor found another epoch than expected since.
+	Probed bool
 }
 
-// AddMachine returns the machine, made if need be.
+// RedirectState tells whether the agent was redirected to send its heartbeats to a controller in its own
+// zone.
+type RedirectState struct {
+	// RedirectedAt is when the agent was last redirected; 0 once it has come back to the leader.
+	// Until NoRedirectUntil it sends its heartbeats to the leader; the time grows with each
+	// redirect that failed.
+	RedirectedAt, NoRedirectUntil time.Duration
+	// RedirectedProcess is the incarnation of the controller that it was redirected to, RedirectedTo
+	// that controller's label.
+	RedirectedProcess string
+	RedirectedTo      string
+	// FailedRedirects counts the redirects in a row from which the agent came back soon.
+	FailedRedirects int
+}
+
+// RentalState is the state of the machine's rental in the cloud.
+type RentalState struct {
+	// ExistedAt is the latest time at which the machine is known to have existed. A listing that is
+	// surely younger and does not have the machine proves that it is gone.
+	ExistedAt time.Duration
+	// LaunchedAt is when the rental was requested, as far as that is known.
+	LaunchedAt time.Duration
+	// Up: the agent has sent a heartbeat at some time, to this leader or an earlier one.
+	Up bool
+	// Listed: the cloud lists the machine as running.
+	Listed bool
+	// Releasing: the machine is to be deleted.
+	Releasing bool
+	// ReleaseStored: Releasing is stored, so the deletion may be sent.
+	ReleaseStored bool
+	// IdleSince is since when the machine counts as idle; 0: not known yet.
+	IdleSince time.Duration
+	// Recorded: the machine has a record in the state service, or one was rendered for it.
+	Recorded bool
+}
+
+// SpotReclaim is the cloud's notice that it reclaims a spot machine.
+type SpotReclaim struct {
+	// SpotNotice: the notice was given.
+	SpotNotice bool
+	// ReclaimedBy is when the machine will be gone at the latest.
+	ReclaimedBy time.Duration
+}
+
+// AddMachine returns the machine with the ID, and adds it if there is none.
 func (s *State) AddMachine(id string) *Machine {
 	m := s.Machines[id]
 	if m == nil {
-		m = &Machine{ID: id, Attempts: map[AttemptKey]*Attempt{}, Exited: map[AttemptKey]*ExitedTask{}, Images: map[string]bool{}}
+		m = &Machine{
+			ID:         id,
+			Attempts:   map[AttemptKey]*Attempt{},
+			Exited:     map[AttemptKey]*ExitedTask{},
+			ImageCache: ImageCache{Images: map[string]bool{}},
+		}
 		s.Machines[id] = m
 		s.sortedMachines = nil
 	}
 	return m
 }
 
-// Revision changes whenever an attempt comes, goes or changes its state, or an image comes or
-// goes. It serves those who keep a view of the machine.
-func (m *Machine) Revision() uint64 { return m.revision }
-
-// Starting says whether any task on the machine may still need its image.
-func (m *Machine) Starting() bool { return m.startingAttempts > 0 }
-
-// RemoveMachine takes a machine out of the ledger.
+// RemoveMachine removes a machine that is gone.
 func (s *State) RemoveMachine(m *Machine) {
 	delete(s.Machines, m.ID)
 	s.sortedMachines = nil
 }
 
-// SortedMachines lists the machines by name. The list is kept until a machine
-// comes or goes, as it is asked for at every tick, and is never changed: who
-// goes through it may add and remove machines meanwhile.
+// SortedMachines lists the machines by ID. The list is kept until a machine is added or removed, as it
+// is asked for at every tick, and is never changed in place: the caller may add and remove machines
+// while it iterates.
 func (s *State) SortedMachines() []*Machine {
 	if s.sortedMachines == nil {
-		s.sortedMachines = slices.Collect(maps.Values(s.Machines))
-		slices.SortFunc(s.sortedMachines, func(x, y *Machine) int { return strings.Compare(x.ID, y.ID) })
+		s.sortedMachines = slices.SortedFunc(maps.Values(s.Machines), func(x, y *Machine) int {
+			return strings.Compare(x.ID, y.ID)
+		})
 	}
 	return s.sortedMachines
 }
 
-// Sorted lists the machine's attempts in a fixed order, so runs replay. The list is kept until
-// an attempt comes or goes, and is never changed: who goes through it may drop attempts
-// meanwhile.
+// addAttempt keeps the machine's counts in step with an attempt that State.AddAttempt adds.
+func (m *Machine) addAttempt(a *Attempt) {
+	m.Attempts[a.Key()], m.sortedAttempts = a, nil
+	m.Used = m.Used.Plus(a.Job.Need)
+	m.startingAttempts++ // its state is empty
+	m.revision++
+}
+
+// removeAttempt keeps the machine's counts in step with an attempt that State.RemoveAttempt removes, and
+// whose state it has emptied.
+func (m *Machine) removeAttempt(a *Attempt) {
+	delete(m.Attempts, a.Key())
+	m.sortedAttempts = nil
+	m.Used = m.Used.Minus(a.Job.Need)
+	m.startingAttempts--
+	m.revision++
+}
+
+// Revision changes whenever an attempt is added, removed or changes its state, and whenever an image is
+// added or dropped. A cache of the machine is current while the revision is the same.
+func (m *Machine) Revision() uint64 { return m.revision }
+
+// Starting reports whether an attempt on the machine may still need its image.
+func (m *Machine) Starting() bool { return m.startingAttempts > 0 }
+
+// Sorted lists the machine's attempts in a fixed order, so that runs replay. The list is kept until an
+// attempt is added or removed, and is never changed in place: the caller may remove attempts while it
+// iterates.
 func (m *Machine) Sorted() []*Attempt {
 	if m.sortedAttempts == nil && len(m.Attempts) > 0 {
-		m.sortedAttempts = slices.Collect(maps.Values(m.Attempts))
-		slices.SortFunc(m.sortedAttempts, func(x, y *Attempt) int {
-			return cmp.Or(cmp.Compare(x.Number, y.Number), cmp.Compare(x.Index, y.Index)) // a gang's have one number
+		m.sortedAttempts = slices.SortedFunc(maps.Values(m.Attempts), func(x, y *Attempt) int {
+			// A gang's tasks have the same number.
+			return cmp.Or(cmp.Compare(x.Number, y.Number), cmp.Compare(x.Index, y.Index))
 		})
 	}
 	return m.sortedAttempts
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -4,39 +4,51 @@
 	"claybarrow/internal/protocol"
 )
 
-// Keys of the state service.
+// Key prefixes of the records in the state service.
 const (
-	JobPrefix            = "j/"
-	CompletionPrefix     = "d/"
-	CompletionPartPrefix = "p/" // completions that don't fit under CompletionPrefix
-	MachinePrefix        = "m/"
-	CounterPrefix        = "k/"
+	// JobPrefix + UID holds a JobRecord.
+	JobPrefix = "j/"
+	// CompletionPrefix + UID + "/" + chunk holds a CompletionRecord.
+	CompletionPrefix = "d/"
+	// CompletionPartPrefix + UID + "/" + part holds a CompletionRecord of tasks that do not fit into
+	// the record of their chunk.
+	CompletionPartPrefix = "p/"
+	// MachinePrefix + machine ID holds a MachineRecord.
+	MachinePrefix = "m/"
+	// CounterPrefix + batch number holds Counters.
+	CounterPrefix = "k/"
 )
 
-// Cancelling is the stored state of a job whose user has asked to cancel it and
-// has not been told so: no attempt may be started, those there are stopped.
+// Cancelling is the stored state of a job whose user has requested its cancellation and has not been
+// told that it is cancelled. No task of it may be started, and those that run are stopped.
 const Cancelling protocol.JobState = "cancelling"
 
-// JobRecord is a job in the state service; S is empty, "cancelling", "done" or
-// "aborted".
+// JobRecord is the stored form of a job. The writer bounds a record by its JSON with these Go field
+// names, so they are part of the limit; the tags are what is stored.
 type JobRecord struct {
-	State     protocol.JobState `msgpack:"s,omitempty"`
-	Tasks     int               `msgpack:"n,omitempty"`
-	Submitted int64             `msgpack:"t,omitempty"`
-	Spec      *protocol.Spec    `msgpack:"j,omitempty"`
+	// State is empty, Cancelling, protocol.Done or protocol.Cancelled.
+	State protocol.JobState `msgpack:"s,omitempty"`
+	// Tasks is the number of tasks of a job that is done.
+	Tasks int `msgpack:"n,omitempty"`
+	// Submitted is in ms since the epoch, by the wall clock of the controller that accepted the job.
+	Submitted int64 `msgpack:"t,omitempty"`
+	// Spec is nil once the job is over.
+	Spec *protocol.Spec `msgpack:"j,omitempty"`
 }
 
-// MachineRecord is a machine in the state service.
+// MachineRecord is the stored form of a machine and of the attempts that may be on it.
 type MachineRecord struct {
-	Type     string         `msgpack:"y"`
-	Zone     string         `msgpack:"z"`
-	Spot     bool           `msgpack:"b,omitempty"`
-	Addr     string         `msgpack:"a,omitempty"`
+	Type string `msgpack:"y"`
+	Zone string `msgpack:"z"`
+	Spot bool   `msgpack:"b,omitempty"`
+	Addr string `msgpack:"a,omitempty"`
+	// Return: the machine is to be deleted, see RentalState.Releasing.
 	Return   bool           `msgpack:"r,omitempty"`
 	Attempts []AttemptEntry `msgpack:"t,omitempty"`
 }
 
-// AttemptEntry is one attempt in a machine's record.
+// AttemptEntry is an attempt in a MachineRecord. It is stored as an array: the order of its fields is
+// the encoding.
 type AttemptEntry struct {
 	//lint:ignore U1000 msgpack finds the field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
@@ -45,13 +57,21 @@
 	Number   uint64
 }
 
-// Counters are batched attained-service figures.
+// EntryBytes bounds what an AttemptEntry takes of a MachineRecord, in bytes as the writer measures it. Twice
+// as much bounds a CounterRow.
+const EntryBytes = 96
+
+// Counters is a batch of the jobs' attained service. It is written now and then, for the next leader.
 type Counters struct {
-	At   int64                 `msgpack:"t"`
+	// At is when the batch was rendered, in ms since the epoch by the leader's wall clock. The next
+	// leader adds the service attained since.
+	At int64 `msgpack:"t"`
+	// Jobs has the figures by the job's UID.
 	Jobs map[string]CounterRow `msgpack:"j"`
 }
 
-// CounterRow is one job's figures.
+// CounterRow is a job's scheduler.Scale, whose fields have the same names and meaning. It is stored as an
+// array: the order of its fields is the encoding.
 type CounterRow struct {
 	//lint:ignore U1000 msgpack finds the field by reflection
 	_msgpack   struct{} `msgpack:",as_array"`
@@ -64,7 +84,7 @@
 	Degr       float64
 }
 
-// Record renders a job.
+// Record renders the job's record as the job is now.
 func (j *Job) Record() JobRecord {
 	switch {
 	case j.Finishing && j.Cancelling:
@@ -77,14 +97,11 @@
 	return JobRecord{Submitted: j.Submitted, Spec: j.Spec}
 }
 
-// EntryBytes is a bound for one entry of a machine's record.
-const EntryBytes = 96
-
-// Record renders a machine with all that may be on it.
+// Record renders the machine's record with all attempts that may be on it.
 func (m *Machine) Record() MachineRecord {
-	r := MachineRecord{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Return: m.Releasing}
+	record := MachineRecord{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Return: m.Releasing}
 	for _, a := range m.Sorted() {
-		r.Attempts = append(r.Attempts, AttemptEntry{Job: a.Job.Spec.UID, Index: a.Index, Number: a.Number})
+		record.Attempts = append(record.Attempts, AttemptEntry{Job: a.Job.Spec.UID, Index: a.Index, Number: a.Number})
 	}
-	return r
+	return record
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -1,6 +1,22 @@
-// Package clusterstate keeps the record of jobs, tasks, machines, and the attempts that
-// may be on each machine. An attempt stays in the ledger until it is proved
-// gone; limits, zones and room count all that is in them.
+// Package clusterstate holds the cluster's state: the jobs, the machines, the attempts that may be on each
+// machine, and what each team uses of its quota. An attempt stays until it is proved gone; quotas, zone
+// counts and free capacity include all attempts that may still be on a machine.
+//
+// Only the leader has a State. It belongs to one leadership and is used by the controller's event loop
+// alone, without locks. What has to survive a failover is stored in the state service, by the writer of
+// internal/statestore:
+//
+//	j/<uid>           JobRecord: the spec, or the final state of a job that is over
+//	d/<uid>/<chunk>   CompletionRecord: which tasks of an array are done
+//	p/<uid>/<part>    CompletionRecord: those that do not fit into the record of their chunk
+//	m/<id>            MachineRecord: the machine and the attempts that may be on it
+//	k/<batch>         Counters: attained service, for the order of jobs
+//
+// At a failover the new leader reads these records, then the completion journal, and adds what they say to
+// an empty State. All else (the agents' state, failures, image caches) it learns from the agents.
+//
+// Times are durations on the leader's clock (Controller.now), which starts anew with each process, unless
+// they are said to be in ms since the epoch.
 package clusterstate
 
 import (
@@ -9,81 +25,73 @@
 	"claybarrow/internal/scheduler"
 )
 
-// State holds all jobs, machines and teams.
+// State is the cluster's state as the leader knows it.
 type State struct {
-	Jobs     map[string]*Job
+	// Jobs are the jobs that are not over, by UID.
+	Jobs map[string]*Job
+	// Terminal are those that are over, by UID.
 	Terminal map[string]TerminalState
+	// Machines are all machines that may exist, by ID.
 	Machines map[string]*Machine
-	Quotas   map[string]*scheduler.Quota
-	layout   completionLayout
-	// Kept until something comes or goes, see SortedMachines.
-	sortedMachines []*Machine
-	sortedJobs     []*Job
-	// opened are the jobs that may have come to wait since somebody last asked.
-	opened []*Job
-	// imageSets are numbers of sets of images, by their names.
+	// Quotas are the teams' quotas with what the teams use, by the team's name.
+	Quotas map[string]*scheduler.Quota
+
+	layout         completionLayout
+	sortedMachines []*Machine // see SortedMachines
+	sortedJobs     []*Job     // see SortedJobs
+	opened         []*Job     // see TakeOpenedJobs
+	// imageSets are the numbers of the machines' sets of images, by the images' sorted names.
 	imageSets    map[string]int
 	lastImageSet int
 }
 
-// New makes an empty ledger. layoutBytes is the store's limit for one value that the layout
-// of completions is computed from, valueBytes the limit that is written within.
+// New makes an empty state. layoutBytes is the limit on a stored value, in bytes, from which the layout of
+// the completion records is computed; it must not change while any are stored, as it gives their keys
+// their meaning. valueBytes is the limit that newly written values keep within.
 func New(layoutBytes, valueBytes int) *State {
-	return &State{Jobs: map[string]*Job{}, Terminal: map[string]TerminalState{}, Machines: map[string]*Machine{},
-		Quotas: map[string]*scheduler.Quota{}, imageSets: map[string]int{}, layout: newCompletionLayout(layoutBytes, valueBytes)}
+	return &State{
+		Jobs:      map[string]*Job{},
+		Terminal:  map[string]TerminalState{},
+		Machines:  map[string]*Machine{},
+		Quotas:    map[string]*scheduler.Quota{},
+		imageSets: map[string]int{},
+		layout:    newCompletionLayout(layoutBytes, valueBytes),
+	}
 }
 
-// AddAttempt notes that an attempt may be on the machine.
-func (s *State) AddAttempt(m *Machine, j *Job, index int, try uint64, now time.Duration) *Attempt {
-	a := &Attempt{Job: j, Index: index, Number: try, Machine: m, Since: now}
-	m.Attempts[a.Key()], m.sortedAttempts = a, nil
-	m.Used = m.Used.Plus(j.Need)
-	j.attemptsByTask[index]++
-	j.placedBits[index/64] |= 1 << (index % 64)
-	m.startingAttempts++
-	delete(j.interrupted, index)
-	j.attemptsByZone[m.Zone]++
-	j.ActiveAttempts++
-	j.revision++
-	m.revision++
+// AddAttempt adds an attempt that may be on the machine from now on.
+func (s *State) AddAttempt(m *Machine, j *Job, index int, number uint64, now time.Duration) *Attempt {
+	a := &Attempt{Job: j, Index: index, Number: number, Machine: m, Since: now}
+	m.addAttempt(a)
+	j.addAttempt(a)
 	if j.Gang != nil {
 		j.Gang.add(a)
 	}
-	if t := s.Quotas[j.Spec.Team]; t != nil {
-		t.Used = t.Used.Plus(j.Need)
+	if quota := s.Quotas[j.Spec.Team]; quota != nil {
+		quota.Used = quota.Used.Plus(j.Need)
 	}
 	return a
 }
 
-// RemoveAttempt takes an attempt that is proved gone out of the ledger.
+// RemoveAttempt removes an attempt that is proved gone. Removing it twice changes nothing.
 func (s *State) RemoveAttempt(a *Attempt) {
 	m, j := a.Machine, a.Job
 	if m.Attempts[a.Key()] != a {
 		return
 	}
-	delete(m.Attempts, a.Key())
-	m.sortedAttempts = nil
-	m.Used = m.Used.Minus(j.Need)
-	if j.attemptsByTask[a.Index]--; j.attemptsByTask[a.Index] <= 0 {
-		delete(j.attemptsByTask, a.Index)
-		j.placedBits[a.Index/64] &^= 1 << (a.Index % 64)
-	}
-	j.attemptsByZone[m.Zone]--
-	j.ActiveAttempts--
-	j.revision++
-	m.revision++
+	a.SetState("") // it no longer counts as running
+	m.removeAttempt(a)
+	j.removeAttempt(a)
 	s.markOpened(j)
-	a.SetState("")
-	m.startingAttempts--
 	if j.Gang != nil {
 		j.Gang.remove(a)
 	}
-	if t := s.Quotas[j.Spec.Team]; t != nil {
-		t.Used = t.Used.Minus(j.Need)
+	if quota := s.Quotas[j.Spec.Team]; quota != nil {
+		quota.Used = quota.Used.Minus(j.Need)
 	}
 }
 
-// markOpened notes that a job may have tasks that wait.
+// markOpened records that the job may have tasks that wait.
 func (s *State) markOpened(j *Job) {
 	if !j.isInOpenedJobs {
 		j.isInOpenedJobs = true
@@ -91,16 +99,16 @@
 	}
 }
 
-// OpenedJobs is what TakeOpenedJobs would list.
+// OpenedJobs is the list that TakeOpenedJobs would return. It leaves the list as it is.
 func (s *State) OpenedJobs() []*Job { return s.opened }
 
-// TakeOpenedJobs lists the jobs that may have come to wait since it was last called: those that
-// are new, and those that have lost a task. No other change has a task wait.
+// TakeOpenedJobs returns the jobs that may have got waiting tasks since the last call: new ones, and those
+// that an attempt was removed from. No other change makes a task wait.
 func (s *State) TakeOpenedJobs() []*Job {
-	out := s.opened
+	jobs := s.opened
 	s.opened = nil
-	for _, j := range out {
+	for _, j := range jobs {
 		j.isInOpenedJobs = false
 	}
-	return out
+	return jobs
 }
