--- /dev/null
+++ b/internal/completionjournal/compaction.go
@@ -0,0 +1,146 @@
+package completionjournal
+
+import (
+	"slices"
+
+	"claybarrow/internal/statestore"
+)
+
+// compactionsPerTick bounds the values whose compaction begins in one call of Tick.
+const compactionsPerTick = 4
+
+// Rendered records that a record was rendered as it is now, with all entries added until now.
+func (j *Journal) Rendered(record string) {
+	for _, e := range j.byRecord[record] {
+		e.rendered = true
+	}
+}
+
+// Stored records that a record is durable as it was last rendered.
+func (j *Journal) Stored(record string) {
+	entries := j.byRecord[record]
+	if len(entries) == 0 {
+		return
+	}
+	var missing []*entryState
+	for _, e := range entries {
+		if !e.rendered {
+			missing = append(missing, e)
+		}
+	}
+	if len(missing) == 0 {
+		delete(j.byRecord, record)
+	} else {
+		j.byRecord[record] = missing
+	}
+	for _, e := range entries {
+		if e.rendered {
+			j.markCompacted(e)
+		}
+	}
+}
+
+// markCompacted records that an entry is redundant, as its record has it.
+func (j *Journal) markCompacted(e *entryState) {
+	if e.compacted {
+		return
+	}
+	e.compacted = true
+	e.notifyDurable()
+	v := e.value
+	if v == nil {
+		return
+	}
+	if v.uncompacted--; v.uncompacted == 0 && v != j.tail {
+		j.deleteValue(v)
+	}
+}
+
+// Tick compacts old values, the oldest first, and all of them once the journal is closed or abandoned.
+func (j *Journal) Tick() {
+	if !j.enabled {
+		j.compactPending()
+	}
+	begun := 0
+	for _, v := range slices.Clone(j.values) {
+		if begun == compactionsPerTick {
+			return
+		}
+		if v.deleting || v == j.tail && j.writePending || !v.stored {
+			continue
+		}
+		due := !j.enabled || j.now() >= v.createdAt+j.limits.CompactAfter
+		switch {
+		case v.uncompacted == 0 && due:
+			j.deleteValue(v)
+		case !v.compacting && (due || j.isHalfFull()):
+			begun++
+			j.compactValue(v)
+		}
+	}
+}
+
+// compactPending has the records take the entries that will never be in a value.
+func (j *Journal) compactPending() {
+	if j.writePending {
+		return // a value with them is under way
+	}
+	for _, e := range slices.Clone(j.pending) {
+		if e.compacted {
+			continue
+		}
+		priority := statestore.Lazy
+		if e.onDurable != nil {
+			priority = statestore.Done
+		}
+		j.requestCompaction(e, priority)
+	}
+	j.pending = slices.DeleteFunc(j.pending, func(e *entryState) bool { return e.compacted })
+}
+
+// compactValue has the records take all entries of a value.
+func (j *Journal) compactValue(v *valueState) {
+	v.compacting = true
+	if j.tail == v {
+		j.tail = nil
+	}
+	for _, e := range v.uncompactedEntries() {
+		j.requestCompaction(e, j.compactionPriority())
+	}
+	if v.uncompacted == 0 {
+		j.deleteValue(v)
+	}
+}
+
+// requestCompaction calls the compactor for an entry, once.
+func (j *Journal) requestCompaction(e *entryState, priority statestore.Priority) {
+	if e.compactionRequested {
+		return
+	}
+	e.compactionRequested = true
+	j.compactor.Compact(e.entry, e.record, priority)
+}
+
+// compactionPriority is the lowest one until the journal is half full. From then on compaction must not be
+// starved by other writes.
+func (j *Journal) compactionPriority() statestore.Priority {
+	if j.isHalfFull() {
+		return statestore.Done
+	}
+	return statestore.Lazy
+}
+
+// isHalfFull reports whether more than half of the values that may be stored are.
+func (j *Journal) isHalfFull() bool { return len(j.values) > j.limits.Values/2 }
+
+// deleteValue deletes a value whose entries are all compacted.
+func (j *Journal) deleteValue(v *valueState) {
+	if v.deleting {
+		return
+	}
+	v.deleting = true
+	if j.tail == v {
+		j.tail = nil
+	}
+	j.store.Mark(v.key, j.compactionPriority(), func() any { return nil }, func() { j.forget(v) })
+}
--- /dev/null
+++ b/internal/completionjournal/tail.go
@@ -0,0 +1,119 @@
+package completionjournal
+
+import (
+	"slices"
+	"sort"
+
+	"claybarrow/internal/statestore"
+)
+
+const (
+	// envelopeBytes bounds what a value takes beside its body, as JSON with the fields' Go names, which
+	// is how the writer measures it.
+	envelopeBytes = 160
+	// rewriteFraction: the tail is written again with later entries while it is shorter than this
+	// fraction of a full value. Each value that is begun costs another write, its deletion.
+	rewriteFraction = 4
+)
+
+// scheduleWrite marks the tail to be written, with the priority that the pending entries need.
+func (j *Journal) scheduleWrite() {
+	if !j.enabled || j.writePending && !j.store.IsPending(j.tail.key) {
+		return // a write that is under way is followed by another one, see tailStored
+	}
+	priority := statestore.Lazy
+	if j.hasWaiter {
+		priority = statestore.Done
+	}
+	if j.writePending {
+		j.store.Mark(j.tail.key, priority, j.renderTail, nil)
+		return
+	}
+	j.chooseTail()
+	j.writePending = true
+	j.store.Mark(j.tail.key, priority, j.renderTail, j.tailStored)
+}
+
+// chooseTail keeps the tail while it is short, or begins another value.
+func (j *Journal) chooseTail() {
+	if t := j.tail; t != nil && !t.compacting && !t.deleting && t.bodyBytes < j.limits.ValueBytes/rewriteFraction {
+		return
+	}
+	former := j.tail
+	j.lastNumber++
+	j.tail = &valueState{key: Key(j.token, j.lastNumber), createdAt: j.now()}
+	j.values = append(j.values, j.tail)
+	if former != nil && former.stored && former.uncompacted == 0 {
+		j.deleteValue(former)
+	}
+}
+
+// renderTail renders the tail with the entries that it has and as many pending ones as fit; nil if there
+// are none.
+func (j *Journal) renderTail() any {
+	kept := j.tail.uncompactedEntries()
+	waiting := make([]*entryState, 0, len(j.pending))
+	for _, e := range j.pending {
+		if e.needsValue() {
+			waiting = append(waiting, e)
+		}
+	}
+	added := len(waiting)
+	value := j.encodeTail(kept, waiting)
+	if !j.fits(value) {
+		added = sort.Search(added, func(n int) bool { return !j.fits(j.encodeTail(kept, waiting[:n+1])) })
+		value = j.encodeTail(kept, waiting[:added])
+	}
+	j.renderedEntries = waiting[:added]
+	j.tail.bodyBytes = len(value.Body)
+	if added < len(waiting) {
+		j.tail.bodyBytes = j.limits.ValueBytes // it is full
+	}
+	if j.renderedValue = len(kept)+added > 0; !j.renderedValue {
+		return nil
+	}
+	return value
+}
+
+func (j *Journal) encodeTail(kept, added []*entryState) Value {
+	entries := make([]Entry, 0, len(kept)+len(added))
+	for _, e := range kept {
+		entries = append(entries, e.entry)
+	}
+	for _, e := range added {
+		entries = append(entries, e.entry)
+	}
+	return Encode(j.token, j.tail.number(), entries)
+}
+
+func (v *valueState) number() uint64 {
+	_, number, _ := ParseKey(v.key)
+	return number
+}
+
+func (j *Journal) fits(v Value) bool { return len(v.Body)+envelopeBytes <= j.limits.ValueBytes }
+
+// tailStored records that the tail is durable as it was last rendered.
+func (j *Journal) tailStored() {
+	tail := j.tail
+	j.writePending = false
+	tail.entries = append(tail.uncompactedEntries(), j.renderedEntries...)
+	tail.stored = j.renderedValue
+	for _, e := range j.renderedEntries {
+		e.value = tail
+	}
+	tail.uncompacted = len(tail.uncompactedEntries())
+	j.pending = slices.DeleteFunc(j.pending, func(e *entryState) bool { return e.value != nil || e.compacted })
+	durable := j.renderedEntries
+	j.renderedEntries = nil
+	if !tail.stored {
+		j.forget(tail)
+	}
+	for _, e := range durable {
+		e.notifyDurable()
+	}
+	j.hasWaiter = slices.ContainsFunc(j.pending, func(e *entryState) bool { return e.onDurable != nil })
+	if slices.ContainsFunc(j.pending, (*entryState).needsValue) {
+		j.scheduleWrite()
+	}
+}
