--- /dev/null
+++ b/internal/completionjournal/entry.go
@@ -0,0 +1,152 @@
+package completionjournal
+
+import (
+	"cmp"
+	"fmt"
+
+	"github.com/RoaringBitmap/roaring/v2"
+)
+
+// Entry is a completion or a departure. With a machine it says that the attempt has left that machine,
+// without one that the task is done.
+type Entry struct {
+	Job     string // UID
+	Index   int    // of the task
+	Machine string // ID; empty for a completion
+	Attempt uint64 // the attempt's number; 0 for a completion
+}
+
+func compareEntries(a, b Entry) int {
+	return cmp.Or(
+		cmp.Compare(a.Machine, b.Machine),
+		cmp.Compare(a.Job, b.Job),
+		cmp.Compare(a.Index, b.Index),
+		cmp.Compare(a.Attempt, b.Attempt),
+	)
+}
+
+// Bounds of what is accepted when a value is read, whatever it claims.
+const (
+	// maxTasks is the most tasks that the protocol allows for a job.
+	maxTasks = 100_000
+	// maxEntries bounds the memory that the entries of one value take.
+	maxEntries = 1 << 18
+)
+
+// valueBody is the body of a value: completions by job and departures by machine.
+type valueBody struct {
+	Completions []jobCompletions    `cbor:"1,keyasint,omitempty"`
+	Departures  []machineDepartures `cbor:"2,keyasint,omitempty"`
+}
+
+// jobCompletions are the completed tasks of a job. It is stored as an array: the order of its fields is the
+// encoding.
+type jobCompletions struct {
+	_   struct{} `cbor:",toarray"`
+	Job string
+	// Tasks are the tasks' indices as a serialized roaring bitmap.
+	Tasks []byte
+}
+
+// machineDepartures are the attempts that have left a machine. It is stored as an array: the order of its
+// fields is the encoding.
+type machineDepartures struct {
+	_        struct{} `cbor:",toarray"`
+	Machine  string
+	Attempts []departedAttempt
+}
+
+// departedAttempt is stored as an array: the order of its fields is the encoding.
+type departedAttempt struct {
+	_      struct{} `cbor:",toarray"`
+	Job    string
+	Index  uint32
+	Number uint64
+}
+
+// groupEntries groups entries by job and by machine. Jobs and machines are in the order of their first
+// entry.
+func groupEntries(entries []Entry) valueBody {
+	var body valueBody
+	tasksByJob := map[string]*roaring.Bitmap{}
+	var jobs []string
+	machines := map[string]int{} // positions in body.Departures
+	for _, e := range entries {
+		if e.Machine == "" {
+			if tasksByJob[e.Job] == nil {
+				tasksByJob[e.Job] = roaring.New()
+				jobs = append(jobs, e.Job)
+			}
+			tasksByJob[e.Job].Add(uint32(e.Index))
+			continue
+		}
+		at, known := machines[e.Machine]
+		if !known {
+			at = len(body.Departures)
+			machines[e.Machine] = at
+			body.Departures = append(body.Departures, machineDepartures{Machine: e.Machine})
+		}
+		attempt := departedAttempt{Job: e.Job, Index: uint32(e.Index), Number: e.Attempt}
+		body.Departures[at].Attempts = append(body.Departures[at].Attempts, attempt)
+	}
+	for _, job := range jobs {
+		body.Completions = append(body.Completions, jobCompletions{Job: job, Tasks: packBitmap(tasksByJob[job])})
+	}
+	return body
+}
+
+// listEntries lists the entries of a body, completions first. Its errors wrap ErrMalformed.
+func listEntries(body valueBody) ([]Entry, error) {
+	var entries []Entry
+	for _, completions := range body.Completions {
+		tasks, err := readBitmap(completions.Tasks)
+		if err != nil {
+			return nil, fmt.Errorf("%w: tasks of job %q: %w", ErrMalformed, completions.Job, err)
+		}
+		if count := uint64(len(entries)) + tasks.GetCardinality(); count > maxEntries {
+			return nil, fmt.Errorf("%w: %d entries, %d are read", ErrMalformed, count, maxEntries)
+		}
+		for _, index := range tasks.ToArray() {
+			entries = append(entries, Entry{Job: completions.Job, Index: int(index)})
+		}
+	}
+	for _, departures := range body.Departures {
+		for _, a := range departures.Attempts {
+			if departures.Machine == "" || a.Index >= maxTasks {
+				return nil, fmt.Errorf("%w: attempt of job %q: machine %q, task %d", ErrMalformed, a.Job, departures.Machine, a.Index)
+			}
+			entries = append(entries, Entry{Job: a.Job, Index: int(a.Index), Machine: departures.Machine, Attempt: a.Number})
+		}
+	}
+	return entries, nil
+}
+
+func packBitmap(tasks *roaring.Bitmap) []byte {
+	tasks.RunOptimize()
+	packed, err := tasks.ToBytes()
+	if err != nil {
+		panic(fmt.Sprintf("completionjournal: bitmap: %v", err)) // writing to memory does not fail
+	}
+	return packed
+}
+
+// readBitmap reads a serialized bitmap. A damaged one must never end the process, so a panic of the library
+// is returned as an error.
+func readBitmap(packed []byte) (tasks *roaring.Bitmap, err error) {
+	defer func() {
+		if r := recover(); r != nil {
+			err = fmt.Errorf("not a bitmap: %v", r)
+		}
+	}()
+	tasks = roaring.New()
+	if err := tasks.UnmarshalBinary(packed); err != nil {
+		return nil, err
+	}
+	if err := tasks.Validate(); err != nil {
+		return nil, err
+	}
+	if !tasks.IsEmpty() && tasks.Maximum() >= maxTasks {
+		return nil, fmt.Errorf("task %d, a job has %d at most", tasks.Maximum(), maxTasks)
+	}
+	return tasks, nil
+}
