--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,10 +1,13 @@
-// Package featuregate decides when a new form of stored records may be written. While controllers
-// are upgraded one at a time, versions that don't know the form may still lead, so the gate opens
-// only once every controller has stated that it reads and writes it. It closes for a rollback.
+// Package featuregate decides when a new version of stored records may be written. While controllers are
+// upgraded one at a time, programs that do not know the version may still lead, so the gate opens only
+// once every controller has stated that it reads and writes the version. It closes for a rollback.
 //
-// The gate is a deterministic state machine of a leader: statements and time go in, and it says
-// which state is to be stored next. A state holds only once it is stored; a successor begins with
-// the stored one and nothing else. docs/upgrades.md has the reasoning.
+// The gate is a deterministic state machine that only the leader runs: statements and the time go in, and
+// it returns which state is to be stored next. The controller stores it in the leader record. A state
+// takes effect only once it is stored; after a failover the new leader begins with the stored state and
+// collects the statements anew. docs/upgrades.md has the reasoning.
+//
+// Times are durations on the leader's clock.
 package featuregate
 
 import (
@@ -14,21 +17,21 @@
 	"time"
 )
 
-// StorageVersion numbers a form of stored records; 0 is the one that every version knows.
+// StorageVersion numbers a version of the stored records. Every program knows version 0.
 type StorageVersion uint64
 
-// Statement is what a controller says of itself. A message without one is from a version that has
-// no gate.
+// Statement is what a controller says of itself in heartbeats and their answers. A message without one is
+// from a program that has no gate.
 type Statement struct {
-	// Reads is the highest form that its version reads.
+	// Reads is the highest version that its program reads.
 	Reads StorageVersion
-	// Writes is the highest form that its settings ask for.
+	// Writes is the highest version that its settings ask for.
 	Writes StorageVersion
 	// Hold: its operators hold the gate closed.
 	Hold bool
 }
 
-// String words the statement for logs; nil is that of an older version.
+// String is the statement for logs; nil is that of a program without the gate.
 func (s *Statement) String() string {
 	if s == nil {
 		return "no statement"
@@ -40,18 +43,22 @@
 	return text
 }
 
-// State is the gate's. Opening is a closed gate whose opening is being stored.
+// State is the state of a gate. The numbers are those of the metric claybarrow_feature_gate_state.
 type State int
 
 // The states.
 const (
+	// Closed: records are written as every program knows them.
 	Closed State = iota
+	// Opening: the gate is closed, and its opening is being stored.
 	Opening
+	// Open: the new version is written, and programs without it can't lead.
 	Open
+	// Closing: nothing is written in the new version any more, and what is stored in it is rewritten.
 	Closing
 )
 
-// String names the state in logs and metrics.
+// String is the state's name in logs and metrics.
 func (s State) String() string {
 	switch s {
 	case Closed:
@@ -66,7 +73,8 @@
 	return fmt.Sprintf("State(%d)", int(s))
 }
 
-// Cause is why the gate is not open.
+// Cause is the reason why a controller keeps the gate from being open. The texts are in logs and in
+// docs/upgrades.md.
 type Cause string
 
 // The causes.
@@ -82,13 +90,13 @@
 	ExceedsTransactionLimit Cause = "can't store the opening within the state service's limits"
 )
 
-// Obstacle is a cause and the controller that it comes from.
+// Obstacle is a cause and the label of the controller that it comes from.
 type Obstacle struct {
 	Controller string
 	Cause      Cause
 }
 
-// String tells the obstacle; "" is none.
+// String is the obstacle for logs; empty if there is none.
 func (o Obstacle) String() string {
 	if o.Cause == NoCause {
 		return ""
@@ -96,27 +104,30 @@
 	return o.Controller + " " + string(o.Cause)
 }
 
-// Settings are the gate's.
+// Settings are those of a gate.
 type Settings struct {
+	// Version is the version of the records that the gate is for.
 	Version StorageVersion
-	// Self and Peers are the labels of all controllers of the settings.
+	// Self and Peers are the labels of all controllers in the settings.
 	Self  string
 	Peers []string
-	Own   Statement
-	// Fits: the state service's limits allow the transactions of the gate.
+	// Own is the statement of this controller.
+	Own Statement
+	// Fits: the state service's limits allow the gate's transactions.
 	Fits bool
-	// Settled is how long each controller must have stated the form: a leader's lease.
+	// Settled is how long each controller must have stated the version before the gate opens: a leader's
+	// lease.
 	Settled time.Duration
-	// Patience is how long an older process is heard before the gate closes: a workers' lease.
+	// Patience is how long a program without the gate is heard before the gate closes: a workers' lease.
 	Patience time.Duration
-	// Pause is the least time from a closing to the next opening.
+	// Pause is the least time from a closing to the next opening, and from a refused action to the next try.
 	Pause time.Duration
 }
 
 // Action is what is to be stored next.
 type Action int
 
-// The actions. Each is answered by Stored or Failed.
+// The actions. Each but NoAction is to be answered by Stored or Failed.
 const (
 	NoAction Action = iota
 	StoreOpen
@@ -124,31 +135,36 @@
 	StoreClosed
 )
 
-// Gate is a leader's.
+// Gate is the gate of one leadership. It is not safe for concurrent use.
 type Gate struct {
 	settings Settings
 	state    State
 	obstacle Obstacle
 	peers    map[string]*peer
-	// actionPending: an action is under way. closingStored: a successor would go on closing.
-	actionPending, closingStored bool
-	// notBefore is when the gate may act again after a closing or a failure.
-	notBefore  time.Duration
+	// actionPending: an action was returned and is not answered yet.
+	actionPending bool
+	// closingStored: Closing is stored, so a new leader would go on with it.
+	closingStored bool
+	// backingOff: no action before notBefore, after a closing or a refused action.
 	backingOff bool
+	notBefore  time.Duration
 }
 
-// peer is what a gate knows of another controller.
+// peer is what the gate knows of another controller.
 type peer struct {
-	incarnation         string
-	lastHeard           time.Duration // last
-	everHeard           bool          // heard at all
-	statedSince         time.Duration // statedSince when it states the form without a gap
-	lacksStatementSince time.Duration
+	everHeard   bool
+	lastHeard   time.Duration
+	incarnation string     // of the process that was heard last
+	statement   *Statement // its last one
+	// statedSince is since when the same process states the version without a gap.
+	statedSince time.Duration
+	// lacksStatement: the last message had no statement. lacksStatementSince is since when, not counting
+	// from before a silence longer than Settings.Patience.
 	lacksStatement      bool
-	statement           *Statement
+	lacksStatementSince time.Duration
 }
 
-// New makes the gate of a new leader with the state that is stored: Closed, Open or Closing.
+// New makes the gate of a new leader from the stored state: Closed, Open or Closing.
 func New(settings Settings, stored State) *Gate {
 	g := &Gate{settings: settings, state: stored, peers: map[string]*peer{}, closingStored: stored == Closing}
 	for _, label := range settings.Peers {
@@ -157,27 +173,29 @@
 	return g
 }
 
-// State is the present one.
+// State is the present state.
 func (g *Gate) State() State { return g.state }
 
-// MayWrite says whether the form may be written.
+// MayWrite reports whether records of the version may be written.
 func (g *Gate) MayWrite() bool { return g.state == Open }
 
-// Obstacle is why the gate is not open, or is closing, as last decided.
+// Obstacle is why the gate is not open, or is closing, as of the last call of Decide.
 func (g *Gate) Obstacle() Obstacle { return g.obstacle }
 
-// Statements lists what the others last stated, for logs; nil: nothing, or an older version.
+// Statements returns the last statements of the other controllers by label, for logs. Those that were not
+// heard are missing; nil is that of a program without the gate.
 func (g *Gate) Statements() map[string]*Statement {
-	out := map[string]*Statement{}
+	statements := map[string]*Statement{}
 	for label, p := range g.peers {
 		if p.everHeard {
-			out[label] = p.statement
+			statements[label] = p.statement
 		}
 	}
-	return out
+	return statements
 }
 
-// Heard takes what a controller of the settings stated; nil: its message had no statement.
+// Heard records a controller's message with its statement; nil: the message had none. Controllers that are
+// not in the settings are ignored.
 func (g *Gate) Heard(now time.Duration, label, incarnation string, statement *Statement) {
 	p := g.peers[label]
 	if p == nil {
@@ -197,50 +215,59 @@
 	p.everHeard, p.lastHeard, p.incarnation, p.statement = true, now, incarnation, statement
 }
 
-// objection is what a statement has against an open gate.
-func (g *Gate) objection(label string, s *Statement) Cause {
-	switch {
-	case s == nil:
-		return NoStatement
-	case s.Reads < g.settings.Version:
-		return CannotRead
-	case s.Hold:
-		return HeldClosed
-	case s.Writes < g.settings.Version:
-		return FeatureOff
-	case label == g.settings.Self && !g.settings.Fits:
-		return ExceedsTransactionLimit
-	}
-	return NoCause
-}
-
-// Decide says what is to be stored next. folded: nothing is stored in the new form.
-func (g *Gate) Decide(now time.Duration, folded bool) Action {
+// Decide returns the action to carry out next. compacted: no record of the version is stored.
+func (g *Gate) Decide(now time.Duration, compacted bool) Action {
 	if g.actionPending {
 		return NoAction
 	}
-	if g.state == Open {
-		if g.obstacle = g.closingObstacle(now); g.obstacle.Cause != NoCause {
-			g.state = Closing
+	action := g.nextAction(now, compacted)
+	g.actionPending = action != NoAction
+	return action
+}
+
+func (g *Gate) nextAction(now time.Duration, compacted bool) Action {
+	switch g.state {
+	case Closed:
+		if g.obstacle = g.openingObstacle(now); g.obstacle.Cause != NoCause {
+			return NoAction
 		}
+		g.state = Opening
+		return StoreOpen
+	case Open:
+		if g.obstacle = g.closingObstacle(now); g.obstacle.Cause == NoCause {
+			return NoAction
+		}
+		g.state = Closing
+		return g.nextClosingAction(now, compacted)
+	case Closing:
+		return g.nextClosingAction(now, compacted)
+	case Opening:
+		// It is Open or Closed once the opening is answered.
 	}
-	action := NoAction
+	return NoAction
+}
+
+// nextClosingAction stores that the gate is closing before anything else is done for it, so that a new
+// leader goes on with it.
+func (g *Gate) nextClosingAction(now time.Duration, compacted bool) Action {
 	switch {
-	case g.state == Closed:
-		if g.obstacle = g.openingObstacle(now); g.obstacle.Cause == NoCause {
-			g.state, action = Opening, StoreOpen
-		}
-	case g.state != Closing || g.backingOff && now < g.notBefore:
+	case g.isBackingOff(now):
+		return NoAction
 	case !g.closingStored:
-		action = StoreClosing
-	case folded:
-		action = StoreClosed
+		return StoreClosing
+	case compacted:
+		return StoreClosed
 	}
-	g.actionPending = action != NoAction
-	return action
+	return NoAction
 }
 
-// Stored notes that the action is durable.
+func (g *Gate) isBackingOff(now time.Duration) bool { return g.backingOff && now < g.notBefore }
+
+func (g *Gate) backOff(now time.Duration) {
+	g.backingOff, g.notBefore = true, now+g.settings.Pause
+}
+
+// Stored records that the pending action is durable.
 func (g *Gate) Stored(now time.Duration) {
 	g.actionPending, g.backingOff = false, false
 	switch {
@@ -250,28 +277,45 @@
 		g.closingStored = true
 	case g.state == Closing:
 		g.state, g.closingStored = Closed, false
-		g.notBefore, g.backingOff = now+g.settings.Pause, true
+		g.backOff(now)
 	}
 }
 
-// Failed notes that the action was refused for good; it is tried again after a pause.
+// Failed records that the pending action was refused for good. It is tried again after Settings.Pause.
 func (g *Gate) Failed(now time.Duration) {
 	g.actionPending = false
 	if g.state == Opening {
 		g.state = Closed
 	}
-	g.notBefore, g.backingOff = now+g.settings.Pause, true
+	g.backOff(now)
+}
+
+// objection is what a controller's statement has against an open gate.
+func (g *Gate) objection(label string, s *Statement) Cause {
+	switch {
+	case s == nil:
+		return NoStatement
+	case s.Reads < g.settings.Version:
+		return CannotRead
+	case s.Hold:
+		return HeldClosed
+	case s.Writes < g.settings.Version:
+		return FeatureOff
+	case label == g.settings.Self && !g.settings.Fits:
+		return ExceedsTransactionLimit
+	}
+	return NoCause
 }
 
-// closingObstacle is the first reason to close an open gate. Silence is none: whoever comes back older
-// is heard then.
+// closingObstacle is the first reason to close an open gate. Silence is none: a controller that comes back
+// with an older program is heard then.
 func (g *Gate) closingObstacle(now time.Duration) Obstacle {
 	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
 	for _, label := range slices.Sorted(maps.Keys(g.peers)) {
 		p := g.peers[label]
-		if !p.everHeard || now > p.lastHeard+g.settings.Settled {
+		if g.isSilent(p, now) {
 			continue
 		}
 		cause := g.objection(label, p.statement)
@@ -290,7 +334,7 @@
 	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
-	if g.backingOff && now < g.notBefore {
+	if g.isBackingOff(now) {
 		return Obstacle{g.settings.Self, RecentlyClosed}
 	}
 	for _, label := range slices.Sorted(maps.Keys(g.peers)) {
@@ -301,10 +345,10 @@
 	return Obstacle{}
 }
 
-// peerObjection is why a controller does not count as one that has stated the form for long enough.
+// peerObjection is why a controller does not count as one that has stated the version for long enough.
 func (g *Gate) peerObjection(now time.Duration, label string) Cause {
 	p := g.peers[label]
-	if !p.everHeard || now > p.lastHeard+g.settings.Settled {
+	if g.isSilent(p, now) {
 		return NotHeard
 	}
 	if cause := g.objection(label, p.statement); cause != NoCause {
@@ -315,3 +359,8 @@
 	}
 	return NoCause
 }
+
+// isSilent reports whether a controller was not heard for Settings.Settled.
+func (g *Gate) isSilent(p *peer, now time.Duration) bool {
+	return !p.everHeard || now > p.lastHeard+g.settings.Settled
+}
