--- a/internal/clusterstate/agent_state_test.go
+++ b/internal/clusterstate/agent_state_test.go
@@ -31,7 +31,7 @@
 
 // A worker that shows an old token again and again, or whose lease lapses though it was answered, does not
 // hear us; one that shows ours does.
-func TestWorkerThatDoesNotHear(t *testing.T) {
+func TestAnswersThatDoNotReachTheAgent(t *testing.T) {
 	const lease, token = 10 * time.Second, 5
 	s := &AgentState{}
 	first := s.Apply(HeartbeatHeader{Epoch: 1, Sequence: 1, Token: 4, Heartbeat: true}, token, time.Second, lease)
--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -12,8 +12,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// stored writes all of a job's completions as they are written one after the other.
-func stored(t *testing.T, b *State, j *Job, limit int) map[string]CompletionRecord {
+// renderRecords writes all of a job's completions as they are written one after the other.
+func renderRecords(t *testing.T, b *State, j *Job, limit int) map[string]CompletionRecord {
 	t.Helper()
 	out := map[string]CompletionRecord{}
 	for i := range j.Spec.Tasks {
@@ -32,9 +32,9 @@
 	return out
 }
 
-// olderRead reads records as the versions before parts do (4297efa and 686f0af): only
+// readAsOlderVersion reads records as the versions before parts do (4297efa and 686f0af): only
 // those of chunks, each from the chunk's start.
-func olderRead(t *testing.T, layoutBytes, tasks int, records map[string]CompletionRecord) map[int]bool {
+func readAsOlderVersion(t *testing.T, layoutBytes, tasks int, records map[string]CompletionRecord) map[int]bool {
 	t.Helper()
 	chunk := max(64, layoutBytes/2*6/64*64)
 	done := map[int]bool{}
@@ -80,7 +80,7 @@
 				j.MarkDone(i)
 			}
 		}
-		records := stored(t, b, j, tc.limit)
+		records := renderRecords(t, b, j, tc.limit)
 		again := New(tc.layout, tc.limit)
 		read := again.AddJob(&protocol.Spec{UID: "j-1", Tasks: tc.tasks}, 1)
 		for key, rec := range records {
@@ -88,7 +88,7 @@
 				t.Fatalf("%+v: %s: %v", tc, key, err)
 			}
 		}
-		older := olderRead(t, tc.layout, tc.tasks, records)
+		older := readAsOlderVersion(t, tc.layout, tc.tasks, records)
 		for i := range tc.tasks {
 			if read.IsDone(i) != j.IsDone(i) {
 				t.Fatalf("%+v: task %d is read as done %v", tc, i, read.IsDone(i))
@@ -110,7 +110,7 @@
 	for i := range tasks - 2 {
 		j.MarkDone(i)
 	}
-	records := stored(t, before, j, 16<<10)
+	records := renderRecords(t, before, j, 16<<10)
 	after := New(16<<10, 2<<10)
 	read := after.AddJob(&protocol.Spec{UID: "j-1", Tasks: tasks}, 1)
 	for key, rec := range records {
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -71,7 +71,7 @@
 
 // Only a complete attempt may be started: one task each, under one number, durable and
 // none of them to be stopped.
-func TestCompleteGang(t *testing.T) {
+func TestGangIsCompleteOnlyWithAllTasks(t *testing.T) {
 	for name, change := range map[string]func(*State, *Job, []*Attempt){
 		"one is not durable":   func(_ *State, _ *Job, all []*Attempt) { all[1].Durable = false },
 		"one is to be stopped": func(_ *State, _ *Job, all []*Attempt) { all[1].StopRequested = true },
--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -25,8 +25,8 @@
 	revisions map[string]int
 	revision  int
 	deletions int
-	// truth is what the owner of the records knows; records are as they were last stored.
-	truth, records map[string]map[Entry]bool
+	// current is what the owner of the records knows; records are as they were last stored.
+	current, records map[string]map[Entry]bool
 }
 
 type fakeWrite struct {
@@ -37,7 +37,7 @@
 
 func newFakeStore(t *testing.T, limits Limits) *fakeStore {
 	s := &fakeStore{t: t, waiting: map[string]*fakeWrite{}, stored: map[string]Value{}, revisions: map[string]int{},
-		truth: map[string]map[Entry]bool{}, records: map[string]map[Entry]bool{}}
+		current: map[string]map[Entry]bool{}, records: map[string]map[Entry]bool{}}
 	s.journal = New(7, limits, s, s, func() time.Duration { return s.now })
 	s.journal.Open()
 	return s
@@ -67,21 +67,21 @@
 
 // Compact is part of Folder.
 func (s *fakeStore) Compact(_ Entry, record string, priority statestore.Priority) {
-	s.Mark(record, priority, func() any { return maps.Clone(s.truth[record]) }, nil)
+	s.Mark(record, priority, func() any { return maps.Clone(s.current[record]) }, nil)
 }
 
 // add adds an end, which its record's owner knows from then on.
 func (s *fakeStore) add(e Entry, then func()) {
 	record := recordOf(e)
-	if s.truth[record] == nil {
-		s.truth[record] = map[Entry]bool{}
+	if s.current[record] == nil {
+		s.current[record] = map[Entry]bool{}
 	}
-	s.truth[record][e] = true
+	s.current[record][e] = true
 	if s.journal.Takes() {
 		s.journal.Add(e, record, then)
 		return
 	}
-	s.Mark(record, statestore.Done, func() any { return maps.Clone(s.truth[record]) }, then)
+	s.Mark(record, statestore.Done, func() any { return maps.Clone(s.current[record]) }, then)
 }
 
 func recordOf(e Entry) string {
@@ -168,7 +168,7 @@
 
 // At each prefix of random histories a take-over finds all ends that anybody was told of, and none that did
 // not happen; when the journal is closed, the records alone have what today's would, and nothing of it is left.
-func TestFoldingOverRandomHistories(t *testing.T) {
+func TestCompactionOverRandomHistories(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		s := newFakeStore(t, usualLimits)
@@ -245,7 +245,7 @@
 
 // A short value is written anew with what has come since; a full one is followed by another. All
 // that waits leaves at once, and a value takes as much as its limit allows, to the byte.
-func TestValuesFillUp(t *testing.T) {
+func TestValuesAreFilled(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	for i := range 3 {
 		s.add(departureOf("i-000001", uint64(i)), nil)
@@ -273,7 +273,7 @@
 }
 
 // A record that was rendered before an end does not have it.
-func TestRecordRenderedBeforeAnEnd(t *testing.T) {
+func TestRecordRenderedBeforeAnEntry(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	told := 0
 	s.add(completionOf(1), func() { told++ })
@@ -339,7 +339,7 @@
 func TestAdoptedValues(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	e := departureOf("i-000001", 1)
-	s.truth[recordOf(e)] = map[Entry]bool{e: true}
+	s.current[recordOf(e)] = map[Entry]bool{e: true}
 	for n, missing := range []map[Entry]string{{e: recordOf(e)}, {}} {
 		key := Key(5, uint64(n))
 		s.stored[key] = Encode(5, uint64(n), nil)
--- a/internal/completionjournal/value_test.go
+++ b/internal/completionjournal/value_test.go
@@ -62,17 +62,17 @@
 	}
 }
 
-// sealed is a value with a body that may be anything, and the checksum that belongs to it.
-func sealed(token, number uint64, body []byte) Value {
+// valueWithBody is a value with a body that may be anything, and the checksum that belongs to it.
+func valueWithBody(token, number uint64, body []byte) Value {
 	return Value{Form: Form, Token: token, Number: number, Sum: checksum(token, number, body), Body: base64.StdEncoding.EncodeToString(body)}
 }
 
-func sealedBody(t testing.TB, in valueBody) Value {
+func encodeBody(t testing.TB, in valueBody) Value {
 	body, err := cbor.Marshal(in)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return sealed(5, 1, body)
+	return valueWithBody(5, 1, body)
 }
 
 // Every kind of damage is told, and ends nothing.
@@ -103,11 +103,11 @@
 		{"altered", Key(5, 1), change(func(v *Value) { v.Body = "AAAA" + v.Body[4:] }), ErrChecksum},
 		{"another checksum", Key(5, 1), change(func(v *Value) { v.Sum++ }), ErrChecksum},
 		{"nothing", Key(5, 1), Value{}, ErrMalformed},
-		{"not CBOR", Key(5, 1), sealed(5, 1, []byte{0xff}), ErrMalformed},
-		{"no bitmap", Key(5, 1), sealedBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: []byte("bitmap")}}}), ErrMalformed},
-		{"a task that no job has", Key(5, 1), sealedBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: beyond}}}), ErrMalformed},
-		{"an attempt of no machine", Key(5, 1), sealedBody(t, valueBody{Departures: []machineDepartures{{Attempts: []departedAttempt{{Job: "j-000001"}}}}}), ErrMalformed},
-		{"an index that no job has", Key(5, 1), sealedBody(t, valueBody{Departures: []machineDepartures{{Machine: "i-1", Attempts: []departedAttempt{{Index: maxTasks}}}}}), ErrMalformed},
+		{"not CBOR", Key(5, 1), valueWithBody(5, 1, []byte{0xff}), ErrMalformed},
+		{"no bitmap", Key(5, 1), encodeBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: []byte("bitmap")}}}), ErrMalformed},
+		{"a task that no job has", Key(5, 1), encodeBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: beyond}}}), ErrMalformed},
+		{"an attempt of no machine", Key(5, 1), encodeBody(t, valueBody{Departures: []machineDepartures{{Attempts: []departedAttempt{{Job: "j-000001"}}}}}), ErrMalformed},
+		{"an index that no job has", Key(5, 1), encodeBody(t, valueBody{Departures: []machineDepartures{{Machine: "i-1", Attempts: []departedAttempt{{Index: maxTasks}}}}}), ErrMalformed},
 		{"a key of something else", "g/5/one", good, ErrMalformed},
 		{"a key with a leading zero", "g/05/1", good, ErrMalformed},
 	} {
@@ -127,7 +127,7 @@
 		f.Add(body)
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		entries, err := Decode(Key(1, 1), sealed(1, 1, body))
+		entries, err := Decode(Key(1, 1), valueWithBody(1, 1, body))
 		if err != nil && entries != nil {
 			t.Error("entries beside an error")
 		}
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// A small model check of the gate with the leadership keys: three controllers of two versions, which
-// end, come back in either version and stand still; transactions that are carried out late or whose
-// answers are lost. Gate decides as it does in a controller; the store's conditions are those of
-// docs/upgrades.md. All states up to a depth are visited.
+// This file is a small model check of the gate together with the leadership keys. There are three
+// controllers of two program versions, which stop, restart in either version and stall, and transactions
+// that are applied late or whose answers are lost. The Gate is the real one; the store's conditions are
+// those of docs/upgrades.md. All states up to a depth are visited.
 
-// modelStore is the leadership keys and the journal.
+// modelStore has the leadership keys and the journal.
 type modelStore struct {
-	version       int // of the leader key; 0: it is not there
-	last          int // the last version given
+	version       int // of the leader key; 0: there is none
+	last          int // the last version that the key has had
 	token         int
-	open, closing bool // the leader record's state of the gate
-	lease         int  // token whose lease holds the key of the lease or the leader key; 0: none
-	journal       int  // values stored
+	open, closing bool // the gate's state in the leader record
+	lease         int  // token of the leader whose lease lives; 0: none. The lease key or the leader key ends with it.
+	journal       int  // stored values of the journal
 }
 
+// modelKind is what a transaction does.
 type modelKind int
 
 const (
@@ -29,43 +30,44 @@
 	modelClosing
 	modelClosed
 	modelJournal
-	modelFold
+	modelCompact
 )
 
-// modelTxn is a transaction of a leader on its way.
+// modelTxn is a leader's transaction that the store has not applied yet.
 type modelTxn struct {
 	kind    modelKind
 	node    int
 	token   int
 	version int // condition on the leader key
-	// fences: it is sent again, and writes the leader key too, so that no earlier try can apply.
+	// fences: it is a retry, and writes the leader key too, so that no earlier try can apply any more.
 	fences bool
 }
 
-// modelTerm is a leader, or what takes itself for one.
-type modelTerm struct {
+// modelLeader is a controller that takes itself for the leader.
+type modelLeader struct {
 	token, version int
-	gate           *Gate // nil: an older version's
-	waits          bool  // for an answer
+	gate           *Gate // nil: a program without the gate
+	awaitsAnswer   bool
 	kind           modelKind
 	action         Action
 }
 
 type modelState struct {
-	store  modelStore
-	newer  [3]bool
-	alive  [3]bool
-	terms  [3]*modelTerm
-	flying []modelTxn
-	now    time.Duration
+	store    modelStore
+	newer    [3]bool
+	alive    [3]bool
+	leaders  [3]*modelLeader
+	inFlight []modelTxn
+	now      time.Duration
 }
 
-// modelFaults are planted in the model, to see that it finds them.
+// modelFaults are faults that are planted in the model, to show that the check finds them.
 type modelFaults struct {
-	closesUnfolded, keepsVersion bool
+	closesUncompacted, keepsVersion bool
 }
 
-const modelFlying = 2 // transactions on their way at once
+// maxInFlight bounds the transactions that are in flight at once.
+const maxInFlight = 2
 
 func modelSettings(node int) Settings {
 	s := Settings{Version: 1, Self: fmt.Sprint(node), Own: ready, Fits: true, Settled: 1, Patience: 1, Pause: 1}
@@ -79,42 +81,43 @@
 
 func (s *modelState) clone() *modelState {
 	out := *s
-	out.flying = append([]modelTxn(nil), s.flying...)
-	for i, term := range s.terms {
-		if term == nil {
+	out.inFlight = append([]modelTxn(nil), s.inFlight...)
+	for i, leader := range s.leaders {
+		if leader == nil {
 			continue
 		}
-		copied := *term
-		if term.gate != nil {
-			gate := *term.gate
+		copied := *leader
+		if leader.gate != nil {
+			gate := *leader.gate
 			gate.peers = map[string]*peer{}
-			for label, p := range term.gate.peers {
+			for label, p := range leader.gate.peers {
 				one := *p
 				gate.peers[label] = &one
 			}
 			copied.gate = &gate
 		}
-		out.terms[i] = &copied
+		out.leaders[i] = &copied
 	}
 	return &out
 }
 
-// age is how long ago something was, as far as it matters.
+// age is the time since something happened, capped where more makes no difference to the gate.
 func (s *modelState) age(at time.Duration) int { return int(min(3, max(-2, s.now-at))) }
 
-// key tells states apart: versions and tokens count from the present ones, times from now.
+// key identifies a state. Versions and tokens are relative to the present ones and times to now, so that
+// states that behave alike have the same key.
 func (s *modelState) key() string {
 	var b strings.Builder
 	st := s.store
 	fmt.Fprint(&b, st.version == 0, st.open, st.closing, st.lease != 0, st.token-st.lease, st.journal, s.newer, s.alive)
-	for _, t := range s.flying {
+	for _, t := range s.inFlight {
 		fmt.Fprint(&b, "|", t.kind, t.node, t.fences, st.token-t.token, st.last-t.version)
 	}
-	for i, t := range s.terms {
+	for i, t := range s.leaders {
 		if t == nil {
 			continue
 		}
-		fmt.Fprint(&b, "/", i, st.token-t.token, st.last-t.version, t.waits, t.kind, t.action)
+		fmt.Fprint(&b, "/", i, st.token-t.token, st.last-t.version, t.awaitsAnswer, t.kind, t.action)
 		if g := t.gate; g != nil {
 			fmt.Fprint(&b, g.state, g.actionPending, g.closingStored, g.backingOff, s.age(g.notBefore))
 			for n := range 3 {
@@ -127,7 +130,7 @@
 	return b.String()
 }
 
-// elect has a controller win an election now, if the store's conditions hold.
+// elect lets a controller win an election if the store's conditions hold; false if they do not.
 func (s *modelState) elect(node int) bool {
 	st := &s.store
 	if st.lease != 0 || st.open && !s.newer[node] {
@@ -136,7 +139,7 @@
 	st.token++
 	st.last++
 	st.version, st.lease = st.last, st.token
-	term := &modelTerm{token: st.token, version: st.version}
+	leader := &modelLeader{token: st.token, version: st.version}
 	if s.newer[node] {
 		stored := Closed
 		switch {
@@ -145,32 +148,33 @@
 		case st.open:
 			stored = Open
 		}
-		term.gate = New(modelSettings(node), stored)
+		leader.gate = New(modelSettings(node), stored)
 	}
-	s.terms[node] = term
+	s.leaders[node] = leader
 	return true
 }
 
-// leaseEnds lets the leader's lease run out; a leader key that hangs on it goes with it.
-func (s *modelState) leaseEnds() {
+// expireLease expires the leader's lease, and deletes the leader key if it is attached to the lease.
+func (s *modelState) expireLease() {
 	s.store.lease = 0
 	if !s.store.open {
 		s.store.version = 0
 	}
 }
 
-// carryOut has the store carry a transaction out; a broken rule is returned.
-func (s *modelState) carryOut(t modelTxn, faults modelFaults) (applied bool, broken string) {
+// apply has the store apply a transaction if its conditions hold. It returns the rule that this breaks, if
+// any.
+func (s *modelState) apply(t modelTxn, faults modelFaults) (applied bool, broken string) {
 	st := &s.store
 	if st.version != t.version {
 		return false, ""
 	}
 	rewrites := t.kind == modelOpen || t.kind == modelClosing || t.kind == modelClosed
 	if (t.kind == modelOpen || t.kind == modelClosed) && st.lease != t.token {
-		return false, "" // its lease has ended
+		return false, "" // the sender's lease has expired
 	}
 	if t.token != st.token {
-		return true, "a former leader's transaction is carried out"
+		return true, "a former leader's transaction is applied"
 	}
 	switch t.kind {
 	case modelOpen:
@@ -181,7 +185,7 @@
 		st.open, st.closing = false, false
 	case modelJournal:
 		st.journal = 1
-	case modelFold:
+	case modelCompact:
 		st.journal = 0
 	}
 	if (rewrites || t.fences) && !faults.keepsVersion {
@@ -189,31 +193,31 @@
 		st.version = st.last
 	}
 	if st.journal > 0 && !st.open {
-		return true, "the journal is stored while an older version may lead"
+		return true, "the journal is stored while an older program may lead"
 	}
 	return true, ""
 }
 
-// answer brings the outcome to the sender, if it is still the same leader.
+// answer tells the sender the outcome, if it is still the same leader.
 func (s *modelState) answer(t modelTxn, applied bool) {
-	term := s.terms[t.node]
-	if term == nil || term.token != t.token || !term.waits {
+	leader := s.leaders[t.node]
+	if leader == nil || leader.token != t.token || !leader.awaitsAnswer {
 		return
 	}
-	term.waits = false
+	leader.awaitsAnswer = false
 	if !applied {
-		s.terms[t.node] = nil // another leader's key
+		s.leaders[t.node] = nil // the key is another leader's
 		return
 	}
-	term.version = s.store.version
-	if term.action != NoAction {
-		term.gate.Stored(s.now)
-		term.action = NoAction
+	leader.version = s.store.version
+	if leader.action != NoAction {
+		leader.gate.Stored(s.now)
+		leader.action = NoAction
 	}
 }
 
-// next lists the states that follow, with a broken rule if there is one.
-func (s *modelState) next(faults modelFaults, visit func(*modelState, string)) {
+// steps visits each state that may follow, with the rule that the step breaks, if any.
+func (s *modelState) steps(faults modelFaults, visit func(*modelState, string)) {
 	step := func(do func(n *modelState) string) {
 		n := s.clone()
 		visit(n, do(n))
@@ -221,17 +225,17 @@
 	quiet := func(do func(n *modelState)) { step(func(n *modelState) string { do(n); return "" }) }
 	quiet(func(n *modelState) { n.now++ })
 	if s.store.lease != 0 {
-		quiet((*modelState).leaseEnds)
+		quiet((*modelState).expireLease)
 	}
 	for i := range 3 {
-		s.nextOf(i, quiet)
-		s.nextOfLeader(i, faults, quiet)
+		s.controllerSteps(i, quiet)
+		s.leaderSteps(i, faults, quiet)
 	}
-	for i, t := range s.flying {
+	for i, t := range s.inFlight {
 		for _, answered := range []bool{true, false} {
 			step(func(n *modelState) string {
-				n.flying = append(n.flying[:i:i], n.flying[i+1:]...)
-				applied, broken := n.carryOut(t, faults)
+				n.inFlight = append(n.inFlight[:i:i], n.inFlight[i+1:]...)
+				applied, broken := n.apply(t, faults)
 				if answered {
 					n.answer(t, applied)
 				}
@@ -241,24 +245,24 @@
 	}
 }
 
-// nextOf is what may happen to a controller.
-func (s *modelState) nextOf(i int, quiet func(func(*modelState))) {
+// controllerSteps are those of a controller: it stops, restarts or is elected.
+func (s *modelState) controllerSteps(i int, quiet func(func(*modelState))) {
 	if !s.alive[i] {
 		for _, newer := range []bool{true, false} {
 			quiet(func(n *modelState) { n.alive[i], n.newer[i] = true, newer })
 		}
 		return
 	}
-	quiet(func(n *modelState) { n.alive[i], n.terms[i] = false, nil })
-	if s.terms[i] == nil {
+	quiet(func(n *modelState) { n.alive[i], n.leaders[i] = false, nil })
+	if s.leaders[i] == nil {
 		quiet(func(n *modelState) { n.elect(i) })
 	}
 }
 
-// nextOfLeader is what a leader may do; one that does nothing stands still.
-func (s *modelState) nextOfLeader(i int, faults modelFaults, quiet func(func(*modelState))) {
-	term := s.terms[i]
-	if term == nil || term.gate == nil {
+// leaderSteps are those of a leader. That none of them is taken stands for a stalled process.
+func (s *modelState) leaderSteps(i int, faults modelFaults, quiet func(func(*modelState))) {
+	leader := s.leaders[i]
+	if leader == nil || leader.gate == nil {
 		return
 	}
 	for k := range 3 {
@@ -268,28 +272,29 @@
 				if !n.newer[k] {
 					statement = nil
 				}
-				n.terms[i].gate.Heard(n.now, fmt.Sprint(k), "", statement)
+				n.leaders[i].gate.Heard(n.now, fmt.Sprint(k), "", statement)
 			})
 		}
 	}
-	if len(s.flying) == modelFlying {
+	if len(s.inFlight) == maxInFlight {
 		return
 	}
-	if term.waits {
-		// Without an answer it is sent again; what was carried out meanwhile is found by reading the
-		// leader key, which it has written then.
-		quiet(func(n *modelState) { n.send(i, term.kind, true) })
-		if s.store.version != term.version {
+	if leader.awaitsAnswer {
+		// Without an answer the transaction is sent again. Whether an earlier try was applied is found
+		// by reading the leader key, which it has then written.
+		quiet(func(n *modelState) { n.send(i, leader.kind, true) })
+		if s.store.version != leader.version {
 			quiet(func(n *modelState) {
-				n.answer(modelTxn{node: i, token: term.token}, n.store.version != 0 && n.store.token == term.token)
+				n.answer(modelTxn{node: i, token: leader.token}, n.store.version != 0 && n.store.token == leader.token)
 			})
 		}
 		return
 	}
 	quiet(func(n *modelState) {
-		t := n.terms[i]
-		t.action = t.gate.Decide(n.now, n.store.journal == 0 || faults.closesUnfolded)
+		t := n.leaders[i]
+		t.action = t.gate.Decide(n.now, n.store.journal == 0 || faults.closesUncompacted)
 		switch t.action {
+		case NoAction:
 		case StoreOpen:
 			n.send(i, modelOpen, false)
 		case StoreClosing:
@@ -298,29 +303,29 @@
 			n.send(i, modelClosed, false)
 		}
 	})
-	if term.gate.MayWrite() {
+	if leader.gate.MayWrite() {
 		quiet(func(n *modelState) { n.send(i, modelJournal, false) })
 	}
-	if term.gate.State() == Closing {
-		quiet(func(n *modelState) { n.send(i, modelFold, false) })
+	if leader.gate.State() == Closing {
+		quiet(func(n *modelState) { n.send(i, modelCompact, false) })
 	}
 }
 
-// send has a leader's transaction leave.
+// send puts a leader's transaction in flight.
 func (s *modelState) send(i int, kind modelKind, again bool) {
-	term := s.terms[i]
-	term.waits, term.kind = true, kind
-	s.flying = append(s.flying, modelTxn{kind: kind, node: i, token: term.token, version: term.version, fences: again})
+	leader := s.leaders[i]
+	leader.awaitsAnswer, leader.kind = true, kind
+	s.inFlight = append(s.inFlight, modelTxn{kind: kind, node: i, token: leader.token, version: leader.version, fences: again})
 }
 
-// explore visits all states up to a depth, and returns how many there were and the first broken rule.
+// explore visits all states up to a depth, and returns their number and the first broken rule.
 func explore(starts []*modelState, depth int, faults modelFaults) (visited int, broken string) {
 	seen := map[string]bool{}
 	layer := starts
 	for range depth {
 		var next []*modelState
 		for _, s := range layer {
-			s.next(faults, func(n *modelState, rule string) {
+			s.steps(faults, func(n *modelState, rule string) {
 				if broken == "" {
 					broken = rule
 				}
@@ -338,26 +343,28 @@
 	return len(seen), ""
 }
 
-// modelStarts are states that take many steps to come to: all newer and about to open, open with a journal,
-// closing with a journal, and open with an older process.
+// modelStarts are states that it takes many steps to reach: closed and about to open, open with a journal,
+// and closing with a journal, each with all programs newer and with one older.
 func modelStarts() []*modelState {
 	var out []*modelState
 	for _, stored := range []State{Closed, Open, Closing} {
 		for _, older := range []bool{false, true} {
 			s := &modelState{alive: [3]bool{true, true, true}, newer: [3]bool{true, true, !older}, now: 10}
-			s.elect(0)
+			if !s.elect(0) {
+				panic("a start of the model has no leader")
+			}
 			s.store.open, s.store.closing = stored != Closed, stored == Closing
 			if stored != Closed {
 				s.store.journal = 1
 			}
-			s.terms[0].gate = New(modelSettings(0), stored)
+			s.leaders[0].gate = New(modelSettings(0), stored)
 			for at := s.now - 2; at <= s.now; at++ {
-				s.terms[0].gate.Heard(at, "1", "", &ready)
+				s.leaders[0].gate.Heard(at, "1", "", &ready)
 				statement := &ready
 				if older {
 					statement = nil
 				}
-				s.terms[0].gate.Heard(at, "2", "", statement)
+				s.leaders[0].gate.Heard(at, "2", "", statement)
 			}
 			out = append(out, s)
 		}
@@ -365,25 +372,26 @@
 	return out
 }
 
-// lateJournal is a leader that has folded all and has just stored that it closes, with an earlier write
-// of the journal still on its way, which it sent again since and knows to be stored.
-func lateJournal(faults modelFaults) *modelState {
-	s := modelStarts()[5] // closing, with an older process
+// lateJournalWrite is a leader that has compacted the journal and has just stored that the gate is closing,
+// while an earlier write of the journal is still in flight, which it has sent again since and knows to be
+// stored.
+func lateJournalWrite(faults modelFaults) *modelState {
+	s := modelStarts()[5] // closing, with an older program
 	s.store.journal = 0
-	s.flying = []modelTxn{{kind: modelJournal, node: 0, token: s.store.token, version: s.store.version}}
+	s.inFlight = []modelTxn{{kind: modelJournal, node: 0, token: s.store.token, version: s.store.version}}
 	if !faults.keepsVersion {
 		s.store.last++
 		s.store.version = s.store.last
-		s.terms[0].version = s.store.version
+		s.leaders[0].version = s.store.version
 	}
 	return s
 }
 
-// modelDepth is how many steps are looked at from each start.
+// modelDepth is how many steps are explored from each start.
 const modelDepth = 7
 
 func TestModel(t *testing.T) {
-	visited, broken := explore(append(modelStarts(), lateJournal(modelFaults{})), modelDepth, modelFaults{})
+	visited, broken := explore(append(modelStarts(), lateJournalWrite(modelFaults{})), modelDepth, modelFaults{})
 	t.Logf("%d states", visited)
 	if broken != "" {
 		t.Error(broken)
@@ -393,17 +401,19 @@
 	}
 }
 
-// The model finds a gate that closes before all is folded, and a leader key that keeps its version
+// The check finds a gate that closes before the journal is compacted, and a leader key that keeps its version
 // when the gate's state changes.
 func TestModelFindsPlantedFaults(t *testing.T) {
 	for name, faults := range map[string]modelFaults{
-		"closes unfolded":   {closesUnfolded: true},
-		"keeps the version": {keepsVersion: true},
+		"closes before compaction": {closesUncompacted: true},
+		"keeps the key's version":  {keepsVersion: true},
 	} {
-		visited, broken := explore(append(modelStarts(), lateJournal(faults)), modelDepth, faults)
-		t.Logf("%s: %d states: %s", name, visited, broken)
-		if broken == "" {
-			t.Errorf("%s is not found in %d states", name, visited)
-		}
+		t.Run(name, func(t *testing.T) {
+			visited, broken := explore(append(modelStarts(), lateJournalWrite(faults)), modelDepth, faults)
+			t.Logf("%d states: %s", visited, broken)
+			if broken == "" {
+				t.Errorf("the fault is not found in %d states", visited)
+			}
+		})
 	}
 }
