--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -13,32 +13,37 @@
 	"claybarrow/internal/statestore"
 )
 
-// fakeStore is a writer that stores when it is told to, and the records that ends are folded into.
+// fakeStore is a writer that stores when the test tells it to, and the owner of the records that entries are
+// compacted into.
 type fakeStore struct {
 	t       *testing.T
 	journal *Journal
 	now     time.Duration
 	waiting map[string]*fakeWrite
-	order   []string
-	// stored are the journal's values, revisions when each key was last stored.
-	stored    map[string]Value
-	revisions map[string]int
-	revision  int
+	order   []string         // the waiting keys, first in first out
+	stored  map[string]Value // the journal's values
+	// deletions counts the deleted keys.
 	deletions int
-	// current is what the owner of the records knows; records are as they were last stored.
+	// current are the records as their owner has them now, records as they were last stored.
 	current, records map[string]map[Entry]bool
 }
 
+// fakeWrite is a write that waits for its transaction.
 type fakeWrite struct {
 	priority statestore.Priority
 	render   func() any
 	onStored []func()
 }
 
+// leaderToken is the fencing token of the journal under test.
+const leaderToken = 7
+
+// newFakeStore makes a store with an open journal.
 func newFakeStore(t *testing.T, limits Limits) *fakeStore {
-	s := &fakeStore{t: t, waiting: map[string]*fakeWrite{}, stored: map[string]Value{}, revisions: map[string]int{},
+	t.Helper()
+	s := &fakeStore{t: t, waiting: map[string]*fakeWrite{}, stored: map[string]Value{},
 		current: map[string]map[Entry]bool{}, records: map[string]map[Entry]bool{}}
-	s.journal = New(7, limits, s, s, func() time.Duration { return s.now })
+	s.journal = New(leaderToken, limits, s, s, func() time.Duration { return s.now })
 	s.journal.Open()
 	return s
 }
@@ -65,12 +70,13 @@
 
 func (s *fakeStore) IsPending(key string) bool { return s.waiting[key] != nil }
 
-// Compact is part of Folder.
+// Compact is part of Compactor.
 func (s *fakeStore) Compact(_ Entry, record string, priority statestore.Priority) {
 	s.Mark(record, priority, func() any { return maps.Clone(s.current[record]) }, nil)
 }
 
-// add adds an end, which its record's owner knows from then on.
+// add adds an entry as a controller does: its record's owner knows it from then on, and it is written to the
+// journal or, if that takes none, to the record.
 func (s *fakeStore) add(e Entry, then func()) {
 	record := recordOf(e)
 	if s.current[record] == nil {
@@ -91,14 +97,14 @@
 	return "d/" + e.Job + "/0"
 }
 
-// transaction is what left together.
+// transaction is a set of writes that become durable together.
 type transaction struct {
 	keys     []string
 	values   []any
 	onStored [][]func()
 }
 
-// compose renders up to n writes.
+// compose makes a transaction of up to n waiting writes.
 func (s *fakeStore) compose(n int) *transaction {
 	t := &transaction{}
 	for len(s.order) > 0 && len(t.keys) < n {
@@ -115,11 +121,9 @@
 	return t
 }
 
-// apply has a transaction be durable.
+// apply makes a transaction durable.
 func (s *fakeStore) apply(t *transaction) {
-	s.revision++
 	for i, key := range t.keys {
-		s.revisions[key] = s.revision
 		switch value := t.values[i].(type) {
 		case Value:
 			if text, err := json.Marshal(value); err != nil || len(text) > s.journal.limits.ValueBytes {
@@ -145,8 +149,7 @@
 	}
 }
 
-// read is what a take-over finds: the records, and what the journal says that they were written
-// before.
+// read returns what a new leader finds at a failover: the entries in the records and in the journal.
 func (s *fakeStore) read() map[Entry]bool {
 	out := map[Entry]bool{}
 	for _, ends := range s.records {
@@ -166,73 +169,104 @@
 
 var usualLimits = Limits{ValueBytes: 1 << 10, Values: 20, CompactAfter: 10 * time.Second}
 
-// At each prefix of random histories a take-over finds all ends that anybody was told of, and none that did
-// not happen; when the journal is closed, the records alone have what today's would, and nothing of it is left.
+// At each step of random histories a new leader would find all entries that somebody was told of, and none
+// that did not happen. Once the journal is closed and compacted, the records have all entries and nothing of
+// the journal is left.
 func TestCompactionOverRandomHistories(t *testing.T) {
 	for seed := range uint64(40) {
-		random := rand.New(rand.NewPCG(seed, 3))
-		s := newFakeStore(t, usualLimits)
-		told, happened := map[Entry]bool{}, map[Entry]bool{}
-		var flying *transaction
-		check := func() {
-			found := s.read()
-			for e := range told {
-				if !found[e] {
-					t.Fatalf("seed %d: somebody was told of %+v, a take-over does not find it", seed, e)
-				}
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			h := &randomHistory{
+				fakeStore: newFakeStore(t, usualLimits),
+				random:    rand.New(rand.NewPCG(seed, 3)),
+				told:      map[Entry]bool{},
+				happened:  map[Entry]bool{},
 			}
-			for e := range found {
-				if !happened[e] {
-					t.Fatalf("seed %d: a take-over finds %+v, which did not happen", seed, e)
-				}
+			h.future = randomEntries(h.random, 300)
+			for len(h.future) > 0 {
+				h.step()
+				h.check()
 			}
-		}
-		ends := randomEntries(random, 300)
-		for len(ends) > 0 {
-			switch random.IntN(6) {
-			case 0, 1, 2:
-				e := ends[0]
-				ends = ends[1:]
-				happened[e] = true
-				var then func()
-				if e.Machine == "" {
-					then = func() { told[e] = true }
-				}
-				s.add(e, then)
-			case 3:
-				if flying == nil {
-					flying = s.compose(1 + random.IntN(4))
-				}
-			case 4:
-				if flying != nil {
-					s.apply(flying)
-					flying = nil
-				}
-			case 5:
-				s.now += time.Duration(random.IntN(4000)) * time.Millisecond
-				s.journal.Tick()
+			h.closeJournal()
+			if len(h.told) == 0 || h.deletions == 0 {
+				t.Fatalf("%d entries were told, %d values deleted: the history shows nothing", len(h.told), h.deletions)
 			}
-			check()
-		}
-		s.journal.Close()
-		if flying != nil {
-			s.apply(flying)
+		})
+	}
+}
+
+// randomHistory is a random sequence of entries, transactions and ticks.
+type randomHistory struct {
+	*fakeStore
+	random   *rand.Rand
+	inFlight *transaction
+	// future are the entries to come, happened those that were added, told those that somebody was told of.
+	future         []Entry
+	happened, told map[Entry]bool
+}
+
+// step adds an entry, composes or applies a transaction, or lets time pass.
+func (h *randomHistory) step() {
+	switch h.random.IntN(6) {
+	case 0, 1, 2:
+		e := h.future[0]
+		h.future = h.future[1:]
+		h.happened[e] = true
+		var onDurable func()
+		if e.Machine == "" {
+			onDurable = func() { h.told[e] = true }
 		}
-		for range 200 {
-			s.journal.Tick()
-			s.flush()
-			check()
+		h.add(e, onDurable)
+	case 3:
+		if h.inFlight == nil {
+			h.inFlight = h.compose(1 + h.random.IntN(4))
 		}
-		if !s.journal.Empty() || len(s.stored) > 0 {
-			t.Fatalf("seed %d: left: %v", seed, slices.Collect(maps.Keys(s.stored)))
+	case 4:
+		h.applyInFlight()
+	case 5:
+		h.now += time.Duration(h.random.IntN(4000)) * time.Millisecond
+		h.journal.Tick()
+	}
+}
+
+func (h *randomHistory) applyInFlight() {
+	if h.inFlight != nil {
+		h.apply(h.inFlight)
+		h.inFlight = nil
+	}
+}
+
+// check compares what a new leader would find with what happened.
+func (h *randomHistory) check() {
+	h.t.Helper()
+	found := h.read()
+	for e := range h.told {
+		if !found[e] {
+			h.t.Fatalf("somebody was told of %+v, a new leader does not find it", e)
 		}
-		for e := range happened {
-			if !s.records[recordOf(e)][e] {
-				t.Fatalf("seed %d: no record has %+v", seed, e)
-			}
+	}
+	for e := range found {
+		if !h.happened[e] {
+			h.t.Fatalf("a new leader finds %+v, which did not happen", e)
 		}
-		if len(told) == 0 || s.deletions == 0 {
-			t.Fatalf("seed %d shows nothing", seed)
+	}
+}
+
+// closeJournal closes the journal and has it compacted.
+func (h *randomHistory) closeJournal() {
+	h.t.Helper()
+	h.journal.Close()
+	h.applyInFlight()
+	for range 200 {
+		h.journal.Tick()
+		h.flush()
+		h.check()
+	}
+	if !h.journal.Empty() || len(h.stored) > 0 {
+		h.t.Fatalf("left: %v", slices.Collect(maps.Keys(h.stored)))
+	}
+	for e := range h.happened {
+		if !h.records[recordOf(e)][e] {
+			h.t.Fatalf("no record has %+v", e)
 		}
 	}
 }
@@ -243,51 +277,51 @@
 	return Entry{Job: "j-000001", Index: int(attempt), Machine: machine, Attempt: attempt}
 }
 
-// A short value is written anew with what has come since; a full one is followed by another. All
-// that waits leaves at once, and a value takes as much as its limit allows, to the byte.
+// A short value is written again with the entries that have come since, a full one is followed by another.
+// All entries that wait are written at once, and a value takes as many as its limit allows, to the byte.
 func TestValuesAreFilled(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	for i := range 3 {
 		s.add(departureOf("i-000001", uint64(i)), nil)
 		s.flush()
 	}
-	if keys := slices.Collect(maps.Keys(s.stored)); len(keys) != 1 || keys[0] != Key(7, 1) {
+	if keys := slices.Collect(maps.Keys(s.stored)); len(keys) != 1 || keys[0] != Key(leaderToken, 1) {
 		t.Errorf("values %v", keys)
 	}
 	for i := range 200 {
 		s.add(departureOf(fmt.Sprintf("i-%06d", i), uint64(1000+i)), nil)
 	}
 	s.apply(s.compose(1))
-	entries, err := Decode(Key(7, 1), s.stored[Key(7, 1)])
+	entries, err := Decode(Key(leaderToken, 1), s.stored[Key(leaderToken, 1)])
 	if err != nil {
 		t.Fatal(err)
 	}
-	more := Encode(7, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
-	if have := len(s.stored[Key(7, 1)].Body) + envelopeBytes; have > usualLimits.ValueBytes || len(more.Body)+envelopeBytes <= usualLimits.ValueBytes {
-		t.Errorf("a value of %d bytes with %d ends, one more would make it %d", have, len(entries), len(more.Body)+envelopeBytes)
+	more := Encode(leaderToken, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
+	if have := len(s.stored[Key(leaderToken, 1)].Body) + envelopeBytes; have > usualLimits.ValueBytes || len(more.Body)+envelopeBytes <= usualLimits.ValueBytes {
+		t.Errorf("a value of %d bytes with %d entries, one more would make it %d", have, len(entries), len(more.Body)+envelopeBytes)
 	}
 	s.flush()
 	if len(s.read()) != 203 {
-		t.Errorf("%d ends are stored", len(s.read()))
+		t.Errorf("%d entries are stored", len(s.read()))
 	}
 }
 
-// A record that was rendered before an end does not have it.
+// A record that was rendered before an entry was added does not have it.
 func TestRecordRenderedBeforeAnEntry(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	told := 0
 	s.add(completionOf(1), func() { told++ })
 	s.Compact(completionOf(1), recordOf(completionOf(1)), statestore.Start)
-	s.Unmark(Key(7, 1)) // the journal's own write waits
-	s.Mark(Key(7, 1), statestore.Done, s.journal.renderTail, s.journal.tailStored)
-	under := s.compose(1)
-	if under.keys[0] != recordOf(completionOf(1)) {
-		t.Fatal(under.keys)
+	s.Unmark(Key(leaderToken, 1)) // have the journal's write wait behind the record's
+	s.Mark(Key(leaderToken, 1), statestore.Done, s.journal.renderTail, s.journal.tailStored)
+	inFlight := s.compose(1)
+	if inFlight.keys[0] != recordOf(completionOf(1)) {
+		t.Fatal(inFlight.keys)
 	}
 	s.add(completionOf(2), func() { told += 10 })
-	s.apply(under)
+	s.apply(inFlight)
 	if told != 1 {
-		t.Errorf("told %d: the record has the first end alone", told)
+		t.Errorf("told %d: the record has the first entry only", told)
 	}
 	s.flush()
 	if told != 11 || !s.read()[completionOf(2)] {
@@ -295,14 +329,15 @@
 	}
 }
 
-// With as many values as are allowed ends go to their records, and half of them fold with priority.
+// With as many values as are allowed, entries go to their records; from half as many on compaction has
+// priority.
 func TestValuesAreBounded(t *testing.T) {
 	limits := usualLimits
 	limits.Values, limits.ValueBytes = 4, 300
 	s := newFakeStore(t, limits)
 	for i := range 60 {
 		s.add(departureOf(fmt.Sprintf("i-%06d", i), uint64(i)), nil)
-		if s.IsPending(Key(7, s.journal.lastNumber)) {
+		if s.IsPending(Key(leaderToken, s.journal.lastNumber)) {
 			s.apply(s.compose(1))
 		}
 		if n, _, _ := s.journal.Size(); n > limits.Values {
@@ -310,23 +345,23 @@
 		}
 	}
 	if s.journal.Takes() || s.journal.compactionPriority() != statestore.Done {
-		t.Error("a full journal takes ends, or folds them when there is time")
+		t.Error("a full journal takes entries, or compacts them lazily")
 	}
 	for range 20 {
 		s.journal.Tick()
 		s.flush()
 	}
 	if !s.journal.Takes() {
-		t.Error("a journal that is folded takes no ends")
+		t.Error("a compacted journal takes no entries")
 	}
 }
 
-// A value that the state service takes in no form: all that was to be in it goes to the records.
+// All entries of a value that the state service refuses go to the records.
 func TestAbandonedValue(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	told := false
 	s.add(completionOf(1), func() { told = true })
-	s.Unmark(Key(7, 1))
+	s.Unmark(Key(leaderToken, 1))
 	s.journal.Abandon()
 	s.journal.Tick()
 	s.flush()
@@ -335,7 +370,8 @@
 	}
 }
 
-// Values of earlier leaders are folded and deleted, those that no record lacks at once.
+// Values of earlier leaders are compacted and deleted; one that no record lacks an entry of is deleted at
+// once.
 func TestAdoptedValues(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	e := departureOf("i-000001", 1)
--- a/internal/completionjournal/value_test.go
+++ b/internal/completionjournal/value_test.go
@@ -14,7 +14,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// randomEntries are different ends of a few jobs and machines.
+// randomEntries are n different entries of a few jobs and machines.
 func randomEntries(random *rand.Rand, n int) []Entry {
 	seen := map[Entry]bool{}
 	var out []Entry
@@ -31,23 +31,23 @@
 	return out
 }
 
-// What is encoded is decoded, through the state service's own form, in any order.
+// Entries are read back as they were written, through the state service's encoding. Their order may change.
 func TestValuesAreReadAsTheyWereWritten(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for n := range 200 {
-		ends := randomEntries(random, n)
+		entries := randomEntries(random, n)
 		var stored Value
-		if err := protocol.Decode(protocol.Encode(Encode(7, 3, ends)), &stored); err != nil {
+		if err := protocol.Decode(protocol.Encode(Encode(7, 3, entries)), &stored); err != nil {
 			t.Fatal(err)
 		}
 		got, err := Decode(Key(7, 3), stored)
 		if err != nil {
 			t.Fatal(err)
 		}
-		slices.SortFunc(ends, compareEntries)
+		slices.SortFunc(entries, compareEntries)
 		slices.SortFunc(got, compareEntries)
-		if !slices.Equal(got, ends) {
-			t.Fatalf("%d ends: %v, want %v", n, got, ends)
+		if !slices.Equal(got, entries) {
+			t.Fatalf("%d entries: %v, want %v", n, got, entries)
 		}
 	}
 }
@@ -62,12 +62,13 @@
 	}
 }
 
-// valueWithBody is a value with a body that may be anything, and the checksum that belongs to it.
+// valueWithBody is a value with any body and the right checksum.
 func valueWithBody(token, number uint64, body []byte) Value {
 	return Value{Form: Form, Token: token, Number: number, Sum: checksum(token, number, body), Body: base64.StdEncoding.EncodeToString(body)}
 }
 
 func encodeBody(t testing.TB, in valueBody) Value {
+	t.Helper()
 	body, err := cbor.Marshal(in)
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +76,7 @@
 	return valueWithBody(5, 1, body)
 }
 
-// Every kind of damage is told, and ends nothing.
+// Each kind of damage is reported with its own error, and never ends the process.
 func TestDamagedValues(t *testing.T) {
 	good := Encode(5, 1, []Entry{{Job: "j-000001", Index: 1}, {Job: "j-000001", Index: 2, Machine: "i-000001", Attempt: 9}})
 	change := func(alter func(v *Value)) Value {
@@ -87,40 +88,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
-		name string
-		key  string
-		v    Value
-		want error
+	for _, tc := range []struct {
+		name  string
+		key   string
+		value Value
+		want  error
 	}{
-		{"a later form", Key(5, 1), change(func(v *Value) { v.Form = Form + 1 }), ErrFormatVersion},
-		{"no form", Key(5, 1), change(func(v *Value) { v.Form = 0 }), ErrMalformed},
+		{"a later format version", Key(5, 1), change(func(v *Value) { v.Form = Form + 1 }), ErrFormatVersion},
+		{"no format version", Key(5, 1), change(func(v *Value) { v.Form = 0 }), ErrMalformed},
 		{"of another token", Key(6, 1), good, ErrWrongKey},
-		{"of another number, as if doubled", Key(5, 2), good, ErrWrongKey},
+		{"copied to another number", Key(5, 2), good, ErrWrongKey},
 		{"token changed in place", Key(6, 1), change(func(v *Value) { v.Token = 6 }), ErrChecksum},
 		{"truncated", Key(5, 1), change(func(v *Value) { v.Body = v.Body[:len(v.Body)-4] }), ErrChecksum},
-		{"no base64", Key(5, 1), change(func(v *Value) { v.Body = "?" + v.Body[1:] }), ErrMalformed},
+		{"not base64", Key(5, 1), change(func(v *Value) { v.Body = "?" + v.Body[1:] }), ErrMalformed},
 		{"altered", Key(5, 1), change(func(v *Value) { v.Body = "AAAA" + v.Body[4:] }), ErrChecksum},
 		{"another checksum", Key(5, 1), change(func(v *Value) { v.Sum++ }), ErrChecksum},
-		{"nothing", Key(5, 1), Value{}, ErrMalformed},
+		{"empty", Key(5, 1), Value{}, ErrMalformed},
 		{"not CBOR", Key(5, 1), valueWithBody(5, 1, []byte{0xff}), ErrMalformed},
-		{"no bitmap", Key(5, 1), encodeBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: []byte("bitmap")}}}), ErrMalformed},
-		{"a task that no job has", Key(5, 1), encodeBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: beyond}}}), ErrMalformed},
-		{"an attempt of no machine", Key(5, 1), encodeBody(t, valueBody{Departures: []machineDepartures{{Attempts: []departedAttempt{{Job: "j-000001"}}}}}), ErrMalformed},
-		{"an index that no job has", Key(5, 1), encodeBody(t, valueBody{Departures: []machineDepartures{{Machine: "i-1", Attempts: []departedAttempt{{Index: maxTasks}}}}}), ErrMalformed},
+		{"not a bitmap", Key(5, 1), encodeBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: []byte("bitmap")}}}), ErrMalformed},
+		{"a task index beyond any job", Key(5, 1), encodeBody(t, valueBody{Completions: []jobCompletions{{Job: "j-000001", Tasks: beyond}}}), ErrMalformed},
+		{"a departure without a machine", Key(5, 1), encodeBody(t, valueBody{Departures: []machineDepartures{{Attempts: []departedAttempt{{Job: "j-000001"}}}}}), ErrMalformed},
+		{"a departure's task index beyond any job", Key(5, 1), encodeBody(t, valueBody{Departures: []machineDepartures{{Machine: "i-1", Attempts: []departedAttempt{{Index: maxTasks}}}}}), ErrMalformed},
 		{"a key of something else", "g/5/one", good, ErrMalformed},
 		{"a key with a leading zero", "g/05/1", good, ErrMalformed},
 	} {
-		if got, err := Decode(c.key, c.v); !errors.Is(err, c.want) || got != nil {
-			t.Errorf("%s: %v, %v", c.name, got, err)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			if got, err := Decode(tc.key, tc.value); !errors.Is(err, tc.want) || got != nil {
+				t.Errorf("entries %v, error %v, want %v", got, err, tc.want)
+			}
+		})
 	}
 }
 
-// FuzzDecode has bodies of any kind decoded: none may end the process or claim what no job has.
+// FuzzDecode decodes bodies of any kind: none may end the process or give a task index beyond any job.
 func FuzzDecode(f *testing.F) {
-	for _, ends := range [][]Entry{nil, {{Job: "j-000001", Index: 1}}, {{Job: "j-000001", Index: 2, Machine: "i-000001", Attempt: 9}}} {
-		body, err := cbor.Marshal(groupEntries(ends))
+	for _, entries := range [][]Entry{nil, {{Job: "j-000001", Index: 1}}, {{Job: "j-000001", Index: 2, Machine: "i-000001", Attempt: 9}}} {
+		body, err := cbor.Marshal(groupEntries(entries))
 		if err != nil {
 			f.Fatal(err)
 		}
