--- a/internal/clusterstate/agent_state_test.go
+++ b/internal/clusterstate/agent_state_test.go
@@ -5,53 +5,63 @@
 	"time"
 )
 
-// Late copies, reordered answers and messages of sessions that are over are no evidence.
+// Late copies, reordered answers and messages of epochs that are over are no evidence.
 func TestNewestMessages(t *testing.T) {
-	s := &AgentState{}
-	s.Apply(HeartbeatHeader{Epoch: 2, Sequence: 10, Token: 4, Heartbeat: true}, 5, time.Second, 10*time.Second)
-	s.ExpiredEpoch = 2
+	newest := HeartbeatHeader{Epoch: 2, Sequence: 10, Token: 4, Heartbeat: true}
 	for _, tc := range []struct {
-		session, seq uint64
-		newest       bool
-	}{{2, 11, false}, {3, 1, true}, {1, 99, false}, {2, 10, false}} {
-		if got := s.IsNewest(HeartbeatHeader{Epoch: tc.session, Sequence: tc.seq}); got != tc.newest {
-			t.Errorf("session %d, message %d: newest %v", tc.session, tc.seq, got)
-		}
-	}
-	s.ExpiredEpoch = 0
-	for _, tc := range []struct {
-		session, seq uint64
-		newest       bool
-	}{{2, 11, true}, {2, 10, false}, {2, 9, false}, {1, 99, false}, {3, 1, true}} {
-		if got := s.IsNewest(HeartbeatHeader{Epoch: tc.session, Sequence: tc.seq}); got != tc.newest {
-			t.Errorf("session %d, message %d: newest %v", tc.session, tc.seq, got)
-		}
+		name            string
+		expiredEpoch    uint64
+		epoch, sequence uint64
+		want            bool
+	}{
+		{"next message of the epoch", 0, 2, 11, true},
+		{"the same message again", 0, 2, 10, false},
+		{"an older message of the epoch", 0, 2, 9, false},
+		{"an older epoch", 0, 1, 99, false},
+		{"the next epoch", 0, 3, 1, true},
+		{"next message of an expired epoch", 2, 2, 11, false},
+		{"the same message of an expired epoch", 2, 2, 10, false},
+		{"an epoch before the expired one", 2, 1, 99, false},
+		{"the epoch after the expired one", 2, 3, 1, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			agent := &AgentState{}
+			agent.Apply(newest, 5, time.Second, 10*time.Second)
+			agent.ExpiredEpoch = tc.expiredEpoch
+			if got := agent.IsNewest(HeartbeatHeader{Epoch: tc.epoch, Sequence: tc.sequence}); got != tc.want {
+				t.Errorf("newest: %v", got)
+			}
+		})
 	}
 }
 
-// A worker that shows an old token again and again, or whose lease lapses though it was answered, does not
-// hear us; one that shows ours does.
+// The leader's answers do not reach an agent that shows an old token again and again, or whose lease expires
+// although it was answered. They do reach one that shows the leader's token.
 func TestAnswersThatDoNotReachTheAgent(t *testing.T) {
-	const lease, token = 10 * time.Second, 5
-	s := &AgentState{}
-	first := s.Apply(HeartbeatHeader{Epoch: 1, Sequence: 1, Token: 4, Heartbeat: true}, token, time.Second, lease)
-	if first.FirstToken || first.ShowsToken || s.UnseenAnswers != 0 {
-		t.Errorf("the first report: %+v, %d unseen", first, s.UnseenAnswers)
+	const lease, token, olderToken = 10 * time.Second, 5, 4
+	agent := &AgentState{}
+	heartbeat := func(epoch, sequence, shown uint64, now time.Duration) Observation {
+		return agent.Apply(HeartbeatHeader{Epoch: epoch, Sequence: sequence, Token: shown, Heartbeat: true}, token, now, lease)
+	}
+	first := heartbeat(1, 1, olderToken, time.Second)
+	if first.FirstToken || first.ShowsToken || agent.UnseenAnswers != 0 {
+		t.Errorf("the first heartbeat: %+v, %d unseen", first, agent.UnseenAnswers)
 	}
-	s.LastAnswered = time.Second
-	s.Apply(HeartbeatHeader{Epoch: 1, Sequence: 2, Token: 4, Heartbeat: true}, token, 2*time.Second, lease)
-	s.Apply(HeartbeatHeader{Epoch: 1, Sequence: 3, Token: 4}, token, 2*time.Second, lease) // an answer, no report
-	if s.UnseenAnswers != 1 || s.HeartbeatSequence != 2 {
-		t.Errorf("%d unseen, last report %d", s.UnseenAnswers, s.HeartbeatSequence)
+	agent.LastAnswered = time.Second
+	heartbeat(1, 2, olderToken, 2*time.Second)
+	answer := HeartbeatHeader{Epoch: 1, Sequence: 3, Token: olderToken} // to a direct call
+	agent.Apply(answer, token, 2*time.Second, lease)
+	if agent.UnseenAnswers != 1 || agent.HeartbeatSequence != 2 {
+		t.Errorf("%d unseen, last heartbeat %d", agent.UnseenAnswers, agent.HeartbeatSequence)
 	}
-	if sign := s.Apply(HeartbeatHeader{Epoch: 1, Sequence: 4, Token: token, Heartbeat: true}, token, 3*time.Second, lease); !sign.FirstToken || s.UnseenAnswers != 0 || s.TokenAcknowledgedAt != 3*time.Second {
-		t.Errorf("it hears: %+v, %d unseen", sign, s.UnseenAnswers)
+	if got := heartbeat(1, 4, token, 3*time.Second); !got.FirstToken || agent.UnseenAnswers != 0 || agent.TokenAcknowledgedAt != 3*time.Second {
+		t.Errorf("with the leader's token: %+v, %d unseen", got, agent.UnseenAnswers)
 	}
-	s.LastAnswered = 3 * time.Second
-	if sign := s.Apply(HeartbeatHeader{Epoch: 2, Sequence: 5, Token: token, Heartbeat: true}, token, 7*time.Second, lease); !sign.LeaseExpired || !sign.AnswersLost || s.UnseenAnswers != unseenAnswersPerExpiry || s.QuarantinedUntil != 27*time.Second {
-		t.Errorf("lapsed though it was answered: %+v, %+v", sign, s)
+	agent.LastAnswered = 3 * time.Second
+	if got := heartbeat(2, 5, token, 7*time.Second); !got.LeaseExpired || !got.AnswersLost || agent.UnseenAnswers != unseenAnswersPerExpiry || agent.QuarantinedUntil != 27*time.Second {
+		t.Errorf("expired although it was answered: %+v, %+v", got, agent)
 	}
-	if sign := s.Apply(HeartbeatHeader{Epoch: 3, Sequence: 6, Token: token, Heartbeat: true}, token, 40*time.Second, lease); !sign.LeaseExpired || sign.AnswersLost {
-		t.Errorf("lapsed as nobody answered: %+v", sign)
+	if got := heartbeat(3, 6, token, 40*time.Second); !got.LeaseExpired || got.AnswersLost {
+		t.Errorf("expired as nobody answered: %+v", got)
 	}
 }
--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/base64"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"strconv"
@@ -12,19 +13,20 @@
 	"claybarrow/internal/protocol"
 )
 
-// renderRecords writes all of a job's completions as they are written one after the other.
-func renderRecords(t *testing.T, b *State, j *Job, limit int) map[string]CompletionRecord {
+// renderRecords renders the records of all completed tasks of a job by key, as they are written one after the
+// other. Each has to fit into limit bytes.
+func renderRecords(t *testing.T, state *State, j *Job, limit int) map[string]CompletionRecord {
 	t.Helper()
 	out := map[string]CompletionRecord{}
 	for i := range j.Spec.Tasks {
 		if !j.IsDone(i) {
 			continue
 		}
-		key := b.CompletionKey(j, i)
+		key := state.CompletionKey(j, i)
 		if _, known := out[key]; known {
 			continue
 		}
-		out[key] = b.CompletionRecord(j, i)
+		out[key] = state.CompletionRecord(j, i)
 		if text, err := json.Marshal(out[key]); err != nil || len(text) > limit {
 			t.Fatalf("%s takes %d of %d bytes, %v", key, len(text), limit, err)
 		}
@@ -32,8 +34,8 @@
 	return out
 }
 
-// readAsOlderVersion reads records as the versions before parts do (4297efa and 686f0af): only
-// those of chunks, each from the chunk's start.
+// readAsOlderVersion reads records as the versions before parts do (4297efa and 686f0af): only those of
+// chunks, each from the chunk's start.
 func readAsOlderVersion(t *testing.T, layoutBytes, tasks int, records map[string]CompletionRecord) map[int]bool {
 	t.Helper()
 	chunk := max(64, layoutBytes/2*6/64*64)
@@ -60,9 +62,8 @@
 	return done
 }
 
-// The completions of an array of any size are stored within the limit and read back as
-// they were, and the older versions never take an open task for a finished one. Where
-// the limit allows it they read all that is finished.
+// The completions of an array of any size are stored within the limit and read back as they were, and older
+// versions never take an open task for a completed one. Where the limit allows it they read all completions.
 func TestCompletionsOfAnySize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, tc := range []struct {
@@ -73,36 +74,37 @@
 		{30000, 16 << 10, 2 << 10, false}, {100000, 16 << 10, 2 << 10, false}, {100000, 16 << 10, 1 << 10, false},
 		{100000, 16 << 10, 16 << 10, true}, {100000, 8 << 10, 2 << 10, false}, {5000, 1 << 10, 1 << 10, true},
 	} {
-		b := New(tc.layout, tc.limit)
-		j := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: tc.tasks}, 1)
-		for i := range tc.tasks {
-			if rng.IntN(3) > 0 || i == tc.tasks-1 {
-				j.MarkDone(i)
+		t.Run(fmt.Sprintf("%d tasks, layout of %d bytes, limit %d", tc.tasks, tc.layout, tc.limit), func(t *testing.T) {
+			state := New(tc.layout, tc.limit)
+			j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: tc.tasks}, 1)
+			for i := range tc.tasks {
+				if rng.IntN(3) > 0 || i == tc.tasks-1 {
+					j.MarkDone(i)
+				}
 			}
-		}
-		records := renderRecords(t, b, j, tc.limit)
-		again := New(tc.layout, tc.limit)
-		read := again.AddJob(&protocol.Spec{UID: "j-1", Tasks: tc.tasks}, 1)
-		for key, rec := range records {
-			if known, err := again.LoadCompletions(key, rec); err != nil || !known {
-				t.Fatalf("%+v: %s: %v", tc, key, err)
-			}
-		}
-		older := readAsOlderVersion(t, tc.layout, tc.tasks, records)
-		for i := range tc.tasks {
-			if read.IsDone(i) != j.IsDone(i) {
-				t.Fatalf("%+v: task %d is read as done %v", tc, i, read.IsDone(i))
+			records := renderRecords(t, state, j, tc.limit)
+			again := New(tc.layout, tc.limit)
+			read := again.AddJob(&protocol.Spec{UID: "j-1", Tasks: tc.tasks}, 1)
+			for key, rec := range records {
+				if known, err := again.LoadCompletions(key, rec); err != nil || !known {
+					t.Fatalf("%s: %v", key, err)
+				}
 			}
-			if older[i] && !j.IsDone(i) || tc.olderReadAll && older[i] != j.IsDone(i) {
-				t.Fatalf("%+v: task %d: an older version reads done %v", tc, i, older[i])
+			older := readAsOlderVersion(t, tc.layout, tc.tasks, records)
+			for i := range tc.tasks {
+				if read.IsDone(i) != j.IsDone(i) {
+					t.Fatalf("task %d is read as done %v", i, read.IsDone(i))
+				}
+				if older[i] && !j.IsDone(i) || tc.olderReadAll && older[i] != j.IsDone(i) {
+					t.Fatalf("task %d: an older version reads done %v", i, older[i])
+				}
 			}
-		}
+		})
 	}
 }
 
-// A record from before the limit was lowered is read and left as it is, since an older
-// version that came back would lose all beyond its new end; what is completed after it
-// goes into parts.
+// A record from before the limit was lowered is read and left as it is, since an older version that leads
+// again would lose all beyond its new end. Later completions are written to parts.
 func TestOversizedCompletionsStay(t *testing.T) {
 	const tasks = 40000
 	before := New(16<<10, 16<<10)
@@ -140,60 +142,63 @@
 	}
 }
 
-// Where a completion is stored, and how, is as both older versions have it wherever the
-// limit allows that (keys and bits as they wrote them).
+// Wherever the limit allows it, completions are stored under the keys and in the bits that both older versions
+// wrote.
 func TestCompletionsOfOlderVersions(t *testing.T) {
-	b := New(16<<10, 16<<10)
-	j := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 100000}, 1)
+	state := New(16<<10, 16<<10)
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 100000}, 1)
 	for index, key := range map[int]string{0: "d/j-1/0", 49151: "d/j-1/0", 49152: "d/j-1/1", 99999: "d/j-1/2"} {
-		if got := b.CompletionKey(j, index); got != key {
+		if got := state.CompletionKey(j, index); got != key {
 			t.Errorf("task %d is stored in %s, want %s", index, got, key)
 		}
 	}
-	b = New(8<<10, 2<<10)
-	j = b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 20}, 1)
+	state = New(8<<10, 2<<10)
+	j = state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 20}, 1)
 	for _, i := range []int{0, 9, 19} {
 		j.MarkDone(i)
 	}
-	if rec := b.CompletionRecord(j, 19); b.CompletionKey(j, 19) != "d/j-1/0" || rec.Bits != "AQII" {
-		t.Errorf("%s: %s", b.CompletionKey(j, 19), rec.Bits)
+	if rec := state.CompletionRecord(j, 19); state.CompletionKey(j, 19) != "d/j-1/0" || rec.Bits != "AQII" {
+		t.Errorf("%s: %s", state.CompletionKey(j, 19), rec.Bits)
 	}
 }
 
-// Every key that a job's completions may have is known when it is over, so none stays;
-// damaged ones are refused.
+// CompletionKeys lists every key that a job's completions may have, so that none is left when the job is over.
+// Damaged keys are refused.
 func TestKeysOfCompletions(t *testing.T) {
-	b := New(16<<10, 2<<10)
-	j := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 100000}, 1)
+	state := New(16<<10, 2<<10)
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 100000}, 1)
 	keys := map[string]bool{}
-	for _, key := range b.CompletionKeys(j) {
+	for _, key := range state.CompletionKeys(j) {
 		keys[key] = true
 	}
 	for i := range j.Spec.Tasks {
-		if key := b.CompletionKey(j, i); !keys[key] {
+		if key := state.CompletionKey(j, i); !keys[key] {
 			t.Fatalf("%s is not listed", key)
 		}
 	}
 	for _, key := range []string{"d/j-1", "d/j-1/x", "p/j-1/-1", fmt.Sprintf("p/j-1/%d", maxRecordNumber+1)} {
-		if _, err := b.LoadCompletions(key, CompletionRecord{}); err == nil {
-			t.Errorf("%s is accepted", key)
+		if _, err := state.LoadCompletions(key, CompletionRecord{}); !errors.Is(err, ErrCompletionKey) {
+			t.Errorf("%s: error %v", key, err)
 		}
 	}
-	if known, err := b.LoadCompletions("p/j-2/0", CompletionRecord{Bits: "AQ=="}); known || err != nil {
+	var corrupt base64.CorruptInputError
+	if _, err := state.LoadCompletions("p/j-1/0", CompletionRecord{Bits: "?"}); !errors.As(err, &corrupt) {
+		t.Errorf("bits that are not base64: error %v", err)
+	}
+	if known, err := state.LoadCompletions("p/j-2/0", CompletionRecord{Bits: "AQ=="}); known || err != nil {
 		t.Errorf("a record of a job that is over: %v, %v", known, err)
 	}
 }
 
-// A lower limit on values to come changes nothing in the meaning of stored keys,
-// and all records that are written are within it.
+// A lower limit on new values does not change the meaning of stored keys, and all new records are within it.
 func TestLowerLimitsKeepTheLayout(t *testing.T) {
-	b := New(8<<10, 2<<10)
-	j := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3000}, 1)
+	state := New(8<<10, 2<<10)
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3000}, 1)
 	j.MarkDone(2999)
-	if key := b.CompletionKey(j, 2999); key != "d/j-1/0" {
+	if key := state.CompletionKey(j, 2999); key != "d/j-1/0" {
 		t.Errorf("key %s", key)
 	}
-	if n := len(protocol.Encode(b.CompletionRecord(j, 2999))); n > 2<<10 {
+	if n := len(protocol.Encode(state.CompletionRecord(j, 2999))); n > 2<<10 {
 		t.Errorf("%d bytes", n)
 	}
 }
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -6,7 +6,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// Each state's answer to each event, as the table in docs/design.md has it.
+// Each state and event has the next state that the table in docs/design.md gives.
 func TestGangTransitions(t *testing.T) {
 	const same = GangState(-1)
 	events := []GangEvent{TaskPlaced, TaskRunning, TaskReplaceable, TaskLost, StopRequested, PlacesIncomplete, TaskDone, LastTaskGone}
@@ -18,85 +18,104 @@
 		GangBroken:    {same, same, same, same, same, same, GangDone, GangWaiting},
 		GangDone:      {same, same, same, same, same, same, same, same},
 	} {
-		for i, event := range events {
-			next := want[i]
-			if next == same {
-				next = state
+		t.Run(state.String(), func(t *testing.T) {
+			for i, event := range events {
+				next := want[i]
+				if next == same {
+					next = state
+				}
+				g := &Gang{State: state}
+				if changed := g.Apply(event); g.State != next || changed != (next != state) {
+					t.Errorf("after event %d: %v, changed %v, want %v", event, g.State, changed, next)
+				}
 			}
-			g := &Gang{State: state}
-			if changed := g.Apply(event); g.State != next || changed != (next != state) {
-				t.Errorf("%v after event %d: %v, changed %v, want %v", state, event, g.State, changed, next)
-			}
-		}
+		})
 	}
 }
 
-// A gang of three tasks, each on a machine of its own.
+// A state that is not known is named by its number: the log must not end the process.
+func TestUnknownGangState(t *testing.T) {
+	if got := GangState(9).String(); got != "GangState(9)" {
+		t.Error(got)
+	}
+}
+
+// placedGang is a gang of three tasks, each on a machine of its own.
 func placedGang(t *testing.T) (*State, *Job, []*Attempt) {
 	t.Helper()
-	b := New(16<<10, 16<<10)
-	j := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Gang: true}, 1)
+	state := New(16<<10, 16<<10)
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Gang: true}, 1)
 	var attempts []*Attempt
 	for i, id := range []string{"i-1", "i-2", "i-3"} {
-		a := b.AddAttempt(b.AddMachine(id), j, i, 7, 0)
+		a := state.AddAttempt(state.AddMachine(id), j, i, 7, 0)
 		a.Durable = true
 		attempts = append(attempts, a)
 	}
-	return b, j, attempts
+	return state, j, attempts
 }
 
-// While the others gather a lost task is replaced, under the same number. Of a broken
-// attempt nothing is replaced before the last of it is gone: its tasks may still run.
+// A lost task is replaced under the same number while the others gather. No task of a broken attempt is
+// replaced before the last one is gone, as the others may still run.
 func TestLostTasksOfAGang(t *testing.T) {
-	for _, broken := range []bool{false, true} {
-		b, j, attempts := placedGang(t)
-		if !j.Gang.Complete() || j.Gang.State != GangGathering {
-			t.Fatalf("placed whole it is %v, complete %v", j.Gang.State, j.Gang.Complete())
-		}
-		b.RemoveAttempt(attempts[1])
-		if broken {
-			j.Gang.Apply(TaskLost)
-		}
-		waiting, _ := j.WaitingTasks(10)
-		if want := map[bool]int{false: 1, true: 0}[broken]; len(waiting) != want {
-			t.Errorf("broken %v: tasks %v may start, want %d", broken, waiting, want)
-		}
-		b.RemoveAttempt(attempts[0])
-		b.RemoveAttempt(attempts[2])
-		if waiting, _ := j.WaitingTasks(10); len(waiting) != 3 || j.Gang.State != GangWaiting {
-			t.Errorf("broken %v: when all is gone tasks %v may start, and it is %v", broken, waiting, j.Gang.State)
-		}
+	for _, tc := range []struct {
+		name        string
+		broken      bool
+		replaceable int
+	}{
+		{"gathering", false, 1},
+		{"broken", true, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			state, j, attempts := placedGang(t)
+			if !j.Gang.Complete() || j.Gang.State != GangGathering {
+				t.Fatalf("placed whole it is %v, complete %v", j.Gang.State, j.Gang.Complete())
+			}
+			state.RemoveAttempt(attempts[1])
+			if tc.broken {
+				j.Gang.Apply(TaskLost)
+			}
+			if waiting, _ := j.WaitingTasks(10); len(waiting) != tc.replaceable {
+				t.Errorf("tasks %v may start, want %d", waiting, tc.replaceable)
+			}
+			state.RemoveAttempt(attempts[0])
+			state.RemoveAttempt(attempts[2])
+			if waiting, _ := j.WaitingTasks(10); len(waiting) != 3 || j.Gang.State != GangWaiting {
+				t.Errorf("when all attempts are gone tasks %v may start, and it is %v", waiting, j.Gang.State)
+			}
+		})
 	}
 }
 
-// Only a complete attempt may be started: one task each, under one number, durable and
-// none of them to be stopped.
+// A gang is complete, and may be started, only with one attempt of each task, under one number, durable and
+// not to be stopped.
 func TestGangIsCompleteOnlyWithAllTasks(t *testing.T) {
 	for name, change := range map[string]func(*State, *Job, []*Attempt){
 		"one is not durable":   func(_ *State, _ *Job, all []*Attempt) { all[1].Durable = false },
 		"one is to be stopped": func(_ *State, _ *Job, all []*Attempt) { all[1].StopRequested = true },
-		"one is missing":       func(b *State, _ *Job, all []*Attempt) { b.RemoveAttempt(all[1]) },
-		"another number": func(b *State, j *Job, all []*Attempt) {
-			b.RemoveAttempt(all[1])
-			b.AddAttempt(b.AddMachine("i-2"), j, 1, 8, 0).Durable = true
+		"one is missing":       func(state *State, _ *Job, all []*Attempt) { state.RemoveAttempt(all[1]) },
+		"another number": func(state *State, j *Job, all []*Attempt) {
+			state.RemoveAttempt(all[1])
+			state.AddAttempt(state.AddMachine("i-2"), j, 1, 8, 0).Durable = true
 		},
-		"one twice": func(b *State, j *Job, all []*Attempt) {
-			b.RemoveAttempt(all[1])
-			b.AddAttempt(b.AddMachine("i-2"), j, 0, 7, 0).Durable = true
+		"one twice": func(state *State, j *Job, all []*Attempt) {
+			state.RemoveAttempt(all[1])
+			state.AddAttempt(state.AddMachine("i-2"), j, 0, 7, 0).Durable = true
 		},
 	} {
-		b, j, all := placedGang(t)
-		change(b, j, all)
-		if j.Gang.Complete() {
-			t.Errorf("%s: it counts as complete", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			state, j, all := placedGang(t)
+			change(state, j, all)
+			if j.Gang.Complete() {
+				t.Error("it counts as complete")
+			}
+		})
 	}
 }
 
-// What the workers say moves the attempt on, under its own number only.
+// A gang runs once a task of it is reported running. Tasks under another number change nothing.
 func TestGangRunsWhenATaskDoes(t *testing.T) {
-	b, j, all := placedGang(t)
-	unanswered := b.AddAttempt(b.AddMachine("i-4"), j, 0, 6, 0)
+	state, j, all := placedGang(t)
+	unanswered := state.AddAttempt(state.AddMachine("i-4"), j, 0, 6, 0)
 	unanswered.SetState(protocol.Running)
 	all[0].SetState(protocol.WaitingForGang)
 	if j.Gang.State != GangGathering {
--- a/internal/clusterstate/images_test.go
+++ b/internal/clusterstate/images_test.go
@@ -6,13 +6,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// A machine is not believed to have an image that newer ones have pushed out, as long as no
-// task needs it: replicas were sent to machines for images that these no longer had.
+// The least recently used images are dropped once the cache is full, except those that a task needs. Without
+// this, replicas were sent to machines for images that these no longer had.
 func TestLeastRecentlyUsedImagesAreDropped(t *testing.T) {
-	b := New(1024, 1024)
-	m := b.AddMachine("i-1")
-	j := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 1, Image: "needed"}, 0)
-	b.AddAttempt(m, j, 0, 1, 0)
+	state := New(1024, 1024)
+	m := state.AddMachine("i-1")
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 1, Image: "needed"}, 0)
+	state.AddAttempt(m, j, 0, 1, 0)
 	for _, name := range []string{"needed", "old", "recent", "old-but-used"} {
 		m.UseImage(name, 30, 0)
 	}
--- a/internal/clusterstate/records_test.go
+++ b/internal/clusterstate/records_test.go
@@ -10,10 +10,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// What the version in production (686f0af) and the one before it (4297efa, which knows
-// no gangs) write, byte by byte, as those versions wrote it: both wrote each of these
-// alike, but for the gang, which only the later one has. The same is read back, and what
-// we write of the same is the same: so each version reads the others'.
+// The bytes are those that the version in production (686f0af) and the one before it (4297efa, which has no
+// gangs) wrote. Both wrote each record alike, but for the gang, which only the later one has. They are read
+// back, and the same records are written as the same bytes, so each version reads what the others write.
 func TestRecordsOfOlderVersions(t *testing.T) {
 	service := &protocol.Spec{UID: "j-000413", Class: "web", Team: "search", Service: true, Priority: protocol.Production, Tasks: 2,
 		Cores: 2, MemoryGB: 2.8, Image: "img-1", ImageGB: 0.6, Spread: true}
@@ -44,24 +43,25 @@
 			&Counters{At: 1700000000123, Jobs: map[string]CounterRow{"j-000412": {Attained: 1.5, Upper: true, Slots: 2, DoneAt: 3, AttainedAt: 0.5,
 				First: 0.25, Degr: 0.9}}}, &Counters{}},
 	} {
-		raw, err := hex.DecodeString(tc.wrote)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := protocol.Decode(raw, tc.into); err != nil {
-			t.Errorf("%s: %v", name, err)
-			continue
-		}
-		if diff := cmp.Diff(tc.want, tc.into, cmpopts.IgnoreUnexported(AttemptEntry{}, CounterRow{})); diff != "" {
-			t.Errorf("%s is read as (-want +got):\n%s", name, diff)
-		}
-		if got := hex.EncodeToString(protocol.Encode(tc.want)); got != tc.wrote {
-			t.Errorf("%s is written as %s", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			raw, err := hex.DecodeString(tc.wrote)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := protocol.Decode(raw, tc.into); err != nil {
+				t.Fatal(err)
+			}
+			if diff := cmp.Diff(tc.want, tc.into, cmpopts.IgnoreUnexported(AttemptEntry{}, CounterRow{})); diff != "" {
+				t.Errorf("read as (-want +got):\n%s", diff)
+			}
+			if got := hex.EncodeToString(protocol.Encode(tc.want)); got != tc.wrote {
+				t.Errorf("written as %s", got)
+			}
+		})
 	}
 }
 
-// A record with fields and a state that are not known yet is read all the same.
+// A record of a later version, with unknown fields and an unknown state, is read all the same.
 func TestRecordsOfALaterVersion(t *testing.T) {
 	later := protocol.Encode(map[string]any{"s": "resting", "t": 5, "x": map[string]any{"y": 1},
 		"j": map[string]any{"u": "j-1", "c": "train", "o": "vision", "p": 1, "n": 2, "cc": 1.0, "cm": 1.0, "i": "img", "ig": 1.0, "g": true, "zz": []int{1}}})
--- a/internal/clusterstate/views_test.go
+++ b/internal/clusterstate/views_test.go
@@ -8,16 +8,16 @@
 	"claybarrow/internal/protocol"
 )
 
-// Whoever keeps a view of machines and jobs learns of each change by a revision, and of jobs
-// that come to wait by the list of opened ones.
+// A cache of machines and jobs learns of each change by a revision, and of jobs that get waiting tasks by the
+// list of opened jobs.
 func TestRevisionsFollowChanges(t *testing.T) {
-	b := New(16<<10, 16<<10)
-	m := b.AddMachine("i-1")
-	j := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Image: "x"}, 0)
-	if !slices.Equal(b.TakeOpenedJobs(), []*Job{j}) || len(b.TakeOpenedJobs()) != 0 {
+	state := New(16<<10, 16<<10)
+	m := state.AddMachine("i-1")
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Image: "x"}, 0)
+	if !slices.Equal(state.TakeOpenedJobs(), []*Job{j}) || len(state.TakeOpenedJobs()) != 0 {
 		t.Error("a new job is opened once")
 	}
-	changed := func(what string, wantMachine, wantJob bool, do func()) {
+	changes := func(what string, wantMachine, wantJob bool, do func()) {
 		t.Helper()
 		machine, job := m.Revision(), j.Revision()
 		do()
@@ -26,69 +26,69 @@
 		}
 	}
 	var a *Attempt
-	changed("a start", true, true, func() { a = b.AddAttempt(m, j, 1, 7, 0) })
-	if j.OpenTasks() != 2 || len(b.TakeOpenedJobs()) != 0 {
+	changes("a start", true, true, func() { a = state.AddAttempt(m, j, 1, 7, 0) })
+	if j.OpenTasks() != 2 || len(state.TakeOpenedJobs()) != 0 {
 		t.Errorf("%d tasks are open", j.OpenTasks())
 	}
-	changed("a state", true, false, func() { a.SetState(protocol.Running) })
-	changed("an image", true, false, func() { m.UseImage("x", 1, 10) })
-	changed("the same image", false, false, func() { m.UseImage("x", 1, 10) })
-	changed("a completion", false, true, func() { j.MarkDone(1) })
-	changed("the same completion", false, false, func() { j.MarkDone(1) })
-	changed("an end", true, true, func() { b.RemoveAttempt(a) })
-	if !slices.Equal(b.TakeOpenedJobs(), []*Job{j}) {
+	changes("a state", true, false, func() { a.SetState(protocol.Running) })
+	changes("an image", true, false, func() { m.UseImage("x", 1, 10) })
+	changes("the same image", false, false, func() { m.UseImage("x", 1, 10) })
+	changes("a completion", false, true, func() { j.MarkDone(1) })
+	changes("the same completion", false, false, func() { j.MarkDone(1) })
+	changes("an end", true, true, func() { state.RemoveAttempt(a) })
+	if !slices.Equal(state.TakeOpenedJobs(), []*Job{j}) {
 		t.Error("a job that has lost a task is not opened")
 	}
-	changed("an interruption", false, true, func() { j.MarkInterrupted(2) })
+	changes("an interruption", false, true, func() { j.MarkInterrupted(2) })
 	if waiting, resume := j.AppendWaitingTasks(nil, 10); !slices.Equal(waiting, []int{2, 0}) || resume != 1 {
 		t.Errorf("waiting %v, %d of them interrupted", waiting, resume)
 	}
 }
 
-// Sorted is kept until an attempt comes or goes, and a list that somebody goes through stays.
+// The sorted list is kept until an attempt is added or removed, and is never changed in place.
 func TestSortedAttemptsAreKept(t *testing.T) {
-	b := New(16<<10, 16<<10)
-	m := b.AddMachine("i-1")
-	gang := b.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Gang: true}, 0)
+	state := New(16<<10, 16<<10)
+	m := state.AddMachine("i-1")
+	gang := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Gang: true}, 0)
 	for _, i := range []int{2, 0, 1} {
-		b.AddAttempt(m, gang, i, 5, 0)
+		state.AddAttempt(m, gang, i, 5, 0)
 	}
 	list := m.Sorted()
 	if list[0].Index != 0 || list[1].Index != 1 || list[2].Index != 2 {
 		t.Error("tasks of a gang are not in order")
 	}
 	if &list[0] != &m.Sorted()[0] {
-		t.Error("the list is made anew though nothing has changed")
+		t.Error("the list is made again although nothing has changed")
 	}
 	for _, a := range list {
-		b.RemoveAttempt(a)
+		state.RemoveAttempt(a)
 	}
 	if len(m.Sorted()) != 0 || list[2].Index != 2 {
-		t.Error("after all are gone")
+		t.Error("a list was changed in place, or attempts are left")
 	}
 }
 
-// Machines share a number if they have the same images, in whatever order they came.
+// Machines with the same images share a number, in whatever order the images came.
 func TestImageSets(t *testing.T) {
-	b := New(16<<10, 16<<10)
-	one, two := b.AddMachine("i-1"), b.AddMachine("i-2")
-	empty := b.ImageSet(one)
+	state := New(16<<10, 16<<10)
+	one, two := state.AddMachine("i-1"), state.AddMachine("i-2")
+	empty := state.ImageSet(one)
 	one.UseImage("x", 1, 0)
 	one.UseImage("y", 1, 0)
 	two.UseImage("y", 1, 0)
-	if b.ImageSet(one) == b.ImageSet(two) || b.ImageSet(one) == empty {
+	if state.ImageSet(one) == state.ImageSet(two) || state.ImageSet(one) == empty {
 		t.Error("different images, the same number")
 	}
 	two.UseImage("x", 1, 0)
-	if b.ImageSet(one) != b.ImageSet(two) {
+	if state.ImageSet(one) != state.ImageSet(two) {
 		t.Error("the same images, different numbers")
 	}
-	before := b.ImageSet(one)
+	before := state.ImageSet(one)
 	for i := range maxImageSets + 1 {
 		two.UseImage(fmt.Sprint("z-", i), 1, 1)
-		b.ImageSet(two)
+		state.ImageSet(two)
 	}
-	if after := b.ImageSet(one); after == before {
+	if after := state.ImageSet(one); after == before {
 		t.Error("a number from before the sets were forgotten")
 	}
 }
