--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -11,7 +11,7 @@
 	"claybarrow/internal/scheduler"
 )
 
-// Job is a job that is not over. Its spec, Submitted and Cancelling are stored in a JobRecord and the
+// Job is a job that is not over. Its spec, its submission time and its cancellation are stored in a JobRecord and the
 // completions of its tasks in CompletionRecords; the rest is rebuilt or starts afresh at a failover.
 type Job struct {
 	Spec *protocol.Spec
@@ -58,7 +58,7 @@
 	// oversizedChunks are the chunks whose stored completion record is larger than one may be now.
 	oversizedChunks map[int]bool
 	revision        uint64 // see Revision
-	isInOpenedJobs  bool   // the job is in State.opened
+	isToSchedule    bool   // the job is in State.toSchedule
 }
 
 // TerminalState is what is kept of a job that is over, to answer questions about it.
@@ -92,7 +92,7 @@
 	}
 	s.Jobs[spec.UID] = j
 	s.sortedJobs = nil
-	s.markOpened(j)
+	s.markToSchedule(j)
 	return j
 }
 
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -39,7 +39,7 @@
 	layout         completionLayout
 	sortedMachines []*Machine // see SortedMachines
 	sortedJobs     []*Job     // see SortedJobs
-	opened         []*Job     // see TakeOpenedJobs
+	toSchedule     []*Job     // see TakeOpenedJobs
 	// imageSets are the numbers of the machines' sets of images, by the images' sorted names.
 	imageSets    map[string]int
 	lastImageSet int
@@ -82,7 +82,7 @@
 	a.SetState("") // it no longer counts as running
 	m.removeAttempt(a)
 	j.removeAttempt(a)
-	s.markOpened(j)
+	s.markToSchedule(j)
 	if j.Gang != nil {
 		j.Gang.remove(a)
 	}
@@ -91,24 +91,24 @@
 	}
 }
 
-// markOpened records that the job may have tasks that wait.
-func (s *State) markOpened(j *Job) {
-	if !j.isInOpenedJobs {
-		j.isInOpenedJobs = true
-		s.opened = append(s.opened, j)
+// markToSchedule records that the job may have tasks that wait.
+func (s *State) markToSchedule(j *Job) {
+	if !j.isToSchedule {
+		j.isToSchedule = true
+		s.toSchedule = append(s.toSchedule, j)
 	}
 }
 
 // OpenedJobs is the list that TakeOpenedJobs would return. It leaves the list as it is.
-func (s *State) OpenedJobs() []*Job { return s.opened }
+func (s *State) OpenedJobs() []*Job { return s.toSchedule }
 
 // TakeOpenedJobs returns the jobs that may have got waiting tasks since the last call: new ones, and those
 // that an attempt was removed from. No other change makes a task wait.
 func (s *State) TakeOpenedJobs() []*Job {
-	jobs := s.opened
-	s.opened = nil
+	jobs := s.toSchedule
+	s.toSchedule = nil
 	for _, j := range jobs {
-		j.isInOpenedJobs = false
+		j.isToSchedule = false
 	}
 	return jobs
 }
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -34,7 +34,7 @@
 // Compactor owns the records that entries are compacted into.
 type Compactor interface {
 	// Compact has the record that makes an entry redundant written before long. If there is no such
-	// record any more, it calls Rendered and Stored at once.
+	// record any more, it tells the journal at once that the record is rendered and stored.
 	Compact(entry Entry, record string, priority statestore.Priority)
 }
 
@@ -196,7 +196,8 @@
 }
 
 // Add adds an entry. record is the key of the record that will have it. onDurable is called once the entry
-// is durable; nil: nobody waits for that. Only call it while Takes holds.
+// is durable; nil: nobody waits for that. The journal has to accept
+// entries at that time.
 func (j *Journal) Add(entry Entry, record string, onDurable func()) {
 	e := &entryState{entry: entry, record: record, onDurable: onDurable}
 	j.pending = append(j.pending, e)
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -127,7 +127,7 @@
 // Action is what is to be stored next.
 type Action int
 
-// The actions. Each but NoAction is to be answered by Stored or Failed.
+// The actions. The gate has to be told the outcome of each but NoAction.
 const (
 	NoAction Action = iota
 	StoreOpen
@@ -159,7 +159,7 @@
 	// statedSince is since when the same process states the version without a gap.
 	statedSince time.Duration
 	// lacksStatement: the last message had no statement. lacksStatementSince is since when, not counting
-	// from before a silence longer than Settings.Patience.
+	// from before a silence that was longer than the time for which such a program is tolerated.
 	lacksStatement      bool
 	lacksStatementSince time.Duration
 }
@@ -179,7 +179,7 @@
 // MayWrite reports whether records of the version may be written.
 func (g *Gate) MayWrite() bool { return g.state == Open }
 
-// Obstacle is why the gate is not open, or is closing, as of the last call of Decide.
+// Obstacle is why the gate is not open, or is closing, as of its last decision.
 func (g *Gate) Obstacle() Obstacle { return g.obstacle }
 
 // Statements returns the last statements of the other controllers by label, for logs. Those that were not
@@ -220,12 +220,12 @@
 	if g.actionPending {
 		return NoAction
 	}
-	action := g.nextAction(now, compacted)
+	action := g.decide(now, compacted)
 	g.actionPending = action != NoAction
 	return action
 }
 
-func (g *Gate) nextAction(now time.Duration, compacted bool) Action {
+func (g *Gate) decide(now time.Duration, compacted bool) Action {
 	switch g.state {
 	case Closed:
 		if g.obstacle = g.openingObstacle(now); g.obstacle.Cause != NoCause {
@@ -281,7 +281,8 @@
 	}
 }
 
-// Failed records that the pending action was refused for good. It is tried again after Settings.Pause.
+// Failed records that the pending action was refused for good. It is tried again after a
+// back-off.
 func (g *Gate) Failed(now time.Duration) {
 	g.actionPending = false
 	if g.state == Opening {
@@ -360,7 +361,7 @@
 	return NoCause
 }
 
-// isSilent reports whether a controller was not heard for Settings.Settled.
+// isSilent reports whether a controller was not heard for as long as its statement takes to settle.
 func (g *Gate) isSilent(p *peer, now time.Duration) bool {
 	return !p.everHeard || now > p.lastHeard+g.settings.Settled
 }
