--- a/internal/clusterstate/views_test.go
+++ b/internal/clusterstate/views_test.go
@@ -92,3 +92,31 @@
 		t.Error("a number from before the sets were forgotten")
 	}
 }
+
+// A machine counts as starting until none of its attempts may need its image any more.
+func TestStartingAttempts(t *testing.T) {
+	state := New(16<<10, 16<<10)
+	m := state.AddMachine("i-1")
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 2}, 0)
+	first, second := state.AddAttempt(m, j, 0, 1, 0), state.AddAttempt(m, j, 1, 2, 0)
+	for _, step := range []struct {
+		name string
+		do   func()
+		want bool
+	}{
+		{"both placed", func() {}, true},
+		{"one running", func() { first.SetState(protocol.Running) }, true},
+		{"the other fetching its image", func() { second.SetState(protocol.FetchingImage) }, true},
+		{"the other gone", func() { state.RemoveAttempt(second) }, false},
+		{"the first one gone", func() { state.RemoveAttempt(first) }, false},
+		{"the first one removed again", func() { state.RemoveAttempt(first) }, false},
+	} {
+		step.do()
+		if m.Starting() != step.want {
+			t.Errorf("%s: starting %v, want %v", step.name, m.Starting(), step.want)
+		}
+	}
+	if j.Running != 0 || j.ActiveAttempts != 0 {
+		t.Errorf("%d attempts, %d running, when all are gone", j.ActiveAttempts, j.Running)
+	}
+}
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -197,3 +197,18 @@
 		t.Error(got)
 	}
 }
+
+// A closing that the state service refuses is tried again, but not before the pause is over.
+func TestRefusedClosing(t *testing.T) {
+	g := newGate(Open, Statement{Reads: 1})
+	if g.Decide(0, true) != StoreClosing {
+		t.Fatal("it stays open")
+	}
+	g.Failed(0)
+	if g.Decide(pause-1, true) != NoAction || g.State() != Closing || g.MayWrite() {
+		t.Errorf("before the pause is over: %s", g.State())
+	}
+	if g.Decide(pause, true) != StoreClosing {
+		t.Error("it is never tried again")
+	}
+}
