--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -7,7 +7,7 @@
 )
 
 // ImageCache is the leader's estimate of the images in a machine's cache. It is kept in memory only: a
-// new leader knows the images of the attempts that it loads and learns the rest.
+// new leader begins with the images of the attempts that it loads.
 type ImageCache struct {
 	// Images are the names of the images that the machine is believed to have.
 	Images map[string]bool
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -13,7 +13,7 @@
 //	k/<batch>         Counters: attained service, for the order of jobs
 //
 // At a failover the new leader reads these records, then the completion journal, and adds what they say to
-// an empty State. All else (the agents' state, failures, image caches) it learns from the agents.
+// an empty State. All else (the agents' state, failures, image caches) starts afresh.
 //
 // Times are durations on the leader's clock (Controller.now), which starts anew with each process, unless
 // they are said to be in ms since the epoch.
