--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -7,9 +7,9 @@
 //
 // All times are on the leader's own clock (Controller.now), not on the agent's.
 type AgentState struct {
-	// Epoch, Sequence and Token are those of the newest message. The agent takes a new epoch when it
-	// starts and when its lease has expired. The token is the leader's fencing token that the agent
-	// knew when it sent the message.
+	// Epoch, Sequence and Token are those of the newest message. An agent whose lease has expired goes on
+	// under a higher epoch. The token is the leader's fencing token that the agent knew when it sent the
+	// message.
 	Epoch, Sequence, Token uint64
 	// HeartbeatSequence is the sequence number of the newest heartbeat.
 	HeartbeatSequence uint64
