--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -54,7 +54,7 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
 	Index    int
-	Number   uint64
+	Try      uint64
 }
 
 // EntryBytes bounds what an AttemptEntry takes of a MachineRecord, in bytes as the writer measures it. Twice
@@ -101,7 +101,7 @@
 func (m *Machine) Record() MachineRecord {
 	record := MachineRecord{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Return: m.Releasing}
 	for _, a := range m.Sorted() {
-		record.Attempts = append(record.Attempts, AttemptEntry{Job: a.Job.Spec.UID, Index: a.Index, Number: a.Number})
+		record.Attempts = append(record.Attempts, AttemptEntry{Job: a.Job.Spec.UID, Index: a.Index, Try: a.Number})
 	}
 	return record
 }
--- a/internal/clusterstate/records_test.go
+++ b/internal/clusterstate/records_test.go
@@ -37,7 +37,7 @@
 		"cancelled": {"81a173a761626f72746564", &JobRecord{State: protocol.Cancelled}, &JobRecord{}},
 		"machine": {"86a179a26738a17aa161a162c3a161ad31302e312e302e313a39303030a172c3a1749193a86a2d30303034313203ce07000005",
 			&MachineRecord{Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.1:9000", Return: true,
-				Attempts: []AttemptEntry{{Job: "j-000412", Index: 3, Number: 7<<24 | 5}}}, &MachineRecord{}},
+				Attempts: []AttemptEntry{{Job: "j-000412", Index: 3, Try: 7<<24 | 5}}}, &MachineRecord{}},
 		"completions": {"81a162a44351413d", &CompletionRecord{Bits: "CQA="}, &CompletionRecord{}},
 		"counters": {"82a174cf0000018bcfe5687ba16a81a86a2d30303034313297cb3ff8000000000000c30203cb3fe0000000000000cb3fd0000000000000cb3feccccccccccccd",
 			&Counters{At: 1700000000123, Jobs: map[string]CounterRow{"j-000412": {Attained: 1.5, Upper: true, Slots: 2, DoneAt: 3, AttainedAt: 0.5,
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -177,7 +177,7 @@
 			continue
 		}
 		try++
-		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Number: try})
+		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Try: try})
 		it.Value = protocol.Encode(rec)
 		k.Hold(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Try: try, State: protocol.WaitingForGang})
 	}
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -188,7 +188,7 @@
 		if e.Index >= j.Spec.Tasks || e.Index < 0 {
 			continue
 		}
-		a := s.state.AddAttempt(m, j, e.Index, e.Number, s.env.now)
+		a := s.state.AddAttempt(m, j, e.Index, e.Try, s.env.now)
 		a.Durable, a.Loaded, a.Sent = true, true, true
 		s.machines.noteImageUse(m, j)
 		m.Up = true
--- a/internal/controller/takeover_attempts_test.go
+++ b/internal/controller/takeover_attempts_test.go
@@ -21,7 +21,7 @@
 	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: machines, Cores: 1, MemoryGB: 1}, c.env.wall)
 	j.Stored = true
 	for i := range machines {
-		entries := []clusterstate.AttemptEntry{{Job: "j-1", Index: i, Number: 100}, {Job: "j-1", Index: (i + 1) % machines, Number: 7}}
+		entries := []clusterstate.AttemptEntry{{Job: "j-1", Index: i, Try: 100}, {Job: "j-1", Index: (i + 1) % machines, Try: 7}}
 		l.loader.loadMachine(fmt.Sprintf("i-9%05d", i), clusterstate.MachineRecord{Type: "m8", Zone: "a", Addr: "10.2.0.1:1", Attempts: entries})
 	}
 	began := time.Now()
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -139,7 +139,7 @@
 		t.Fatal(err)
 	}
 	at := slices.IndexFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == "j-1" })
-	store(completionjournal.Key(1, 8), good(1, 8, completionjournal.Entry{Job: "j-1", Index: rec.Attempts[at].Index, Machine: holder.ID, Attempt: rec.Attempts[at].Number}))
+	store(completionjournal.Key(1, 8), good(1, 8, completionjournal.Entry{Job: "j-1", Index: rec.Attempts[at].Index, Machine: holder.ID, Attempt: rec.Attempts[at].Try}))
 	store(key, rec)
 	for i := range ro.nodes {
 		ro.boot(i)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -71,7 +71,7 @@
 	o.tries++
 	try := o.token<<24 | o.tries
 	o.amend(k, func(rec *clusterstate.MachineRecord) {
-		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Number: try})
+		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Try: try})
 	})
 	if !o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
 		o.w.t.Fatal("a run was refused")
