--- a/internal/scheduler/candidates_test.go
+++ b/internal/scheduler/candidates_test.go
@@ -7,7 +7,7 @@
 )
 
 // Machines put in order once give the same places as looking at all of them for each task.
-func TestCandidatesChooseAsLookingAtAll(t *testing.T) {
+func TestCandidateHeapPicksAsFullScan(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for round := range 200 {
 		var fleet []*Machine
@@ -27,23 +27,23 @@
 			j.Image, j.Need, j.Spot, j.Plain = "img", Need{Cores: 1 + float64(rng.IntN(3)), Accel: float64(rng.IntN(2)), Mem: 1}, true, rng.IntN(2) == 0
 		})
 		s := snap(fleet, j)
-		s.sparingCores = rng.IntN(2) == 0
+		s.reserveAcceleratorCores = rng.IntN(2) == 0
 		one, other := s.clone(""), s.clone("")
-		one.sparingCores, other.sparingCores = s.sparingCores, s.sparingCores
-		places := func(s *Snapshot, c choice, j Job) (out []string) {
+		one.reserveAcceleratorCores, other.reserveAcceleratorCores = s.reserveAcceleratorCores, s.reserveAcceleratorCores
+		places := func(s *Snapshot, c machineSelector, j Job) (out []string) {
 			for len(j.Waiting) > 0 {
 				m := c.best()
 				if m == nil {
 					return out
 				}
 				out = append(out, m.ID)
-				s.take(&j, m)
-				c.taken(m)
+				s.assign(&j, m)
+				c.assigned(m)
 			}
 			return out
 		}
-		a := places(one, one.candidatesFor(j), *j)
-		b := places(other, eachTime{other, j}, *j)
+		a := places(one, one.candidateHeapFor(j), *j)
+		b := places(other, fullScan{other, j}, *j)
 		if fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Fatalf("round %d:\n%v\n%v", round, a, b)
 		}
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -44,15 +44,15 @@
 		if pick == nil {
 			return nil
 		}
-		rest.take(j, pick)
+		rest.assign(j, pick)
 	}
-	if !s.keptKnown {
-		s.kept, s.keptKnown = kept(s.clone("")), true
+	if !s.headroomKnown {
+		s.headroom, s.headroomKnown = kept(s.clone("")), true
 	}
-	if rest.kept = kept(rest.clone("")); rest.kept < s.kept {
+	if rest.headroom = kept(rest.clone("")); rest.headroom < s.headroom {
 		return nil
 	}
-	rest.keptKnown, rest.Looked = true, s.Looked
+	rest.headroomKnown, rest.Looked = true, s.Looked
 	return rest
 }
 
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -36,19 +36,19 @@
 		if j.Headroom {
 			s.reserve(j)
 		}
-		s.keepClaimed(j)
+		s.chargeReserved(j)
 	}
 	if s.Moving {
 		return out
 	}
 	for pass := range fillPasses {
-		s.sparingCores = pass == spareRoom
+		s.reserveAcceleratorCores = pass == spareRoom
 		if pass == interrupted {
 			orderBeyondSlots(s.Jobs)
 		}
 		out = s.placeBatches(out, pass)
 	}
-	s.sparingCores = false
+	s.reserveAcceleratorCores = false
 	return out
 }
 
@@ -75,9 +75,9 @@
 		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need) {
 			continue
 		}
-		if m := s.best(j); m != nil {
+		if m := s.bestMachine(j); m != nil {
 			out = append(out, Placement{j, j.Waiting[0], m})
-			s.take(j, m)
+			s.assign(j, m)
 		}
 	}
 	return out
@@ -107,7 +107,7 @@
 		if j.Service || j.Gang && pass > withinSlots {
 			continue
 		}
-		s.releaseClaimed(j)
+		s.refundReserved(j)
 		if j.Gang {
 			out = s.placeGang(out, j, func(t *Quota, whole Need) bool {
 				return t.WithinMaximum(whole.Plus(t.ServiceReserve)) && (pass == withinSlots || t.WithinGuarantee(whole))
@@ -116,15 +116,15 @@
 			if j.Upper && pass == withinSlots {
 				upper += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
-			out = s.place(out, j, func(t *Quota) bool { return s.mayTake(j, t, pass, upper) })
+			out = s.place(out, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
 		}
-		s.keepClaimed(j)
+		s.chargeReserved(j)
 	}
 	return out
 }
 
-// mayTake says whether a batch may start one more task in a pass.
-func (s *Snapshot) mayTake(j *Job, t *Quota, pass int, upper float64) bool {
+// mayPlaceBatch says whether a batch may start one more task in a pass.
+func (s *Snapshot) mayPlaceBatch(j *Job, t *Quota, pass int, upper float64) bool {
 	switch pass {
 	case withinGuarantees:
 		return t.WithinGuarantee(j.Need)
@@ -139,20 +139,20 @@
 	return true
 }
 
-// claimed is what was freed for a job and it has not taken yet.
-func (j *Job) claimed() Need { return j.Need.Times(float64(min(j.Reserved, len(j.Waiting)))) }
+// reservedNeed is what was freed for a job and it has not taken yet.
+func (j *Job) reservedNeed() Need { return j.Need.Times(float64(min(j.Reserved, len(j.Waiting)))) }
 
-// keepClaimed keeps that of the team's limit for it, from the team's other batches.
-func (s *Snapshot) keepClaimed(j *Job) {
+// chargeReserved keeps that of the team's limit for it, from the team's other batches.
+func (s *Snapshot) chargeReserved(j *Job) {
 	if t := s.Quotas[j.Team]; t != nil {
-		t.Used = t.Used.Plus(j.claimed())
+		t.Used = t.Used.Plus(j.reservedNeed())
 	}
 }
 
-// releaseClaimed lets the job itself have it.
-func (s *Snapshot) releaseClaimed(j *Job) {
+// refundReserved lets the job itself have it.
+func (s *Snapshot) refundReserved(j *Job) {
 	if t := s.Quotas[j.Team]; t != nil {
-		t.Used = t.Used.Minus(j.claimed())
+		t.Used = t.Used.Minus(j.reservedNeed())
 	}
 }
 
@@ -163,15 +163,15 @@
 	if len(j.Waiting) == 0 || !team.Admits(j) || !may(team) {
 		return out
 	}
-	choice := s.choices(j)
+	choice := s.selectorFor(j)
 	for len(j.Waiting) > 0 && team.Admits(j) && may(team) {
 		m := choice.best()
 		if m == nil {
 			break
 		}
 		out = append(out, Placement{j, j.Waiting[0], m})
-		s.take(j, m)
-		choice.taken(m)
+		s.assign(j, m)
+		choice.assigned(m)
 	}
 	return out
 }
@@ -181,13 +181,13 @@
 func (s *Snapshot) Absorbs(jobs []*Job) bool {
 	rest := s.clone("")
 	for _, j := range jobs {
-		m := rest.best(j)
+		m := rest.bestMachine(j)
 		if m == nil {
 			return false
 		}
-		rest.take(j, m)
+		rest.assign(j, m)
 	}
-	s.Machines, s.spare, s.index, s.Fleet = rest.Machines, [2][]*Machine{}, nil, nil
+	s.Machines, s.withRoom, s.index, s.Fleet = rest.Machines, [2][]*Machine{}, nil, nil
 	return true
 }
 
@@ -197,22 +197,22 @@
 	if len(j.Waiting) == 0 {
 		return
 	}
-	choice := s.choices(j)
+	choice := s.selectorFor(j)
 	for len(j.Waiting) > 0 {
 		m := choice.best()
 		if m == nil {
 			return
 		}
 		used := m.Used
-		s.take(j, m)
+		s.assign(j, m)
 		if m.Used = used; !used {
-			s.changed(m)
+			s.machineChanged(m)
 		}
-		choice.taken(m)
+		choice.assigned(m)
 	}
 }
 
-func (s *Snapshot) take(j *Job, m *Machine) {
+func (s *Snapshot) assign(j *Job, m *Machine) {
 	j.Waiting = j.Waiting[1:]
 	j.Resume = max(0, j.Resume-1)
 	j.Held++
@@ -232,14 +232,14 @@
 		}
 		m.Fetching[j.Image] = true
 	}
-	s.changed(m)
-	if s.victims != nil {
-		s.victims.took(j)
+	s.machineChanged(m)
+	if s.preemptible != nil {
+		s.preemptible.taskAssigned(j)
 	}
 }
 
-// changed has to follow each change of a machine.
-func (s *Snapshot) changed(m *Machine) {
+// machineChanged has to follow each change of a machine.
+func (s *Snapshot) machineChanged(m *Machine) {
 	m.Changed = true
 	if s.index != nil {
 		s.index.update(m)
@@ -257,9 +257,9 @@
 	}
 }
 
-// roomy lists the machines that may have room. What has filled up since the list
+// machinesWithRoom lists the machines that may have room. What has filled up since the list
 // was made stays in it; whatever frees room or adds a machine drops the list.
-func (s *Snapshot) roomy(accel, cores bool) []*Machine {
+func (s *Snapshot) machinesWithRoom(accel, cores bool) []*Machine {
 	k := 0
 	if !accel && !cores {
 		return s.Machines // memory alone
@@ -267,39 +267,39 @@
 	if accel {
 		k = 1
 	}
-	if s.spare[k] == nil {
-		s.spare[k] = make([]*Machine, 0, len(s.Machines))
+	if s.withRoom[k] == nil {
+		s.withRoom[k] = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
 			if m.Room > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
-				s.spare[k] = append(s.spare[k], m)
+				s.withRoom[k] = append(s.withRoom[k], m)
 			}
 		}
 	}
-	return s.spare[k]
+	return s.withRoom[k]
 }
 
-// takes says whether the machine may be given a task of the job now.
-func (s *Snapshot) takes(j *Job, m *Machine) bool {
+// accepts says whether the machine may be given a task of the job now.
+func (s *Snapshot) accepts(j *Job, m *Machine) bool {
 	return (m.ReservedFor == "" || m.ReservedFor == j.ID) && m.Room > 0 && j.Need.Fits(m.Free) && j.MayRunOn(m) &&
-		!(s.sparingCores && j.Plain && j.blocksAccelerators(m))
+		!(s.reserveAcceleratorCores && j.Plain && j.blocksAccelerators(m))
 }
 
-// best is the best machine for one task of the job, nil if none has room.
-func (s *Snapshot) best(j *Job) *Machine {
-	if c := s.choiceByIndex(j); c != nil {
+// bestMachine is the best machine for one task of the job, nil if none has room.
+func (s *Snapshot) bestMachine(j *Job) *Machine {
+	if c := s.searchIndex(j); c != nil {
 		return c.best()
 	}
-	return s.bestOfAll(j)
+	return s.scanForBest(j)
 }
 
-// bestOfAll looks at all machines.
-func (s *Snapshot) bestOfAll(j *Job) *Machine {
+// scanForBest looks at all machines.
+func (s *Snapshot) scanForBest(j *Job) *Machine {
 	var pick *Machine
 	bestScore := math.Inf(1)
-	list := s.roomy(j.Need.Accel > 0, j.Need.Cores > 0)
+	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
 	s.Looked += len(list)
 	for _, m := range list {
-		if !s.takes(j, m) {
+		if !s.accepts(j, m) {
 			continue
 		}
 		if sc := s.score(j, m); sc < bestScore {
@@ -309,8 +309,8 @@
 	return pick
 }
 
-// sparedCores is the part of their cores that free accelerators keep.
-const sparedCores = 0.75
+// acceleratorCoreReserve is the part of their cores that free accelerators keep.
+const acceleratorCoreReserve = 0.75
 
 // blocksAccelerators says whether a task without accelerators would take cores that free
 // accelerators need: each keeps three quarters of its part of them.
@@ -319,7 +319,7 @@
 		return false
 	}
 	left := m.Free.Minus(j.Need)
-	return left.Cores < sparedCores*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
+	return left.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
 }
 
 // score is lower for a better machine. The weights only order the wishes:
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -15,7 +15,7 @@
 // Update puts a machine where it belongs now. Of machines that are alike the one with the
 // lowest place goes first; a place must not change while the machine is in the fleet.
 func (f *Fleet) Update(m *Machine, place int) {
-	m.place, m.Changed = place, false
+	m.position, m.Changed = place, false
 	f.index.update(m)
 }
 
@@ -24,19 +24,19 @@
 
 // Follows says whether the fleet has the machine as it is now.
 func (f *Fleet) Follows(m *Machine) bool {
-	s := f.index.slots[m]
-	if s == nil || s.free != m.Free || s.room != m.Room || s.claim != m.ReservedFor || s.family != f.index.families[familyKey{m.Type, m.Zone, m.Spot}] {
+	s := f.index.machines[m]
+	if s == nil || s.free != m.Free || s.room != m.Room || s.reservedFor != m.ReservedFor || s.pool != f.index.pools[poolKey{m.Type, m.Zone, m.Spot}] {
 		return false
 	}
-	if s.group == nil {
+	if s.class == nil {
 		return m.ReservedFor != "" || m.Room <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
 	}
-	key := groupKey{booting: m.Booting, used: m.Used, fetching: len(m.Fetching), accel: m.Free.Accel}
-	return s.group.groupKey == key && s.entry.cores == m.Free.Cores && s.entry.place == m.place && s.knowsImages(m)
+	key := classKey{booting: m.Booting, used: m.Used, fetching: len(m.Fetching), accel: m.Free.Accel}
+	return s.class.classKey == key && s.entry.cores == m.Free.Cores && s.entry.position == m.position && s.imagesMatch(m)
 }
 
-// knowsImages says whether the machine has the images that it is found by.
-func (s *slot) knowsImages(m *Machine) bool {
+// imagesMatch says whether the machine has the images that it is found by.
+func (s *indexedMachine) imagesMatch(m *Machine) bool {
 	var having, fetching []string
 	for image, has := range m.Images {
 		if has {
@@ -48,11 +48,11 @@
 			fetching = append(fetching, image)
 		}
 	}
-	return sameNames(having, s.having) && sameNames(fetching, s.fetching)
+	return sameElements(having, s.withImages) && sameElements(fetching, s.fetchingImages)
 }
 
-// sameNames compares two lists in any order.
-func sameNames(a, b []string) bool {
+// sameElements compares two lists in any order.
+func sameElements(a, b []string) bool {
 	a, b = slices.Clone(a), slices.Clone(b)
 	slices.Sort(a)
 	slices.Sort(b)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -24,7 +24,7 @@
 			continue // its team's own work has to end first
 		}
 		before := len(out)
-		if out = s.placeGang(out, j, inLimit); len(out) == before && s.holds(j) {
+		if out = s.placeGang(out, j, inLimit); len(out) == before && s.fleetCanHold(j) {
 			s.reserve(j)
 			j.Waiting = nil
 		}
@@ -32,9 +32,9 @@
 	return out
 }
 
-// holds says whether the machines there are could hold the whole gang if they were
+// fleetCanHold says whether the machines there are could hold the whole gang if they were
 // empty. What they can't hold waits for rentals, and must not keep room from others.
-func (s *Snapshot) holds(j *Job) bool {
+func (s *Snapshot) fleetCanHold(j *Job) bool {
 	room, all := map[string]float64{}, 0.0
 	for _, m := range s.Machines {
 		if j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.Need.Fits(m.Type.Size) {
@@ -65,20 +65,20 @@
 		return out
 	}
 	if !j.OneZone || j.Zone != "" {
-		got, _ := s.tryGang(j)
+		got, _ := s.tryPlaceGang(j)
 		return append(out, got...)
 	}
 	defer func() { j.Zone = "" }()
 	for _, j.Zone = range s.zonesFor(j) {
-		if got, ok := s.tryGang(j); ok {
+		if got, ok := s.tryPlaceGang(j); ok {
 			return append(out, got...)
 		}
 	}
 	return out
 }
 
-// tryGang places all waiting tasks of a gang, or takes everything back.
-func (s *Snapshot) tryGang(j *Job) ([]Placement, bool) {
+// tryPlaceGang places all waiting tasks of a gang, or takes everything back.
+func (s *Snapshot) tryPlaceGang(j *Job) ([]Placement, bool) {
 	var out []Placement
 	waiting, held := j.Waiting, j.Held
 	type before struct {
@@ -88,7 +88,7 @@
 	}
 	var undo []before
 	for len(j.Waiting) > 0 {
-		m := s.best(j)
+		m := s.bestMachine(j)
 		if m == nil {
 			for _, b := range slices.Backward(undo) {
 				b.m.Free, b.m.Used = b.m.Free.Plus(j.Need), b.used
@@ -96,7 +96,7 @@
 				if !b.fetching {
 					delete(b.m.Fetching, j.Image)
 				}
-				s.changed(b.m)
+				s.machineChanged(b.m)
 				j.InZone[b.m.Zone]--
 				if t := s.Quotas[j.Team]; t != nil {
 					t.Used = t.Used.Minus(j.Need)
@@ -107,7 +107,7 @@
 		}
 		undo = append(undo, before{m, m.Used, m.Fetching[j.Image]})
 		out = append(out, Placement{j, j.Waiting[0], m})
-		s.take(j, m)
+		s.assign(j, m)
 	}
 	return out, true
 }
--- a/internal/scheduler/gangstops.go
+++ b/internal/scheduler/gangstops.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// gangRoom is a way to make room for all waiting tasks of a gang: where they go, and
+// gangPreemption is a way to make room for all waiting tasks of a gang: where they go, and
 // what has to stop for them. While it is being worked out nothing of the snapshot
 // changes, as stops that don't lead to a start only cost work.
-type gangRoom struct {
+type gangPreemption struct {
 	snapshot   *Snapshot
 	job        *Job
 	guaranteed bool
-	victims    map[*Job][]Stop // a gang's tasks, as it stops whole
+	gangTasks  map[*Job][]Stop // a gang's tasks, as it stops whole
 
-	free    map[*Machine]Need // of machines that the trial has changed
-	given   map[*Machine]int  // tasks of the gang by machine
-	freed   map[string]Need   // by team
-	stopped map[taskKey]bool
-	inZone  map[string]int
-	stops   []Stop
-	cost    float64
+	free        map[*Machine]Need // of machines that the trial has changed
+	placed      map[*Machine]int  // tasks of the gang by machine
+	freedByTeam map[string]Need   // by team
+	stopped     map[taskKey]bool
+	inZone      map[string]int
+	stops       []Stop
+	cost        float64
 }
 
 type taskKey struct {
@@ -30,17 +30,17 @@
 	index int
 }
 
-// roomForGang finds the cheapest way, as far as "Preemption" and the ranks let others
+// cheapestGangPreemption finds the cheapest way, as far as "Preemption" and the ranks let others
 // give way: in each zone in turn if the gang must be together. Nil: there is none.
-func (s *Snapshot) roomForGang(j *Job) *gangRoom {
+func (s *Snapshot) cheapestGangPreemption(j *Job) *gangPreemption {
 	zones := []string{j.Zone}
 	if j.OneZone && j.Zone == "" {
 		zones = s.zones()
 	}
-	gangs := s.victims.runningGangs()
-	var cheapest *gangRoom
+	gangs := s.preemptible.runningGangs()
+	var cheapest *gangPreemption
 	for _, zone := range zones {
-		room := s.newGangRoom(j, gangs)
+		room := s.newGangPreemption(j, gangs)
 		if room.find(zone) && (cheapest == nil || room.cost < cheapest.cost) {
 			cheapest = room
 		}
@@ -48,9 +48,9 @@
 	return cheapest
 }
 
-func (s *Snapshot) newGangRoom(j *Job, gangs map[*Job][]Stop) *gangRoom {
-	room := &gangRoom{snapshot: s, job: j, victims: gangs, free: map[*Machine]Need{}, given: map[*Machine]int{},
-		freed: map[string]Need{}, stopped: map[taskKey]bool{}, inZone: maps.Clone(j.InZone)}
+func (s *Snapshot) newGangPreemption(j *Job, gangs map[*Job][]Stop) *gangPreemption {
+	room := &gangPreemption{snapshot: s, job: j, gangTasks: gangs, free: map[*Machine]Need{}, placed: map[*Machine]int{},
+		freedByTeam: map[string]Need{}, stopped: map[taskKey]bool{}, inZone: maps.Clone(j.InZone)}
 	if room.inZone == nil {
 		room.inZone = map[string]int{}
 	}
@@ -69,7 +69,7 @@
 
 // find places the tasks one by one where the next costs least, and then frees the
 // team's limit. False: some of them have no room.
-func (r *gangRoom) find(zone string) bool {
+func (r *gangPreemption) find(zone string) bool {
 	j := r.job
 	allowed := *j
 	allowed.Zone = zone
@@ -79,12 +79,12 @@
 			fits = append(fits, m)
 		}
 	}
-	next := make([]*machineRoom, len(fits))
+	next := make([]*taskOption, len(fits))
 	for range j.Waiting {
 		best := -1
 		for i, m := range fits {
 			if next[i] == nil {
-				next[i] = r.nextOn(m)
+				next[i] = r.optionOn(m)
 			}
 			if next[i].possible && r.zoneOpen(m.Zone) && (best < 0 || next[i].cost < next[best].cost) {
 				best = i
@@ -93,50 +93,50 @@
 		if best < 0 {
 			return false
 		}
-		r.take(fits[best], next[best])
+		r.place(fits[best], next[best])
 		if slices.ContainsFunc(next[best].stops, func(st Stop) bool { return st.Victim.Job.Gang }) {
 			clear(next) // a gang that stops frees room on other machines too
 		}
 		next[best] = nil
 	}
-	return r.freeLimit()
+	return r.freeQuota()
 }
 
-func (r *gangRoom) zoneOpen(zone string) bool {
+func (r *gangPreemption) zoneOpen(zone string) bool {
 	after := *r.job
 	after.InZone = r.inZone
 	return after.ZoneOpen(zone)
 }
 
-// machineRoom is what one more task of the gang costs on a machine.
-type machineRoom struct {
+// taskOption is what one more task of the gang costs on a machine.
+type taskOption struct {
 	possible bool
 	stops    []Stop
 	cost     float64
 }
 
-// nextOn works out what has to stop on a machine for one more task there.
-func (r *gangRoom) nextOn(m *Machine) *machineRoom {
-	r.snapshot.gangLooked++
+// optionOn works out what has to stop on a machine for one more task there.
+func (r *gangPreemption) optionOn(m *Machine) *taskOption {
+	r.snapshot.gangMachinesExamined++
 	j := r.job
 	free := r.freeOn(m)
 	if j.Need.Fits(free) {
-		return &machineRoom{possible: m.Room > r.given[m]}
+		return &taskOption{possible: m.Room > r.placed[m]}
 	}
 	var may []RunningTask
 	for _, h := range m.Running {
-		if !r.stopped[taskKey{h.Job, h.Index}] && r.snapshot.givesWay(h.Job, j, r.guaranteed) {
+		if !r.stopped[taskKey{h.Job, h.Index}] && r.snapshot.isPreemptible(h.Job, j, r.guaranteed) {
 			may = append(may, h)
 		}
 	}
-	sortVictims(may)
-	out := &machineRoom{}
-	freed := maps.Clone(r.freed)
+	sortPreemptible(may)
+	out := &taskOption{}
+	freed := maps.Clone(r.freedByTeam)
 	for _, h := range may {
 		if j.Need.Fits(free) {
 			break
 		}
-		if h.Job.Priority >= j.Priority && !r.beyond(h.Job.Team, freed) {
+		if h.Job.Priority >= j.Priority && !r.stillExceedsGuarantee(h.Job.Team, freed) {
 			continue // what its team has lent is all back
 		}
 		out.stops = append(out.stops, Stop{Victim: h, Machine: m})
@@ -144,13 +144,13 @@
 		free = free.Plus(h.Job.Need)
 		freed[h.Job.Team] = freed[h.Job.Team].Plus(h.Job.Need)
 	}
-	out.stops, out.cost = r.without(m, out)
-	out.possible = j.Need.Fits(free) && m.Room > r.given[m]
+	out.stops, out.cost = r.withoutNeedless(m, out)
+	out.possible = j.Need.Fits(free) && m.Room > r.placed[m]
 	return out
 }
 
-// without leaves out what the larger ones after it made needless.
-func (r *gangRoom) without(m *Machine, found *machineRoom) ([]Stop, float64) {
+// withoutNeedless leaves out what the larger ones after it made needless.
+func (r *gangPreemption) withoutNeedless(m *Machine, found *taskOption) ([]Stop, float64) {
 	free := r.freeOn(m)
 	for _, st := range found.stops {
 		free = free.Plus(st.Victim.Job.Need)
@@ -168,15 +168,15 @@
 	return kept, cost
 }
 
-func (r *gangRoom) freeOn(m *Machine) Need {
+func (r *gangPreemption) freeOn(m *Machine) Need {
 	if free, changed := r.free[m]; changed {
 		return free
 	}
 	return m.Free
 }
 
-// beyond says whether the team would use more than its guarantee after the stops.
-func (r *gangRoom) beyond(team string, freed map[string]Need) bool {
+// stillExceedsGuarantee says whether the team would use more than its guarantee after the stops.
+func (r *gangPreemption) stillExceedsGuarantee(team string, freed map[string]Need) bool {
 	t := r.snapshot.Quotas[team]
 	if t == nil {
 		return false
@@ -186,22 +186,22 @@
 	return after.ExceedsGuarantee()
 }
 
-// take gives a task of the gang its place on the machine.
-func (r *gangRoom) take(m *Machine, found *machineRoom) {
+// place gives a task of the gang its place on the machine.
+func (r *gangPreemption) place(m *Machine, found *taskOption) {
 	for _, st := range found.stops {
-		r.stop(st)
+		r.addStop(st)
 	}
 	r.cost += found.cost
 	r.free[m] = r.freeOn(m).Minus(r.job.Need)
-	r.given[m]++
+	r.placed[m]++
 	r.inZone[m.Zone]++
 }
 
-// stop notes a task that is to stop, with all of its gang.
-func (r *gangRoom) stop(st Stop) {
+// addStop notes a task that is to stop, with all of its gang.
+func (r *gangPreemption) addStop(st Stop) {
 	all := []Stop{st}
 	if st.Victim.Job.Gang {
-		all = r.victims[st.Victim.Job]
+		all = r.gangTasks[st.Victim.Job]
 	}
 	for _, one := range all {
 		key := taskKey{one.Victim.Job, one.Victim.Index}
@@ -211,64 +211,64 @@
 		r.stopped[key] = true
 		r.stops = append(r.stops, one)
 		r.free[one.Machine] = r.freeOn(one.Machine).Plus(one.Victim.Job.Need)
-		r.freed[one.Victim.Job.Team] = r.freed[one.Victim.Job.Team].Plus(one.Victim.Job.Need)
+		r.freedByTeam[one.Victim.Job.Team] = r.freedByTeam[one.Victim.Job.Team].Plus(one.Victim.Job.Need)
 	}
 }
 
-// freeLimit stops the team's own work of lower priority until its limit has room for
+// freeQuota stops the team's own work of lower priority until its limit has room for
 // the whole gang. False: it can't have.
-func (r *gangRoom) freeLimit() bool {
+func (r *gangPreemption) freeQuota() bool {
 	j := r.job
 	team := *r.snapshot.Quotas[j.Team]
 	whole := j.Need.Times(float64(len(j.Waiting))).Plus(team.ServiceReserve)
 	for {
 		after := team
-		after.Used = team.Used.Minus(r.freed[j.Team])
+		after.Used = team.Used.Minus(r.freedByTeam[j.Team])
 		if after.WithinMaximum(whole) {
 			return true
 		}
-		m, youngest := r.snapshot.victims.youngest(j, r.stops)
+		m, youngest := r.snapshot.preemptible.youngestOfTeam(j, r.stops)
 		if m == nil {
 			return false
 		}
-		r.stop(Stop{Victim: youngest, Machine: m})
+		r.addStop(Stop{Victim: youngest, Machine: m})
 		r.cost += stopCost(youngest, m)
 	}
 }
 
-// gangStopsWork bounds what one round looks at for gangs, in machines: a leader with
+// maxGangMachinesExamined bounds what one round looks at for gangs, in machines: a leader with
 // hundreds of waiting gangs must renew its lease meanwhile. What is left comes with the
 // next round.
-const gangStopsWork = 100_000
+const maxGangMachinesExamined = 100_000
 
-// gangShape is what decides where a gang may get room, but for its size.
-type gangShape struct {
+// gangRequirements is what decides where a gang may get room, but for its size.
+type gangRequirements struct {
 	team, zone, types     string
 	need                  Need
 	priority              int
 	spot, oneZone, spread bool
 }
 
-func (j *Job) gangShape() gangShape {
-	return gangShape{team: j.Team, zone: j.Zone, types: strings.Join(slices.Sorted(maps.Keys(j.Types)), ","), need: j.Need,
+func (j *Job) gangRequirements() gangRequirements {
+	return gangRequirements{team: j.Team, zone: j.Zone, types: strings.Join(slices.Sorted(maps.Keys(j.Types)), ","), need: j.Need,
 		priority: j.Priority, spot: j.Spot, oneZone: j.OneZone, spread: j.Spread}
 }
 
-// hopeless are the sizes for which gangs of a shape found no room in this round: others
+// infeasibleGangs are the sizes for which gangs of a shape found no room in this round: others
 // like them, ranked later, find none either.
-type hopeless map[gangShape]int
+type infeasibleGangs map[gangRequirements]int
 
-// stopsForGang makes room for all waiting tasks of a gang, within most stops unless
+// preemptForGang makes room for all waiting tasks of a gang, within most stops unless
 // they are the round's first: a gang that needs more would wait for ever.
-func (s *Snapshot) stopsForGang(j *Job, out *Preemption, most int, none hopeless) {
-	if len(j.Waiting) == 0 || s.Quotas[j.Team] == nil || s.gangLooked > gangStopsWork {
+func (s *Snapshot) preemptForGang(j *Job, out *Preemption, most int, none infeasibleGangs) {
+	if len(j.Waiting) == 0 || s.Quotas[j.Team] == nil || s.gangMachinesExamined > maxGangMachinesExamined {
 		return
 	}
-	shape := j.gangShape()
+	shape := j.gangRequirements()
 	if tasks, known := none[shape]; known && len(j.Waiting) >= tasks && j.Held == 0 {
 		return
 	}
-	room := s.roomForGang(j)
+	room := s.cheapestGangPreemption(j)
 	if room == nil && j.Held == 0 {
 		none[shape] = len(j.Waiting)
 	}
@@ -279,13 +279,13 @@
 		out.Stops = append(out.Stops, s.stop(st.Machine, st.Victim, j))
 	}
 	for _, m := range s.Machines {
-		if n := room.given[m]; n > 0 {
+		if n := room.placed[m]; n > 0 {
 			out.Reservations = append(out.Reservations, Reservation{Job: j, Machine: m, Tasks: n})
 			for range n {
-				s.take(j, m)
+				s.assign(j, m)
 			}
 			m.ReservedFor = j.ID
-			s.changed(m)
+			s.machineChanged(m)
 		}
 	}
 }
--- a/internal/scheduler/gangstops_test.go
+++ b/internal/scheduler/gangstops_test.go
@@ -37,9 +37,9 @@
 func samePriority(j *Job) { j.Priority = 2 }
 func asGang(j *Job)       { j.Gang = true }
 func inTeamBlue(j *Job)   { j.Team, j.Priority = "blue", 3 }
-func together(j *Job)     { j.OneZone = true }
+func inOneZone(j *Job)    { j.OneZone = true }
 func spread(j *Job)       { j.Spread = true }
-func keptTasks(p Preemption) (n int) {
+func reservedTasks(p Preemption) (n int) {
 	for _, kept := range p.Reservations {
 		n += kept.Tasks
 	}
@@ -48,7 +48,7 @@
 
 // A round stops what gives way for the whole of a waiting gang, or nothing: a part of
 // the room is of no use to it, and the stops would only cost work.
-func TestRoundMakesRoomForAWholeGang(t *testing.T) {
+func TestPreemptionMakesRoomForWholeGang(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		tasks  int
@@ -69,11 +69,11 @@
 			ms := machines(box, "a", "b")
 			return ms, []*Job{runningOn("low", lowPriority, ms[0], ms[0], ms[1]), runningOn("same", samePriority, ms[1])}
 		}, 0, ""},
-		{"together where it costs least", 2, together, func() ([]*Machine, []*Job) {
+		{"together where it costs least", 2, inOneZone, func() ([]*Machine, []*Job) {
 			ms := machines(box, "a", "b", "c")
 			return ms, []*Job{runningOn("low", lowPriority, ms[0], ms[0], ms[1]), runningOn("same", samePriority, ms[2], ms[2])}
 		}, 1, "b"},
-		{"together and no zone has room for all", 3, together, func() ([]*Machine, []*Job) {
+		{"together and no zone has room for all", 3, inOneZone, func() ([]*Machine, []*Job) {
 			ms := machines(box, "a", "b")
 			return ms, []*Job{runningOn("low", lowPriority, ms[0], ms[0], ms[1], ms[1])}
 		}, 0, ""},
@@ -101,7 +101,7 @@
 			if len(round.Stops) != tc.stops {
 				t.Fatalf("%d stops, want %d", len(round.Stops), tc.stops)
 			}
-			if n := keptTasks(round); tc.stops > 0 && n != tc.tasks {
+			if n := reservedTasks(round); tc.stops > 0 && n != tc.tasks {
 				t.Errorf("room is kept for %d of %d tasks", n, tc.tasks)
 			}
 			for _, kept := range round.Reservations {
@@ -115,7 +115,7 @@
 
 // What a team has lent comes back for a gang within another's guarantee, and no more
 // than that: the last of these stops would take from what is guaranteed itself.
-func TestGangTakesBackOnlyWhatIsLent(t *testing.T) {
+func TestGangReclaimsOnlyBorrowedQuota(t *testing.T) {
 	for _, tc := range []struct {
 		lent  float64
 		stops int
@@ -134,12 +134,12 @@
 
 // A team at its limit stops its own work of lower priority for its gang, though there
 // is room elsewhere.
-func TestGangFreesItsTeamsLimit(t *testing.T) {
+func TestGangFreesItsTeamsQuota(t *testing.T) {
 	ms := machines(box, "a", "b")
 	s := snap(ms, runningOn("low", lowPriority, ms[0], ms[0]), waitingGang(2, nil))
 	s.Quotas["red"].Maximum, s.Quotas["red"].Used = Need{Cores: 8}, Need{Cores: 8}
-	if round := s.Stops(10, map[string]bool{}); len(round.Stops) != 2 || keptTasks(round) != 2 {
-		t.Errorf("%d stops, room kept for %d", len(round.Stops), keptTasks(round))
+	if round := s.Stops(10, map[string]bool{}); len(round.Stops) != 2 || reservedTasks(round) != 2 {
+		t.Errorf("%d stops, room kept for %d", len(round.Stops), reservedTasks(round))
 	}
 }
 
@@ -170,7 +170,7 @@
 
 // The work for many waiting gangs is bounded: gangs like one that found no room are not
 // looked at, and where all differ a round leaves the rest to the next.
-func TestWorkOfStopsForGangs(t *testing.T) {
+func TestGangPreemptionWorkIsBounded(t *testing.T) {
 	for _, alike := range []bool{true, false} {
 		var ms []*Machine
 		var jobs []*Job
@@ -191,8 +191,8 @@
 		s := snap(ms, jobs...)
 		s.Quotas["red"].Maximum = Need{}
 		s.Stops(200, map[string]bool{})
-		if bound := map[bool]int{true: 2 * 800, false: gangStopsWork + 800}[alike]; s.gangLooked > bound {
-			t.Errorf("alike %v: %d machines looked at for 500 gangs on 800", alike, s.gangLooked)
+		if bound := map[bool]int{true: 2 * 800, false: maxGangMachinesExamined + 800}[alike]; s.gangMachinesExamined > bound {
+			t.Errorf("alike %v: %d machines looked at for 500 gangs on 800", alike, s.gangMachinesExamined)
 		}
 	}
 }
--- a/internal/scheduler/index.go
+++ b/internal/scheduler/index.go
@@ -14,106 +14,106 @@
 // It has to be told of each change of a machine (update) and must be asked between changes
 // only. The cost of both grows with the logarithm of the number of machines.
 type machineIndex struct {
-	families map[familyKey]*family
-	list     []*family
-	// claimed are the machines that are kept for a job, by its name.
-	claimed map[string][]*Machine
-	slots   map[*Machine]*slot
+	pools    map[poolKey]*poolIndex
+	poolList []*poolIndex
+	// reserved are the machines that are kept for a job, by its name.
+	reserved map[string][]*Machine
+	machines map[*Machine]*indexedMachine
 }
 
-// familyKey is what a job's own words may forbid.
-type familyKey struct {
+// poolKey is what a job's own words may forbid.
+type poolKey struct {
 	typ  *Type
 	zone string
 	spot bool
 }
 
-// family is the machines of one type, zone and kind.
-type family struct {
-	familyKey
-	groups map[groupKey]*group
-	list   []*group
-	// hopeless are needs that no machine here has room for. It holds until one has more.
+// poolIndex is the machines of one type, zone and kind.
+type poolIndex struct {
+	poolKey
+	classes   map[classKey]*equivalenceClass
+	classList []*equivalenceClass
+	// infeasible are needs that no machine here has room for. It holds until one has more.
 	// The second list is for plain batches that spare the cores of free accelerators.
-	hopeless [2][]Need
+	infeasible [2][]Need
 }
 
-// groupKey is what a task's score depends on beside the image and the free cores.
-type groupKey struct {
+// classKey is what a task's score depends on beside the image and the free cores.
+type classKey struct {
 	booting, used bool
 	fetching      int // images on their way
 	accel         float64
 }
 
-// group is the machines of a family that are alike in groupKey.
-type group struct {
-	groupKey
-	all shelf
+// equivalenceClass is the machines of a family that are alike in classKey.
+type equivalenceClass struct {
+	classKey
+	machines machineBucket
 	// Those that have an image, and those that are fetching it.
-	having, fetchingImage map[string]*shelf
+	withImage, fetchingImage map[string]*machineBucket
 }
 
-// shelf holds machines in order of their free cores, and in order of their places: equal
+// machineBucket holds machines in order of their free cores, and in order of their places: equal
 // scores go to the first machine of the snapshot.
-type shelf struct {
-	byCores, byPlace *btree.BTreeG[entry]
+type machineBucket struct {
+	byFreeCores, byPosition *btree.BTreeG[bucketEntry]
 }
 
-type entry struct {
-	cores   float64
-	place   int
-	machine *Machine
+type bucketEntry struct {
+	cores    float64
+	position int
+	machine  *Machine
 }
 
-// slot is where a machine is in the index.
-type slot struct {
-	family   *family
-	group    *group
-	entry    entry
-	having   []string
-	fetching []string
-	free     Need
-	room     int
-	claim    string
+// indexedMachine is where a machine is in the index.
+type indexedMachine struct {
+	pool           *poolIndex
+	class          *equivalenceClass
+	entry          bucketEntry
+	withImages     []string
+	fetchingImages []string
+	free           Need
+	room           int
+	reservedFor    string
 }
 
 func newMachineIndex(machines []*Machine) *machineIndex {
-	x := &machineIndex{families: map[familyKey]*family{}, claimed: map[string][]*Machine{}, slots: make(map[*Machine]*slot, len(machines))}
+	x := &machineIndex{pools: map[poolKey]*poolIndex{}, reserved: map[string][]*Machine{}, machines: make(map[*Machine]*indexedMachine, len(machines))}
 	for i, m := range machines {
-		m.place = i
+		m.position = i
 		x.update(m)
 	}
 	return x
 }
 
-func lessByCores(a, b entry) bool {
+func lessByCores(a, b bucketEntry) bool {
 	if a.cores != b.cores {
 		return a.cores < b.cores
 	}
-	return a.place < b.place
+	return a.position < b.position
 }
 
-func lessByPlace(a, b entry) bool { return a.place < b.place }
+func lessByPosition(a, b bucketEntry) bool { return a.position < b.position }
 
-func newShelf() shelf {
+func newMachineBucket() machineBucket {
 	options := btree.Options{NoLocks: true}
-	return shelf{btree.NewBTreeGOptions(lessByCores, options), btree.NewBTreeGOptions(lessByPlace, options)}
+	return machineBucket{btree.NewBTreeGOptions(lessByCores, options), btree.NewBTreeGOptions(lessByPosition, options)}
 }
 
-func (s shelf) add(e entry) {
-	s.byCores.Set(e)
-	s.byPlace.Set(e)
+func (s machineBucket) add(e bucketEntry) {
+	s.byFreeCores.Set(e)
+	s.byPosition.Set(e)
 }
 
-func (s shelf) remove(e entry) {
-	s.byCores.Delete(e)
-	s.byPlace.Delete(e)
+func (s machineBucket) remove(e bucketEntry) {
+	s.byFreeCores.Delete(e)
+	s.byPosition.Delete(e)
 }
 
-func shelfFor(shelves map[string]*shelf, image string) *shelf {
+func bucketFor(shelves map[string]*machineBucket, image string) *machineBucket {
 	s := shelves[image]
 	if s == nil {
-		made := newShelf()
+		made := newMachineBucket()
 		s = &made
 		shelves[image] = s
 	}
@@ -121,145 +121,145 @@
 }
 
 // update puts a machine where it belongs now.
-func (x *machineIndex) update(m *Machine) {
-	was := x.slots[m]
+func (index *machineIndex) update(m *Machine) {
+	was := index.machines[m]
 	moreRoom := true
 	if was != nil {
 		moreRoom = was.free.Cores < m.Free.Cores || was.free.Accel < m.Free.Accel || was.free.Mem < m.Free.Mem ||
-			was.room <= 0 && m.Room > 0 || was.claim != m.ReservedFor
-		x.takeOut(was)
+			was.room <= 0 && m.Room > 0 || was.reservedFor != m.ReservedFor
+		index.unlink(was)
 	}
 	s := was
 	if s == nil {
-		s = &slot{}
-		x.slots[m] = s
+		s = &indexedMachine{}
+		index.machines[m] = s
 	}
-	f := x.familyOf(m)
+	f := index.poolFor(m)
 	if moreRoom {
-		f.hopeless = [2][]Need{}
+		f.infeasible = [2][]Need{}
 	} else if was.free.Accel != m.Free.Accel {
-		f.hopeless[1] = nil // fewer free accelerators need fewer cores
+		f.infeasible[1] = nil // fewer free accelerators need fewer cores
 	}
-	*s = slot{family: f, free: m.Free, room: m.Room, claim: m.ReservedFor, having: s.having[:0], fetching: s.fetching[:0]}
+	*s = indexedMachine{pool: f, free: m.Free, room: m.Room, reservedFor: m.ReservedFor, withImages: s.withImages[:0], fetchingImages: s.fetchingImages[:0]}
 	if m.ReservedFor != "" {
-		x.claimed[m.ReservedFor] = append(x.claimed[m.ReservedFor], m)
+		index.reserved[m.ReservedFor] = append(index.reserved[m.ReservedFor], m)
 		return
 	}
 	if m.Room <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps {
 		return // in no group: there is no room for anything
 	}
-	s.group = f.groupOf(m)
-	s.entry = entry{cores: m.Free.Cores, place: m.place, machine: m}
-	s.group.all.add(s.entry)
+	s.class = f.classFor(m)
+	s.entry = bucketEntry{cores: m.Free.Cores, position: m.position, machine: m}
+	s.class.machines.add(s.entry)
 	for image, has := range m.Images {
 		if has {
-			s.having = append(s.having, image)
-			shelfFor(s.group.having, image).add(s.entry)
+			s.withImages = append(s.withImages, image)
+			bucketFor(s.class.withImage, image).add(s.entry)
 		}
 	}
 	for image := range m.Fetching {
 		if !m.Images[image] {
-			s.fetching = append(s.fetching, image)
-			shelfFor(s.group.fetchingImage, image).add(s.entry)
+			s.fetchingImages = append(s.fetchingImages, image)
+			bucketFor(s.class.fetchingImage, image).add(s.entry)
 		}
 	}
 }
 
 // remove takes a machine out.
-func (x *machineIndex) remove(m *Machine) {
-	if s := x.slots[m]; s != nil {
-		x.takeOut(s)
-		delete(x.slots, m)
+func (index *machineIndex) remove(m *Machine) {
+	if s := index.machines[m]; s != nil {
+		index.unlink(s)
+		delete(index.machines, m)
 	}
 }
 
-func (x *machineIndex) takeOut(s *slot) {
-	if s.claim != "" {
-		x.dropClaim(s)
+func (index *machineIndex) unlink(s *indexedMachine) {
+	if s.reservedFor != "" {
+		index.unlinkReserved(s)
 		return
 	}
-	g := s.group
+	g := s.class
 	if g == nil {
 		return
 	}
-	g.all.remove(s.entry)
-	for _, image := range s.having {
-		takeFromShelf(g.having, image, s.entry)
+	g.machines.remove(s.entry)
+	for _, image := range s.withImages {
+		removeFromBucket(g.withImage, image, s.entry)
 	}
-	for _, image := range s.fetching {
-		takeFromShelf(g.fetchingImage, image, s.entry)
+	for _, image := range s.fetchingImages {
+		removeFromBucket(g.fetchingImage, image, s.entry)
 	}
-	s.group = nil
-	if g.all.byCores.Len() == 0 && len(s.family.list) > mostEmptyGroups {
-		s.family.dropEmpty()
+	s.class = nil
+	if g.machines.byFreeCores.Len() == 0 && len(s.pool.classList) > maxEmptyClasses {
+		s.pool.deleteEmptyClasses()
 	}
 }
 
 // Empty groups and shelves are kept for the next machine, as far as there are few: amounts of
 // accelerators and names of images come and go over the months.
 const (
-	mostEmptyGroups  = 64
-	mostEmptyShelves = 256
+	maxEmptyClasses = 64
+	maxEmptyBuckets = 256
 )
 
-func takeFromShelf(shelves map[string]*shelf, image string, e entry) {
+func removeFromBucket(shelves map[string]*machineBucket, image string, e bucketEntry) {
 	s := shelves[image]
 	s.remove(e)
-	if s.byCores.Len() == 0 && len(shelves) > mostEmptyShelves {
+	if s.byFreeCores.Len() == 0 && len(shelves) > maxEmptyBuckets {
 		delete(shelves, image)
 	}
 }
 
-// dropEmpty forgets the groups that have no machine.
-func (f *family) dropEmpty() {
-	f.list = slices.DeleteFunc(f.list, func(g *group) bool {
-		if g.all.byCores.Len() > 0 {
+// deleteEmptyClasses forgets the groups that have no machine.
+func (f *poolIndex) deleteEmptyClasses() {
+	f.classList = slices.DeleteFunc(f.classList, func(g *equivalenceClass) bool {
+		if g.machines.byFreeCores.Len() > 0 {
 			return false
 		}
-		delete(f.groups, g.groupKey)
+		delete(f.classes, g.classKey)
 		return true
 	})
 }
 
-func (x *machineIndex) dropClaim(s *slot) {
-	list := x.claimed[s.claim]
+func (index *machineIndex) unlinkReserved(s *indexedMachine) {
+	list := index.reserved[s.reservedFor]
 	for i, m := range list {
-		if x.slots[m] == s {
+		if index.machines[m] == s {
 			list[i] = list[len(list)-1]
-			x.claimed[s.claim] = list[:len(list)-1]
+			index.reserved[s.reservedFor] = list[:len(list)-1]
 			break
 		}
 	}
-	if len(x.claimed[s.claim]) == 0 {
-		delete(x.claimed, s.claim)
+	if len(index.reserved[s.reservedFor]) == 0 {
+		delete(index.reserved, s.reservedFor)
 	}
 }
 
-func (x *machineIndex) familyOf(m *Machine) *family {
-	key := familyKey{m.Type, m.Zone, m.Spot}
-	f := x.families[key]
+func (index *machineIndex) poolFor(m *Machine) *poolIndex {
+	key := poolKey{m.Type, m.Zone, m.Spot}
+	f := index.pools[key]
 	if f == nil {
-		f = &family{familyKey: key, groups: map[groupKey]*group{}}
-		x.families[key] = f
-		x.list = append(x.list, f)
+		f = &poolIndex{poolKey: key, classes: map[classKey]*equivalenceClass{}}
+		index.pools[key] = f
+		index.poolList = append(index.poolList, f)
 	}
 	return f
 }
 
-func (f *family) groupOf(m *Machine) *group {
-	key := groupKey{booting: m.Booting, used: m.Used, fetching: len(m.Fetching), accel: m.Free.Accel}
-	g := f.groups[key]
+func (f *poolIndex) classFor(m *Machine) *equivalenceClass {
+	key := classKey{booting: m.Booting, used: m.Used, fetching: len(m.Fetching), accel: m.Free.Accel}
+	g := f.classes[key]
 	if g == nil {
-		g = &group{groupKey: key, all: newShelf(), having: map[string]*shelf{}, fetchingImage: map[string]*shelf{}}
-		f.groups[key] = g
-		f.list = append(f.list, g)
+		g = &equivalenceClass{classKey: key, machines: newMachineBucket(), withImage: map[string]*machineBucket{}, fetchingImage: map[string]*machineBucket{}}
+		f.classes[key] = g
+		f.classList = append(f.classList, g)
 	}
 	return g
 }
 
-// isHopeless says whether it is known that no machine of the family has room for a need.
-func (f *family) isHopeless(n Need, sparing int) bool {
-	for _, h := range f.hopeless[sparing] {
+// isInfeasible says whether it is known that no machine of the family has room for a need.
+func (f *poolIndex) isInfeasible(n Need, sparing int) bool {
+	for _, h := range f.infeasible[sparing] {
 		if h.Cores <= n.Cores && h.Accel <= n.Accel && h.Mem <= n.Mem {
 			return true
 		}
@@ -267,19 +267,19 @@
 	return false
 }
 
-// mostHopeless bounds how many needs are kept; jobs of a class mostly need the same.
-const mostHopeless = 16
+// maxInfeasible bounds how many needs are kept; jobs of a class mostly need the same.
+const maxInfeasible = 16
 
-// noteHopeless keeps a need that no machine had room for.
-func (f *family) noteHopeless(n Need, sparing int) {
-	kept := f.hopeless[sparing][:0]
-	for _, h := range f.hopeless[sparing] {
+// recordInfeasible keeps a need that no machine had room for.
+func (f *poolIndex) recordInfeasible(n Need, sparing int) {
+	kept := f.infeasible[sparing][:0]
+	for _, h := range f.infeasible[sparing] {
 		if n.Cores > h.Cores || n.Accel > h.Accel || n.Mem > h.Mem {
 			kept = append(kept, h)
 		}
 	}
-	if len(kept) >= mostHopeless {
+	if len(kept) >= maxInfeasible {
 		kept = kept[1:]
 	}
-	f.hopeless[sparing] = append(kept, n)
+	f.infeasible[sparing] = append(kept, n)
 }
--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/index_test.go
@@ -41,7 +41,7 @@
 		if rng.IntN(10) == 0 {
 			m.ReservedFor = jobs[rng.IntN(len(jobs))].ID
 		}
-		hold(rng, m, jobs, 1000+10*i)
+		runRandomTasks(rng, m, jobs, 1000+10*i)
 		s.Machines = append(s.Machines, m)
 		s.Capacity = s.Capacity.Plus(t.Size)
 	}
@@ -50,8 +50,8 @@
 	return s
 }
 
-// hold puts tasks on a machine that a round may stop.
-func hold(rng *rand.Rand, m *Machine, jobs []*Job, first int) {
+// runRandomTasks puts tasks on a machine that a round may stop.
+func runRandomTasks(rng *rand.Rand, m *Machine, jobs []*Job, first int) {
 	for i := range rng.IntN(4) {
 		j := jobs[rng.IntN(len(jobs))]
 		if j.Headroom || !j.Need.Fits(m.Free) {
@@ -122,7 +122,7 @@
 
 // The index decides as looking at all machines did: fills, the stops of a round after one, and
 // what a plan rents, over fleets of all kinds.
-func TestIndexDecidesAsLookingAtAll(t *testing.T) {
+func TestIndexDecidesAsFullScan(t *testing.T) {
 	placed, stops, rented := 0, 0, 0
 	for seed := range uint64(3000) {
 		got, want := randomSnapshot(seed), &oracle{Snapshot: randomSnapshot(seed)}
@@ -150,7 +150,7 @@
 }
 
 // An index that stands while its machines change, come and go decides as one made anew.
-func TestStandingIndexFollowsChanges(t *testing.T) {
+func TestKeptIndexFollowsChanges(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		s := randomSnapshot(seed)
@@ -192,12 +192,12 @@
 		return
 	case 6:
 		more := randomSnapshot(seed).Machines[0]
-		more.ID, more.place = fmt.Sprint("n-", seed, len(s.Machines)), s.Machines[len(s.Machines)-1].place+1
+		more.ID, more.position = fmt.Sprint("n-", seed, len(s.Machines)), s.Machines[len(s.Machines)-1].position+1
 		s.Machines = append(s.Machines, more)
 		m = more
 	}
-	s.changed(m)
-	s.spare = [2][]*Machine{}
+	s.machineChanged(m)
+	s.withRoom = [2][]*Machine{}
 }
 
 // copySnapshot copies what a pass changes.
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -41,13 +41,13 @@
 	Reserved int
 	// Images are the images that expected tasks may need, with the share of each; missing
 	// is what share of them machines of an image set lack, as far as asked.
-	Images  []ImageShare
-	missing map[int]float64
+	Images        []ImageShare
+	missingShares map[int]float64
 	// Plain: a batch for machines without accelerators, see IsPlain.
 	Plain bool
 	// Patient: it has waited so long that no rented machine will come.
-	Patient bool
-	order   int // of the jobs in a round, by rank
+	Patient      bool
+	rankPosition int // of the jobs in a round, by rank
 	// Starved: it has had no task anywhere for longer than a boot.
 	Starved bool
 }
@@ -130,7 +130,7 @@
 
 // missingShare is the share of expected tasks whose image the machine lacks.
 func (j *Job) missingShare(m *Machine) float64 {
-	if share, known := j.missing[m.ImageSet]; known {
+	if share, known := j.missingShares[m.ImageSet]; known {
 		return share
 	}
 	share := 0.0
@@ -142,10 +142,10 @@
 	if m.ImageSet == 0 {
 		return share
 	}
-	if j.missing == nil {
-		j.missing = map[int]float64{}
+	if j.missingShares == nil {
+		j.missingShares = map[int]float64{}
 	}
-	j.missing[m.ImageSet] = share
+	j.missingShares[m.ImageSet] = share
 	return share
 }
 
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -12,7 +12,7 @@
 // before the index. It is the oracle of the index: both must decide alike.
 type oracle struct {
 	*Snapshot
-	roomyLists [2][]*Machine
+	withRoom [2][]*Machine
 }
 
 // Fill starts waiting tasks in rank order: services, those within their team's
@@ -28,19 +28,19 @@
 		if j.Headroom {
 			s.reserve(j)
 		}
-		s.keepClaimed(j)
+		s.chargeReserved(j)
 	}
 	if s.Moving {
 		return out
 	}
 	for pass := range fillPasses {
-		s.sparingCores = pass == spareRoom
+		s.reserveAcceleratorCores = pass == spareRoom
 		if pass == interrupted {
 			orderBeyondSlots(s.Jobs)
 		}
 		out = s.placeBatches(out, pass)
 	}
-	s.sparingCores = false
+	s.reserveAcceleratorCores = false
 	return out
 }
 
@@ -67,9 +67,9 @@
 		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need) {
 			continue
 		}
-		if m := s.best(j); m != nil {
+		if m := s.bestMachine(j); m != nil {
 			out = append(out, Placement{j, j.Waiting[0], m})
-			s.take(j, m)
+			s.assign(j, m)
 		}
 	}
 	return out
@@ -83,7 +83,7 @@
 		if j.Service || j.Gang && pass > withinSlots {
 			continue
 		}
-		s.releaseClaimed(j)
+		s.refundReserved(j)
 		if j.Gang {
 			out = s.placeGang(out, j, func(t *Quota, whole Need) bool {
 				return t.WithinMaximum(whole.Plus(t.ServiceReserve)) && (pass == withinSlots || t.WithinGuarantee(whole))
@@ -92,9 +92,9 @@
 			if j.Upper && pass == withinSlots {
 				upper += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
-			out = s.place(out, j, func(t *Quota) bool { return s.mayTake(j, t, pass, upper) })
+			out = s.place(out, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
 		}
-		s.keepClaimed(j)
+		s.chargeReserved(j)
 	}
 	return out
 }
@@ -106,15 +106,15 @@
 	if len(j.Waiting) == 0 || !team.Admits(j) || !may(team) {
 		return out
 	}
-	choice := s.choices(j)
+	choice := s.selectorFor(j)
 	for len(j.Waiting) > 0 && team.Admits(j) && may(team) {
 		m := choice.best()
 		if m == nil {
 			break
 		}
 		out = append(out, Placement{j, j.Waiting[0], m})
-		s.take(j, m)
-		choice.taken(m)
+		s.assign(j, m)
+		choice.assigned(m)
 	}
 	return out
 }
@@ -125,20 +125,20 @@
 	if len(j.Waiting) == 0 {
 		return
 	}
-	choice := s.choices(j)
+	choice := s.selectorFor(j)
 	for len(j.Waiting) > 0 {
 		m := choice.best()
 		if m == nil {
 			return
 		}
 		used := m.Used
-		s.take(j, m)
+		s.assign(j, m)
 		m.Used = used
-		choice.taken(m)
+		choice.assigned(m)
 	}
 }
 
-func (s *oracle) take(j *Job, m *Machine) {
+func (s *oracle) assign(j *Job, m *Machine) {
 	j.Waiting = j.Waiting[1:]
 	j.Resume = max(0, j.Resume-1)
 	j.Held++
@@ -160,9 +160,9 @@
 	}
 }
 
-// roomy lists the machines that may have room. What has filled up since the list
+// machinesWithRoom lists the machines that may have room. What has filled up since the list
 // was made stays in it; whatever frees room or adds a machine drops the list.
-func (s *oracle) roomy(accel, cores bool) []*Machine {
+func (s *oracle) machinesWithRoom(accel, cores bool) []*Machine {
 	k := 0
 	if !accel && !cores {
 		return s.Machines // memory alone
@@ -170,24 +170,24 @@
 	if accel {
 		k = 1
 	}
-	if s.roomyLists[k] == nil {
-		s.roomyLists[k] = make([]*Machine, 0, len(s.Machines))
+	if s.withRoom[k] == nil {
+		s.withRoom[k] = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
 			if m.Room > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
-				s.roomyLists[k] = append(s.roomyLists[k], m)
+				s.withRoom[k] = append(s.withRoom[k], m)
 			}
 		}
 	}
-	return s.roomyLists[k]
+	return s.withRoom[k]
 }
 
-func (s *oracle) best(j *Job) *Machine {
+func (s *oracle) bestMachine(j *Job) *Machine {
 	var pick *Machine
 	bestScore := math.Inf(1)
-	list := s.roomy(j.Need.Accel > 0, j.Need.Cores > 0)
+	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
 	s.Looked += len(list)
 	for _, m := range list {
-		if !s.takes(j, m) {
+		if !s.accepts(j, m) {
 			continue
 		}
 		if sc := s.score(j, m); sc < bestScore {
@@ -215,7 +215,7 @@
 			continue // its team's own work has to end first
 		}
 		before := len(out)
-		if out = s.placeGang(out, j, inLimit); len(out) == before && s.holds(j) {
+		if out = s.placeGang(out, j, inLimit); len(out) == before && s.fleetCanHold(j) {
 			s.reserve(j)
 			j.Waiting = nil
 		}
@@ -231,20 +231,20 @@
 		return out
 	}
 	if !j.OneZone || j.Zone != "" {
-		got, _ := s.tryGang(j)
+		got, _ := s.tryPlaceGang(j)
 		return append(out, got...)
 	}
 	defer func() { j.Zone = "" }()
 	for _, j.Zone = range s.zonesFor(j) {
-		if got, ok := s.tryGang(j); ok {
+		if got, ok := s.tryPlaceGang(j); ok {
 			return append(out, got...)
 		}
 	}
 	return out
 }
 
-// tryGang places all waiting tasks of a gang, or takes everything back.
-func (s *oracle) tryGang(j *Job) ([]Placement, bool) {
+// tryPlaceGang places all waiting tasks of a gang, or takes everything back.
+func (s *oracle) tryPlaceGang(j *Job) ([]Placement, bool) {
 	var out []Placement
 	waiting, held := j.Waiting, j.Held
 	type before struct {
@@ -254,7 +254,7 @@
 	}
 	var undo []before
 	for len(j.Waiting) > 0 {
-		m := s.best(j)
+		m := s.bestMachine(j)
 		if m == nil {
 			for _, b := range slices.Backward(undo) {
 				b.m.Free, b.m.Used = b.m.Free.Plus(j.Need), b.used
@@ -272,7 +272,7 @@
 		}
 		undo = append(undo, before{m, m.Used, m.Fetching[j.Image]})
 		out = append(out, Placement{j, j.Waiting[0], m})
-		s.take(j, m)
+		s.assign(j, m)
 	}
 	return out, true
 }
@@ -282,7 +282,7 @@
 // waiting and expected work needs. blocked pools are short.
 func (s *oracle) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
 	Order(s.Jobs)
-	s.sparingCores = true
+	s.reserveAcceleratorCores = true
 	want := map[Pool]int{}
 	var order []Pool
 	created := 0
@@ -304,7 +304,7 @@
 		if len(j.Waiting) == 0 {
 			continue
 		}
-		choice := s.choices(j)
+		choice := s.selectorFor(j)
 		for len(j.Waiting) > 0 {
 			if t := s.Quotas[j.Team]; t != nil && !t.Admits(j) && !j.Headroom {
 				break
@@ -320,16 +320,16 @@
 				}
 				m = &Machine{Type: typ, Zone: p.Zone, Spot: p.Spot, Free: typ.Size, Room: 1 << 20, Booting: true}
 				s.Machines = append(s.Machines, m)
-				s.roomyLists = [2][]*Machine{}
-				choice.add(m, len(s.Machines))
+				s.withRoom = [2][]*Machine{}
+				choice.added(m, len(s.Machines))
 				if want[p] == 0 {
 					order = append(order, p)
 				}
 				want[p]++
 				created++
 			}
-			s.take(j, m)
-			choice.taken(m)
+			s.assign(j, m)
+			choice.assigned(m)
 		}
 	}
 	var out []Launch
@@ -348,35 +348,35 @@
 		rank[j] = i
 	}
 	var out Preemption
-	none := hopeless{}
-	s.gangLooked = 0
+	none := infeasibleGangs{}
+	s.gangMachinesExamined = 0
 	for _, j := range s.Jobs {
 		switch {
 		case j.Headroom:
 		case j.Reserved > 0:
 			// What was stopped for this job before is still on its way out.
 		case j.Gang:
-			s.stopsForGang(j, rank, &out, most, none)
+			s.preemptForGang(j, rank, &out, most, none)
 		default:
-			s.stopsForTasks(j, rank, &out, most)
+			s.preemptForTasks(j, rank, &out, most)
 		}
 	}
 	return out
 }
 
-// stopsForTasks makes room for the waiting tasks of a job that it has slots for, one
+// preemptForTasks makes room for the waiting tasks of a job that it has slots for, one
 // after the other.
-func (s *oracle) stopsForTasks(j *Job, rank map[*Job]int, out *Preemption, most int) {
+func (s *oracle) preemptForTasks(j *Job, rank map[*Job]int, out *Preemption, most int) {
 	held := j.Held
 	for len(j.Waiting) > 0 && (j.Service || held < j.Slots) {
-		m, set := s.stopsFor(j, rank)
+		m, set := s.preemptionForTask(j, rank)
 		if m == nil || len(out.Stops)+len(set) > most {
 			return
 		}
 		for _, v := range set {
 			out.Stops = append(out.Stops, s.stop(v.Machine, v.Victim, j))
 		}
-		s.take(j, m)
+		s.assign(j, m)
 		held++
 		if len(set) > 0 {
 			m.ReservedFor = j.ID // nobody else's stops may count on it
@@ -385,16 +385,16 @@
 	}
 }
 
-// stopsFor finds a machine for one task of the job and all that must stop for
+// preemptionForTask finds a machine for one task of the job and all that must stop for
 // it, for room and for the team's limit alike: all of it or nothing, as stops
 // that don't lead to a start only cost work.
-func (s *oracle) stopsFor(j *Job, rank map[*Job]int) (*Machine, []Stop) {
+func (s *oracle) preemptionForTask(j *Job, rank map[*Job]int) (*Machine, []Stop) {
 	team := s.Quotas[j.Team]
 	var set []Stop
-	m := s.best(j)
+	m := s.bestMachine(j)
 	if m == nil {
 		var victims []RunningTask
-		if m, victims = s.cheapestStops(j, team.WithinGuarantee(j.Need), rank); m == nil {
+		if m, victims = s.cheapestPreemption(j, team.WithinGuarantee(j.Need), rank); m == nil {
 			return nil, nil
 		}
 		for _, v := range victims {
@@ -422,56 +422,56 @@
 // job are alike, so taking one changes the score of its machine alone: for an array of
 // thousands in a fleet of hundreds, looking at all machines for each task took a quarter
 // of a second of a controller's share of a core.
-type oracleCandidates struct {
+type oracleCandidateHeap struct {
 	oracle *oracle
 	job    *Job
 	list   []oracleCandidate
 }
 
 type oracleCandidate struct {
-	machine *Machine
-	score   float64
-	place   int // in the oracle's list: equal scores go to the first
+	machine  *Machine
+	score    float64
+	position int // in the oracle's list: equal scores go to the first
 }
 
 // choice picks the machines for one task of a job after the other.
-type oracleChoice interface {
+type oracleMachineSelector interface {
 	// best is the best machine for the next task, nil if none has room.
 	best() *Machine
-	// taken has to follow when a machine was given the task.
-	taken(m *Machine)
-	// add brings in a machine that was not there before.
-	add(m *Machine, place int)
+	// assigned has to follow when a machine was given the task.
+	assigned(m *Machine)
+	// added brings in a machine that was not there before.
+	added(m *Machine, place int)
 }
 
-// oracleEachTime looks at all machines anew for each task.
-type oracleEachTime struct {
+// oracleFullScan looks at all machines anew for each task.
+type oracleFullScan struct {
 	oracle *oracle
 	job    *Job
 }
 
-func (e oracleEachTime) best() *Machine { return e.oracle.best(e.job) }
+func (e oracleFullScan) best() *Machine { return e.oracle.bestMachine(e.job) }
 
-func (e oracleEachTime) taken(*Machine) {}
+func (e oracleFullScan) assigned(*Machine) {}
 
-func (e oracleEachTime) add(*Machine, int) {}
+func (e oracleFullScan) added(*Machine, int) {}
 
-// choices picks machines for the job's waiting tasks.
-func (s *oracle) choices(j *Job) oracleChoice {
-	if j.severalAlike() {
-		return s.candidatesFor(j)
+// selectorFor picks machines for the job's waiting tasks.
+func (s *oracle) selectorFor(j *Job) oracleMachineSelector {
+	if j.worthRanking() {
+		return s.candidateHeapFor(j)
 	}
-	return oracleEachTime{s, j}
+	return oracleFullScan{s, j}
 }
 
-// candidatesFor puts the machines that have room for a task of the job in order.
-func (s *oracle) candidatesFor(j *Job) *oracleCandidates {
-	c := &oracleCandidates{oracle: s, job: j}
-	list := s.roomy(j.Need.Accel > 0, j.Need.Cores > 0)
+// candidateHeapFor puts the machines that have room for a task of the job in order.
+func (s *oracle) candidateHeapFor(j *Job) *oracleCandidateHeap {
+	c := &oracleCandidateHeap{oracle: s, job: j}
+	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
 	s.Looked += len(list)
 	for place, m := range list {
-		if s.takes(j, m) {
-			c.list = append(c.list, oracleCandidate{machine: m, score: s.score(j, m), place: place})
+		if s.accepts(j, m) {
+			c.list = append(c.list, oracleCandidate{machine: m, score: s.score(j, m), position: place})
 		}
 	}
 	heap.Init(c)
@@ -479,22 +479,22 @@
 }
 
 // best is the best machine, nil if none has room.
-func (c *oracleCandidates) best() *Machine {
+func (c *oracleCandidateHeap) best() *Machine {
 	if len(c.list) == 0 {
 		return nil
 	}
 	return c.list[0].machine
 }
 
-// taken puts the machine in its new place after it was given a task: it was the best, or
+// assigned puts the machine in its new place after it was given a task: it was the best, or
 // one that was added just now and is.
-func (c *oracleCandidates) taken(m *Machine) {
+func (c *oracleCandidateHeap) assigned(m *Machine) {
 	if len(c.list) == 0 || c.list[0].machine != m {
 		return
 	}
 	first := &c.list[0]
 	c.oracle.Looked++
-	if !c.oracle.takes(c.job, first.machine) {
+	if !c.oracle.accepts(c.job, first.machine) {
 		heap.Pop(c)
 		return
 	}
@@ -502,52 +502,52 @@
 	heap.Fix(c, 0)
 }
 
-// add puts a new machine among the candidates.
-func (c *oracleCandidates) add(m *Machine, place int) {
-	if c.oracle.takes(c.job, m) {
-		heap.Push(c, oracleCandidate{machine: m, score: c.oracle.score(c.job, m), place: place})
+// added puts a new machine among the candidates.
+func (c *oracleCandidateHeap) added(m *Machine, place int) {
+	if c.oracle.accepts(c.job, m) {
+		heap.Push(c, oracleCandidate{machine: m, score: c.oracle.score(c.job, m), position: place})
 	}
 }
 
 // Len, Less, Swap, Push and Pop make a heap of it.
-func (c *oracleCandidates) Len() int { return len(c.list) }
+func (c *oracleCandidateHeap) Len() int { return len(c.list) }
 
 // Less is part of heap.Interface.
-func (c *oracleCandidates) Less(a, b int) bool {
+func (c *oracleCandidateHeap) Less(a, b int) bool {
 	x, y := &c.list[a], &c.list[b]
 	if x.score != y.score {
 		return x.score < y.score
 	}
-	return x.place < y.place
+	return x.position < y.position
 }
 
 // Swap is part of heap.Interface.
-func (c *oracleCandidates) Swap(a, b int) { c.list[a], c.list[b] = c.list[b], c.list[a] }
+func (c *oracleCandidateHeap) Swap(a, b int) { c.list[a], c.list[b] = c.list[b], c.list[a] }
 
 // Push is part of heap.Interface.
-func (c *oracleCandidates) Push(x any) { c.list = append(c.list, x.(oracleCandidate)) }
+func (c *oracleCandidateHeap) Push(x any) { c.list = append(c.list, x.(oracleCandidate)) }
 
 // Pop is part of heap.Interface.
-func (c *oracleCandidates) Pop() any {
+func (c *oracleCandidateHeap) Pop() any {
 	last := len(c.list) - 1
 	x := c.list[last]
 	c.list = c.list[:last]
 	return x
 }
 
-// stop and stopsForGang free room, so that the lists of machines with room are made anew.
+// stop and preemptForGang free room, so that the lists of machines with room are made anew.
 func (s *oracle) stop(m *Machine, v RunningTask, j *Job) Stop {
-	s.roomyLists = [2][]*Machine{}
+	s.withRoom = [2][]*Machine{}
 	return s.Snapshot.stop(m, v, j)
 }
 
-func (s *oracle) stopsForGang(j *Job, rank map[*Job]int, out *Preemption, most int, none hopeless) {
+func (s *oracle) preemptForGang(j *Job, rank map[*Job]int, out *Preemption, most int, none infeasibleGangs) {
 	for job, i := range rank {
-		job.order = i
+		job.rankPosition = i
 	}
-	s.victims = newVictims(s.Snapshot)
-	s.Snapshot.stopsForGang(j, out, most, none)
-	s.roomyLists = [2][]*Machine{}
+	s.preemptible = newPreemptibleTasks(s.Snapshot)
+	s.Snapshot.preemptForGang(j, out, most, none)
+	s.withRoom = [2][]*Machine{}
 }
 
 // youngest is the task of the job's team and of lower priority that has held
@@ -567,9 +567,9 @@
 	return pick, held
 }
 
-// givesWay says whether a victim's tasks may be stopped for a job: by "Preemption", and
+// isPreemptible says whether a victim's tasks may be stopped for a job: by "Preemption", and
 // as it ranks after the job or has more than its slots.
-func (s *oracle) givesWay(victim, j *Job, guaranteed bool, rank map[*Job]int) bool {
+func (s *oracle) isPreemptible(victim, j *Job, guaranteed bool, rank map[*Job]int) bool {
 	lower := victim.Priority < j.Priority
 	team := s.Quotas[victim.Team]
 	lent := guaranteed && victim.Team != j.Team && team != nil && team.ExceedsGuarantee()
@@ -582,8 +582,8 @@
 	return (lower || lent) && ranked
 }
 
-// cheapestStops finds the machine on which room for one task costs least.
-func (s *oracle) cheapestStops(j *Job, guaranteed bool, rank map[*Job]int) (*Machine, []RunningTask) {
+// cheapestPreemption finds the machine on which room for one task costs least.
+func (s *oracle) cheapestPreemption(j *Job, guaranteed bool, rank map[*Job]int) (*Machine, []RunningTask) {
 	var pick *Machine
 	var chosen []RunningTask
 	cheapest := math.Inf(1)
@@ -593,11 +593,11 @@
 		}
 		var may []RunningTask
 		for _, h := range m.Running {
-			if s.givesWay(h.Job, j, guaranteed, rank) {
+			if s.isPreemptible(h.Job, j, guaranteed, rank) {
 				may = append(may, h)
 			}
 		}
-		oracleSortVictims(may)
+		oracleSortPreemptible(may)
 		free, cost := m.Free, 0.0
 		var set []RunningTask
 		for _, h := range may {
@@ -661,9 +661,9 @@
 	return pick, typ
 }
 
-// oracleSortVictims puts first what costs least to stop: replicas last, gangs before them as
+// oracleSortPreemptible puts first what costs least to stop: replicas last, gangs before them as
 // they stop whole, and the youngest of each.
-func oracleSortVictims(list []RunningTask) {
+func oracleSortPreemptible(list []RunningTask) {
 	sort.SliceStable(list, func(a, b int) bool {
 		x, y := list[a], list[b]
 		switch {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -24,7 +24,7 @@
 func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
 	s.useIndex()
 	Order(s.Jobs)
-	s.sparingCores = true
+	s.reserveAcceleratorCores = true
 	s.countZones()
 	want := map[Pool]int{}
 	var order []Pool
@@ -47,7 +47,7 @@
 		if len(j.Waiting) == 0 {
 			continue
 		}
-		choice := s.choices(j)
+		choice := s.selectorFor(j)
 		for len(j.Waiting) > 0 {
 			if t := s.Quotas[j.Team]; t != nil && !t.Admits(j) && !j.Headroom {
 				break
@@ -63,15 +63,15 @@
 				}
 				m = &Machine{Type: typ, Zone: p.Zone, Spot: p.Spot, Free: typ.Size, Room: 1 << 20, Booting: true}
 				s.AddMachine(m)
-				choice.add(m, len(s.Machines))
+				choice.added(m, len(s.Machines))
 				if want[p] == 0 {
 					order = append(order, p)
 				}
 				want[p]++
 				created++
 			}
-			s.take(j, m)
-			choice.taken(m)
+			s.assign(j, m)
+			choice.assigned(m)
 		}
 	}
 	var out []Launch
@@ -84,20 +84,20 @@
 // AddMachine adds a machine that was not there before.
 func (s *Snapshot) AddMachine(m *Machine) {
 	s.useIndex()
-	m.place = math.MaxInt/2 + len(s.Machines) // after all that were there
+	m.position = math.MaxInt/2 + len(s.Machines) // after all that were there
 	s.Machines = append(s.Machines, m)
-	if s.inZone != nil {
-		s.inZone[m.Zone]++
+	if s.machinesByZone != nil {
+		s.machinesByZone[m.Zone]++
 	}
-	s.spare = [2][]*Machine{}
-	s.changed(m)
+	s.withRoom = [2][]*Machine{}
+	s.machineChanged(m)
 }
 
 // countZones counts the machines by zone.
 func (s *Snapshot) countZones() {
-	s.inZone = map[string]int{}
+	s.machinesByZone = map[string]int{}
 	for _, m := range s.Machines {
-		s.inZone[m.Zone]++
+		s.machinesByZone[m.Zone]++
 	}
 }
 
@@ -143,7 +143,7 @@
 				}
 				cost := price / math.Min(fit, math.Max(1, float64(alike)))
 				// Equal prices go to the zone with fewer machines.
-				cost *= 1 + 0.001*float64(s.inZone[zone])
+				cost *= 1 + 0.001*float64(s.machinesByZone[zone])
 				if cost < best {
 					pick, typ, best = p, t, cost
 				}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -116,14 +116,14 @@
 
 // Room for expected services is kept from batches, not from services.
 func TestReserve(t *testing.T) {
-	phantom := func() *Job {
+	expectedReplicas := func() *Job {
 		return batch("~web", 3, func(j *Job) { j.Team, j.Service, j.Headroom = "", true, true })
 	}
-	s := snap(machines(box, "a"), batch("b", 8, nil), phantom())
+	s := snap(machines(box, "a"), batch("b", 8, nil), expectedReplicas())
 	if n := len(s.Fill()); n != 5 {
 		t.Errorf("batch got %d of 8 places, 3 are kept", n)
 	}
-	s = snap(machines(box, "a"), batch("web", 8, func(j *Job) { j.Service = true }), phantom())
+	s = snap(machines(box, "a"), batch("web", 8, func(j *Job) { j.Service = true }), expectedReplicas())
 	if n := len(s.Fill()); n != 8 {
 		t.Errorf("service got %d of 8 places", n)
 	}
@@ -231,7 +231,7 @@
 // Room and limit that were freed for a job are not taken by others while the
 // stopped tasks go one by one: a round would stop the same tasks again and
 // again (a recorded day: 2,000 stops for three jobs that never started).
-func TestClaims(t *testing.T) {
+func TestReservedRoomStaysReserved(t *testing.T) {
 	m := machines(box, "a", "a")
 	m[0].Free, m[0].ReservedFor = Need{Cores: 5, Mem: 32}, "web"
 	web := batch("web", 1, func(j *Job) { j.Service, j.Reserved, j.Need = true, 1, Need{Cores: 8, Mem: 1} })
@@ -254,7 +254,7 @@
 
 // Replicas are moved only to machines in use that have their images, and only
 // if the room kept for expected ones stays.
-func TestCanEmpty(t *testing.T) {
+func TestWithoutMachine(t *testing.T) {
 	build := func() *Snapshot {
 		ms := machines(box, "a", "a")
 		for _, m := range ms {
@@ -357,7 +357,7 @@
 }
 
 // All machines of one type are dear, however the sum of their prices rounds.
-func TestDearIsNotDecidedByRounding(t *testing.T) {
+func TestIsExpensiveIgnoresRounding(t *testing.T) {
 	typ, small := &Type{Price: 21.51}, &Type{Price: 0.19}
 	s := &Snapshot{}
 	for n := range 300 {
@@ -376,7 +376,7 @@
 // One round makes room for all waiting tasks of a job, each on a machine that is
 // then kept for it; a job whose stopped tasks are still on their way out stops
 // no more.
-func TestRoundMakesRoomForAWholeJob(t *testing.T) {
+func TestPreemptionMakesRoomForWholeJob(t *testing.T) {
 	typ := &Type{Name: "m", Size: Need{Cores: 8, Mem: 99}}
 	build := func(claims int) *Snapshot {
 		web := &Job{ID: "j-web", Team: "red", Service: true, Priority: 3, Need: Need{Cores: 8}, Tasks: 3, Degradation: 1,
@@ -469,7 +469,7 @@
 // What a machine's end interrupted goes on before new tasks of better rank take
 // spare room, and no more than that (fleet of the parking authority, calm: such
 // tasks of large jobs waited 56 to 89 s).
-func TestInterruptedGoOnFirst(t *testing.T) {
+func TestInterruptedTasksResumeFirst(t *testing.T) {
 	old := batch("old", 6, func(j *Job) { j.Upper, j.Attained, j.Held, j.Resume = false, 50, 1, 2 })
 	young := batch("young", 6, func(j *Job) { j.Upper, j.Held, j.Slots = false, 1, 1 })
 	ms := machines(box, "a")
@@ -482,7 +482,7 @@
 
 // Room kept for expected work, and what batches leave of a limit, starve no batch:
 // one that has had no task anywhere for longer than a boot gets one, not more.
-func TestStarvedBatchTakesKeptRoom(t *testing.T) {
+func TestStarvedBatchMayUseHeadroom(t *testing.T) {
 	for _, starved := range []bool{false, true} {
 		expected := batch("~web", 8, func(j *Job) { j.Service, j.Headroom, j.Team = true, true, "" })
 		s := snap(machines(box, "a"), expected, batch("b", 3, func(j *Job) { j.Starved = starved }))
@@ -527,7 +527,7 @@
 
 // Room for a part of a gang that has waited for long is held back from jobs behind
 // it, and an older one comes first.
-func TestRoomGathersForAStarvedGang(t *testing.T) {
+func TestRoomIsHeldBackForStarvedGang(t *testing.T) {
 	gang := func(id string, n int, submitted int64) *Job {
 		return batch(id, n, func(j *Job) {
 			j.Gang, j.Upper, j.Starved, j.Need, j.Slots, j.Submitted = true, false, true, Need{Cores: 4, Mem: 1}, n, submitted
@@ -550,7 +550,7 @@
 
 // A round rather stops tasks of arrays than a gang, which stops whole; where there
 // is nothing else, a gang of lower priority gives way too.
-func TestStopsSpareGangs(t *testing.T) {
+func TestArraysArePreemptedBeforeGangs(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		ms := machines(box, "a", "a")
 		gang := batch("g", 0, func(j *Job) {
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -33,7 +33,7 @@
 	Changed bool
 	// ImageSet is the same for machines that have the same images; 0: not known.
 	ImageSet int
-	place    int // among the machines: equal scores go to the first
+	position int // among the machines: equal scores go to the first
 	Running  []RunningTask
 }
 
@@ -54,29 +54,29 @@
 	// batches must not take meanwhile.
 	Moving   bool
 	Capacity Need // of ready machines
-	// sparingCores: plain batches leave the cores that free accelerators need, whatever
+	// reserveAcceleratorCores: plain batches leave the cores that free accelerators need, whatever
 	// else is full.
-	sparingCores bool
-	Looked       int // machines looked at so far: the work done, in place of a time
-	// gangLooked counts those that a round looked at for gangs.
-	gangLooked int
-	// stopsLooked counts those that it looked at for single tasks.
-	stopsLooked int
-	// spare are the machines with any room: with cores, and with accelerators.
+	reserveAcceleratorCores bool
+	Looked                  int // machines looked at so far: the work done, in place of a time
+	// gangMachinesExamined counts those that a round looked at for gangs.
+	gangMachinesExamined int
+	// taskMachinesExamined counts those that it looked at for single tasks.
+	taskMachinesExamined int
+	// withRoom are the machines with any room: with cores, and with accelerators.
 	// Most of a busy fleet is full. Nil: to be found anew.
-	spare [2][]*Machine
+	withRoom [2][]*Machine
 	// Fleet has the machines in order, if somebody keeps it; nil: it is made anew.
 	Fleet *Fleet
 	// index finds machines without looking at all; nil: all are looked at.
-	index   *machineIndex
-	byIndex indexChoice
-	inZone  map[string]int // machines by zone, for a plan
+	index          *machineIndex
+	search         indexSearch
+	machinesByZone map[string]int // machines by zone, for a plan
 	// price is the sum over so many machines.
 	price          float64
 	pricedMachines int
-	// victims are what a round may stop.
-	victims *victims
-	// kept is how much room for expected tasks there is, once Emptied asked.
-	kept      int
-	keptKnown bool
+	// preemptible are what a round may stop.
+	preemptible *preemptibleTasks
+	// headroom is how much room for expected tasks there is, once Emptied asked.
+	headroom      int
+	headroomKnown bool
 }
--- a/internal/scheduler/spare_cores_test.go
+++ b/internal/scheduler/spare_cores_test.go
@@ -4,7 +4,7 @@
 
 // Batches without accelerators leave the cores that free accelerators need: a guest's
 // array of thousands once held the cores of machines whose accelerators then stood idle.
-func TestBatchesSpareAcceleratorsCores(t *testing.T) {
+func TestPlainBatchesLeaveAcceleratorCores(t *testing.T) {
 	guests := func() *Job { return batch("guests", 40, func(j *Job) { j.Upper, j.Plain = false, true }) }
 	s := snap(machines(gpu, "a"), guests())
 	got := started(s.Fill())["guests"]
@@ -39,7 +39,7 @@
 }
 
 // Room for expected replicas is kept on machines that have the images they may need.
-func TestRoomIsKeptWhereTheImagesAre(t *testing.T) {
+func TestHeadroomIsReservedWhereImagesAre(t *testing.T) {
 	ms := machines(box, "a", "a", "a")
 	ms[2].Images = map[string]bool{"x": true, "y": true}
 	ms[1].Images = map[string]bool{"x": true}
--- a/internal/scheduler/stops.go
+++ b/internal/scheduler/stops.go
@@ -33,15 +33,15 @@
 	s.useIndex()
 	Order(s.Jobs)
 	for i, j := range s.Jobs {
-		j.order = i
+		j.rankPosition = i
 	}
 	var out Preemption
-	if !slices.ContainsFunc(s.Jobs, (*Job).wantsStops) {
+	if !slices.ContainsFunc(s.Jobs, (*Job).wantsPreemption) {
 		return out
 	}
-	s.victims = newVictims(s)
-	none := hopeless{}
-	s.gangLooked, s.stopsLooked = 0, 0
+	s.preemptible = newPreemptibleTasks(s)
+	none := infeasibleGangs{}
+	s.gangMachinesExamined, s.taskMachinesExamined = 0, 0
 	for _, j := range s.Jobs {
 		switch {
 		case len(out.Stops) >= most:
@@ -51,11 +51,11 @@
 		case j.Reserved > 0:
 			// What was stopped for this job before is still on its way out.
 		case j.Gang:
-			s.stopsForGang(j, &out, most, none)
-		case s.stopsLooked > stopsWork:
+			s.preemptForGang(j, &out, most, none)
+		case s.taskMachinesExamined > maxTaskMachinesExamined:
 			return out
 		default:
-			if s.stopsForTasks(j, &out, most); len(j.Waiting) > 0 {
+			if s.preemptForTasks(j, &out, most); len(j.Waiting) > 0 {
 				searched[j.ID] = true
 			}
 		}
@@ -64,48 +64,48 @@
 	return out
 }
 
-// stopsWork bounds what one round looks at for single tasks, in machines: a leader of thousands
+// maxTaskMachinesExamined bounds what one round looks at for single tasks, in machines: a leader of thousands
 // must renew its lease meanwhile. What is left comes with the next round.
-const stopsWork = 200_000
+const maxTaskMachinesExamined = 200_000
 
-// wantsStops says whether any of its waiting tasks is worth a stop.
-func (j *Job) wantsStops() bool {
+// wantsPreemption says whether any of its waiting tasks is worth a stop.
+func (j *Job) wantsPreemption() bool {
 	return len(j.Waiting) > 0 && !j.Headroom && j.Reserved == 0 && (j.Service || j.Gang || j.Held < j.Slots)
 }
 
-// stopsForTasks makes room for the waiting tasks of a job that it has slots for, one
+// preemptForTasks makes room for the waiting tasks of a job that it has slots for, one
 // after the other.
-func (s *Snapshot) stopsForTasks(j *Job, out *Preemption, most int) {
+func (s *Snapshot) preemptForTasks(j *Job, out *Preemption, most int) {
 	held := j.Held
-	var candidates *stopCandidates
+	var candidates *preemptionCosts
 	for len(j.Waiting) > 0 && (j.Service || held < j.Slots) {
-		m, set := s.stopsFor(j, &candidates)
+		m, set := s.preemptionForTask(j, &candidates)
 		if m == nil || len(out.Stops)+len(set) > most {
 			return
 		}
 		for _, v := range set {
 			out.Stops = append(out.Stops, s.stop(v.Machine, v.Victim, j))
 		}
-		s.take(j, m)
+		s.assign(j, m)
 		held++
 		if len(set) > 0 {
 			m.ReservedFor = j.ID // nobody else's stops may count on it
-			s.changed(m)
+			s.machineChanged(m)
 			out.Reservations = append(out.Reservations, Reservation{Job: j, Machine: m, Tasks: 1})
 		}
 	}
 }
 
-// stopsFor finds a machine for one task of the job and all that must stop for
+// preemptionForTask finds a machine for one task of the job and all that must stop for
 // it, for room and for the team's limit alike: all of it or nothing, as stops
 // that don't lead to a start only cost work.
-func (s *Snapshot) stopsFor(j *Job, candidates **stopCandidates) (*Machine, []Stop) {
+func (s *Snapshot) preemptionForTask(j *Job, candidates **preemptionCosts) (*Machine, []Stop) {
 	team := s.Quotas[j.Team]
 	var set []Stop
-	m := s.best(j)
+	m := s.bestMachine(j)
 	if m == nil {
 		var victims []RunningTask
-		if m, victims = s.cheapestStops(j, team.WithinGuarantee(j.Need), candidates); m == nil {
+		if m, victims = s.cheapestPreemption(j, team.WithinGuarantee(j.Need), candidates); m == nil {
 			return nil, nil
 		}
 		for _, v := range victims {
@@ -119,7 +119,7 @@
 		}
 	}
 	for !after.WithinMaximum(j.Need) {
-		on, v := s.victims.youngest(j, set)
+		on, v := s.preemptible.youngestOfTeam(j, set)
 		if on == nil {
 			return nil, nil
 		}
@@ -132,8 +132,8 @@
 // stop takes a task off a machine.
 func (s *Snapshot) stop(m *Machine, v RunningTask, j *Job) Stop {
 	m.Free = m.Free.Plus(v.Job.Need)
-	s.spare = [2][]*Machine{}
-	s.changed(m)
+	s.withRoom = [2][]*Machine{}
+	s.machineChanged(m)
 	team := s.Quotas[v.Job.Team]
 	beyond, extra := team != nil && team.ExceedsGuarantee(), v.Job.Held > v.Job.Slots
 	if team != nil {
@@ -144,8 +144,8 @@
 	}
 	v.Job.Held--
 	m.Running = remove(m.Running, v)
-	if s.victims != nil {
-		s.victims.stopped(m, v, j, beyond != (team != nil && team.ExceedsGuarantee()) || extra != (v.Job.Held > v.Job.Slots) || v.Job.Gang)
+	if s.preemptible != nil {
+		s.preemptible.taskStopped(m, v, j, beyond != (team != nil && team.ExceedsGuarantee()) || extra != (v.Job.Held > v.Job.Slots) || v.Job.Gang)
 	}
 	return Stop{Victim: v, Machine: m, For: j}
 }
@@ -160,9 +160,9 @@
 	return out
 }
 
-// givesWay says whether a victim's tasks may be stopped for a job: by "Preemption", and
+// isPreemptible says whether a victim's tasks may be stopped for a job: by "Preemption", and
 // as it ranks after the job or has more than its slots.
-func (s *Snapshot) givesWay(victim, j *Job, guaranteed bool) bool {
+func (s *Snapshot) isPreemptible(victim, j *Job, guaranteed bool) bool {
 	if victim.Priority >= j.Priority {
 		// One replica for another is no gain, and the stopped one fetches its image
 		// anew; a machine may be on its way.
@@ -173,12 +173,12 @@
 			return false
 		}
 	}
-	return victim.order > j.order || !victim.Service && victim.Held > victim.Slots
+	return victim.rankPosition > j.rankPosition || !victim.Service && victim.Held > victim.Slots
 }
 
-// sortVictims puts first what costs least to stop: replicas last, gangs before them as
+// sortPreemptible puts first what costs least to stop: replicas last, gangs before them as
 // they stop whole, and the youngest of each.
-func sortVictims(list []RunningTask) {
+func sortPreemptible(list []RunningTask) {
 	if len(list) < 2 {
 		return
 	}
--- a/internal/scheduler/victims_test.go
+++ b/internal/scheduler/victims_test.go
@@ -7,7 +7,7 @@
 
 // A round whose work is bounded goes on with the next one where it stopped: jobs that it
 // looked at in vain are left out until all have been looked at.
-func TestBoundedRoundGoesOn(t *testing.T) {
+func TestBoundedRoundContinuesInNextRound(t *testing.T) {
 	build := func() *Snapshot {
 		var ms []*Machine
 		for i := range 2_000 {
@@ -39,8 +39,8 @@
 		rounds++
 		s := build()
 		got := s.Stops(10, searched).Stops
-		if s.stopsLooked > stopsWork+len(s.Machines) {
-			t.Fatalf("a round looked at %d machines", s.stopsLooked)
+		if s.taskMachinesExamined > maxTaskMachinesExamined+len(s.Machines) {
+			t.Fatalf("a round looked at %d machines", s.taskMachinesExamined)
 		}
 		if len(got) > 0 {
 			if got[0].For.ID != "last" {
@@ -58,7 +58,7 @@
 }
 
 // Replicas that are alike look for what to stop once, and still each gets a machine of its own.
-func TestReplicasShareWhatStopsCost(t *testing.T) {
+func TestAlikeReplicasSharePreemptionCosts(t *testing.T) {
 	const count = 400
 	var ms []*Machine
 	for i := range 3 * count {
@@ -80,7 +80,7 @@
 	for _, kept := range round.Reservations {
 		seen[kept.Machine.ID] = true
 	}
-	if len(round.Stops) != count || len(seen) != count || s.stopsLooked > 3*len(ms) {
-		t.Errorf("%d stops, %d machines, %d looked at", len(round.Stops), len(seen), s.stopsLooked)
+	if len(round.Stops) != count || len(seen) != count || s.taskMachinesExamined > 3*len(ms) {
+		t.Errorf("%d stops, %d machines, %d looked at", len(round.Stops), len(seen), s.taskMachinesExamined)
 	}
 }
