--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -1,70 +1,74 @@
 package scheduler
 
-import (
-	"maps"
-)
+// expensiveShare is slightly below one: where all types cost the same every machine counts as
+// expensive. Sums of like prices round up or down, which once kept a fleet of one type from being
+// emptied at all.
+const expensiveShare = 0.999
 
-// IsExpensive says whether a machine costs at least what the fleet's machines do on
-// average. Where all types cost the same all are dear: sums of like prices round
-// up or down, which once kept a fleet of one type from being emptied at all.
+// IsExpensive says whether a machine costs at least what the fleet's machines do on average.
 func (s *Snapshot) IsExpensive(m *Machine) bool {
 	if s.pricedMachines != len(s.Machines) {
-		s.price, s.pricedMachines = 0, len(s.Machines)
-		for _, o := range s.Machines {
-			s.price += o.Type.Price
+		s.totalPrice, s.pricedMachines = 0, len(s.Machines)
+		for _, other := range s.Machines {
+			s.totalPrice += other.Type.Price
 		}
 	}
-	return m.Type.Price*float64(len(s.Machines)) >= 0.999*s.price
+	return m.Type.Price*float64(len(s.Machines)) >= expensiveShare*s.totalPrice
 }
 
-// WithoutMachine is the snapshot after a machine's tasks have been moved at next to no
-// cost: to machines in use that have the replicas' images, leaving as much of the room
-// for expected tasks as there was. Nil: that can't be done.
+// WithoutMachine is the snapshot after a machine's tasks have been moved at next to no cost: to
+// machines in use that have the replicas' images, leaving room for as many expected tasks as
+// before. It returns nil if that can't be done. The jobs in moved have one task each to move;
+// expected returns the expected tasks anew at each call, as counting them uses them up.
 func (s *Snapshot) WithoutMachine(id string, moved []*Job, expected func() []*Job) *Snapshot {
-	kept := func(s *Snapshot) int {
-		n := 0
-		for _, j := range expected() {
-			n += len(j.Waiting)
-			s.reserve(j)
-			n -= len(j.Waiting)
-		}
-		return n
-	}
 	rest := s.clone(id)
 	s.Looked += len(rest.Machines) * (len(moved) + 1)
 	for _, j := range moved {
-		var pick *Machine
-		for _, m := range rest.Machines {
-			if m.Used && m.ReservedFor == "" && m.Room > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) && j.Need.Fits(m.Free) &&
-				j.MayRunOn(m) &&
-				(pick == nil || rest.score(j, m) < rest.score(j, pick)) {
-				pick = m
-			}
-		}
-		if pick == nil {
+		m := rest.bestTargetFor(j)
+		if m == nil {
 			return nil
 		}
-		rest.assign(j, pick)
+		rest.assign(j, m)
 	}
 	if !s.headroomKnown {
-		s.headroom, s.headroomKnown = kept(s.clone("")), true
+		s.headroom, s.headroomKnown = s.clone("").countHeadroom(expected()), true
 	}
-	if rest.headroom = kept(rest.clone("")); rest.headroom < s.headroom {
+	if rest.headroom = rest.clone("").countHeadroom(expected()); rest.headroom < s.headroom {
 		return nil
 	}
 	rest.headroomKnown, rest.Looked = true, s.Looked
 	return rest
 }
 
-// clone copies what placing changes, without the named machine.
-func (s *Snapshot) clone(without string) *Snapshot {
-	out := &Snapshot{UpperCap: s.UpperCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
+// bestTargetFor is the best machine in use to move a task to, nil if there is none.
+func (s *Snapshot) bestTargetFor(j *Job) *Machine {
+	var best *Machine
+	bestScore := 0.0
 	for _, m := range s.Machines {
-		if m.ID != without {
-			c := *m
-			c.Fetching = maps.Clone(m.Fetching)
-			out.Machines = append(out.Machines, &c)
+		if !j.mayMoveTo(m) {
+			continue
 		}
+		if score := s.score(j, m); best == nil || score < bestScore {
+			best, bestScore = m, score
+		}
+	}
+	return best
+}
+
+// mayMoveTo says whether a task may be moved to a machine. A replica moves only to where its
+// image is, as it would be away for the time of a fetch otherwise.
+func (j *Job) mayMoveTo(m *Machine) bool {
+	return m.Used && m.ReservedFor == "" && m.Room > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) &&
+		j.Need.Fits(m.Free) && j.MayRunOn(m)
+}
+
+// countHeadroom counts for how many of the expected tasks there is room, and takes it.
+func (s *Snapshot) countHeadroom(expected []*Job) int {
+	placed := 0
+	for _, j := range expected {
+		waiting := len(j.Waiting)
+		s.reserve(j)
+		placed += waiting - len(j.Waiting)
 	}
-	return out
+	return placed
 }
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
@@ -13,25 +12,36 @@
 	Machine *Machine
 }
 
-// Passes of a fill over batches and gangs.
+// fillPass is one of the passes of a fill over batches and gangs.
+type fillPass int
+
 const (
-	withinGuarantees = iota // within their teams' guarantees
-	withinSlots             // within slots, the upper queue under its cap
-	interrupted             // what a machine's end interrupted
-	spareRoom               // whatever room is left
-	fillPasses
+	withinGuarantees fillPass = iota // within their teams' guarantees
+	withinSlots                      // within slots, the upper queue under its cap
+	interrupted                      // what a machine's end interrupted
+	spareRoom                        // whatever room is left
 )
 
-// Fill starts waiting tasks in rank order: services, those within their team's
-// guarantee first; then the room kept for expected ones; then batches, first
-// within guarantees, then within slots (the upper queue under its cap), then
-// what was interrupted, then whatever room is spare.
+// fillPasses are all passes in their order.
+var fillPasses = [...]fillPass{withinGuarantees, withinSlots, interrupted, spareRoom}
+
+// filler is a fill at work.
+type filler struct {
+	snapshot   *Snapshot
+	placements []Placement
+}
+
+// Fill starts waiting tasks in rank order: services, those within their team's guarantee first;
+// then one task of each starved batch and whole starved gangs; then the room reserved for expected
+// replicas; then batches, first within guarantees, then within slots (the upper queue under its
+// cap), then what was interrupted, then whatever room is spare.
 func (s *Snapshot) Fill() []Placement {
 	s.useIndex()
 	Order(s.Jobs)
-	out := s.placeServices(nil)
-	out = s.placeStarved(out)
-	out = s.placeStarvedGangs(out)
+	f := filler{snapshot: s}
+	f.placeServices()
+	f.placeStarvedBatches()
+	f.placeStarvedGangs()
 	for _, j := range s.Jobs {
 		if j.Headroom {
 			s.reserve(j)
@@ -39,167 +49,172 @@
 		s.chargeReserved(j)
 	}
 	if s.Moving {
-		return out
+		return f.placements
 	}
-	for pass := range fillPasses {
+	for _, pass := range fillPasses {
 		s.reserveAcceleratorCores = pass == spareRoom
 		if pass == interrupted {
 			orderBeyondSlots(s.Jobs)
 		}
-		out = s.placeBatches(out, pass)
+		f.placeBatches(pass)
 	}
 	s.reserveAcceleratorCores = false
-	return out
+	return f.placements
 }
 
 // placeServices starts replicas, those within their teams' guarantees first.
-func (s *Snapshot) placeServices(out []Placement) []Placement {
+func (f *filler) placeServices() {
 	for _, guaranteed := range []bool{true, false} {
-		for _, j := range s.Jobs {
+		for _, j := range f.snapshot.Jobs {
 			if j.Service && !j.Headroom {
-				out = s.place(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Need) })
+				f.placeTasks(j, func(quota *Quota) bool { return !guaranteed || quota.WithinGuarantee(j.Need) })
 			}
 		}
 	}
-	return out
 }
 
-// placeStarved gives each batch that has waited for longer than a boot one task. Room
-// kept for what may come, or left of a limit, is no reason for a batch to go without
-// a single task for as long as there is no other.
-func (s *Snapshot) placeStarved(out []Placement) []Placement {
+// placeStarvedBatches gives each batch that has waited for longer than a boot one task. Headroom
+// and what batches leave of a quota are no reason for a batch to go without a single task for as
+// long as there is no other.
+func (f *filler) placeStarvedBatches() {
+	s := f.snapshot
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang || !j.Starved || j.Held > 0 || len(j.Waiting) == 0 {
 			continue
 		}
-		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need) {
+		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.Need) {
 			continue
 		}
 		if m := s.bestMachine(j); m != nil {
-			out = append(out, Placement{j, j.Waiting[0], m})
+			f.placements = append(f.placements, Placement{j, j.Waiting[0], m})
 			s.assign(j, m)
 		}
 	}
-	return out
 }
 
-// orderBeyondSlots sorts jobs for the room beyond slots: there the upper queue has no
-// precedence, as its cap has been used up. Jobs with a deadline go by the time they
-// have left, and those that can't meet theirs go last: least attained service spreads a
-// full team's limit over all its jobs, and then all of them are late.
+// placeStarvedGangs places gangs that have waited for longer than a boot, the oldest first. If one
+// does not fit, what there is of its room is held back from all others: small jobs would take it
+// again and again. Nothing of that outlives the snapshot, so gangs can't block one another.
+func (f *filler) placeStarvedGangs() {
+	s := f.snapshot
+	var starved []*Job
+	for _, j := range s.Jobs {
+		if j.Gang && j.Starved && len(j.Waiting) > 0 {
+			starved = append(starved, j)
+		}
+	}
+	slices.SortStableFunc(starved, func(a, b *Job) int { return cmp.Compare(a.Submitted, b.Submitted) })
+	withinMaximum := func(quota *Quota, whole Need) bool { return quota.WithinMaximum(whole) }
+	for _, j := range starved {
+		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
+			continue // its team's own work has to end first
+		}
+		placed := s.placeGang(j, withinMaximum)
+		f.placements = append(f.placements, placed...)
+		if len(placed) == 0 && s.fleetCanHold(j) {
+			s.reserve(j)
+			j.Waiting = nil
+		}
+	}
+}
+
+// orderBeyondSlots sorts jobs for the room beyond slots. There the upper queue has no precedence,
+// as its cap has been used up. Jobs with a deadline go by the time they have left, and those that
+// can't meet theirs go last: least attained service spreads a full team's quota over all its
+// jobs, and then all of them are late.
 func orderBeyondSlots(jobs []*Job) {
 	slices.SortStableFunc(jobs, func(x, y *Job) int {
-		if x.Late != y.Late {
-			if x.Late {
-				return 1
-			}
-			return -1
-		}
-		return cmp.Or(cmp.Compare(x.LeftS, y.LeftS), cmp.Compare(x.Rank(), y.Rank()))
+		return cmp.Or(compareBool(x.Late, y.Late), cmp.Compare(x.LeftS, y.LeftS), cmp.Compare(x.Rank(), y.Rank()))
 	})
 }
 
-// placeBatches is one pass over batches and gangs. Gangs have no slots to go beyond, so
-// the first two passes are all of theirs.
-func (s *Snapshot) placeBatches(out []Placement, pass int) []Placement {
-	upper := 0.0 // of the fleet, that the upper queue has in this pass
+// placeBatches is one pass over batches and gangs. Gangs have no slots to go beyond, so they take
+// part in the first two passes only.
+func (f *filler) placeBatches(pass fillPass) {
+	s := f.snapshot
+	upperShare := 0.0 // of the fleet, that slots of the upper queue have in this pass
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang && pass > withinSlots {
 			continue
 		}
 		s.refundReserved(j)
 		if j.Gang {
-			out = s.placeGang(out, j, func(t *Quota, whole Need) bool {
-				return t.WithinMaximum(whole.Plus(t.ServiceReserve)) && (pass == withinSlots || t.WithinGuarantee(whole))
-			})
+			f.placements = append(f.placements, s.placeGang(j, func(quota *Quota, whole Need) bool {
+				return quota.WithinMaximum(whole.Plus(quota.ServiceReserve)) && (pass == withinSlots || quota.WithinGuarantee(whole))
+			})...)
 		} else {
 			if j.Upper && pass == withinSlots {
-				upper += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
+				upperShare += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
-			out = s.place(out, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
+			f.placeTasks(j, func(quota *Quota) bool { return s.mayPlaceBatch(j, quota, pass, upperShare) })
 		}
 		s.chargeReserved(j)
 	}
-	return out
 }
 
 // mayPlaceBatch says whether a batch may start one more task in a pass.
-func (s *Snapshot) mayPlaceBatch(j *Job, t *Quota, pass int, upper float64) bool {
+func (s *Snapshot) mayPlaceBatch(j *Job, quota *Quota, pass fillPass, upperShare float64) bool {
 	switch pass {
 	case withinGuarantees:
-		return t.WithinGuarantee(j.Need)
+		return quota.WithinGuarantee(j.Need)
 	case withinSlots:
-		return j.Held < j.Slots && (!j.Upper || upper <= s.UpperCap || j.Held == 0)
+		return j.Held < j.Slots && (!j.Upper || upperShare <= s.UpperCap || j.Held == 0)
 	case interrupted:
-		// What a machine's end took had been decided by rank, and goes on before new
-		// tasks take the room: large jobs have attained most, and each of their
-		// interrupted tasks waited for a boot.
+		// Interrupted tasks had been placed by rank, and go on before new tasks take the room:
+		// large jobs have attained most, and each of their interrupted tasks waited for a boot.
 		return j.Resume > 0
+	case spareRoom:
+		return true
 	}
 	return true
 }
 
-// reservedNeed is what was freed for a job and it has not taken yet.
-func (j *Job) reservedNeed() Need { return j.Need.Times(float64(min(j.Reserved, len(j.Waiting)))) }
-
-// chargeReserved keeps that of the team's limit for it, from the team's other batches.
-func (s *Snapshot) chargeReserved(j *Job) {
-	if t := s.Quotas[j.Team]; t != nil {
-		t.Used = t.Used.Plus(j.reservedNeed())
-	}
-}
-
-// refundReserved lets the job itself have it.
-func (s *Snapshot) refundReserved(j *Job) {
-	if t := s.Quotas[j.Team]; t != nil {
-		t.Used = t.Used.Minus(j.reservedNeed())
-	}
-}
-
-// place starts a job's tasks while its team's limit, the given condition and
-// the room allow.
-func (s *Snapshot) place(out []Placement, j *Job, may func(*Quota) bool) []Placement {
-	team := s.Quotas[j.Team]
-	if len(j.Waiting) == 0 || !team.Admits(j) || !may(team) {
-		return out
+// placeTasks starts a job's tasks while its team's quota, the given condition and the room allow.
+func (f *filler) placeTasks(j *Job, allowed func(*Quota) bool) {
+	s := f.snapshot
+	quota := s.Quotas[j.Team]
+	if len(j.Waiting) == 0 || !quota.Admits(j) || !allowed(quota) {
+		return
 	}
-	choice := s.selectorFor(j)
-	for len(j.Waiting) > 0 && team.Admits(j) && may(team) {
-		m := choice.best()
+	selector := s.selectorFor(j)
+	for len(j.Waiting) > 0 && quota.Admits(j) && allowed(quota) {
+		m := selector.best()
 		if m == nil {
-			break
+			return
 		}
-		out = append(out, Placement{j, j.Waiting[0], m})
+		f.placements = append(f.placements, Placement{j, j.Waiting[0], m})
 		s.assign(j, m)
-		choice.assigned(m)
+		selector.assigned(m)
 	}
-	return out
 }
 
-// Absorbs says whether there is room for a task of each of the jobs, and takes it if there
-// is for all. Their teams' limits are not looked at: they hold that much now.
-func (s *Snapshot) Absorbs(jobs []*Job) bool {
-	rest := s.clone("")
-	for _, j := range jobs {
-		m := rest.bestMachine(j)
-		if m == nil {
-			return false
-		}
-		rest.assign(j, m)
+// reservedNeed is what was freed for the job by preemption and it has not taken yet.
+func (j *Job) reservedNeed() Need { return j.Need.Times(float64(min(j.Reserved, len(j.Waiting)))) }
+
+// chargeReserved counts the job's reserved need as used, so that the team's other batches don't
+// take the part of the quota that was freed for it.
+func (s *Snapshot) chargeReserved(j *Job) {
+	if quota := s.Quotas[j.Team]; quota != nil {
+		quota.Used = quota.Used.Plus(j.reservedNeed())
 	}
-	s.Machines, s.withRoom, s.index, s.Fleet = rest.Machines, [2][]*Machine{}, nil, nil
-	return true
 }
 
-// reserve takes room for expected tasks on machines that are up, as far as
-// there is any.
+// refundReserved takes chargeReserved back for the job's own turn.
+func (s *Snapshot) refundReserved(j *Job) {
+	if quota := s.Quotas[j.Team]; quota != nil {
+		quota.Used = quota.Used.Minus(j.reservedNeed())
+	}
+}
+
+// reserve takes room for the job's waiting tasks on machines that are up, as far as there is any,
+// without making the machines count as used.
 func (s *Snapshot) reserve(j *Job) {
 	if len(j.Waiting) == 0 {
 		return
 	}
-	choice := s.selectorFor(j)
+	selector := s.selectorFor(j)
 	for len(j.Waiting) > 0 {
-		m := choice.best()
+		m := selector.best()
 		if m == nil {
 			return
 		}
@@ -208,154 +223,21 @@
 		if m.Used = used; !used {
 			s.machineChanged(m)
 		}
-		choice.assigned(m)
+		selector.assigned(m)
 	}
 }
 
-func (s *Snapshot) assign(j *Job, m *Machine) {
-	j.Waiting = j.Waiting[1:]
-	j.Resume = max(0, j.Resume-1)
-	j.Held++
-	if j.InZone == nil {
-		j.InZone = map[string]int{}
-	}
-	j.InZone[m.Zone]++
-	if t := s.Quotas[j.Team]; t != nil {
-		t.Used = t.Used.Plus(j.Need)
-	}
-	m.Free = m.Free.Minus(j.Need)
-	m.Room--
-	m.Used = true
-	if !m.Images[j.Image] && j.Image != "" {
-		if m.Fetching == nil {
-			m.Fetching = map[string]bool{}
-		}
-		m.Fetching[j.Image] = true
-	}
-	s.machineChanged(m)
-	if s.preemptible != nil {
-		s.preemptible.taskAssigned(j)
-	}
-}
-
-// machineChanged has to follow each change of a machine.
-func (s *Snapshot) machineChanged(m *Machine) {
-	m.Changed = true
-	if s.index != nil {
-		s.index.update(m)
-	}
-}
-
-// useIndex has machines be found by an index, which is made unless there is one.
-func (s *Snapshot) useIndex() {
-	switch {
-	case s.index != nil:
-	case s.Fleet != nil:
-		s.index = s.Fleet.index
-	default:
-		s.index = newMachineIndex(s.Machines)
-	}
-}
-
-// machinesWithRoom lists the machines that may have room. What has filled up since the list
-// was made stays in it; whatever frees room or adds a machine drops the list.
-func (s *Snapshot) machinesWithRoom(accel, cores bool) []*Machine {
-	k := 0
-	if !accel && !cores {
-		return s.Machines // memory alone
-	}
-	if accel {
-		k = 1
-	}
-	if s.withRoom[k] == nil {
-		s.withRoom[k] = make([]*Machine, 0, len(s.Machines))
-		for _, m := range s.Machines {
-			if m.Room > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
-				s.withRoom[k] = append(s.withRoom[k], m)
-			}
-		}
-	}
-	return s.withRoom[k]
-}
-
-// accepts says whether the machine may be given a task of the job now.
-func (s *Snapshot) accepts(j *Job, m *Machine) bool {
-	return (m.ReservedFor == "" || m.ReservedFor == j.ID) && m.Room > 0 && j.Need.Fits(m.Free) && j.MayRunOn(m) &&
-		!(s.reserveAcceleratorCores && j.Plain && j.blocksAccelerators(m))
-}
-
-// bestMachine is the best machine for one task of the job, nil if none has room.
-func (s *Snapshot) bestMachine(j *Job) *Machine {
-	if c := s.searchIndex(j); c != nil {
-		return c.best()
-	}
-	return s.scanForBest(j)
-}
-
-// scanForBest looks at all machines.
-func (s *Snapshot) scanForBest(j *Job) *Machine {
-	var pick *Machine
-	bestScore := math.Inf(1)
-	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
-	s.Looked += len(list)
-	for _, m := range list {
-		if !s.accepts(j, m) {
-			continue
-		}
-		if sc := s.score(j, m); sc < bestScore {
-			pick, bestScore = m, sc
-		}
-	}
-	return pick
-}
-
-// acceleratorCoreReserve is the part of their cores that free accelerators keep.
-const acceleratorCoreReserve = 0.75
-
-// blocksAccelerators says whether a task without accelerators would take cores that free
-// accelerators need: each keeps three quarters of its part of them.
-func (j *Job) blocksAccelerators(m *Machine) bool {
-	if j.Need.Accel > 0 || m.Type.Size.Accel <= 0 {
-		return false
-	}
-	left := m.Free.Minus(j.Need)
-	return left.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
-}
-
-// score is lower for a better machine. The weights only order the wishes:
-// ready before booting, image there, cheap kind, no accelerators blocked by
-// work that has no use for them, and a tight fit.
-func (s *Snapshot) score(j *Job, m *Machine) float64 {
-	sc := 0.0
-	if m.Booting {
-		sc += 1000
-	}
-	switch {
-	case j.Headroom && len(j.Images) > 0:
-		// Room is kept where the images are: kept elsewhere, each replica began with a fetch.
-		sc += 60 * j.fetchWeight(m.Type) * j.missingShare(m)
-	case j.Image == "" || m.Images[j.Image]:
-	case m.Fetching[j.Image]:
-		sc += 20
-	default:
-		sc += 60*j.fetchWeight(m.Type) + 40*float64(len(m.Fetching))
-	}
-	if j.Spot && !m.Spot {
-		sc += 50
-	}
-	if j.Need.Accel == 0 && m.Type.Size.Accel > 0 {
-		if j.blocksAccelerators(m) {
-			sc += 400
+// Absorbs says whether there is room for a task of each of the jobs, and takes it if there is for
+// all. Quotas are not checked: the jobs' teams use that much already.
+func (s *Snapshot) Absorbs(jobs []*Job) bool {
+	rest := s.clone("")
+	for _, j := range jobs {
+		m := rest.bestMachine(j)
+		if m == nil {
+			return false
 		}
-		sc += 30
-	}
-	left := Share(m.Free.Minus(j.Need), m.Type.Size)
-	if j.Need.Accel == 0 {
-		left = (m.Free.Cores - j.Need.Cores) / math.Max(m.Type.Size.Cores, eps)
-	}
-	sc += looseFitScore * left
-	if !m.Used {
-		sc += 15
+		rest.assign(j, m)
 	}
-	return sc
+	s.Machines, s.withRoom, s.index, s.Fleet = rest.Machines, [2][]*Machine{}, nil, nil
+	return true
 }
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -1,21 +1,18 @@
 package scheduler
 
-import (
-	"maps"
-	"slices"
-)
+import "slices"
 
-// Fleet keeps machines in the order in which tasks are placed, from one pass to the next. A
-// snapshot that is given one does not put its machines in order anew.
+// Fleet keeps machines in order from one snapshot to the next, so that a snapshot that is given
+// one need not index its machines anew.
 type Fleet struct{ index *machineIndex }
 
 // NewFleet makes a fleet without machines.
 func NewFleet() *Fleet { return &Fleet{newMachineIndex(nil)} }
 
-// Update puts a machine where it belongs now. Of machines that are alike the one with the
-// lowest place goes first; a place must not change while the machine is in the fleet.
-func (f *Fleet) Update(m *Machine, place int) {
-	m.position, m.Changed = place, false
+// Update adds a machine, or follows its changes. Of machines with equal scores the one with the
+// lowest position is chosen; the position must not change while the machine is in the fleet.
+func (f *Fleet) Update(m *Machine, position int) {
+	m.position, m.Changed = position, false
 	f.index.update(m)
 }
 
@@ -24,31 +21,32 @@
 
 // Follows says whether the fleet has the machine as it is now.
 func (f *Fleet) Follows(m *Machine) bool {
-	s := f.index.machines[m]
-	if s == nil || s.free != m.Free || s.room != m.Room || s.reservedFor != m.ReservedFor || s.pool != f.index.pools[poolKey{m.Type, m.Zone, m.Spot}] {
+	indexed := f.index.machines[m]
+	if indexed == nil || indexed.free != m.Free || indexed.room != m.Room || indexed.reservedFor != m.ReservedFor ||
+		indexed.pool != f.index.pools[m.poolKey()] {
 		return false
 	}
-	if s.class == nil {
-		return m.ReservedFor != "" || m.Room <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
+	if indexed.class == nil {
+		return m.ReservedFor != "" || m.isFull()
 	}
-	key := classKey{booting: m.Booting, used: m.Used, fetching: len(m.Fetching), accel: m.Free.Accel}
-	return s.class.classKey == key && s.entry.cores == m.Free.Cores && s.entry.position == m.position && s.imagesMatch(m)
+	return indexed.class.classKey == m.classKey() && indexed.entry.cores == m.Free.Cores && indexed.entry.position == m.position &&
+		indexed.imagesMatch(m)
 }
 
-// imagesMatch says whether the machine has the images that it is found by.
-func (s *indexedMachine) imagesMatch(m *Machine) bool {
-	var having, fetching []string
+// imagesMatch says whether the machine has the images that it was indexed with.
+func (i *indexedMachine) imagesMatch(m *Machine) bool {
+	var present, fetching []string
 	for image, has := range m.Images {
 		if has {
-			having = append(having, image)
+			present = append(present, image)
 		}
 	}
-	for _, image := range slices.Collect(maps.Keys(m.Fetching)) {
+	for image := range m.Fetching {
 		if !m.Images[image] {
 			fetching = append(fetching, image)
 		}
 	}
-	return sameElements(having, s.withImages) && sameElements(fetching, s.fetchingImages)
+	return sameElements(present, i.withImages) && sameElements(fetching, i.fetchingImages)
 }
 
 // sameElements compares two lists in any order.
--- /dev/null
+++ b/internal/scheduler/gang_placement.go
@@ -0,0 +1,117 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+)
+
+// wholeNeed is what all waiting tasks of the job need together.
+func (j *Job) wholeNeed() Need { return j.Need.Times(float64(len(j.Waiting))) }
+
+// fleetCanHold says whether the machines there are could hold the whole gang if they were empty. A
+// gang that they can't hold waits for rented machines, and must not hold room back from others.
+func (s *Snapshot) fleetCanHold(j *Job) bool {
+	tasksByZone, all := map[string]float64{}, 0.0
+	for _, m := range s.Machines {
+		if j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.Need.Fits(m.Type.Size) {
+			n := perMachine(j.Need, m.Type.Size)
+			tasksByZone[m.Zone] += n
+			all += n
+		}
+	}
+	most := 0.0
+	for _, n := range tasksByZone {
+		most = max(most, n)
+	}
+	switch tasks := float64(len(j.Waiting)); {
+	case j.Spread:
+		return len(tasksByZone) > 1 && all >= 2*tasks
+	case j.OneZone:
+		return most >= tasks
+	default:
+		return all >= tasks
+	}
+}
+
+// placeGang starts all tasks of a gang, or none. A gang that must be in one zone is tried in one
+// after the other, as the best machine for its first task may be in a zone without room for all.
+func (s *Snapshot) placeGang(j *Job, allowed func(quota *Quota, whole Need) bool) []Placement {
+	quota := s.Quotas[j.Team]
+	if len(j.Waiting) == 0 || quota == nil || !allowed(quota, j.wholeNeed()) {
+		return nil
+	}
+	if !j.OneZone || j.Zone != "" {
+		placed, _ := s.tryPlaceGang(j)
+		return placed
+	}
+	defer func() { j.Zone = "" }()
+	for _, j.Zone = range s.gangZones(j) {
+		if placed, ok := s.tryPlaceGang(j); ok {
+			return placed
+		}
+	}
+	return nil
+}
+
+// gangAssignment is what undoing the assignment of a gang's task has to restore.
+type gangAssignment struct {
+	machine     *Machine
+	wasUsed     bool
+	wasFetching bool
+}
+
+// tryPlaceGang places all waiting tasks of a gang, or takes everything back.
+func (s *Snapshot) tryPlaceGang(j *Job) ([]Placement, bool) {
+	var out []Placement
+	var assigned []gangAssignment
+	waiting, held := j.Waiting, j.Held
+	for len(j.Waiting) > 0 {
+		m := s.bestMachine(j)
+		if m == nil {
+			for _, a := range slices.Backward(assigned) {
+				s.unassign(j, a)
+			}
+			j.Waiting, j.Held = waiting, held
+			return nil, false
+		}
+		assigned = append(assigned, gangAssignment{m, m.Used, m.Fetching[j.Image]})
+		out = append(out, Placement{j, j.Waiting[0], m})
+		s.assign(j, m)
+	}
+	return out, true
+}
+
+// unassign takes the last assignment of a task of the job back, but for the job's own counts.
+func (s *Snapshot) unassign(j *Job, a gangAssignment) {
+	m := a.machine
+	m.Free, m.Used = m.Free.Plus(j.Need), a.wasUsed
+	m.Room++
+	if !a.wasFetching {
+		delete(m.Fetching, j.Image)
+	}
+	s.machineChanged(m)
+	j.InZone[m.Zone]--
+	if quota := s.Quotas[j.Team]; quota != nil {
+		quota.Used = quota.Used.Minus(j.Need)
+	}
+}
+
+// maxTasksPerMachine bounds a count that is infinite for tasks that need nothing.
+const maxTasksPerMachine = 1e6
+
+// gangZones lists the zones whose free room may hold the whole gang, those with the most room for
+// it first.
+func (s *Snapshot) gangZones(j *Job) []string {
+	room := map[string]int{}
+	for _, m := range s.Machines {
+		if (m.ReservedFor == "" || m.ReservedFor == j.ID) && j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.Avoid[m.ID] {
+			if n := min(perMachine(j.Need, m.Free), float64(m.Room)); n >= 1 {
+				room[m.Zone] += int(min(n, maxTasksPerMachine))
+			}
+		}
+	}
+	zones := slices.Sorted(maps.Keys(room))
+	zones = slices.DeleteFunc(zones, func(zone string) bool { return room[zone] < len(j.Waiting) })
+	slices.SortStableFunc(zones, func(a, b string) int { return room[b] - room[a] })
+	return zones
+}
--- /dev/null
+++ b/internal/scheduler/gang_preemption.go
@@ -0,0 +1,315 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+	"strings"
+)
+
+// maxGangMachinesExamined bounds how many machines one round examines for gangs: a leader with
+// hundreds of waiting gangs must renew its lease meanwhile. What is left comes with the next
+// round.
+const maxGangMachinesExamined = 100_000
+
+// gangRequirements is what decides where a gang may get room, but for its size.
+type gangRequirements struct {
+	team, zone, types     string
+	need                  Need
+	priority              int
+	spot, oneZone, spread bool
+}
+
+func (j *Job) gangRequirements() gangRequirements {
+	return gangRequirements{team: j.Team, zone: j.Zone, types: strings.Join(slices.Sorted(maps.Keys(j.Types)), ","), need: j.Need,
+		priority: j.Priority, spot: j.Spot, oneZone: j.OneZone, spread: j.Spread}
+}
+
+// preemptForGang makes room for all waiting tasks of a gang. The bound on a round's stops does not
+// hold for its first ones: a gang that needs more would wait for ever.
+func (r *preemptionRound) preemptForGang(j *Job) {
+	if len(j.Waiting) == 0 || r.snapshot.Quotas[j.Team] == nil || r.snapshot.gangMachinesExamined > maxGangMachinesExamined {
+		return
+	}
+	requirements := j.gangRequirements()
+	if tasks, known := r.infeasibleGangs[requirements]; known && len(j.Waiting) >= tasks && j.Held == 0 {
+		return
+	}
+	preemption := r.cheapestGangPreemption(j)
+	if preemption == nil {
+		if j.Held == 0 {
+			r.infeasibleGangs[requirements] = len(j.Waiting)
+		}
+		return
+	}
+	stops := len(r.plan.Stops)
+	if len(preemption.stops) == 0 || stops > 0 && stops+len(preemption.stops) > r.maxStops {
+		return
+	}
+	r.preemptWith(preemption)
+}
+
+// preemptWith carries a gang's preemption out.
+func (r *preemptionRound) preemptWith(preemption *gangPreemption) {
+	j := preemption.job
+	for _, stop := range preemption.stops {
+		r.stop(stop, j)
+	}
+	for _, m := range r.snapshot.Machines {
+		if n := preemption.placed[m]; n > 0 {
+			for range n {
+				r.assign(j, m)
+			}
+			r.reserve(j, m, n)
+		}
+	}
+}
+
+// gangPreemption is a way to make room for all waiting tasks of a gang: where they go, and what
+// has to stop for them. While it is being worked out nothing of the snapshot changes, as stops
+// that don't lead to a start only cost work.
+type gangPreemption struct {
+	round      *preemptionRound
+	job        *Job
+	guaranteed bool            // the whole gang is within its team's guarantee
+	gangTasks  map[*Job][]Stop // of running gangs, which stop whole
+
+	free        map[*Machine]Need // of machines where something stops or was placed
+	placed      map[*Machine]int  // tasks of the gang by machine
+	freedByTeam map[string]Need
+	stopped     map[taskKey]bool
+	inZone      map[string]int // tasks of the gang by zone, with those that run
+	stops       []Stop
+	cost        float64
+}
+
+type taskKey struct {
+	job   *Job
+	index int
+}
+
+// cheapestGangPreemption finds the cheapest way, in each zone in turn if the gang must be in one.
+// Nil: there is none.
+func (r *preemptionRound) cheapestGangPreemption(j *Job) *gangPreemption {
+	zones := []string{j.Zone}
+	if j.OneZone && j.Zone == "" {
+		zones = r.zones()
+	}
+	gangTasks := r.tasks.runningGangs()
+	var cheapest *gangPreemption
+	for _, zone := range zones {
+		preemption := r.newGangPreemption(j, gangTasks)
+		if preemption.find(zone) && (cheapest == nil || preemption.cost < cheapest.cost) {
+			cheapest = preemption
+		}
+	}
+	return cheapest
+}
+
+func (r *preemptionRound) newGangPreemption(j *Job, gangTasks map[*Job][]Stop) *gangPreemption {
+	inZone := maps.Clone(j.InZone)
+	if inZone == nil {
+		inZone = map[string]int{}
+	}
+	return &gangPreemption{round: r, job: j, gangTasks: gangTasks, free: map[*Machine]Need{}, placed: map[*Machine]int{},
+		freedByTeam: map[string]Need{}, stopped: map[taskKey]bool{}, inZone: inZone,
+		guaranteed: r.snapshot.Quotas[j.Team].WithinGuarantee(j.wholeNeed())}
+}
+
+// zones lists the zones of the machines.
+func (r *preemptionRound) zones() []string {
+	seen := map[string]bool{}
+	for _, m := range r.snapshot.Machines {
+		seen[m.Zone] = true
+	}
+	return slices.Sorted(maps.Keys(seen))
+}
+
+// find places the tasks one by one where the next costs least, and then frees the team's quota. It
+// returns false if there is no room for some of them.
+func (g *gangPreemption) find(zone string) bool {
+	machines := g.eligibleMachines(zone)
+	options := make([]*taskOption, len(machines))
+	for range g.job.Waiting {
+		best := g.cheapestOption(machines, options)
+		if best < 0 {
+			return false
+		}
+		option := options[best]
+		g.place(machines[best], option)
+		if slices.ContainsFunc(option.stops, func(stop Stop) bool { return stop.Victim.Job.Gang }) {
+			clear(options) // a gang that stops frees room on other machines too
+		}
+		options[best] = nil
+	}
+	return g.freeQuota()
+}
+
+// eligibleMachines lists the machines that the gang may use in a zone, or in any if it is empty.
+func (g *gangPreemption) eligibleMachines(zone string) []*Machine {
+	allowed := *g.job
+	allowed.Zone = zone
+	var machines []*Machine
+	for _, m := range g.round.snapshot.Machines {
+		if !m.Booting && (m.ReservedFor == "" || m.ReservedFor == allowed.ID) && allowed.Need.Fits(m.Type.Size) &&
+			allowed.AllowedOn(m.Type.Name, m.Zone, m.Spot) {
+			machines = append(machines, m)
+		}
+	}
+	return machines
+}
+
+// cheapestOption is the number of the machine where the next task costs least, -1 if there is
+// none. It works out the options that are nil.
+func (g *gangPreemption) cheapestOption(machines []*Machine, options []*taskOption) int {
+	best := -1
+	for i, m := range machines {
+		if options[i] == nil {
+			options[i] = g.optionOn(m)
+		}
+		if options[i].possible && g.zoneOpen(m.Zone) && (best < 0 || options[i].cost < options[best].cost) {
+			best = i
+		}
+	}
+	return best
+}
+
+func (g *gangPreemption) zoneOpen(zone string) bool {
+	after := *g.job
+	after.InZone = g.inZone
+	return after.ZoneOpen(zone)
+}
+
+// taskOption is what one more task of the gang costs on a machine.
+type taskOption struct {
+	possible bool
+	stops    []Stop
+	cost     float64
+}
+
+// optionOn works out what has to stop on a machine for one more task there.
+func (g *gangPreemption) optionOn(m *Machine) *taskOption {
+	g.round.snapshot.gangMachinesExamined++
+	j := g.job
+	free := g.freeOn(m)
+	if j.Need.Fits(free) {
+		return &taskOption{possible: m.Room > g.placed[m]}
+	}
+	option := &taskOption{}
+	freedByTeam := maps.Clone(g.freedByTeam)
+	for _, task := range g.preemptibleOn(m) {
+		if j.Need.Fits(free) {
+			break
+		}
+		if task.Job.Priority >= j.Priority && !g.stillExceedsGuarantee(task.Job.Team, freedByTeam) {
+			continue // its team has returned all that it had borrowed
+		}
+		option.stops = append(option.stops, Stop{Victim: task, Machine: m})
+		free = free.Plus(task.Job.Need)
+		freedByTeam[task.Job.Team] = freedByTeam[task.Job.Team].Plus(task.Job.Need)
+	}
+	option.stops, option.cost = g.withoutNeedless(m, option.stops)
+	option.possible = j.Need.Fits(free) && m.Room > g.placed[m]
+	return option
+}
+
+// preemptibleOn lists the tasks on a machine that may be stopped for the gang and that are not to
+// be stopped already, what costs least first.
+func (g *gangPreemption) preemptibleOn(m *Machine) []RunningTask {
+	var tasks []RunningTask
+	for _, task := range m.Running {
+		if !g.stopped[taskKey{task.Job, task.Index}] && g.round.isPreemptible(task.Job, g.job, g.guaranteed) {
+			tasks = append(tasks, task)
+		}
+	}
+	sortPreemptible(tasks)
+	return tasks
+}
+
+// withoutNeedless leaves out the stops that larger ones after them made needless. It returns the
+// others and their cost.
+func (g *gangPreemption) withoutNeedless(m *Machine, stops []Stop) ([]Stop, float64) {
+	free := g.freeOn(m)
+	for _, stop := range stops {
+		free = free.Plus(stop.Victim.Job.Need)
+	}
+	var needed []Stop
+	cost := 0.0
+	for _, stop := range stops {
+		if less := free.Minus(stop.Victim.Job.Need); g.job.Need.Fits(less) {
+			free = less
+			continue
+		}
+		needed = append(needed, stop)
+		cost += stopCost(stop.Victim, m)
+	}
+	return needed, cost
+}
+
+func (g *gangPreemption) freeOn(m *Machine) Need {
+	if free, changed := g.free[m]; changed {
+		return free
+	}
+	return m.Free
+}
+
+// stillExceedsGuarantee says whether the team would use more than its guarantee after the stops.
+func (g *gangPreemption) stillExceedsGuarantee(team string, freedByTeam map[string]Need) bool {
+	quota := g.round.snapshot.Quotas[team]
+	if quota == nil {
+		return false
+	}
+	after := *quota
+	after.Used = after.Used.Minus(freedByTeam[team])
+	return after.ExceedsGuarantee()
+}
+
+// place gives a task of the gang its place on the machine.
+func (g *gangPreemption) place(m *Machine, option *taskOption) {
+	for _, stop := range option.stops {
+		g.addStop(stop)
+	}
+	g.cost += option.cost
+	g.free[m] = g.freeOn(m).Minus(g.job.Need)
+	g.placed[m]++
+	g.inZone[m.Zone]++
+}
+
+// addStop notes a task that is to stop, with all of its gang.
+func (g *gangPreemption) addStop(stop Stop) {
+	all := []Stop{stop}
+	if stop.Victim.Job.Gang {
+		all = g.gangTasks[stop.Victim.Job]
+	}
+	for _, one := range all {
+		victim := one.Victim
+		key := taskKey{victim.Job, victim.Index}
+		if g.stopped[key] {
+			continue
+		}
+		g.stopped[key] = true
+		g.stops = append(g.stops, one)
+		g.free[one.Machine] = g.freeOn(one.Machine).Plus(victim.Job.Need)
+		g.freedByTeam[victim.Job.Team] = g.freedByTeam[victim.Job.Team].Plus(victim.Job.Need)
+	}
+}
+
+// freeQuota stops the team's own work of lower priority until its quota has room for the whole
+// gang. It returns false if that can't be.
+func (g *gangPreemption) freeQuota() bool {
+	j := g.job
+	quota := *g.round.snapshot.Quotas[j.Team]
+	whole := j.wholeNeed().Plus(quota.ServiceReserve)
+	for {
+		after := quota
+		after.Used = quota.Used.Minus(g.freedByTeam[j.Team])
+		if after.WithinMaximum(whole) {
+			return true
+		}
+		m, youngest := g.round.tasks.youngestOfTeam(j, g.stops)
+		if m == nil {
+			return false
+		}
+		g.addStop(Stop{Victim: youngest, Machine: m})
+		g.cost += stopCost(youngest, m)
+	}
+}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -6,50 +6,51 @@
 	"strings"
 )
 
-// Job is a job with the tasks that wait.
+// Job is a job with its waiting tasks.
 type Job struct {
 	ID, Class, Team, Image string
-	ImageGB, AimS          float64 // AimS: the users' shortest aim for a start, 0: none
+	ImageGB                float64
+	AimS                   float64 // the users' shortest objective for a start, in seconds; 0: none
 	Service                bool
 	Gang                   bool // all its tasks are placed, or none
 	Priority               int
 	Submitted              int64
-	Need                   Need
-	Spot                   bool
-	SaveS                  float64         // time to save when stopped
-	Types                  map[string]bool // nil: any
-	Avoid                  map[string]bool // machines where it failed
-	Zone                   string
-	OneZone, Spread        bool
+	Need                   Need            // of one task
+	Spot                   bool            // may run on spot machines
+	SaveS                  float64         // seconds that its tasks need to save when stopped
+	Types                  map[string]bool // machine types that it may use; nil: any
+	Avoid                  map[string]bool // IDs of machines where it failed
+	Zone                   string          // that it must run in; empty: any
+	OneZone, Spread        bool            // all tasks in one zone; no more than half of them in one
 	Tasks                  int
-	Waiting                []int
-	InZone                 map[string]int
-	Held                   int
-	Upper                  bool
-	Slots                  int
-	Attained, Degradation  float64
-	Headroom               bool
-	// LeftS is the time left until its deadline, infinite if it has none; Late:
-	// it can't be met any more.
+	Waiting                []int          // indices of the tasks that wait
+	InZone                 map[string]int // tasks on machines, by zone
+	Held                   int            // tasks on machines
+	Upper                  bool           // in GREEN's upper queue
+	Slots                  int            // tasks that it may run before spare room is shared out
+	Attained, Degradation  float64        // see Scale
+	// Headroom: its tasks are expected, not submitted. They hold room for replicas to come.
+	Headroom bool
+	// LeftS is the time left until its deadline in seconds, infinite if it has none.
 	LeftS float64
-	Late  bool
-	// Resume is how many of the waiting tasks, listed first, ran before and were
-	// interrupted by their machine's end rather than by rank.
+	// Late: it can't meet its deadline any more.
+	Late bool
+	// Resume is how many of the waiting tasks, listed first, ran before and were interrupted by
+	// their machine's end rather than by rank.
 	Resume int
-	// Reserved is for how many of its tasks others were stopped and have not all
-	// gone yet.
+	// Reserved is for how many of its tasks others were preempted and have not all gone yet.
 	Reserved int
-	// Images are the images that expected tasks may need, with the share of each; missing
-	// is what share of them machines of an image set lack, as far as asked.
-	Images        []ImageShare
-	missingShares map[int]float64
+	// Images are the images that expected tasks may need, with the share of each.
+	Images []ImageShare
 	// Plain: a batch for machines without accelerators, see IsPlain.
 	Plain bool
 	// Patient: it has waited so long that no rented machine will come.
-	Patient      bool
-	rankPosition int // of the jobs in a round, by rank
+	Patient bool
 	// Starved: it has had no task anywhere for longer than a boot.
 	Starved bool
+
+	missingShares map[int]float64 // by image set, see missingShare
+	rankPosition  int             // among the jobs of a round, by rank
 }
 
 // ImageShare is the share of expected tasks that need an image.
@@ -58,13 +59,13 @@
 	Share float64
 }
 
-// Rank is attained service over degradation: the least goes first.
+// Rank is attained service over degradation: the lowest goes first.
 func (j *Job) Rank() float64 { return j.Attained / j.Degradation }
 
 // Classes of jobs in the order of ranks.
 const (
 	rankService = iota
-	rankExpected
+	rankHeadroom
 	rankUpper
 	rankLower
 )
@@ -74,19 +75,19 @@
 	case j.Service && !j.Headroom:
 		return rankService
 	case j.Headroom:
-		return rankExpected
+		return rankHeadroom
 	case j.Upper:
 		return rankUpper
 	}
 	return rankLower
 }
 
-// Order sorts by rank: services first (by priority, then age), then the room
-// kept for expected ones, then the upper queue first come first served, then
-// the lower queue by Rank. Jobs that are in order already cost little.
+// Order sorts by rank: services first (by priority, then age), then the expected replicas, then
+// the upper queue first come first served, then the lower queue by Rank. Jobs that are in order
+// already cost little.
 func Order(jobs []*Job) { slices.SortFunc(jobs, compareRanks) }
 
-// compareRanks is total, as names differ.
+// compareRanks is a total order, as IDs differ.
 func compareRanks(x, y *Job) int {
 	class := x.rankClass()
 	if c := cmp.Compare(class, y.rankClass()); c != 0 {
@@ -106,17 +107,17 @@
 	return strings.Compare(x.ID, y.ID)
 }
 
-// AllowedOn says whether the job's own words allow this type, zone and kind.
+// AllowedOn says whether the job's own constraints allow this type, zone and kind.
 func (j *Job) AllowedOn(typ, zone string, spot bool) bool {
 	return (!spot || j.Spot) && (j.Zone == "" || j.Zone == zone) && (j.Types == nil || j.Types[typ])
 }
 
-// MayRunOn says whether the job may have a task on the machine, room apart.
+// MayRunOn says whether the job may have a task on the machine, if there is room.
 func (j *Job) MayRunOn(m *Machine) bool {
 	return j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.ZoneOpen(m.Zone) && !j.Avoid[m.ID]
 }
 
-// ZoneOpen says whether one more task may go to the zone, given the others.
+// ZoneOpen says whether one more task may go to the zone, given where the others are.
 func (j *Job) ZoneOpen(zone string) bool {
 	if j.OneZone {
 		for z, n := range j.InZone {
@@ -127,34 +128,3 @@
 	}
 	return !j.Spread || j.InZone[zone] < (j.Tasks+1)/2
 }
-
-// missingShare is the share of expected tasks whose image the machine lacks.
-func (j *Job) missingShare(m *Machine) float64 {
-	if share, known := j.missingShares[m.ImageSet]; known {
-		return share
-	}
-	share := 0.0
-	for _, expected := range j.Images {
-		if !m.Images[expected.Image] {
-			share += expected.Share
-		}
-	}
-	if m.ImageSet == 0 {
-		return share
-	}
-	if j.missingShares == nil {
-		j.missingShares = map[int]float64{}
-	}
-	j.missingShares[m.ImageSet] = share
-	return share
-}
-
-// fetchWeight is how much a missing image matters on a type: its fetch by the
-// time that the users give a start. Small images on slow machines miss an aim of
-// a second, while a dearer machine has them at once.
-func (j *Job) fetchWeight(t *Type) float64 {
-	if j.AimS <= 0 || t.FetchGBPerS <= 0 {
-		return 1
-	}
-	return min(4, max(0.25, j.ImageGB/t.FetchGBPerS/j.AimS))
-}
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -8,11 +8,12 @@
 	"sort"
 )
 
-// The pass in this file is the one that looked at all machines for each task, as it stood
-// before the index. It is the oracle of the index: both must decide alike.
+// oracle is the algorithm that scored all machines for each task, as it stood before the index.
+// Both must decide alike, so it is kept as it was: changes of the package's algorithm that keep its
+// decisions don't belong here.
 type oracle struct {
 	*Snapshot
-	withRoom [2][]*Machine
+	listsWithRoom [2][]*Machine
 }
 
 // Fill starts waiting tasks in rank order: services, those within their team's
@@ -33,7 +34,7 @@
 	if s.Moving {
 		return out
 	}
-	for pass := range fillPasses {
+	for _, pass := range fillPasses {
 		s.reserveAcceleratorCores = pass == spareRoom
 		if pass == interrupted {
 			orderBeyondSlots(s.Jobs)
@@ -77,7 +78,7 @@
 
 // placeBatches is one pass over batches and gangs. Gangs have no slots to go beyond, so
 // the first two passes are all of theirs.
-func (s *oracle) placeBatches(out []Placement, pass int) []Placement {
+func (s *oracle) placeBatches(out []Placement, pass fillPass) []Placement {
 	upper := 0.0 // of the fleet, that the upper queue has in this pass
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang && pass > withinSlots {
@@ -170,15 +171,15 @@
 	if accel {
 		k = 1
 	}
-	if s.withRoom[k] == nil {
-		s.withRoom[k] = make([]*Machine, 0, len(s.Machines))
+	if s.listsWithRoom[k] == nil {
+		s.listsWithRoom[k] = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
 			if m.Room > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
-				s.withRoom[k] = append(s.withRoom[k], m)
+				s.listsWithRoom[k] = append(s.listsWithRoom[k], m)
 			}
 		}
 	}
-	return s.withRoom[k]
+	return s.listsWithRoom[k]
 }
 
 func (s *oracle) bestMachine(j *Job) *Machine {
@@ -235,7 +236,7 @@
 		return append(out, got...)
 	}
 	defer func() { j.Zone = "" }()
-	for _, j.Zone = range s.zonesFor(j) {
+	for _, j.Zone = range s.gangZones(j) {
 		if got, ok := s.tryPlaceGang(j); ok {
 			return append(out, got...)
 		}
@@ -287,19 +288,8 @@
 	var order []Pool
 	created := 0
 	for ji, j := range s.Jobs {
-		if j.Gang && len(j.Waiting) > 0 {
-			if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
-				continue
-			}
-			if s.placeGang(nil, j, func(*Quota, Need) bool { return true }) != nil {
-				continue
-			}
-			if j.OneZone && j.Zone == "" {
-				// What is missing has to be rented in a zone where that can be done.
-				if p, typ := s.cheapestPool(j, s.Jobs[ji:], types, blocked); typ != nil {
-					j.Zone = p.Zone
-				}
-			}
+		if j.Gang && len(j.Waiting) > 0 && s.planGang(j, s.Jobs[ji:], types, blocked) {
+			continue
 		}
 		if len(j.Waiting) == 0 {
 			continue
@@ -320,7 +310,7 @@
 				}
 				m = &Machine{Type: typ, Zone: p.Zone, Spot: p.Spot, Free: typ.Size, Room: 1 << 20, Booting: true}
 				s.Machines = append(s.Machines, m)
-				s.withRoom = [2][]*Machine{}
+				s.listsWithRoom = [2][]*Machine{}
 				choice.added(m, len(s.Machines))
 				if want[p] == 0 {
 					order = append(order, p)
@@ -339,6 +329,23 @@
 	return out
 }
 
+// planGang places a gang whole. It returns false if machines have to be rented for it.
+func (s *oracle) planGang(j *Job, later []*Job, types []*Type, blocked func(Pool) bool) bool {
+	if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
+		return true
+	}
+	if s.placeGang(nil, j, func(*Quota, Need) bool { return true }) != nil {
+		return true
+	}
+	if j.OneZone && j.Zone == "" {
+		// What is missing has to be rented in a zone where that can be done.
+		if p, typ := s.cheapestPool(j, later, types, blocked); typ != nil {
+			j.Zone = p.Zone
+		}
+	}
+	return false
+}
+
 // Stops are a round's: for tasks that wait within their slots and found no
 // room, lower-ranked tasks give way, as far as "Preemption" lets them.
 func (s *oracle) Stops(most int) Preemption {
@@ -348,7 +355,7 @@
 		rank[j] = i
 	}
 	var out Preemption
-	none := infeasibleGangs{}
+	infeasible := map[gangRequirements]int{}
 	s.gangMachinesExamined = 0
 	for _, j := range s.Jobs {
 		switch {
@@ -356,7 +363,7 @@
 		case j.Reserved > 0:
 			// What was stopped for this job before is still on its way out.
 		case j.Gang:
-			s.preemptForGang(j, rank, &out, most, none)
+			s.preemptForGang(j, rank, &out, most, infeasible)
 		default:
 			s.preemptForTasks(j, rank, &out, most)
 		}
@@ -418,7 +425,7 @@
 	return m, set
 }
 
-// candidates are the machines that may take a task of one job, the best first. Tasks of a
+// oracleCandidateHeap has the machines that may take a task of one job, the best first. Tasks of a
 // job are alike, so taking one changes the score of its machine alone: for an array of
 // thousands in a fleet of hundreds, looking at all machines for each task took a quarter
 // of a second of a controller's share of a core.
@@ -434,7 +441,7 @@
 	position int // in the oracle's list: equal scores go to the first
 }
 
-// choice picks the machines for one task of a job after the other.
+// oracleMachineSelector picks the machines for one task of a job after the other.
 type oracleMachineSelector interface {
 	// best is the best machine for the next task, nil if none has room.
 	best() *Machine
@@ -444,7 +451,7 @@
 	added(m *Machine, place int)
 }
 
-// oracleFullScan looks at all machines anew for each task.
+// oracleFullScan scores all machines anew for each task.
 type oracleFullScan struct {
 	oracle *oracle
 	job    *Job
@@ -535,19 +542,24 @@
 	return x
 }
 
-// stop and preemptForGang free room, so that the lists of machines with room are made anew.
+// stop frees room, so that the lists of machines with room are made anew.
 func (s *oracle) stop(m *Machine, v RunningTask, j *Job) Stop {
-	s.withRoom = [2][]*Machine{}
-	return s.Snapshot.stop(m, v, j)
+	s.listsWithRoom = [2][]*Machine{}
+	s.removeTask(m, v)
+	return Stop{Victim: v, Machine: m, For: j}
 }
 
-func (s *oracle) preemptForGang(j *Job, rank map[*Job]int, out *Preemption, most int, none infeasibleGangs) {
+// preemptForGang has no former algorithm to be compared with: it is the round's own, on tasks that
+// are listed anew for each gang.
+func (s *oracle) preemptForGang(j *Job, rank map[*Job]int, out *Preemption, most int, infeasible map[gangRequirements]int) {
 	for job, i := range rank {
 		job.rankPosition = i
 	}
-	s.preemptible = newPreemptibleTasks(s.Snapshot)
-	s.Snapshot.preemptForGang(j, out, most, none)
-	s.withRoom = [2][]*Machine{}
+	round := newPreemptionRound(s.Snapshot, most)
+	round.plan, round.infeasibleGangs = *out, infeasible
+	round.preemptForGang(j)
+	*out = round.plan
+	s.listsWithRoom = [2][]*Machine{}
 }
 
 // youngest is the task of the job's team and of lower priority that has held
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,17 +1,21 @@
 package scheduler
 
-// Quota is a team's guarantee, limit and use. Zero in Guarantee or Limit: none.
-// Kept is what its batches leave of the limit for services that arrive before a
-// round could stop one of them.
-type Quota struct{ Guaranteed, Maximum, Used, ServiceReserve Need }
+// Quota is a team's guarantee, maximum and use. A zero resource in Guaranteed or Maximum is not
+// bounded.
+type Quota struct {
+	Guaranteed, Maximum, Used Need
+	// ServiceReserve is what the team's batches leave of the maximum for services that arrive
+	// before a round could preempt one of them.
+	ServiceReserve Need
+}
 
-func within(used, bound Need, unbounded bool) bool {
-	ok := func(u, b float64) bool { return (unbounded && b == 0) || u <= b+eps }
+func within(used, bound Need) bool {
+	ok := func(u, b float64) bool { return b == 0 || u <= b+eps }
 	return ok(used.Cores, bound.Cores) && ok(used.Accel, bound.Accel)
 }
 
 // WithinMaximum says whether the team may use n more.
-func (q *Quota) WithinMaximum(n Need) bool { return within(q.Used.Plus(n), q.Maximum, true) }
+func (q *Quota) WithinMaximum(n Need) bool { return within(q.Used.Plus(n), q.Maximum) }
 
 // Admits says whether the team may use what a task of the job needs.
 func (q *Quota) Admits(j *Job) bool {
@@ -26,10 +30,11 @@
 
 // WithinGuarantee says whether n more stays within the guarantee.
 func (q *Quota) WithinGuarantee(n Need) bool {
-	return q.HasGuarantee() && within(q.Used.Plus(n), q.Guaranteed, true)
+	return q.HasGuarantee() && within(q.Used.Plus(n), q.Guaranteed)
 }
 
-// ExceedsGuarantee says whether the team now uses more than its guarantee.
+// ExceedsGuarantee says whether the team now uses more than its guarantee. A team without one
+// always does.
 func (q *Quota) ExceedsGuarantee() bool {
-	return !q.HasGuarantee() || !within(q.Used, q.Guaranteed, true)
+	return !q.HasGuarantee() || !within(q.Used, q.Guaranteed)
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -1,82 +1,201 @@
-// Package scheduler decides what runs where: GREEN's order (see docs/design.md),
-// filling, the stops of a round, and which machines to rent. All of it is pure:
-// a snapshot goes in, decisions come out, and the same snapshot always gives
-// the same decisions.
 package scheduler
 
-// Type is a machine type as the planner needs it.
+import (
+	"maps"
+	"math"
+)
+
+// Type is a machine type that the cloud rents out.
 type Type struct {
 	Name             string
 	Size             Need
-	Price, SpotPrice float64
+	Price, SpotPrice float64 // per machine and unit of time, in the cloud's currency
 	Zones            []string
-	BootS            float64
-	FetchGBPerS      float64
+	BootS            float64 // seconds from the rental request until the machine is ready
+	FetchGBPerS      float64 // gigabytes of an image fetched per second
 }
 
-// Machine is a machine with its free room. Booting ones are whole.
+// Machine is a machine with its free resources. Those of a booting machine are all free.
 type Machine struct {
 	ID   string
 	Type *Type
 	Zone string
 	Spot bool
 	Free Need
-	Room int // further tasks that its record can hold
-	// ReservedFor names the job that tasks were stopped for here: nobody else may take
-	// the room meanwhile, or the stops would be made again at each round.
+	Room int // further tasks that its stored record can hold
+	// ReservedFor names the job that tasks were preempted for here. No other job may take the
+	// freed room, or each round would stop the same tasks again. Empty: not reserved.
 	ReservedFor string
 	Images      map[string]bool
 	Fetching    map[string]bool
 	Booting     bool
-	Used        bool // holds or was given something
-	// Changed: a decision has changed it since whoever keeps it last looked.
+	Used        bool // holds tasks, or was assigned one in this snapshot
+	// Changed is set by each decision that changes the machine. Whoever keeps the machine
+	// between snapshots clears it.
 	Changed bool
-	// ImageSet is the same for machines that have the same images; 0: not known.
+	// ImageSet is the same number for machines that have the same images; 0: not known.
 	ImageSet int
-	position int // among the machines: equal scores go to the first
+	// position is the machine's place in the snapshot's list. Of equal scores the lowest wins.
+	position int
 	Running  []RunningTask
 }
 
-// RunningTask is a task on a machine, as a candidate for being stopped.
+// RunningTask is a task on a machine, as a candidate for preemption.
 type RunningTask struct {
 	Job    *Job
 	Index  int
-	SinceS float64 // for how long
+	SinceS float64 // seconds since it was assigned to the machine
 }
 
-// Snapshot is what the decisions are made from. Decisions update it.
+// Snapshot is what the decisions of a pass are made from. Each decision updates it, so that the
+// next one counts with it.
 type Snapshot struct {
 	Machines []*Machine
 	Jobs     []*Job
-	Quotas   map[string]*Quota
-	UpperCap float64 // share of the fleet
-	// Moving: replicas are on their way from one machine to others, whose room
-	// batches must not take meanwhile.
+	Quotas   map[string]*Quota // by team
+	UpperCap float64           // share of the ready fleet that the upper queue may take
+	// Moving is set while replicas of drained machines move to others. Batches don't start
+	// meanwhile, as they would take the replicas' room.
 	Moving   bool
 	Capacity Need // of ready machines
-	// reserveAcceleratorCores: plain batches leave the cores that free accelerators need, whatever
-	// else is full.
+	// Looked counts the machines that were examined so far. It measures the work of a pass
+	// where a time would make decisions depend on the speed of the host.
+	Looked int
+	// Fleet keeps the machines in order from one snapshot to the next; nil: the first pass
+	// builds an index of its own.
+	Fleet *Fleet
+
+	// reserveAcceleratorCores makes plain batches leave the cores that free accelerators need.
 	reserveAcceleratorCores bool
-	Looked                  int // machines looked at so far: the work done, in place of a time
-	// gangMachinesExamined counts those that a round looked at for gangs.
+	// gangMachinesExamined and taskMachinesExamined count the machines that a round examined
+	// for gangs and for single tasks.
 	gangMachinesExamined int
-	// taskMachinesExamined counts those that it looked at for single tasks.
 	taskMachinesExamined int
-	// withRoom are the machines with any room: with cores, and with accelerators.
-	// Most of a busy fleet is full. Nil: to be found anew.
+	// withRoom caches the machines with free cores and those with free accelerators, as most of a
+	// busy fleet is full. Nil: to be collected anew.
 	withRoom [2][]*Machine
-	// Fleet has the machines in order, if somebody keeps it; nil: it is made anew.
-	Fleet *Fleet
-	// index finds machines without looking at all; nil: all are looked at.
-	index          *machineIndex
-	search         indexSearch
-	machinesByZone map[string]int // machines by zone, for a plan
-	// price is the sum over so many machines.
-	price          float64
+	// index finds the best machine without scoring all; nil: all are scored.
+	index *machineIndex
+	// search is the memory that one index search leaves to the next.
+	search indexSearch
+	// totalPrice is the sum over the first pricedMachines machines, see IsExpensive.
+	totalPrice     float64
 	pricedMachines int
-	// preemptible are what a round may stop.
-	preemptible *preemptibleTasks
-	// headroom is how much room for expected tasks there is, once Emptied asked.
+	// headroom is for how many expected tasks there is room, once WithoutMachine has counted.
 	headroom      int
 	headroomKnown bool
 }
+
+// AddMachine adds a machine that was not in the snapshot before.
+func (s *Snapshot) AddMachine(m *Machine) {
+	s.useIndex()
+	m.position = math.MaxInt/2 + len(s.Machines) // behind all that were there
+	s.Machines = append(s.Machines, m)
+	s.withRoom = [2][]*Machine{}
+	s.machineChanged(m)
+}
+
+// assign gives the job's first waiting task its place on a machine.
+func (s *Snapshot) assign(j *Job, m *Machine) {
+	j.Waiting = j.Waiting[1:]
+	j.Resume = max(0, j.Resume-1)
+	j.Held++
+	if j.InZone == nil {
+		j.InZone = map[string]int{}
+	}
+	j.InZone[m.Zone]++
+	if quota := s.Quotas[j.Team]; quota != nil {
+		quota.Used = quota.Used.Plus(j.Need)
+	}
+	m.Free = m.Free.Minus(j.Need)
+	m.Room--
+	m.Used = true
+	if !m.Images[j.Image] && j.Image != "" {
+		if m.Fetching == nil {
+			m.Fetching = map[string]bool{}
+		}
+		m.Fetching[j.Image] = true
+	}
+	s.machineChanged(m)
+}
+
+// removeTask takes a running task off its machine.
+func (s *Snapshot) removeTask(m *Machine, task RunningTask) {
+	m.Free = m.Free.Plus(task.Job.Need)
+	s.withRoom = [2][]*Machine{}
+	s.machineChanged(m)
+	if quota := s.Quotas[task.Job.Team]; quota != nil {
+		quota.Used = quota.Used.Minus(task.Job.Need)
+	}
+	if task.Job.InZone != nil { // nil for jobs without waiting tasks
+		task.Job.InZone[m.Zone]--
+	}
+	task.Job.Held--
+	m.Running = without(m.Running, task)
+}
+
+// without returns a new list that lacks one task: callers may still read the old one.
+func without(list []RunningTask, removed RunningTask) []RunningTask {
+	var rest []RunningTask
+	for _, task := range list {
+		if task.Job != removed.Job || task.Index != removed.Index {
+			rest = append(rest, task)
+		}
+	}
+	return rest
+}
+
+// machineChanged must be called after each change of a machine, so that the index follows it.
+func (s *Snapshot) machineChanged(m *Machine) {
+	m.Changed = true
+	if s.index != nil {
+		s.index.update(m)
+	}
+}
+
+// useIndex takes the fleet's index, or builds one if there is no fleet.
+func (s *Snapshot) useIndex() {
+	switch {
+	case s.index != nil:
+	case s.Fleet != nil:
+		s.index = s.Fleet.index
+	default:
+		s.index = newMachineIndex(s.Machines)
+	}
+}
+
+// machinesWithRoom lists the machines that may have room for a task that needs accelerators, or
+// cores. Machines that have filled up since the list was collected stay in it; whatever frees
+// room or adds a machine drops the list.
+func (s *Snapshot) machinesWithRoom(accel, cores bool) []*Machine {
+	if !accel && !cores {
+		return s.Machines // the task needs memory alone
+	}
+	list := &s.withRoom[0]
+	if accel {
+		list = &s.withRoom[1]
+	}
+	if *list == nil {
+		*list = make([]*Machine, 0, len(s.Machines))
+		for _, m := range s.Machines {
+			if m.Room > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
+				*list = append(*list, m)
+			}
+		}
+	}
+	return *list
+}
+
+// clone copies what placing tasks changes, leaving out the machine with the given ID. The copy has
+// neither jobs nor quotas nor an index.
+func (s *Snapshot) clone(withoutID string) *Snapshot {
+	out := &Snapshot{UpperCap: s.UpperCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
+	for _, m := range s.Machines {
+		if m.ID != withoutID {
+			c := *m
+			c.Fetching = maps.Clone(m.Fetching)
+			out.Machines = append(out.Machines, &c)
+		}
+	}
+	return out
+}
