--- a/internal/scheduler/fill_test.go
+++ b/internal/scheduler/fill_test.go
@@ -8,8 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Every job gets its slots before any gets more, and then spare room is filled
-// by rank beyond slot counts.
+// Every job gets its slots before any gets more; then spare room is filled by rank, beyond slots.
 func TestFillSlotsFirst(t *testing.T) {
 	s := snap(machines(box, "a"), batch("swarm", 20, nil), batch("small", 2, func(j *Job) { j.Submitted = 5 }))
 	if d := cmp.Diff(map[string]int{"swarm": 7, "small": 1}, started(s.Fill())); d != "" {
@@ -17,7 +16,7 @@
 	}
 }
 
-// The upper queue's slots beyond its cap give way to the lower queue's.
+// Slots of the upper queue beyond its cap give way to those of the lower queue.
 func TestUpperCap(t *testing.T) {
 	s := snap(machines(box, "a"),
 		batch("upper", 8, func(j *Job) { j.Slots = 8 }),
@@ -27,6 +26,8 @@
 	}
 }
 
+// A fill keeps to spreading, to one zone, to the team's maximum and to the kinds of machine that a
+// job may use.
 func TestLimitsAndZones(t *testing.T) {
 	s := snap(machines(box, "a", "a", "b"), batch("j", 5, func(j *Job) { j.Service, j.Spread = true, true }))
 	got := map[string]int{}
@@ -34,40 +35,40 @@
 		got[p.Machine.Zone]++
 	}
 	if got["a"] > 3 || got["b"] > 3 || got["a"]+got["b"] != 5 {
-		t.Errorf("apart: %v", got)
+		t.Errorf("spread over zones: %v", got)
 	}
 	s = snap(machines(box, "a", "b"), batch("j", 12, func(j *Job) { j.OneZone = true }))
 	if n := len(s.Fill()); n != 8 {
-		t.Errorf("together: %d of 12 start in the one zone with 8 places", n)
+		t.Errorf("one zone: %d of 12 tasks start in a zone with room for 8", n)
 	}
 	s = snap(machines(box, "a"), batch("j", 8, nil))
 	s.Quotas["red"] = &Quota{Maximum: Need{Cores: 5}, Used: Need{Cores: 2}}
 	if n := len(s.Fill()); n != 3 {
-		t.Errorf("limit: %d started, 3 are left", n)
+		t.Errorf("maximum: %d started, 3 are left", n)
 	}
 	spot := machines(box, "a")
 	spot[0].Spot = true
 	if n := len(snap(spot, batch("j", 1, nil)).Fill()); n != 0 {
-		t.Error("a job that may not went to a spot machine")
+		t.Error("a job that may not use spot machines started on one")
 	}
 }
 
-// Room for expected services is kept from batches, not from services.
+// Headroom for expected replicas is reserved from batches, not from services.
 func TestReserve(t *testing.T) {
 	expectedReplicas := func() *Job {
 		return batch("~web", 3, func(j *Job) { j.Team, j.Service, j.Headroom = "", true, true })
 	}
 	s := snap(machines(box, "a"), batch("b", 8, nil), expectedReplicas())
 	if n := len(s.Fill()); n != 5 {
-		t.Errorf("batch got %d of 8 places, 3 are kept", n)
+		t.Errorf("the batch got %d of 8 places, 3 are reserved", n)
 	}
 	s = snap(machines(box, "a"), batch("web", 8, func(j *Job) { j.Service = true }), expectedReplicas())
 	if n := len(s.Fill()); n != 8 {
-		t.Errorf("service got %d of 8 places", n)
+		t.Errorf("the service got %d of 8 places", n)
 	}
 }
 
-// Room for expected replicas is kept on machines that have the images they may need.
+// Headroom for expected replicas is reserved on machines that have the images they may need.
 func TestHeadroomIsReservedWhereImagesAre(t *testing.T) {
 	ms := machines(box, "a", "a", "a")
 	ms[2].Images = map[string]bool{"x": true, "y": true}
@@ -77,13 +78,13 @@
 	})
 	s := snap(ms, expected, batch("work", 24, func(j *Job) { j.Upper, j.Slots = false, 24 }))
 	if got := started(s.Fill())["work"]; got != 16 || ms[2].Free.Cores != 0 || !ms[0].Used || !ms[1].Used || ms[2].Used {
-		t.Errorf("%d tasks started, of 8 places kept not all are on %s", got, ms[2].ID)
+		t.Errorf("%d tasks started; not all of the 8 reserved places are on %s", got, ms[2].ID)
 	}
 }
 
-// Room and limit that were freed for a job are not taken by others while the
-// stopped tasks go one by one: a round would stop the same tasks again and
-// again (a recorded day: 2,000 stops for three jobs that never started).
+// Room and quota that were freed for a job are not taken by others while the preempted tasks end
+// one by one: otherwise a round stops the same tasks again and again (on a recorded day 2,000 stops
+// for three jobs that never started).
 func TestReservedRoomStaysReserved(t *testing.T) {
 	m := machines(box, "a", "a")
 	m[0].Free, m[0].ReservedFor = Need{Cores: 5, Mem: 32}, "web"
@@ -97,7 +98,7 @@
 		}
 	}
 	if got := snap(m, web).Stops(10, map[string]bool{}).Stops; len(got) > 0 {
-		t.Errorf("stopped more for a job that has a claim: %v", got)
+		t.Errorf("stopped more for a job that has a reservation: %v", got)
 	}
 	m[0].Free = box.Size
 	if d := cmp.Diff(map[string]int{"web": 1}, started(snap(m, web).Fill())); d != "" {
@@ -105,8 +106,8 @@
 	}
 }
 
-// Batches stop short of their team's limit by what is kept for services; the
-// service itself may go to the limit.
+// Batches stop short of their team's maximum by what is reserved for services; the service itself
+// may go to the maximum.
 func TestBatchesLeaveLimitToServices(t *testing.T) {
 	typ := &Type{Name: "m", Size: Need{Cores: 100, Mem: 100}}
 	batch := &Job{ID: "j-1", Team: "red", Need: Need{Cores: 10}, Tasks: 9, Slots: 9, Degradation: 1, Waiting: []int{0, 1, 2, 3, 4, 5, 6, 7, 8}}
@@ -119,12 +120,12 @@
 		n[p.Job.ID]++
 	}
 	if n["j-2"] != 2 || n["j-1"] != 2 {
-		t.Fatalf("started %v: the service needs 10 of 50, 12 are kept, so 28 hold two batch tasks", n)
+		t.Fatalf("started %v: the service needs 10 of 50, 12 are reserved, so 28 hold two batch tasks", n)
 	}
 }
 
-// Batches without accelerators leave the cores that free accelerators need: a guest's
-// array of thousands once held the cores of machines whose accelerators then stood idle.
+// Plain batches leave the cores that free accelerators need: a guest's array of thousands once held
+// the cores of machines whose accelerators were then idle.
 func TestPlainBatchesLeaveAcceleratorCores(t *testing.T) {
 	guests := func() *Job { return batch("guests", 40, func(j *Job) { j.Upper, j.Plain = false, true }) }
 	s := snap(machines(gpu, "a"), guests())
@@ -147,11 +148,11 @@
 	if got := started(s.Fill())["slots"]; got != 20 {
 		t.Errorf("%d tasks within 20 slots", got)
 	}
-	// Where all machines have accelerators it uses what is idle: one task on each of 180
-	// machines once kept these for days' ends, and the price at 2.3.
+	// Where all machines have accelerators it uses what is idle: one task on each of 180 machines
+	// once kept these rented until the days' ends, and the price at 2.3.
 	only := guests()
 	if only.Plain = only.IsPlain([]*Type{gpu}); only.Plain || !guests().IsPlain([]*Type{gpu, box}) {
-		t.Error("plain without a plain type")
+		t.Error("a batch is plain only where it may use a type without accelerators")
 	}
 	s = snap(machines(gpu, "a"), only)
 	if got := started(s.Fill())["guests"]; got != 32 {
@@ -159,25 +160,34 @@
 	}
 }
 
-// A start that is to take a second goes where its image comes in time, even to
-// the larger machine; one that has an hour does not.
+// A task that is to start within a second goes where its image can be fetched in time, even to the
+// larger machine; one that has an hour does not.
 func TestMissingImageWeighsByAim(t *testing.T) {
 	small := &Type{Name: "small", Size: Need{Cores: 4, Mem: 8}, FetchGBPerS: 0.2}
 	large := &Type{Name: "large", Size: Need{Cores: 64, Accel: 8, Mem: 384}, FetchGBPerS: 2}
-	for aim, wants := range map[float64]string{1: "i-large", 3600: "i-small"} {
-		j := &Job{ID: "j-1", Team: "red", Service: true, Image: "img", ImageGB: 0.6, AimS: aim, Need: Need{Cores: 2, Mem: 3},
-			Tasks: 1, Degradation: 1, Waiting: []int{0}}
-		s := &Snapshot{Jobs: []*Job{j}, Quotas: map[string]*Quota{"red": {}}, Machines: []*Machine{
-			{ID: "i-large", Type: large, Free: large.Size, Room: 9, Used: true},
-			{ID: "i-small", Type: small, Free: small.Size, Room: 9, Used: true}}}
-		if got := s.Fill(); len(got) != 1 || got[0].Machine.ID != wants {
-			t.Errorf("aim %v s: %v, want %s", aim, got, wants)
-		}
+	for _, tc := range []struct {
+		name    string
+		aimS    float64
+		machine string
+	}{
+		{"start within a second", 1, "i-large"},
+		{"start within an hour", 3600, "i-small"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			j := &Job{ID: "j-1", Team: "red", Service: true, Image: "img", ImageGB: 0.6, AimS: tc.aimS, Need: Need{Cores: 2, Mem: 3},
+				Tasks: 1, Degradation: 1, Waiting: []int{0}}
+			s := &Snapshot{Jobs: []*Job{j}, Quotas: map[string]*Quota{"red": {}}, Machines: []*Machine{
+				{ID: "i-large", Type: large, Free: large.Size, Room: 9, Used: true},
+				{ID: "i-small", Type: small, Free: small.Size, Room: 9, Used: true}}}
+			if got := s.Fill(); len(got) != 1 || got[0].Machine.ID != tc.machine {
+				t.Errorf("%v, want one task on %s", got, tc.machine)
+			}
+		})
 	}
 }
 
-// Beyond slots the job with the least time left goes first and one that is late
-// last, whatever they have attained; without deadlines attained service decides.
+// Beyond slots the job with the least time left goes first and one that misses its deadline last,
+// whatever they have attained; without deadlines attained service decides.
 func TestDeadlinesBeyondSlots(t *testing.T) {
 	typ := &Type{Name: "m", Size: Need{Cores: 4, Mem: 99}}
 	start := func(left [3]float64, late [3]bool) string {
@@ -194,20 +204,27 @@
 		return out
 	}
 	inf := math.Inf(1)
-	for wants, got := range map[string]string{
-		"bb": start([3]float64{90, 20, 50}, [3]bool{}),
-		"cc": start([3]float64{inf, inf, 50}, [3]bool{true, false, false}),
-		"aa": start([3]float64{inf, inf, inf}, [3]bool{}),
+	for _, tc := range []struct {
+		name string
+		left [3]float64
+		late [3]bool
+		want string
+	}{
+		{"the least time left", [3]float64{90, 20, 50}, [3]bool{}, "bb"},
+		{"a deadline before none", [3]float64{inf, inf, 50}, [3]bool{true, false, false}, "cc"},
+		{"no deadlines", [3]float64{inf, inf, inf}, [3]bool{}, "aa"},
 	} {
-		if got != wants {
-			t.Errorf("started %s, want %s", got, wants)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			if got := start(tc.left, tc.late); got != tc.want {
+				t.Errorf("started %s, want %s", got, tc.want)
+			}
+		})
 	}
 }
 
-// What a machine's end interrupted goes on before new tasks of better rank take
-// spare room, and no more than that (fleet of the parking authority, calm: such
-// tasks of large jobs waited 56 to 89 s).
+// Tasks that a machine's end interrupted go on before new tasks of better rank take spare room, and
+// no more than these (the parking authority's fleet on calm days: such tasks of large jobs waited 56
+// to 89 s).
 func TestInterruptedTasksResumeFirst(t *testing.T) {
 	old := batch("old", 6, func(j *Job) { j.Upper, j.Attained, j.Held, j.Resume = false, 50, 1, 2 })
 	young := batch("young", 6, func(j *Job) { j.Upper, j.Held, j.Slots = false, 1, 1 })
@@ -219,25 +236,30 @@
 	}
 }
 
-// Room kept for expected work, and what batches leave of a limit, starve no batch:
-// one that has had no task anywhere for longer than a boot gets one, not more.
+// Neither headroom nor what batches leave of a quota starves a batch: one that has had no task
+// anywhere for longer than a boot gets one, not more.
 func TestStarvedBatchMayUseHeadroom(t *testing.T) {
-	for _, starved := range []bool{false, true} {
-		expected := batch("~web", 8, func(j *Job) { j.Service, j.Headroom, j.Team = true, true, "" })
-		s := snap(machines(box, "a"), expected, batch("b", 3, func(j *Job) { j.Starved = starved }))
-		s.Quotas["red"].ServiceReserve = Need{Cores: 100}
-		want := 0
-		if starved {
-			want = 1
-		}
-		if got := started(s.Fill())["b"]; got != want {
-			t.Errorf("starved %v: %d tasks started, want %d", starved, got, want)
-		}
+	for _, tc := range []struct {
+		name    string
+		starved bool
+		want    int
+	}{
+		{"not starved", false, 0},
+		{"starved", true, 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			expected := batch("~web", 8, func(j *Job) { j.Service, j.Headroom, j.Team = true, true, "" })
+			s := snap(machines(box, "a"), expected, batch("b", 3, func(j *Job) { j.Starved = tc.starved }))
+			s.Quotas["red"].ServiceReserve = Need{Cores: 100}
+			if got := started(s.Fill())["b"]; got != tc.want {
+				t.Errorf("%d tasks started, want %d", got, tc.want)
+			}
+		})
 	}
 }
 
-// grownFleet is a snapshot of the size that deployments have grown to: all
-// machines in use, some room here and there, and a burst of waiting jobs.
+// grownFleet is a snapshot of the size that deployments have grown to: all machines in use, some
+// room here and there, and a burst of waiting jobs.
 func grownFleet(machines, jobs int) *Snapshot {
 	s := &Snapshot{UpperCap: 0.3, Quotas: map[string]*Quota{}}
 	for i := range 6 {
@@ -265,15 +287,14 @@
 	return s
 }
 
-// The work of a fill is counted in machines looked at. It may grow with tasks
-// placed times machines, never with all tasks times machines: a job for which
-// there is no room is looked for once a pass.
+// The work of a fill is counted in machines examined. It may grow with tasks placed times machines,
+// never with all tasks times machines: a job for which there is no room is examined once a pass.
 func TestFillWorkAtFullSize(t *testing.T) {
 	const machines, jobs = 800, 300
 	s := grownFleet(machines, jobs)
 	placed := len(s.Fill())
 	if most := (placed + 4*jobs) * machines; placed == 0 || s.Looked > most {
-		t.Errorf("%d machines looked at for %d tasks placed, at most %d", s.Looked, placed, most)
+		t.Errorf("%d machines examined for %d tasks placed, want at most %d", s.Looked, placed, most)
 	}
 }
 
--- a/internal/scheduler/gang_placement_test.go
+++ b/internal/scheduler/gang_placement_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// A gang that must be together goes to the zone that holds all of it, though the
-// best place for its first task is elsewhere; where nothing holds it, nothing of it
-// starts and no room is taken.
+// A gang that must be in one zone goes to the zone that holds all of it, though the best machine for
+// its first task is elsewhere; where no zone holds it, nothing of it starts and no room is taken.
 func TestGangIsPlacedWhole(t *testing.T) {
 	gang := func(n int) *Job {
 		return batch("g", n, func(j *Job) {
@@ -26,12 +25,11 @@
 	ms = machines(box, "a", "b")
 	s = snap(ms, gang(3), batch("x", 16, func(j *Job) { j.Slots, j.Upper = 16, false }))
 	if got := started(s.Fill()); got["g"] != 0 || got["x"] != 16 {
-		t.Errorf("started %v: a gang without room for all of it is in the way", got)
+		t.Errorf("started %v: a gang without room for all of it takes room from others", got)
 	}
 }
 
-// Room for a part of a gang that has waited for long is held back from jobs behind
-// it, and an older one comes first.
+// Room for a part of a starved gang is held back from jobs behind it, and an older gang comes first.
 func TestRoomIsHeldBackForStarvedGang(t *testing.T) {
 	gang := func(id string, n int, submitted int64) *Job {
 		return batch(id, n, func(j *Job) {
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -16,7 +16,7 @@
 	})
 }
 
-// appendPreemptible puts tasks of half a box each on machines, the first one the youngest.
+// runningOn is a job that runs: it puts tasks of half a box each on machines, the first one the youngest.
 func runningOn(id string, change func(*Job), on ...*Machine) *Job {
 	j := batch(id, 0, func(j *Job) {
 		j.Upper, j.Need, j.Attained = false, Need{Cores: 4, Mem: 1}, 1
@@ -40,14 +40,14 @@
 func inOneZone(j *Job)    { j.OneZone = true }
 func spread(j *Job)       { j.Spread = true }
 func reservedTasks(p Preemption) (n int) {
-	for _, kept := range p.Reservations {
-		n += kept.Tasks
+	for _, reservation := range p.Reservations {
+		n += reservation.Tasks
 	}
 	return n
 }
 
-// A round stops what gives way for the whole of a waiting gang, or nothing: a part of
-// the room is of no use to it, and the stops would only cost work.
+// A round makes room for the whole of a waiting gang, or stops nothing: a part of the room is of no
+// use to it, and the stops would only cost work.
 func TestPreemptionMakesRoomForWholeGang(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -69,11 +69,11 @@
 			ms := machines(box, "a", "b")
 			return ms, []*Job{runningOn("low", lowPriority, ms[0], ms[0], ms[1]), runningOn("same", samePriority, ms[1])}
 		}, 0, ""},
-		{"together where it costs least", 2, inOneZone, func() ([]*Machine, []*Job) {
+		{"in one zone, where it costs least", 2, inOneZone, func() ([]*Machine, []*Job) {
 			ms := machines(box, "a", "b", "c")
 			return ms, []*Job{runningOn("low", lowPriority, ms[0], ms[0], ms[1]), runningOn("same", samePriority, ms[2], ms[2])}
 		}, 1, "b"},
-		{"together and no zone has room for all", 3, inOneZone, func() ([]*Machine, []*Job) {
+		{"in one zone, and none has room for all", 3, inOneZone, func() ([]*Machine, []*Job) {
 			ms := machines(box, "a", "b")
 			return ms, []*Job{runningOn("low", lowPriority, ms[0], ms[0], ms[1], ms[1])}
 		}, 0, ""},
@@ -102,97 +102,121 @@
 				t.Fatalf("%d stops, want %d", len(round.Stops), tc.stops)
 			}
 			if n := reservedTasks(round); tc.stops > 0 && n != tc.tasks {
-				t.Errorf("room is kept for %d of %d tasks", n, tc.tasks)
+				t.Errorf("room is reserved for %d of %d tasks", n, tc.tasks)
 			}
-			for _, kept := range round.Reservations {
-				if tc.inZone != "" && kept.Machine.Zone != tc.inZone {
-					t.Errorf("a place in zone %s", kept.Machine.Zone)
+			for _, reservation := range round.Reservations {
+				if tc.inZone != "" && reservation.Machine.Zone != tc.inZone {
+					t.Errorf("room is reserved in zone %s", reservation.Machine.Zone)
 				}
 			}
 		})
 	}
 }
 
-// What a team has lent comes back for a gang within another's guarantee, and no more
-// than that: the last of these stops would take from what is guaranteed itself.
+// What a team borrows is reclaimed for a gang within another team's guarantee, and no more than
+// that: the last of the stops that the gang needs would take from the team's own guarantee.
 func TestGangReclaimsOnlyBorrowedQuota(t *testing.T) {
 	for _, tc := range []struct {
-		lent  float64
-		stops int
-	}{{8, 2}, {4, 0}} {
-		ms := machines(box, "a")
-		blue := runningOn("blue", inTeamBlue, ms[0], ms[0])
-		s := snap(ms, blue, waitingGang(2, lowPriority))
-		s.Quotas["red"].Guaranteed = Need{Cores: 8}
-		s.Quotas["blue"].Guaranteed = Need{Cores: 9 - tc.lent}
-		s.Quotas["blue"].Used = Need{Cores: 8}
-		if round := s.Stops(10, map[string]bool{}); len(round.Stops) != tc.stops {
-			t.Errorf("lent %v: %d stops, want %d", tc.lent, len(round.Stops), tc.stops)
-		}
+		name       string
+		guaranteed float64 // cores of blue, which uses 8 with two tasks of 4 each
+		stops      int
+	}{
+		{"both tasks use borrowed quota", 1, 2},
+		{"one of two tasks uses borrowed quota", 5, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			ms := machines(box, "a")
+			blue := runningOn("blue", inTeamBlue, ms[0], ms[0])
+			s := snap(ms, blue, waitingGang(2, lowPriority))
+			s.Quotas["red"].Guaranteed = Need{Cores: 8}
+			s.Quotas["blue"].Guaranteed = Need{Cores: tc.guaranteed}
+			s.Quotas["blue"].Used = Need{Cores: 8}
+			if round := s.Stops(10, map[string]bool{}); len(round.Stops) != tc.stops {
+				t.Errorf("%d stops, want %d", len(round.Stops), tc.stops)
+			}
+		})
 	}
 }
 
-// A team at its limit stops its own work of lower priority for its gang, though there
-// is room elsewhere.
+// A team at its maximum stops its own work of lower priority for its gang, though there is room
+// elsewhere.
 func TestGangFreesItsTeamsQuota(t *testing.T) {
 	ms := machines(box, "a", "b")
 	s := snap(ms, runningOn("low", lowPriority, ms[0], ms[0]), waitingGang(2, nil))
 	s.Quotas["red"].Maximum, s.Quotas["red"].Used = Need{Cores: 8}, Need{Cores: 8}
 	if round := s.Stops(10, map[string]bool{}); len(round.Stops) != 2 || reservedTasks(round) != 2 {
-		t.Errorf("%d stops, room kept for %d", len(round.Stops), reservedTasks(round))
+		t.Errorf("%d stops, room is reserved for %d tasks", len(round.Stops), reservedTasks(round))
 	}
 }
 
-// Room that is kept for one gang is not counted on for the next, and no more is stopped
-// for a gang while its victims are on their way out. A round's bound on stops does not
-// keep the first gang waiting, however many it needs.
+// Room that is reserved for one gang is not counted on for the next, and no more is stopped for a
+// gang while its victims have not all ended. A round's bound on stops does not keep the first gang
+// waiting, however many it needs.
 func TestRoomForSeveralGangs(t *testing.T) {
-	build := func(claims int) *Snapshot {
+	build := func(reserved int) *Snapshot {
 		ms := machines(box, "a", "b")
-		first := waitingGang(2, func(j *Job) { j.ID, j.Reserved, j.Submitted = "first", claims, 1 })
+		first := waitingGang(2, func(j *Job) { j.ID, j.Reserved, j.Submitted = "first", reserved, 1 })
 		second := waitingGang(2, func(j *Job) { j.ID, j.Submitted = "second", 2 })
 		return snap(ms, runningOn("low", lowPriority, ms[0], ms[0], ms[1], ms[1]), first, second)
 	}
-	for _, tc := range []struct{ claims, most, stops int }{{0, 10, 4}, {0, 1, 2}, {2, 10, 2}} {
-		round := build(tc.claims).Stops(tc.most, map[string]bool{})
-		if len(round.Stops) != tc.stops {
-			t.Errorf("%+v: %d stops", tc, len(round.Stops))
-		}
-		places := map[string]string{}
-		for _, kept := range round.Reservations {
-			if other := places[kept.Machine.ID]; other != "" {
-				t.Errorf("%s is kept for %s and %s", kept.Machine.ID, other, kept.Job.ID)
+	for _, tc := range []struct {
+		name                  string
+		reserved, most, stops int
+	}{
+		{"both gangs", 0, 10, 4},
+		{"the first gang beyond the bound", 0, 1, 2},
+		{"the first gang has a reservation", 2, 10, 2},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			round := build(tc.reserved).Stops(tc.most, map[string]bool{})
+			if len(round.Stops) != tc.stops {
+				t.Errorf("%d stops, want %d", len(round.Stops), tc.stops)
 			}
-			places[kept.Machine.ID] = kept.Job.ID
-		}
+			reservedFor := map[string]string{}
+			for _, reservation := range round.Reservations {
+				if other := reservedFor[reservation.Machine.ID]; other != "" {
+					t.Errorf("%s is reserved for %s and %s", reservation.Machine.ID, other, reservation.Job.ID)
+				}
+				reservedFor[reservation.Machine.ID] = reservation.Job.ID
+			}
+		})
 	}
 }
 
-// The work for many waiting gangs is bounded: gangs like one that found no room are not
-// looked at, and where all differ a round leaves the rest to the next.
+// The work for many waiting gangs is bounded: gangs like one that found no room are not examined,
+// and where all differ a round leaves the rest to the next.
 func TestGangPreemptionWorkIsBounded(t *testing.T) {
-	for _, alike := range []bool{true, false} {
-		var ms []*Machine
-		var jobs []*Job
-		for i := range 800 {
-			m := machines(box, []string{"a", "b", "c"}[i%3])[0]
-			m.ID = fmt.Sprintf("i-%d", i)
-			ms = append(ms, m)
-			jobs = append(jobs, runningOn(fmt.Sprintf("same-%d", i), samePriority, m, m))
-		}
-		for i := range 500 {
-			jobs = append(jobs, waitingGang(2+i%7, func(j *Job) {
-				j.ID, j.OneZone, j.Submitted = fmt.Sprintf("gang-%d", i), true, int64(i)
-				if !alike {
-					j.Need.Mem = 1 + float64(i)/1000
-				}
-			}))
-		}
-		s := snap(ms, jobs...)
-		s.Quotas["red"].Maximum = Need{}
-		s.Stops(200, map[string]bool{})
-		if bound := map[bool]int{true: 2 * 800, false: maxGangMachinesExamined + 800}[alike]; s.gangMachinesExamined > bound {
-			t.Errorf("alike %v: %d machines looked at for 500 gangs on 800", alike, s.gangMachinesExamined)
-		}
+	for _, tc := range []struct {
+		name  string
+		alike bool
+		most  int // machines examined
+	}{
+		{"gangs that are alike", true, 2 * 800},
+		{"gangs that all differ", false, maxGangMachinesExamined + 800},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var ms []*Machine
+			var jobs []*Job
+			for i := range 800 {
+				m := machines(box, []string{"a", "b", "c"}[i%3])[0]
+				m.ID = fmt.Sprintf("i-%d", i)
+				ms = append(ms, m)
+				jobs = append(jobs, runningOn(fmt.Sprintf("same-%d", i), samePriority, m, m))
+			}
+			for i := range 500 {
+				jobs = append(jobs, waitingGang(2+i%7, func(j *Job) {
+					j.ID, j.OneZone, j.Submitted = fmt.Sprintf("gang-%d", i), true, int64(i)
+					if !tc.alike {
+						j.Need.Mem = 1 + float64(i)/1000
+					}
+				}))
+			}
+			s := snap(ms, jobs...)
+			s.Quotas["red"].Maximum = Need{}
+			s.Stops(200, map[string]bool{})
+			if s.gangMachinesExamined > tc.most {
+				t.Errorf("%d machines examined for 500 gangs on a fleet of 800, want at most %d", s.gangMachinesExamined, tc.most)
+			}
+		})
 	}
 }
--- a/internal/scheduler/green_test.go
+++ b/internal/scheduler/green_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// GREEN's scale-up: one slot a round while degradation stays at or above gamma,
-// judged once every slot has finished a task.
+// GREEN's scale-up: one more slot a round while degradation stays at or above gamma, judged once
+// every slot has finished a task.
 func TestScale(t *testing.T) {
 	s := NewScale()
 	s.Attained = 10
 	s.Round(0, 100, 0.9)
 	if s.Slots != 1 || !s.Upper {
-		t.Fatalf("scaled with nothing to judge by: %+v", s)
+		t.Fatalf("scaled up with nothing to judge by: %+v", s)
 	}
 	s.Round(1, 100, 0.9) // 0.01 per 10
 	if s.Slots != 2 || s.Degr != 1 {
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -2,9 +2,11 @@
 
 import "fmt"
 
+// box is a machine type without accelerators, gpu one with four.
 var box = &Type{Name: "box", Size: Need{Cores: 8, Mem: 32}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10}
 var gpu = &Type{Name: "gpu", Size: Need{Cores: 32, Accel: 4, Mem: 128}, Price: 10, SpotPrice: 4, Zones: []string{"a"}, BootS: 10}
 
+// machines makes an empty machine of the type in each zone.
 func machines(t *Type, zones ...string) []*Machine {
 	var out []*Machine
 	for i, z := range zones {
@@ -13,6 +15,7 @@
 	return out
 }
 
+// batch makes a batch job with n waiting tasks of one core, in the upper queue.
 func batch(id string, n int, change func(*Job)) *Job {
 	j := &Job{ID: id, Team: "red", Tasks: n, Need: Need{Cores: 1, Mem: 1}, Degradation: 1, Slots: 1, Upper: true, InZone: map[string]int{}}
 	for i := range n {
@@ -24,15 +27,17 @@
 	return j
 }
 
-func snap(ms []*Machine, jobs ...*Job) *Snapshot {
-	s := &Snapshot{Machines: ms, Jobs: jobs, UpperCap: 0.3, Quotas: map[string]*Quota{
+// snap makes a snapshot with two teams: red, and blue with a guarantee.
+func snap(list []*Machine, jobs ...*Job) *Snapshot {
+	s := &Snapshot{Machines: list, Jobs: jobs, UpperCap: 0.3, Quotas: map[string]*Quota{
 		"red": {Maximum: Need{Cores: 100}}, "blue": {Maximum: Need{Cores: 100}, Guaranteed: Need{Cores: 4}}}}
-	for _, m := range ms {
+	for _, m := range list {
 		s.Capacity = s.Capacity.Plus(m.Type.Size)
 	}
 	return s
 }
 
+// started counts placements by job.
 func started(ps []Placement) map[string]int {
 	out := map[string]int{}
 	for _, p := range ps {
--- a/internal/scheduler/machine_index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -102,7 +102,7 @@
 	return jobs
 }
 
-// places tells what a pass decided, in its order.
+// places lists what a fill decided, in its order.
 func places(ps []Placement) (out []string) {
 	for _, p := range ps {
 		out = append(out, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Index, p.Machine.ID))
@@ -110,18 +110,19 @@
 	return out
 }
 
+// stopped lists what a round decided, in its order.
 func stopped(p Preemption) (out []string) {
 	for _, st := range p.Stops {
 		out = append(out, fmt.Sprintf("stop %s/%d on %s for %s", st.Victim.Job.ID, st.Victim.Index, st.Machine.ID, st.For.ID))
 	}
 	for _, k := range p.Reservations {
-		out = append(out, fmt.Sprintf("keep %s for %d of %s", k.Machine.ID, k.Tasks, k.Job.ID))
+		out = append(out, fmt.Sprintf("reserve %s for %d of %s", k.Machine.ID, k.Tasks, k.Job.ID))
 	}
 	return out
 }
 
-// The index decides as looking at all machines did: fills, the stops of a round after one, and
-// what a plan rents, over fleets of all kinds.
+// With the index the decisions are the same as when all machines were scored: fills, the preemption
+// of a round after one, and what a plan rents, over fleets of all kinds.
 func TestIndexDecidesAsFullScan(t *testing.T) {
 	placed, stops, rented := 0, 0, 0
 	for seed := range uint64(3000) {
@@ -145,11 +146,12 @@
 		}
 	}
 	if placed < 1000 || stops < 1000 || rented < 1000 {
-		t.Errorf("the fleets show little: %d placed, %d stops, %d rentals", placed, stops, rented)
+		t.Errorf("the fleets test too little: %d placed, %d stops, %d rentals", placed, stops, rented)
 	}
 }
 
-// An index that stands while its machines change, come and go decides as one made anew.
+// With an index that is kept while its machines change, come and go the decisions are the same as
+// when all machines are scored.
 func TestKeptIndexFollowsChanges(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 11))
@@ -162,7 +164,7 @@
 			fresh := copySnapshot(s)
 			a, b := places(s.Fill()), places((&oracle{Snapshot: fresh}).Fill())
 			if !slices.Equal(a, b) {
-				t.Fatalf("seed %d, step %d: the standing index decides\n%v\nand not\n%v", seed, step, a, b)
+				t.Fatalf("seed %d, step %d: the kept index decides\n%v\nand not\n%v", seed, step, a, b)
 			}
 			s.Jobs = randomJobs(rng, func(n int) float64 { return float64(rng.IntN(n)) / 4 }, len(s.Quotas))
 		}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A round's stops obey the protocol's "Preemption".
+// A round's stops obey the protocol's section "Preemption".
 func TestStops(t *testing.T) {
 	full := func(victim *Job, n int) []*Machine {
 		m := machines(box, "a")
@@ -24,17 +24,17 @@
 		stops    int
 	}{
 		{"lower priority gives way", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.Upper = false }, nil, 1},
-		{"the same priority does not", func(j *Job) { j.Service = true }, func(j *Job) { j.Upper = false }, nil, 0},
-		{"a higher one does not", nil, func(j *Job) { j.Priority, j.Upper = 3, false }, nil, 0},
-		{"what is lent returns to its team", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
+		{"the same priority does not give way", func(j *Job) { j.Service = true }, func(j *Job) { j.Upper = false }, nil, 0},
+		{"a higher priority does not give way", nil, func(j *Job) { j.Priority, j.Upper = 3, false }, nil, 0},
+		{"borrowed quota is reclaimed", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
 			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 1},
-		{"no replica for another at once", func(j *Job) { j.Team, j.Service, j.Priority = "blue", true, 3 }, func(j *Job) { j.Service, j.Priority = true, 3 },
+		{"a replica is not preempted for another at once", func(j *Job) { j.Team, j.Service, j.Priority = "blue", true, 3 }, func(j *Job) { j.Service, j.Priority = true, 3 },
 			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 0},
-		{"but after a long wait", func(j *Job) { j.Team, j.Service, j.Priority, j.Patient = "blue", true, 3, true }, func(j *Job) { j.Service, j.Priority, j.Submitted = true, 3, 1 },
+		{"a replica is preempted for another after a long wait", func(j *Job) { j.Team, j.Service, j.Priority, j.Patient = "blue", true, 3, true }, func(j *Job) { j.Service, j.Priority, j.Submitted = true, 3, 1 },
 			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 1},
-		{"what is within a guarantee stays", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
+		{"what is within a guarantee is not preempted", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
 			map[string]*Quota{"red": {Guaranteed: Need{Cores: 8}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 0},
-		{"a team's limit is freed for its better work", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.Upper = false },
+		{"a team's maximum is freed for its work of higher priority", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.Upper = false },
 			map[string]*Quota{"red": {Maximum: Need{Cores: 8}, Used: Need{Cores: 8}}}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -48,15 +48,14 @@
 				t.Fatalf("%d stops, want %d", len(got), tc.stops)
 			}
 			if tc.stops == 1 && got[0].Victim.SinceS != 0 {
-				t.Errorf("stopped the one of %v s, not the youngest", got[0].Victim.SinceS)
+				t.Errorf("stopped the task that has run for %v s, not the youngest", got[0].Victim.SinceS)
 			}
 		})
 	}
 }
 
-// One round makes room for all waiting tasks of a job, each on a machine that is
-// then kept for it; a job whose stopped tasks are still on their way out stops
-// no more.
+// One round makes room for all waiting tasks of a job, each on a machine that is then reserved for
+// it. A job whose victims have not all ended stops no more.
 func TestPreemptionMakesRoomForWholeJob(t *testing.T) {
 	typ := &Type{Name: "m", Size: Need{Cores: 8, Mem: 99}}
 	build := func(claims int) *Snapshot {
@@ -73,27 +72,27 @@
 	}
 	round := build(0).Stops(9, map[string]bool{})
 	targets := map[string]bool{}
-	for _, kept := range round.Reservations {
-		if kept.Job.ID != "j-web" || kept.Tasks != 1 || kept.Machine.ReservedFor != "j-web" {
-			t.Errorf("%s is kept for %d of %s and %q", kept.Machine.ID, kept.Tasks, kept.Job.ID, kept.Machine.ReservedFor)
+	for _, reservation := range round.Reservations {
+		if reservation.Job.ID != "j-web" || reservation.Tasks != 1 || reservation.Machine.ReservedFor != "j-web" {
+			t.Errorf("%s is reserved for %d tasks of %s and for %q", reservation.Machine.ID, reservation.Tasks, reservation.Job.ID, reservation.Machine.ReservedFor)
 		}
-		targets[kept.Machine.ID] = true
+		targets[reservation.Machine.ID] = true
 	}
 	for _, st := range round.Stops {
 		if !targets[st.Machine.ID] {
-			t.Errorf("stop on %s, which is not kept", st.Machine.ID)
+			t.Errorf("stop on %s, which is not reserved", st.Machine.ID)
 		}
 	}
 	if len(round.Stops) != 3 || len(round.Reservations) != 3 || len(targets) != 3 {
 		t.Errorf("%d stops for 3 tasks on %d machines", len(round.Stops), len(targets))
 	}
 	if n := len(build(3).Stops(9, map[string]bool{}).Stops); n != 0 {
-		t.Errorf("%d stops while earlier ones are on their way out", n)
+		t.Errorf("%d stops while earlier victims have not ended", n)
 	}
 }
 
-// A round rather stops tasks of arrays than a gang, which stops whole; where there
-// is nothing else, a gang of lower priority gives way too.
+// A round prefers to stop tasks of arrays to a gang, which stops whole; where there is nothing
+// else, a gang of lower priority gives way too.
 func TestArraysArePreemptedBeforeGangs(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		ms := machines(box, "a", "a")
@@ -123,8 +122,8 @@
 	}
 }
 
-// A round whose work is bounded goes on with the next one where it stopped: jobs that it
-// looked at in vain are left out until all have been looked at.
+// When the bound on a round's work ends it, the next round goes on from there: jobs that were
+// examined in vain are left out until all have been examined.
 func TestBoundedRoundContinuesInNextRound(t *testing.T) {
 	build := func() *Snapshot {
 		var ms []*Machine
@@ -158,7 +157,7 @@
 		s := build()
 		got := s.Stops(10, searched).Stops
 		if s.taskMachinesExamined > maxTaskMachinesExamined+len(s.Machines) {
-			t.Fatalf("a round looked at %d machines", s.taskMachinesExamined)
+			t.Fatalf("a round examined %d machines", s.taskMachinesExamined)
 		}
 		if len(got) > 0 {
 			if got[0].For.ID != "last" {
@@ -167,15 +166,16 @@
 			break
 		}
 		if rounds > 5 {
-			t.Fatal("the last job's turn never comes")
+			t.Fatal("the last job is never examined")
 		}
 	}
 	if rounds < 2 || len(searched) != 0 {
-		t.Errorf("%d rounds, %d jobs are left out after the last", rounds, len(searched))
+		t.Errorf("%d rounds; %d jobs would be left out of the next one", rounds, len(searched))
 	}
 }
 
-// Replicas that are alike look for what to stop once, and still each gets a machine of its own.
+// The costs of preemption are worked out once for replicas that are alike, and still each gets a
+// machine of its own.
 func TestAlikeReplicasSharePreemptionCosts(t *testing.T) {
 	const count = 400
 	var ms []*Machine
@@ -195,10 +195,10 @@
 	}
 	round := s.Stops(2*count, map[string]bool{})
 	seen := map[string]bool{}
-	for _, kept := range round.Reservations {
-		seen[kept.Machine.ID] = true
+	for _, reservation := range round.Reservations {
+		seen[reservation.Machine.ID] = true
 	}
 	if len(round.Stops) != count || len(seen) != count || s.taskMachinesExamined > 3*len(ms) {
-		t.Errorf("%d stops, %d machines, %d looked at", len(round.Stops), len(seen), s.taskMachinesExamined)
+		t.Errorf("%d stops, %d machines, %d examined", len(round.Stops), len(seen), s.taskMachinesExamined)
 	}
 }
--- a/internal/scheduler/scale_out_test.go
+++ b/internal/scheduler/scale_out_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The cheapest pool that the job allows, short ones passed over; nothing with
-// accelerators for work that has no use for them.
+// A plan rents from the cheapest pool that the job allows and that is not blocked, nothing with
+// accelerators for work that has no use for them, and no more than the team's maximum.
 func TestPlan(t *testing.T) {
 	types := []*Type{gpu, box}
 	open := func(Pool) bool { return false }
@@ -27,11 +27,11 @@
 		n += r.Count
 	}
 	if n != 2 {
-		t.Errorf("%d machines rented for a team's limit of two", n)
+		t.Errorf("%d machines rented, the team's maximum is two", n)
 	}
 }
 
-// No machines with accelerators are rented for batches that can do without.
+// No machines with accelerators are rented for batches that can do without them.
 func TestPlanRentsPlainMachinesForPlainBatches(t *testing.T) {
 	open := func(Pool) bool { return false }
 	plain := func(types ...*Type) *Snapshot {
--- a/internal/scheduler/selector_test.go
+++ b/internal/scheduler/selector_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Machines put in order once give the same places as looking at all of them for each task.
+// A candidateHeap picks the same machines as scoring all of them for each task.
 func TestCandidateHeapPicksAsFullScan(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for round := range 200 {
@@ -50,7 +50,7 @@
 	}
 }
 
-// A round of fills for an array of thousands looks at each machine about once, not once a task.
+// A fill for an array of thousands examines each machine about once, not once a task.
 func TestFillWorkOfALargeArray(t *testing.T) {
 	s := snap(machines(box, make([]string, 800)...), batch("work", 5000, func(j *Job) { j.Upper = false }))
 	s.Quotas["red"].Maximum = Need{}
@@ -58,6 +58,6 @@
 		t.Fatalf("%d tasks started", got)
 	}
 	if s.Looked > 20_000 {
-		t.Errorf("looked at %d machines", s.Looked)
+		t.Errorf("examined %d machines", s.Looked)
 	}
 }
