--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -6,17 +6,19 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// halfFullFleet is a fleet of two machines in use that have an image and room for half a machine.
+func halfFullFleet() *Snapshot {
+	ms := machines(box, "a", "a")
+	for _, m := range ms {
+		m.Used, m.Images = true, map[string]bool{"img": true}
+		m.Free = Need{Cores: 4, Mem: 16}
+	}
+	return snap(ms)
+}
+
 // Replicas are moved only to machines in use that have their images, and only if the headroom for
-// expected ones stays. While replicas move, batches don't start.
+// expected ones stays.
 func TestWithoutMachine(t *testing.T) {
-	build := func() *Snapshot {
-		ms := machines(box, "a", "a")
-		for _, m := range ms {
-			m.Used, m.Images = true, map[string]bool{"img": true}
-			m.Free = Need{Cores: 4, Mem: 16}
-		}
-		return snap(ms)
-	}
 	replica := func(cores float64) []*Job {
 		return []*Job{batch("web", 1, func(j *Job) { j.Service, j.Image, j.Need = true, "img", Need{Cores: cores, Mem: 1} })}
 	}
@@ -24,21 +26,34 @@
 	expect := func() []*Job {
 		return []*Job{batch("~web", 2, func(j *Job) { j.Team, j.Service, j.Headroom, j.Need = "", true, true, Need{Cores: 2, Mem: 1} })}
 	}
-	if build().WithoutMachine("box-0", replica(4), none) == nil {
-		t.Error("the machine can't be emptied, though there is room for its replica")
+	withoutImages := func(s *Snapshot) { s.Machines[1].Images = nil }
+	for _, tc := range []struct {
+		name     string
+		change   func(*Snapshot)
+		cores    float64 // of the replica to move
+		expected func() []*Job
+		possible bool
+	}{
+		{"there is room", nil, 4, none, true},
+		{"there is no room", nil, 5, none, false},
+		{"the headroom for expected replicas would be gone", nil, 4, expect, false},
+		{"the image would have to be fetched", withoutImages, 4, none, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := halfFullFleet()
+			if tc.change != nil {
+				tc.change(s)
+			}
+			if got := s.WithoutMachine("box-0", replica(tc.cores), tc.expected) != nil; got != tc.possible {
+				t.Errorf("the machine can be emptied: %v, want %v", got, tc.possible)
+			}
+		})
 	}
-	if build().WithoutMachine("box-0", replica(5), none) != nil {
-		t.Error("the machine can be emptied, though there is no room for its replica")
-	}
-	if build().WithoutMachine("box-0", replica(4), expect) != nil {
-		t.Error("there would be no headroom for expected replicas")
-	}
-	s := build()
-	s.Machines[1].Images = nil
-	if s.WithoutMachine("box-0", replica(4), none) != nil {
-		t.Error("the machine can be emptied, though the image would have to be fetched")
-	}
-	s = build()
+}
+
+// While replicas of drained machines move, batches don't start in the room that they need.
+func TestBatchesWaitWhileReplicasMove(t *testing.T) {
+	s := halfFullFleet()
 	s.Moving = true
 	s.Jobs = []*Job{batch("b", 3, nil), batch("web", 1, func(j *Job) { j.Service = true })}
 	if d := cmp.Diff(map[string]int{"web": 1}, started(s.Fill())); d != "" {
--- a/internal/scheduler/fill_test.go
+++ b/internal/scheduler/fill_test.go
@@ -29,28 +29,36 @@
 // A fill keeps to spreading, to one zone, to the team's maximum and to the kinds of machine that a
 // job may use.
 func TestLimitsAndZones(t *testing.T) {
-	s := snap(machines(box, "a", "a", "b"), batch("j", 5, func(j *Job) { j.Service, j.Spread = true, true }))
-	got := map[string]int{}
-	for _, p := range s.Fill() {
-		got[p.Machine.Zone]++
-	}
-	if got["a"] > 3 || got["b"] > 3 || got["a"]+got["b"] != 5 {
-		t.Errorf("spread over zones: %v", got)
-	}
-	s = snap(machines(box, "a", "b"), batch("j", 12, func(j *Job) { j.OneZone = true }))
-	if n := len(s.Fill()); n != 8 {
-		t.Errorf("one zone: %d of 12 tasks start in a zone with room for 8", n)
-	}
-	s = snap(machines(box, "a"), batch("j", 8, nil))
-	s.Quotas["red"] = &Quota{Maximum: Need{Cores: 5}, Used: Need{Cores: 2}}
-	if n := len(s.Fill()); n != 3 {
-		t.Errorf("maximum: %d started, 3 are left", n)
-	}
-	spot := machines(box, "a")
-	spot[0].Spot = true
-	if n := len(snap(spot, batch("j", 1, nil)).Fill()); n != 0 {
-		t.Error("a job that may not use spot machines started on one")
-	}
+	t.Run("spread over zones", func(t *testing.T) {
+		s := snap(machines(box, "a", "a", "b"), batch("j", 5, func(j *Job) { j.Service, j.Spread = true, true }))
+		got := map[string]int{}
+		for _, p := range s.Fill() {
+			got[p.Machine.Zone]++
+		}
+		if got["a"] > 3 || got["b"] > 3 || got["a"]+got["b"] != 5 {
+			t.Errorf("started by zone: %v", got)
+		}
+	})
+	t.Run("one zone", func(t *testing.T) {
+		s := snap(machines(box, "a", "b"), batch("j", 12, func(j *Job) { j.OneZone = true }))
+		if n := len(s.Fill()); n != 8 {
+			t.Errorf("%d of 12 tasks start in a zone with room for 8", n)
+		}
+	})
+	t.Run("the team's maximum", func(t *testing.T) {
+		s := snap(machines(box, "a"), batch("j", 8, nil))
+		s.Quotas["red"] = &Quota{Maximum: Need{Cores: 5}, Used: Need{Cores: 2}}
+		if n := len(s.Fill()); n != 3 {
+			t.Errorf("%d started, 3 are left", n)
+		}
+	})
+	t.Run("no spot machines", func(t *testing.T) {
+		spot := machines(box, "a")
+		spot[0].Spot = true
+		if n := len(snap(spot, batch("j", 1, nil)).Fill()); n != 0 {
+			t.Errorf("%d tasks started on a spot machine", n)
+		}
+	})
 }
 
 // Headroom for expected replicas is reserved from batches, not from services.
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -17,7 +17,7 @@
 }
 
 // Fill starts waiting tasks in rank order: services, those within their team's
-// guarantee first; then the room kept for expected ones; then batches, first
+// guarantee first; then headroom for expected ones; then batches, first
 // within guarantees, then within slots (the upper queue under its cap), then
 // what was interrupted, then whatever room is spare.
 func (s *oracle) Fill() []Placement {
@@ -57,9 +57,7 @@
 	return out
 }
 
-// placeStarved gives each batch that has waited for longer than a boot one task. Room
-// kept for what may come, or left of a limit, is no reason for a batch to go without
-// a single task for as long as there is no other.
+// placeStarved gives each batch that has waited for longer than a boot one task.
 func (s *oracle) placeStarved(out []Placement) []Placement {
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang || !j.Starved || j.Held > 0 || len(j.Waiting) == 0 {
@@ -100,7 +98,7 @@
 	return out
 }
 
-// place starts a job's tasks while its team's limit, the given condition and
+// place starts a job's tasks while its team's quota, the given condition and
 // the room allow.
 func (s *oracle) place(out []Placement, j *Job, may func(*Quota) bool) []Placement {
 	team := s.Quotas[j.Team]
@@ -584,14 +582,14 @@
 func (s *oracle) isPreemptible(victim, j *Job, guaranteed bool, rank map[*Job]int) bool {
 	lower := victim.Priority < j.Priority
 	team := s.Quotas[victim.Team]
-	lent := guaranteed && victim.Team != j.Team && team != nil && team.ExceedsGuarantee()
+	borrowed := guaranteed && victim.Team != j.Team && team != nil && team.ExceedsGuarantee()
 	if victim.Service && !lower && !j.Patient {
 		// One replica for another is no gain, and the stopped one fetches its image
 		// anew; a machine may be on its way.
-		lent = false
+		borrowed = false
 	}
 	ranked := rank[victim] > rank[j] || (!victim.Service && victim.Held > victim.Slots)
-	return (lower || lent) && ranked
+	return (lower || borrowed) && ranked
 }
 
 // cheapestPreemption finds the machine on which room for one task costs least.
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -94,31 +94,39 @@
 // A round prefers to stop tasks of arrays to a gang, which stops whole; where there is nothing
 // else, a gang of lower priority gives way too.
 func TestArraysArePreemptedBeforeGangs(t *testing.T) {
-	for _, alone := range []bool{false, true} {
-		ms := machines(box, "a", "a")
-		gang := batch("g", 0, func(j *Job) {
-			j.Gang, j.Upper, j.Need, j.Held, j.Slots, j.Tasks = true, false, Need{Cores: 4, Mem: 1}, 4, 4, 4
-		})
-		array := batch("x", 0, func(j *Job) { j.Upper, j.Need, j.Held = false, Need{Cores: 8, Mem: 1}, 1 })
-		urgent := batch("s", 1, func(j *Job) { j.Service, j.Priority, j.Upper, j.Need = true, 3, false, Need{Cores: 4, Mem: 1} })
-		jobs := []*Job{urgent, gang}
-		hold := func(m *Machine, j *Job, n int) {
-			for i := range n {
-				m.Running = append(m.Running, RunningTask{Job: j, Index: i, SinceS: 30})
-				m.Free = m.Free.Minus(j.Need)
+	for _, tc := range []struct {
+		name  string
+		alone bool // nothing but the gang runs
+	}{
+		{"beside an array", false},
+		{"alone", true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			ms := machines(box, "a", "a")
+			gang := batch("g", 0, func(j *Job) {
+				j.Gang, j.Upper, j.Need, j.Held, j.Slots, j.Tasks = true, false, Need{Cores: 4, Mem: 1}, 4, 4, 4
+			})
+			array := batch("x", 0, func(j *Job) { j.Upper, j.Need, j.Held = false, Need{Cores: 8, Mem: 1}, 1 })
+			urgent := batch("s", 1, func(j *Job) { j.Service, j.Priority, j.Upper, j.Need = true, 3, false, Need{Cores: 4, Mem: 1} })
+			jobs := []*Job{urgent, gang}
+			hold := func(m *Machine, j *Job, n int) {
+				for i := range n {
+					m.Running = append(m.Running, RunningTask{Job: j, Index: i, SinceS: 30})
+					m.Free = m.Free.Minus(j.Need)
+				}
 			}
-		}
-		hold(ms[0], gang, 2)
-		if alone {
-			hold(ms[1], gang, 2)
-		} else {
-			hold(ms[1], array, 1)
-			jobs = append(jobs, array)
-		}
-		stops := snap(ms, jobs...).Stops(10, map[string]bool{}).Stops
-		if len(stops) != 1 || stops[0].Victim.Job.Gang != alone {
-			t.Errorf("alone %v: %d stops", alone, len(stops))
-		}
+			hold(ms[0], gang, 2)
+			if tc.alone {
+				hold(ms[1], gang, 2)
+			} else {
+				hold(ms[1], array, 1)
+				jobs = append(jobs, array)
+			}
+			stops := snap(ms, jobs...).Stops(10, map[string]bool{}).Stops
+			if len(stops) != 1 || stops[0].Victim.Job.Gang != tc.alone {
+				t.Errorf("stopped %v, want one task of the gang: %v", stops, tc.alone)
+			}
+		})
 	}
 }
 
--- a/internal/scheduler/scale_out_test.go
+++ b/internal/scheduler/scale_out_test.go
@@ -11,24 +11,29 @@
 func TestPlan(t *testing.T) {
 	types := []*Type{gpu, box}
 	open := func(Pool) bool { return false }
-	got := snap(nil, batch("j", 8, func(j *Job) { j.Spot = true })).Plan(types, open, 10)
-	if d := cmp.Diff([]Launch{{Pool{"box", "a", true}, 1}}, got); d != "" {
-		t.Error(d)
-	}
-	got = snap(nil, batch("j", 8, nil)).Plan(types, func(p Pool) bool { return p.Zone == "a" }, 10)
-	if d := cmp.Diff([]Launch{{Pool{"box", "b", false}, 1}}, got); d != "" {
-		t.Error(d)
-	}
-	s := snap(nil, batch("j", 400, nil))
-	s.Quotas["red"].Maximum.Cores = 16
-	got = s.Plan(types, open, 64)
-	n := 0
-	for _, r := range got {
-		n += r.Count
-	}
-	if n != 2 {
-		t.Errorf("%d machines rented, the team's maximum is two", n)
-	}
+	t.Run("cheapest pool", func(t *testing.T) {
+		got := snap(nil, batch("j", 8, func(j *Job) { j.Spot = true })).Plan(types, open, 10)
+		if d := cmp.Diff([]Launch{{Pool{"box", "a", true}, 1}}, got); d != "" {
+			t.Error(d)
+		}
+	})
+	t.Run("blocked pools are left out", func(t *testing.T) {
+		got := snap(nil, batch("j", 8, nil)).Plan(types, func(p Pool) bool { return p.Zone == "a" }, 10)
+		if d := cmp.Diff([]Launch{{Pool{"box", "b", false}, 1}}, got); d != "" {
+			t.Error(d)
+		}
+	})
+	t.Run("up to the team's maximum", func(t *testing.T) {
+		s := snap(nil, batch("j", 400, nil))
+		s.Quotas["red"].Maximum.Cores = 16
+		rented := 0
+		for _, launch := range s.Plan(types, open, 64) {
+			rented += launch.Count
+		}
+		if rented != 2 {
+			t.Errorf("%d machines rented, the team's maximum is two", rented)
+		}
+	})
 }
 
 // No machines with accelerators are rented for batches that can do without them.
