--- a/internal/scheduler/index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -41,7 +41,7 @@
 		if rng.IntN(10) == 0 {
 			m.ReservedFor = jobs[rng.IntN(len(jobs))].ID
 		}
-		hold(rng, m, jobs, 1000+10*i)
+		runRandomTasks(rng, m, jobs, 1000+10*i)
 		s.Machines = append(s.Machines, m)
 		s.Capacity = s.Capacity.Plus(t.Size)
 	}
@@ -50,8 +50,8 @@
 	return s
 }
 
-// hold puts tasks on a machine that a round may stop.
-func hold(rng *rand.Rand, m *Machine, jobs []*Job, first int) {
+// runRandomTasks puts tasks on a machine that a round may stop.
+func runRandomTasks(rng *rand.Rand, m *Machine, jobs []*Job, first int) {
 	for i := range rng.IntN(4) {
 		j := jobs[rng.IntN(len(jobs))]
 		if j.Headroom || !j.Need.Fits(m.Free) {
@@ -102,7 +102,7 @@
 	return jobs
 }
 
-// places tells what a pass decided, in its order.
+// places lists what a fill decided, in its order.
 func places(ps []Placement) (out []string) {
 	for _, p := range ps {
 		out = append(out, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Index, p.Machine.ID))
@@ -110,19 +110,20 @@
 	return out
 }
 
+// stopped lists what a round decided, in its order.
 func stopped(p Preemption) (out []string) {
 	for _, st := range p.Stops {
 		out = append(out, fmt.Sprintf("stop %s/%d on %s for %s", st.Victim.Job.ID, st.Victim.Index, st.Machine.ID, st.For.ID))
 	}
 	for _, k := range p.Reservations {
-		out = append(out, fmt.Sprintf("keep %s for %d of %s", k.Machine.ID, k.Tasks, k.Job.ID))
+		out = append(out, fmt.Sprintf("reserve %s for %d of %s", k.Machine.ID, k.Tasks, k.Job.ID))
 	}
 	return out
 }
 
-// The index decides as looking at all machines did: fills, the stops of a round after one, and
-// what a plan rents, over fleets of all kinds.
-func TestIndexDecidesAsLookingAtAll(t *testing.T) {
+// With the index the decisions are the same as when all machines were scored: fills, the preemption
+// of a round after one, and what a plan rents, over fleets of all kinds.
+func TestIndexDecidesAsFullScan(t *testing.T) {
 	placed, stops, rented := 0, 0, 0
 	for seed := range uint64(3000) {
 		got, want := randomSnapshot(seed), &oracle{Snapshot: randomSnapshot(seed)}
@@ -145,12 +146,13 @@
 		}
 	}
 	if placed < 1000 || stops < 1000 || rented < 1000 {
-		t.Errorf("the fleets show little: %d placed, %d stops, %d rentals", placed, stops, rented)
+		t.Errorf("the fleets test too little: %d placed, %d stops, %d rentals", placed, stops, rented)
 	}
 }
 
-// An index that stands while its machines change, come and go decides as one made anew.
-func TestStandingIndexFollowsChanges(t *testing.T) {
+// With an index that is kept while its machines change, come and go the decisions are the same as
+// when all machines are scored.
+func TestKeptIndexFollowsChanges(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		s := randomSnapshot(seed)
@@ -162,7 +164,7 @@
 			fresh := copySnapshot(s)
 			a, b := places(s.Fill()), places((&oracle{Snapshot: fresh}).Fill())
 			if !slices.Equal(a, b) {
-				t.Fatalf("seed %d, step %d: the standing index decides\n%v\nand not\n%v", seed, step, a, b)
+				t.Fatalf("seed %d, step %d: the kept index decides\n%v\nand not\n%v", seed, step, a, b)
 			}
 			s.Jobs = randomJobs(rng, func(n int) float64 { return float64(rng.IntN(n)) / 4 }, len(s.Quotas))
 		}
@@ -192,12 +194,12 @@
 		return
 	case 6:
 		more := randomSnapshot(seed).Machines[0]
-		more.ID, more.place = fmt.Sprint("n-", seed, len(s.Machines)), s.Machines[len(s.Machines)-1].place+1
+		more.ID, more.position = fmt.Sprint("n-", seed, len(s.Machines)), s.Machines[len(s.Machines)-1].position+1
 		s.Machines = append(s.Machines, more)
 		m = more
 	}
-	s.changed(m)
-	s.spare = [2][]*Machine{}
+	s.machineChanged(m)
+	s.withRoom = [2][]*Machine{}
 }
 
 // copySnapshot copies what a pass changes.
