--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -15,9 +15,9 @@
 
 // Bounds of the cloud's protocol.
 const (
-	maxLaunched = 50  // of a request
-	maxDeleted  = 100 // of a request
-	listPage    = 500
+	maxLaunchCount = 50  // of a request
+	maxDeleteCount = 100 // of a request
+	listPageSize   = 500
 )
 
 // Times are those that the pool's own follow from.
@@ -57,13 +57,13 @@
 // LaunchRequest is a request for machines that is under way.
 type LaunchRequest struct {
 	scheduler.Pool
-	Count int
-	name  string
-	sent  time.Duration
+	Count       int
+	requestName string
+	sentAt      time.Duration
 }
 
 func (r *LaunchRequest) request() protocol.LaunchRequest {
-	return protocol.LaunchRequest{Request: r.name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
+	return protocol.LaunchRequest{Request: r.requestName, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
 // Pool is a leader's dealings with the cloud.
@@ -73,22 +73,22 @@
 	times Times
 	token uint64
 
-	listAt    time.Duration
-	listing   bool
-	listed    bool // one whole list has been read
-	launches  uint64
-	launching map[string]*LaunchRequest
-	short     map[scheduler.Pool]shortage
+	nextListAt   time.Duration
+	listInFlight bool
+	listRead     bool // one whole list has been read
+	lastLaunch   uint64
+	launching    map[string]*LaunchRequest
+	backoffs     map[scheduler.Pool]backoff
 	// removed are machines that are gone, with the time: lists lag, and reports come late.
-	removed  map[string]time.Duration
-	deleting bool
-	deleteAt time.Duration
+	removed        map[string]time.Duration
+	deleteInFlight bool
+	nextDeleteAt   time.Duration
 }
 
-// shortage is how long a pool is left alone, longer with each time that it gave too few.
-type shortage struct {
-	until time.Duration
-	times int
+// backoff is how long a pool is left alone, longer with each time that it gave too few.
+type backoff struct {
+	until    time.Duration
+	failures int
 }
 
 // maxBackoffSteps bounds the times that count.
@@ -96,7 +96,7 @@
 
 // New makes the pool of a term. Names of rentals have its token, so that no other leader ever uses them.
 func New(host Host, log *slog.Logger, times Times, token uint64) *Pool {
-	return &Pool{host: host, log: log, times: times, token: token, launching: map[string]*LaunchRequest{}, short: map[scheduler.Pool]shortage{},
+	return &Pool{host: host, log: log, times: times, token: token, launching: map[string]*LaunchRequest{}, backoffs: map[scheduler.Pool]backoff{},
 		removed: map[string]time.Duration{}}
 }
 
@@ -108,15 +108,15 @@
 			delete(p.removed, name)
 		}
 	}
-	p.delete()
-	if !p.listing && now >= p.listAt && p.host.MayCall() {
-		p.listing = true
+	p.deleteMachines()
+	if !p.listInFlight && now >= p.nextListAt && p.host.MayCall() {
+		p.listInFlight = true
 		p.readPage("", now, map[string]bool{})
 	}
 }
 
 // HasList says whether one whole list has been read.
-func (p *Pool) HasList() bool { return p.listed }
+func (p *Pool) HasList() bool { return p.listRead }
 
 // Remove notes that a machine is gone: what still tells of it is old.
 func (p *Pool) Remove(name string) { p.removed[name] = p.host.Now() }
@@ -134,10 +134,10 @@
 }
 
 // IsShort says whether a pool is left alone for now.
-func (p *Pool) IsShort(pool scheduler.Pool) bool { return p.host.Now() < p.short[pool].until }
+func (p *Pool) IsShort(pool scheduler.Pool) bool { return p.host.Now() < p.backoffs[pool].until }
 
 func (p *Pool) readPage(after string, asked time.Duration, names map[string]bool) {
-	path := fmt.Sprintf("/machines?limit=%d", listPage)
+	path := fmt.Sprintf("/machines?limit=%d", listPageSize)
 	if after != "" {
 		path += "&after=" + after
 	}
@@ -147,7 +147,7 @@
 		}
 		var list protocol.MachineList
 		if status != 200 || protocol.Decode(body, &list) != nil {
-			p.listing, p.listAt = false, p.host.Now()+p.host.Pause()*4
+			p.listInFlight, p.nextListAt = false, p.host.Now()+p.host.Pause()*4
 			return
 		}
 		for i := range list.Machines {
@@ -161,29 +161,29 @@
 			p.readPage(list.Machines[len(list.Machines)-1].ID, asked, names)
 			return
 		}
-		p.listing, p.listed = false, true
-		p.listAt = p.host.Now() + p.times.ListEvery
+		p.listInFlight, p.listRead = false, true
+		p.nextListAt = p.host.Now() + p.times.ListEvery
 		p.host.ListRead(asked, names)
 	})
 }
 
-// delete has machines deleted, one request at a time, until the cloud says that they are gone.
-func (p *Pool) delete() {
-	if p.deleting || p.host.Now() < p.deleteAt || !p.host.MayCall() {
+// deleteMachines has machines deleted, one request at a time, until the cloud says that they are gone.
+func (p *Pool) deleteMachines() {
+	if p.deleteInFlight || p.host.Now() < p.nextDeleteAt || !p.host.MayCall() {
 		return
 	}
-	names := p.host.ToDelete(maxDeleted)
+	names := p.host.ToDelete(maxDeleteCount)
 	if len(names) == 0 {
 		return
 	}
-	p.deleting = true
+	p.deleteInFlight = true
 	p.host.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, p.times.Lease/2, func(status int, _ []byte) {
 		if p.host.Ended() {
 			return
 		}
-		p.deleting = false
+		p.deleteInFlight = false
 		if status != 200 {
-			p.deleteAt = p.host.Now() + p.host.Pause()*2
+			p.nextDeleteAt = p.host.Now() + p.host.Pause()*2
 			return
 		}
 		for _, name := range names {
@@ -195,55 +195,55 @@
 // Launch asks for machines. The name holds the token and a counter: no node ever
 // uses it again.
 func (p *Pool) Launch(pool scheduler.Pool, count int) {
-	p.launches++
-	q := &LaunchRequest{Pool: pool, Count: min(count, maxLaunched), name: fmt.Sprintf("r-%d-%d", p.token, p.launches), sent: p.host.Now()}
-	p.send(q)
+	p.lastLaunch++
+	q := &LaunchRequest{Pool: pool, Count: min(count, maxLaunchCount), requestName: fmt.Sprintf("r-%d-%d", p.token, p.lastLaunch), sentAt: p.host.Now()}
+	p.sendLaunch(q)
 }
 
-func (p *Pool) send(q *LaunchRequest) {
-	p.launching[q.name] = q
-	p.log.Info("renting", "request", q.name, "type", q.Type, "zone", q.Zone, "spot", q.Spot, "count", q.Count)
+func (p *Pool) sendLaunch(q *LaunchRequest) {
+	p.launching[q.requestName] = q
+	p.log.Info("renting", "request", q.requestName, "type", q.Type, "zone", q.Zone, "spot", q.Spot, "count", q.Count)
 	p.host.Call("POST", "/machines", q.request(), p.times.Lease/2, func(status int, body []byte) {
 		if !p.host.Ended() {
-			p.answered(q, status, body)
+			p.onLaunchAnswer(q, status, body)
 		}
 	})
 }
 
-// answered takes the answer to a rental.
-func (p *Pool) answered(q *LaunchRequest, status int, body []byte) {
+// onLaunchAnswer takes the answer to a rental.
+func (p *Pool) onLaunchAnswer(q *LaunchRequest, status int, body []byte) {
 	var got protocol.MachineNames
 	switch {
 	case status == 200 && protocol.Decode(body, &got) == nil:
 		p.onLaunched(q, got.Machines)
 	case status == 503 && noCapacity(body):
-		delete(p.launching, q.name)
-		p.runShort(q.Pool)
+		delete(p.launching, q.requestName)
+		p.backOff(q.Pool)
 	case status == 400:
-		delete(p.launching, q.name)
-		p.runShort(q.Pool)
-		p.log.Error("a rental was called malformed", "request", q.name)
-	case p.host.Now() > q.sent+4*p.times.Lease:
+		delete(p.launching, q.requestName)
+		p.backOff(q.Pool)
+		p.log.Error("a rental was called malformed", "request", q.requestName)
+	case p.host.Now() > q.sentAt+4*p.times.Lease:
 		// Whatever it still brings appears in the list.
-		delete(p.launching, q.name)
+		delete(p.launching, q.requestName)
 	default:
 		// No answer, or trouble: the same name again rents nothing twice.
-		p.host.Later(p.host.Now()+p.host.Pause()*3, func() { p.send(q) })
+		p.host.Later(p.host.Now()+p.host.Pause()*3, func() { p.sendLaunch(q) })
 	}
 }
 
 func (p *Pool) onLaunched(q *LaunchRequest, names []string) {
-	delete(p.launching, q.name)
+	delete(p.launching, q.requestName)
 	for _, name := range names {
 		if !p.WasRemoved(name) {
-			p.host.Launched(q.Pool, name, q.sent)
+			p.host.Launched(q.Pool, name, q.sentAt)
 		}
 	}
 	if len(names) < q.Count {
-		p.runShort(q.Pool)
+		p.backOff(q.Pool)
 		return
 	}
-	delete(p.short, q.Pool)
+	delete(p.backoffs, q.Pool)
 	p.host.Short(q.Pool, false)
 }
 
@@ -254,11 +254,11 @@
 	return protocol.Decode(body, &e) == nil && e.Error == "no capacity"
 }
 
-// runShort backs off from a pool that was refused or only partly filled.
-func (p *Pool) runShort(pool scheduler.Pool) {
-	s := p.short[pool]
-	s.times = min(s.times+1, maxBackoffSteps)
-	s.until = p.host.Now() + p.times.Lease*time.Duration(s.times)/2
-	p.short[pool] = s
+// backOff backs off from a pool that was refused or only partly filled.
+func (p *Pool) backOff(pool scheduler.Pool) {
+	s := p.backoffs[pool]
+	s.failures = min(s.failures+1, maxBackoffSteps)
+	s.until = p.host.Now() + p.times.Lease*time.Duration(s.failures)/2
+	p.backoffs[pool] = s
 	p.host.Short(pool, true)
 }
--- a/internal/machinepool/pool_test.go
+++ b/internal/machinepool/pool_test.go
@@ -11,10 +11,10 @@
 	"claybarrow/internal/scheduler"
 )
 
-// scripted is a leader whose cloud answers as a test says.
-type scripted struct {
+// fakeHost is a leader whose cloud answers as a test says.
+type fakeHost struct {
 	now      time.Duration
-	calls    []call
+	calls    []sentRequest
 	timers   []func()
 	ended    bool
 	listed   []string
@@ -25,28 +25,28 @@
 	short    []bool
 }
 
-type call struct {
+type sentRequest struct {
 	path string
 	body any
 	then func(int, []byte)
 }
 
-func (s *scripted) Now() time.Duration { return s.now }
-func (s *scripted) Call(_, path string, body any, _ time.Duration, then func(int, []byte)) {
-	s.calls = append(s.calls, call{path, body, then})
+func (s *fakeHost) Now() time.Duration { return s.now }
+func (s *fakeHost) Call(_, path string, body any, _ time.Duration, then func(int, []byte)) {
+	s.calls = append(s.calls, sentRequest{path, body, then})
 }
-func (s *scripted) MayCall() bool                      { return true }
-func (s *scripted) Pause() time.Duration               { return 100 * time.Millisecond }
-func (s *scripted) Later(_ time.Duration, do func())   { s.timers = append(s.timers, do) }
-func (s *scripted) Ended() bool                        { return s.ended }
-func (s *scripted) Listed(m *protocol.ListedMachine)   { s.listed = append(s.listed, m.ID) }
-func (s *scripted) Deleted(name string)                { s.deleted = append(s.deleted, name) }
-func (s *scripted) Short(_ scheduler.Pool, short bool) { s.short = append(s.short, short) }
-func (s *scripted) ToDelete(most int) []string         { return s.returned[:min(most, len(s.returned))] }
-func (s *scripted) Launched(_ scheduler.Pool, n string, _ time.Duration) {
+func (s *fakeHost) MayCall() bool                      { return true }
+func (s *fakeHost) Pause() time.Duration               { return 100 * time.Millisecond }
+func (s *fakeHost) Later(_ time.Duration, do func())   { s.timers = append(s.timers, do) }
+func (s *fakeHost) Ended() bool                        { return s.ended }
+func (s *fakeHost) Listed(m *protocol.ListedMachine)   { s.listed = append(s.listed, m.ID) }
+func (s *fakeHost) Deleted(name string)                { s.deleted = append(s.deleted, name) }
+func (s *fakeHost) Short(_ scheduler.Pool, short bool) { s.short = append(s.short, short) }
+func (s *fakeHost) ToDelete(most int) []string         { return s.returned[:min(most, len(s.returned))] }
+func (s *fakeHost) Launched(_ scheduler.Pool, n string, _ time.Duration) {
 	s.rented = append(s.rented, n)
 }
-func (s *scripted) ListRead(_ time.Duration, names map[string]bool) {
+func (s *fakeHost) ListRead(_ time.Duration, names map[string]bool) {
 	for name := range names {
 		s.read = append(s.read, name)
 	}
@@ -54,7 +54,7 @@
 }
 
 // take is the last call to a path, taken out.
-func (s *scripted) take(t *testing.T, path string) call {
+func (s *fakeHost) take(t *testing.T, path string) sentRequest {
 	t.Helper()
 	for i := len(s.calls) - 1; i >= 0; i-- {
 		if c := s.calls[i]; c.path == path {
@@ -63,11 +63,11 @@
 		}
 	}
 	t.Fatalf("no call to %s", path)
-	return call{}
+	return sentRequest{}
 }
 
-func newScripted() (*scripted, *Pool) {
-	s := &scripted{now: time.Minute}
+func newTestPool() (*fakeHost, *Pool) {
+	s := &fakeHost{now: time.Minute}
 	return s, New(s, slog.New(slog.DiscardHandler), Times{Lease: 10 * time.Second, ListLag: 5 * time.Second, ListEvery: 3 * time.Second}, 7)
 }
 
@@ -81,7 +81,7 @@
 
 // A list is read page by page; machines that are gone are no news, but were in it.
 func TestList(t *testing.T) {
-	s, p := newScripted()
+	s, p := newTestPool()
 	p.Remove("i-2")
 	p.Tick()
 	s.take(t, "/machines?limit=500").then(200, page(true, "i-1", "i-2"))
@@ -107,7 +107,7 @@
 // Deletions go out a hundred at a time, one request after the other, and are repeated until the cloud
 // says 200.
 func TestDeletions(t *testing.T) {
-	s, p := newScripted()
+	s, p := newTestPool()
 	for i := range 130 {
 		s.returned = append(s.returned, fmt.Sprintf("i-%d", i))
 	}
@@ -130,7 +130,7 @@
 // A rental's name is its own for ever; without an answer it is repeated under the same one, and a pool that
 // gave fewer than asked is left alone, longer each time.
 func TestRentals(t *testing.T) {
-	s, p := newScripted()
+	s, p := newTestPool()
 	pool := scheduler.Pool{Type: "m8", Zone: "a"}
 	p.Launch(pool, 80)
 	c := s.take(t, "/machines")
@@ -180,7 +180,7 @@
 
 // After the term nothing that still comes is taken.
 func TestAnswersAfterTheTerm(t *testing.T) {
-	s, p := newScripted()
+	s, p := newTestPool()
 	p.Launch(scheduler.Pool{Type: "m8"}, 1)
 	p.Tick()
 	s.ended = true
--- a/internal/statestore/leader_key.go
+++ b/internal/statestore/leader_key.go
@@ -16,38 +16,38 @@
 
 // ChangeLeader has the leader key stored in another form by the next transaction. There is one
 // such change at a time.
-func (w *Writer) ChangeLeader(change *LeaderChange) { w.change = change }
+func (w *Writer) ChangeLeader(change *LeaderChange) { w.leaderChange = change }
 
-// composeChange makes the transaction of a change of the leader key; nil: none waits, or the
+// composeLeaderChange makes the transaction of a change of the leader key; nil: none waits, or the
 // budget does not allow it yet.
-func (w *Writer) composeChange() *Transaction {
-	change, now := w.change, w.host.Now()
+func (w *Writer) composeLeaderChange() *Transaction {
+	change, now := w.leaderChange, w.host.Now()
 	if change == nil {
 		return nil
 	}
 	changes := float64(1 + len(change.Puts) + len(change.Deletes))
-	if !w.changes.Has(now, changes) {
+	if !w.changeBudget.Has(now, changes) {
 		return nil
 	}
-	w.change = nil
-	t := &Transaction{made: now, change: change}
+	w.leaderChange = nil
+	t := &Transaction{createdAt: now, leaderChange: change}
 	t.Body.If = []protocol.Condition{{Key: w.leader.Key, Version: w.leader.Version}}
 	for _, put := range change.Puts {
-		w.depend(t, put.Put)
+		w.requireVersion(t, put.Put)
 		t.Puts = append(t.Puts, put.Put)
 		t.Body.Then = append(t.Body.Then, put)
 	}
 	for _, key := range change.Deletes {
-		w.depend(t, key)
-		t.dels = append(t.dels, key)
+		w.requireVersion(t, key)
+		t.deletes = append(t.deletes, key)
 		t.Body.Then = append(t.Body.Then, protocol.Change{Delete: key})
 	}
-	w.putLeader(t, change.Entry)
-	w.changes.Take(now, changes)
+	w.putLeaderKey(t, change.Entry)
+	w.changeBudget.Take(now, changes)
 	return t
 }
 
-// depend makes a key's known version a condition.
-func (w *Writer) depend(t *Transaction, key string) {
+// requireVersion makes a key's known version a condition.
+func (w *Writer) requireVersion(t *Transaction, key string) {
 	t.Body.If = append(t.Body.If, protocol.Condition{Key: key, Version: w.versions[key]})
 }
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -7,9 +7,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// changing is a writer that has sent a change of its leader key, and what became of that.
-func changing(t *testing.T, change *LeaderChange) (s *scripted, w *Writer, outcome *string) {
-	s, w = newScripted(8)
+// newLeaderChangeWriter is a writer that has sent a change of its leader key, and what became of that.
+func newLeaderChangeWriter(t *testing.T, change *LeaderChange) (s *fakeHost, w *Writer, outcome *string) {
+	s, w = newTestWriter(8)
 	outcome = new(string)
 	change.Entry = LeaderEntry{Record: "permanent"}
 	change.Applied = func() { *outcome = "applied" }
@@ -20,7 +20,7 @@
 	return s, w, outcome
 }
 
-func opening() *LeaderChange {
+func openingChange() *LeaderChange {
 	return &LeaderChange{Puts: []protocol.Change{{Put: "c/lease", Value: "lease", Lease: 3}}}
 }
 
@@ -31,7 +31,7 @@
 // The leader key is stored in its new form together with the other keys, alone and under the versions known;
 // all that follows depends on the new version.
 func TestLeaderChange(t *testing.T) {
-	s, w, outcome := changing(t, opening())
+	s, w, outcome := newLeaderChangeWriter(t, openingChange())
 	txn := s.last(t).body.(protocol.Txn)
 	if !slices.Equal(puts(s.last(t)), []string{"c/lease", "c/leader"}) || txn.Then[1].Lease != 0 || txn.Then[0].Lease != 3 {
 		t.Fatalf("%+v", txn)
@@ -66,15 +66,15 @@
 		outcome  string
 		ended    bool
 	}{
-		{"applied", opening(), 409, "c/leader", 7, "permanent", "applied", false},
-		{"another leader's", opening(), 409, "c/leader", 7, "another's", "", true},
-		{"gone", opening(), 409, "c/leader", 0, "", "", true},
-		{"refused, not applied", opening(), 400, "", 5, ourRecord, "refused", false},
-		{"refused, applied before", opening(), 400, "", 7, "permanent", "applied", false},
+		{"applied", openingChange(), 409, "c/leader", 7, "permanent", "applied", false},
+		{"another leader's", openingChange(), 409, "c/leader", 7, "another's", "", true},
+		{"gone", openingChange(), 409, "c/leader", 0, "", "", true},
+		{"refused, not applied", openingChange(), 400, "", 5, ourRecord, "refused", false},
+		{"refused, applied before", openingChange(), 400, "", 7, "permanent", "applied", false},
 		{"no other keys, refused", &LeaderChange{}, 400, "", 5, ourRecord, "refused", false},
 		{"the lease's key is gone", &LeaderChange{Deletes: []string{"c/lease"}}, 409, "c/lease", 5, ourRecord, "", true},
 	} {
-		s, w, outcome := changing(t, c.change)
+		s, w, outcome := newLeaderChangeWriter(t, c.change)
 		s.last(t).then(0, nil)
 		s.now += s.Pause()
 		w.Flush()
@@ -102,7 +102,7 @@
 
 // A change that is refused for good ends no leader: what it had waits, and the key keeps its form.
 func TestRefusedLeaderChange(t *testing.T) {
-	s, w, outcome := changing(t, opening())
+	s, w, outcome := newLeaderChangeWriter(t, openingChange())
 	s.last(t).then(400, nil)
 	w.Flush()
 	if next := s.last(t).body.(protocol.Txn); *outcome != "refused" || s.ended != "" || next.If[0].Version != 5 || next.Then[0].Put != "m/other" {
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -14,37 +14,37 @@
 	if w.host.Ended() {
 		return
 	}
-	t.flying = false
+	t.inFlight = false
 	var reply protocol.TxnReply
 	switch status {
 	case 200:
 		if protocol.Decode(body, &reply) != nil {
-			w.lost(t)
+			w.onOutcomeUnknown(t)
 			return
 		}
-		if t.fencing {
-			w.stored(t, reply.Revision)
+		if t.writesLeaderKey {
+			w.noteLeaderKey(t, reply.Revision)
 		}
-		w.applied(t, reply.Revision)
+		w.onApplied(t, reply.Revision)
 	case 409:
 		if protocol.Decode(body, &reply) != nil {
-			w.lost(t)
+			w.onOutcomeUnknown(t)
 			return
 		}
 		w.onConflict(t, reply.Failed)
 	case 0:
-		w.lost(t)
+		w.onOutcomeUnknown(t)
 	case 400:
-		if t.uncertain {
+		if t.outcomeUnknown {
 			// An earlier try may have applied all the same.
-			t.readback = w.readbackKey(t)
+			t.readbackKey = w.chooseReadbackKey(t)
 			return
 		}
-		w.malformed(t)
+		w.onInvalidRequest(t)
 	default:
 		// 503: not executed. 429: likewise, and we have been too fast.
 		if status == 429 {
-			w.changes.Empty()
+			w.changeBudget.Empty()
 		} else {
 			w.host.Unavailable()
 		}
@@ -52,73 +52,73 @@
 	}
 }
 
-// readbackKey is the key that tells whether a transaction has applied.
-func (w *Writer) readbackKey(t *Transaction) string {
-	if t.change != nil {
+// chooseReadbackKey is the key that tells whether a transaction has applied.
+func (w *Writer) chooseReadbackKey(t *Transaction) string {
+	if t.leaderChange != nil {
 		return w.leader.Key
 	}
-	return slices.Concat(t.Puts, t.dels)[0]
+	return slices.Concat(t.Puts, t.deletes)[0]
 }
 
 // onConflict takes the keys that had other versions than the transaction said.
 func (w *Writer) onConflict(t *Transaction, failed []string) {
 	switch {
 	case slices.Contains(failed, w.leader.Key):
-		if !t.fencing || !t.uncertain {
+		if !t.writesLeaderKey || !t.outcomeUnknown {
 			w.host.End("another leader's key")
 			return
 		}
-		t.readback = w.leader.Key // an earlier try of ours may have written it
-	case !t.uncertain || t.change != nil:
+		t.readbackKey = w.leader.Key // an earlier try of ours may have written it
+	case !t.outcomeUnknown || t.leaderChange != nil:
 		// Nobody else may write our keys: the ledger is not what we think.
 		w.log.Error("versions differ", "keys", fmt.Sprint(failed))
 		w.host.End("the ledger differs from memory")
 	case len(t.Puts) == 0:
-		w.applied(t, 0)
+		w.onApplied(t, 0)
 	default:
-		t.readback = t.Puts[0]
+		t.readbackKey = t.Puts[0]
 	}
 }
 
-// lost notes that a try had no answer: it may have applied, or do so later.
-func (w *Writer) lost(t *Transaction) {
-	t.uncertain, w.unanswered = true, true
+// onOutcomeUnknown notes that a try had no answer: it may have applied, or do so later.
+func (w *Writer) onOutcomeUnknown(t *Transaction) {
+	t.outcomeUnknown, w.needsFence = true, true
 	t.retryAt = w.host.Now() + w.host.Pause()
 }
 
-// malformed takes back a transaction that the state service calls malformed: a
+// onInvalidRequest takes back a transaction that the state service calls malformed: a
 // lease that has ended, or a limit that is lower than the settings say. What can
 // be written goes out in smaller ones; only a single record that is refused by
 // itself is given up, and its users are told to come back.
-func (w *Writer) malformed(t *Transaction) {
+func (w *Writer) onInvalidRequest(t *Transaction) {
 	w.current = nil
-	if t.change != nil {
+	if t.leaderChange != nil {
 		w.log.Error("the leader key's new form was called malformed")
-		t.change.Refused()
+		t.leaderChange.Refused()
 		return
 	}
-	if t.fencing && len(t.writes) == 1 {
+	if t.writesLeaderKey && len(t.writes) == 1 {
 		w.host.End("the leader key can't be written")
 		return
 	}
 	if len(t.writes) > 1 {
 		w.log.Error("a transaction was called malformed", "writes", len(t.writes))
-		w.most = max(1, len(t.writes)/2)
-		w.putBack(t)
+		w.maxWrites = max(1, len(t.writes)/2)
+		w.requeue(t)
 		return
 	}
 	m := t.writes[0]
 	w.log.Error("a record was called malformed", "key", m.key)
-	w.most = unlimited
+	w.maxWrites = unlimitedWrites
 	w.host.Abandoned(m.key)
 }
 
-// putBack queues a transaction's writes again, first in their queues. What was
+// requeue queues a transaction's writes again, first in their queues. What was
 // asked for anew meanwhile keeps the newer request.
-func (w *Writer) putBack(t *Transaction) {
+func (w *Writer) requeue(t *Transaction) {
 	for _, m := range slices.Backward(t.writes) {
 		if newer := w.pending[m.key]; newer != nil {
-			newer.then = append(m.then, newer.then...)
+			newer.onStored = append(m.onStored, newer.onStored...)
 			continue
 		}
 		w.pending[m.key] = m
@@ -132,10 +132,10 @@
 	if w.host.Ended() {
 		return
 	}
-	t.flying = false
+	t.inFlight = false
 	var it protocol.Item // absent: version 0
-	key := t.readback
-	deletes := slices.Contains(t.dels, key)
+	key := t.readbackKey
+	deletes := slices.Contains(t.deletes, key)
 	switch {
 	case status == 200 && protocol.Decode(body, &it) == nil:
 	case status == 404 && (key == w.leader.Key || w.versions[key] != 0 && !deletes):
@@ -146,48 +146,48 @@
 		t.retryAt = w.host.Now() + w.host.Pause()
 		return
 	}
-	t.readback = ""
+	t.readbackKey = ""
 	if key == w.leader.Key {
 		if it.Version == w.leader.Version {
-			w.malformed(t) // it did not apply, and the last try was refused
+			w.onInvalidRequest(t) // it did not apply, and the last try was refused
 			return
 		}
-		if !w.leader.Equal(it.Value, t.leader.Record) {
+		if !w.leader.Equal(it.Value, t.leaderEntry.Record) {
 			w.host.End("another leader's key")
 			return
 		}
 		// A try of ours wrote the leader key, and all else with it.
-		w.stored(t, it.Version)
-		w.applied(t, it.Version)
+		w.noteLeaderKey(t, it.Version)
+		w.onApplied(t, it.Version)
 		return
 	}
 	if it.Version == w.versions[key] {
-		w.malformed(t) // it did not apply, and the last try was refused
+		w.onInvalidRequest(t) // it did not apply, and the last try was refused
 		return
 	}
-	w.applied(t, it.Version)
+	w.onApplied(t, it.Version)
 }
 
-// stored notes that the transaction's leader key is the stored one.
-func (w *Writer) stored(t *Transaction, version uint64) {
-	w.leader.Version, w.leader.Entry, w.unanswered = version, t.leader, false
+// noteLeaderKey notes that the transaction's leader key is the stored one.
+func (w *Writer) noteLeaderKey(t *Transaction, version uint64) {
+	w.leader.Version, w.leader.Entry, w.needsFence = version, t.leaderEntry, false
 }
 
-func (w *Writer) applied(t *Transaction, revision uint64) {
+func (w *Writer) onApplied(t *Transaction, revision uint64) {
 	for _, key := range t.Puts {
 		w.versions[key] = revision
 	}
-	for _, key := range t.dels {
+	for _, key := range t.deletes {
 		delete(w.versions, key)
 	}
 	w.current = nil
-	w.most = min(unlimited, 2*w.most)
+	w.maxWrites = min(unlimitedWrites, 2*w.maxWrites)
 	// A value out of range is clipped; the histogram only serves the log.
-	_ = w.took.RecordValue(min(longestMillis, max(1, (w.host.Now()-t.made).Milliseconds())))
+	_ = w.latencies.RecordValue(min(maxLatencyMillis, max(1, (w.host.Now()-t.createdAt).Milliseconds())))
 	for _, m := range t.writes {
-		w.durable(m)
+		w.notifyStored(m)
 	}
-	if t.change != nil {
-		t.change.Applied()
+	if t.leaderChange != nil {
+		t.leaderChange.Applied()
 	}
 }
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -28,7 +28,7 @@
 	Done
 	Lazy
 	Counters
-	priorities
+	priorityCount
 )
 
 // Limits are the state service's, now and later.
@@ -39,16 +39,16 @@
 	Timeout time.Duration
 }
 
-// transactionBytes bounds a transaction, of the protocol's 64 KiB.
-const transactionBytes = 60 << 10
+// maxTransactionBytes bounds a transaction, of the protocol's 64 KiB.
+const maxTransactionBytes = 60 << 10
 
-// unlimited is more writes than any transaction has.
-const unlimited = 1 << 20
+// unlimitedWrites is more writes than any transaction has.
+const unlimitedWrites = 1 << 20
 
 // Bounds of the times that transactions take, in the log, in ms.
 const (
-	longestMillis = 60_000
-	figures       = 2
+	maxLatencyMillis = 60_000
+	latencyDigits    = 2
 )
 
 // LeaderKey is the key whose version is a condition of every write.
@@ -93,27 +93,27 @@
 	key      string
 	priority Priority
 	render   func() any // nil result: delete
-	then     []func()
+	onStored []func()
 }
 
 // Transaction is what goes out at once.
 type Transaction struct {
-	Body   protocol.Txn
-	Puts   []string
-	writes []*write
-	dels   []string
-	// uncertain: an earlier try had no answer and may have applied.
-	uncertain bool
-	// fencing: it also writes the leader key.
-	fencing bool
-	// leader is what it stores in the leader key, if it does.
-	leader LeaderEntry
-	// change is the change of the leader key's form that it carries out, or nil.
-	change   *LeaderChange
-	made     time.Duration
-	retryAt  time.Duration
-	flying   bool
-	readback string // the key to be read for what became of it
+	Body    protocol.Txn
+	Puts    []string
+	writes  []*write
+	deletes []string
+	// outcomeUnknown: an earlier try had no answer and may have applied.
+	outcomeUnknown bool
+	// writesLeaderKey: it also writes the leader key.
+	writesLeaderKey bool
+	// leaderEntry is what it stores in the leader key, if it does.
+	leaderEntry LeaderEntry
+	// leaderChange is the change of the leader key's form that it carries out, or nil.
+	leaderChange *LeaderChange
+	createdAt    time.Duration
+	retryAt      time.Duration
+	inFlight     bool
+	readbackKey  string // the key to be read for what became of it
 }
 
 // Writes is how many records it has.
@@ -127,31 +127,31 @@
 // next transaction writes the leader key too, whose version is a condition of
 // all: from then on no earlier one can apply.
 type Writer struct {
-	host    Host
-	log     *slog.Logger
-	limits  Limits
-	changes *ratelimit.TokenBucket
-	leader  LeaderKey
+	host         Host
+	log          *slog.Logger
+	limits       Limits
+	changeBudget *ratelimit.TokenBucket
+	leader       LeaderKey
 
 	versions map[string]uint64
 	pending  map[string]*write
-	queues   [priorities][]*write
+	queues   [priorityCount][]*write
 	current  *Transaction
-	// change waits to be the next transaction.
-	change *LeaderChange
-	// unanswered: a transaction without an answer may still be on its way.
-	unanswered bool
-	// most is how many writes a transaction may have: fewer after one was called
+	// leaderChange waits to be the next transaction.
+	leaderChange *LeaderChange
+	// needsFence: a transaction without an answer may still be on its way.
+	needsFence bool
+	// maxWrites is how many writes a transaction may have: fewer after one was called
 	// malformed, until what is at fault has been found.
-	most int
-	// took is how long transactions took until they were known to have applied, in ms.
-	took *hdrhistogram.Histogram
+	maxWrites int
+	// latencies is how long transactions took until they were known to have applied, in ms.
+	latencies *hdrhistogram.Histogram
 }
 
 // NewWriter makes the writer of a new term.
 func NewWriter(host Host, log *slog.Logger, limits Limits, changes *ratelimit.TokenBucket, leader LeaderKey) *Writer {
-	return &Writer{host: host, log: log, limits: limits, changes: changes, leader: leader, versions: map[string]uint64{}, pending: map[string]*write{},
-		took: hdrhistogram.New(1, longestMillis, figures), most: unlimited}
+	return &Writer{host: host, log: log, limits: limits, changeBudget: changes, leader: leader, versions: map[string]uint64{}, pending: map[string]*write{},
+		latencies: hdrhistogram.New(1, maxLatencyMillis, latencyDigits), maxWrites: unlimitedWrites}
 }
 
 // Version is the version of a key as it was last read or written; 0: it is not there.
@@ -167,7 +167,7 @@
 func (w *Writer) Busy() bool { return w.current != nil }
 
 // Took is how long transactions took, in ms, until it is reset.
-func (w *Writer) Took() *hdrhistogram.Histogram { return w.took }
+func (w *Writer) Took() *hdrhistogram.Histogram { return w.latencies }
 
 // Mark asks for a key's record to be written.
 func (w *Writer) Mark(key string, priority Priority, render func() any, then func()) {
@@ -183,7 +183,7 @@
 	}
 	m.render = render
 	if then != nil {
-		m.then = append(m.then, then)
+		m.onStored = append(m.onStored, then)
 	}
 }
 
@@ -202,8 +202,8 @@
 func (w *Writer) Compose() *Transaction {
 	now := w.host.Now()
 	// One change is left to the leader key.
-	most := min(w.limits.Changes-1, w.most)
-	t := &Transaction{made: now}
+	most := min(w.limits.Changes-1, w.maxWrites)
+	t := &Transaction{createdAt: now}
 	t.Body.If = []protocol.Condition{{Key: w.leader.Key, Version: w.leader.Version}}
 	size := 1024
 	for priority := range w.queues {
@@ -211,38 +211,38 @@
 			// Lazy writes leave half of the burst to what somebody waits for.
 			reserve := 0.0
 			if Priority(priority) >= Lazy {
-				reserve = w.changes.Burst() / 2
+				reserve = w.changeBudget.Burst() / 2
 			}
-			if len(t.writes) >= most || !w.changes.Has(now, float64(len(t.writes)+1)+reserve) {
+			if len(t.writes) >= most || !w.changeBudget.Has(now, float64(len(t.writes)+1)+reserve) {
 				break
 			}
 			m := w.queues[priority][0]
 			value := m.render()
 			w.host.Rendered(m.key)
-			bytes, fits := w.bytesOf(m, value)
+			bytes, fits := w.sizeOf(m, value)
 			if !fits {
 				w.Unmark(m.key)
 				w.host.Abandoned(m.key)
 				continue
 			}
-			if size+bytes > transactionBytes {
+			if size+bytes > maxTransactionBytes {
 				break
 			}
 			size += bytes
 			w.queues[priority] = w.queues[priority][1:]
 			delete(w.pending, m.key)
-			w.add(t, m, value)
+			w.addWrite(t, m, value)
 		}
 	}
 	if len(t.writes) == 0 {
 		return nil
 	}
-	w.changes.Take(now, float64(len(t.writes)))
+	w.changeBudget.Take(now, float64(len(t.writes)))
 	return t
 }
 
-// bytesOf is a bound on what a write takes of its transaction; false: its value is too large.
-func (w *Writer) bytesOf(m *write, value any) (int, bool) {
+// sizeOf is a bound on what a write takes of its transaction; false: its value is too large.
+func (w *Writer) sizeOf(m *write, value any) (int, bool) {
 	n := 2*len(m.key) + 160
 	if value == nil {
 		return n, true
@@ -256,17 +256,17 @@
 	return n + len(b), true
 }
 
-// add puts a write into a transaction. What was never written needs no deletion.
-func (w *Writer) add(t *Transaction, m *write, value any) {
+// addWrite puts a write into a transaction. What was never written needs no deletion.
+func (w *Writer) addWrite(t *Transaction, m *write, value any) {
 	version := w.versions[m.key]
 	if value == nil && version == 0 {
-		w.durable(m)
+		w.notifyStored(m)
 		return
 	}
 	t.writes = append(t.writes, m)
 	t.Body.If = append(t.Body.If, protocol.Condition{Key: m.key, Version: version})
 	if value == nil {
-		t.dels = append(t.dels, m.key)
+		t.deletes = append(t.deletes, m.key)
 		t.Body.Then = append(t.Body.Then, protocol.Change{Delete: m.key})
 		return
 	}
@@ -274,26 +274,26 @@
 	t.Body.Then = append(t.Body.Then, protocol.Change{Put: m.key, Value: value})
 }
 
-// durable tells those who wait that a record is stored.
-func (w *Writer) durable(m *write) {
+// notifyStored tells those who wait that a record is stored.
+func (w *Writer) notifyStored(m *write) {
 	w.host.Stored(m.key)
-	for _, f := range m.then {
+	for _, f := range m.onStored {
 		f()
 	}
 }
 
-// fence has the transaction write the leader key, unless it does so already.
-func (w *Writer) fence(t *Transaction) {
-	if !w.unanswered || t.fencing {
+// addFence has the transaction write the leader key, unless it does so already.
+func (w *Writer) addFence(t *Transaction) {
+	if !w.needsFence || t.writesLeaderKey {
 		return
 	}
-	w.putLeader(t, w.leader.Entry)
-	w.changes.Take(w.host.Now(), 1)
+	w.putLeaderKey(t, w.leader.Entry)
+	w.changeBudget.Take(w.host.Now(), 1)
 }
 
-// putLeader has the transaction store the leader key.
-func (w *Writer) putLeader(t *Transaction, form LeaderEntry) {
-	t.fencing, t.leader = true, form
+// putLeaderKey has the transaction store the leader key.
+func (w *Writer) putLeaderKey(t *Transaction, form LeaderEntry) {
+	t.writesLeaderKey, t.leaderEntry = true, form
 	t.Body.Then = append(t.Body.Then, protocol.Change{Put: w.leader.Key, Value: form.Record, Lease: form.Lease})
 }
 
@@ -304,7 +304,7 @@
 		if !w.host.MayCall() {
 			return
 		}
-		if t = w.composeChange(); t == nil {
+		if t = w.composeLeaderChange(); t == nil {
 			t = w.Compose()
 		}
 		if t == nil {
@@ -312,14 +312,14 @@
 		}
 		w.current = t
 	}
-	if t.flying || w.host.Now() < t.retryAt {
+	if t.inFlight || w.host.Now() < t.retryAt {
 		return
 	}
-	t.flying = true
-	if t.readback != "" {
-		w.host.Call("GET", "/store/"+t.readback, nil, w.limits.Timeout, func(status int, body []byte) { w.onReadback(t, status, body) })
+	t.inFlight = true
+	if t.readbackKey != "" {
+		w.host.Call("GET", "/store/"+t.readbackKey, nil, w.limits.Timeout, func(status int, body []byte) { w.onReadback(t, status, body) })
 		return
 	}
-	w.fence(t)
+	w.addFence(t)
 	w.host.Call("POST", "/multi", t.Body, w.limits.Timeout, func(status int, body []byte) { w.onAnswer(t, status, body) })
 }
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -12,36 +12,36 @@
 	"claybarrow/internal/ratelimit"
 )
 
-// scripted is a leader whose state service answers as a test says.
-type scripted struct {
+// fakeHost is a leader whose state service answers as a test says.
+type fakeHost struct {
 	now       time.Duration
-	calls     []call
+	calls     []sentRequest
 	ended     string
 	abandoned []string
 	refused   int
 }
 
-type call struct {
+type sentRequest struct {
 	method, path string
 	body         any
 	then         func(int, []byte)
 }
 
-func (s *scripted) Now() time.Duration { return s.now }
-func (s *scripted) Call(method, path string, body any, _ time.Duration, then func(int, []byte)) {
-	s.calls = append(s.calls, call{method, path, body, then})
+func (s *fakeHost) Now() time.Duration { return s.now }
+func (s *fakeHost) Call(method, path string, body any, _ time.Duration, then func(int, []byte)) {
+	s.calls = append(s.calls, sentRequest{method, path, body, then})
 }
-func (s *scripted) MayCall() bool        { return true }
-func (s *scripted) Pause() time.Duration { return 100 * time.Millisecond }
-func (s *scripted) End(why string)       { s.ended = why }
-func (s *scripted) Ended() bool          { return s.ended != "" }
-func (s *scripted) Unavailable()         { s.refused++ }
-func (s *scripted) Rendered(string)      {}
-func (s *scripted) Stored(string)        {}
-func (s *scripted) Abandoned(key string) { s.abandoned = append(s.abandoned, key) }
+func (s *fakeHost) MayCall() bool        { return true }
+func (s *fakeHost) Pause() time.Duration { return 100 * time.Millisecond }
+func (s *fakeHost) End(why string)       { s.ended = why }
+func (s *fakeHost) Ended() bool          { return s.ended != "" }
+func (s *fakeHost) Unavailable()         { s.refused++ }
+func (s *fakeHost) Rendered(string)      {}
+func (s *fakeHost) Stored(string)        {}
+func (s *fakeHost) Abandoned(key string) { s.abandoned = append(s.abandoned, key) }
 
 // last is the request that left last.
-func (s *scripted) last(t *testing.T) call {
+func (s *fakeHost) last(t *testing.T) sentRequest {
 	t.Helper()
 	if len(s.calls) == 0 {
 		t.Fatal("nothing left")
@@ -51,8 +51,8 @@
 
 const ourRecord = "ours"
 
-func newScripted(changes int) (*scripted, *Writer) {
-	s := &scripted{}
+func newTestWriter(changes int) (*fakeHost, *Writer) {
+	s := &fakeHost{}
 	tokens := ratelimit.New(1000, 1000)
 	key := LeaderKey{Key: "c/leader", Version: 5, Entry: LeaderEntry{Record: ourRecord, Lease: 3},
 		Equal: func(value []byte, record any) bool {
@@ -69,7 +69,7 @@
 
 func failed(keys ...string) []byte { return protocol.Encode(protocol.TxnReply{Failed: keys}) }
 
-func puts(c call) []string {
+func puts(c sentRequest) []string {
 	var out []string
 	for _, change := range c.body.(protocol.Txn).Then {
 		out = append(out, change.Put+change.Delete)
@@ -79,7 +79,7 @@
 
 // The most urgent goes first, one transaction at a time, and a key that is asked for twice is written once.
 func TestOrderOfWrites(t *testing.T) {
-	s, w := newScripted(4)
+	s, w := newTestWriter(4)
 	done := map[string]int{}
 	mark := func(key string, priority Priority) {
 		w.Mark(key, priority, value(key), func() { done[key]++ })
@@ -109,7 +109,7 @@
 
 // What can be taken back has not left yet.
 func TestUnmark(t *testing.T) {
-	_, w := newScripted(4)
+	_, w := newTestWriter(4)
 	w.Mark("j/1", User, value(1), nil)
 	if !w.Unmark("j/1") || w.Unmark("j/1") || w.IsPending("j/1") {
 		t.Error("a write that waits is not taken back")
@@ -124,7 +124,7 @@
 // An answer that is lost is found out by reading back, and the next transaction writes the leader key, so
 // that no earlier try can apply any more.
 func TestLostAnswer(t *testing.T) {
-	s, w := newScripted(4)
+	s, w := newTestWriter(4)
 	done := 0
 	w.Mark("m/1", Start, value("a"), func() { done++ })
 	w.Flush()
@@ -151,7 +151,7 @@
 
 // Another leader's key ends the term, unless an earlier try of our own has written it.
 func TestConflictsOfTheLeaderKey(t *testing.T) {
-	s, w := newScripted(4)
+	s, w := newTestWriter(4)
 	w.Mark("m/1", Start, value("a"), nil)
 	w.Flush()
 	s.last(t).then(409, failed("c/leader"))
@@ -159,7 +159,7 @@
 		t.Error("it goes on under another leader's key")
 	}
 	for _, ours := range []bool{true, false} {
-		s, w := newScripted(4)
+		s, w := newTestWriter(4)
 		w.Mark("m/1", Start, value("a"), nil)
 		w.Flush()
 		s.last(t).then(0, nil)
@@ -183,7 +183,7 @@
 
 // A version that differs without an earlier try means that the ledger is not what we think.
 func TestConflictOfARecord(t *testing.T) {
-	s, w := newScripted(4)
+	s, w := newTestWriter(4)
 	w.Mark("m/1", Start, value("a"), nil)
 	w.Flush()
 	s.last(t).then(409, failed("m/1"))
@@ -194,7 +194,7 @@
 
 // What is called malformed goes out in halves, until the record at fault is found and given up.
 func TestMalformed(t *testing.T) {
-	s, w := newScripted(20)
+	s, w := newTestWriter(20)
 	for i := range 8 {
 		w.Mark(fmt.Sprintf("m/%d", i), Start, value("a"), nil)
 	}
@@ -224,7 +224,7 @@
 
 // Limits are met exactly: a value of as many bytes as may be, one more, and one change more.
 func TestLimits(t *testing.T) {
-	s, w := newScripted(3)
+	s, w := newTestWriter(3)
 	w.Mark("m/fits", Start, value(strings.Repeat("x", 98)), nil) // and two quotes
 	w.Mark("m/large", Start, value(strings.Repeat("x", 99)), nil)
 	w.Mark("m/second", Start, value(1), nil)
@@ -248,7 +248,7 @@
 
 // What was never written needs no deletion.
 func TestDeletionOfNothing(t *testing.T) {
-	s, w := newScripted(4)
+	s, w := newTestWriter(4)
 	done := 0
 	w.Mark("d/1", Lazy, value(nil), func() { done++ })
 	w.Flush()
