--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"claybarrow/internal/cloudclient"
 	"claybarrow/internal/clusterstate"
 	"claybarrow/internal/machinepool"
 	"claybarrow/internal/protocol"
@@ -10,6 +11,17 @@
 	"claybarrow/internal/statestore"
 )
 
+// cloudTransport sends the requests of the cloud's client.
+type cloudTransport struct{ controller *Controller }
+
+// newCloudClient makes the client of the cloud, whose requests this controller sends.
+func newCloudClient(c *Controller) *cloudclient.Client { return cloudclient.New(cloudTransport{c}) }
+
+// Call is part of apicall.Transport.
+func (t cloudTransport) Call(method, path string, body any, timeout time.Duration, done func(status int, body []byte)) {
+	t.controller.cloudCall(method, path, body, timeout, func(res Result) { done(res.Status, res.Body) })
+}
+
 // poolHost is a term as its machine pool sees it.
 type poolHost struct{ leader *leadership }
 
@@ -17,17 +29,12 @@
 	c := l.controller
 	times := machinepool.Times{Lease: c.cfg.Lease(), ListLag: c.cfg.ListLag(),
 		ListEvery: max(c.cfg.ListLag()/2, seconds(4/c.cfg.Cluster.Cloud.RPS))}
-	return machinepool.New(poolHost{l}, c.log, times, l.token)
+	return machinepool.New(poolHost{l}, newCloudClient(c), c.log, times, l.token)
 }
 
 // Now is part of machinepool.Host.
 func (h poolHost) Now() time.Duration { return h.leader.controller.now }
 
-// Call is part of machinepool.Host.
-func (h poolHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
-	h.leader.controller.cloudCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
-}
-
 // MayCall is part of machinepool.Host.
 func (h poolHost) MayCall() bool {
 	return h.leader.controller.cloudRequests.Has(h.leader.controller.now, 1)
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -6,9 +6,21 @@
 
 	"claybarrow/internal/clusterstate"
 	"claybarrow/internal/protocol"
+	"claybarrow/internal/stateclient"
 	"claybarrow/internal/statestore"
 )
 
+// stateTransport sends the requests of the state service's client.
+type stateTransport struct{ controller *Controller }
+
+// newStateClient makes the client of the state service, whose requests this controller sends.
+func newStateClient(c *Controller) *stateclient.Client { return stateclient.New(stateTransport{c}) }
+
+// Call is part of apicall.Transport.
+func (t stateTransport) Call(method, path string, body any, timeout time.Duration, done func(status int, body []byte)) {
+	t.controller.stateCall(method, path, body, timeout, func(res Result) { done(res.Status, res.Body) })
+}
+
 // recordHost is a term as the writer of its records sees it.
 type recordHost struct{ leader *leadership }
 
@@ -18,7 +30,7 @@
 	c := l.controller
 	limits := statestore.Limits{Changes: c.cfg.Cluster.State.Both().TxnOps, ValueBytes: c.cfg.ValueBytes(), Timeout: c.cfg.LeaderTTL() / 2}
 	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.leaderEntry(l.storedRecord), Equal: equalLeader}
-	w := statestore.NewWriter(recordHost{l}, c.log, limits, &c.stateChanges, key)
+	w := statestore.NewWriter(recordHost{l}, newStateClient(c), c.log, limits, &c.stateChanges, key)
 	w.Loaded(keyCounter, version)
 	if l.storedRecord.StorageVersion != 0 {
 		w.Loaded(keyLease, version)
@@ -44,11 +56,6 @@
 // Now is part of statestore.Host.
 func (h recordHost) Now() time.Duration { return h.leader.controller.now }
 
-// Call is part of statestore.Host.
-func (h recordHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
-	h.leader.controller.stateCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
-}
-
 // MayCall is part of statestore.Host.
 func (h recordHost) MayCall() bool {
 	return h.leader.controller.stateRequests.Has(h.leader.controller.now, 1)
--- a/internal/machinepool/pool_test.go
+++ b/internal/machinepool/pool_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"claybarrow/internal/cloudclient"
 	"claybarrow/internal/protocol"
 	"claybarrow/internal/scheduler"
 )
@@ -68,7 +69,7 @@
 
 func newTestPool() (*fakeHost, *Pool) {
 	s := &fakeHost{now: time.Minute}
-	return s, New(s, slog.New(slog.DiscardHandler), Times{Lease: 10 * time.Second, ListLag: 5 * time.Second, ListEvery: 3 * time.Second}, 7)
+	return s, New(s, cloudclient.New(s), slog.New(slog.DiscardHandler), Times{Lease: 10 * time.Second, ListLag: 5 * time.Second, ListEvery: 3 * time.Second}, 7)
 }
 
 func page(more bool, names ...string) []byte {
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -8,7 +8,7 @@
 )
 
 // newLeaderChangeWriter is a writer that has sent a change of its leader key, and what became of that.
-func newLeaderChangeWriter(t *testing.T, change *LeaderChange) (s *fakeHost, w *Writer, outcome *string) {
+func newLeaderChangeWriter(change *LeaderChange) (s *fakeHost, w *Writer, outcome *string) {
 	s, w = newTestWriter(8)
 	outcome = new(string)
 	change.Entry = LeaderEntry{Record: "permanent"}
@@ -31,7 +31,7 @@
 // The leader key is stored in its new form together with the other keys, alone and under the versions known;
 // all that follows depends on the new version.
 func TestLeaderChange(t *testing.T) {
-	s, w, outcome := newLeaderChangeWriter(t, openingChange())
+	s, w, outcome := newLeaderChangeWriter(openingChange())
 	txn := s.last(t).body.(protocol.Txn)
 	if !slices.Equal(puts(s.last(t)), []string{"c/lease", "c/leader"}) || txn.Then[1].Lease != 0 || txn.Then[0].Lease != 3 {
 		t.Fatalf("%+v", txn)
@@ -74,7 +74,7 @@
 		{"no other keys, refused", &LeaderChange{}, 400, "", 5, ourRecord, "refused", false},
 		{"the lease's key is gone", &LeaderChange{Deletes: []string{"c/lease"}}, 409, "c/lease", 5, ourRecord, "", true},
 	} {
-		s, w, outcome := newLeaderChangeWriter(t, c.change)
+		s, w, outcome := newLeaderChangeWriter(c.change)
 		s.last(t).then(0, nil)
 		s.now += s.Pause()
 		w.Flush()
@@ -102,7 +102,7 @@
 
 // A change that is refused for good ends no leader: what it had waits, and the key keeps its form.
 func TestRefusedLeaderChange(t *testing.T) {
-	s, w, outcome := newLeaderChangeWriter(t, openingChange())
+	s, w, outcome := newLeaderChangeWriter(openingChange())
 	s.last(t).then(400, nil)
 	w.Flush()
 	if next := s.last(t).body.(protocol.Txn); *outcome != "refused" || s.ended != "" || next.If[0].Version != 5 || next.Then[0].Put != "m/other" {
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -1,58 +1,62 @@
 package statestore
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 
+	"claybarrow/internal/apicall"
 	"claybarrow/internal/protocol"
+	"claybarrow/internal/stateclient"
 )
 
-// What became of a transaction: it applied, or did not, or nobody knows until a key of it is read
-// back.
+// Why a leadership ends, as the log says it.
+const (
+	endOtherLeader      = "another leader's key"
+	endRecordsDiffer    = "the ledger differs from memory"
+	endLeaderKeyRefused = "the leader key can't be written"
+)
 
-func (w *Writer) onAnswer(t *Transaction, status int, body []byte) {
+// onAnswer takes the outcome of a transaction: it applied, or it did not, or nobody knows until one of
+// its keys is read back.
+func (w *Writer) onAnswer(t *Transaction, revision uint64, err error) {
 	if w.host.Ended() {
 		return
 	}
 	t.inFlight = false
-	var reply protocol.TxnReply
-	switch status {
-	case 200:
-		if protocol.Decode(body, &reply) != nil {
-			w.onOutcomeUnknown(t)
-			return
-		}
+	var conflict *stateclient.ConflictError
+	switch {
+	case err == nil:
 		if t.writesLeaderKey {
-			w.noteLeaderKey(t, reply.Revision)
-		}
-		w.onApplied(t, reply.Revision)
-	case 409:
-		if protocol.Decode(body, &reply) != nil {
-			w.onOutcomeUnknown(t)
-			return
+			w.noteLeaderKey(t, revision)
 		}
-		w.onConflict(t, reply.Failed)
-	case 0:
+		w.onApplied(t, revision)
+	case errors.As(err, &conflict):
+		w.onConflict(t, conflict.Keys)
+	case apicall.IsOutcomeUnknown(err):
 		w.onOutcomeUnknown(t)
-	case 400:
-		if t.outcomeUnknown {
-			// An earlier try may have applied all the same.
-			t.readbackKey = w.chooseReadbackKey(t)
-			return
-		}
+	case errors.Is(err, apicall.ErrInvalidRequest) && t.outcomeUnknown:
+		// An earlier try may have applied all the same.
+		t.readbackKey = w.chooseReadbackKey(t)
+	case errors.Is(err, apicall.ErrInvalidRequest):
 		w.onInvalidRequest(t)
 	default:
-		// 503: not executed. 429: likewise, and we have been too fast.
-		if status == 429 {
-			w.changeBudget.Empty()
-		} else {
-			w.host.Unavailable()
-		}
-		t.retryAt = w.host.Now() + w.host.Pause()
+		w.onNotExecuted(t, err)
 	}
 }
 
-// chooseReadbackKey is the key that tells whether a transaction has applied.
+// onNotExecuted has a transaction repeated that the service did not execute, as it was in trouble or
+// there were too many changes.
+func (w *Writer) onNotExecuted(t *Transaction, err error) {
+	if errors.Is(err, apicall.ErrRateLimited) {
+		w.changeBudget.Empty()
+	} else {
+		w.host.Unavailable()
+	}
+	t.retryAt = w.host.Now() + w.host.Pause()
+}
+
+// chooseReadbackKey returns the key that tells whether a transaction has applied.
 func (w *Writer) chooseReadbackKey(t *Transaction) string {
 	if t.leaderChange != nil {
 		return w.leader.Key
@@ -60,19 +64,19 @@
 	return slices.Concat(t.Puts, t.deletes)[0]
 }
 
-// onConflict takes the keys that had other versions than the transaction said.
-func (w *Writer) onConflict(t *Transaction, failed []string) {
+// onConflict takes the keys that had other versions than the transaction required.
+func (w *Writer) onConflict(t *Transaction, keys []string) {
 	switch {
-	case slices.Contains(failed, w.leader.Key):
+	case slices.Contains(keys, w.leader.Key):
 		if !t.writesLeaderKey || !t.outcomeUnknown {
-			w.host.End("another leader's key")
+			w.host.End(endOtherLeader)
 			return
 		}
 		t.readbackKey = w.leader.Key // an earlier try of ours may have written it
 	case !t.outcomeUnknown || t.leaderChange != nil:
-		// Nobody else may write our keys: the ledger is not what we think.
-		w.log.Error("versions differ", "keys", fmt.Sprint(failed))
-		w.host.End("the ledger differs from memory")
+		// Nobody else may write our keys: what is stored is not what this leader thinks.
+		w.log.Error("versions differ", "keys", fmt.Sprint(keys))
+		w.host.End(endRecordsDiffer)
 	case len(t.Puts) == 0:
 		w.onApplied(t, 0)
 	default:
@@ -80,16 +84,16 @@
 	}
 }
 
-// onOutcomeUnknown notes that a try had no answer: it may have applied, or do so later.
+// onOutcomeUnknown has a transaction repeated that had no answer: it may have applied, or may apply
+// later.
 func (w *Writer) onOutcomeUnknown(t *Transaction) {
 	t.outcomeUnknown, w.needsFence = true, true
 	t.retryAt = w.host.Now() + w.host.Pause()
 }
 
-// onInvalidRequest takes back a transaction that the state service calls malformed: a
-// lease that has ended, or a limit that is lower than the settings say. What can
-// be written goes out in smaller ones; only a single record that is refused by
-// itself is given up, and its users are told to come back.
+// onInvalidRequest takes back a transaction that the state service calls invalid: a lease has expired,
+// or a limit is lower than the settings say. Its writes go out in smaller transactions. Only a single
+// record that is refused by itself is given up, and its users are told to come back.
 func (w *Writer) onInvalidRequest(t *Transaction) {
 	w.current = nil
 	if t.leaderChange != nil {
@@ -98,7 +102,7 @@
 		return
 	}
 	if t.writesLeaderKey && len(t.writes) == 1 {
-		w.host.End("the leader key can't be written")
+		w.host.End(endLeaderKeyRefused)
 		return
 	}
 	if len(t.writes) > 1 {
@@ -107,72 +111,72 @@
 		w.requeue(t)
 		return
 	}
-	m := t.writes[0]
-	w.log.Error("a record was called malformed", "key", m.key)
+	refused := t.writes[0]
+	w.log.Error("a record was called malformed", "key", refused.key)
 	w.maxWrites = unlimitedWrites
-	w.host.Abandoned(m.key)
-}
-
-// requeue queues a transaction's writes again, first in their queues. What was
-// asked for anew meanwhile keeps the newer request.
-func (w *Writer) requeue(t *Transaction) {
-	for _, m := range slices.Backward(t.writes) {
-		if newer := w.pending[m.key]; newer != nil {
-			newer.onStored = append(m.onStored, newer.onStored...)
-			continue
-		}
-		w.pending[m.key] = m
-		w.queues[m.priority] = slices.Insert(w.queues[m.priority], 0, m)
-	}
+	w.host.Abandoned(refused.key)
 }
 
-// onReadback tells what became of a transaction whose answer was lost: a key of
-// it has another version than before, and only this leader can have changed it.
-func (w *Writer) onReadback(t *Transaction, status int, body []byte) {
+// onReadback finds out whether a transaction applied whose answer was lost: if a key of it has another
+// version than before, it did, as only this leader can have changed the key.
+func (w *Writer) onReadback(t *Transaction, item protocol.Item, err error) {
 	if w.host.Ended() {
 		return
 	}
 	t.inFlight = false
-	var it protocol.Item // absent: version 0
 	key := t.readbackKey
-	deletes := slices.Contains(t.deletes, key)
-	switch {
-	case status == 200 && protocol.Decode(body, &it) == nil:
-	case status == 404 && (key == w.leader.Key || w.versions[key] != 0 && !deletes):
-		w.host.End("the ledger differs from memory")
-		return
-	case status == 404:
-	default:
+	if errors.Is(err, stateclient.ErrNotFound) {
+		if w.mustExist(t, key) {
+			w.host.End(endRecordsDiffer)
+			return
+		}
+		item = protocol.Item{} // an absent key has the version 0
+	} else if err != nil {
 		t.retryAt = w.host.Now() + w.host.Pause()
 		return
 	}
 	t.readbackKey = ""
 	if key == w.leader.Key {
-		if it.Version == w.leader.Version {
-			w.onInvalidRequest(t) // it did not apply, and the last try was refused
-			return
-		}
-		if !w.leader.Equal(it.Value, t.leaderEntry.Record) {
-			w.host.End("another leader's key")
-			return
-		}
-		// A try of ours wrote the leader key, and all else with it.
-		w.noteLeaderKey(t, it.Version)
-		w.onApplied(t, it.Version)
+		w.onLeaderKeyRead(t, item)
 		return
 	}
-	if it.Version == w.versions[key] {
+	if item.Version == w.versions[key] {
 		w.onInvalidRequest(t) // it did not apply, and the last try was refused
 		return
 	}
-	w.onApplied(t, it.Version)
+	w.onApplied(t, item.Version)
 }
 
-// noteLeaderKey notes that the transaction's leader key is the stored one.
+// mustExist reports whether a key is there whether or not a transaction has applied.
+func (w *Writer) mustExist(t *Transaction, key string) bool {
+	if key == w.leader.Key {
+		return true
+	}
+	return w.versions[key] != 0 && !slices.Contains(t.deletes, key)
+}
+
+// onLeaderKeyRead finds out from the leader key whether a transaction that writes it has applied.
+func (w *Writer) onLeaderKeyRead(t *Transaction, item protocol.Item) {
+	if item.Version == w.leader.Version {
+		w.onInvalidRequest(t) // it did not apply, and the last try was refused
+		return
+	}
+	if !w.leader.Equal(item.Value, t.leaderEntry.Record) {
+		w.host.End(endOtherLeader)
+		return
+	}
+	// A try of ours wrote the leader key, and all else with it.
+	w.noteLeaderKey(t, item.Version)
+	w.onApplied(t, item.Version)
+}
+
+// noteLeaderKey notes that the leader key is stored as the transaction wrote it. Earlier transactions
+// can't apply any more.
 func (w *Writer) noteLeaderKey(t *Transaction, version uint64) {
 	w.leader.Version, w.leader.Entry, w.needsFence = version, t.leaderEntry, false
 }
 
+// onApplied notes that a transaction applied at a revision, and tells those who wait for its writes.
 func (w *Writer) onApplied(t *Transaction, revision uint64) {
 	for _, key := range t.Puts {
 		w.versions[key] = revision
@@ -182,12 +186,18 @@
 	}
 	w.current = nil
 	w.maxWrites = min(unlimitedWrites, 2*w.maxWrites)
-	// A value out of range is clipped; the histogram only serves the log.
-	_ = w.latencies.RecordValue(min(maxLatencyMillis, max(1, (w.host.Now()-t.createdAt).Milliseconds())))
-	for _, m := range t.writes {
-		w.notifyStored(m)
+	w.recordLatency(t)
+	for _, stored := range t.writes {
+		w.notifyStored(stored)
 	}
 	if t.leaderChange != nil {
 		t.leaderChange.Applied()
 	}
 }
+
+// recordLatency notes how long a transaction took.
+func (w *Writer) recordLatency(t *Transaction) {
+	latency := (w.host.Now() - t.createdAt).Milliseconds()
+	// A value out of range is clipped; the histogram only serves the log.
+	_ = w.latencies.RecordValue(min(maxLatencyMillis, max(1, latency)))
+}
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -10,6 +10,7 @@
 
 	"claybarrow/internal/protocol"
 	"claybarrow/internal/ratelimit"
+	"claybarrow/internal/stateclient"
 )
 
 // fakeHost is a leader whose state service answers as a test says.
@@ -59,7 +60,7 @@
 			var stored string
 			return protocol.Decode(value, &stored) == nil && stored == record
 		}}
-	w := NewWriter(s, slog.New(slog.DiscardHandler), Limits{Changes: changes, ValueBytes: 100, Timeout: time.Second}, &tokens, key)
+	w := NewWriter(s, stateclient.New(s), slog.New(slog.DiscardHandler), Limits{Changes: changes, ValueBytes: 100, Timeout: time.Second}, &tokens, key)
 	return s, w
 }
 
