--- a/internal/apicall/apicall.go
+++ b/internal/apicall/apicall.go
@@ -87,6 +87,19 @@
 	return DecodeBody(operation, status, body, answer)
 }
 
+// Decoded returns the function that takes the raw answer of an operation, and passes on the decoded body
+// of one with status 200, or the error and no answer.
+func Decoded[Answer any](operation string, done func(Answer, error)) func(status int, body []byte) {
+	return func(status int, body []byte) {
+		var answer, none Answer
+		if err := ReadAnswer(operation, status, body, &answer); err != nil {
+			done(none, err)
+			return
+		}
+		done(answer, nil)
+	}
+}
+
 // DecodeBody decodes the body of an answer of any status.
 func DecodeBody(operation string, status int, body []byte, answer any) error {
 	if err := protocol.Decode(body, answer); err != nil {
--- a/internal/apicall/apicall_test.go
+++ b/internal/apicall/apicall_test.go
@@ -54,6 +54,34 @@
 	}
 }
 
+func TestDecoded(t *testing.T) {
+	names := protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}})
+	for _, c := range []struct {
+		name     string
+		status   int
+		body     []byte
+		machines int
+		err      error
+	}{
+		{"success", 200, names, 1, nil},
+		{"failure", 503, names, 0, ErrUnavailable},
+		{"undecodable body", 200, names[:len(names)-1], 0, ErrMalformedAnswer},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			calls := 0
+			Decoded("test", func(answer protocol.MachineNames, err error) {
+				calls++
+				if !errors.Is(err, c.err) || len(answer.Machines) != c.machines {
+					t.Errorf("%+v, %v", answer, err)
+				}
+			})(c.status, c.body)
+			if calls != 1 {
+				t.Errorf("%d calls", calls)
+			}
+		})
+	}
+}
+
 func TestReadAnswerWithoutABody(t *testing.T) {
 	if err := ReadAnswer("test", 200, nil, nil); err != nil {
 		t.Error(err)
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -46,14 +46,8 @@
 
 // MachineTypes reads the machine types with their current prices. The list may be empty.
 func (c *Client) MachineTypes(timeout time.Duration, done func([]protocol.MachineType, error)) {
-	c.transport.Call(http.MethodGet, typesPath, nil, timeout, func(status int, body []byte) {
-		var answer protocol.MachineTypes
-		if err := apicall.ReadAnswer(operationTypes, status, body, &answer); err != nil {
-			done(nil, err)
-			return
-		}
-		done(answer.Types, nil)
-	})
+	takeAnswer := func(answer protocol.MachineTypes, err error) { done(answer.Types, err) }
+	c.transport.Call(http.MethodGet, typesPath, nil, timeout, apicall.Decoded(operationTypes, takeAnswer))
 }
 
 // List reads a page of at most limit machines, in the order of their names. It starts behind the
@@ -63,31 +57,20 @@
 	if after != "" {
 		path += listAfter + after
 	}
-	c.transport.Call(http.MethodGet, path, nil, timeout, func(status int, body []byte) {
-		var list protocol.MachineList
-		if err := apicall.ReadAnswer(operationList, status, body, &list); err != nil {
-			done(protocol.MachineList{}, err)
-			return
-		}
-		done(list, nil)
-	})
+	c.transport.Call(http.MethodGet, path, nil, timeout, apicall.Decoded(operationList, done))
 }
 
 // Launch asks for machines and returns the names of those that were launched, which may be fewer than
 // asked for. It is idempotent: the same request name launches nothing twice. Reasons of its own:
 // ErrNoCapacity.
 func (c *Client) Launch(request protocol.LaunchRequest, timeout time.Duration, done func(names []string, err error)) {
+	takeAnswer := func(launched protocol.MachineNames, err error) { done(launched.Machines, err) }
 	c.transport.Call(http.MethodPost, machinesPath, request, timeout, func(status int, body []byte) {
 		if status == http.StatusServiceUnavailable && isNoCapacity(body) {
 			done(nil, &apicall.StatusError{Operation: operationLaunch, Status: status, Reason: ErrNoCapacity})
 			return
 		}
-		var launched protocol.MachineNames
-		if err := apicall.ReadAnswer(operationLaunch, status, body, &launched); err != nil {
-			done(nil, err)
-			return
-		}
-		done(launched.Machines, nil)
+		apicall.Decoded(operationLaunch, takeAnswer)(status, body)
 	})
 }
 
--- a/internal/stateclient/client.go
+++ b/internal/stateclient/client.go
@@ -76,12 +76,7 @@
 			done(protocol.Item{}, &apicall.StatusError{Operation: operationGet, Status: status, Reason: ErrNotFound})
 			return
 		}
-		var item protocol.Item
-		if err := apicall.ReadAnswer(operationGet, status, body, &item); err != nil {
-			done(protocol.Item{}, err)
-			return
-		}
-		done(item, nil)
+		apicall.Decoded(operationGet, done)(status, body)
 	})
 }
 
@@ -106,14 +101,7 @@
 // waits for one for as long as block says; 0: it answers at once.
 func (c *Client) Watch(prefix string, afterRevision uint64, block, timeout time.Duration, done func(protocol.Events, error)) {
 	path := fmt.Sprintf(watchPathFormat, prefix, afterRevision, block.Milliseconds())
-	c.transport.Call(http.MethodGet, path, nil, timeout, func(status int, body []byte) {
-		var events protocol.Events
-		if err := apicall.ReadAnswer(operationWatch, status, body, &events); err != nil {
-			done(protocol.Events{}, err)
-			return
-		}
-		done(events, nil)
-	})
+	c.transport.Call(http.MethodGet, path, nil, timeout, apicall.Decoded(operationWatch, done))
 }
 
 // Commit executes a transaction: all of its changes if all of its conditions hold, else none. It
@@ -144,14 +132,8 @@
 // GrantLease opens a lease that expires ttl after its last renewal. The wire has whole milliseconds.
 func (c *Client) GrantLease(ttl, timeout time.Duration, done func(lease uint64, err error)) {
 	request := protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()}
-	c.transport.Call(http.MethodPost, leasesPath, request, timeout, func(status int, body []byte) {
-		var reply protocol.LeaseReply
-		if err := apicall.ReadAnswer(operationGrant, status, body, &reply); err != nil {
-			done(0, err)
-			return
-		}
-		done(reply.Lease, nil)
-	})
+	takeReply := func(reply protocol.LeaseReply, err error) { done(reply.Lease, err) }
+	c.transport.Call(http.MethodPost, leasesPath, request, timeout, apicall.Decoded(operationGrant, takeReply))
 }
 
 // RenewLease has a lease run for its whole time again. Reasons of its own: ErrLeaseExpired.
