--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -22,7 +22,7 @@
 	t.controller.cloudCall(method, path, body, timeout, func(res Result) { done(res.Status, res.Body) })
 }
 
-// poolHost is a term as its machine pool sees it.
+// poolHost adapts a leadership to its machine pool.
 type poolHost struct{ leader *leadership }
 
 func (l *leadership) newPool() *machinepool.Pool {
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -21,7 +21,7 @@
 	t.controller.stateCall(method, path, body, timeout, func(res Result) { done(res.Status, res.Body) })
 }
 
-// recordHost is a term as the writer of its records sees it.
+// recordHost adapts a leadership to the writer of its records.
 type recordHost struct{ leader *leadership }
 
 // newStore makes the writer of a term's records. The election wrote the counter and the leader key in
@@ -29,7 +29,7 @@
 func (l *leadership) newStore(version uint64) *statestore.Writer {
 	c := l.controller
 	limits := statestore.Limits{Changes: c.cfg.Cluster.State.Both().TxnOps, ValueBytes: c.cfg.ValueBytes(), Timeout: c.cfg.LeaderTTL() / 2}
-	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.leaderEntry(l.storedRecord), Equal: equalLeader}
+	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.leaderEntry(l.storedRecord)}
 	w := statestore.NewWriter(recordHost{l}, newStateClient(c), c.log, limits, &c.stateChanges, key)
 	w.Loaded(keyCounter, version)
 	if l.storedRecord.StorageVersion != 0 {
@@ -41,16 +41,17 @@
 // leaderEntry is how the leader key holds a record: on the leader's lease, or permanently while the
 // feature gate is not closed.
 func (l *leadership) leaderEntry(rec leaderRecord) statestore.LeaderEntry {
-	if rec.StorageVersion != 0 {
-		return statestore.LeaderEntry{Record: rec}
+	entry := statestore.LeaderEntry{Record: rec, Matches: rec.matches}
+	if rec.StorageVersion == 0 {
+		entry.Lease = l.leaseID
 	}
-	return statestore.LeaderEntry{Record: rec, Lease: l.leaseID}
+	return entry
 }
 
-// equalLeader says whether a value that was read is a leader record.
-func equalLeader(value []byte, record any) bool {
-	var read leaderRecord
-	return protocol.Decode(value, &read) == nil && read == record
+// matches reports whether a stored value, as it was read, is this record.
+func (r *leaderRecord) matches(value []byte) bool {
+	var stored leaderRecord
+	return protocol.Decode(value, &stored) == nil && stored == *r
 }
 
 // Now is part of statestore.Host.
@@ -65,7 +66,9 @@
 func (h recordHost) Pause() time.Duration { return h.leader.controller.retryPause() }
 
 // End is part of statestore.Host.
-func (h recordHost) End(why string) { h.leader.controller.endLeadership(why) }
+func (h recordHost) End(why statestore.EndReason) {
+	h.leader.controller.endLeadership(string(why))
+}
 
 // Ended is part of statestore.Host.
 func (h recordHost) Ended() bool { return h.leader.controller.leadership != h.leader }
--- a/internal/machinepool/pool_test.go
+++ b/internal/machinepool/pool_test.go
@@ -14,52 +14,56 @@
 
 // fakeHost is a leader whose cloud answers as a test says.
 type fakeHost struct {
-	now      time.Duration
-	calls    []sentRequest
-	timers   []func()
-	ended    bool
-	listed   []string
-	read     []string
-	returned []string
-	deleted  []string
-	rented   []string
-	short    []bool
+	now              time.Duration
+	sent             []sentRequest
+	timers           []func()
+	ended            bool
+	listedMachines   []string
+	listedNames      []string
+	toDelete         []string
+	deleted          []string
+	launched         []string
+	exhaustedReports []bool
 }
 
 type sentRequest struct {
-	path string
-	body any
-	then func(int, []byte)
+	path   string
+	body   any
+	answer func(int, []byte)
 }
 
-func (s *fakeHost) Now() time.Duration { return s.now }
-func (s *fakeHost) Call(_, path string, body any, _ time.Duration, then func(int, []byte)) {
-	s.calls = append(s.calls, sentRequest{path, body, then})
+func (h *fakeHost) Now() time.Duration { return h.now }
+func (h *fakeHost) Call(_, path string, body any, _ time.Duration, then func(int, []byte)) {
+	h.sent = append(h.sent, sentRequest{path, body, then})
 }
-func (s *fakeHost) MayCall() bool                      { return true }
-func (s *fakeHost) Pause() time.Duration               { return 100 * time.Millisecond }
-func (s *fakeHost) Later(_ time.Duration, do func())   { s.timers = append(s.timers, do) }
-func (s *fakeHost) Ended() bool                        { return s.ended }
-func (s *fakeHost) Listed(m *protocol.ListedMachine)   { s.listed = append(s.listed, m.ID) }
-func (s *fakeHost) Deleted(name string)                { s.deleted = append(s.deleted, name) }
-func (s *fakeHost) Short(_ scheduler.Pool, short bool) { s.short = append(s.short, short) }
-func (s *fakeHost) ToDelete(most int) []string         { return s.returned[:min(most, len(s.returned))] }
-func (s *fakeHost) Launched(_ scheduler.Pool, n string, _ time.Duration) {
-	s.rented = append(s.rented, n)
+func (h *fakeHost) MayCall() bool                    { return true }
+func (h *fakeHost) Pause() time.Duration             { return 100 * time.Millisecond }
+func (h *fakeHost) Later(_ time.Duration, do func()) { h.timers = append(h.timers, do) }
+func (h *fakeHost) Ended() bool                      { return h.ended }
+func (h *fakeHost) Listed(m *protocol.ListedMachine) {
+	h.listedMachines = append(h.listedMachines, m.ID)
 }
-func (s *fakeHost) ListRead(_ time.Duration, names map[string]bool) {
+func (h *fakeHost) Deleted(name string) { h.deleted = append(h.deleted, name) }
+func (h *fakeHost) Short(_ scheduler.Pool, short bool) {
+	h.exhaustedReports = append(h.exhaustedReports, short)
+}
+func (h *fakeHost) ToDelete(most int) []string { return h.toDelete[:min(most, len(h.toDelete))] }
+func (h *fakeHost) Launched(_ scheduler.Pool, n string, _ time.Duration) {
+	h.launched = append(h.launched, n)
+}
+func (h *fakeHost) ListRead(_ time.Duration, names map[string]bool) {
 	for name := range names {
-		s.read = append(s.read, name)
+		h.listedNames = append(h.listedNames, name)
 	}
-	slices.Sort(s.read)
+	slices.Sort(h.listedNames)
 }
 
 // take is the last call to a path, taken out.
-func (s *fakeHost) take(t *testing.T, path string) sentRequest {
+func (h *fakeHost) take(t *testing.T, path string) sentRequest {
 	t.Helper()
-	for i := len(s.calls) - 1; i >= 0; i-- {
-		if c := s.calls[i]; c.path == path {
-			s.calls = slices.Delete(s.calls, i, i+1)
+	for i := len(h.sent) - 1; i >= 0; i-- {
+		if c := h.sent[i]; c.path == path {
+			h.sent = slices.Delete(h.sent, i, i+1)
 			return c
 		}
 	}
@@ -68,8 +72,8 @@
 }
 
 func newTestPool() (*fakeHost, *Pool) {
-	s := &fakeHost{now: time.Minute}
-	return s, New(s, cloudclient.New(s), slog.New(slog.DiscardHandler), Times{Lease: 10 * time.Second, ListLag: 5 * time.Second, ListEvery: 3 * time.Second}, 7)
+	host := &fakeHost{now: time.Minute}
+	return host, New(host, cloudclient.New(host), slog.New(slog.DiscardHandler), Times{Lease: 10 * time.Second, ListLag: 5 * time.Second, ListEvery: 3 * time.Second}, 7)
 }
 
 func page(more bool, names ...string) []byte {
@@ -82,112 +86,139 @@
 
 // A list is read page by page; machines that are gone are no news, but were in it.
 func TestList(t *testing.T) {
-	s, p := newTestPool()
+	host, p := newTestPool()
 	p.Remove("i-2")
 	p.Tick()
-	s.take(t, "/machines?limit=500").then(200, page(true, "i-1", "i-2"))
+	host.take(t, "/machines?limit=500").answer(200, page(true, "i-1", "i-2"))
 	if p.HasList() {
 		t.Error("half a list is a list")
 	}
-	s.take(t, "/machines?limit=500&after=i-2").then(200, page(false, "i-3"))
-	if !p.HasList() || !slices.Equal(s.listed, []string{"i-1", "i-3"}) || !slices.Equal(s.read, []string{"i-1", "i-2", "i-3"}) {
-		t.Errorf("listed %v, read %v", s.listed, s.read)
+	host.take(t, "/machines?limit=500&after=i-2").answer(200, page(false, "i-3"))
+	if !p.HasList() || !slices.Equal(host.listedMachines, []string{"i-1", "i-3"}) || !slices.Equal(host.listedNames, []string{"i-1", "i-2", "i-3"}) {
+		t.Errorf("listed %v, read %v", host.listedMachines, host.listedNames)
 	}
 	p.Tick()
-	if len(s.calls) > 0 {
+	if len(host.sent) > 0 {
 		t.Error("it is read again at once")
 	}
-	s.now += 3 * time.Second
+	host.now += 3 * time.Second
 	p.Tick()
-	s.take(t, "/machines?limit=500").then(503, nil)
-	s.now += time.Second
+	host.take(t, "/machines?limit=500").answer(503, nil)
+	host.now += time.Second
 	p.Tick()
-	s.take(t, "/machines?limit=500")
+	host.take(t, "/machines?limit=500")
 }
 
 // Deletions go out a hundred at a time, one request after the other, and are repeated until the cloud
 // says 200.
 func TestDeletions(t *testing.T) {
-	s, p := newTestPool()
+	host, p := newTestPool()
 	for i := range 130 {
-		s.returned = append(s.returned, fmt.Sprintf("i-%d", i))
+		host.toDelete = append(host.toDelete, fmt.Sprintf("i-%d", i))
 	}
 	p.Tick()
 	p.Tick()
-	c := s.take(t, "/machines/delete")
+	c := host.take(t, "/machines/delete")
 	if got := len(c.body.(protocol.MachineNames).Machines); got != 100 {
 		t.Errorf("%d at once", got)
 	}
-	c.then(0, nil)
+	c.answer(0, nil)
 	p.Tick()
-	s.now += time.Second
+	host.now += time.Second
 	p.Tick()
-	s.take(t, "/machines/delete").then(200, nil)
-	if len(s.deleted) != 100 {
-		t.Errorf("%d are gone", len(s.deleted))
+	host.take(t, "/machines/delete").answer(200, nil)
+	if len(host.deleted) != 100 {
+		t.Errorf("%d are gone", len(host.deleted))
 	}
 }
 
 // A rental's name is its own for ever; without an answer it is repeated under the same one, and a pool that
 // gave fewer than asked is left alone, longer each time.
 func TestRentals(t *testing.T) {
-	s, p := newTestPool()
+	host, p := newTestPool()
 	pool := scheduler.Pool{Type: "m8", Zone: "a"}
 	p.Launch(pool, 80)
-	c := s.take(t, "/machines")
+	c := host.take(t, "/machines")
 	q := c.body.(protocol.LaunchRequest)
 	if q.Count != 50 || q.Request != "r-7-1" || len(p.Launching()) != 1 {
 		t.Errorf("%+v", q)
 	}
-	c.then(0, nil)
-	s.timers[0]()
-	c = s.take(t, "/machines")
+	c.answer(0, nil)
+	host.timers[0]()
+	c = host.take(t, "/machines")
 	if again := c.body.(protocol.LaunchRequest); again != q {
 		t.Errorf("repeated as %+v", again)
 	}
 	p.Remove("i-2")
-	c.then(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1", "i-2"}}))
-	if !slices.Equal(s.rented, []string{"i-1"}) || !p.IsShort(pool) || len(p.Launching()) != 0 {
-		t.Errorf("rented %v, short %v", s.rented, p.IsShort(pool))
+	c.answer(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1", "i-2"}}))
+	if !slices.Equal(host.launched, []string{"i-1"}) || !p.IsShort(pool) || len(p.Launching()) != 0 {
+		t.Errorf("rented %v, short %v", host.launched, p.IsShort(pool))
 	}
-	s.now += 5*time.Second + 1
+	host.now += 5*time.Second + 1
 	if p.IsShort(pool) {
 		t.Error("it is left alone for longer than half a lease")
 	}
 	p.Launch(pool, 1)
-	s.take(t, "/machines").then(503, protocol.Encode(map[string]any{"error": "no capacity"}))
-	s.now += 9 * time.Second
+	host.take(t, "/machines").answer(503, protocol.Encode(map[string]any{"error": "no capacity"}))
+	host.now += 9 * time.Second
 	if !p.IsShort(pool) {
 		t.Error("the second time is not longer")
 	}
 	p.Launch(pool, 1)
-	s.take(t, "/machines").then(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-3"}}))
-	if p.IsShort(pool) || !slices.Equal(s.short, []bool{true, true, false}) {
-		t.Errorf("short %v, told %v", p.IsShort(pool), s.short)
+	host.take(t, "/machines").answer(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-3"}}))
+	if p.IsShort(pool) || !slices.Equal(host.exhaustedReports, []bool{true, true, false}) {
+		t.Errorf("short %v, told %v", p.IsShort(pool), host.exhaustedReports)
 	}
 	// An outage (503 trouble) is no shortage; after four leases the list tells what came of it.
 	p.Launch(pool, 1)
-	s.take(t, "/machines").then(503, protocol.Encode(map[string]any{"error": "trouble"}))
+	host.take(t, "/machines").answer(503, protocol.Encode(map[string]any{"error": "trouble"}))
 	if p.IsShort(pool) || len(p.Launching()) != 1 {
 		t.Error("an outage is taken for a shortage")
 	}
-	s.timers[len(s.timers)-1]()
-	s.now += 41 * time.Second
-	s.take(t, "/machines").then(0, nil)
+	host.timers[len(host.timers)-1]()
+	host.now += 41 * time.Second
+	host.take(t, "/machines").answer(0, nil)
 	if len(p.Launching()) != 0 {
 		t.Error("it is repeated for ever")
 	}
 }
 
+// What a failed launch request means: a pool that can't give machines is left alone, all else is repeated.
+func TestLaunchFailures(t *testing.T) {
+	pool := scheduler.Pool{Type: "m8", Zone: "a"}
+	for _, c := range []struct {
+		name      string
+		status    int
+		body      []byte
+		exhausted bool
+	}{
+		{"no capacity", 503, protocol.Encode(map[string]any{"error": "no capacity"}), true},
+		{"invalid", 400, nil, true},
+		{"outage", 503, protocol.Encode(map[string]any{"error": "trouble"}), false},
+		{"no answer", 0, nil, false},
+		{"rate limited", 429, nil, false},
+		{"success that can't be read", 200, []byte{0xc1}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			host, p := newTestPool()
+			p.Launch(pool, 1)
+			host.take(t, "/machines").answer(c.status, c.body)
+			if p.IsShort(pool) != c.exhausted || (len(host.timers) == 0) != c.exhausted || (len(p.Launching()) == 0) != c.exhausted {
+				t.Errorf("left alone %v, %d repeats, %d under way", p.IsShort(pool), len(host.timers), len(p.Launching()))
+			}
+		})
+	}
+}
+
 // After the term nothing that still comes is taken.
 func TestAnswersAfterTheTerm(t *testing.T) {
-	s, p := newTestPool()
+	host, p := newTestPool()
 	p.Launch(scheduler.Pool{Type: "m8"}, 1)
 	p.Tick()
-	s.ended = true
-	s.take(t, "/machines").then(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}}))
-	s.take(t, "/machines?limit=500").then(200, page(false, "i-1"))
-	if len(s.rented)+len(s.listed)+len(s.read) > 0 {
-		t.Errorf("%+v", s)
+	host.ended = true
+	host.take(t, "/machines").answer(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}}))
+	host.take(t, "/machines?limit=500").answer(200, page(false, "i-1"))
+	if len(host.launched)+len(host.listedMachines)+len(host.listedNames) > 0 {
+		t.Errorf("%+v", host)
 	}
 }
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -10,13 +10,6 @@
 	"claybarrow/internal/stateclient"
 )
 
-// Why a leadership ends, as the log says it.
-const (
-	endOtherLeader      = "another leader's key"
-	endRecordsDiffer    = "the ledger differs from memory"
-	endLeaderKeyRefused = "the leader key can't be written"
-)
-
 // onAnswer takes the outcome of a transaction: it applied, or it did not, or nobody knows until one of
 // its keys is read back.
 func (w *Writer) onAnswer(t *Transaction, revision uint64, err error) {
@@ -69,14 +62,14 @@
 	switch {
 	case slices.Contains(keys, w.leader.Key):
 		if !t.writesLeaderKey || !t.outcomeUnknown {
-			w.host.End(endOtherLeader)
+			w.host.End(EndOtherLeader)
 			return
 		}
 		t.readbackKey = w.leader.Key // an earlier try of ours may have written it
 	case !t.outcomeUnknown || t.leaderChange != nil:
 		// Nobody else may write our keys: what is stored is not what this leader thinks.
 		w.log.Error("versions differ", "keys", fmt.Sprint(keys))
-		w.host.End(endRecordsDiffer)
+		w.host.End(EndRecordsDiffer)
 	case len(t.Puts) == 0:
 		w.onApplied(t, 0)
 	default:
@@ -102,7 +95,7 @@
 		return
 	}
 	if t.writesLeaderKey && len(t.writes) == 1 {
-		w.host.End(endLeaderKeyRefused)
+		w.host.End(EndLeaderKeyRefused)
 		return
 	}
 	if len(t.writes) > 1 {
@@ -127,7 +120,7 @@
 	key := t.readbackKey
 	if errors.Is(err, stateclient.ErrNotFound) {
 		if w.mustExist(t, key) {
-			w.host.End(endRecordsDiffer)
+			w.host.End(EndRecordsDiffer)
 			return
 		}
 		item = protocol.Item{} // an absent key has the version 0
@@ -161,8 +154,8 @@
 		w.onInvalidRequest(t) // it did not apply, and the last try was refused
 		return
 	}
-	if !w.leader.Equal(item.Value, t.leaderEntry.Record) {
-		w.host.End(endOtherLeader)
+	if !t.leaderEntry.Matches(item.Value) {
+		w.host.End(EndOtherLeader)
 		return
 	}
 	// A try of ours wrote the leader key, and all else with it.
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -55,16 +55,30 @@
 	Key     string
 	Version uint64
 	Entry   LeaderEntry
-	// Equal reports whether a stored value, as it was read, is this record.
-	Equal func(value []byte, record any) bool
 }
 
 // LeaderEntry is how the leader key is stored.
 type LeaderEntry struct {
 	Record any
 	Lease  uint64 // 0: the key is permanent
+	// Matches reports whether a stored value, as it was read, is the record.
+	Matches func(value []byte) bool
 }
 
+// EndReason is why the writer ends a leadership, as the log says it.
+type EndReason string
+
+// The reasons.
+const (
+	// EndOtherLeader: another leader has written the leader key.
+	EndOtherLeader EndReason = "another leader's key"
+	// EndRecordsDiffer: a key that only this leader writes has another version than it should, so the
+	// stored records are not those that this leader holds in memory.
+	EndRecordsDiffer EndReason = "the ledger differs from memory"
+	// EndLeaderKeyRefused: the state service refuses to store the leader key.
+	EndLeaderKeyRefused EndReason = "the leader key can't be written"
+)
+
 // Host is the leader that the records belong to. After End it does not call the writer any more, and
 // Ended returns true.
 type Host interface {
@@ -75,7 +89,7 @@
 	// Pause is a short wait before something is tried again.
 	Pause() time.Duration
 	// End ends the leadership.
-	End(why string)
+	End(why EndReason)
 	Ended() bool
 	// Unavailable is called when the service executes nothing: no user should be kept waiting.
 	Unavailable()
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -15,53 +15,57 @@
 
 // fakeHost is a leader whose state service answers as a test says.
 type fakeHost struct {
-	now       time.Duration
-	calls     []sentRequest
-	ended     string
-	abandoned []string
-	refused   int
+	now         time.Duration
+	sent        []sentRequest
+	ended       EndReason
+	abandoned   []string
+	unavailable int
 }
 
 type sentRequest struct {
 	method, path string
 	body         any
-	then         func(int, []byte)
+	answer       func(int, []byte)
 }
 
-func (s *fakeHost) Now() time.Duration { return s.now }
-func (s *fakeHost) Call(method, path string, body any, _ time.Duration, then func(int, []byte)) {
-	s.calls = append(s.calls, sentRequest{method, path, body, then})
+func (h *fakeHost) Now() time.Duration { return h.now }
+func (h *fakeHost) Call(method, path string, body any, _ time.Duration, then func(int, []byte)) {
+	h.sent = append(h.sent, sentRequest{method, path, body, then})
 }
-func (s *fakeHost) MayCall() bool        { return true }
-func (s *fakeHost) Pause() time.Duration { return 100 * time.Millisecond }
-func (s *fakeHost) End(why string)       { s.ended = why }
-func (s *fakeHost) Ended() bool          { return s.ended != "" }
-func (s *fakeHost) Unavailable()         { s.refused++ }
-func (s *fakeHost) Rendered(string)      {}
-func (s *fakeHost) Stored(string)        {}
-func (s *fakeHost) Abandoned(key string) { s.abandoned = append(s.abandoned, key) }
+func (h *fakeHost) MayCall() bool        { return true }
+func (h *fakeHost) Pause() time.Duration { return 100 * time.Millisecond }
+func (h *fakeHost) End(why EndReason)    { h.ended = why }
+func (h *fakeHost) Ended() bool          { return h.ended != "" }
+func (h *fakeHost) Unavailable()         { h.unavailable++ }
+func (h *fakeHost) Rendered(string)      {}
+func (h *fakeHost) Stored(string)        {}
+func (h *fakeHost) Abandoned(key string) { h.abandoned = append(h.abandoned, key) }
 
 // last is the request that left last.
-func (s *fakeHost) last(t *testing.T) sentRequest {
+func (h *fakeHost) last(t *testing.T) sentRequest {
 	t.Helper()
-	if len(s.calls) == 0 {
+	if len(h.sent) == 0 {
 		t.Fatal("nothing left")
 	}
-	return s.calls[len(s.calls)-1]
+	return h.sent[len(h.sent)-1]
 }
 
 const ourRecord = "ours"
 
 func newTestWriter(changes int) (*fakeHost, *Writer) {
-	s := &fakeHost{}
+	host := &fakeHost{}
 	tokens := ratelimit.New(1000, 1000)
-	key := LeaderKey{Key: "c/leader", Version: 5, Entry: LeaderEntry{Record: ourRecord, Lease: 3},
-		Equal: func(value []byte, record any) bool {
-			var stored string
-			return protocol.Decode(value, &stored) == nil && stored == record
-		}}
-	w := NewWriter(s, stateclient.New(s), slog.New(slog.DiscardHandler), Limits{Changes: changes, ValueBytes: 100, Timeout: time.Second}, &tokens, key)
-	return s, w
+	key := LeaderKey{Key: "c/leader", Version: 5, Entry: testEntry(ourRecord, 3)}
+	w := NewWriter(host, stateclient.New(host), slog.New(slog.DiscardHandler), Limits{Changes: changes, ValueBytes: 100, Timeout: time.Second}, &tokens, key)
+	return host, w
+}
+
+// testEntry is a leader key whose record is a string.
+func testEntry(record string, lease uint64) LeaderEntry {
+	return LeaderEntry{Record: record, Lease: lease, Matches: func(value []byte) bool {
+		var stored string
+		return protocol.Decode(value, &stored) == nil && stored == record
+	}}
 }
 
 func value(v any) func() any { return func() any { return v } }
@@ -80,7 +84,7 @@
 
 // The most urgent goes first, one transaction at a time, and a key that is asked for twice is written once.
 func TestOrderOfWrites(t *testing.T) {
-	s, w := newTestWriter(4)
+	host, w := newTestWriter(4)
 	done := map[string]int{}
 	mark := func(key string, priority Priority) {
 		w.Mark(key, priority, value(key), func() { done[key]++ })
@@ -92,18 +96,18 @@
 	mark("m/batch", Replica) // more urgent now
 	w.Flush()
 	w.Flush()
-	if len(s.calls) != 1 || !slices.Equal(puts(s.calls[0]), []string{"j/user", "m/replica", "m/batch"}) {
-		t.Fatalf("%d requests, %v", len(s.calls), puts(s.calls[0]))
+	if len(host.sent) != 1 || !slices.Equal(puts(host.sent[0]), []string{"j/user", "m/replica", "m/batch"}) {
+		t.Fatalf("%d requests, %v", len(host.sent), puts(host.sent[0]))
 	}
-	if condition := s.calls[0].body.(protocol.Txn).If[0]; condition.Key != "c/leader" || condition.Version != 5 {
+	if condition := host.sent[0].body.(protocol.Txn).If[0]; condition.Key != "c/leader" || condition.Version != 5 {
 		t.Errorf("the first condition is %+v", condition)
 	}
-	s.calls[0].then(200, applied(9))
+	host.sent[0].answer(200, applied(9))
 	if done["m/batch"] != 2 || done["j/user"] != 1 || done["k/lazy"] != 0 || w.Version("m/batch") != 9 || w.Busy() {
 		t.Errorf("%v", done)
 	}
 	w.Flush()
-	if got := puts(s.last(t)); !slices.Equal(got, []string{"k/lazy"}) {
+	if got := puts(host.last(t)); !slices.Equal(got, []string{"k/lazy"}) {
 		t.Errorf("then %v", got)
 	}
 }
@@ -125,77 +129,82 @@
 // An answer that is lost is found out by reading back, and the next transaction writes the leader key, so
 // that no earlier try can apply any more.
 func TestLostAnswer(t *testing.T) {
-	s, w := newTestWriter(4)
+	host, w := newTestWriter(4)
 	done := 0
 	w.Mark("m/1", Start, value("a"), func() { done++ })
 	w.Flush()
-	s.last(t).then(0, nil)
+	host.last(t).answer(0, nil)
 	w.Flush()
-	if len(s.calls) != 1 {
+	if len(host.sent) != 1 {
 		t.Error("it is repeated without a pause")
 	}
-	s.now += time.Second
+	host.now += time.Second
 	w.Flush()
-	if got := puts(s.last(t)); !slices.Equal(got, []string{"m/1", "c/leader"}) {
+	if got := puts(host.last(t)); !slices.Equal(got, []string{"m/1", "c/leader"}) {
 		t.Errorf("repeated as %v", got)
 	}
-	s.last(t).then(409, failed("m/1"))
+	host.last(t).answer(409, failed("m/1"))
 	w.Flush()
-	if c := s.last(t); c.method != "GET" || c.path != "/store/m/1" {
+	if c := host.last(t); c.method != "GET" || c.path != "/store/m/1" {
 		t.Fatalf("%s %s", c.method, c.path)
 	}
-	s.last(t).then(200, protocol.Encode(protocol.Item{Key: "m/1", Version: 12}))
-	if done != 1 || w.Version("m/1") != 12 || s.ended != "" {
-		t.Errorf("done %d, version %d, ended %q", done, w.Version("m/1"), s.ended)
+	host.last(t).answer(200, protocol.Encode(protocol.Item{Key: "m/1", Version: 12}))
+	if done != 1 || w.Version("m/1") != 12 || host.ended != "" {
+		t.Errorf("done %d, version %d, ended %q", done, w.Version("m/1"), host.ended)
 	}
 }
 
 // Another leader's key ends the term, unless an earlier try of our own has written it.
 func TestConflictsOfTheLeaderKey(t *testing.T) {
-	s, w := newTestWriter(4)
+	host, w := newTestWriter(4)
 	w.Mark("m/1", Start, value("a"), nil)
 	w.Flush()
-	s.last(t).then(409, failed("c/leader"))
-	if s.ended == "" {
-		t.Error("it goes on under another leader's key")
+	host.last(t).answer(409, failed("c/leader"))
+	if host.ended != EndOtherLeader {
+		t.Errorf("ended %q under another leader's key", host.ended)
 	}
-	for _, ours := range []bool{true, false} {
-		s, w := newTestWriter(4)
-		w.Mark("m/1", Start, value("a"), nil)
-		w.Flush()
-		s.last(t).then(0, nil)
-		s.now += time.Second
-		w.Flush()
-		s.last(t).then(0, nil) // also the one that writes the leader key
-		s.now += time.Second
-		w.Flush()
-		s.last(t).then(409, failed("c/leader"))
-		w.Flush()
-		record := "another's"
-		if ours {
-			record = ourRecord
-		}
-		s.last(t).then(200, protocol.Encode(map[string]any{"k": "c/leader", "data": record, "stamp": 20}))
-		if (s.ended == "") != ours || ours && w.Version("m/1") != 20 {
-			t.Errorf("ours %v: ended %q, version %d", ours, s.ended, w.Version("m/1"))
-		}
+	for _, c := range []struct {
+		name, record string
+		ended        EndReason
+		version      uint64
+	}{
+		{"an earlier try of our own", ourRecord, "", 20},
+		{"another leader", "another's", EndOtherLeader, 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			host, w := newTestWriter(4)
+			w.Mark("m/1", Start, value("a"), nil)
+			w.Flush()
+			host.last(t).answer(0, nil)
+			host.now += time.Second
+			w.Flush()
+			host.last(t).answer(0, nil) // also the one that writes the leader key
+			host.now += time.Second
+			w.Flush()
+			host.last(t).answer(409, failed("c/leader"))
+			w.Flush()
+			host.last(t).answer(200, protocol.Encode(map[string]any{"k": "c/leader", "data": c.record, "stamp": 20}))
+			if host.ended != c.ended || w.Version("m/1") != c.version {
+				t.Errorf("ended %q, version %d", host.ended, w.Version("m/1"))
+			}
+		})
 	}
 }
 
 // A version that differs without an earlier try means that the ledger is not what we think.
 func TestConflictOfARecord(t *testing.T) {
-	s, w := newTestWriter(4)
+	host, w := newTestWriter(4)
 	w.Mark("m/1", Start, value("a"), nil)
 	w.Flush()
-	s.last(t).then(409, failed("m/1"))
-	if !strings.Contains(s.ended, "differs") {
-		t.Errorf("ended %q", s.ended)
+	host.last(t).answer(409, failed("m/1"))
+	if host.ended != EndRecordsDiffer {
+		t.Errorf("ended %q", host.ended)
 	}
 }
 
 // What is called malformed goes out in halves, until the record at fault is found and given up.
 func TestMalformed(t *testing.T) {
-	s, w := newTestWriter(20)
+	host, w := newTestWriter(20)
 	for i := range 8 {
 		w.Mark(fmt.Sprintf("m/%d", i), Start, value("a"), nil)
 	}
@@ -205,16 +214,16 @@
 		if !w.Busy() {
 			break
 		}
-		c := s.last(t)
+		c := host.last(t)
 		if slices.Contains(puts(c), "m/5") {
-			c.then(400, nil)
+			c.answer(400, nil)
 			continue
 		}
 		revision++
-		c.then(200, applied(revision))
+		c.answer(200, applied(revision))
 	}
-	if !slices.Equal(s.abandoned, []string{"m/5"}) {
-		t.Errorf("given up: %v", s.abandoned)
+	if !slices.Equal(host.abandoned, []string{"m/5"}) {
+		t.Errorf("given up: %v", host.abandoned)
 	}
 	for i := range 8 {
 		if (w.Version(fmt.Sprintf("m/%d", i)) != 0) != (i != 5) {
@@ -223,43 +232,83 @@
 	}
 }
 
+// What an answer means: only those that leave the outcome unknown have the repeat fence off earlier tries.
+func TestRepeats(t *testing.T) {
+	undecodable := []byte{0xc1}
+	for _, c := range []struct {
+		name        string
+		status      int
+		body        []byte
+		fence       bool
+		unavailable int
+	}{
+		{"no answer", 0, nil, true, 0},
+		{"success that can't be read", 200, undecodable, true, 0},
+		{"conflict that can't be read", 409, undecodable, true, 0},
+		{"rate limited", 429, nil, false, 0},
+		{"unavailable", 503, nil, false, 1},
+		{"internal error", 500, nil, false, 1},
+		{"a status without a meaning", 404, nil, false, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			host, w := newTestWriter(4)
+			w.Mark("m/1", Start, value("a"), nil)
+			w.Flush()
+			host.last(t).answer(c.status, c.body)
+			w.Flush()
+			if len(host.sent) != 1 || host.unavailable != c.unavailable || host.ended != "" {
+				t.Fatalf("%d requests before the pause, told %d times of an outage, ended %q", len(host.sent), host.unavailable, host.ended)
+			}
+			host.now += host.Pause()
+			w.Flush()
+			want := []string{"m/1"}
+			if c.fence {
+				want = append(want, "c/leader")
+			}
+			if got := puts(host.last(t)); len(host.sent) != 2 || !slices.Equal(got, want) {
+				t.Errorf("%d requests, repeated as %v, want %v", len(host.sent), got, want)
+			}
+		})
+	}
+}
+
 // Limits are met exactly: a value of as many bytes as may be, one more, and one change more.
 func TestLimits(t *testing.T) {
-	s, w := newTestWriter(3)
+	host, w := newTestWriter(3)
 	w.Mark("m/fits", Start, value(strings.Repeat("x", 98)), nil) // and two quotes
 	w.Mark("m/large", Start, value(strings.Repeat("x", 99)), nil)
 	w.Mark("m/second", Start, value(1), nil)
 	w.Mark("m/third", Start, value(1), nil)
 	w.Flush()
-	if got := puts(s.last(t)); !slices.Equal(got, []string{"m/fits", "m/second"}) || !slices.Equal(s.abandoned, []string{"m/large"}) {
-		t.Errorf("%v leave, %v are given up", got, s.abandoned)
+	if got := puts(host.last(t)); !slices.Equal(got, []string{"m/fits", "m/second"}) || !slices.Equal(host.abandoned, []string{"m/large"}) {
+		t.Errorf("%v leave, %v are given up", got, host.abandoned)
 	}
-	s.last(t).then(429, nil)
+	host.last(t).answer(429, nil)
 	w.Flush()
-	if len(s.calls) != 1 {
+	if len(host.sent) != 1 {
 		t.Error("it is repeated without a pause")
 	}
-	s.now += time.Second
+	host.now += time.Second
 	w.Flush()
-	s.last(t).then(503, nil)
-	if s.refused != 1 {
+	host.last(t).answer(503, nil)
+	if host.unavailable != 1 {
 		t.Error("users are kept waiting for a service that is down")
 	}
 }
 
 // What was never written needs no deletion.
 func TestDeletionOfNothing(t *testing.T) {
-	s, w := newTestWriter(4)
+	host, w := newTestWriter(4)
 	done := 0
 	w.Mark("d/1", Lazy, value(nil), func() { done++ })
 	w.Flush()
-	if len(s.calls) != 0 || done != 1 {
-		t.Errorf("%d requests, done %d", len(s.calls), done)
+	if len(host.sent) != 0 || done != 1 {
+		t.Errorf("%d requests, done %d", len(host.sent), done)
 	}
 	w.Loaded("d/2", 7)
 	w.Mark("d/2", Lazy, value(nil), func() { done++ })
 	w.Flush()
-	s.last(t).then(200, applied(9))
+	host.last(t).answer(200, applied(9))
 	if done != 2 || w.Version("d/2") != 0 {
 		t.Errorf("done %d, version %d", done, w.Version("d/2"))
 	}
