--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -9,23 +9,18 @@
 	"claybarrow/internal/statestore"
 )
 
-// poolHost is a term as its machine pool sees it.
+// poolHost adapts a leadership to its machine pool.
 type poolHost struct{ leader *leadership }
 
 func (l *leadership) newPool() *machinepool.Pool {
 	times := machinepool.Times{Lease: l.controller.env.cfg.Lease(), ListLag: l.controller.env.cfg.ListLag(),
 		ListEvery: max(l.controller.env.cfg.ListLag()/2, seconds(4/l.controller.env.cfg.Cluster.Cloud.RPS))}
-	return machinepool.New(poolHost{l}, l.controller.env.log, times, l.lease.token)
+	return machinepool.New(poolHost{l}, l.controller.outbox.cloud, l.controller.env.log, times, l.lease.token)
 }
 
 // Now is part of machinepool.Host.
 func (h poolHost) Now() time.Duration { return h.leader.controller.env.now }
 
-// Call is part of machinepool.Host.
-func (h poolHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
-	h.leader.controller.outbox.cloudCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
-}
-
 // MayCall is part of machinepool.Host.
 func (h poolHost) MayCall() bool {
 	return h.leader.controller.outbox.cloudRequests.Has(h.leader.controller.env.now, 1)
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -4,13 +4,19 @@
 	"fmt"
 	"time"
 
+	"claybarrow/internal/cloudclient"
 	"claybarrow/internal/protocol"
 	"claybarrow/internal/ratelimit"
+	"claybarrow/internal/stateclient"
 )
 
 // outbox collects the effects of the event that is being handled, and keeps the calls whose results are
 // still to come. It accounts for the requests to the state service and the cloud.
 type outbox struct {
+	// state and cloud are the clients of the state service and the cloud.
+	state *stateclient.Client
+	cloud *cloudclient.Client
+
 	env   *environment
 	pause *pauseRecovery
 
@@ -33,11 +39,13 @@
 
 func newOutbox(env *environment) *outbox {
 	state, cloud := env.cfg.Cluster.State.Both(), env.cfg.Cluster.Cloud
-	return &outbox{env: env, calls: map[uint64]func(Result){},
+	o := &outbox{env: env, calls: map[uint64]func(Result){},
 		stateRequests: ratelimit.New(state.RPS*stateRequestShare, state.RPS*stateRequestShare),
 		stateChanges:  ratelimit.New(state.WriteRPS*stateChangeShare, state.WriteRPS*stateChangeBurst),
 		cloudRequests: ratelimit.New(cloud.RPS*cloudRequestShare, cloud.RPS),
 	}
+	o.state, o.cloud = newStateClient(o), newCloudClient(o)
+	return o
 }
 
 func (o *outbox) call(t Target, addr, method, path string, body any, timeout time.Duration, then func(Result)) {
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -9,15 +9,15 @@
 	"claybarrow/internal/statestore"
 )
 
-// recordHost is a term as the writer of its records sees it.
+// recordHost adapts a leadership to the writer of its records.
 type recordHost struct{ leader *leadership }
 
 // newStore makes the writer of a term's records. The election wrote the counter and the leader key in
 // one transaction, of this version.
 func (l *leadership) newStore(version uint64) *statestore.Writer {
 	limits := statestore.Limits{Changes: l.controller.env.cfg.Cluster.State.Both().TxnOps, ValueBytes: l.controller.env.cfg.ValueBytes(), Timeout: l.controller.env.cfg.LeaderTTL() / 2}
-	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.gating.leaderEntry(l.gating.storedRecord), Equal: equalLeader}
-	w := statestore.NewWriter(recordHost{l}, l.controller.env.log, limits, &l.controller.outbox.stateChanges, key)
+	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.gating.leaderEntry(l.gating.storedRecord)}
+	w := statestore.NewWriter(recordHost{l}, l.controller.outbox.state, l.controller.env.log, limits, &l.controller.outbox.stateChanges, key)
 	w.Loaded(keyCounter, version)
 	if l.gating.storedRecord.StorageVersion != 0 {
 		w.Loaded(keyLease, version)
@@ -28,26 +28,22 @@
 // leaderEntry is how the leader key holds a record: on the leader's lease, or permanently while the
 // feature gate is not closed.
 func (g *gateKeeper) leaderEntry(rec leaderRecord) statestore.LeaderEntry {
-	if rec.StorageVersion != 0 {
-		return statestore.LeaderEntry{Record: rec}
+	entry := statestore.LeaderEntry{Record: rec, Matches: rec.matches}
+	if rec.StorageVersion == 0 {
+		entry.Lease = g.lease.leaseID
 	}
-	return statestore.LeaderEntry{Record: rec, Lease: g.lease.leaseID}
+	return entry
 }
 
-// equalLeader says whether a value that was read is a leader record.
-func equalLeader(value []byte, record any) bool {
-	var read leaderRecord
-	return protocol.Decode(value, &read) == nil && read == record
+// matches reports whether a stored value, as it was read, is this record.
+func (r *leaderRecord) matches(value []byte) bool {
+	var stored leaderRecord
+	return protocol.Decode(value, &stored) == nil && stored == *r
 }
 
 // Now is part of statestore.Host.
 func (h recordHost) Now() time.Duration { return h.leader.controller.env.now }
 
-// Call is part of statestore.Host.
-func (h recordHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
-	h.leader.controller.outbox.stateCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
-}
-
 // MayCall is part of statestore.Host.
 func (h recordHost) MayCall() bool {
 	return h.leader.controller.outbox.stateRequests.Has(h.leader.controller.env.now, 1)
@@ -57,7 +53,9 @@
 func (h recordHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
 
 // End is part of statestore.Host.
-func (h recordHost) End(why string) { h.leader.controller.endLeadership(endReason(why)) }
+func (h recordHost) End(reason statestore.EndReason) {
+	h.leader.controller.endLeadership(endReason(reason))
+}
 
 // Ended is part of statestore.Host.
 func (h recordHost) Ended() bool { return h.leader.lease.ended }
--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -1,189 +1,197 @@
-// Package machinepool deals with the cloud for a leader: it rents machines, deletes them and reads their list, within
-// the cloud's limits. What is rented and given back is decided elsewhere.
+// Package machinepool makes a leader's requests to the cloud: it launches machines, deletes them and
+// reads their list, within the cloud's limits. Which machines are launched and deleted is decided
+// elsewhere.
 package machinepool
 
 import (
-	"fmt"
 	"log/slog"
-	"maps"
-	"slices"
 	"time"
 
+	"claybarrow/internal/cloudclient"
 	"claybarrow/internal/protocol"
 	"claybarrow/internal/scheduler"
 )
 
-// Bounds of the cloud's protocol.
+// Limits of the cloud's protocol, in machines.
 const (
-	maxLaunched = 50  // of a request
-	maxDeleted  = 100 // of a request
-	listPage    = 500
+	maxLaunchCount = 50  // of a launch request
+	maxDeleteCount = 100 // of a deletion
+	listPageSize   = 500
 )
 
-// Times are those that the pool's own follow from.
+// Timeouts of the requests, as shares of the workers' lease.
+const (
+	listTimeoutShare   = 4
+	deleteTimeoutShare = 2
+	launchTimeoutShare = 2
+)
+
+// Waits before a request is repeated, in pauses of the host.
+const (
+	listRetryPauses   = 4
+	deleteRetryPauses = 2
+	launchRetryPauses = 3
+)
+
+// How long a removed machine is remembered, in lags of the list and in leases of the workers: lists lag,
+// and heartbeats come late.
+const (
+	removedListLags = 10
+	removedLeases   = 10
+)
+
+// Times are the durations that the pool's own follow from.
 type Times struct {
 	Lease   time.Duration // the workers'
-	ListLag time.Duration
+	ListLag time.Duration // by which the cloud's list may be behind
 	// ListEvery is the least time between two lists.
 	ListEvery time.Duration
 }
 
-// Host is the leader whose machines they are.
+// Host is the leader that the machines belong to.
 type Host interface {
+	// Now is the controller's present time.
 	Now() time.Duration
-	// Call asks the cloud; status 0: there was no answer.
-	Call(method, path string, body any, timeout time.Duration, then func(status int, body []byte))
-	// MayCall says whether the budget of calls allows one.
+	// MayCall reports whether the budget allows a request to the cloud.
 	MayCall() bool
 	// Pause is a short wait before something is tried again.
 	Pause() time.Duration
-	// Later runs something at a later tick.
+	// Later runs a function at the first tick after a time, unless the leadership has ended.
 	Later(at time.Duration, do func())
-	// Ended: the leader's term is over.
+	// Ended reports whether the leadership has ended.
 	Ended() bool
 
-	// Listed takes a machine of the list, ListRead the names of a whole list and when it was asked for.
+	// Listed takes one machine of the list.
 	Listed(machine *protocol.ListedMachine)
+	// ListRead takes the names of a whole list and the time at which it was asked for.
 	ListRead(asked time.Duration, names map[string]bool)
-	// ToDelete names machines whose deletion may leave, Deleted takes one that is gone.
+	// ToDelete returns the names of at most so many machines whose deletion may be sent.
 	ToDelete(most int) []string
+	// Deleted takes a machine that is gone.
 	Deleted(name string)
-	// Launched takes a machine that was rented by a request of a time.
+	// Launched takes a machine that was launched by a request sent at a time.
 	Launched(pool scheduler.Pool, name string, asked time.Duration)
-	// Short is told when a pool gave fewer than asked, and when it gave all.
+	// Short is told that a pool of machines gave fewer than asked for (true) or all of them (false).
 	Short(pool scheduler.Pool, short bool)
 }
 
-// LaunchRequest is a request for machines that is under way.
-type LaunchRequest struct {
-	scheduler.Pool
-	Count int
-	name  string
-	sent  time.Duration
-}
-
-func (r *LaunchRequest) request() protocol.LaunchRequest {
-	return protocol.LaunchRequest{Request: r.name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
-}
-
-// Pool is a leader's dealings with the cloud.
+// Pool makes a leader's requests to the cloud. At most one list and one deletion are in flight.
 type Pool struct {
-	host  Host
-	log   *slog.Logger
-	times Times
-	token uint64
-
-	listAt    time.Duration
-	listing   bool
-	listed    bool // one whole list has been read
-	launches  uint64
-	launching map[string]*LaunchRequest
-	short     map[scheduler.Pool]shortage
-	// removed are machines that are gone, with the time: lists lag, and reports come late.
-	removed  map[string]time.Duration
-	deleting bool
-	deleteAt time.Duration
+	host   Host
+	client *cloudclient.Client
+	log    *slog.Logger
+	times  Times
+	token  uint64
+
+	nextListAt   time.Duration
+	listInFlight bool
+	listRead     bool // one whole list has been read
+
+	lastLaunch uint64 // number of the last launch request
+	launching  map[string]*LaunchRequest
+	backoffs   map[scheduler.Pool]backoff
+
+	// removed are machines that are gone, with the time at which they were found gone.
+	removed        map[string]time.Duration
+	deleteInFlight bool
+	nextDeleteAt   time.Duration
+}
+
+// New makes the pool of a leader's term. The names of launch requests have its fencing token, so that no
+// other leader ever uses them.
+func New(host Host, client *cloudclient.Client, log *slog.Logger, times Times, token uint64) *Pool {
+	return &Pool{
+		host: host, client: client, log: log, times: times, token: token,
+		launching: map[string]*LaunchRequest{}, backoffs: map[scheduler.Pool]backoff{}, removed: map[string]time.Duration{},
+	}
 }
 
-// shortage is how long a pool is left alone, longer with each time that it gave too few.
-type shortage struct {
-	until time.Duration
-	times int
+// Tick deletes the machines that may be deleted, and reads the list anew when it is time.
+func (p *Pool) Tick() {
+	p.forgetRemoved()
+	p.deleteMachines()
+	p.readList()
 }
 
-// maxBackoffSteps bounds the times that count.
-const maxBackoffSteps = 4
+// HasList reports whether one whole list has been read.
+func (p *Pool) HasList() bool { return p.listRead }
 
-// New makes the pool of a term. Names of rentals have its token, so that no other leader ever uses them.
-func New(host Host, log *slog.Logger, times Times, token uint64) *Pool {
-	return &Pool{host: host, log: log, times: times, token: token, launching: map[string]*LaunchRequest{}, short: map[scheduler.Pool]shortage{},
-		removed: map[string]time.Duration{}}
-}
+// Remove notes that a machine is gone: lists and heartbeats that still name it are old.
+func (p *Pool) Remove(name string) { p.removed[name] = p.host.Now() }
 
-// Tick deletes what may be deleted, and reads the list anew when it is time.
-func (p *Pool) Tick() {
+// WasRemoved reports whether a machine is gone.
+func (p *Pool) WasRemoved(name string) bool { return p.removed[name] != 0 }
+
+// forgetRemoved forgets the machines of which nothing old can come any more.
+func (p *Pool) forgetRemoved() {
 	now := p.host.Now()
 	for name, at := range p.removed {
-		if now > at+10*p.times.ListLag+10*p.times.Lease {
+		if now > at+removedListLags*p.times.ListLag+removedLeases*p.times.Lease {
 			delete(p.removed, name)
 		}
 	}
-	p.delete()
-	if !p.listing && now >= p.listAt && p.host.MayCall() {
-		p.listing = true
-		p.readPage("", now, map[string]bool{})
-	}
 }
 
-// HasList says whether one whole list has been read.
-func (p *Pool) HasList() bool { return p.listed }
-
-// Remove notes that a machine is gone: what still tells of it is old.
-func (p *Pool) Remove(name string) { p.removed[name] = p.host.Now() }
-
-// WasRemoved says whether a machine is gone.
-func (p *Pool) WasRemoved(name string) bool { return p.removed[name] != 0 }
-
-// Launching lists the requests that are under way, in a fixed order, so that runs replay.
-func (p *Pool) Launching() []*LaunchRequest {
-	out := make([]*LaunchRequest, 0, len(p.launching))
-	for _, name := range slices.Sorted(maps.Keys(p.launching)) {
-		out = append(out, p.launching[name])
+// readList begins to read the list if it is time and none is being read.
+func (p *Pool) readList() {
+	now := p.host.Now()
+	if p.listInFlight || now < p.nextListAt || !p.host.MayCall() {
+		return
 	}
-	return out
+	p.listInFlight = true
+	p.readPage("", now, map[string]bool{})
 }
 
-// IsShort says whether a pool is left alone for now.
-func (p *Pool) IsShort(pool scheduler.Pool) bool { return p.host.Now() < p.short[pool].until }
-
+// readPage reads the page of the list behind a machine, and then the next one. Names collects the machines
+// of the pages.
 func (p *Pool) readPage(after string, asked time.Duration, names map[string]bool) {
-	path := fmt.Sprintf("/machines?limit=%d", listPage)
-	if after != "" {
-		path += "&after=" + after
-	}
-	p.host.Call("GET", path, nil, p.times.Lease/4, func(status int, body []byte) {
+	p.client.List(after, listPageSize, p.times.Lease/listTimeoutShare, func(list protocol.MachineList, err error) {
 		if p.host.Ended() {
 			return
 		}
-		var list protocol.MachineList
-		if status != 200 || protocol.Decode(body, &list) != nil {
-			p.listing, p.listAt = false, p.host.Now()+p.host.Pause()*4
+		if err != nil {
+			p.listInFlight, p.nextListAt = false, p.host.Now()+p.host.Pause()*listRetryPauses
 			return
 		}
-		for i := range list.Machines {
-			m := &list.Machines[i]
-			names[m.ID] = true
-			if !p.WasRemoved(m.ID) {
-				p.host.Listed(m)
-			}
-		}
+		p.takePage(list.Machines, names)
 		if list.More && len(list.Machines) > 0 {
 			p.readPage(list.Machines[len(list.Machines)-1].ID, asked, names)
 			return
 		}
-		p.listing, p.listed = false, true
-		p.listAt = p.host.Now() + p.times.ListEvery
+		p.listInFlight, p.listRead = false, true
+		p.nextListAt = p.host.Now() + p.times.ListEvery
 		p.host.ListRead(asked, names)
 	})
 }
 
-// delete has machines deleted, one request at a time, until the cloud says that they are gone.
-func (p *Pool) delete() {
-	if p.deleting || p.host.Now() < p.deleteAt || !p.host.MayCall() {
+// takePage passes the machines of a page on, except those that are known to be gone.
+func (p *Pool) takePage(machines []protocol.ListedMachine, names map[string]bool) {
+	for i := range machines {
+		machine := &machines[i]
+		names[machine.ID] = true
+		if !p.WasRemoved(machine.ID) {
+			p.host.Listed(machine)
+		}
+	}
+}
+
+// deleteMachines has machines deleted, one request at a time, until the cloud says that they are gone.
+func (p *Pool) deleteMachines() {
+	if p.deleteInFlight || p.host.Now() < p.nextDeleteAt || !p.host.MayCall() {
 		return
 	}
-	names := p.host.ToDelete(maxDeleted)
+	names := p.host.ToDelete(maxDeleteCount)
 	if len(names) == 0 {
 		return
 	}
-	p.deleting = true
-	p.host.Call("POST", "/machines/delete", protocol.MachineNames{Machines: names}, p.times.Lease/2, func(status int, _ []byte) {
+	p.deleteInFlight = true
+	p.client.Delete(names, p.times.Lease/deleteTimeoutShare, func(err error) {
 		if p.host.Ended() {
 			return
 		}
-		p.deleting = false
-		if status != 200 {
-			p.deleteAt = p.host.Now() + p.host.Pause()*2
+		p.deleteInFlight = false
+		if err != nil {
+			p.nextDeleteAt = p.host.Now() + p.host.Pause()*deleteRetryPauses
 			return
 		}
 		for _, name := range names {
@@ -191,74 +199,3 @@
 		}
 	})
 }
-
-// Launch asks for machines. The name holds the token and a counter: no node ever
-// uses it again.
-func (p *Pool) Launch(pool scheduler.Pool, count int) {
-	p.launches++
-	q := &LaunchRequest{Pool: pool, Count: min(count, maxLaunched), name: fmt.Sprintf("r-%d-%d", p.token, p.launches), sent: p.host.Now()}
-	p.send(q)
-}
-
-func (p *Pool) send(q *LaunchRequest) {
-	p.launching[q.name] = q
-	p.log.Info("renting", "request", q.name, "type", q.Type, "zone", q.Zone, "spot", q.Spot, "count", q.Count)
-	p.host.Call("POST", "/machines", q.request(), p.times.Lease/2, func(status int, body []byte) {
-		if !p.host.Ended() {
-			p.answered(q, status, body)
-		}
-	})
-}
-
-// answered takes the answer to a rental.
-func (p *Pool) answered(q *LaunchRequest, status int, body []byte) {
-	var got protocol.MachineNames
-	switch {
-	case status == 200 && protocol.Decode(body, &got) == nil:
-		p.onLaunched(q, got.Machines)
-	case status == 503 && noCapacity(body):
-		delete(p.launching, q.name)
-		p.runShort(q.Pool)
-	case status == 400:
-		delete(p.launching, q.name)
-		p.runShort(q.Pool)
-		p.log.Error("a rental was called malformed", "request", q.name)
-	case p.host.Now() > q.sent+4*p.times.Lease:
-		// Whatever it still brings appears in the list.
-		delete(p.launching, q.name)
-	default:
-		// No answer, or trouble: the same name again rents nothing twice.
-		p.host.Later(p.host.Now()+p.host.Pause()*3, func() { p.send(q) })
-	}
-}
-
-func (p *Pool) onLaunched(q *LaunchRequest, names []string) {
-	delete(p.launching, q.name)
-	for _, name := range names {
-		if !p.WasRemoved(name) {
-			p.host.Launched(q.Pool, name, q.sent)
-		}
-	}
-	if len(names) < q.Count {
-		p.runShort(q.Pool)
-		return
-	}
-	delete(p.short, q.Pool)
-	p.host.Short(q.Pool, false)
-}
-
-func noCapacity(body []byte) bool {
-	var e struct {
-		Error string `msgpack:"error"`
-	}
-	return protocol.Decode(body, &e) == nil && e.Error == "no capacity"
-}
-
-// runShort backs off from a pool that was refused or only partly filled.
-func (p *Pool) runShort(pool scheduler.Pool) {
-	s := p.short[pool]
-	s.times = min(s.times+1, maxBackoffSteps)
-	s.until = p.host.Now() + p.times.Lease*time.Duration(s.times)/2
-	p.short[pool] = s
-	p.host.Short(pool, true)
-}
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -1,193 +1,196 @@
 package statestore
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 
+	"claybarrow/internal/apicall"
 	"claybarrow/internal/protocol"
+	"claybarrow/internal/stateclient"
 )
 
-// What became of a transaction: it applied, or did not, or nobody knows until a key of it is read
-// back.
-
-func (w *Writer) onAnswer(t *Transaction, status int, body []byte) {
+// onAnswer takes the outcome of a transaction: it applied, or it did not, or nobody knows until one of
+// its keys is read back.
+func (w *Writer) onAnswer(t *Transaction, revision uint64, err error) {
 	if w.host.Ended() {
 		return
 	}
-	t.flying = false
-	var reply protocol.TxnReply
-	switch status {
-	case 200:
-		if protocol.Decode(body, &reply) != nil {
-			w.lost(t)
-			return
-		}
-		if t.fencing {
-			w.stored(t, reply.Revision)
-		}
-		w.applied(t, reply.Revision)
-	case 409:
-		if protocol.Decode(body, &reply) != nil {
-			w.lost(t)
-			return
-		}
-		w.onConflict(t, reply.Failed)
-	case 0:
-		w.lost(t)
-	case 400:
-		if t.uncertain {
-			// An earlier try may have applied all the same.
-			t.readback = w.readbackKey(t)
-			return
+	t.inFlight = false
+	var conflict *stateclient.ConflictError
+	switch {
+	case err == nil:
+		if t.writesLeaderKey {
+			w.noteLeaderKey(t, revision)
 		}
-		w.malformed(t)
+		w.onApplied(t, revision)
+	case errors.As(err, &conflict):
+		w.onConflict(t, conflict.Keys)
+	case apicall.IsOutcomeUnknown(err):
+		w.onOutcomeUnknown(t)
+	case errors.Is(err, apicall.ErrInvalidRequest) && t.outcomeUnknown:
+		// An earlier try may have applied all the same.
+		t.readbackKey = w.chooseReadbackKey(t)
+	case errors.Is(err, apicall.ErrInvalidRequest):
+		w.onInvalidRequest(t)
 	default:
-		// 503: not executed. 429: likewise, and we have been too fast.
-		if status == 429 {
-			w.changes.Empty()
-		} else {
-			w.host.Unavailable()
-		}
-		t.retryAt = w.host.Now() + w.host.Pause()
+		w.onNotExecuted(t, err)
 	}
 }
 
-// readbackKey is the key that tells whether a transaction has applied.
-func (w *Writer) readbackKey(t *Transaction) string {
-	if t.change != nil {
+// onNotExecuted has a transaction repeated that the service did not execute, as it was in trouble or
+// there were too many changes.
+func (w *Writer) onNotExecuted(t *Transaction, err error) {
+	if errors.Is(err, apicall.ErrRateLimited) {
+		w.changeBudget.Empty()
+	} else {
+		w.host.Unavailable()
+	}
+	t.retryAt = w.host.Now() + w.host.Pause()
+}
+
+// chooseReadbackKey returns the key that tells whether a transaction has applied.
+func (w *Writer) chooseReadbackKey(t *Transaction) string {
+	if t.leaderChange != nil {
 		return w.leader.Key
 	}
-	return slices.Concat(t.Puts, t.dels)[0]
+	return slices.Concat(t.Puts, t.deletes)[0]
 }
 
-// onConflict takes the keys that had other versions than the transaction said.
-func (w *Writer) onConflict(t *Transaction, failed []string) {
+// onConflict takes the keys that had other versions than the transaction required.
+func (w *Writer) onConflict(t *Transaction, keys []string) {
 	switch {
-	case slices.Contains(failed, w.leader.Key):
-		if !t.fencing || !t.uncertain {
-			w.host.End("another leader's key")
+	case slices.Contains(keys, w.leader.Key):
+		if !t.writesLeaderKey || !t.outcomeUnknown {
+			w.host.End(EndOtherLeader)
 			return
 		}
-		t.readback = w.leader.Key // an earlier try of ours may have written it
-	case !t.uncertain || t.change != nil:
-		// Nobody else may write our keys: the ledger is not what we think.
-		w.log.Error("versions differ", "keys", fmt.Sprint(failed))
-		w.host.End("the ledger differs from memory")
+		t.readbackKey = w.leader.Key // an earlier try of ours may have written it
+	case !t.outcomeUnknown || t.leaderChange != nil:
+		// Nobody else may write our keys: what is stored is not what this leader thinks.
+		w.log.Error("versions differ", "keys", fmt.Sprint(keys))
+		w.host.End(EndRecordsDiffer)
 	case len(t.Puts) == 0:
-		w.applied(t, 0)
+		w.onApplied(t, 0)
 	default:
-		t.readback = t.Puts[0]
+		t.readbackKey = t.Puts[0]
 	}
 }
 
-// lost notes that a try had no answer: it may have applied, or do so later.
-func (w *Writer) lost(t *Transaction) {
-	t.uncertain, w.unanswered = true, true
+// onOutcomeUnknown has a transaction repeated that had no answer: it may have applied, or may apply
+// later.
+func (w *Writer) onOutcomeUnknown(t *Transaction) {
+	t.outcomeUnknown, w.needsFence = true, true
 	t.retryAt = w.host.Now() + w.host.Pause()
 }
 
-// malformed takes back a transaction that the state service calls malformed: a
-// lease that has ended, or a limit that is lower than the settings say. What can
-// be written goes out in smaller ones; only a single record that is refused by
-// itself is given up, and its users are told to come back.
-func (w *Writer) malformed(t *Transaction) {
+// onInvalidRequest takes back a transaction that the state service calls invalid: a lease has expired,
+// or a limit is lower than the settings say. Its writes go out in smaller transactions. Only a single
+// record that is refused by itself is given up, and its users are told to come back.
+func (w *Writer) onInvalidRequest(t *Transaction) {
 	w.current = nil
-	if t.change != nil {
+	if t.leaderChange != nil {
 		w.log.Error("the leader key's new form was called malformed")
-		t.change.Refused()
+		t.leaderChange.Refused()
 		return
 	}
-	if t.fencing && len(t.writes) == 1 {
-		w.host.End("the leader key can't be written")
+	if t.writesLeaderKey && len(t.writes) == 1 {
+		w.host.End(EndLeaderKeyRefused)
 		return
 	}
 	if len(t.writes) > 1 {
 		w.log.Error("a transaction was called malformed", "writes", len(t.writes))
-		w.most = max(1, len(t.writes)/2)
-		w.putBack(t)
+		w.maxWrites = max(1, len(t.writes)/2)
+		w.requeue(t)
 		return
 	}
-	m := t.writes[0]
-	w.log.Error("a record was called malformed", "key", m.key)
-	w.most = unlimited
-	w.host.Abandoned(m.key)
-}
-
-// putBack queues a transaction's writes again, first in their queues. What was
-// asked for anew meanwhile keeps the newer request.
-func (w *Writer) putBack(t *Transaction) {
-	for _, m := range slices.Backward(t.writes) {
-		if newer := w.pending[m.key]; newer != nil {
-			newer.then = append(m.then, newer.then...)
-			continue
-		}
-		w.pending[m.key] = m
-		w.queues[m.priority] = slices.Insert(w.queues[m.priority], 0, m)
-	}
+	refused := t.writes[0]
+	w.log.Error("a record was called malformed", "key", refused.key)
+	w.maxWrites = unlimitedWrites
+	w.host.Abandoned(refused.key)
 }
 
-// onReadback tells what became of a transaction whose answer was lost: a key of
-// it has another version than before, and only this leader can have changed it.
-func (w *Writer) onReadback(t *Transaction, status int, body []byte) {
+// onReadback finds out whether a transaction applied whose answer was lost: if a key of it has another
+// version than before, it did, as only this leader can have changed the key.
+func (w *Writer) onReadback(t *Transaction, item protocol.Item, err error) {
 	if w.host.Ended() {
 		return
 	}
-	t.flying = false
-	var it protocol.Item // absent: version 0
-	key := t.readback
-	deletes := slices.Contains(t.dels, key)
-	switch {
-	case status == 200 && protocol.Decode(body, &it) == nil:
-	case status == 404 && (key == w.leader.Key || w.versions[key] != 0 && !deletes):
-		w.host.End("the ledger differs from memory")
-		return
-	case status == 404:
-	default:
+	t.inFlight = false
+	key := t.readbackKey
+	if errors.Is(err, stateclient.ErrNotFound) {
+		if w.mustExist(t, key) {
+			w.host.End(EndRecordsDiffer)
+			return
+		}
+		item = protocol.Item{} // an absent key has the version 0
+	} else if err != nil {
 		t.retryAt = w.host.Now() + w.host.Pause()
 		return
 	}
-	t.readback = ""
+	t.readbackKey = ""
 	if key == w.leader.Key {
-		if it.Version == w.leader.Version {
-			w.malformed(t) // it did not apply, and the last try was refused
-			return
-		}
-		if !w.leader.Equal(it.Value, t.leader.Record) {
-			w.host.End("another leader's key")
-			return
-		}
-		// A try of ours wrote the leader key, and all else with it.
-		w.stored(t, it.Version)
-		w.applied(t, it.Version)
+		w.onLeaderKeyRead(t, item)
+		return
+	}
+	if item.Version == w.versions[key] {
+		w.onInvalidRequest(t) // it did not apply, and the last try was refused
+		return
+	}
+	w.onApplied(t, item.Version)
+}
+
+// mustExist reports whether a key is there whether or not a transaction has applied.
+func (w *Writer) mustExist(t *Transaction, key string) bool {
+	if key == w.leader.Key {
+		return true
+	}
+	return w.versions[key] != 0 && !slices.Contains(t.deletes, key)
+}
+
+// onLeaderKeyRead finds out from the leader key whether a transaction that writes it has applied.
+func (w *Writer) onLeaderKeyRead(t *Transaction, item protocol.Item) {
+	if item.Version == w.leader.Version {
+		w.onInvalidRequest(t) // it did not apply, and the last try was refused
 		return
 	}
-	if it.Version == w.versions[key] {
-		w.malformed(t) // it did not apply, and the last try was refused
+	if !t.leaderEntry.Matches(item.Value) {
+		w.host.End(EndOtherLeader)
 		return
 	}
-	w.applied(t, it.Version)
+	// A try of ours wrote the leader key, and all else with it.
+	w.noteLeaderKey(t, item.Version)
+	w.onApplied(t, item.Version)
 }
 
-// stored notes that the transaction's leader key is the stored one.
-func (w *Writer) stored(t *Transaction, version uint64) {
-	w.leader.Version, w.leader.Entry, w.unanswered = version, t.leader, false
+// noteLeaderKey notes that the leader key is stored as the transaction wrote it. Earlier transactions
+// can't apply any more.
+func (w *Writer) noteLeaderKey(t *Transaction, version uint64) {
+	w.leader.Version, w.leader.Entry, w.needsFence = version, t.leaderEntry, false
 }
 
-func (w *Writer) applied(t *Transaction, revision uint64) {
+// onApplied notes that a transaction applied at a revision, and tells those who wait for its writes.
+func (w *Writer) onApplied(t *Transaction, revision uint64) {
 	for _, key := range t.Puts {
 		w.versions[key] = revision
 	}
-	for _, key := range t.dels {
+	for _, key := range t.deletes {
 		delete(w.versions, key)
 	}
 	w.current = nil
-	w.most = min(unlimited, 2*w.most)
-	// A value out of range is clipped; the histogram only serves the log.
-	_ = w.took.RecordValue(min(longestMillis, max(1, (w.host.Now()-t.made).Milliseconds())))
-	for _, m := range t.writes {
-		w.durable(m)
+	w.maxWrites = min(unlimitedWrites, 2*w.maxWrites)
+	w.recordLatency(t)
+	for _, stored := range t.writes {
+		w.notifyStored(stored)
 	}
-	if t.change != nil {
-		t.change.Applied()
+	if t.leaderChange != nil {
+		t.leaderChange.Applied()
 	}
 }
+
+// recordLatency notes how long a transaction took.
+func (w *Writer) recordLatency(t *Transaction) {
+	latency := (w.host.Now() - t.createdAt).Milliseconds()
+	// A value out of range is clipped; the histogram only serves the log.
+	_ = w.latencies.RecordValue(min(maxLatencyMillis, max(1, latency)))
+}
