--- a/internal/machinepool/launch.go
+++ b/internal/machinepool/launch.go
@@ -64,7 +64,7 @@
 
 func (p *Pool) sendLaunch(launch *LaunchRequest) {
 	p.launching[launch.requestName] = launch
-	p.log.Info("renting", "request", launch.requestName, "type", launch.Type, "zone", launch.Zone, "spot", launch.Spot, "count", launch.Count)
+	p.log.Info("launching machines", "request", launch.requestName, "type", launch.Type, "zone", launch.Zone, "spot", launch.Spot, "count", launch.Count)
 	p.client.Launch(launch.request(), p.times.Lease/launchTimeoutShare, func(names []string, err error) {
 		if !p.host.Ended() {
 			p.onLaunchAnswer(launch, names, err)
@@ -83,7 +83,7 @@
 	case errors.Is(err, apicall.ErrInvalidRequest):
 		delete(p.launching, launch.requestName)
 		p.backOff(launch.Pool)
-		p.log.Error("a rental was called malformed", "request", launch.requestName)
+		p.log.Error("launch request rejected as malformed", "request", launch.requestName)
 	case p.host.Now() > launch.sentAt+launchGiveUpLeases*p.times.Lease:
 		delete(p.launching, launch.requestName)
 	default:
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -68,7 +68,7 @@
 		t.readbackKey = w.leader.Key // an earlier try of ours may have written it
 	case !t.outcomeUnknown || t.leaderChange != nil:
 		// Nobody else may write our keys: what is stored is not what this leader thinks.
-		w.log.Error("versions differ", "keys", fmt.Sprint(keys))
+		w.log.Error("stored versions differ from memory", "keys", fmt.Sprint(keys))
 		w.host.End(EndRecordsDiffer)
 	case len(t.Puts) == 0:
 		w.onApplied(t, 0)
@@ -90,7 +90,7 @@
 func (w *Writer) onInvalidRequest(t *Transaction) {
 	w.current = nil
 	if t.leaderChange != nil {
-		w.log.Error("the leader key's new form was called malformed")
+		w.log.Error("leader key change rejected as malformed")
 		t.leaderChange.Refused()
 		return
 	}
@@ -99,13 +99,13 @@
 		return
 	}
 	if len(t.writes) > 1 {
-		w.log.Error("a transaction was called malformed", "writes", len(t.writes))
+		w.log.Error("transaction rejected as malformed", "writes", len(t.writes))
 		w.maxWrites = max(1, len(t.writes)/2)
 		w.requeue(t)
 		return
 	}
 	refused := t.writes[0]
-	w.log.Error("a record was called malformed", "key", refused.key)
+	w.log.Error("record rejected as malformed", "key", refused.key)
 	w.maxWrites = unlimitedWrites
 	w.host.Abandoned(refused.key)
 }
--- a/internal/statestore/transaction.go
+++ b/internal/statestore/transaction.go
@@ -120,7 +120,7 @@
 	// The Go field names are longer than the stored ones, so JSON is the longer encoding.
 	encoded, err := json.Marshal(value)
 	if err != nil || len(encoded) > w.limits.ValueBytes {
-		w.log.Error("a record is too large", "key", pending.key, "bytes", len(encoded), "err", err)
+		w.log.Error("record exceeds the value size limit", "key", pending.key, "bytes", len(encoded), "err", err)
 		return 0, false
 	}
 	return bytes + len(encoded), true
