--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -40,21 +40,21 @@
 
 // Ratios of the detector's own bounds.
 const (
-	// indirectTimeouts is how many timeouts those asked have for their answer.
-	indirectTimeouts = 2
-	// mostWitnesses is how many others are asked about a peer.
-	mostWitnesses = 3
-	// mostProbesAtOnce bounds a round: larger groups are gone through in turn.
-	mostProbesAtOnce = 8
-	// goneEvery is every which round the dead and those that left are probed.
-	goneEvery = 4
-	// roundsOnOurWord is how many probes must fail in a row before a peer is suspected though
+	// indirectTimeoutFactor is how many timeouts those asked have for their answer.
+	indirectTimeoutFactor = 2
+	// maxHelpers is how many others are asked about a peer.
+	maxHelpers = 3
+	// maxProbesPerRound bounds a round: larger groups are gone through in turn.
+	maxProbesPerRound = 8
+	// absentProbeRounds is every which round the dead and those that left are probed.
+	absentProbeRounds = 4
+	// unconfirmedFailuresToSuspect is how many probes must fail in a row before a peer is suspected though
 	// none of those asked has answered: then it is rather us.
-	roundsOnOurWord = 3
-	// mostOnBehalf bounds the probes under way for others.
-	mostOnBehalf = 32
-	// accusationIntervals is for how many intervals a claim of another counts.
-	accusationIntervals = 6
+	unconfirmedFailuresToSuspect = 3
+	// maxProbesForPeers bounds the probes under way for others.
+	maxProbesForPeers = 32
+	// reportLifetimeIntervals is for how many intervals a claim of another counts.
+	reportLifetimeIntervals = 6
 )
 
 // Counters are what a detector has counted since it began.
@@ -79,27 +79,27 @@
 	leaving     bool
 	members     map[string]*member
 	labels      []string // of the others, sorted
-	health      health
+	health      localHealth
 	counters    Counters
 
 	started   bool
 	nextRound time.Duration
 	round     int
-	turn      int // of the labels, in large groups
+	cursor    int // of the labels, in large groups
 
-	lastID    uint64
-	questions map[uint64]*question
-	probes    []*probe
-	onBehalf  int
+	lastRequestID   uint64
+	pendingRequests map[uint64]*pendingRequest
+	probes          []*pendingProbe
+	onBehalf        int
 
 	out []Action
 }
 
 // New makes a detector. Random numbers are injected so that failures replay.
 func New(settings Settings, random *rand.Rand) *Detector {
-	d := &Detector{settings: settings, random: random, members: map[string]*member{}, questions: map[uint64]*question{}}
+	d := &Detector{settings: settings, random: random, members: map[string]*member{}, pendingRequests: map[uint64]*pendingRequest{}}
 	for _, label := range settings.Peers {
-		d.members[label] = &member{label: label, dropped: map[DropReason]bool{}}
+		d.members[label] = &member{label: label, loggedDrops: map[DropReason]bool{}}
 	}
 	d.labels = slices.Sorted(maps.Keys(d.members))
 	return d
@@ -111,9 +111,9 @@
 	Wall   int64 // ms
 }
 
-// begin reads the clock before anything is handled. After a standstill what was under way
+// advanceClock reads the clock before anything is handled. After a standstill what was under way
 // proves nothing, and suspicions begin anew.
-func (d *Detector) begin(at Clock) {
+func (d *Detector) advanceClock(at Clock) {
 	gap := at.Steady - d.now
 	d.now, d.wall, d.out = max(d.now, at.Steady), at.Wall, nil
 	if !d.started {
@@ -121,40 +121,40 @@
 		d.incarnation = Incarnation(max(1, at.Wall))
 		d.nextRound = d.now
 		for _, m := range d.members {
-			m.since, m.answeredAt = d.now, d.now
+			m.since, m.lastAckAt = d.now, d.now
 		}
 		return
 	}
 	switch {
 	case gap > d.settings.Stall:
-		d.stoodStill()
+		d.recoverFromPause()
 	case gap > d.settings.Timeout:
-		d.health.worse() // it lacks processor time
+		d.health.degrade() // it lacks processor time
 	}
 }
 
-func (d *Detector) stoodStill() {
+func (d *Detector) recoverFromPause() {
 	d.counters.Stalls++
-	d.health.worst()
+	d.health.degradeFully()
 	for _, p := range d.probes {
-		d.deny(p)
-		p.target.probing = false
+		d.sendNack(p)
+		p.target.probeInFlight = false
 	}
 	d.probes, d.onBehalf = nil, 0
-	clear(d.questions)
+	clear(d.pendingRequests)
 	for _, m := range d.members {
 		if m.state == Suspect {
-			m.suspicion = suspicion{since: d.now, accusers: map[string]bool{}}
+			m.suspicion = suspicion{since: d.now, confirmations: map[string]bool{}}
 		}
-		clear(m.accused)
-		m.onlyOurWord = 0
+		clear(m.reports)
+		m.unconfirmedFailures = 0
 	}
 	d.nextRound = d.now
 }
 
 // Tick lets time pass.
 func (d *Detector) Tick(at Clock) []Action {
-	d.begin(at)
+	d.advanceClock(at)
 	d.expireProbes()
 	d.expireSuspicions()
 	if d.now >= d.nextRound && !d.leaving {
@@ -165,19 +165,19 @@
 	return d.out
 }
 
-func (d *Detector) suspect(m *member, why Reason) {
+func (d *Detector) markSuspect(m *member, why Reason) {
 	if m.state != Alive {
 		return
 	}
 	d.counters.Suspicions++
-	m.suspicion, m.suspectedWall = suspicion{since: d.now, accusers: map[string]bool{}}, d.wall
-	for by, a := range m.accused {
-		if d.fresh(a) && a.incarnation >= m.incarnation {
-			m.suspicion.accusers[by] = true
+	m.suspicion, m.suspectedAtWall = suspicion{since: d.now, confirmations: map[string]bool{}}, d.wall
+	for by, a := range m.reports {
+		if d.isRecent(a) && a.incarnation >= m.incarnation {
+			m.suspicion.confirmations[by] = true
 		}
 	}
-	d.change(m, Suspect, why)
-	m.nextProbe = 0
+	d.setState(m, Suspect, why)
+	m.nextProbeAt = 0
 }
 
 // expireSuspicions declares dead who was suspected for the whole timeout.
@@ -190,23 +190,23 @@
 		timeout := m.suspicion.timeout(d.settings.Suspicion, d.settings.SuspicionFactor, len(d.labels)-1)
 		if d.now >= m.suspicion.since+d.health.stretch(timeout) {
 			d.counters.Deaths++
-			d.change(m, Dead, ReasonTimeout)
+			d.setState(m, Dead, ReasonSuspicionTimeout)
 		}
 	}
 }
 
-func (d *Detector) change(m *member, to State, why Reason) {
+func (d *Detector) setState(m *member, to State, why Reason) {
 	d.out = append(d.out, Change{Label: m.label, From: m.state, To: to, Reason: why, Incarnation: m.incarnation, After: d.now - m.since})
 	m.state, m.since = to, d.now
 }
 
-// alive takes a sign of life that clears a member of what it is held for.
-func (d *Detector) alive(m *member, why Reason) {
+// markAlive takes a sign of life that clears a member of what it is held for.
+func (d *Detector) markAlive(m *member, why Reason) {
 	if m.state == Alive {
 		return
 	}
 	// Of a process that began before it was suspected, the claim was wrong.
-	restarted := int64(m.incarnation) > m.suspectedWall-d.settings.ClockError.Milliseconds()
+	restarted := int64(m.incarnation) > m.suspectedAtWall-d.settings.ClockError.Milliseconds()
 	switch {
 	case m.state == Suspect && !restarted:
 		d.counters.FalseSuspicions++
@@ -214,51 +214,51 @@
 		d.counters.FalseDeaths++
 	}
 	if !m.present() {
-		m.returnedAt = max(1, d.now)
+		m.rejoinedAt = max(1, d.now)
 	}
-	d.change(m, Alive, why)
+	d.setState(m, Alive, why)
 }
 
-// later takes a member's incarnation if it is later than what is known, and returns whether it is.
-func (d *Detector) later(m *member, incarnation Incarnation) bool {
-	if incarnation <= m.incarnation || d.inFuture(incarnation) {
+// updateIncarnation takes a member's incarnation if it is later than what is known, and returns whether it is.
+func (d *Detector) updateIncarnation(m *member, incarnation Incarnation) bool {
+	if incarnation <= m.incarnation || d.isFuture(incarnation) {
 		return false
 	}
 	m.incarnation, m.sequence = incarnation, 0
-	m.forgive()
+	m.discardOldReports()
 	return true
 }
 
-// inFuture says whether an incarnation can't be yet, by the bound on the times of day.
-func (d *Detector) inFuture(incarnation Incarnation) bool {
+// isFuture says whether an incarnation can't be yet, by the bound on the times of day.
+func (d *Detector) isFuture(incarnation Incarnation) bool {
 	return int64(incarnation) < 0 || int64(incarnation) > d.wall+2*d.settings.ClockError.Milliseconds()+d.settings.Steady.Milliseconds()
 }
 
 // Heard takes a sign of life that a peer gave by another way than probes, in answer to a
 // request that was sent at a time.
 func (d *Detector) Heard(at Clock, label string, sent time.Duration) []Action {
-	d.begin(at)
+	d.advanceClock(at)
 	m := d.members[label]
 	if m == nil {
 		return d.out
 	}
-	m.answeredAt, m.directAt, m.unreached = d.now, d.now, false
-	if m.state == Suspect && sent >= m.suspicion.since || m.speech == byHeartbeats && sent >= m.since {
-		d.alive(m, ReasonAnswered)
+	m.lastAckAt, m.lastDirectAckAt, m.directProbeFailed = d.now, d.now, false
+	if m.state == Suspect && sent >= m.suspicion.since || m.method == viaHeartbeat && sent >= m.since {
+		d.markAlive(m, ReasonAck)
 	}
 	return d.out
 }
 
 // Leave says goodbye to all peers. Nothing is probed from then on.
 func (d *Detector) Leave(at Clock) []Action {
-	d.begin(at)
+	d.advanceClock(at)
 	d.leaving = true
 	for _, label := range d.labels {
-		if m := d.members[label]; m.present() && m.speech == byProbes {
-			d.lastID++
-			body := encode(d.message(label))
+		if m := d.members[label]; m.present() && m.method == viaProbe {
+			d.lastRequestID++
+			body := encode(d.newProbe(label))
 			d.counters.BytesSent += uint64(len(body))
-			d.out = append(d.out, Send{ID: d.lastID, To: label, Body: body, Timeout: d.settings.Timeout})
+			d.out = append(d.out, Send{ID: d.lastRequestID, To: label, Body: body, Timeout: d.settings.Timeout})
 		}
 	}
 	return d.out
--- a/internal/membership/input_test.go
+++ b/internal/membership/inbound_test.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"net/http"
 	"slices"
@@ -11,24 +10,26 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// single is one detector that is driven by hand.
-type single struct {
+// singleDetector is one detector that is driven by hand.
+type singleDetector struct {
 	t        *testing.T
 	detector *Detector
 	now      time.Duration
 	request  uint64
 }
 
-func newSingle(t *testing.T) *single {
-	s := &single{t: t, detector: New(testSettings("a", []string{"a", "b", "c"}), rand.New(rand.NewPCG(1, 1)))}
+func newSingleDetector(t *testing.T) *singleDetector {
+	s := &singleDetector{t: t, detector: New(testSettings("a", []string{"a", "b", "c"}), rand.New(rand.NewPCG(1, 1)))}
 	s.detector.Tick(s.clock())
 	return s
 }
 
-func (s *single) clock() Clock { return Clock{Steady: s.now, Wall: testWall + s.now.Milliseconds()} }
+func (s *singleDetector) clock() Clock {
+	return Clock{Steady: s.now, Wall: testWall + s.now.Milliseconds()}
+}
 
-// take gives the detector a message, and returns the answer's status and the reasons of drops.
-func (s *single) take(body []byte) (status int, drops []DropReason) {
+// deliver gives the detector a message, and returns the answer's status and the reasons of drops.
+func (s *singleDetector) deliver(body []byte) (status int, drops []DropReason) {
 	s.t.Helper()
 	s.request++
 	for _, a := range s.detector.Probed(s.clock(), s.request, body) {
@@ -44,14 +45,14 @@
 	return status, drops
 }
 
-func good() Probe {
+func validProbe() Probe {
 	return Probe{Version: Version, From: "b", Incarnation: Incarnation(testWall), Sequence: 5}
 }
 
 // What is not as it should be is dropped and counted, and changes nothing.
-func TestBadMessages(t *testing.T) {
+func TestInvalidMessagesAreDropped(t *testing.T) {
 	change := func(f func(*Probe)) []byte {
-		p := good()
+		p := validProbe()
 		f(&p)
 		return encode(p)
 	}
@@ -61,10 +62,10 @@
 		drop   DropReason
 	}{
 		"empty":                     {nil, 400, DropMalformed},
-		"truncated":                 {encode(good())[:9], 400, DropMalformed},
+		"truncated":                 {encode(validProbe())[:9], 400, DropMalformed},
 		"text":                      {[]byte("hello"), 400, DropMalformed},
-		"oversized":                 {append(encode(good()), make([]byte, MostBytes)...), 400, DropMalformed},
-		"too many claims":           {change(func(p *Probe) { p.Claims = make([]Claim, mostClaims+1) }), 400, DropMalformed},
+		"oversized":                 {append(encode(validProbe()), make([]byte, MostBytes)...), 400, DropMalformed},
+		"too many claims":           {change(func(p *Probe) { p.Claims = make([]Claim, maxClaims+1) }), 400, DropMalformed},
 		"another type":              {encode(map[int]string{1: "one"}), 400, DropMalformed},
 		"a higher version":          {change(func(p *Probe) { p.Version++ }), 404, DropVersion},
 		"an unknown label":          {change(func(p *Probe) { p.From = "z" }), 400, DropUnknown},
@@ -78,12 +79,12 @@
 		"the highest incarnation":   {change(func(p *Probe) { p.Incarnation = 1<<64 - 1 }), 409, DropFuture},
 		"a sequence to come":        {change(func(p *Probe) { p.Sequence = 1 << 50 }), 409, DropFuture},
 	} {
-		s := newSingle(t)
-		if status, drops := s.take(encode(good())); status != 200 || len(drops) > 0 {
+		s := newSingleDetector(t)
+		if status, drops := s.deliver(encode(validProbe())); status != 200 || len(drops) > 0 {
 			t.Fatalf("a good message: %d, %v", status, drops)
 		}
 		before := *s.detector.members["b"]
-		status, drops := s.take(tc.body)
+		status, drops := s.deliver(tc.body)
 		if status != tc.status || !slices.Equal(drops, []DropReason{tc.drop}) {
 			t.Errorf("%s: %d, %v", name, status, drops)
 		}
@@ -99,16 +100,16 @@
 
 // Claims are hearsay: none of them changes a state, whoever makes them, and of ourselves only what
 // can be is refuted.
-func TestClaimsChangeNoState(t *testing.T) {
-	s := newSingle(t)
+func TestClaimsOfOthersChangeNoState(t *testing.T) {
+	s := newSingleDetector(t)
 	own := s.detector.Incarnation()
-	p := good()
+	p := validProbe()
 	p.Claims = []Claim{
 		{Label: "c", State: Dead, Incarnation: 7}, {Label: "c", State: Left, Incarnation: 7}, {Label: "c", State: 99},
 		{Label: "c", State: Suspect, Incarnation: 1<<64 - 1}, {Label: "z", State: Dead}, {Label: "", State: Suspect},
 		{Label: "a", State: Dead, Incarnation: 1<<64 - 1}, {Label: "a", State: Suspect, Incarnation: own - 1},
 	}
-	if status, drops := s.take(encode(p)); status != 200 || len(drops) > 0 {
+	if status, drops := s.deliver(encode(p)); status != 200 || len(drops) > 0 {
 		t.Errorf("%d, %v", status, drops)
 	}
 	if got := s.detector.Incarnation(); got != own {
@@ -116,7 +117,7 @@
 	}
 	p.Sequence++
 	p.Claims = []Claim{{Label: "a", State: Suspect, Incarnation: own}}
-	s.take(encode(p))
+	s.deliver(encode(p))
 	if got := s.detector.Incarnation(); got != own+1 || s.detector.Counters().Refutations != 1 {
 		t.Errorf("our incarnation is %d, was %d", got, own)
 	}
@@ -124,12 +125,12 @@
 
 // Drops of one kind from one peer are logged once.
 func TestDropsAreLoggedOnce(t *testing.T) {
-	s := newSingle(t)
-	s.take(encode(good()))
+	s := newSingleDetector(t)
+	s.deliver(encode(validProbe()))
 	firsts := 0
 	for range 5 {
 		s.request++
-		for _, a := range s.detector.Probed(s.clock(), s.request, encode(good())) {
+		for _, a := range s.detector.Probed(s.clock(), s.request, encode(validProbe())) {
 			if d, is := a.(Drop); is && d.First {
 				firsts++
 			}
@@ -141,17 +142,17 @@
 }
 
 // Probes for others are bounded, and each is answered.
-func TestProbesForOthersAreBounded(t *testing.T) {
-	s := newSingle(t)
+func TestProbesForPeersAreBounded(t *testing.T) {
+	s := newSingleDetector(t)
 	busy := 0
-	p := good()
-	for i := range 2 * mostOnBehalf {
+	p := validProbe()
+	for i := range 2 * maxProbesForPeers {
 		p.Sequence, p.Target = uint64(10+i), "c"
-		if status, _ := s.take(encode(p)); status == http.StatusServiceUnavailable {
+		if status, _ := s.deliver(encode(p)); status == http.StatusServiceUnavailable {
 			busy++
 		}
 	}
-	if busy != mostOnBehalf {
+	if busy != maxProbesForPeers {
 		t.Errorf("%d were refused", busy)
 	}
 	answered := 0
@@ -167,19 +168,19 @@
 			}
 		}
 	}
-	if answered != mostOnBehalf || s.detector.onBehalf != 0 {
+	if answered != maxProbesForPeers || s.detector.onBehalf != 0 {
 		t.Errorf("%d answered, %d left", answered, s.detector.onBehalf)
 	}
 }
 
 // Replies that don't fit their probe are no sign of life.
-func TestBadReplies(t *testing.T) {
+func TestMismatchedRepliesAreDropped(t *testing.T) {
 	for name, change := range map[string]func(*ProbeReply){
 		"of another":       func(r *ProbeReply) { r.From = "c" },
 		"to another probe": func(r *ProbeReply) { r.Sequence++ },
 		"higher version":   func(r *ProbeReply) { r.Version++ },
 	} {
-		s := newSingle(t)
+		s := newSingleDetector(t)
 		var sent Send
 		for sent.To != "b" {
 			s.now += testTick
@@ -204,8 +205,8 @@
 
 // FuzzProbed takes any bytes as a probe: no crash, and no change of anybody's state.
 func FuzzProbed(f *testing.F) {
-	f.Add(encode(good()))
-	p := good()
+	f.Add(encode(validProbe()))
+	p := validProbe()
 	p.Target, p.Claims = "c", []Claim{{Label: "a", State: Suspect, Incarnation: Incarnation(testWall)}, {Label: "c", State: Dead}}
 	f.Add(encode(p))
 	f.Add([]byte{0xa0})
@@ -223,68 +224,8 @@
 			}
 			d.Answered(at, uint64(i+1), Answer{Status: 200, Body: body})
 		}
-		if len(d.probes) > 4+mostOnBehalf || len(d.questions) > 64 {
-			t.Errorf("%d probes, %d questions", len(d.probes), len(d.questions))
+		if len(d.probes) > 4+maxProbesForPeers || len(d.pendingRequests) > 64 {
+			t.Errorf("%d probes, %d questions", len(d.probes), len(d.pendingRequests))
 		}
 	})
 }
-
-// When one of several is gone its keys alone move, each to one of the others, and evenly.
-func TestOwners(t *testing.T) {
-	all := []string{"n0", "n1", "n2", "n3"}
-	const keys = 4000
-	moved := map[string]int{}
-	share := map[string]int{}
-	var a Assignment
-	for i := range keys {
-		key := fmt.Sprintf("i-%06d", i)
-		owner := a.Owner(key, all)
-		share[owner]++
-		if owner != Owner(key, []string{"n3", "n1", "n0", "n2"}) {
-			t.Fatalf("the owner of %s depends on the order", key)
-		}
-		without := Owner(key, []string{"n0", "n2", "n3"})
-		if owner != "n1" && without != owner {
-			t.Errorf("%s moves from %s to %s though n1 is gone", key, owner, without)
-		}
-		if owner == "n1" {
-			moved[without]++
-		}
-	}
-	for _, l := range all {
-		if share[l] < keys/4*9/10 || share[l] > keys/4*11/10 {
-			t.Errorf("%s has %d of %d", l, share[l], keys)
-		}
-		if l != "n1" && moved[l] < share["n1"]/3*8/10 {
-			t.Errorf("%s gets %d of %d", l, moved[l], share["n1"])
-		}
-	}
-	if Owner("i-1", nil) != "" {
-		t.Error("nobody owns something")
-	}
-}
-
-// Ranks are a permutation that differs from token to token.
-func TestRanks(t *testing.T) {
-	all := []string{"n0", "n1", "n2", "n3", "n4"}
-	firsts := map[string]int{}
-	for token := range uint64(200) {
-		ranks := map[int]bool{}
-		for _, l := range all {
-			rank := Rank(l, token, all)
-			ranks[rank] = true
-			if rank == 0 {
-				firsts[l]++
-			}
-		}
-		if len(ranks) != len(all) {
-			t.Fatalf("token %d: ranks %v", token, ranks)
-		}
-	}
-	if len(firsts) != len(all) {
-		t.Errorf("firsts: %v", firsts)
-	}
-	if Rank("gone", 1, all) != len(all) {
-		t.Error("one that is not among them has a rank")
-	}
-}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// speech is how a member can be asked for a sign of life.
-type speech uint8
+// probeMethod is how a member can be asked for a sign of life.
+type probeMethod uint8
 
 const (
-	byProbes     speech = iota // as this version does
-	byHeartbeats               // its version answers probes with 404
+	viaProbe     probeMethod = iota // as this version does
+	viaHeartbeat                    // its version answers probes with 404
 )
 
 // member is what the detector knows of another controller.
@@ -17,30 +17,30 @@
 	since       time.Duration // when the state began
 	incarnation Incarnation   // highest known
 	sequence    uint64        // highest of that incarnation
-	speech      speech
+	method      probeMethod
 
 	suspicion suspicion
-	// suspectedWall is the time of day, in ms, when it was last suspected.
-	suspectedWall int64
-	// accused is by whom it was lately held suspect or dead, while we hold it alive.
-	accused map[string]accusation
+	// suspectedAtWall is the time of day, in ms, when it was last suspected.
+	suspectedAtWall int64
+	// reports is by whom it was lately held suspect or dead, while we hold it alive.
+	reports map[string]suspicionReport
 
-	answeredAt time.Duration // when it or a witness last gave a sign of life
+	lastAckAt time.Duration // when it or a witness last gave a sign of life
 	// The last ways that it was reached by: directly, and by another member.
-	directAt, viaAt time.Duration
-	via             string
-	unreached       bool // the last probe of it had no answer by the direct way
+	lastDirectAckAt, lastIndirectAckAt time.Duration
+	lastHelper                         string
+	directProbeFailed                  bool // the last probe of it had no answer by the direct way
 
-	probing   bool          // a probe of it is under way
-	nextProbe time.Duration // not before
-	// onlyOurWord counts failed probes in a row without any witness.
-	onlyOurWord int
-	dropped     map[DropReason]bool // logged once
-	// returnedAt is when it was last back from being dead or gone; 0: never.
-	returnedAt time.Duration
+	probeInFlight bool          // a probe of it is under way
+	nextProbeAt   time.Duration // not before
+	// unconfirmedFailures counts failed probes in a row without any witness.
+	unconfirmedFailures int
+	loggedDrops         map[DropReason]bool // logged once
+	// rejoinedAt is when it was last back from being dead or gone; 0: never.
+	rejoinedAt time.Duration
 }
 
-type accusation struct {
+type suspicionReport struct {
 	at          time.Duration
 	state       State
 	incarnation Incarnation
@@ -49,44 +49,44 @@
 // present says whether it keeps its machines: suspicion alone moves nothing.
 func (m *member) present() bool { return m.state == Alive || m.state == Suspect }
 
-// accuse notes a claim against the member.
-func (m *member) accuse(by string, a accusation) {
-	if m.accused == nil {
-		m.accused = map[string]accusation{}
+// addReport notes a claim against the member.
+func (m *member) addReport(by string, a suspicionReport) {
+	if m.reports == nil {
+		m.reports = map[string]suspicionReport{}
 	}
-	m.accused[by] = a
+	m.reports[by] = a
 }
 
-// forgive forgets claims against incarnations before the member's.
-func (m *member) forgive() {
-	for by, a := range m.accused {
+// discardOldReports forgets claims against incarnations before the member's.
+func (m *member) discardOldReports() {
+	for by, a := range m.reports {
 		if a.incarnation < m.incarnation {
-			delete(m.accused, by)
+			delete(m.reports, by)
 		}
 	}
 }
 
-// probe is a question under way: whether a member gives a sign of life.
-type probe struct {
-	target  *member
-	sent    time.Duration
-	timeout time.Duration // of the direct way, stretched
-	asked   bool          // others were asked, too
+// pendingProbe is a question under way: whether a member gives a sign of life.
+type pendingProbe struct {
+	target   *member
+	sentAt   time.Duration
+	timeout  time.Duration // of the direct way, stretched
+	indirect bool          // others were asked, too
 	// Those asked, and those of them who said that they don't reach it either.
-	witnesses, denials int
+	helpers, nacks int
 	// For another controller that asked us: its request, and its message's sequence.
-	onBehalf bool
-	request  uint64
-	asker    string
-	echo     uint64
+	forPeer           bool
+	requestID         uint64
+	requester         string
+	requesterSequence uint64
 }
 
-// question is one request of a probe.
-type question struct {
-	probe   *probe
-	witness string // "" for the target itself
+// pendingRequest is one request of a probe.
+type pendingRequest struct {
+	probe  *pendingProbe
+	helper string // "" for the target itself
 	// heartbeat: it was asked by a heartbeat.
 	heartbeat bool
 	sequence  uint64
-	sent      time.Duration
+	sentAt    time.Duration
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -15,10 +15,10 @@
 const (
 	// MostBytes bounds a message: 24 controllers' claims take under 1 KiB.
 	MostBytes = 8 << 10
-	// mostClaims bounds the claims of a message.
-	mostClaims = 64
-	// mostSequence is beyond what a process sends in thousands of years.
-	mostSequence = 1 << 40
+	// maxClaims bounds the claims of a message.
+	maxClaims = 64
+	// maxSequence is beyond what a process sends in thousands of years.
+	maxSequence = 1 << 40
 )
 
 // Claim is what a controller holds another one for.
@@ -54,12 +54,12 @@
 
 // Errors of messages that can't be taken.
 var (
-	errTooLarge = errors.New("message too large")
-	errVersion  = errors.New("message of a higher version")
+	errMessageTooLarge    = errors.New("message too large")
+	errUnsupportedVersion = errors.New("message of a higher version")
 )
 
-var decoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: mostClaims, MaxMapPairs: 32, MaxNestedLevels: 6}.DecMode()
+var decodeMode = func() cbor.DecMode {
+	mode, err := cbor.DecOptions{MaxArrayElements: maxClaims, MaxMapPairs: 32, MaxNestedLevels: 6}.DecMode()
 	if err != nil {
 		panic(fmt.Sprintf("membership: decoder's options: %v", err))
 	}
@@ -77,9 +77,9 @@
 
 func decode(body []byte, v any) error {
 	if len(body) > MostBytes {
-		return errTooLarge
+		return errMessageTooLarge
 	}
-	return decoding.Unmarshal(body, v)
+	return decodeMode.Unmarshal(body, v)
 }
 
 // decodeProbe reads a probe. One of a higher version is read as far as its sender, for the log.
@@ -89,7 +89,7 @@
 		return p, err
 	}
 	if p.Version > Version {
-		return p, errVersion
+		return p, errUnsupportedVersion
 	}
 	return p, nil
 }
@@ -100,7 +100,7 @@
 		return r, err
 	}
 	if r.Version > Version {
-		return r, errVersion
+		return r, errUnsupportedVersion
 	}
 	return r, nil
 }
--- a/internal/membership/messages_test.go
+++ b/internal/membership/messages_test.go
@@ -9,7 +9,7 @@
 
 // What this version sends, byte by byte: later ones have to read it as it was meant, and write the same as
 // long as they say that they are of this version.
-func TestMessagesAsBytes(t *testing.T) {
+func TestMessageWireFormat(t *testing.T) {
 	probe := Probe{Version: 1, From: "n1", Incarnation: 1_700_000_000_001, Sequence: 7, Target: "n2", Claims: []Claim{{Label: "n2", State: Suspect, Incarnation: 9}}}
 	reply := ProbeReply{Version: 1, From: "n2", Incarnation: 5, Sequence: 7, Reached: true, TargetIncarnation: 9, Claims: []Claim{{Label: "n0", State: Left, Incarnation: 3}}}
 	for name, tc := range map[string]struct {
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -8,137 +8,137 @@
 func (d *Detector) probeRound() {
 	begun := 0
 	for range d.labels {
-		if begun == mostProbesAtOnce {
+		if begun == maxProbesPerRound {
 			return
 		}
-		d.turn = (d.turn + 1) % len(d.labels)
-		m := d.members[d.labels[d.turn]]
-		if m.probing || d.now < m.nextProbe || !m.present() && d.round%goneEvery != 0 {
+		d.cursor = (d.cursor + 1) % len(d.labels)
+		m := d.members[d.labels[d.cursor]]
+		if m.probeInFlight || d.now < m.nextProbeAt || !m.present() && d.round%absentProbeRounds != 0 {
 			continue
 		}
 		begun++
-		d.probe(&probe{target: m})
+		d.startProbe(&pendingProbe{target: m})
 	}
 }
 
-// probe asks the target itself.
-func (d *Detector) probe(p *probe) {
-	p.sent, p.timeout = d.now, d.health.stretch(d.settings.Timeout)
-	if !p.onBehalf {
-		p.target.probing = true
+// startProbe asks the target itself.
+func (d *Detector) startProbe(p *pendingProbe) {
+	p.sentAt, p.timeout = d.now, d.health.stretch(d.settings.Timeout)
+	if !p.forPeer {
+		p.target.probeInFlight = true
 	}
 	d.counters.Probes++
 	d.probes = append(d.probes, p)
-	d.ask(p, "")
+	d.sendRequest(p, "")
 }
 
-// ask sends one request of a probe: to its target, or to a witness.
-func (d *Detector) ask(p *probe, witness string) {
-	d.lastID++
-	q := &question{probe: p, witness: witness, sent: d.now}
-	d.questions[d.lastID] = q
-	to, timeout := p.target.label, p.sent+(1+indirectTimeouts)*p.timeout-d.now
-	if p.onBehalf {
+// sendRequest sends one request of a probe: to its target, or to a witness.
+func (d *Detector) sendRequest(p *pendingProbe, witness string) {
+	d.lastRequestID++
+	q := &pendingRequest{probe: p, helper: witness, sentAt: d.now}
+	d.pendingRequests[d.lastRequestID] = q
+	to, timeout := p.target.label, p.sentAt+(1+indirectTimeoutFactor)*p.timeout-d.now
+	if p.forPeer {
 		timeout = p.timeout
 	}
-	if witness == "" && p.target.speech == byHeartbeats {
+	if witness == "" && p.target.method == viaHeartbeat {
 		q.heartbeat = true
-		d.out = append(d.out, Send{ID: d.lastID, To: to, Heartbeat: true, Timeout: timeout})
+		d.out = append(d.out, Send{ID: d.lastRequestID, To: to, Heartbeat: true, Timeout: timeout})
 		return
 	}
-	message := d.message(to)
+	message := d.newProbe(to)
 	if witness != "" {
-		to, timeout = witness, indirectTimeouts*p.timeout
-		message = d.message(to)
+		to, timeout = witness, indirectTimeoutFactor*p.timeout
+		message = d.newProbe(to)
 		message.Target = p.target.label
 	}
 	q.sequence = message.Sequence
 	body := encode(message)
 	d.counters.BytesSent += uint64(len(body))
-	d.out = append(d.out, Send{ID: d.lastID, To: to, Body: body, Timeout: timeout})
+	d.out = append(d.out, Send{ID: d.lastRequestID, To: to, Body: body, Timeout: timeout})
 }
 
 // expireProbes asks others where the direct way took too long, and gives up what none answered.
 func (d *Detector) expireProbes() {
 	for _, p := range slices.Clone(d.probes) {
 		switch {
-		case p.onBehalf && d.now >= p.sent+p.timeout:
-			d.deny(p)
-			d.end(p)
-		case p.onBehalf:
-		case d.now >= p.sent+(1+indirectTimeouts)*p.timeout:
-			d.end(p)
-			d.failed(p)
-		case !p.asked && d.now >= p.sent+p.timeout:
-			d.askWitnesses(p)
+		case p.forPeer && d.now >= p.sentAt+p.timeout:
+			d.sendNack(p)
+			d.finishProbe(p)
+		case p.forPeer:
+		case d.now >= p.sentAt+(1+indirectTimeoutFactor)*p.timeout:
+			d.finishProbe(p)
+			d.handleProbeFailure(p)
+		case !p.indirect && d.now >= p.sentAt+p.timeout:
+			d.startIndirectProbes(p)
 		}
 	}
 }
 
-// end forgets a probe; answers that still come find no question.
-func (d *Detector) end(p *probe) {
+// finishProbe forgets a probe; answers that still come find no question.
+func (d *Detector) finishProbe(p *pendingProbe) {
 	i := slices.Index(d.probes, p)
 	if i < 0 {
 		return
 	}
 	d.probes = slices.Delete(d.probes, i, i+1)
-	if p.onBehalf {
+	if p.forPeer {
 		d.onBehalf--
 	} else {
-		p.target.probing = false
+		p.target.probeInFlight = false
 	}
-	for id, q := range d.questions {
+	for id, q := range d.pendingRequests {
 		if q.probe == p {
-			delete(d.questions, id)
+			delete(d.pendingRequests, id)
 		}
 	}
 }
 
-// askWitnesses has others probe the target, so that a bad link of ours convicts nobody, and asks it
+// startIndirectProbes has others probe the target, so that a bad link of ours convicts nobody, and asks it
 // once more itself: a single message that was lost is no reason for a suspicion.
-func (d *Detector) askWitnesses(p *probe) {
-	p.asked = true
-	p.target.unreached = true
-	d.ask(p, "")
+func (d *Detector) startIndirectProbes(p *pendingProbe) {
+	p.indirect = true
+	p.target.directProbeFailed = true
+	d.sendRequest(p, "")
 	var able []string
 	for _, label := range d.labels {
-		if m := d.members[label]; m != p.target && m.state == Alive && m.speech == byProbes {
+		if m := d.members[label]; m != p.target && m.state == Alive && m.method == viaProbe {
 			able = append(able, label)
 		}
 	}
 	d.random.Shuffle(len(able), func(i, j int) { able[i], able[j] = able[j], able[i] })
-	for _, label := range able[:min(len(able), mostWitnesses)] {
-		p.witnesses++
+	for _, label := range able[:min(len(able), maxHelpers)] {
+		p.helpers++
 		d.counters.WitnessesAsked++
-		d.ask(p, label)
+		d.sendRequest(p, label)
 	}
 }
 
-// failed takes a probe that had no sign of life in time.
-func (d *Detector) failed(p *probe) {
+// handleProbeFailure takes a probe that had no sign of life in time.
+func (d *Detector) handleProbeFailure(p *pendingProbe) {
 	m := p.target
-	if m.answeredAt >= p.sent {
+	if m.lastAckAt >= p.sentAt {
 		return
 	}
 	d.counters.Failures++
-	others := d.othersAlive(m)
+	others := d.countAliveExcept(m)
 	switch {
-	case p.denials > 0:
-		m.onlyOurWord = 0
-		d.suspect(m, ReasonSilent)
-	case others > 0 && p.witnesses > 0:
+	case p.nacks > 0:
+		m.unconfirmedFailures = 0
+		d.markSuspect(m, ReasonUnreachable)
+	case others > 0 && p.helpers > 0:
 		// None of those asked answered us either: it is rather us.
-		d.health.worse()
-		if m.onlyOurWord++; m.onlyOurWord >= roundsOnOurWord {
-			d.suspect(m, ReasonSilent)
+		d.health.degrade()
+		if m.unconfirmedFailures++; m.unconfirmedFailures >= unconfirmedFailuresToSuspect {
+			d.markSuspect(m, ReasonUnreachable)
 		}
 	default:
-		d.suspect(m, ReasonOnlyOurWord)
+		d.markSuspect(m, ReasonUnconfirmed)
 	}
 }
 
-// othersAlive counts whom we hold alive beside a member.
-func (d *Detector) othersAlive(but *member) int {
+// countAliveExcept counts whom we hold alive beside a member.
+func (d *Detector) countAliveExcept(but *member) int {
 	n := 0
 	for _, m := range d.members {
 		if m != but && m.state == Alive {
--- a/internal/membership/view.go
+++ b/internal/membership/queries.go
@@ -18,7 +18,7 @@
 	if m == nil {
 		return label == d.settings.Self
 	}
-	return m.present() && (m.returnedAt == 0 || now >= m.returnedAt+d.settings.Steady)
+	return m.present() && (m.rejoinedAt == 0 || now >= m.rejoinedAt+d.settings.Steady)
 }
 
 // TakesWork says whether new work may be sent to a label now.
@@ -31,10 +31,10 @@
 func (d *Detector) Way(label string) (via string, reached bool) {
 	m := d.members[label]
 	switch {
-	case m == nil || !m.unreached:
+	case m == nil || !m.directProbeFailed:
 		return "", true
-	case m.viaAt > m.directAt && d.now < m.viaAt+accusationIntervals*d.settings.Interval && d.StateOf(m.via) == Alive:
-		return m.via, true
+	case m.lastIndirectAckAt > m.lastDirectAckAt && d.now < m.lastIndirectAckAt+reportLifetimeIntervals*d.settings.Interval && d.StateOf(m.lastHelper) == Alive:
+		return m.lastHelper, true
 	}
 	return "", false
 }
@@ -67,7 +67,7 @@
 	out := make([]Member, 0, len(d.labels))
 	for _, label := range d.labels {
 		m := d.members[label]
-		out = append(out, Member{Label: label, State: m.state, Since: m.since, Incarnation: m.incarnation, Heartbeats: m.speech == byHeartbeats})
+		out = append(out, Member{Label: label, State: m.state, Since: m.since, Incarnation: m.incarnation, Heartbeats: m.method == viaHeartbeat})
 	}
 	return out
 }
--- /dev/null
+++ b/internal/membership/simulation_test.go
@@ -0,0 +1,221 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"testing"
+	"time"
+
+	"claybarrow/internal/emulator"
+)
+
+// simulation is detectors and a network between them on a fake clock. A script breaks what it likes.
+type simulation struct {
+	t      *testing.T
+	events *emulator.EventQueue
+	now    time.Duration
+	random *rand.Rand
+	nodes  map[string]*node
+	labels []string
+	// dropMessage says whether a message from one to another is lost.
+	dropMessage func(from, to string) bool
+	// delay is how long a message is under way.
+	delay func(from, to string) time.Duration
+	// onChange is told of each change of state.
+	onChange func(at time.Duration, by string, change Change)
+	bytes    map[string]int
+	sent     map[string]int
+}
+
+type node struct {
+	label         string
+	detector      *Detector
+	up            bool
+	paused        bool
+	withoutProbes bool // its version knows no probes
+	deferred      []func()
+	generation    int
+	clockOffset   time.Duration
+	drift         float64
+	drops         map[DropReason]int
+	waiting       map[uint64]func(int, []byte)
+	request       uint64
+}
+
+const (
+	testLease = 1500 * time.Millisecond // the leader's
+	testTick  = testLease / 15
+	testWall  = int64(1_700_000_000_000)
+)
+
+func testSettings(self string, labels []string) Settings {
+	s := Settings{Self: self, Interval: testLease / 5, Timeout: testLease / 10, Suspicion: 2 * testLease, SuspicionFactor: 3,
+		Steady: 20 * time.Second, Stall: testLease * 3 / 10, ClockError: 25 * time.Millisecond}
+	for _, l := range labels {
+		if l != self {
+			s.Peers = append(s.Peers, l)
+		}
+	}
+	return s
+}
+
+func newSimulation(t *testing.T, seed uint64, n int) *simulation {
+	sim := &simulation{t: t, events: &emulator.EventQueue{}, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, bytes: map[string]int{}, sent: map[string]int{},
+		dropMessage: func(string, string) bool { return false },
+		delay:       func(string, string) time.Duration { return 2 * time.Millisecond },
+		onChange:    func(time.Duration, string, Change) {}}
+	for i := range n {
+		sim.labels = append(sim.labels, fmt.Sprintf("n%02d", i))
+	}
+	for _, l := range sim.labels {
+		sim.nodes[l] = &node{label: l}
+		sim.start(l)
+	}
+	return sim
+}
+
+func (s *simulation) after(d time.Duration, do func()) {
+	s.events.After(d, func() {
+		s.now = s.events.Now()
+		do()
+	})
+}
+
+func (s *simulation) run(d time.Duration) {
+	s.events.RunUntil(s.now + d)
+	s.now = s.events.Now()
+}
+
+func (s *simulation) clock(n *node) Clock {
+	drifted := time.Duration(float64(s.now) * (1 + n.drift))
+	return Clock{Steady: drifted, Wall: testWall + (s.now + n.clockOffset).Milliseconds()}
+}
+
+func (s *simulation) start(label string) {
+	n := s.nodes[label]
+	n.generation++
+	n.up, n.paused, n.deferred = true, false, nil
+	n.drops, n.waiting = map[DropReason]int{}, map[uint64]func(int, []byte){}
+	n.detector = New(testSettings(label, s.labels), rand.New(rand.NewPCG(s.random.Uint64(), 2)))
+	life := n.generation
+	var beat func()
+	beat = func() {
+		if n.generation != life || !n.up {
+			return
+		}
+		if !n.paused && !n.withoutProbes {
+			s.apply(n, n.detector.Tick(s.clock(n)))
+		}
+		s.after(testTick, beat)
+	}
+	s.after(time.Duration(s.random.Int64N(int64(testTick))), beat)
+}
+
+// crash ends the process without a word to its peers.
+func (n *node) crash() { n.up = false }
+
+// freeze has a node handle nothing for a while; what comes meanwhile waits for it.
+func (s *simulation) freeze(label string, d time.Duration) {
+	n := s.nodes[label]
+	n.paused = true
+	life := n.generation
+	s.after(d, func() {
+		if n.generation != life {
+			return
+		}
+		n.paused = false
+		held := n.deferred
+		n.deferred = nil
+		s.apply(n, n.detector.Tick(s.clock(n)))
+		for _, do := range held {
+			do()
+		}
+	})
+}
+
+// handle runs something at a node, once it goes on.
+func (s *simulation) handle(n *node, life int, do func()) {
+	switch {
+	case !n.up || n.generation != life:
+	case n.paused:
+		n.deferred = append(n.deferred, do)
+	default:
+		do()
+	}
+}
+
+func (s *simulation) apply(n *node, actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Send:
+			s.send(n, a)
+		case Respond:
+			if answer := n.waiting[a.Request]; answer != nil {
+				delete(n.waiting, a.Request)
+				answer(a.Status, a.Body)
+			}
+		case Change:
+			s.onChange(s.now, n.label, a)
+		case Drop:
+			n.drops[a.Reason]++
+		}
+	}
+}
+
+func (s *simulation) send(n *node, request Send) {
+	s.sent[n.label]++
+	s.bytes[n.label] += len(request.Body)
+	life, answered := n.generation, false
+	result := func(status int, body []byte) {
+		s.handle(n, life, func() {
+			if !answered {
+				answered = true
+				s.apply(n, n.detector.Answered(s.clock(n), request.ID, Answer{status, body}))
+			}
+		})
+	}
+	s.after(request.Timeout, func() { result(0, nil) })
+	if s.dropMessage(n.label, request.To) {
+		return
+	}
+	to := s.nodes[request.To]
+	s.after(s.delay(n.label, request.To), func() {
+		if !to.up {
+			return
+		}
+		toLife := to.generation
+		reply := func(status int, body []byte) {
+			if s.dropMessage(request.To, n.label) {
+				return
+			}
+			s.bytes[request.To] += len(body)
+			s.after(s.delay(request.To, n.label), func() { result(status, body) })
+		}
+		s.handle(to, toLife, func() {
+			switch {
+			case request.Heartbeat:
+				reply(http.StatusOK, nil)
+			case to.withoutProbes:
+				reply(http.StatusNotFound, nil)
+			default:
+				to.request++
+				to.waiting[to.request] = reply
+				s.apply(to, to.detector.Probed(s.clock(to), to.request, request.Body))
+			}
+		})
+	})
+}
+
+func (s *simulation) state(by, of string) State { return s.nodes[by].detector.StateOf(of) }
+
+// others are the labels but one.
+func (s *simulation) others(but string) []string {
+	var out []string
+	for _, l := range s.labels {
+		if l != but {
+			out = append(out, l)
+		}
+	}
+	return out
+}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -37,13 +37,13 @@
 
 // The reasons.
 const (
-	ReasonSilent      Reason = "neither we nor others reach it"
-	ReasonOnlyOurWord Reason = "we don't reach it, and there is nobody else to ask"
-	ReasonTimeout     Reason = "suspected for the whole timeout"
-	ReasonAnswered    Reason = "it answered"
-	ReasonOthers      Reason = "others reach it"
-	ReasonRefuted     Reason = "it refuted by a later incarnation"
-	ReasonSaidGoodbye Reason = "it said so"
+	ReasonUnreachable      Reason = "neither we nor others reach it"
+	ReasonUnconfirmed      Reason = "we don't reach it, and there is nobody else to ask"
+	ReasonSuspicionTimeout Reason = "suspected for the whole timeout"
+	ReasonAck              Reason = "it answered"
+	ReasonIndirectAck      Reason = "others reach it"
+	ReasonRefuted          Reason = "it refuted by a later incarnation"
+	ReasonLeftGracefully   Reason = "it said so"
 )
 
 // DropReason says why a message was not taken.
