--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -185,7 +185,7 @@
 	for _, d := range []time.Duration{testLease / 2, testLease, 7 * testLease, time.Minute} {
 		sim := newSimulation(t, 7, 5)
 		sim.run(5 * second)
-		for len(sim.nodes["n00"].detector.probes) == 0 {
+		for len(sim.nodes["n00"].detector.pending.probes) == 0 {
 			sim.run(time.Millisecond) // in the midst of probes
 		}
 		list := sim.recordChanges()
--- a/internal/membership/inbound.go
+++ b/internal/membership/inbound.go
@@ -5,66 +5,70 @@
 	"net/http"
 )
 
-// Probed takes a peer's probe. Its Respond may come with a later call, when it is about a third one.
+// Probed handles a peer's probe. Its Respond, with the same request, may come from a later event when
+// the probe is about a third member.
 func (d *Detector) Probed(at Clock, request uint64, body []byte) []Action {
 	d.advanceClock(at)
 	d.counters.BytesReceived += uint64(min(len(body), MostBytes))
-	message, err := decodeProbe(body)
-	m := d.members[message.From]
+	message, err := decodeMessage[Probe](body)
+	sender := d.members[message.From]
 	switch {
 	case errors.Is(err, errUnsupportedVersion):
-		// As one that knows no probes: the later version judges us by heartbeats.
-		d.refuse(request, http.StatusNotFound, message.From, DropVersion)
+		// As a version that knows no probes answers: the later version judges us by heartbeats.
+		d.out.reject(request, http.StatusNotFound, message.From, DropVersion)
 	case err != nil:
-		d.refuse(request, http.StatusBadRequest, "", DropMalformed)
-	case m == nil:
-		d.refuse(request, http.StatusBadRequest, message.From, DropUnknown)
+		d.out.reject(request, http.StatusBadRequest, "", DropMalformed)
+	case sender == nil:
+		d.out.reject(request, http.StatusBadRequest, message.From, DropUnknown)
 	default:
-		d.handleProbe(request, m, message)
+		d.handleProbe(request, sender, message)
 	}
-	return d.out
+	return d.out.actions
 }
 
-func (d *Detector) handleProbe(request uint64, m *member, message Probe) {
-	switch {
-	case d.isFuture(message.Incarnation) || message.Sequence > maxSequence:
-		d.rejectStale(request, m, message, DropFuture)
-		return
-	case message.Incarnation < m.incarnation:
-		d.rejectStale(request, m, message, DropIncarnation)
-		return
-	case message.Incarnation == m.incarnation && message.Sequence <= m.sequence:
-		d.rejectStale(request, m, message, DropSequence)
+// handleProbe takes what a valid probe tells of its sender, and answers it.
+func (d *Detector) handleProbe(request uint64, sender *member, message Probe) {
+	if violation, ok := sender.checkOrder(message, &d.clock); !ok {
+		d.rejectStale(request, sender, message, violation)
 		return
 	}
-	if m.method == viaHeartbeat {
-		m.method = viaProbe // it was upgraded
+	if sender.method == viaHeartbeat {
+		sender.method = viaProbe // it was upgraded
 	}
-	if d.updateIncarnation(m, message.Incarnation) {
-		m.lastAckAt = d.now
-		d.markAlive(m, ReasonRefuted)
+	if sender.updateIncarnation(message.Incarnation, &d.clock) {
+		sender.lastAckAt = d.clock.now
+		d.markAlive(sender, ReasonRefuted)
 	}
-	m.sequence = message.Sequence
-	d.handleClaims(m.label, message.Claims)
+	sender.sequence = message.Sequence
+	d.handleClaims(sender.label, message.Claims)
+	if message.Target == "" || message.Target == d.self.label {
+		d.out.respond(request, http.StatusOK, ProbeReply{Sequence: message.Sequence, Reached: true,
+			TargetIncarnation: d.self.incarnation, Claims: d.claimsFor(sender.label)})
+		return
+	}
+	d.probeForPeer(request, sender, message)
+}
+
+// probeForPeer probes a third member for the sender (ping-req in SWIM), which gets its answer when that
+// probe ends.
+func (d *Detector) probeForPeer(request uint64, sender *member, message Probe) {
 	target := d.members[message.Target]
 	switch {
-	case message.Target == "" || message.Target == d.settings.Self:
-		d.respond(request, http.StatusOK, ProbeReply{Sequence: message.Sequence, Reached: true, TargetIncarnation: d.incarnation, Claims: d.claimsFor(m.label)})
 	case target == nil:
-		d.refuse(request, http.StatusBadRequest, m.label, DropUnknown)
-	case d.onBehalf >= maxProbesForPeers:
-		d.out = append(d.out, Respond{Request: request, Status: http.StatusServiceUnavailable})
+		d.out.reject(request, http.StatusBadRequest, sender.label, DropUnknown)
+	case d.pending.forPeers >= maxProbesForPeers:
+		d.out.respondEmpty(request, http.StatusServiceUnavailable)
 	default:
-		d.onBehalf++
 		d.counters.OnBehalf++
-		d.startProbe(&pendingProbe{target: target, forPeer: true, requestID: request, requester: m.label, requesterSequence: message.Sequence})
+		d.startProbe(&pendingProbe{target: target, forPeer: true, requestID: request, requester: sender.label,
+			requesterSequence: message.Sequence})
 	}
 }
 
-// rejectStale refuses a message without taking anything from it. The answer tells the sender
-// what is known of it, so that one whose clock was set back gets a later incarnation.
-func (d *Detector) rejectStale(request uint64, m *member, message Probe, why DropReason) {
-	d.drop(m.label, why)
-	d.respond(request, http.StatusConflict, ProbeReply{Sequence: message.Sequence,
-		Claims: append(d.claimsFor(m.label), Claim{Label: m.label, State: m.state, Incarnation: m.incarnation})})
+// rejectStale answers an out-of-order message without taking anything from it. The reply tells the
+// sender what is known of it, so that one whose clock was set back takes a later incarnation.
+func (d *Detector) rejectStale(request uint64, sender *member, message Probe, reason DropReason) {
+	d.out.drop(sender.label, reason)
+	d.out.respond(request, http.StatusConflict, ProbeReply{Sequence: message.Sequence,
+		Claims: append(d.claimsFor(sender.label), sender.claim())})
 }
--- a/internal/membership/inbound_test.go
+++ b/internal/membership/inbound_test.go
@@ -168,8 +168,8 @@
 			}
 		}
 	}
-	if answered != maxProbesForPeers || s.detector.onBehalf != 0 {
-		t.Errorf("%d answered, %d left", answered, s.detector.onBehalf)
+	if answered != maxProbesForPeers || s.detector.pending.forPeers != 0 {
+		t.Errorf("%d answered, %d left", answered, s.detector.pending.forPeers)
 	}
 }
 
@@ -224,8 +224,8 @@
 			}
 			d.Answered(at, uint64(i+1), Answer{Status: 200, Body: body})
 		}
-		if len(d.probes) > 4+maxProbesForPeers || len(d.pendingRequests) > 64 {
-			t.Errorf("%d probes, %d questions", len(d.probes), len(d.pendingRequests))
+		if len(d.pending.probes) > 4+maxProbesForPeers || len(d.pending.requests) > 64 {
+			t.Errorf("%d probes, %d requests", len(d.pending.probes), len(d.pending.requests))
 		}
 	})
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -7,11 +7,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is that of the messages. A change that older versions can't read raises it; fields
-// may be added without.
+// Version is that of the messages. A change that earlier versions can't read raises it; fields
+// may be added without, as unknown ones are ignored.
 const Version = 1
 
-// Bounds of what is taken from a peer.
+// Bounds on what is taken from a peer.
 const (
 	// MostBytes bounds a message: 24 controllers' claims take under 1 KiB.
 	MostBytes = 8 << 10
@@ -19,16 +19,21 @@
 	maxClaims = 64
 	// maxSequence is beyond what a process sends in thousands of years.
 	maxSequence = 1 << 40
+	// maxMapPairs and maxNestedLevels bound what the decoder takes, with room for fields of later
+	// versions.
+	maxMapPairs     = 32
+	maxNestedLevels = 6
 )
 
-// Claim is what a controller holds another one for.
+// Claim is what the sender of a message holds a controller for.
 type Claim struct {
 	Label       string      `cbor:"1,keyasint"`
 	State       State       `cbor:"2,keyasint"`
 	Incarnation Incarnation `cbor:"3,keyasint"`
 }
 
-// Probe asks a controller for a sign of life: its own, or that of Target.
+// Probe asks a controller for an ack: its own, or with a Target that of a third controller (ping and
+// ping-req in SWIM).
 type Probe struct {
 	Version     int         `cbor:"1,keyasint"`
 	From        string      `cbor:"2,keyasint"`
@@ -39,19 +44,27 @@
 	Claims   []Claim `cbor:"6,keyasint,omitempty"`
 }
 
-// ProbeReply answers a probe. Sequence repeats the probe's.
+// ProbeReply answers a probe.
 type ProbeReply struct {
 	Version     int         `cbor:"1,keyasint"`
 	From        string      `cbor:"2,keyasint"`
 	Incarnation Incarnation `cbor:"3,keyasint"`
-	Sequence    uint64      `cbor:"4,keyasint"`
-	// Reached says whether the target answered, TargetIncarnation which one did; 0: it
-	// has none, as its version knows no probes.
-	Reached           bool        `cbor:"5,keyasint,omitempty"`
+	// Sequence is that of the probe.
+	Sequence uint64 `cbor:"4,keyasint"`
+	// Reached is whether the target answered (ack or nack).
+	Reached bool `cbor:"5,keyasint,omitempty"`
+	// TargetIncarnation is which incarnation of the target answered; 0: it has none, as its
+	// version knows no probes.
 	TargetIncarnation Incarnation `cbor:"6,keyasint,omitempty"`
 	Claims            []Claim     `cbor:"7,keyasint,omitempty"`
 }
 
+// message is a probe or a reply.
+type message interface{ version() int }
+
+func (p Probe) version() int      { return p.Version }
+func (r ProbeReply) version() int { return r.Version }
+
 // Errors of messages that can't be taken.
 var (
 	errMessageTooLarge    = errors.New("message too large")
@@ -59,14 +72,15 @@
 )
 
 var decodeMode = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: maxClaims, MaxMapPairs: 32, MaxNestedLevels: 6}.DecMode()
+	mode, err := cbor.DecOptions{MaxArrayElements: maxClaims, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels}.DecMode()
 	if err != nil {
 		panic(fmt.Sprintf("membership: decoder's options: %v", err))
 	}
 	return mode
 }()
 
-// encode writes a message. Values of this package's types can't fail to encode.
+// encode writes a message. It panics on an error, as values of this package's types can't fail to
+// encode.
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -75,32 +89,34 @@
 	return b
 }
 
-func decode(body []byte, v any) error {
+// decode reads a body of bounded length into a message.
+func decode(body []byte, into any) error {
 	if len(body) > MostBytes {
 		return errMessageTooLarge
 	}
-	return decodeMode.Unmarshal(body, v)
+	if err := decodeMode.Unmarshal(body, into); err != nil {
+		return fmt.Errorf("decode %T: %w", into, err)
+	}
+	return nil
 }
 
-// decodeProbe reads a probe. One of a higher version is read as far as its sender, for the log.
-func decodeProbe(body []byte) (Probe, error) {
-	var p Probe
-	if err := decode(body, &p); err != nil {
-		return p, err
+// decodeMessage reads a message. With errUnsupportedVersion the message is returned as far as this
+// version can read it, so that its sender can be logged; other errors are of malformed messages.
+func decodeMessage[M message](body []byte) (M, error) {
+	var m M
+	if err := decode(body, &m); err != nil {
+		return m, err
 	}
-	if p.Version > Version {
-		return p, errUnsupportedVersion
+	if m.version() > Version {
+		return m, errUnsupportedVersion
 	}
-	return p, nil
+	return m, nil
 }
 
-func decodeReply(body []byte) (ProbeReply, error) {
-	var r ProbeReply
-	if err := decode(body, &r); err != nil {
-		return r, err
-	}
-	if r.Version > Version {
-		return r, errUnsupportedVersion
+// dropReasonOf is the reason for which a message with a decoding error is dropped.
+func dropReasonOf(err error) DropReason {
+	if errors.Is(err, errUnsupportedVersion) {
+		return DropVersion
 	}
-	return r, nil
+	return DropMalformed
 }
--- a/internal/membership/messages_test.go
+++ b/internal/membership/messages_test.go
@@ -36,7 +36,7 @@
 		}
 	}
 	// Fields of later versions are ignored.
-	if p, err := decodeProbe(encode(map[int]any{1: 1, 2: "n1", 3: 2, 4: 3, 99: "later"})); err != nil || p.From != "n1" {
+	if p, err := decodeMessage[Probe](encode(map[int]any{1: 1, 2: "n1", 3: 2, 4: 3, 99: "later"})); err != nil || p.From != "n1" {
 		t.Errorf("a later version's probe: %+v, %v", p, err)
 	}
 }
--- /dev/null
+++ b/internal/membership/outbox.go
@@ -0,0 +1,83 @@
+package membership
+
+import (
+	"net/http"
+	"time"
+)
+
+// outbox composes the messages to peers and collects the actions of one event.
+type outbox struct {
+	view          *groupView
+	counters      *Counters
+	actions       []Action
+	lastRequestID uint64
+}
+
+// reset begins the actions of a new event.
+func (o *outbox) reset() { o.actions = nil }
+
+// newProbe is the next probe for a peer, with our claims.
+func (o *outbox) newProbe(peer string) Probe {
+	self := &o.view.self
+	return Probe{Version: Version, From: self.label, Incarnation: self.incarnation, Sequence: self.nextSequence(),
+		Claims: o.view.claimsFor(peer)}
+}
+
+// sendProbe sends a probe and returns the ID of the request.
+func (o *outbox) sendProbe(peer string, probe Probe, timeout time.Duration) uint64 {
+	o.lastRequestID++
+	body := encode(probe)
+	o.counters.BytesSent += uint64(len(body))
+	o.actions = append(o.actions, Send{ID: o.lastRequestID, To: peer, Body: body, Timeout: timeout})
+	return o.lastRequestID
+}
+
+// sendHeartbeat has the caller send a heartbeat and returns the ID of the request.
+func (o *outbox) sendHeartbeat(peer string, timeout time.Duration) uint64 {
+	o.lastRequestID++
+	o.actions = append(o.actions, Send{ID: o.lastRequestID, To: peer, Heartbeat: true, Timeout: timeout})
+	return o.lastRequestID
+}
+
+// respond answers a peer's probe.
+func (o *outbox) respond(requestID uint64, status int, reply ProbeReply) {
+	reply.Version, reply.From, reply.Incarnation = Version, o.view.self.label, o.view.self.incarnation
+	body := encode(reply)
+	o.counters.BytesSent += uint64(len(body))
+	o.actions = append(o.actions, Respond{Request: requestID, Status: status, Body: body})
+}
+
+// respondEmpty answers a peer's probe with a status alone.
+func (o *outbox) respondEmpty(requestID uint64, status int) {
+	o.actions = append(o.actions, Respond{Request: requestID, Status: status})
+}
+
+// ack tells the peer for which a probe was made that the target answered.
+func (o *outbox) ack(probe *pendingProbe) {
+	o.respond(probe.requestID, http.StatusOK, ProbeReply{Sequence: probe.requesterSequence, Reached: true,
+		TargetIncarnation: probe.target.incarnation, Claims: o.view.claimsFor(probe.requester)})
+}
+
+// nack tells the peer for which a probe was made that the target did not answer. For a probe of our
+// own there is nobody to tell.
+func (o *outbox) nack(probe *pendingProbe) {
+	if probe.forPeer {
+		o.respond(probe.requestID, http.StatusOK, ProbeReply{Sequence: probe.requesterSequence, Claims: o.view.claimsFor(probe.requester)})
+	}
+}
+
+// reject drops a probe and answers it with a status alone.
+func (o *outbox) reject(requestID uint64, status int, from string, reason DropReason) {
+	o.drop(from, reason)
+	o.respondEmpty(requestID, status)
+}
+
+// drop counts and reports a message that is not taken.
+func (o *outbox) drop(from string, reason DropReason) {
+	o.counters.Dropped++
+	first := o.view.members[from].isFirstDrop(reason)
+	o.actions = append(o.actions, Drop{Label: from, Reason: reason, First: first})
+}
+
+// reportChange reports a member's change of state.
+func (o *outbox) reportChange(change Change) { o.actions = append(o.actions, change) }
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -1,149 +1,98 @@
 package membership
 
-import (
-	"slices"
-)
+import "slices"
 
-// probeRound begins the probes of a round: of all others, in large groups of some in turn.
-func (d *Detector) probeRound() {
-	begun := 0
-	for range d.labels {
-		if begun == maxProbesPerRound {
-			return
-		}
-		d.cursor = (d.cursor + 1) % len(d.labels)
-		m := d.members[d.labels[d.cursor]]
-		if m.probeInFlight || d.now < m.nextProbeAt || !m.present() && d.round%absentProbeRounds != 0 {
-			continue
-		}
-		begun++
-		d.startProbe(&pendingProbe{target: m})
-	}
-}
-
-// startProbe asks the target itself.
-func (d *Detector) startProbe(p *pendingProbe) {
-	p.sentAt, p.timeout = d.now, d.health.stretch(d.settings.Timeout)
-	if !p.forPeer {
-		p.target.probeInFlight = true
-	}
+// startProbe begins a probe with a request to its target.
+func (d *Detector) startProbe(probe *pendingProbe) {
+	probe.sentAt, probe.timeout = d.clock.now, d.health.stretch(d.settings.Timeout)
 	d.counters.Probes++
-	d.probes = append(d.probes, p)
-	d.sendRequest(p, "")
+	d.pending.add(probe)
+	d.sendDirect(probe)
 }
 
-// sendRequest sends one request of a probe: to its target, or to a witness.
-func (d *Detector) sendRequest(p *pendingProbe, witness string) {
-	d.lastRequestID++
-	q := &pendingRequest{probe: p, helper: witness, sentAt: d.now}
-	d.pendingRequests[d.lastRequestID] = q
-	to, timeout := p.target.label, p.sentAt+(1+indirectTimeoutFactor)*p.timeout-d.now
-	if p.forPeer {
-		timeout = p.timeout
+// sendDirect sends the target of a probe a request.
+func (d *Detector) sendDirect(probe *pendingProbe) {
+	timeout := probe.indirectDeadline() - d.clock.now
+	if probe.forPeer {
+		timeout = probe.timeout
 	}
-	if witness == "" && p.target.method == viaHeartbeat {
-		q.heartbeat = true
-		d.out = append(d.out, Send{ID: d.lastRequestID, To: to, Heartbeat: true, Timeout: timeout})
+	target := probe.target.label
+	request := &pendingRequest{probe: probe, sentAt: d.clock.now}
+	if probe.target.method == viaHeartbeat {
+		request.heartbeat = true
+		d.pending.requests[d.out.sendHeartbeat(target, timeout)] = request
 		return
 	}
-	message := d.newProbe(to)
-	if witness != "" {
-		to, timeout = witness, indirectTimeoutFactor*p.timeout
-		message = d.newProbe(to)
-		message.Target = p.target.label
-	}
-	q.sequence = message.Sequence
-	body := encode(message)
-	d.counters.BytesSent += uint64(len(body))
-	d.out = append(d.out, Send{ID: d.lastRequestID, To: to, Body: body, Timeout: timeout})
+	message := d.out.newProbe(target)
+	request.sequence = message.Sequence
+	d.pending.requests[d.out.sendProbe(target, message, timeout)] = request
 }
 
-// expireProbes asks others where the direct way took too long, and gives up what none answered.
-func (d *Detector) expireProbes() {
-	for _, p := range slices.Clone(d.probes) {
-		switch {
-		case p.forPeer && d.now >= p.sentAt+p.timeout:
-			d.sendNack(p)
-			d.finishProbe(p)
-		case p.forPeer:
-		case d.now >= p.sentAt+(1+indirectTimeoutFactor)*p.timeout:
-			d.finishProbe(p)
-			d.handleProbeFailure(p)
-		case !p.indirect && d.now >= p.sentAt+p.timeout:
-			d.startIndirectProbes(p)
-		}
-	}
+// sendIndirect asks a helper to probe the target (ping-req in SWIM).
+func (d *Detector) sendIndirect(probe *pendingProbe, helper string) {
+	// An indirect probe has always taken two sequence numbers; receivers only need them to grow.
+	d.self.nextSequence()
+	message := d.out.newProbe(helper)
+	message.Target = probe.target.label
+	id := d.out.sendProbe(helper, message, indirectTimeoutFactor*probe.timeout)
+	d.pending.requests[id] = &pendingRequest{probe: probe, helper: helper, sequence: message.Sequence, sentAt: d.clock.now}
 }
 
-// finishProbe forgets a probe; answers that still come find no question.
-func (d *Detector) finishProbe(p *pendingProbe) {
-	i := slices.Index(d.probes, p)
-	if i < 0 {
-		return
-	}
-	d.probes = slices.Delete(d.probes, i, i+1)
-	if p.forPeer {
-		d.onBehalf--
-	} else {
-		p.target.probeInFlight = false
-	}
-	for id, q := range d.pendingRequests {
-		if q.probe == p {
-			delete(d.pendingRequests, id)
-		}
+// startIndirectProbes asks helpers to probe the target, so that a bad link of ours convicts nobody, and
+// repeats the direct request: a single lost message is no reason for a suspicion.
+func (d *Detector) startIndirectProbes(probe *pendingProbe) {
+	probe.indirect = true
+	probe.target.directProbeFailed = true
+	d.sendDirect(probe)
+	helpers := d.helpersFor(probe.target)
+	d.random.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
+	for _, helper := range helpers[:min(len(helpers), maxHelpers)] {
+		probe.helpers++
+		d.counters.WitnessesAsked++
+		d.sendIndirect(probe, helper)
 	}
 }
 
-// startIndirectProbes has others probe the target, so that a bad link of ours convicts nobody, and asks it
-// once more itself: a single message that was lost is no reason for a suspicion.
-func (d *Detector) startIndirectProbes(p *pendingProbe) {
-	p.indirect = true
-	p.target.directProbeFailed = true
-	d.sendRequest(p, "")
-	var able []string
-	for _, label := range d.labels {
-		if m := d.members[label]; m != p.target && m.state == Alive && m.method == viaProbe {
-			able = append(able, label)
+// expireProbes turns probes without a direct ack in time into indirect ones, and ends those whose
+// indirect acks are overdue too.
+func (d *Detector) expireProbes() {
+	now := d.clock.now
+	for _, probe := range slices.Clone(d.pending.probes) {
+		switch {
+		case probe.forPeer:
+			if now >= probe.directDeadline() {
+				d.out.nack(probe)
+				d.pending.finish(probe)
+			}
+		case now >= probe.indirectDeadline():
+			d.pending.finish(probe)
+			d.handleProbeFailure(probe)
+		case !probe.indirect && now >= probe.directDeadline():
+			d.startIndirectProbes(probe)
 		}
 	}
-	d.random.Shuffle(len(able), func(i, j int) { able[i], able[j] = able[j], able[i] })
-	for _, label := range able[:min(len(able), maxHelpers)] {
-		p.helpers++
-		d.counters.WitnessesAsked++
-		d.sendRequest(p, label)
-	}
 }
 
-// handleProbeFailure takes a probe that had no sign of life in time.
-func (d *Detector) handleProbeFailure(p *pendingProbe) {
-	m := p.target
-	if m.lastAckAt >= p.sentAt {
-		return
+// handleProbeFailure suspects the target of a probe that got no ack, unless it seems that we are the
+// one who is cut off.
+func (d *Detector) handleProbeFailure(probe *pendingProbe) {
+	target := probe.target
+	if target.lastAckAt >= probe.sentAt {
+		return // it answered another request meanwhile
 	}
 	d.counters.Failures++
-	others := d.countAliveExcept(m)
 	switch {
-	case p.nacks > 0:
-		m.unconfirmedFailures = 0
-		d.markSuspect(m, ReasonUnreachable)
-	case others > 0 && p.helpers > 0:
-		// None of those asked answered us either: it is rather us.
+	case probe.nacks > 0:
+		target.unconfirmedFailures = 0
+		d.markSuspect(target, ReasonUnreachable)
+	case probe.helpers > 0 && d.countAliveExcept(target) > 0:
+		// None of the helpers answered us either: the fault is rather ours.
 		d.health.degrade()
-		if m.unconfirmedFailures++; m.unconfirmedFailures >= unconfirmedFailuresToSuspect {
-			d.markSuspect(m, ReasonUnreachable)
+		target.unconfirmedFailures++
+		if target.unconfirmedFailures >= unconfirmedFailuresToSuspect {
+			d.markSuspect(target, ReasonUnreachable)
 		}
 	default:
-		d.markSuspect(m, ReasonUnconfirmed)
-	}
-}
-
-// countAliveExcept counts whom we hold alive beside a member.
-func (d *Detector) countAliveExcept(but *member) int {
-	n := 0
-	for _, m := range d.members {
-		if m != but && m.state == Alive {
-			n++
-		}
+		d.markSuspect(target, ReasonUnconfirmed)
 	}
-	return n
 }
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// StateOf is what a label is held for. We are alive to ourselves, and nothing is known against
-// labels that are not among the peers.
+// StateOf is a controller's state. This controller is alive to itself, and so is a label that is not
+// among the peers: nothing is known against it.
 func (d *Detector) StateOf(label string) State {
 	if m := d.members[label]; m != nil {
 		return m.state
@@ -11,72 +11,76 @@
 	return Alive
 }
 
-// Serves says whether a label may serve machines: it is not dead or gone, and if it was, it has
-// been back for the steady time. Suspicion alone takes no machine from it.
+// Serves reports whether a controller may serve machines at a monotonic time: it is neither dead nor
+// left, and if it was, it has been back for Settings.Steady. Suspicion alone takes no machine away.
 func (d *Detector) Serves(label string, now time.Duration) bool {
 	m := d.members[label]
 	if m == nil {
-		return label == d.settings.Self
+		return label == d.self.label
 	}
-	return m.present() && (m.rejoinedAt == 0 || now >= m.rejoinedAt+d.settings.Steady)
+	return m.isPresent() && (m.rejoinedAt == 0 || now >= m.rejoinedAt+d.settings.Steady)
 }
 
-// TakesWork says whether new work may be sent to a label now.
+// TakesWork reports whether new work may be sent to a controller at a monotonic time: it may serve
+// machines and is not suspected.
 func (d *Detector) TakesWork(label string, now time.Duration) bool {
 	return d.StateOf(label) == Alive && d.Serves(label, now)
 }
 
-// Way is how a label is reached at the moment: directly, or, where that failed, by a member
-// that reached it since; "" with false: not at all, as far as is known.
+// Way is the relay route to a controller: via is "" for the direct route, or the member that reached it
+// since our own last probe of it failed. reached is false if no route is known.
 func (d *Detector) Way(label string) (via string, reached bool) {
 	m := d.members[label]
-	switch {
-	case m == nil || !m.directProbeFailed:
+	if m == nil || !m.directProbeFailed {
 		return "", true
-	case m.lastIndirectAckAt > m.lastDirectAckAt && d.now < m.lastIndirectAckAt+reportLifetimeIntervals*d.settings.Interval && d.StateOf(m.lastHelper) == Alive:
+	}
+	helperIsNewer := m.lastIndirectAckAt > m.lastDirectAckAt
+	helperIsRecent := d.clock.now < m.lastIndirectAckAt+d.reportLifetime()
+	if helperIsNewer && helperIsRecent && d.StateOf(m.lastHelper) == Alive {
 		return m.lastHelper, true
 	}
 	return "", false
 }
 
-// Successors are the labels that may follow a leader: all that are alive to us but it, and we.
+// Successors lists the controllers that may follow a leader: this one and the peers that are alive,
+// without the leader. The order is that of the labels, this controller first.
 func (d *Detector) Successors(leader string) []string {
-	out := []string{}
-	if d.settings.Self != leader {
-		out = append(out, d.settings.Self)
+	candidates := []string{}
+	if d.self.label != leader {
+		candidates = append(candidates, d.self.label)
 	}
 	for _, label := range d.labels {
 		if label != leader && d.members[label].state == Alive {
-			out = append(out, label)
+			candidates = append(candidates, label)
 		}
 	}
-	return out
+	return candidates
 }
 
-// Member is what is known of one label.
+// Member is what is known of a peer.
 type Member struct {
 	Label       string
 	State       State
-	Since       time.Duration
+	Since       time.Duration // when the state began, monotonic
 	Incarnation Incarnation
-	Heartbeats  bool // it is judged by heartbeats
+	Heartbeats  bool // whether it is judged by heartbeats, as its version knows no probes
 }
 
-// Members lists the peers, by label.
+// Members lists the peers, sorted by label.
 func (d *Detector) Members() []Member {
-	out := make([]Member, 0, len(d.labels))
+	members := make([]Member, 0, len(d.labels))
 	for _, label := range d.labels {
 		m := d.members[label]
-		out = append(out, Member{Label: label, State: m.state, Since: m.since, Incarnation: m.incarnation, Heartbeats: m.method == viaHeartbeat})
+		members = append(members, Member{Label: label, State: m.state, Since: m.since, Incarnation: m.incarnation, Heartbeats: m.method == viaHeartbeat})
 	}
-	return out
+	return members
 }
 
-// Incarnation is our own.
-func (d *Detector) Incarnation() Incarnation { return d.incarnation }
+// Incarnation is that of this controller.
+func (d *Detector) Incarnation() Incarnation { return d.self.incarnation }
 
-// Health is how little the observer trusts its own silence, 0 to 8.
+// Health is the local health score: 0, in good health, to 8.
 func (d *Detector) Health() int { return d.health.score }
 
-// Counters are what was counted so far.
+// Counters are the totals so far.
 func (d *Detector) Counters() Counters { return d.counters }
--- a/internal/membership/responses.go
+++ b/internal/membership/responses.go
@@ -1,154 +1,116 @@
 package membership
 
-import (
-	"errors"
-	"net/http"
-)
+import "net/http"
 
-// Answer is the outcome of a Send. Status 0: there was no answer.
+// Answer is the outcome of a Send.
 type Answer struct {
-	Status int
+	Status int // HTTP status; 0: there was no answer
 	Body   []byte
 }
 
-// Answered takes the outcome of a request.
-func (d *Detector) Answered(at Clock, id uint64, a Answer) []Action {
+// Answered handles the outcome of the Send with the ID. That of a probe which has ended is ignored.
+func (d *Detector) Answered(at Clock, id uint64, answer Answer) []Action {
 	d.advanceClock(at)
-	q := d.pendingRequests[id]
-	if q == nil {
-		return d.out
+	request := d.pending.takeRequest(id)
+	if request == nil {
+		return d.out.actions
 	}
-	delete(d.pendingRequests, id)
-	d.counters.BytesReceived += uint64(len(a.Body))
-	if q.helper != "" {
-		d.handleIndirectResponse(q, a)
+	d.counters.BytesReceived += uint64(len(answer.Body))
+	if request.helper != "" {
+		d.handleIndirectResponse(request, answer)
 	} else {
-		d.handleDirectResponse(q, a)
+		d.handleDirectResponse(request, answer)
 	}
-	return d.out
+	return d.out.actions
 }
 
-// handleDirectResponse takes the target's own answer, or that there was none.
-func (d *Detector) handleDirectResponse(q *pendingRequest, a Answer) {
-	p, m := q.probe, q.probe.target
-	reply, ok := d.readReply(m.label, q, a)
+// handleDirectResponse handles what came from the target of a probe itself.
+func (d *Detector) handleDirectResponse(request *pendingRequest, answer Answer) {
+	probe, target := request.probe, request.probe.target
+	reply, ok := d.readReply(target.label, request, answer)
 	switch {
 	case ok:
-		d.recordAck(m, q, reply)
-	case a.Status == http.StatusNotFound && !q.heartbeat:
-		// It is there, and its version knows no probes: from now on heartbeats tell.
-		m.method = viaHeartbeat
-		d.recordAck(m, q, ProbeReply{})
-	case a.Status == http.StatusOK && q.heartbeat:
-		d.recordAck(m, q, ProbeReply{})
-	case p.forPeer:
-		d.sendNack(p)
-		d.finishProbe(p)
+		d.recordAck(target, request, reply)
+	case answer.Status == http.StatusNotFound && !request.heartbeat:
+		// The process runs, but its version knows no probes: it is sent heartbeats from now on.
+		target.method = viaHeartbeat
+		d.recordAck(target, request, ProbeReply{})
+	case answer.Status == http.StatusOK && request.heartbeat:
+		d.recordAck(target, request, ProbeReply{})
+	case probe.forPeer:
+		d.out.nack(probe)
+		d.pending.finish(probe)
 		return
-	case !p.indirect:
-		d.startIndirectProbes(p) // refused, say: no need to wait for the timeout
+	case !probe.indirect:
+		d.startIndirectProbes(probe) // after a refused connection, say: no need to wait for the timeout
 		return
 	default:
 		return
 	}
-	if p.forPeer {
-		d.sendAck(p)
+	if probe.forPeer {
+		d.out.ack(probe)
 	}
-	d.finishProbe(p)
+	d.pending.finish(probe)
 }
 
-// recordAck takes a sign of life that the member gave to a question of ours.
-func (d *Detector) recordAck(m *member, q *pendingRequest, reply ProbeReply) {
+// handleIndirectResponse handles what came from a helper. Without a valid reply the helper counts as
+// silent: neither an ack nor a nack.
+func (d *Detector) handleIndirectResponse(request *pendingRequest, answer Answer) {
+	probe, target := request.probe, request.probe.target
+	reply, ok := d.readReply(request.helper, request, answer)
+	if !ok {
+		return
+	}
+	helper := d.members[request.helper]
+	d.recordAck(helper, request, ProbeReply{Incarnation: reply.Incarnation, Claims: reply.Claims})
+	if !reply.Reached {
+		probe.nacks++
+		return
+	}
+	d.counters.WitnessesReached++
+	target.recordIndirectAck(d.clock.now, request.helper)
+	switch {
+	case target.updateIncarnation(reply.TargetIncarnation, &d.clock):
+		d.markAlive(target, ReasonRefuted)
+	case target.state == Suspect && request.sentAt >= target.suspicion.since:
+		d.markAlive(target, ReasonIndirectAck)
+	}
+	d.pending.finish(probe)
+}
+
+// recordAck handles the ack that a member gave to a request of ours. It clears a suspicion if the request
+// was sent since. A member that is dead or left comes back by a later incarnation alone, unless its
+// version knows no probes, and so no incarnations.
+func (d *Detector) recordAck(m *member, request *pendingRequest, reply ProbeReply) {
 	d.counters.Answers++
-	m.lastAckAt, m.lastDirectAckAt, m.directProbeFailed, m.unconfirmedFailures = d.now, d.now, false, 0
-	d.health.recover()
+	m.recordDirectAck(d.clock.now)
+	m.unconfirmedFailures = 0
+	d.health.improve()
+	sinceSuspected := m.state == Suspect && request.sentAt >= m.suspicion.since
+	sinceAbsent := m.state != Suspect && m.method == viaHeartbeat && request.sentAt >= m.since
 	switch {
-	case d.updateIncarnation(m, reply.Incarnation):
+	case m.updateIncarnation(reply.Incarnation, &d.clock):
 		d.markAlive(m, ReasonRefuted)
-	case m.state == Suspect && q.sentAt >= m.suspicion.since, m.state != Suspect && m.method == viaHeartbeat && q.sentAt >= m.since:
+	case sinceSuspected, sinceAbsent:
 		d.markAlive(m, ReasonAck)
 	}
 	d.handleClaims(m.label, reply.Claims)
 }
 
-// readReply reads an answer to a probe. Also a refused probe (409) is answered by a process that lives.
-func (d *Detector) readReply(from string, q *pendingRequest, a Answer) (ProbeReply, bool) {
-	if q.heartbeat || a.Status != http.StatusOK && a.Status != http.StatusConflict {
+// readReply reads the reply to a probe; ok is false if there is none or it is dropped. A rejected probe
+// (409) counts too, as only a running process rejects one.
+func (d *Detector) readReply(from string, request *pendingRequest, answer Answer) (reply ProbeReply, ok bool) {
+	if request.heartbeat || answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
 		return ProbeReply{}, false
 	}
-	reply, err := decodeReply(a.Body)
+	reply, err := decodeMessage[ProbeReply](answer.Body)
 	if err != nil {
-		d.drop(from, dropReasonOf(err))
+		d.out.drop(from, dropReasonOf(err))
 		return ProbeReply{}, false
 	}
-	if reply.From != from || reply.Sequence != q.sequence {
-		d.drop(from, DropUnknown)
+	if reply.From != from || reply.Sequence != request.sequence {
+		d.out.drop(from, DropUnknown)
 		return ProbeReply{}, false
 	}
 	return reply, true
 }
-
-// handleIndirectResponse takes a witness's answer.
-func (d *Detector) handleIndirectResponse(q *pendingRequest, a Answer) {
-	p, m := q.probe, q.probe.target
-	reply, ok := d.readReply(q.helper, q, a)
-	if !ok {
-		return // silent
-	}
-	w := d.members[q.helper]
-	d.recordAck(w, q, ProbeReply{Incarnation: reply.Incarnation, Claims: reply.Claims})
-	if !reply.Reached {
-		p.nacks++
-		return
-	}
-	d.counters.WitnessesReached++
-	m.lastAckAt, m.lastIndirectAckAt, m.lastHelper, m.unconfirmedFailures = d.now, d.now, q.helper, 0
-	switch {
-	case d.updateIncarnation(m, reply.TargetIncarnation):
-		d.markAlive(m, ReasonRefuted)
-	case m.state == Suspect && q.sentAt >= m.suspicion.since:
-		d.markAlive(m, ReasonIndirectAck)
-	}
-	d.finishProbe(p)
-}
-
-// sendAck and deny answer the controller that asked for a probe.
-func (d *Detector) sendAck(p *pendingProbe) {
-	d.respond(p.requestID, http.StatusOK, ProbeReply{Sequence: p.requesterSequence, Reached: true, TargetIncarnation: p.target.incarnation, Claims: d.claimsFor(p.requester)})
-}
-
-func (d *Detector) sendNack(p *pendingProbe) {
-	if p.forPeer {
-		d.respond(p.requestID, http.StatusOK, ProbeReply{Sequence: p.requesterSequence, Claims: d.claimsFor(p.requester)})
-	}
-}
-
-func (d *Detector) respond(request uint64, status int, reply ProbeReply) {
-	reply.Version, reply.From, reply.Incarnation = Version, d.settings.Self, d.incarnation
-	body := encode(reply)
-	d.counters.BytesSent += uint64(len(body))
-	d.out = append(d.out, Respond{Request: request, Status: status, Body: body})
-}
-
-// refuse answers a message that is not taken.
-func (d *Detector) refuse(request uint64, status int, from string, why DropReason) {
-	d.drop(from, why)
-	d.out = append(d.out, Respond{Request: request, Status: status})
-}
-
-// drop counts a message that is not taken.
-func (d *Detector) drop(from string, why DropReason) {
-	d.counters.Dropped++
-	first := false
-	if m := d.members[from]; m != nil && !m.loggedDrops[why] {
-		m.loggedDrops[why], first = true, true
-	}
-	d.out = append(d.out, Drop{Label: from, Reason: why, First: first})
-}
-
-func dropReasonOf(err error) DropReason {
-	if errors.Is(err, errUnsupportedVersion) {
-		return DropVersion
-	}
-	return DropMalformed
-}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,16 +1,15 @@
 package membership
 
-import "time"
-
-// State is what a controller holds another one for.
+// State is what a controller holds another one for. Its numbers are on the wire and in a metric.
 type State uint8
 
-// The states. Alive is the first, as nobody is suspected before it was probed.
+// The states; the package comment has the table of changes. Alive is the zero value, as nobody is
+// suspected before it was probed.
 const (
 	Alive   State = iota
-	Suspect       // it answers neither us nor those we asked
-	Dead          // suspect for so long that its work passes over
-	Left          // it has ended in good order and said so
+	Suspect       // answers neither us nor the helpers that we asked
+	Dead          // suspected for the whole timeout: its machines go to others
+	Left          // told the group that it leaves
 )
 
 // String names the state for logs and metrics.
@@ -28,11 +27,11 @@
 	return "unknown"
 }
 
-// Incarnation orders the processes of a label and their refutations: the time of day, in
-// milliseconds, when the process started, and one more for each claim that it refuted.
+// Incarnation orders the processes of a label and their refutations: the Unix time in
+// milliseconds when the process started, and one more for each claim that it refuted.
 type Incarnation uint64
 
-// Reason says why a state changed.
+// Reason is why a member's state changed. Its text is logged, and docs/operations.md explains it.
 type Reason string
 
 // The reasons.
@@ -46,53 +45,21 @@
 	ReasonLeftGracefully   Reason = "it said so"
 )
 
-// DropReason says why a message was not taken.
+// String is the text for logs.
+func (r Reason) String() string { return string(r) }
+
+// DropReason is why a message was not taken. Its text is logged and is a metric's label.
 type DropReason string
 
 // The reasons.
 const (
-	DropMalformed   DropReason = "malformed"
-	DropVersion     DropReason = "higher version"
-	DropUnknown     DropReason = "unknown label"
-	DropIncarnation DropReason = "older incarnation"
-	DropSequence    DropReason = "sequence went backwards"
-	DropFuture      DropReason = "from the future"
+	DropMalformed   DropReason = "malformed"               // not a message, or beyond a bound
+	DropVersion     DropReason = "higher version"          // of a version that we can't read
+	DropUnknown     DropReason = "unknown label"           // of or about nobody in the group
+	DropIncarnation DropReason = "older incarnation"       // of a former process
+	DropSequence    DropReason = "sequence went backwards" // a copy, or overtaken by a later message
+	DropFuture      DropReason = "from the future"         // beyond the bound on the clocks' error
 )
 
-// Action is what the caller is to do: a Send, Respond, Change or Drop.
-type Action any
-
-// Send is a request to a peer, whose outcome is told by Answered with its ID.
-type Send struct {
-	ID uint64
-	To string
-	// Heartbeat: the peer's version knows no probes and is asked by a heartbeat, which
-	// the caller composes; Body is empty then.
-	Heartbeat bool
-	Body      []byte
-	Timeout   time.Duration
-}
-
-// Respond answers a peer's probe that was given to Probed with the Request.
-type Respond struct {
-	Request uint64
-	Status  int
-	Body    []byte
-}
-
-// Change is a member's change of state.
-type Change struct {
-	Label       string
-	From, To    State
-	Reason      Reason
-	Incarnation Incarnation
-	// After is how long the former state had lasted.
-	After time.Duration
-}
-
-// Drop is a message that was not taken. First: the first of its kind from that peer.
-type Drop struct {
-	Label  string
-	Reason DropReason
-	First  bool
-}
+// String is the text for logs.
+func (r DropReason) String() string { return string(r) }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// suspicion is how long a member has been suspected, and by whom. The more accuse it, the
-// sooner it is dead (Lifeguard: from the longest time without confirmation down to the
-// least with enough, by the logarithm of their number).
+// maxConfirmations is how many confirmations bring the suspicion timeout down to the least; in
+// smaller groups it is the number of the other members.
+const maxConfirmations = 3
+
+// suspicion is the timer of a suspected member.
 type suspicion struct {
-	since         time.Duration
-	confirmations map[string]bool // others that hold it suspect or dead
+	since         time.Duration   // monotonic
+	confirmations map[string]bool // labels of the other members that hold it suspect or dead
 }
 
-// maxConfirmations is how many confirmations bring the timeout down to the least; in small
-// groups all there can be.
-const maxConfirmations = 3
+func newSuspicion(now time.Duration) suspicion {
+	return suspicion{since: now, confirmations: map[string]bool{}}
+}
 
-// timeout is the time from suspicion to death.
+// timeout is the time from suspicion to death. It falls with the logarithm of the number of
+// confirmations, as in Lifeguard: from factor times the least without any to the least with enough.
 func (s *suspicion) timeout(least time.Duration, factor float64, others int) time.Duration {
 	enough := min(maxConfirmations, others)
 	if enough <= 0 {
@@ -28,19 +31,50 @@
 	return time.Duration(float64(least) * (factor - (factor-1)*share))
 }
 
-// localHealth is how far an observer trusts its own silence: 0 is full trust. It grows when
-// there are signs that the observer itself is slow or cut off, and times grow with it.
-type localHealth struct{ score int }
+// suspicionReport is another member's claim that a member is suspect, dead or left.
+type suspicionReport struct {
+	at          time.Duration // when it came, monotonic
+	state       State         // Suspect or Dead
+	incarnation Incarnation   // of the member that it is about
+}
 
-// maxHealthScore bounds the score (as in Lifeguard).
-const maxHealthScore = 8
+// isRecent reports whether the report still counts.
+func (r suspicionReport) isRecent(now, lifetime time.Duration) bool { return now < r.at+lifetime }
 
-func (h *localHealth) degrade() { h.score = min(h.score+1, maxHealthScore) }
+// addReport keeps a report about the member.
+func (m *member) addReport(by string, report suspicionReport) {
+	if m.reports == nil {
+		m.reports = map[string]suspicionReport{}
+	}
+	m.reports[by] = report
+}
 
-func (h *localHealth) recover() { h.score = max(h.score-1, 0) }
+// discardOldReports forgets the reports about earlier incarnations than the member's.
+func (m *member) discardOldReports() {
+	for by, report := range m.reports {
+		if report.incarnation < m.incarnation {
+			delete(m.reports, by)
+		}
+	}
+}
 
-// degradeFully is after a standstill.
-func (h *localHealth) degradeFully() { h.score = maxHealthScore }
+// worstReport is the worst recent report about the member; its state is Alive if there is none.
+func (m *member) worstReport(now, lifetime time.Duration) suspicionReport {
+	worst := suspicionReport{}
+	for _, report := range m.reports {
+		if report.isRecent(now, lifetime) && report.incarnation >= worst.incarnation && report.state > worst.state {
+			worst = report
+		}
+	}
+	return worst
+}
 
-// stretch makes a time longer by the score.
-func (h *localHealth) stretch(d time.Duration) time.Duration { return d * time.Duration(1+h.score) }
+// startSuspicion starts the member's suspicion timer. Recent reports count as confirmations.
+func (m *member) startSuspicion(now time.Duration, wall int64, reportLifetime time.Duration) {
+	m.suspicion, m.suspectedAtWall = newSuspicion(now), wall
+	for by, report := range m.reports {
+		if report.isRecent(now, reportLifetime) && report.incarnation >= m.incarnation {
+			m.suspicion.confirmations[by] = true
+		}
+	}
+}
