--- a/internal/membership/assignment_test.go
+++ b/internal/membership/assignment_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// When one of several is gone its keys alone move, each to one of the others, and evenly.
+// Without one of the candidates its keys alone move, and evenly to the others.
 func TestRendezvousOwners(t *testing.T) {
 	all := []string{"n0", "n1", "n2", "n3"}
 	const keys = 4000
@@ -21,7 +21,7 @@
 		}
 		without := Owner(key, []string{"n0", "n2", "n3"})
 		if owner != "n1" && without != owner {
-			t.Errorf("%s moves from %s to %s though n1 is gone", key, owner, without)
+			t.Errorf("%s moves from %s to %s though only n1 was removed", key, owner, without)
 		}
 		if owner == "n1" {
 			moved[without]++
@@ -36,11 +36,11 @@
 		}
 	}
 	if Owner("i-1", nil) != "" {
-		t.Error("nobody owns something")
+		t.Error("an owner without candidates")
 	}
 }
 
-// Ranks are a permutation that differs from token to token.
+// The ranks of the candidates are a permutation that differs from token to token.
 func TestRendezvousRanks(t *testing.T) {
 	all := []string{"n0", "n1", "n2", "n3", "n4"}
 	firsts := map[string]int{}
@@ -60,7 +60,7 @@
 	if len(firsts) != len(all) {
 		t.Errorf("firsts: %v", firsts)
 	}
-	if Rank("gone", 1, all) != len(all) {
-		t.Error("one that is not among them has a rank")
+	if Rank("unknown", 1, all) != len(all) {
+		t.Error("a label that is no candidate has a rank")
 	}
 }
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -1,13 +1,14 @@
 package membership
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
 const second = time.Second
 
-// observedChange collects changes of state, by who saw them and of whom.
+// observedChange is a change of state that one member (by) saw of another (of).
 type observedChange struct {
 	at     time.Duration
 	by, of string
@@ -15,6 +16,7 @@
 	reason Reason
 }
 
+// recordChanges collects the changes of state from now on.
 func (s *simulation) recordChanges() *[]observedChange {
 	list := &[]observedChange{}
 	s.onChange = func(at time.Duration, by string, c Change) {
@@ -23,6 +25,7 @@
 	return list
 }
 
+// allObserve reports whether a controller has the wanted state for all its peers.
 func (s *simulation) allObserve(of string, want State) bool {
 	for _, by := range s.others(of) {
 		if s.state(by, of) != want {
@@ -34,52 +37,56 @@
 
 func TestHealthyGroupSuspectsNobody(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 24} {
-		sim := newSimulation(t, uint64(n), n)
-		list := sim.recordChanges()
-		sim.run(2 * time.Minute)
-		if len(*list) > 0 {
-			t.Errorf("%d controllers: %+v", n, (*list)[0])
-		}
+		t.Run(fmt.Sprintf("%d controllers", n), func(t *testing.T) {
+			sim := newSimulation(uint64(n), n)
+			list := sim.recordChanges()
+			sim.run(2 * time.Minute)
+			if len(*list) > 0 {
+				t.Errorf("%+v", (*list)[0])
+			}
+		})
 	}
 }
 
-// A controller that ended is suspected first and dead only later, and never the other way round.
+// A controller that crashed is suspected first, and dead only after the suspicion timeout.
 func TestSuspectThenDead(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 24} {
-		sim := newSimulation(t, 10+uint64(n), n)
-		sim.run(10 * second)
-		list := sim.recordChanges()
-		killed := sim.now
-		sim.nodes["n01"].crash()
-		sim.run(30 * second)
-		if !sim.allObserve("n01", Dead) {
-			t.Errorf("%d controllers: it is not dead for all", n)
-		}
-		var suspected, dead time.Duration
-		for _, s := range *list {
-			if s.of != "n01" {
-				t.Errorf("%d controllers: %+v", n, s)
+		t.Run(fmt.Sprintf("%d controllers", n), func(t *testing.T) {
+			sim := newSimulation(10+uint64(n), n)
+			sim.run(10 * second)
+			list := sim.recordChanges()
+			killed := sim.now
+			sim.nodes["n01"].crash()
+			sim.run(30 * second)
+			if !sim.allObserve("n01", Dead) {
+				t.Error("the crashed controller is not dead to all")
 			}
-			if s.by == "n00" && s.to == Suspect {
-				suspected = s.at - killed
+			var suspected, dead time.Duration
+			for _, s := range *list {
+				if s.of != "n01" {
+					t.Errorf("change of another controller: %+v", s)
+				}
+				if s.by == "n00" && s.to == Suspect {
+					suspected = s.at - killed
+				}
+				if s.by == "n00" && s.to == Dead {
+					dead = s.at - killed
+				}
 			}
-			if s.by == "n00" && s.to == Dead {
-				dead = s.at - killed
+			rounds := testLease / 5 * time.Duration((n+maxProbesPerRound-2)/maxProbesPerRound)
+			if suspected <= 0 || suspected > rounds+testLease*3/10+4*testTick {
+				t.Errorf("suspected after %v", suspected)
 			}
-		}
-		rounds := testLease / 5 * time.Duration((n+maxProbesPerRound-2)/maxProbesPerRound)
-		if suspected <= 0 || suspected > rounds+testLease*3/10+4*testTick {
-			t.Errorf("%d controllers: suspected after %v", n, suspected)
-		}
-		if least := suspected + 2*testLease; dead < least || dead > suspected+6*testLease+2*testTick {
-			t.Errorf("%d controllers: suspected after %v, dead after %v", n, suspected, dead)
-		}
+			if least := suspected + 2*testLease; dead < least || dead > suspected+6*testLease+2*testTick {
+				t.Errorf("suspected after %v, dead after %v", suspected, dead)
+			}
+		})
 	}
 }
 
-// A process that comes back is alive at once, and serves machines only once it was so for long.
+// A process that comes back is alive at once, and serves machines only after Settings.Steady.
 func TestRejoinedMemberServesAfterDelay(t *testing.T) {
-	sim := newSimulation(t, 3, 3)
+	sim := newSimulation(3, 3)
 	sim.run(5 * second)
 	sim.nodes["n01"].crash()
 	sim.run(20 * second)
@@ -97,45 +104,51 @@
 	}
 	sim.run(20 * second)
 	if !d.Serves("n01", sim.now) {
-		t.Error("it does not serve machines though it is steady")
+		t.Error("it does not serve machines after Settings.Steady")
 	}
 	if c := d.Counters(); c.FalseDeaths+c.FalseSuspicions > 0 {
-		t.Errorf("a restart is counted as wrongly declared: %+v", c)
+		t.Errorf("a restart is counted as a false suspicion or death: %+v", c)
 	}
 }
 
-// One bad link convicts nobody: another controller reaches it.
+// A single bad link makes nobody suspect, as another controller reaches the peer and becomes its relay.
 func TestSingleLinkFailureCausesNoSuspicion(t *testing.T) {
-	for _, oneWay := range []bool{false, true} {
-		sim := newSimulation(t, 4, 3)
-		sim.run(5 * second)
-		list := sim.recordChanges()
-		sim.dropMessage = func(from, to string) bool {
-			return from == "n00" && to == "n01" || !oneWay && from == "n01" && to == "n00"
-		}
-		sim.run(time.Minute)
-		for _, s := range *list {
-			t.Errorf("one way %v: %+v", oneWay, s)
-		}
-		via, reached := sim.nodes["n00"].detector.Way("n01")
-		if via != "n02" || !reached {
-			t.Errorf("one way %v: it is reached by %q, %v", oneWay, via, reached)
-		}
-		sim.dropMessage = func(string, string) bool { return false }
-		sim.run(5 * second)
-		if via, reached := sim.nodes["n00"].detector.Way("n01"); via != "" || !reached {
-			t.Errorf("healed: it is reached by %q, %v", via, reached)
-		}
+	for _, tc := range []struct {
+		name   string
+		oneWay bool
+	}{{"both directions", false}, {"one direction", true}} {
+		t.Run(tc.name, func(t *testing.T) {
+			sim := newSimulation(4, 3)
+			sim.run(5 * second)
+			list := sim.recordChanges()
+			sim.dropMessage = func(from, to string) bool {
+				return from == "n00" && to == "n01" || !tc.oneWay && from == "n01" && to == "n00"
+			}
+			sim.run(time.Minute)
+			for _, s := range *list {
+				t.Errorf("%+v", s)
+			}
+			via, reached := sim.nodes["n00"].detector.Way("n01")
+			if via != "n02" || !reached {
+				t.Errorf("route via %q, reached %v", via, reached)
+			}
+			sim.dropMessage = func(string, string) bool { return false }
+			sim.run(5 * second)
+			if via, reached := sim.nodes["n00"].detector.Way("n01"); via != "" || !reached {
+				t.Errorf("after the link is back: route via %q, reached %v", via, reached)
+			}
+		})
 	}
 }
 
-// A slow moment is refuted: suspected, never dead, and by a later incarnation.
+// A controller that pauses for less than the suspicion timeout is suspected, refutes that by a later
+// incarnation, and is never dead.
 func TestPausedMemberRefutesSuspicion(t *testing.T) {
-	sim := newSimulation(t, 5, 3)
+	sim := newSimulation(5, 3)
 	sim.run(5 * second)
 	before := sim.nodes["n01"].detector.Incarnation()
 	list := sim.recordChanges()
-	sim.freeze("n01", 1300*time.Millisecond)
+	sim.pause("n01", 1300*time.Millisecond)
 	sim.run(20 * second)
 	suspected := false
 	for _, s := range *list {
@@ -144,7 +157,7 @@
 			t.Errorf("%+v", s)
 		}
 		if s.by == "n01" {
-			t.Errorf("the one that stood still: %+v", s)
+			t.Errorf("the paused observer: %+v", s)
 		}
 	}
 	if !suspected || !sim.allObserve("n01", Alive) {
@@ -154,16 +167,16 @@
 		t.Errorf("incarnation %d before, %d after", before, after)
 	}
 	if c := sim.nodes["n00"].detector.Counters(); c.FalseSuspicions == 0 {
-		t.Errorf("no wrong suspicion is counted: %+v", c)
+		t.Errorf("no false suspicion is counted: %+v", c)
 	}
 }
 
-// Longer than the timeout: dead, and alive again once it goes on; its claims that it was
-// wrongly declared dead are counted.
+// A controller that pauses for longer than the suspicion timeout is dead, and alive again once it goes
+// on; its death is counted as false.
 func TestFalseDeathIsCounted(t *testing.T) {
-	sim := newSimulation(t, 6, 3)
+	sim := newSimulation(6, 3)
 	sim.run(5 * second)
-	sim.freeze("n01", 15*second)
+	sim.pause("n01", 15*second)
 	sim.run(14 * second)
 	if !sim.allObserve("n01", Dead) {
 		t.Error("it is not dead to all")
@@ -180,31 +193,34 @@
 	}
 }
 
-// An observer that stood still suspects nobody, though the answers of all were late for it.
+// An observer that was paused suspects nobody, though all answers were late for it.
 func TestPausedObserverSuspectsNobody(t *testing.T) {
-	for _, d := range []time.Duration{testLease / 2, testLease, 7 * testLease, time.Minute} {
-		sim := newSimulation(t, 7, 5)
-		sim.run(5 * second)
-		for len(sim.nodes["n00"].detector.pending.probes) == 0 {
-			sim.run(time.Millisecond) // in the midst of probes
-		}
-		list := sim.recordChanges()
-		sim.freeze("n00", d)
-		sim.run(d + 20*second)
-		for _, s := range *list {
-			if s.by == "n00" {
-				t.Errorf("after %v: %+v", d, s)
+	for _, pause := range []time.Duration{testLease / 2, testLease, 7 * testLease, time.Minute} {
+		t.Run(pause.String(), func(t *testing.T) {
+			sim := newSimulation(7, 5)
+			sim.run(5 * second)
+			for len(sim.nodes["n00"].detector.pending.probes) == 0 {
+				sim.run(time.Millisecond) // the pause begins while probes are in flight
 			}
-		}
-		if h := sim.nodes["n00"].detector.Health(); h != 0 {
-			t.Errorf("after %v and 20 s its health is %d", d, h)
-		}
+			list := sim.recordChanges()
+			sim.pause("n00", pause)
+			sim.run(pause + 20*second)
+			for _, s := range *list {
+				if s.by == "n00" {
+					t.Errorf("%+v", s)
+				}
+			}
+			if h := sim.nodes["n00"].detector.Health(); h != 0 {
+				t.Errorf("20 s after the pause its health score is %d", h)
+			}
+		})
 	}
 }
 
-// An observer that is cut off from all doubts itself first, and all are well after the cut.
+// An observer that is cut off from all others trusts its own silence less, and all are alive to all after
+// the partition.
 func TestIsolatedObserverDegradesItsHealth(t *testing.T) {
-	sim := newSimulation(t, 8, 5)
+	sim := newSimulation(8, 5)
 	sim.run(5 * second)
 	sim.dropMessage = func(from, to string) bool { return from == "n00" || to == "n00" }
 	sim.run(3 * second)
@@ -212,7 +228,7 @@
 		t.Error("the others do not notice")
 	}
 	if sim.nodes["n00"].detector.Health() == 0 {
-		t.Error("it trusts its own silence")
+		t.Error("its local health did not degrade")
 	}
 	sim.run(10 * second)
 	sim.dropMessage = func(string, string) bool { return false }
@@ -220,44 +236,55 @@
 	for _, by := range sim.labels {
 		for _, of := range sim.others(by) {
 			if s := sim.state(by, of); s != Alive {
-				t.Errorf("%s holds %s for %v", by, of, s)
+				t.Errorf("to %s, %s is %v", by, of, s)
 			}
 		}
 	}
 }
 
-// Lost messages and a link that flaps declare nobody dead.
-func TestMessageLossAndFlappingLinks(t *testing.T) {
+// Lost messages declare nobody dead.
+func TestMessageLossCausesNoDeath(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, loss := range []float64{0.05, 0.10, 0.20} {
-			sim := newSimulation(t, 100+seed, 5)
-			sim.run(2 * second)
-			list := sim.recordChanges()
-			sim.dropMessage = func(string, string) bool { return sim.random.Float64() < loss }
-			sim.run(3 * time.Minute)
-			for _, s := range *list {
-				if s.to == Dead {
-					t.Errorf("seed %d, %v lost: %+v", seed, loss, s)
-				}
-			}
+			t.Run(fmt.Sprintf("seed %d loss %v", seed, loss), func(t *testing.T) {
+				sim := newSimulation(100+seed, 5)
+				sim.run(2 * second)
+				list := sim.recordChanges()
+				sim.dropMessage = func(string, string) bool { return sim.random.Float64() < loss }
+				sim.run(3 * time.Minute)
+				checkNoDeath(t, *list)
+			})
 		}
-		sim := newSimulation(t, 200+seed, 3)
-		list := sim.recordChanges()
-		sim.dropMessage = func(from, to string) bool {
-			return (from == "n00" || to == "n00") && int(sim.now/second)%6 < 2
-		}
-		sim.run(3 * time.Minute)
-		for _, s := range *list {
-			if s.to == Dead {
-				t.Errorf("seed %d, flapping: %+v", seed, s)
+	}
+}
+
+// A link that is down for two of each six seconds declares nobody dead.
+func TestFlappingLinkCausesNoDeath(t *testing.T) {
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			sim := newSimulation(200+seed, 3)
+			list := sim.recordChanges()
+			sim.dropMessage = func(from, to string) bool {
+				return (from == "n00" || to == "n00") && int(sim.now/second)%6 < 2
 			}
+			sim.run(3 * time.Minute)
+			checkNoDeath(t, *list)
+		})
+	}
+}
+
+func checkNoDeath(t *testing.T, list []observedChange) {
+	t.Helper()
+	for _, s := range list {
+		if s.to == Dead {
+			t.Errorf("%+v", s)
 		}
 	}
 }
 
-// An orderly end is told, and is no death.
+// A controller that leaves gracefully is neither suspected nor dead.
 func TestGracefulLeave(t *testing.T) {
-	sim := newSimulation(t, 9, 3)
+	sim := newSimulation(9, 3)
 	sim.run(5 * second)
 	n := sim.nodes["n01"]
 	sim.apply(n, n.detector.Leave(sim.clock(n)))
@@ -278,9 +305,10 @@
 	}
 }
 
-// A version that knows no probes answers 404: it is judged by heartbeats.
+// A peer whose version answers probes with 404 is judged by heartbeats, until it is upgraded and again
+// after a rollback.
 func TestPeerWithoutProbeSupport(t *testing.T) {
-	sim := newSimulation(t, 11, 3)
+	sim := newSimulation(11, 3)
 	sim.nodes["n01"].withoutProbes = true
 	list := sim.recordChanges()
 	sim.run(30 * second)
@@ -300,7 +328,6 @@
 	if sim.state("n00", "n01") != Alive || sim.nodes["n00"].detector.Members()[0].Heartbeats {
 		t.Errorf("upgraded, it is %+v", sim.nodes["n00"].detector.Members()[0])
 	}
-	// And back again.
 	sim.nodes["n01"].crash()
 	sim.nodes["n01"].withoutProbes = true
 	sim.start("n01")
@@ -310,10 +337,10 @@
 	}
 }
 
-// Clocks that drift and are off by the bound are nothing to the detectors; one whose clock was
-// set back at its restart gets a later incarnation all the same.
+// Clocks that drift, or are off by no more than their bound, cause no change of state. A controller whose
+// clock was set back before its restart still gets a later incarnation.
 func TestClockDriftAndOffset(t *testing.T) {
-	sim := newSimulation(t, 12, 3)
+	sim := newSimulation(12, 3)
 	sim.nodes["n00"].drift, sim.nodes["n01"].drift = 0.0005, -0.0005
 	sim.nodes["n02"].clockOffset = 25 * time.Millisecond
 	list := sim.recordChanges()
@@ -323,7 +350,7 @@
 	}
 	sim.nodes["n01"].crash()
 	sim.run(20 * second)
-	sim.nodes["n01"].clockOffset = -30 * second // before its last start's refutations, within the bound on futures
+	sim.nodes["n01"].clockOffset = -30 * second // set back, within the bound on the future
 	sim.start("n01")
 	sim.run(10 * second)
 	if !sim.allObserve("n01", Alive) {
@@ -331,9 +358,9 @@
 	}
 }
 
-// What a controller of 24 costs: messages and bytes a second, stated in docs/failure-detection.md.
+// The messages and bytes a second that a controller of 24 sends; docs/failure-detection.md states them.
 func TestTrafficOfTwentyFourControllers(t *testing.T) {
-	sim := newSimulation(t, 13, 24)
+	sim := newSimulation(13, 24)
 	sim.run(10 * second)
 	clear(sim.bytes)
 	clear(sim.sent)
--- a/internal/membership/inbound_test.go
+++ b/internal/membership/inbound_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// singleDetector is one detector that is driven by hand.
+// singleDetector is a detector with the peers b and c, which the test itself plays.
 type singleDetector struct {
 	t        *testing.T
 	detector *Detector
@@ -28,7 +28,8 @@
 	return Clock{Steady: s.now, Wall: testWall + s.now.Milliseconds()}
 }
 
-// deliver gives the detector a message, and returns the answer's status and the reasons of drops.
+// deliver passes a probe to the detector, and returns the response's status and the reasons of drops. A
+// change of state is an error.
 func (s *singleDetector) deliver(body []byte) (status int, drops []DropReason) {
 	s.t.Helper()
 	s.request++
@@ -49,7 +50,7 @@
 	return Probe{Version: Version, From: "b", Incarnation: Incarnation(testWall), Sequence: 5}
 }
 
-// What is not as it should be is dropped and counted, and changes nothing.
+// Invalid messages are dropped and counted, and change nothing.
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	change := func(f func(*Probe)) []byte {
 		p := validProbe()
@@ -79,27 +80,29 @@
 		"the highest incarnation":   {change(func(p *Probe) { p.Incarnation = 1<<64 - 1 }), 409, DropFuture},
 		"a sequence to come":        {change(func(p *Probe) { p.Sequence = 1 << 50 }), 409, DropFuture},
 	} {
-		s := newSingleDetector(t)
-		if status, drops := s.deliver(encode(validProbe())); status != 200 || len(drops) > 0 {
-			t.Fatalf("a good message: %d, %v", status, drops)
-		}
-		before := *s.detector.members["b"]
-		status, drops := s.deliver(tc.body)
-		if status != tc.status || !slices.Equal(drops, []DropReason{tc.drop}) {
-			t.Errorf("%s: %d, %v", name, status, drops)
-		}
-		after := s.detector.members["b"]
-		if after.state != before.state || after.incarnation != before.incarnation || name != "an unknown target" && after.sequence != before.sequence {
-			t.Errorf("%s: the member was %+v, is %+v", name, before, *after)
-		}
-		if s.detector.Counters().Dropped != 1 {
-			t.Errorf("%s: %d are counted", name, s.detector.Counters().Dropped)
-		}
+		t.Run(name, func(t *testing.T) {
+			s := newSingleDetector(t)
+			if status, drops := s.deliver(encode(validProbe())); status != 200 || len(drops) > 0 {
+				t.Fatalf("a valid message: status %d, drops %v", status, drops)
+			}
+			before := *s.detector.members["b"]
+			status, drops := s.deliver(tc.body)
+			if status != tc.status || !slices.Equal(drops, []DropReason{tc.drop}) {
+				t.Errorf("status %d, drops %v", status, drops)
+			}
+			after := s.detector.members["b"]
+			if after.state != before.state || after.incarnation != before.incarnation || name != "an unknown target" && after.sequence != before.sequence {
+				t.Errorf("the member was %+v, is %+v", before, *after)
+			}
+			if s.detector.Counters().Dropped != 1 {
+				t.Errorf("%d drops are counted", s.detector.Counters().Dropped)
+			}
+		})
 	}
 }
 
-// Claims are hearsay: none of them changes a state, whoever makes them, and of ourselves only what
-// can be is refuted.
+// A claim about a third member changes no state, and of the claims against ourselves only those about a
+// possible incarnation are refuted.
 func TestClaimsOfOthersChangeNoState(t *testing.T) {
 	s := newSingleDetector(t)
 	own := s.detector.Incarnation()
@@ -123,7 +126,7 @@
 	}
 }
 
-// Drops of one kind from one peer are logged once.
+// Drops for one reason from one peer are marked as first once, so that they are logged once.
 func TestDropsAreLoggedOnce(t *testing.T) {
 	s := newSingleDetector(t)
 	s.deliver(encode(validProbe()))
@@ -141,7 +144,7 @@
 	}
 }
 
-// Probes for others are bounded, and each is answered.
+// Indirect probes for peers are bounded, and each is answered.
 func TestProbesForPeersAreBounded(t *testing.T) {
 	s := newSingleDetector(t)
 	busy := 0
@@ -173,37 +176,40 @@
 	}
 }
 
-// Replies that don't fit their probe are no sign of life.
+// Replies that don't match their probe are no acks.
 func TestMismatchedRepliesAreDropped(t *testing.T) {
 	for name, change := range map[string]func(*ProbeReply){
 		"of another":       func(r *ProbeReply) { r.From = "c" },
 		"to another probe": func(r *ProbeReply) { r.Sequence++ },
 		"higher version":   func(r *ProbeReply) { r.Version++ },
 	} {
-		s := newSingleDetector(t)
-		var sent Send
-		for sent.To != "b" {
-			s.now += testTick
-			for _, a := range s.detector.Tick(s.clock()) {
-				if send, is := a.(Send); is && send.To == "b" && len(send.Body) > 0 {
-					sent = send
+		t.Run(name, func(t *testing.T) {
+			s := newSingleDetector(t)
+			var sent Send
+			for sent.To != "b" {
+				s.now += testTick
+				for _, a := range s.detector.Tick(s.clock()) {
+					if send, is := a.(Send); is && send.To == "b" && len(send.Body) > 0 {
+						sent = send
+					}
 				}
 			}
-		}
-		var p Probe
-		if err := cbor.Unmarshal(sent.Body, &p); err != nil {
-			t.Fatal(err)
-		}
-		reply := ProbeReply{Version: Version, From: "b", Incarnation: Incarnation(testWall), Sequence: p.Sequence}
-		change(&reply)
-		s.detector.Answered(s.clock(), sent.ID, Answer{Status: 200, Body: encode(reply)})
-		if c := s.detector.Counters(); c.Answers != 0 || c.Dropped != 1 {
-			t.Errorf("%s: %+v", name, c)
-		}
+			var p Probe
+			if err := cbor.Unmarshal(sent.Body, &p); err != nil {
+				t.Fatal(err)
+			}
+			reply := ProbeReply{Version: Version, From: "b", Incarnation: Incarnation(testWall), Sequence: p.Sequence}
+			change(&reply)
+			s.detector.Answered(s.clock(), sent.ID, Answer{Status: 200, Body: encode(reply)})
+			if c := s.detector.Counters(); c.Answers != 0 || c.Dropped != 1 {
+				t.Errorf("%+v", c)
+			}
+		})
 	}
 }
 
-// FuzzProbed takes any bytes as a probe: no crash, and no change of anybody's state.
+// FuzzProbed passes any bytes as a probe and as a response: no crash, and no change of state except that
+// the sender leaves.
 func FuzzProbed(f *testing.F) {
 	f.Add(encode(validProbe()))
 	p := validProbe()
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -4,47 +4,47 @@
 	"fmt"
 	"math/rand/v2"
 	"net/http"
-	"testing"
 	"time"
 
 	"claybarrow/internal/emulator"
 )
 
-// simulation is detectors and a network between them on a fake clock. A script breaks what it likes.
+// simulation runs detectors and the network between them on simulated time. A test replaces the functions
+// to inject faults.
 type simulation struct {
-	t      *testing.T
 	events *emulator.EventQueue
 	now    time.Duration
 	random *rand.Rand
 	nodes  map[string]*node
 	labels []string
-	// dropMessage says whether a message from one to another is lost.
+	// dropMessage reports whether a message is lost.
 	dropMessage func(from, to string) bool
-	// delay is how long a message is under way.
+	// delay is the latency of a message.
 	delay func(from, to string) time.Duration
-	// onChange is told of each change of state.
+	// onChange is called for each change of state.
 	onChange func(at time.Duration, by string, change Change)
-	bytes    map[string]int
-	sent     map[string]int
+	bytes    map[string]int // bodies sent, by label
+	sent     map[string]int // requests sent, by label
 }
 
+// node is a controller: its detector, and the process and network around it.
 type node struct {
 	label         string
 	detector      *Detector
 	up            bool
 	paused        bool
-	withoutProbes bool // its version knows no probes
-	deferred      []func()
-	generation    int
+	withoutProbes bool     // its version answers probes with 404
+	deferred      []func() // what came while it was paused
+	generation    int      // counts its processes
 	clockOffset   time.Duration
-	drift         float64
+	drift         float64 // of the monotonic clock, as a share
 	drops         map[DropReason]int
-	waiting       map[uint64]func(int, []byte)
+	waiting       map[uint64]func(int, []byte) // probes not answered yet, by request
 	request       uint64
 }
 
 const (
-	testLease = 1500 * time.Millisecond // the leader's
+	testLease = 1500 * time.Millisecond // the leader's lease, of which config derives the settings
 	testTick  = testLease / 15
 	testWall  = int64(1_700_000_000_000)
 )
@@ -60,11 +60,15 @@
 	return s
 }
 
-func newSimulation(t *testing.T, seed uint64, n int) *simulation {
-	sim := &simulation{t: t, events: &emulator.EventQueue{}, random: rand.New(rand.NewPCG(seed, 1)), nodes: map[string]*node{}, bytes: map[string]int{}, sent: map[string]int{},
+// newSimulation starts n controllers, n00 and up.
+func newSimulation(seed uint64, n int) *simulation {
+	sim := &simulation{
+		events: &emulator.EventQueue{}, random: rand.New(rand.NewPCG(seed, 1)),
+		nodes: map[string]*node{}, bytes: map[string]int{}, sent: map[string]int{},
 		dropMessage: func(string, string) bool { return false },
 		delay:       func(string, string) time.Duration { return 2 * time.Millisecond },
-		onChange:    func(time.Duration, string, Change) {}}
+		onChange:    func(time.Duration, string, Change) {},
+	}
 	for i := range n {
 		sim.labels = append(sim.labels, fmt.Sprintf("n%02d", i))
 	}
@@ -75,6 +79,7 @@
 	return sim
 }
 
+// after runs something after a time.
 func (s *simulation) after(d time.Duration, do func()) {
 	s.events.After(d, func() {
 		s.now = s.events.Now()
@@ -82,6 +87,7 @@
 	})
 }
 
+// run lets simulated time pass.
 func (s *simulation) run(d time.Duration) {
 	s.events.RunUntil(s.now + d)
 	s.now = s.events.Now()
@@ -92,52 +98,53 @@
 	return Clock{Steady: drifted, Wall: testWall + (s.now + n.clockOffset).Milliseconds()}
 }
 
+// start starts a new process of a controller, and its ticks.
 func (s *simulation) start(label string) {
 	n := s.nodes[label]
 	n.generation++
 	n.up, n.paused, n.deferred = true, false, nil
 	n.drops, n.waiting = map[DropReason]int{}, map[uint64]func(int, []byte){}
 	n.detector = New(testSettings(label, s.labels), rand.New(rand.NewPCG(s.random.Uint64(), 2)))
-	life := n.generation
-	var beat func()
-	beat = func() {
-		if n.generation != life || !n.up {
+	generation := n.generation
+	var tick func()
+	tick = func() {
+		if n.generation != generation || !n.up {
 			return
 		}
 		if !n.paused && !n.withoutProbes {
 			s.apply(n, n.detector.Tick(s.clock(n)))
 		}
-		s.after(testTick, beat)
+		s.after(testTick, tick)
 	}
-	s.after(time.Duration(s.random.Int64N(int64(testTick))), beat)
+	s.after(time.Duration(s.random.Int64N(int64(testTick))), tick)
 }
 
 // crash ends the process without a word to its peers.
 func (n *node) crash() { n.up = false }
 
-// freeze has a node handle nothing for a while; what comes meanwhile waits for it.
-func (s *simulation) freeze(label string, d time.Duration) {
+// pause has a controller handle nothing for a while; what comes meanwhile is handled after it.
+func (s *simulation) pause(label string, d time.Duration) {
 	n := s.nodes[label]
 	n.paused = true
-	life := n.generation
+	generation := n.generation
 	s.after(d, func() {
-		if n.generation != life {
+		if n.generation != generation {
 			return
 		}
 		n.paused = false
-		held := n.deferred
+		deferred := n.deferred
 		n.deferred = nil
 		s.apply(n, n.detector.Tick(s.clock(n)))
-		for _, do := range held {
+		for _, do := range deferred {
 			do()
 		}
 	})
 }
 
-// handle runs something at a node, once it goes on.
-func (s *simulation) handle(n *node, life int, do func()) {
+// handle runs something at a node, after its pause if it is paused, and not at all if the process ended.
+func (s *simulation) handle(n *node, generation int, do func()) {
 	switch {
-	case !n.up || n.generation != life:
+	case !n.up || n.generation != generation:
 	case n.paused:
 		n.deferred = append(n.deferred, do)
 	default:
@@ -145,6 +152,7 @@
 	}
 }
 
+// apply carries out a detector's actions.
 func (s *simulation) apply(n *node, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -163,12 +171,13 @@
 	}
 }
 
+// send delivers a request and its response, or the timeout.
 func (s *simulation) send(n *node, request Send) {
 	s.sent[n.label]++
 	s.bytes[n.label] += len(request.Body)
-	life, answered := n.generation, false
+	generation, answered := n.generation, false
 	result := func(status int, body []byte) {
-		s.handle(n, life, func() {
+		s.handle(n, generation, func() {
 			if !answered {
 				answered = true
 				s.apply(n, n.detector.Answered(s.clock(n), request.ID, Answer{status, body}))
@@ -184,7 +193,7 @@
 		if !to.up {
 			return
 		}
-		toLife := to.generation
+		toGeneration := to.generation
 		reply := func(status int, body []byte) {
 			if s.dropMessage(request.To, n.label) {
 				return
@@ -192,7 +201,7 @@
 			s.bytes[request.To] += len(body)
 			s.after(s.delay(request.To, n.label), func() { result(status, body) })
 		}
-		s.handle(to, toLife, func() {
+		s.handle(to, toGeneration, func() {
 			switch {
 			case request.Heartbeat:
 				reply(http.StatusOK, nil)
@@ -207,13 +216,14 @@
 	})
 }
 
+// state is what one controller holds another one for.
 func (s *simulation) state(by, of string) State { return s.nodes[by].detector.StateOf(of) }
 
-// others are the labels but one.
-func (s *simulation) others(but string) []string {
+// others lists all labels except one.
+func (s *simulation) others(except string) []string {
 	var out []string
 	for _, l := range s.labels {
-		if l != but {
+		if l != except {
 			out = append(out, l)
 		}
 	}
