--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -32,7 +32,7 @@
 		if !m.probeInFlight && d.clock.now > m.lastAckAt+d.settings.Timeout {
 			d.startProbe(&pendingProbe{target: m})
 		}
-	case Dead, Left: // we hold it for absent already
+	case Dead, Left: // it is absent here already
 	}
 }
 
--- a/internal/membership/counters.go
+++ b/internal/membership/counters.go
@@ -3,8 +3,8 @@
 // Counters are the totals since the detector was made.
 type Counters struct {
 	Probes   uint64 // probes begun, those for other members included
-	Answers  uint64 // acks and nacks received
-	Failures uint64 // probes without any ack in time
+	Answers  uint64 // replies of targets and helpers, those to heartbeats included
+	Failures uint64 // probes of our own without any ack in time
 
 	WitnessesAsked   uint64 // indirect probes requested
 	WitnessesReached uint64 // indirect probes that reached their target
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -17,7 +17,7 @@
 //
 // Unlike in SWIM, a peer's claim about a third member changes no state. It only hastens our own
 // probe and shortens the timeout of our own suspicion, so that one bad link or one bad observer
-// convicts nobody. Groups are small enough (two dozen) for every member to probe every other.
+// makes nobody suspect. Groups are small enough (two dozen) for every member to probe every other.
 //
 // # States
 //
@@ -35,6 +35,6 @@
 //
 // # Limits
 //
-// Suspicion is no authority. Who leads is decided by the leader key and its lease in the state
-// service alone; see docs/failure-detection.md.
+// The detector's states decide nothing about leadership or fencing. Who leads is decided by the leader
+// key and its lease in the state service alone; see docs/failure-detection.md.
 package membership
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -25,7 +25,7 @@
 	maxNestedLevels = 6
 )
 
-// Claim is what the sender of a message holds a controller for.
+// Claim is the state of a controller as the sender of a message sees it.
 type Claim struct {
 	Label       string      `cbor:"1,keyasint"`
 	State       State       `cbor:"2,keyasint"`
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -38,7 +38,7 @@
 	d.pending.requests[id] = &pendingRequest{probe: probe, helper: helper, sequence: message.Sequence, sentAt: d.clock.now}
 }
 
-// startIndirectProbes asks helpers to probe the target, so that a bad link of ours convicts nobody, and
+// startIndirectProbes asks helpers to probe the target, so that a bad link of ours makes nobody suspect, and
 // repeats the direct request: a single lost message is no reason for a suspicion.
 func (d *Detector) startIndirectProbes(probe *pendingProbe) {
 	probe.indirect = true
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,6 +1,6 @@
 package membership
 
-// State is what a controller holds another one for. Its numbers are on the wire and in a metric.
+// State is the state of a controller as another one sees it. Its numbers are on the wire and in a metric.
 type State uint8
 
 // The states; the package comment has the table of changes. Alive is the zero value, as nobody is
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -12,7 +12,7 @@
 // suspicion is the timer of a suspected member.
 type suspicion struct {
 	since         time.Duration   // monotonic
-	confirmations map[string]bool // labels of the other members that hold it suspect or dead
+	confirmations map[string]bool // labels of the other members that claim it suspect, dead or left
 }
 
 func newSuspicion(now time.Duration) suspicion {
