--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -1,142 +1,155 @@
 package membership
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
 
 const second = time.Second
 
-// seen collects changes of state, by who saw them and of whom.
-type seen struct {
+// observedChange is a change of state that one member (by) saw of another (of).
+type observedChange struct {
 	at     time.Duration
 	by, of string
 	to     State
 	reason Reason
 }
 
-func (g *group) watch() *[]seen {
-	list := &[]seen{}
-	g.changed = func(at time.Duration, by string, c Change) {
-		*list = append(*list, seen{at, by, c.Label, c.To, c.Reason})
+// recordChanges collects the changes of state from now on.
+func (s *simulation) recordChanges() *[]observedChange {
+	list := &[]observedChange{}
+	s.onChange = func(at time.Duration, by string, c Change) {
+		*list = append(*list, observedChange{at, by, c.Label, c.To, c.Reason})
 	}
 	return list
 }
 
-func (g *group) allHold(of string, want State) bool {
-	for _, by := range g.others(of) {
-		if g.state(by, of) != want {
+// allObserve reports whether a controller has the wanted state for all its peers.
+func (s *simulation) allObserve(of string, want State) bool {
+	for _, by := range s.others(of) {
+		if s.state(by, of) != want {
 			return false
 		}
 	}
 	return true
 }
 
-func TestNobodyIsSuspectedInPeace(t *testing.T) {
+func TestHealthyGroupSuspectsNobody(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 24} {
-		g := newGroup(t, uint64(n), n)
-		list := g.watch()
-		g.run(2 * time.Minute)
-		if len(*list) > 0 {
-			t.Errorf("%d controllers: %+v", n, (*list)[0])
-		}
+		t.Run(fmt.Sprintf("%d controllers", n), func(t *testing.T) {
+			sim := newSimulation(uint64(n), n)
+			list := sim.recordChanges()
+			sim.run(2 * time.Minute)
+			if len(*list) > 0 {
+				t.Errorf("%+v", (*list)[0])
+			}
+		})
 	}
 }
 
-// A controller that ended is suspected first and dead only later, and never the other way round.
+// A controller that crashed is suspected first, and dead only after the suspicion timeout.
 func TestSuspectThenDead(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 24} {
-		g := newGroup(t, 10+uint64(n), n)
-		g.run(10 * second)
-		list := g.watch()
-		killed := g.now
-		g.crash("n01")
-		g.run(30 * second)
-		if !g.allHold("n01", Dead) {
-			t.Errorf("%d controllers: it is not dead for all", n)
-		}
-		var suspected, dead time.Duration
-		for _, s := range *list {
-			if s.of != "n01" {
-				t.Errorf("%d controllers: %+v", n, s)
+		t.Run(fmt.Sprintf("%d controllers", n), func(t *testing.T) {
+			sim := newSimulation(10+uint64(n), n)
+			sim.run(10 * second)
+			list := sim.recordChanges()
+			killed := sim.now
+			sim.nodes["n01"].crash()
+			sim.run(30 * second)
+			if !sim.allObserve("n01", Dead) {
+				t.Error("the crashed controller is not dead to all")
 			}
-			if s.by == "n00" && s.to == Suspect {
-				suspected = s.at - killed
+			var suspected, dead time.Duration
+			for _, s := range *list {
+				if s.of != "n01" {
+					t.Errorf("change of another controller: %+v", s)
+				}
+				if s.by == "n00" && s.to == Suspect {
+					suspected = s.at - killed
+				}
+				if s.by == "n00" && s.to == Dead {
+					dead = s.at - killed
+				}
 			}
-			if s.by == "n00" && s.to == Dead {
-				dead = s.at - killed
+			rounds := testLease / 5 * time.Duration((n+maxProbesPerRound-2)/maxProbesPerRound)
+			if suspected <= 0 || suspected > rounds+testLease*3/10+4*testTick {
+				t.Errorf("suspected after %v", suspected)
 			}
-		}
-		rounds := testLease / 5 * time.Duration((n+mostProbesAtOnce-2)/mostProbesAtOnce)
-		if suspected <= 0 || suspected > rounds+testLease*3/10+4*testTick {
-			t.Errorf("%d controllers: suspected after %v", n, suspected)
-		}
-		if least := suspected + 2*testLease; dead < least || dead > suspected+6*testLease+2*testTick {
-			t.Errorf("%d controllers: suspected after %v, dead after %v", n, suspected, dead)
-		}
+			if least := suspected + 2*testLease; dead < least || dead > suspected+6*testLease+2*testTick {
+				t.Errorf("suspected after %v, dead after %v", suspected, dead)
+			}
+		})
 	}
 }
 
-// A process that comes back is alive at once, and serves machines only once it was so for long.
-func TestReturnIsSteadyFirst(t *testing.T) {
-	g := newGroup(t, 3, 3)
-	g.run(5 * second)
-	g.crash("n01")
-	g.run(20 * second)
-	d := g.nodes["n00"].detector
-	if d.Serves("n01", g.now) {
+// A process that comes back is alive at once, and serves machines only after Settings.Steady.
+func TestRejoinedMemberServesAfterDelay(t *testing.T) {
+	sim := newSimulation(3, 3)
+	sim.run(5 * second)
+	sim.nodes["n01"].crash()
+	sim.run(20 * second)
+	d := sim.nodes["n00"].detector
+	if d.Serves("n01", sim.now) {
 		t.Error("a dead controller serves machines")
 	}
-	g.boot("n01")
-	g.run(2 * second)
-	if !g.allHold("n01", Alive) || !g.nodes["n01"].detector.Serves("n00", g.now) {
-		t.Errorf("it is %v", g.state("n00", "n01"))
+	sim.start("n01")
+	sim.run(2 * second)
+	if !sim.allObserve("n01", Alive) || !sim.nodes["n01"].detector.Serves("n00", sim.now) {
+		t.Errorf("it is %v", sim.state("n00", "n01"))
 	}
-	if d.Serves("n01", g.now) {
+	if d.Serves("n01", sim.now) {
 		t.Error("it serves machines at once")
 	}
-	g.run(20 * second)
-	if !d.Serves("n01", g.now) {
-		t.Error("it does not serve machines though it is steady")
+	sim.run(20 * second)
+	if !d.Serves("n01", sim.now) {
+		t.Error("it does not serve machines after Settings.Steady")
 	}
 	if c := d.Counters(); c.FalseDeaths+c.FalseSuspicions > 0 {
-		t.Errorf("a restart is counted as wrongly declared: %+v", c)
+		t.Errorf("a restart is counted as a false suspicion or death: %+v", c)
 	}
 }
 
-// One bad link convicts nobody: another controller reaches it.
-func TestOneBadLink(t *testing.T) {
-	for _, oneWay := range []bool{false, true} {
-		g := newGroup(t, 4, 3)
-		g.run(5 * second)
-		list := g.watch()
-		g.cut = func(from, to string) bool {
-			return from == "n00" && to == "n01" || !oneWay && from == "n01" && to == "n00"
-		}
-		g.run(time.Minute)
-		for _, s := range *list {
-			t.Errorf("one way %v: %+v", oneWay, s)
-		}
-		via, reached := g.nodes["n00"].detector.Way("n01")
-		if via != "n02" || !reached {
-			t.Errorf("one way %v: it is reached by %q, %v", oneWay, via, reached)
-		}
-		g.cut = func(string, string) bool { return false }
-		g.run(5 * second)
-		if via, reached := g.nodes["n00"].detector.Way("n01"); via != "" || !reached {
-			t.Errorf("healed: it is reached by %q, %v", via, reached)
-		}
+// A single bad link makes nobody suspect, as another controller reaches the peer and becomes its relay.
+func TestSingleLinkFailureCausesNoSuspicion(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		oneWay bool
+	}{{"both directions", false}, {"one direction", true}} {
+		t.Run(tc.name, func(t *testing.T) {
+			sim := newSimulation(4, 3)
+			sim.run(5 * second)
+			list := sim.recordChanges()
+			sim.dropMessage = func(from, to string) bool {
+				return from == "n00" && to == "n01" || !tc.oneWay && from == "n01" && to == "n00"
+			}
+			sim.run(time.Minute)
+			for _, s := range *list {
+				t.Errorf("%+v", s)
+			}
+			via, reached := sim.nodes["n00"].detector.Way("n01")
+			if via != "n02" || !reached {
+				t.Errorf("route via %q, reached %v", via, reached)
+			}
+			sim.dropMessage = func(string, string) bool { return false }
+			sim.run(5 * second)
+			if via, reached := sim.nodes["n00"].detector.Way("n01"); via != "" || !reached {
+				t.Errorf("after the link is back: route via %q, reached %v", via, reached)
+			}
+		})
 	}
 }
 
-// A slow moment is refuted: suspected, never dead, and by a later incarnation.
-func TestStallIsRefuted(t *testing.T) {
-	g := newGroup(t, 5, 3)
-	g.run(5 * second)
-	before := g.nodes["n01"].detector.Incarnation()
-	list := g.watch()
-	g.freeze("n01", 1300*time.Millisecond)
-	g.run(20 * second)
+// A controller that pauses for less than the suspicion timeout is suspected, refutes that by a later
+// incarnation, and is never dead.
+func TestPausedMemberRefutesSuspicion(t *testing.T) {
+	sim := newSimulation(5, 3)
+	sim.run(5 * second)
+	before := sim.nodes["n01"].detector.Incarnation()
+	list := sim.recordChanges()
+	sim.pause("n01", 1300*time.Millisecond)
+	sim.run(20 * second)
 	suspected := false
 	for _, s := range *list {
 		suspected = suspected || s.of == "n01" && s.to == Suspect
@@ -144,208 +157,222 @@
 			t.Errorf("%+v", s)
 		}
 		if s.by == "n01" {
-			t.Errorf("the one that stood still: %+v", s)
+			t.Errorf("the paused observer: %+v", s)
 		}
 	}
-	if !suspected || !g.allHold("n01", Alive) {
-		t.Errorf("suspected %v, alive to all %v", suspected, g.allHold("n01", Alive))
+	if !suspected || !sim.allObserve("n01", Alive) {
+		t.Errorf("suspected %v, alive to all %v", suspected, sim.allObserve("n01", Alive))
 	}
-	if after := g.nodes["n01"].detector.Incarnation(); after <= before {
+	if after := sim.nodes["n01"].detector.Incarnation(); after <= before {
 		t.Errorf("incarnation %d before, %d after", before, after)
 	}
-	if c := g.nodes["n00"].detector.Counters(); c.FalseSuspicions == 0 {
-		t.Errorf("no wrong suspicion is counted: %+v", c)
+	if c := sim.nodes["n00"].detector.Counters(); c.FalseSuspicions == 0 {
+		t.Errorf("no false suspicion is counted: %+v", c)
 	}
 }
 
-// Longer than the timeout: dead, and alive again once it goes on; its claims that it was
-// wrongly declared dead are counted.
-func TestWronglyDeclaredDead(t *testing.T) {
-	g := newGroup(t, 6, 3)
-	g.run(5 * second)
-	g.freeze("n01", 15*second)
-	g.run(14 * second)
-	if !g.allHold("n01", Dead) {
+// A controller that pauses for longer than the suspicion timeout is dead, and alive again once it goes
+// on; its death is counted as false.
+func TestFalseDeathIsCounted(t *testing.T) {
+	sim := newSimulation(6, 3)
+	sim.run(5 * second)
+	sim.pause("n01", 15*second)
+	sim.run(14 * second)
+	if !sim.allObserve("n01", Dead) {
 		t.Error("it is not dead to all")
 	}
-	g.run(5 * second)
-	if !g.allHold("n01", Alive) {
+	sim.run(5 * second)
+	if !sim.allObserve("n01", Alive) {
 		t.Error("it is not alive again")
 	}
-	if c := g.nodes["n00"].detector.Counters(); c.FalseDeaths != 1 {
+	if c := sim.nodes["n00"].detector.Counters(); c.FalseDeaths != 1 {
 		t.Errorf("%+v", c)
 	}
-	if g.nodes["n00"].detector.Serves("n01", g.now) {
+	if sim.nodes["n00"].detector.Serves("n01", sim.now) {
 		t.Error("it serves machines at once")
 	}
 }
 
-// An observer that stood still suspects nobody, though the answers of all were late for it.
-func TestObserverThatStoodStill(t *testing.T) {
-	for _, d := range []time.Duration{testLease / 2, testLease, 7 * testLease, time.Minute} {
-		g := newGroup(t, 7, 5)
-		g.run(5 * second)
-		for len(g.nodes["n00"].detector.probes) == 0 {
-			g.run(time.Millisecond) // in the midst of probes
-		}
-		list := g.watch()
-		g.freeze("n00", d)
-		g.run(d + 20*second)
-		for _, s := range *list {
-			if s.by == "n00" {
-				t.Errorf("after %v: %+v", d, s)
+// An observer that was paused suspects nobody, though all answers were late for it.
+func TestPausedObserverSuspectsNobody(t *testing.T) {
+	for _, pause := range []time.Duration{testLease / 2, testLease, 7 * testLease, time.Minute} {
+		t.Run(pause.String(), func(t *testing.T) {
+			sim := newSimulation(7, 5)
+			sim.run(5 * second)
+			for len(sim.nodes["n00"].detector.pending.probes) == 0 {
+				sim.run(time.Millisecond) // the pause begins while probes are in flight
 			}
-		}
-		if h := g.nodes["n00"].detector.Health(); h != 0 {
-			t.Errorf("after %v and 20 s its health is %d", d, h)
-		}
+			list := sim.recordChanges()
+			sim.pause("n00", pause)
+			sim.run(pause + 20*second)
+			for _, s := range *list {
+				if s.by == "n00" {
+					t.Errorf("%+v", s)
+				}
+			}
+			if h := sim.nodes["n00"].detector.Health(); h != 0 {
+				t.Errorf("20 s after the pause its health score is %d", h)
+			}
+		})
 	}
 }
 
-// An observer that is cut off from all doubts itself first, and all are well after the cut.
-func TestIsolatedObserver(t *testing.T) {
-	g := newGroup(t, 8, 5)
-	g.run(5 * second)
-	g.cut = func(from, to string) bool { return from == "n00" || to == "n00" }
-	g.run(3 * second)
-	if !g.allHold("n00", Suspect) && !g.allHold("n00", Dead) {
+// An observer that is cut off from all others trusts its own silence less, and all are alive to all after
+// the partition.
+func TestIsolatedObserverDegradesItsHealth(t *testing.T) {
+	sim := newSimulation(8, 5)
+	sim.run(5 * second)
+	sim.dropMessage = func(from, to string) bool { return from == "n00" || to == "n00" }
+	sim.run(3 * second)
+	if !sim.allObserve("n00", Suspect) && !sim.allObserve("n00", Dead) {
 		t.Error("the others do not notice")
 	}
-	if g.nodes["n00"].detector.Health() == 0 {
-		t.Error("it trusts its own silence")
+	if sim.nodes["n00"].detector.Health() == 0 {
+		t.Error("its local health did not degrade")
 	}
-	g.run(10 * second)
-	g.cut = func(string, string) bool { return false }
-	g.run(15 * second)
-	for _, by := range g.labels {
-		for _, of := range g.others(by) {
-			if s := g.state(by, of); s != Alive {
-				t.Errorf("%s holds %s for %v", by, of, s)
+	sim.run(10 * second)
+	sim.dropMessage = func(string, string) bool { return false }
+	sim.run(15 * second)
+	for _, by := range sim.labels {
+		for _, of := range sim.others(by) {
+			if s := sim.state(by, of); s != Alive {
+				t.Errorf("to %s, %s is %v", by, of, s)
 			}
 		}
 	}
 }
 
-// Lost messages and a link that flaps declare nobody dead.
-func TestLossAndFlaps(t *testing.T) {
+// Lost messages declare nobody dead.
+func TestMessageLossCausesNoDeath(t *testing.T) {
 	for seed := range uint64(4) {
 		for _, loss := range []float64{0.05, 0.10, 0.20} {
-			g := newGroup(t, 100+seed, 5)
-			g.run(2 * second)
-			list := g.watch()
-			g.cut = func(string, string) bool { return g.random.Float64() < loss }
-			g.run(3 * time.Minute)
-			for _, s := range *list {
-				if s.to == Dead {
-					t.Errorf("seed %d, %v lost: %+v", seed, loss, s)
-				}
-			}
+			t.Run(fmt.Sprintf("seed %d loss %v", seed, loss), func(t *testing.T) {
+				sim := newSimulation(100+seed, 5)
+				sim.run(2 * second)
+				list := sim.recordChanges()
+				sim.dropMessage = func(string, string) bool { return sim.random.Float64() < loss }
+				sim.run(3 * time.Minute)
+				checkNoDeath(t, *list)
+			})
 		}
-		g := newGroup(t, 200+seed, 3)
-		list := g.watch()
-		g.cut = func(from, to string) bool {
-			return (from == "n00" || to == "n00") && int(g.now/second)%6 < 2
-		}
-		g.run(3 * time.Minute)
-		for _, s := range *list {
-			if s.to == Dead {
-				t.Errorf("seed %d, flapping: %+v", seed, s)
+	}
+}
+
+// A link that is down for two of each six seconds declares nobody dead.
+func TestFlappingLinkCausesNoDeath(t *testing.T) {
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			sim := newSimulation(200+seed, 3)
+			list := sim.recordChanges()
+			sim.dropMessage = func(from, to string) bool {
+				return (from == "n00" || to == "n00") && int(sim.now/second)%6 < 2
 			}
+			sim.run(3 * time.Minute)
+			checkNoDeath(t, *list)
+		})
+	}
+}
+
+func checkNoDeath(t *testing.T, list []observedChange) {
+	t.Helper()
+	for _, s := range list {
+		if s.to == Dead {
+			t.Errorf("%+v", s)
 		}
 	}
 }
 
-// An orderly end is told, and is no death.
-func TestLeave(t *testing.T) {
-	g := newGroup(t, 9, 3)
-	g.run(5 * second)
-	n := g.nodes["n01"]
-	g.carry(n, n.detector.Leave(g.clock(n)))
-	g.run(50 * time.Millisecond)
-	g.crash("n01")
-	if !g.allHold("n01", Left) {
-		t.Errorf("it is %v", g.state("n00", "n01"))
-	}
-	list := g.watch()
-	g.run(20 * second)
+// A controller that leaves gracefully is neither suspected nor dead.
+func TestGracefulLeave(t *testing.T) {
+	sim := newSimulation(9, 3)
+	sim.run(5 * second)
+	n := sim.nodes["n01"]
+	sim.apply(n, n.detector.Leave(sim.clock(n)))
+	sim.run(50 * time.Millisecond)
+	sim.nodes["n01"].crash()
+	if !sim.allObserve("n01", Left) {
+		t.Errorf("it is %v", sim.state("n00", "n01"))
+	}
+	list := sim.recordChanges()
+	sim.run(20 * second)
 	if len(*list) > 0 {
 		t.Errorf("%+v", (*list)[0])
 	}
-	g.boot("n01")
-	g.run(3 * second)
-	if !g.allHold("n01", Alive) {
-		t.Errorf("back, it is %v", g.state("n00", "n01"))
+	sim.start("n01")
+	sim.run(3 * second)
+	if !sim.allObserve("n01", Alive) {
+		t.Errorf("back, it is %v", sim.state("n00", "n01"))
 	}
 }
 
-// A version that knows no probes answers 404: it is judged by heartbeats.
-func TestOlderVersion(t *testing.T) {
-	g := newGroup(t, 11, 3)
-	g.nodes["n01"].older = true
-	list := g.watch()
-	g.run(30 * second)
+// A peer whose version answers probes with 404 is judged by heartbeats, until it is upgraded and again
+// after a rollback.
+func TestPeerWithoutProbeSupport(t *testing.T) {
+	sim := newSimulation(11, 3)
+	sim.nodes["n01"].withoutProbes = true
+	list := sim.recordChanges()
+	sim.run(30 * second)
 	for _, s := range *list {
 		if s.by != "n01" {
 			t.Errorf("%+v", s)
 		}
 	}
-	g.crash("n01")
-	g.run(20 * second)
-	if g.state("n00", "n01") != Dead {
-		t.Errorf("it ended, and is %v", g.state("n00", "n01"))
-	}
-	g.nodes["n01"].older = false
-	g.boot("n01")
-	g.run(3 * second)
-	if g.state("n00", "n01") != Alive || g.nodes["n00"].detector.Members()[0].Heartbeats {
-		t.Errorf("upgraded, it is %+v", g.nodes["n00"].detector.Members()[0])
-	}
-	// And back again.
-	g.crash("n01")
-	g.nodes["n01"].older = true
-	g.boot("n01")
-	g.run(10 * second)
-	if g.state("n00", "n01") != Alive || !g.nodes["n00"].detector.Members()[0].Heartbeats {
-		t.Errorf("rolled back, it is %+v", g.nodes["n00"].detector.Members()[0])
+	sim.nodes["n01"].crash()
+	sim.run(20 * second)
+	if sim.state("n00", "n01") != Dead {
+		t.Errorf("it ended, and is %v", sim.state("n00", "n01"))
+	}
+	sim.nodes["n01"].withoutProbes = false
+	sim.start("n01")
+	sim.run(3 * second)
+	if sim.state("n00", "n01") != Alive || sim.nodes["n00"].detector.Members()[0].Heartbeats {
+		t.Errorf("upgraded, it is %+v", sim.nodes["n00"].detector.Members()[0])
+	}
+	sim.nodes["n01"].crash()
+	sim.nodes["n01"].withoutProbes = true
+	sim.start("n01")
+	sim.run(10 * second)
+	if sim.state("n00", "n01") != Alive || !sim.nodes["n00"].detector.Members()[0].Heartbeats {
+		t.Errorf("rolled back, it is %+v", sim.nodes["n00"].detector.Members()[0])
 	}
 }
 
-// Clocks that drift and are off by the bound are nothing to the detectors; one whose clock was
-// set back at its restart gets a later incarnation all the same.
-func TestClocks(t *testing.T) {
-	g := newGroup(t, 12, 3)
-	g.nodes["n00"].drift, g.nodes["n01"].drift = 0.0005, -0.0005
-	g.nodes["n02"].clockOff = 25 * time.Millisecond
-	list := g.watch()
-	g.run(5 * time.Minute)
+// Clocks that drift, or are off by no more than their bound, cause no change of state. A controller whose
+// clock was set back before its restart still gets a later incarnation.
+func TestClockDriftAndOffset(t *testing.T) {
+	sim := newSimulation(12, 3)
+	sim.nodes["n00"].drift, sim.nodes["n01"].drift = 0.0005, -0.0005
+	sim.nodes["n02"].clockOffset = 25 * time.Millisecond
+	list := sim.recordChanges()
+	sim.run(5 * time.Minute)
 	if len(*list) > 0 {
 		t.Errorf("%+v", (*list)[0])
 	}
-	g.crash("n01")
-	g.run(20 * second)
-	g.nodes["n01"].clockOff = -30 * second // before its last start's refutations, within the bound on futures
-	g.boot("n01")
-	g.run(10 * second)
-	if !g.allHold("n01", Alive) {
-		t.Errorf("set back, it is %v", g.state("n00", "n01"))
+	sim.nodes["n01"].crash()
+	sim.run(20 * second)
+	sim.nodes["n01"].clockOffset = -30 * second // set back, within the bound on the future
+	sim.start("n01")
+	sim.run(10 * second)
+	if !sim.allObserve("n01", Alive) {
+		t.Errorf("set back, it is %v", sim.state("n00", "n01"))
 	}
 }
 
-// What a controller of 24 costs: messages and bytes a second, stated in docs/failure-detection.md.
-func TestCostOfTwoDozen(t *testing.T) {
-	g := newGroup(t, 13, 24)
-	g.run(10 * second)
-	clear(g.bytes)
-	clear(g.sent)
+// The messages and bytes a second that a controller of 24 sends; docs/failure-detection.md states them.
+func TestTrafficOfTwentyFourControllers(t *testing.T) {
+	sim := newSimulation(13, 24)
+	sim.run(10 * second)
+	clear(sim.bytes)
+	clear(sim.sent)
 	const measured = 60
-	g.run(measured * second)
-	for _, l := range g.labels {
-		if perSecond := float64(g.sent[l]) / measured; perSecond > mostProbesAtOnce*float64(second)/float64(testLease/5)*1.05 {
+	sim.run(measured * second)
+	for _, l := range sim.labels {
+		if perSecond := float64(sim.sent[l]) / measured; perSecond > maxProbesPerRound*float64(second)/float64(testLease/5)*1.05 {
 			t.Errorf("%s sends %.1f probes a second", l, perSecond)
 		}
-		if perSecond := g.bytes[l] / measured; perSecond > 3000 {
+		if perSecond := sim.bytes[l] / measured; perSecond > 3000 {
 			t.Errorf("%s sends %d bytes a second", l, perSecond)
 		}
 	}
-	t.Logf("%.1f probes and %d bytes a second", float64(g.sent["n00"])/measured, g.bytes["n00"]/measured)
+	t.Logf("%.1f probes and %d bytes a second", float64(sim.sent["n00"])/measured, sim.bytes["n00"]/measured)
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -2,91 +2,102 @@
 
 import "time"
 
-// speech is how a member can be asked for a sign of life.
-type speech uint8
+// probeMethod is how a member is asked for an ack.
+type probeMethod uint8
 
 const (
-	byProbes     speech = iota // as this version does
-	byHeartbeats               // its version answers probes with 404
+	viaProbe     probeMethod = iota // its version answers probes
+	viaHeartbeat                    // its version answers probes with 404, and heartbeats
 )
 
-// member is what the detector knows of another controller.
+// member is what the detector knows of a peer. Times are monotonic.
 type member struct {
 	label       string
 	state       State
 	since       time.Duration // when the state began
 	incarnation Incarnation   // highest known
 	sequence    uint64        // highest of that incarnation
-	speech      speech
+	method      probeMethod
 
 	suspicion suspicion
-	// suspectedWall is the time of day, in ms, when it was last suspected.
-	suspectedWall int64
-	// accused is by whom it was lately held suspect or dead, while we hold it alive.
-	accused map[string]accusation
+	// suspectedAtWall is when it was last suspected, as Unix time in milliseconds.
+	suspectedAtWall int64
+	// reports are the suspicions of other members, by label, that came lately while it was not
+	// suspected here.
+	reports map[string]suspicionReport
 
-	answeredAt time.Duration // when it or a witness last gave a sign of life
-	// The last ways that it was reached by: directly, and by another member.
-	directAt, viaAt time.Duration
-	via             string
-	unreached       bool // the last probe of it had no answer by the direct way
+	lastAckAt time.Duration // direct or indirect
+	// lastDirectAckAt, lastIndirectAckAt and lastHelper tell how it was last reached: directly,
+	// and through another member.
+	lastDirectAckAt, lastIndirectAckAt time.Duration
+	lastHelper                         string
+	directProbeFailed                  bool // the last probe had no direct ack in time
 
-	probing   bool          // a probe of it is under way
-	nextProbe time.Duration // not before
-	// onlyOurWord counts failed probes in a row without any witness.
-	onlyOurWord int
-	dropped     map[DropReason]bool // logged once
-	// returnedAt is when it was last back from being dead or gone; 0: never.
-	returnedAt time.Duration
+	probeInFlight bool
+	nextProbeAt   time.Duration // the earliest time of the next probe
+	// unconfirmedFailures counts failed probes in a row of which no helper sent a nack.
+	unconfirmedFailures int
+	// loggedDrops are the reasons for which a message of it was dropped: each is logged once.
+	loggedDrops map[DropReason]bool
+	// rejoinedAt is when it last came back from being dead or left; 0: never.
+	rejoinedAt time.Duration
 }
 
-type accusation struct {
-	at          time.Duration
-	state       State
-	incarnation Incarnation
+// isPresent reports whether the member keeps its machines: suspicion alone moves nothing.
+func (m *member) isPresent() bool { return m.state == Alive || m.state == Suspect }
+
+// claim is what we tell others about the member.
+func (m *member) claim() Claim {
+	return Claim{Label: m.label, State: m.state, Incarnation: m.incarnation}
+}
+
+// recordDirectAck notes that the member answered us.
+func (m *member) recordDirectAck(now time.Duration) {
+	m.lastAckAt, m.lastDirectAckAt, m.directProbeFailed = now, now, false
 }
 
-// present says whether it keeps its machines: suspicion alone moves nothing.
-func (m *member) present() bool { return m.state == Alive || m.state == Suspect }
+// recordIndirectAck notes that a helper reached the member.
+func (m *member) recordIndirectAck(now time.Duration, helper string) {
+	m.lastAckAt, m.lastIndirectAckAt, m.lastHelper, m.unconfirmedFailures = now, now, helper, 0
+}
 
-// accuse notes a claim against the member.
-func (m *member) accuse(by string, a accusation) {
-	if m.accused == nil {
-		m.accused = map[string]accusation{}
+// updateIncarnation takes an incarnation that is later than the known one, and reports whether it is.
+// One from the future is not taken: it would make the member's own messages stale.
+func (m *member) updateIncarnation(incarnation Incarnation, clock *detectorClock) bool {
+	if incarnation <= m.incarnation || clock.isFuture(incarnation) {
+		return false
 	}
-	m.accused[by] = a
+	m.incarnation, m.sequence = incarnation, 0
+	m.discardOldReports()
+	return true
 }
 
-// forgive forgets claims against incarnations before the member's.
-func (m *member) forgive() {
-	for by, a := range m.accused {
-		if a.incarnation < m.incarnation {
-			delete(m.accused, by)
-		}
+// checkOrder checks that a message of the member is later than all that were taken before; if it is
+// not, ok is false. It guards against copies, late deliveries and clocks that were set back.
+func (m *member) checkOrder(message Probe, clock *detectorClock) (violation DropReason, ok bool) {
+	switch {
+	case clock.isFuture(message.Incarnation) || message.Sequence > maxSequence:
+		return DropFuture, false
+	case message.Incarnation < m.incarnation:
+		return DropIncarnation, false
+	case message.Incarnation == m.incarnation && message.Sequence <= m.sequence:
+		return DropSequence, false
 	}
+	return "", true
 }
 
-// probe is a question under way: whether a member gives a sign of life.
-type probe struct {
-	target  *member
-	sent    time.Duration
-	timeout time.Duration // of the direct way, stretched
-	asked   bool          // others were asked, too
-	// Those asked, and those of them who said that they don't reach it either.
-	witnesses, denials int
-	// For another controller that asked us: its request, and its message's sequence.
-	onBehalf bool
-	request  uint64
-	asker    string
-	echo     uint64
+// startedBefore reports whether the process of the known incarnation began before a time of day, with
+// the clocks' error granted to it.
+func (m *member) startedBefore(wall int64, clockError time.Duration) bool {
+	return int64(m.incarnation) <= wall-clockError.Milliseconds()
 }
 
-// question is one request of a probe.
-type question struct {
-	probe   *probe
-	witness string // "" for the target itself
-	// heartbeat: it was asked by a heartbeat.
-	heartbeat bool
-	sequence  uint64
-	sent      time.Duration
+// isFirstDrop reports whether no message of the member was dropped for the reason before. There may be
+// no member: labels that are not in the group are never the first, or they could fill the log.
+func (m *member) isFirstDrop(reason DropReason) bool {
+	if m == nil || m.loggedDrops[reason] {
+		return false
+	}
+	m.loggedDrops[reason] = true
+	return true
 }
