--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -12,12 +12,12 @@
 
 // Limits of the cloud that the protocol's page names.
 const (
-	mostListed   = 500
-	mostRented   = 50
-	mostDeleted  = 100
+	maxListed    = 500
+	maxLaunched  = 50
+	maxDeleted   = 100
 	burstSeconds = 2
-	// deadListed is how long a machine that has died is still listed as running.
-	deadListed = 30 * time.Second
+	// failureListingDelay is how long a machine that has died is still listed as running.
+	failureListingDelay = 30 * time.Second
 )
 
 // Pool is a type, zone and kind of machine.
@@ -38,11 +38,11 @@
 
 // Cloud rents machines.
 type Cloud struct {
-	queue    *EventQueue
-	machines []*Machine // in the order of creation, which is the order of names
-	byName   map[string]*Machine
-	answers  map[string][]string
-	calls    rate
+	queue             *EventQueue
+	machines          []*Machine // in the order of creation, which is the order of names
+	byName            map[string]*Machine
+	launchedByRequest map[string][]string
+	requestBudget     tokenBucket
 
 	Types []protocol.MachineType
 	// Name and Addr give the n-th machine its name, from 1, and its worker's address.
@@ -67,8 +67,8 @@
 }
 
 // NewCloud makes a cloud without machines.
-func NewCloud(agenda *EventQueue) *Cloud {
-	return &Cloud{queue: agenda, byName: map[string]*Machine{}, answers: map[string][]string{}}
+func NewCloud(queue *EventQueue) *Cloud {
+	return &Cloud{queue: queue, byName: map[string]*Machine{}, launchedByRequest: map[string][]string{}}
 }
 
 // Create makes a machine that begins to boot now.
@@ -90,11 +90,11 @@
 func (c *Cloud) Fail(id string) {
 	if m := c.byName[id]; m != nil && !m.Deleted && m.Failed == 0 {
 		m.Failed = c.queue.Now()
-		c.free(m)
+		c.releaseCapacity(m)
 	}
 }
 
-func (c *Cloud) free(m *Machine) {
+func (c *Cloud) releaseCapacity(m *Machine) {
 	if c.Left != nil {
 		c.Left[m.Pool]++
 	}
@@ -105,7 +105,7 @@
 	if c.Down {
 		return statusUnavailable, protocol.Encode(map[string]any{"error": "trouble"})
 	}
-	if c.Rate > 0 && !c.calls.takeBurst(c.queue.Now(), c.Rate, burstSeconds*c.Rate, 1) {
+	if c.Rate > 0 && !c.requestBudget.allowBurst(c.queue.Now(), c.Rate, burstSeconds*c.Rate, 1) {
 		return statusTooMany, nil
 	}
 	path, query, _ := strings.Cut(target, "?")
@@ -113,7 +113,7 @@
 	case path == "/flavors":
 		return 200, protocol.Encode(protocol.MachineTypes{Types: c.Types})
 	case path == "/machines" && method == "POST":
-		return c.rent(body)
+		return c.launchMachines(body)
 	case path == "/machines":
 		values, err := url.ParseQuery(query)
 		if err != nil {
@@ -123,24 +123,24 @@
 	case path == "/machines/delete":
 		return c.deleteMachines(body)
 	}
-	c.wrong(method + " " + target)
+	c.reportViolation(method + " " + target)
 	return 400, nil
 }
 
-func (c *Cloud) wrong(what string) {
+func (c *Cloud) reportViolation(what string) {
 	if c.Wrong != nil {
 		c.Wrong("cloud: " + what)
 	}
 }
 
-func (c *Cloud) rent(body []byte) (int, []byte) {
+func (c *Cloud) launchMachines(body []byte) (int, []byte) {
 	var request protocol.LaunchRequest
-	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 || request.Count > mostRented {
-		c.wrong("a rental can't be read or asks for too many")
+	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 || request.Count > maxLaunched {
+		c.reportViolation("a rental can't be read or asks for too many")
 		return 400, nil
 	}
 	pool := Pool{request.Type, request.Zone, request.Spot}
-	if c.answers[request.Request] == nil {
+	if c.launchedByRequest[request.Request] == nil {
 		count := request.Count
 		if c.Left != nil {
 			count = min(count, c.Left[pool])
@@ -150,18 +150,18 @@
 		}
 		for range count {
 			m := c.Create(pool)
-			c.answers[request.Request] = append(c.answers[request.Request], m.ID)
+			c.launchedByRequest[request.Request] = append(c.launchedByRequest[request.Request], m.ID)
 			c.Launch(m)
 			c.queue.After(c.BootTime(m.Type), func() { m.Up = true })
 		}
 	}
-	return 200, protocol.Encode(protocol.MachineNames{Machines: c.answers[request.Request]})
+	return 200, protocol.Encode(protocol.MachineNames{Machines: c.launchedByRequest[request.Request]})
 }
 
 func (c *Cloud) list(values url.Values) protocol.MachineList {
 	limit, _ := strconv.Atoi(values.Get("limit"))
-	if limit <= 0 || limit > mostListed {
-		limit = mostListed
+	if limit <= 0 || limit > maxListed {
+		limit = maxListed
 	}
 	after := values.Get("after")
 	now := c.queue.Now()
@@ -177,7 +177,7 @@
 		}
 		state := "booting"
 		switch {
-		case m.Failed > 0 && now > m.Failed+deadListed:
+		case m.Failed > 0 && now > m.Failed+failureListingDelay:
 			state = "failed"
 		case m.Up:
 			state = "running"
@@ -190,8 +190,8 @@
 
 func (c *Cloud) deleteMachines(body []byte) (int, []byte) {
 	var request protocol.MachineNames
-	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > mostDeleted {
-		c.wrong("a deletion can't be read or names too many")
+	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > maxDeleted {
+		c.reportViolation("a deletion can't be read or names too many")
 		return 400, nil
 	}
 	for _, id := range request.Machines {
@@ -201,7 +201,7 @@
 			continue
 		}
 		if m.Failed == 0 {
-			c.free(m)
+			c.releaseCapacity(m)
 		}
 		m.Deleted = true
 		c.Remove(m)
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -11,70 +11,70 @@
 
 // EventQueue is a list of things to do at their times, and the clock that goes with it.
 type EventQueue struct {
-	now  time.Duration
-	seq  int
-	list happenings
+	now    time.Duration
+	seq    int
+	events eventHeap
 }
 
-type happening struct {
-	at  time.Duration
-	seq int
-	do  func()
+type event struct {
+	at     time.Duration
+	seq    int
+	action func()
 }
 
 // Now is the time that the agenda has reached.
-func (a *EventQueue) Now() time.Duration { return a.now }
+func (q *EventQueue) Now() time.Duration { return q.now }
 
 // After has something done a while from now; things due at the same time are done in the
 // order in which they were asked for.
-func (a *EventQueue) After(d time.Duration, do func()) {
-	a.seq++
-	heap.Push(&a.list, happening{a.now + max(d, 0), a.seq, do})
+func (q *EventQueue) After(d time.Duration, do func()) {
+	q.seq++
+	heap.Push(&q.events, event{q.now + max(d, 0), q.seq, do})
 }
 
 // RunUntil does all that is due up to a time, which becomes now.
-func (a *EventQueue) RunUntil(end time.Duration) {
-	for len(a.list) > 0 && a.list[0].at <= end {
-		next := heap.Pop(&a.list).(happening)
-		a.now = max(a.now, next.at)
-		next.do()
+func (q *EventQueue) RunUntil(end time.Duration) {
+	for len(q.events) > 0 && q.events[0].at <= end {
+		next := heap.Pop(&q.events).(event)
+		q.now = max(q.now, next.at)
+		next.action()
 	}
-	a.now = max(a.now, end)
+	q.now = max(q.now, end)
 }
 
 // Next is when the next thing is due; false: there is none.
-func (a *EventQueue) Next() (time.Duration, bool) {
-	if len(a.list) == 0 {
+func (q *EventQueue) Next() (time.Duration, bool) {
+	if len(q.events) == 0 {
 		return 0, false
 	}
-	return a.list[0].at, true
+	return q.events[0].at, true
 }
 
 // Empty says whether there is nothing to do.
-func (a *EventQueue) Empty() bool { return len(a.list) == 0 }
+func (q *EventQueue) Empty() bool { return len(q.events) == 0 }
 
-// happenings is a heap by time.
-type happenings []happening
+// eventHeap is a heap by time.
+type eventHeap []event
 
 // Len is part of heap.Interface.
-func (h happenings) Len() int { return len(h) }
+func (h eventHeap) Len() int { return len(h) }
 
 // Less is part of heap.Interface.
-func (h happenings) Less(i, j int) bool {
+func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
 // Swap is part of heap.Interface.
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push is part of heap.Interface.
-func (h *happenings) Push(x any) { *h = append(*h, x.(happening)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
 // Pop is part of heap.Interface.
-func (h *happenings) Pop() any {
+func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
-	(*h)[last] = happening{}
+	(*h)[last] = event{}
 	*h = (*h)[:last]
 	return x
 }
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -11,44 +11,44 @@
 	"claybarrow/internal/protocol"
 )
 
-// gang lists a gang's tasks under one attempt that are on machines.
-func (f *Fleet) gang(try GangTry) (out []*Task) {
-	for t, k := range f.gangs[try] {
-		if t.Here() && !k.Deleted {
+// gangTasks lists a gang's tasks under one attempt that are on machines.
+func (f *Fleet) gangTasks(try GangAttempt) (out []*Task) {
+	for t, worker := range f.gangs[try] {
+		if t.Here() && !worker.Deleted {
 			out = append(out, t)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Task) int { return cmp.Compare(a.began, b.began) })
+	slices.SortFunc(out, func(a, b *Task) int { return cmp.Compare(a.generation, b.generation) })
 	return out
 }
 
-func (t *Task) gangTry() GangTry { return GangTry{t.UID, t.Try} }
+func (t *Task) gangAttempt() GangAttempt { return GangAttempt{t.UID, t.Try} }
 
 // joinGang puts a task among those of its attempt.
-func (f *Fleet) joinGang(k *Worker, t *Task) {
-	try := t.gangTry()
+func (f *Fleet) joinGang(worker *Worker, t *Task) {
+	try := t.gangAttempt()
 	if f.gangs[try] == nil {
 		f.gangs[try] = map[*Task]*Worker{}
 	}
-	f.gangs[try][t] = k
+	f.gangs[try][t] = worker
 }
 
-// forgetGang takes a task that its worker has forgotten out of its gang.
-func (f *Fleet) forgetGang(t *Task) {
-	try := t.gangTry()
+// leaveGang takes a task that its worker has forgotten out of its gang.
+func (f *Fleet) leaveGang(t *Task) {
+	try := t.gangAttempt()
 	delete(f.gangs[try], t)
 	if len(f.gangs[try]) == 0 {
 		delete(f.gangs, try)
 	}
 }
 
-// gather has a gang's task wait for the others, and starts the gang once the last one is
+// waitForGang has a gang's task wait for the others, and starts the gang once the last one is
 // there.
-func (w *Worker) gather(name string, t *Task, job *Job) {
+func (w *Worker) waitForGang(name string, t *Task, job *Job) {
 	f := w.fleet
 	w.setState(name, t, protocol.WaitingForGang, "")
 	f.joinGang(w, t)
-	f.startWhole(t.gangTry(), job)
+	f.startGangIfComplete(t.gangAttempt(), job)
 	f.queue.After(f.Timing.GangWait, func() {
 		if t.State == protocol.WaitingForGang {
 			w.setState(name, t, protocol.Exited, protocol.CauseIncomplete)
@@ -56,9 +56,9 @@
 	})
 }
 
-// startWhole starts a gang whose tasks all wait. They end together.
-func (f *Fleet) startWhole(try GangTry, job *Job) {
-	all := f.gang(try)
+// startGangIfComplete starts a gang whose tasks all wait. They end together.
+func (f *Fleet) startGangIfComplete(try GangAttempt, job *Job) {
+	all := f.gangTasks(try)
 	whole := func(state protocol.TaskState) bool {
 		n := 0
 		for _, t := range all {
@@ -73,22 +73,22 @@
 	}
 	for _, t := range all {
 		t.State = protocol.Running
-		f.gangs[try][t].noteChange()
+		f.gangs[try][t].heartbeatSoon()
 	}
 	f.Wholes[try.UID]++
 	f.queue.After(f.RunTime(try.UID+"/0"), func() {
-		if len(f.gang(try)) != len(all) || !whole(protocol.Running) {
+		if len(f.gangTasks(try)) != len(all) || !whole(protocol.Running) {
 			return
 		}
 		f.finishGang(try, all)
 	})
 }
 
-func (f *Fleet) finishGang(try GangTry, all []*Task) {
+func (f *Fleet) finishGang(try GangAttempt, all []*Task) {
 	for _, t := range all {
-		k := f.gangs[try][t]
-		name := k.nameOf(t)
-		k.setState(name, t, protocol.Exited, protocol.CauseDone)
+		worker := f.gangs[try][t]
+		name := worker.attemptKey(t)
+		worker.setState(name, t, protocol.Exited, protocol.CauseDone)
 	}
 	for i, t := range all {
 		if f.Done != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// nameOf finds the key of a task on the worker.
-func (w *Worker) nameOf(t *Task) string {
+// attemptKey finds the key of a task on the worker.
+func (w *Worker) attemptKey(t *Task) string {
 	for name, other := range w.Tasks {
 		if other == t {
 			return name
@@ -107,9 +107,9 @@
 	return Name(t.UID, t.Try)
 }
 
-// haltGangTask stops a gang's task: at once, unless it runs and has time to save. Until it
+// stopGangTask stops a gang's task: at once, unless it runs and has time to save. Until it
 // ends it is called running, as the protocol's page has it.
-func (w *Worker) haltGangTask(name string, t *Task, job *Job, graceS float64) {
+func (w *Worker) stopGangTask(name string, t *Task, job *Job, graceS float64) {
 	f := w.fleet
 	if t.Halted == 0 && f.Halted != nil {
 		f.Halted(t, graceS)
@@ -126,30 +126,30 @@
 // StepGangs has running tasks of gangs do what the protocol's page says of the end of one
 // of them, or of a stop. Whoever owns the fleet calls it often.
 func (f *Fleet) StepGangs() {
-	tries := slices.SortedFunc(maps.Keys(f.gangs), func(a, b GangTry) int {
-		return cmp.Or(strings.Compare(a.UID, b.UID), cmp.Compare(a.Try, b.Try))
+	tries := slices.SortedFunc(maps.Keys(f.gangs), func(a, b GangAttempt) int {
+		return cmp.Or(strings.Compare(a.UID, b.UID), cmp.Compare(a.Attempt, b.Attempt))
 	})
 	for _, try := range tries {
 		job := f.Jobs(try.UID)
-		for _, t := range f.gang(try) {
-			k := f.gangs[try][t]
-			if t.State != protocol.Running || k.Hung {
+		for _, t := range f.gangTasks(try) {
+			worker := f.gangs[try][t]
+			if t.State != protocol.Running || worker.Hung {
 				continue
 			}
 			if t.Halted > 0 {
-				f.stepStop(k, t, job)
+				f.stepGangStop(worker, t, job)
 			} else {
-				f.missMates(k, t, job)
+				f.checkGangPeers(worker, t, job)
 			}
 		}
 	}
 }
 
-// missMates ends a task when others of its gang have been gone, or were told to stop and it
+// checkGangPeers ends a task when others of its gang have been gone, or were told to stop and it
 // was not, for gang_peer_s.
-func (f *Fleet) missMates(k *Worker, t *Task, job *Job) {
+func (f *Fleet) checkGangPeers(worker *Worker, t *Task, job *Job) {
 	all := 0
-	for _, mate := range f.gang(t.gangTry()) {
+	for _, mate := range f.gangTasks(t.gangAttempt()) {
 		if mate.State == protocol.Running && mate.Halted == 0 {
 			all++
 		}
@@ -157,20 +157,20 @@
 	now := f.queue.Now()
 	switch {
 	case all == job.Tasks:
-		t.alone = 0
-	case t.alone == 0:
-		t.alone = now
-	case now >= t.alone+f.Timing.GangPeer:
-		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CausePeersLost)
+		t.peersMissingSince = 0
+	case t.peersMissingSince == 0:
+		t.peersMissingSince = now
+	case now >= t.peersMissingSince+f.Timing.GangPeer:
+		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CausePeersLost)
 	}
 }
 
-// stepStop ends a task that was told to stop: with its progress saved, once it has saved and
+// stepGangStop ends a task that was told to stop: with its progress saved, once it has saved and
 // all others were told, or without when they weren't in time.
-func (f *Fleet) stepStop(k *Worker, t *Task, job *Job) {
-	try := t.gangTry()
-	told, first := f.savedTasks[try], t.Halted // those that have ended were told
-	for _, mate := range f.gang(try) {
+func (f *Fleet) stepGangStop(worker *Worker, t *Task, job *Job) {
+	try := t.gangAttempt()
+	told, first := f.checkpointedTasks[try], t.Halted // those that have ended were told
+	for _, mate := range f.gangTasks(try) {
 		if mate.Halted > 0 {
 			told++
 			first = min(first, mate.Halted)
@@ -182,12 +182,12 @@
 	case now < t.Halted+takes:
 	case told == job.Tasks:
 		t.Stored = true
-		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CauseStopped)
-		if f.savedTasks[try] == 0 {
+		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CauseStopped)
+		if f.checkpointedTasks[try] == 0 {
 			f.Saves[t.UID]++
 		}
-		f.savedTasks[try]++
+		f.checkpointedTasks[try]++
 	case now >= first+f.Timing.GangPeer:
-		k.setState(k.nameOf(t), t, protocol.Exited, protocol.CausePeersLost)
+		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CausePeersLost)
 	}
 }
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -17,15 +17,15 @@
 
 // Limits of the state service that the protocol's page names.
 const (
-	maxPageItems      = 1_000
-	maxPageBytes      = 512 << 10
-	keptEvents        = 10_000
-	conditionsPerPut  = 4
-	maxWatchMillis    = 60_000
-	leaseExpiryRetry  = 20 * time.Millisecond
-	statusTooOld      = 410
-	statusTooMany     = 429
-	statusUnavailable = 503
+	maxPageItems           = 1_000
+	maxPageBytes           = 512 << 10
+	maxKeptEvents          = 10_000
+	maxConditionsPerChange = 4
+	maxWatchMillis         = 60_000
+	leaseExpiryRetry       = 20 * time.Millisecond
+	statusTooOld           = 410
+	statusTooMany          = 429
+	statusUnavailable      = 503
 )
 
 // Item is a stored key.
@@ -35,7 +35,7 @@
 	Lease   uint64
 }
 
-type lease struct{ ends, life time.Duration }
+type lease struct{ expiresAt, ttl time.Duration }
 
 // StateLimits bound what the state service takes. Zero: no limit.
 type StateLimits struct {
@@ -52,15 +52,15 @@
 
 // StateService is a small key-value store with leases, watches and transactions.
 type StateService struct {
-	queue    *EventQueue
-	items    btree.Map[string, *Item]
-	leases   map[uint64]*lease
-	revision uint64
-	lastID   uint64
-	events   []protocol.Event
-	watches  []*watch
-	requests rate
-	changes  rate
+	queue         *EventQueue
+	items         btree.Map[string, *Item]
+	leases        map[uint64]*lease
+	revision      uint64
+	lastID        uint64
+	events        []protocol.Event
+	watches       []*watch
+	requestBudget tokenBucket
+	changeBudget  tokenBucket
 
 	// Down: nobody is served. Refuse: these clients are not.
 	Down   bool
@@ -80,16 +80,16 @@
 
 // watch is an open request for news of a prefix.
 type watch struct {
-	client int
-	prefix string
-	after  uint64
-	reply  Reply
-	done   bool
+	client        int
+	prefix        string
+	afterRevision uint64
+	reply         Reply
+	done          bool
 }
 
 // NewStateService makes an empty store.
-func NewStateService(agenda *EventQueue, limits StateLimits) *StateService {
-	return &StateService{queue: agenda, leases: map[uint64]*lease{}, Refuse: map[int]bool{}, Limits: limits}
+func NewStateService(queue *EventQueue, limits StateLimits) *StateService {
+	return &StateService{queue: queue, leases: map[uint64]*lease{}, Refuse: map[int]bool{}, Limits: limits}
 }
 
 // Item is what a key holds, or nil.
@@ -104,14 +104,14 @@
 // Change puts or, with nil, deletes a key as a transaction of its own.
 func (s *StateService) Change(key string, it *Item) {
 	s.revision++
-	s.set(key, it)
-	s.wake()
+	s.applyChange(key, it)
+	s.notifyWatches()
 }
 
 // Place puts a key without a change of the revision, as if it had always been there.
 func (s *StateService) Place(key string, it *Item) { s.items.Set(key, it) }
 
-func (s *StateService) set(key string, it *Item) {
+func (s *StateService) applyChange(key string, it *Item) {
 	event := protocol.Event{Delete: key, Version: s.revision}
 	if it == nil {
 		s.items.Delete(key)
@@ -121,13 +121,13 @@
 		event = protocol.Event{Put: key, Value: it.Value, Version: s.revision}
 	}
 	s.events = append(s.events, event)
-	if len(s.events) >= 2*keptEvents {
-		s.events = append([]protocol.Event(nil), s.events[len(s.events)-keptEvents:]...)
+	if len(s.events) >= 2*maxKeptEvents {
+		s.events = append([]protocol.Event(nil), s.events[len(s.events)-maxKeptEvents:]...)
 	}
 }
 
-// wake answers the watches that the last changes are news for.
-func (s *StateService) wake() {
+// notifyWatches answers the watches that the last changes are news for.
+func (s *StateService) notifyWatches() {
 	s.watches = slices.DeleteFunc(s.watches, func(open *watch) bool { return s.answerWatch(open, false) })
 }
 
@@ -138,7 +138,7 @@
 	}
 	out := protocol.Events{Revision: s.revision}
 	first := len(s.events)
-	for first > 0 && s.events[first-1].Version > open.after {
+	for first > 0 && s.events[first-1].Version > open.afterRevision {
 		first--
 	}
 	for _, e := range s.events[first:] {
@@ -147,7 +147,7 @@
 		}
 	}
 	if len(out.Events) == 0 && !over {
-		open.after = s.revision
+		open.afterRevision = s.revision
 		return false
 	}
 	open.done = true
@@ -155,19 +155,19 @@
 	return true
 }
 
-func (s *StateService) expire(id uint64) {
+func (s *StateService) expireLease(id uint64) {
 	l := s.leases[id]
 	if l == nil {
 		return
 	}
-	if now := s.queue.Now(); s.Down || now < l.ends {
-		s.queue.After(max(l.ends-now, leaseExpiryRetry), func() { s.expire(id) })
+	if now := s.queue.Now(); s.Down || now < l.expiresAt {
+		s.queue.After(max(l.expiresAt-now, leaseExpiryRetry), func() { s.expireLease(id) })
 		return
 	}
-	s.endLease(id)
+	s.revokeLease(id)
 }
 
-func (s *StateService) endLease(id uint64) {
+func (s *StateService) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var attached []string
 	s.items.Scan(func(key string, it *Item) bool {
@@ -187,9 +187,9 @@
 	s.queue.After(d, func() {
 		s.Down = false
 		for _, l := range s.leases {
-			l.ends = s.queue.Now() + l.life
+			l.expiresAt = s.queue.Now() + l.ttl
 		}
-		s.wake()
+		s.notifyWatches()
 	})
 }
 
@@ -201,7 +201,7 @@
 		reply(statusUnavailable, nil)
 		return
 	}
-	if !s.requests.take(s.queue.Now(), s.Limits.RequestRate, 1) {
+	if !s.requestBudget.allow(s.queue.Now(), s.Limits.RequestRate, 1) {
 		s.Stats.TooMany++
 		reply(statusTooMany, nil)
 		return
@@ -224,14 +224,14 @@
 	case strings.HasPrefix(path, "/leases/"):
 		s.changeLease(method, path, reply)
 	case isWatch:
-		s.follow(client, values, reply)
+		s.openWatch(client, values, reply)
 	default:
-		s.wrong("%s %s", method, target)
+		s.reportViolation("%s %s", method, target)
 		reply(400, nil)
 	}
 }
 
-func (s *StateService) wrong(format string, args ...any) {
+func (s *StateService) reportViolation(format string, args ...any) {
 	if s.Wrong != nil {
 		s.Wrong("state service: " + fmt.Sprintf(format, args...))
 	}
@@ -276,14 +276,14 @@
 func (s *StateService) openLease(body []byte, reply Reply) {
 	var request protocol.LeaseRequest
 	if err := protocol.Decode(body, &request); err != nil {
-		s.wrong("a lease request can't be read: %v", err)
+		s.reportViolation("a lease request can't be read: %v", err)
 		reply(400, nil)
 		return
 	}
 	s.lastID++
 	id, life := s.lastID, time.Duration(request.TTLMillis)*time.Millisecond
-	s.leases[id] = &lease{ends: s.queue.Now() + life, life: life}
-	s.queue.After(life, func() { s.expire(id) })
+	s.leases[id] = &lease{expiresAt: s.queue.Now() + life, ttl: life}
+	s.queue.After(life, func() { s.expireLease(id) })
 	reply(200, protocol.Encode(protocol.LeaseReply{Lease: id}))
 }
 
@@ -294,22 +294,22 @@
 	case l == nil:
 		reply(404, nil)
 	case method == "DELETE":
-		s.endLease(id)
+		s.revokeLease(id)
 		reply(200, nil)
 	default:
-		l.ends = s.queue.Now() + l.life
+		l.expiresAt = s.queue.Now() + l.ttl
 		reply(200, nil)
 	}
 }
 
-func (s *StateService) follow(client int, values url.Values, reply Reply) {
+func (s *StateService) openWatch(client int, values url.Values, reply Reply) {
 	after, _ := strconv.ParseUint(values.Get("after"), 10, 64)
 	block, _ := strconv.Atoi(values.Get("blockMs"))
-	if len(s.events) >= keptEvents && after+1 < s.events[0].Version {
+	if len(s.events) >= maxKeptEvents && after+1 < s.events[0].Version {
 		reply(statusTooOld, nil)
 		return
 	}
-	open := &watch{client: client, prefix: values.Get("under"), after: after, reply: reply}
+	open := &watch{client: client, prefix: values.Get("under"), afterRevision: after, reply: reply}
 	if s.answerWatch(open, false) {
 		return
 	}
@@ -358,12 +358,12 @@
 	s.Stats.Bytes += int64(len(body))
 	var t transaction
 	if err := protocol.Decode(body, &t); err != nil {
-		s.wrong("a transaction can't be read: %v", err)
+		s.reportViolation("a transaction can't be read: %v", err)
 		reply(400, nil)
 		return
 	}
-	if most := s.MostChanges; most > 0 && (len(body) > protocol.MaxBody || len(t.Then) > most || len(t.If) > conditionsPerPut*most) {
-		s.wrong("a transaction over the limits: %d changes, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
+	if most := s.MostChanges; most > 0 && (len(body) > protocol.MaxBody || len(t.Then) > most || len(t.If) > maxConditionsPerChange*most) {
+		s.reportViolation("a transaction over the limits: %d changes, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
 	}
 	if s.tooLarge(&t) {
 		s.Over++
@@ -377,7 +377,7 @@
 			return
 		}
 	}
-	if !s.changes.take(s.queue.Now(), s.Limits.ChangeRate, float64(len(t.Then))) {
+	if !s.changeBudget.allow(s.queue.Now(), s.Limits.ChangeRate, float64(len(t.Then))) {
 		s.Stats.TooMany++
 		reply(statusTooMany, nil)
 		return
@@ -412,41 +412,41 @@
 	for _, change := range t.Then {
 		if change.Delete != "" {
 			if s.Item(change.Delete) != nil {
-				s.set(change.Delete, nil)
+				s.applyChange(change.Delete, nil)
 			}
 			continue
 		}
-		s.set(change.Put, &Item{Value: change.Value, Lease: change.Lease})
+		s.applyChange(change.Put, &Item{Value: change.Value, Lease: change.Lease})
 	}
 	reply(200, protocol.Encode(protocol.TxnReply{Revision: s.revision}))
-	s.wake()
+	s.notifyWatches()
 }
 
-// rate is a budget of so many a second, with a burst of one second's worth.
-type rate struct {
-	level   float64
-	at      time.Duration
-	started bool
+// tokenBucket is a budget of so many a second, with a burst of one second's worth.
+type tokenBucket struct {
+	tokens     float64
+	refilledAt time.Duration
+	started    bool
 }
 
-// take says whether there is room for n more; a rate of 0 has no bound.
-func (r *rate) take(now time.Duration, perSecond, n float64) bool {
+// allow says whether there is room for n more; a rate of 0 has no bound.
+func (b *tokenBucket) allow(now time.Duration, perSecond, n float64) bool {
 	if perSecond <= 0 {
 		return true
 	}
-	return r.takeBurst(now, perSecond, perSecond, n)
+	return b.allowBurst(now, perSecond, perSecond, n)
 }
 
-// takeBurst is take with a burst of its own.
-func (r *rate) takeBurst(now time.Duration, perSecond, burst, n float64) bool {
-	if !r.started {
-		r.started, r.level = true, burst
+// allowBurst is take with a burst of its own.
+func (b *tokenBucket) allowBurst(now time.Duration, perSecond, burst, n float64) bool {
+	if !b.started {
+		b.started, b.tokens = true, burst
 	}
-	r.level = min(burst, r.level+perSecond*(now-r.at).Seconds())
-	r.at = now
-	if r.level < n {
+	b.tokens = min(burst, b.tokens+perSecond*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
+	if b.tokens < n {
 		return false
 	}
-	r.level -= n
+	b.tokens -= n
 	return true
 }
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -19,17 +19,17 @@
 		switch c.Verb {
 		case protocol.VerbRun:
 			if t == nil {
-				w.run(c.Task, name, c.Attempt)
+				w.startTask(c.Task, name, c.Attempt)
 			}
 		case protocol.VerbStop:
 			if t != nil && t.State != protocol.Exited {
-				w.halt(name, t, c.GraceS)
+				w.stopTask(name, t, c.GraceS)
 			}
 		case protocol.VerbClear:
 			if t != nil && t.State == protocol.Exited {
 				delete(w.Tasks, name)
-				w.fleet.forgetGang(t)
-				w.noteChange()
+				w.fleet.leaveGang(t)
+				w.heartbeatSoon()
 			}
 		}
 	}
@@ -45,47 +45,47 @@
 
 // setState changes a task's state, and tells of it where that matters.
 func (w *Worker) setState(name string, t *Task, state protocol.TaskState, cause protocol.ExitCause) {
-	was := t.Here()
+	wasRunning := t.Here()
 	t.State, t.Cause = state, cause
 	if !t.Here() {
-		w.noteLeft(name, t, was)
+		w.notifyLeft(name, t, wasRunning)
 	}
-	w.noteChange()
+	w.heartbeatSoon()
 }
 
-// noteLeft tells that a task that was on the machine no longer is.
-func (w *Worker) noteLeft(name string, t *Task, was bool) {
-	if was && w.fleet.Leaves != nil {
+// notifyLeft tells that a task that was on the machine no longer is.
+func (w *Worker) notifyLeft(name string, t *Task, wasRunning bool) {
+	if wasRunning && w.fleet.Leaves != nil {
 		task, _, _ := strings.Cut(name, "@")
 		w.fleet.Leaves(w, task, t)
 	}
 }
 
-func (w *Worker) run(task, name string, try uint64) {
+func (w *Worker) startTask(task, name string, try uint64) {
 	f := w.fleet
 	uid, _, _ := strings.Cut(task, "/")
 	job := f.Jobs(uid)
 	w.Lives++
-	t := &Task{UID: uid, Try: try, State: protocol.FetchingImage, began: w.Lives}
+	t := &Task{UID: uid, Try: try, State: protocol.FetchingImage, generation: w.Lives}
 	w.Tasks[name] = t
-	w.noteChange()
+	w.heartbeatSoon()
 	if f.RefuseUnfit {
-		if cause := w.refuses(task, t, job); cause != "" {
+		if cause := w.refusalCause(task, t, job); cause != "" {
 			t.State, t.Cause = protocol.Exited, cause
 			return
 		}
 	}
-	life := t.began
+	generation := t.generation
 	f.queue.After(f.FetchTime(w, task, job), func() {
-		if w.Tasks[name] != t || t.State != protocol.FetchingImage || t.began != life || w.Deleted {
+		if w.Tasks[name] != t || t.State != protocol.FetchingImage || t.generation != generation || w.Deleted {
 			return
 		}
-		w.begin(task, name, t, job)
+		w.imageReady(task, name, t, job)
 	})
 }
 
-// refuses tells why a task can't start here, or nothing.
-func (w *Worker) refuses(task string, started *Task, job *Job) protocol.ExitCause {
+// refusalCause tells why a task can't start here, or nothing.
+func (w *Worker) refusalCause(task string, started *Task, job *Job) protocol.ExitCause {
 	if job == nil {
 		return "no_such"
 	}
@@ -108,8 +108,8 @@
 	return ""
 }
 
-// begin has a task that has its image be on its machine.
-func (w *Worker) begin(task, name string, t *Task, job *Job) {
+// imageReady has a task that has its image be on its machine.
+func (w *Worker) imageReady(task, name string, t *Task, job *Job) {
 	f := w.fleet
 	if f.Fails != nil && f.Fails(w, t) {
 		w.setState(name, t, protocol.Exited, protocol.CauseError)
@@ -120,22 +120,22 @@
 		f.Begins(w, task, t)
 	}
 	if job.Gang {
-		w.gather(name, t, job)
+		w.waitForGang(name, t, job)
 	}
 	if !job.Service && !job.Gang {
-		f.queue.After(f.RunTime(task), func() { w.finish(task, name, t, t.began) })
+		f.queue.After(f.RunTime(task), func() { w.finishTask(task, name, t, t.generation) })
 	}
 }
 
-// finish completes a task whose time is over.
-func (w *Worker) finish(task, name string, t *Task, life int) {
+// finishTask completes a task whose time is over.
+func (w *Worker) finishTask(task, name string, t *Task, generation int) {
 	f := w.fleet
 	if w.Hung {
 		// It does not execute its tasks meanwhile.
-		f.queue.After(f.Timing.Look, func() { w.finish(task, name, t, life) })
+		f.queue.After(f.Timing.Look, func() { w.finishTask(task, name, t, generation) })
 		return
 	}
-	if w.Deleted || t.State != protocol.Running || t.began != life || w.Tasks[name] != t {
+	if w.Deleted || t.State != protocol.Running || t.generation != generation || w.Tasks[name] != t {
 		return
 	}
 	w.setState(name, t, protocol.Exited, protocol.CauseDone)
@@ -144,11 +144,11 @@
 	}
 }
 
-// halt stops a task: at once, or once it has saved.
-func (w *Worker) halt(name string, t *Task, graceS float64) {
+// stopTask stops a task: at once, or once it has saved.
+func (w *Worker) stopTask(name string, t *Task, graceS float64) {
 	job := w.fleet.Jobs(t.UID)
 	if job.Gang {
-		w.haltGangTask(name, t, job, graceS)
+		w.stopGangTask(name, t, job, graceS)
 		return
 	}
 	if t.State == protocol.Running && job.SaveS > 0 && graceS >= job.SaveS {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -43,17 +43,17 @@
 
 // Carrier takes a worker's report to a controller, and the answer back: status 0 if there
 // was none in time.
-type Carrier func(k *Worker, controller int, body []byte, answer Reply)
+type Carrier func(worker *Worker, controller int, body []byte, answer Reply)
 
 // Observer is told of what happens on workers. Nil functions are not called.
 type Observer struct {
 	// Begins is told that a task begins to be on its machine, Leaves that it no longer is.
-	Begins func(k *Worker, task string, t *Task)
-	Leaves func(k *Worker, task string, t *Task)
+	Begins func(worker *Worker, task string, t *Task)
+	Leaves func(worker *Worker, task string, t *Task)
 	// Done is told of each task that completed.
 	Done func(task string, t *Task)
 	// Died is told of a machine that has ended.
-	Died func(k *Worker)
+	Died func(worker *Worker)
 	// Halted is told of the first command to stop a gang's task.
 	Halted func(t *Task, graceS float64)
 	// Wrong is told of messages that no controller may send.
@@ -75,43 +75,43 @@
 	Jobs func(uid string) *Job
 	// RunTime is how long a task runs, FetchTime how long it waits for its image.
 	RunTime   func(task string) time.Duration
-	FetchTime func(k *Worker, task string, j *Job) time.Duration
+	FetchTime func(worker *Worker, task string, j *Job) time.Duration
 	// Fails says whether a task fails as soon as it begins; nil: none does.
-	Fails func(k *Worker, t *Task) bool
+	Fails func(worker *Worker, t *Task) bool
 	// Random gives numbers from 0 to 1, for the jitter.
 	Random func() float64
 	// RefuseUnfit has workers refuse tasks that they have no room for or have already.
 	RefuseUnfit bool
 
-	gangs      map[GangTry]map[*Task]*Worker
-	savedTasks map[GangTry]int
+	gangs             map[GangAttempt]map[*Task]*Worker
+	checkpointedTasks map[GangAttempt]int
 	// Wholes counts how often a gang has begun to run, whole, and Saves how often one was
 	// stopped with its progress saved.
 	Wholes, Saves map[string]int
 }
 
-// GangTry names an attempt of a gang.
-type GangTry struct {
-	UID string
-	Try uint64
+// GangAttempt names an attempt of a gang.
+type GangAttempt struct {
+	UID     string
+	Attempt uint64
 }
 
 // NewFleet makes a fleet without workers.
-func NewFleet(agenda *EventQueue, timing Timing) *Fleet {
-	return &Fleet{queue: agenda, Timing: timing, Workers: map[string]*Worker{}, gangs: map[GangTry]map[*Task]*Worker{},
-		savedTasks: map[GangTry]int{}, Wholes: map[string]int{}, Saves: map[string]int{}}
+func NewFleet(queue *EventQueue, timing Timing) *Fleet {
+	return &Fleet{queue: queue, Timing: timing, Workers: map[string]*Worker{}, gangs: map[GangAttempt]map[*Task]*Worker{},
+		checkpointedTasks: map[GangAttempt]int{}, Wholes: map[string]int{}, Saves: map[string]int{}}
 }
 
 // Task is an attempt of a task on a worker.
 type Task struct {
-	UID    string
-	Try    uint64
-	State  protocol.TaskState
-	Cause  protocol.ExitCause
-	Stored bool          // its progress was saved
-	Halted time.Duration // when a gang's task was told to stop
-	alone  time.Duration // since when it misses another one
-	began  int           // which life of the task this is
+	UID               string
+	Try               uint64
+	State             protocol.TaskState
+	Cause             protocol.ExitCause
+	Stored            bool          // its progress was saved
+	Halted            time.Duration // when a gang's task was told to stop
+	peersMissingSince time.Duration // since when it misses another one
+	generation        int           // which life of the task this is
 }
 
 // Here says whether a task is on its machine, as the protocol's page counts it.
@@ -130,7 +130,7 @@
 	// and direct commands don't. ReportsLost: the other way round. Hung: it does nothing
 	// until it goes on, or for ever.
 	Cut, AnswersLost, ReportsLost, Hung bool
-	held                                []func() // commands that came while it hung
+	deferredRequests                    []func() // commands that came while it hung
 
 	Session, Seq, Token uint64
 	Tasks               map[string]*Task // by task and attempt, see Name
@@ -142,18 +142,18 @@
 	// Reported is told of each report's body before it leaves; nil: nobody is.
 	Reported func(body []byte)
 
-	reporting  bool
-	changed    bool
-	lastReport time.Duration
-	generation int // of the timer of the next report
-	images     imageCache
+	heartbeatInFlight bool
+	changePending     bool
+	lastHeartbeat     time.Duration
+	heartbeatTimer    int // of the timer of the next report
+	images            imageCache
 }
 
 // Add makes a worker that is not up yet.
 func (f *Fleet) Add(id, addr, typ, zone string, spot bool) *Worker {
-	k := &Worker{fleet: f, ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Session: 1, Tasks: map[string]*Task{}}
-	f.Workers[id] = k
-	return k
+	worker := &Worker{fleet: f, ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Session: 1, Tasks: map[string]*Task{}}
+	f.Workers[id] = worker
+	return worker
 }
 
 // Sorted lists the workers in a fixed order, so that runs repeat.
@@ -165,7 +165,7 @@
 	return out
 }
 
-func (f *Fleet) wrong(format string, args ...any) {
+func (f *Fleet) reportViolation(format string, args ...any) {
 	if f.Wrong != nil {
 		f.Wrong(fmt.Sprintf(format, args...))
 	}
@@ -180,31 +180,31 @@
 		return
 	}
 	w.Up, w.Answered = true, w.fleet.queue.Now()
-	w.report()
-	w.watchLease()
+	w.sendHeartbeat()
+	w.checkLease()
 }
 
 // Die ends the machine with all that is on it.
 func (w *Worker) Die() {
 	w.Deleted, w.Up = true, false
-	w.forget()
+	w.dropAllTasks()
 	if w.fleet.Died != nil {
 		w.fleet.Died(w)
 	}
 }
 
-// forget ends all tasks without a trace.
-func (w *Worker) forget() {
+// dropAllTasks ends all tasks without a trace.
+func (w *Worker) dropAllTasks() {
 	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
-		w.drop(name)
+		w.dropTask(name)
 	}
 }
 
-func (w *Worker) drop(name string) {
+func (w *Worker) dropTask(name string) {
 	t := w.Tasks[name]
 	delete(w.Tasks, name)
-	w.noteLeft(name, t, t.Here())
-	w.fleet.forgetGang(t)
+	w.notifyLeft(name, t, t.Here())
+	w.fleet.leaveGang(t)
 }
 
 // Hang stops a machine for a while. What comes meanwhile is executed when it goes on, if its
@@ -213,8 +213,8 @@
 	w.Hung = true
 	w.fleet.queue.After(d, func() {
 		w.Hung = false
-		held := w.held
-		w.held = nil
+		held := w.deferredRequests
+		w.deferredRequests = nil
 		if w.Deleted {
 			return
 		}
@@ -224,23 +224,23 @@
 	})
 }
 
-// watchLease ends the session when the lease has run out.
-func (w *Worker) watchLease() {
+// checkLease ends the session when the lease has run out.
+func (w *Worker) checkLease() {
 	f := w.fleet
 	if w.Deleted {
 		return
 	}
 	if f.queue.Now() > w.Answered+f.Timing.Lease {
 		w.Session++
-		w.forget()
+		w.dropAllTasks()
 		w.Answered = f.queue.Now()
-		w.noteChange()
+		w.heartbeatSoon()
 	}
 	wait := f.Timing.Look
 	if left := w.Answered + f.Timing.Lease - f.queue.Now(); left > wait {
 		wait = left
 	}
-	f.queue.After(wait, w.watchLease)
+	f.queue.After(wait, w.checkLease)
 }
 
 // Message is the worker's next report.
@@ -260,19 +260,19 @@
 	return m
 }
 
-// nextReport has the next report leave after a while, in the place of what was due.
-func (w *Worker) nextReport(d time.Duration) {
-	w.generation++
-	generation := w.generation
+// scheduleHeartbeat has the next report leave after a while, in the place of what was due.
+func (w *Worker) scheduleHeartbeat(d time.Duration) {
+	w.heartbeatTimer++
+	generation := w.heartbeatTimer
 	w.fleet.queue.After(d, func() {
-		if w.generation == generation {
-			w.report()
+		if w.heartbeatTimer == generation {
+			w.sendHeartbeat()
 		}
 	})
 }
 
-// interval is the time until the next report, if nothing changes.
-func (w *Worker) interval() time.Duration {
+// heartbeatInterval is the time until the next report, if nothing changes.
+func (w *Worker) heartbeatInterval() time.Duration {
 	t := w.fleet.Timing
 	if t.Jitter == 0 {
 		return t.Report
@@ -280,28 +280,28 @@
 	return time.Duration(float64(t.Report) * (1 + t.Jitter*(2*w.fleet.Random()-1)))
 }
 
-// noteChange has a report leave soon, as something in it has changed.
-func (w *Worker) noteChange() {
+// heartbeatSoon has a report leave soon, as something in it has changed.
+func (w *Worker) heartbeatSoon() {
 	f := w.fleet
 	if f.Timing.LeastPause == 0 || !w.Up || w.Deleted {
 		return
 	}
-	if w.changed {
+	if w.changePending {
 		return
 	}
-	w.changed = true
-	if !w.reporting {
-		w.nextReport(max(0, w.lastReport+f.Timing.LeastPause-f.queue.Now()))
+	w.changePending = true
+	if !w.heartbeatInFlight {
+		w.scheduleHeartbeat(max(0, w.lastHeartbeat+f.Timing.LeastPause-f.queue.Now()))
 	}
 }
 
-func (w *Worker) report() {
+func (w *Worker) sendHeartbeat() {
 	f := w.fleet
 	if w.Deleted {
 		return
 	}
 	if w.Cut || w.Hung {
-		w.nextReport(f.Timing.NextController)
+		w.scheduleHeartbeat(f.Timing.NextController)
 		return
 	}
 	body := protocol.Encode(w.Message())
@@ -309,15 +309,15 @@
 		w.Reported(body)
 	}
 	sent, session := f.queue.Now(), w.Session
-	w.reporting, w.changed, w.lastReport = true, false, sent
+	w.heartbeatInFlight, w.changePending, w.lastHeartbeat = true, false, sent
 	f.Carrier(w, w.Controller, body, func(status int, answer []byte) {
-		w.reporting = false
-		w.takeAnswer(sent, session, status, answer)
+		w.heartbeatInFlight = false
+		w.handleHeartbeatReply(sent, session, status, answer)
 	})
 }
 
-// takeAnswer does what the answer to a report asks for.
-func (w *Worker) takeAnswer(sent time.Duration, session uint64, status int, body []byte) {
+// handleHeartbeatReply does what the answer to a report asks for.
+func (w *Worker) handleHeartbeatReply(sent time.Duration, session uint64, status int, body []byte) {
 	f := w.fleet
 	if w.Deleted {
 		return
@@ -326,66 +326,66 @@
 	case 200:
 		var reply protocol.WorkerHeartbeatReply
 		if err := protocol.Decode(body, &reply); err != nil {
-			f.wrong("a report's answer can't be read: %v", err)
+			f.reportViolation("a report's answer can't be read: %v", err)
 		}
 		if reply.Token >= w.Token && session == w.Session {
-			w.raiseToken(reply.Token)
+			w.advanceToken(reply.Token)
 			w.Answered = sent
 			w.Execute(reply.Commands)
 		}
-		wait := w.interval()
-		if w.changed {
-			wait = max(0, w.lastReport+f.Timing.LeastPause-f.queue.Now())
+		wait := w.heartbeatInterval()
+		if w.changePending {
+			wait = max(0, w.lastHeartbeat+f.Timing.LeastPause-f.queue.Now())
 		}
-		w.nextReport(wait)
+		w.scheduleHeartbeat(wait)
 	case 421:
 		var elsewhere protocol.Redirect
 		_ = protocol.Decode(body, &elsewhere) // a missing name is allowed
 		if n := f.Label(elsewhere.Leader); n >= 0 && n != w.Controller {
 			w.Controller = n
-			w.nextReport(f.Timing.SentAway)
+			w.scheduleHeartbeat(f.Timing.SentAway)
 			return
 		}
-		w.tryNext()
+		w.tryNextController()
 	default:
-		w.tryNext()
+		w.tryNextController()
 	}
 }
 
-func (w *Worker) tryNext() {
+func (w *Worker) tryNextController() {
 	w.Controller = (w.Controller + 1) % w.fleet.Controllers
-	w.nextReport(w.fleet.Timing.NextController)
+	w.scheduleHeartbeat(w.fleet.Timing.NextController)
 }
 
-func (w *Worker) raiseToken(token uint64) {
+func (w *Worker) advanceToken(token uint64) {
 	if token > w.Token {
 		w.Token = token
-		w.noteChange()
+		w.heartbeatSoon()
 	}
 }
 
 // Serve answers a direct request, at once or, if the machine hangs, once it goes on.
 func (w *Worker) Serve(path string, body []byte, reply Reply) {
 	if w.Hung {
-		w.held = append(w.held, func() { reply(w.serve(path, body)) })
+		w.deferredRequests = append(w.deferredRequests, func() { reply(w.executeDirect(path, body)) })
 		return
 	}
-	reply(w.serve(path, body))
+	reply(w.executeDirect(path, body))
 }
 
-func (w *Worker) serve(path string, body []byte) (int, []byte) {
+func (w *Worker) executeDirect(path string, body []byte) (int, []byte) {
 	if path == "/status" {
 		return 200, protocol.Encode(w.Message())
 	}
 	var request protocol.Commands
 	if err := protocol.Decode(body, &request); err != nil {
-		w.fleet.wrong("commands can't be read: %v", err)
+		w.fleet.reportViolation("commands can't be read: %v", err)
 		return 400, nil
 	}
 	if request.Token < w.Token || request.Epoch != w.Session {
 		return 409, protocol.Encode(w.Message())
 	}
-	w.raiseToken(request.Token)
+	w.advanceToken(request.Token)
 	w.Execute(request.Commands)
 	return 200, protocol.Encode(w.Message())
 }
--- a/internal/scalerun/controllers.go
+++ b/internal/scalerun/controllers.go
@@ -18,10 +18,10 @@
 
 // controller is a real process of the program.
 type controller struct {
-	label, zone string
-	users       string // its address for users and workers
-	settings    string // its settings file
-	log         string
+	label, zone   string
+	clientAddress string // its address for users and workers
+	settings      string // its settings file
+	log           string
 
 	mu      sync.Mutex
 	command *exec.Cmd
@@ -30,8 +30,8 @@
 	killed  bool
 	frozen  bool
 	healthy bool
-	// newer: it runs the plan's program, not the older one; held: with the gate held closed.
-	newer, held bool
+	// runsNewer: it runs the plan's program, not the older one; held: with the gate held closed.
+	runsNewer, gateHeld bool
 }
 
 // operatorSettings keep idle machines: the fleet's size is the plan's, not the demand's.
@@ -43,9 +43,9 @@
 		return err
 	}
 	for i := range r.plan.Control.Controllers {
-		c := &controller{label: controllerLabel(i), zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)], users: r.userAddress(i),
+		c := &controller{label: controllerLabel(i), zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)], clientAddress: r.clientAddress(i),
 			settings: filepath.Join(r.dir, controllerLabel(i)+".json"), log: filepath.Join(r.dir, controllerLabel(i)+".log"),
-			newer: r.plan.Run.Older == ""}
+			runsNewer: r.plan.Run.Older == ""}
 		raw, err := json.Marshal(r.settingsOf(i))
 		if err != nil {
 			return fmt.Errorf("settings of %s: %w", c.label, err)
@@ -60,8 +60,8 @@
 
 func controllerLabel(i int) string { return fmt.Sprintf("controller-%d", i) }
 
-func (r *region) userAddress(i int) string {
-	return fmt.Sprintf("%s:%d", controllerHost(r.number, i), r.plan.port(r.number, portUsers))
+func (r *region) clientAddress(i int) string {
+	return fmt.Sprintf("%s:%d", controllerHost(r.number, i), r.plan.port(r.number, portClients))
 }
 
 func (r *region) peerAddress(i int) string {
@@ -72,7 +72,7 @@
 // guarantees and limits are divided evenly between the regions.
 func (r *region) settingsOf(i int) *config.Settings {
 	p := r.plan
-	s := &config.Settings{Label: controllerLabel(i), Zone: p.Fleet.Zones[i%len(p.Fleet.Zones)], ClientListen: r.userAddress(i), PeerListen: r.peerAddress(i)}
+	s := &config.Settings{Label: controllerLabel(i), Zone: p.Fleet.Zones[i%len(p.Fleet.Zones)], ClientListen: r.clientAddress(i), PeerListen: r.peerAddress(i)}
 	for other := range p.Control.Controllers {
 		if other != i {
 			s.Siblings = append(s.Siblings, config.Peer{Label: controllerLabel(other), Zone: p.Fleet.Zones[other%len(p.Fleet.Zones)], Addr: r.peerAddress(other)})
@@ -150,7 +150,7 @@
 	}
 	c.command, c.killed = command, false
 	c.starts++
-	r.measure.watchProcess(c.label, command.Process.Pid)
+	r.metrics.watchProcess(c.label, command.Process.Pid)
 	go func() {
 		err := command.Wait()
 		c.mu.Lock()
@@ -233,13 +233,13 @@
 // balancer does: two failures in a row make it unhealthy, two successes healthy.
 func (r *region) probe(ctx context.Context, c *controller) {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext}}
+		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 	streak := 0
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		ok := false
-		if response, err := client.Get("http://" + c.users + "/ready"); err == nil {
+		if response, err := client.Get("http://" + c.clientAddress + "/ready"); err == nil {
 			ok = response.StatusCode == http.StatusOK
 			response.Body.Close()
 		}
@@ -261,15 +261,15 @@
 	}
 }
 
-// dialWithin is when the load balancer gives up a connection to a controller.
-const dialWithin = 500 * time.Millisecond
+// dialTimeout is when the load balancer gives up a connection to a controller.
+const dialTimeout = 500 * time.Millisecond
 
 // pick chooses the healthy controllers in turn; none if no one is.
 func (r *region) pick() *controller {
 	n := len(r.controllers)
 	for range n {
-		r.turn++
-		c := r.controllers[r.turn%n]
+		r.nextController++
+		c := r.controllers[r.nextController%n]
 		c.mu.Lock()
 		ok := c.healthy
 		c.mu.Unlock()
--- a/internal/scalerun/detection.go
+++ b/internal/scalerun/detection.go
@@ -42,13 +42,13 @@
 
 func newDetection() *detection { return &detection{now: time.Now} }
 
-// failed notes a fault as it is brought about, under a leader's token.
-func (d *detection) failed(label, kind string, lasts time.Duration, token uint64) {
+// faultInjected notes a fault as it is brought about, under a leader's token.
+func (d *detection) faultInjected(label, kind string, lasts time.Duration, token uint64) {
 	d.faults = append(d.faults, &controllerFault{label: label, kind: kind, at: d.now(), lasts: lasts, token: token})
 }
 
-// began notes a start under a token.
-func (d *detection) began(token uint64) {
+// taskStarted notes a start under a token.
+func (d *detection) taskStarted(token uint64) {
 	for _, f := range d.faults {
 		if f.placed.IsZero() && token > f.token {
 			f.placed = d.now()
--- a/internal/scalerun/faults.go
+++ b/internal/scalerun/faults.go
@@ -7,18 +7,18 @@
 	"claybarrow/internal/emulator"
 )
 
-// cause brings a fault about, by the loop.
-func (r *region) cause(ctx context.Context, f FaultPlan) {
+// inject brings a fault about, by the loop.
+func (r *region) inject(ctx context.Context, f FaultPlan) {
 	switch f.Kind {
 	case FaultKillLeader:
 		if leader, some := r.leader(); some {
 			r.loseLeader()
-			r.detection.failed(leader.Label, f.Kind, 0, r.leaderToken)
+			r.detection.faultInjected(leader.Label, f.Kind, 0, r.leaderToken)
 			r.killLabel(ctx, leader.Label)
 		}
 	case FaultKillOther:
 		if c := r.other(); c != nil {
-			r.detection.failed(c.label, f.Kind, 0, r.leaderToken)
+			r.detection.faultInjected(c.label, f.Kind, 0, r.leaderToken)
 			r.kill(ctx, c)
 		}
 	case FaultFreezeLeader:
@@ -30,21 +30,21 @@
 			r.freezeLabel(c.label, f)
 		}
 	case FaultRack:
-		for _, k := range r.rack(f.Share) {
-			k.Die()
+		for _, worker := range r.randomWorkers(f.Share) {
+			worker.Die()
 		}
 	case FaultMachineChurn:
-		victims := r.rack(f.Share)
-		for i, k := range victims {
-			r.loop.agenda.After(seconds(f.ForS*float64(i)/float64(len(victims))), k.Die)
+		victims := r.randomWorkers(f.Share)
+		for i, worker := range victims {
+			r.loop.queue.After(seconds(f.ForS*float64(i)/float64(len(victims))), worker.Die)
 		}
 	case FaultRollRestart:
 		for i, c := range r.controllers {
-			r.loop.agenda.After(seconds(f.ForS)*time.Duration(i), func() { r.kill(ctx, c) })
+			r.loop.queue.After(seconds(f.ForS)*time.Duration(i), func() { r.kill(ctx, c) })
 		}
 	case FaultUpgrade, FaultRollback:
 		for i, c := range r.controllers {
-			r.loop.agenda.After(seconds(f.ForS)*time.Duration(i), func() { r.changeProgram(ctx, c, f.Kind == FaultUpgrade) })
+			r.loop.queue.After(seconds(f.ForS)*time.Duration(i), func() { r.changeProgram(ctx, c, f.Kind == FaultUpgrade) })
 		}
 	case FaultHold:
 		r.hold(ctx)
@@ -62,7 +62,7 @@
 }
 
 func (r *region) freezeLabel(label string, f FaultPlan) {
-	r.detection.failed(label, f.Kind, seconds(f.ForS), r.leaderToken)
+	r.detection.faultInjected(label, f.Kind, seconds(f.ForS), r.leaderToken)
 	for _, c := range r.controllers {
 		if c.label == label {
 			r.freeze(c, seconds(f.ForS))
@@ -70,12 +70,12 @@
 	}
 }
 
-// rack chooses a share of the workers that are up.
-func (r *region) rack(share float64) []*emulator.Worker {
+// randomWorkers chooses a share of the workers that are up.
+func (r *region) randomWorkers(share float64) []*emulator.Worker {
 	var up []*emulator.Worker
-	for _, k := range r.fleet.Sorted() {
-		if k.Up && !k.Deleted {
-			up = append(up, k)
+	for _, worker := range r.fleet.Sorted() {
+		if worker.Up && !worker.Deleted {
+			up = append(up, worker)
 		}
 	}
 	r.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
--- a/internal/scalerun/loop.go
+++ b/internal/scalerun/loop.go
@@ -7,39 +7,39 @@
 	"claybarrow/internal/emulator"
 )
 
-// loop is the goroutine that owns all of a region's stand-ins: it does what is due on their
+// eventLoop is the goroutine that owns all of a region's stand-ins: it does what is due on their
 // agenda, by the real clock, and what others ask of it.
-type loop struct {
-	agenda *emulator.EventQueue
-	start  time.Time
-	inbox  chan func()
-	done   chan struct{}
-	// late is the longest that something was done after its time.
-	late time.Duration
+type eventLoop struct {
+	queue *emulator.EventQueue
+	start time.Time
+	inbox chan func()
+	done  chan struct{}
+	// maxDelay is the longest that something was done after its time.
+	maxDelay time.Duration
 }
 
 // inboxSize bounds what waits for the loop: askers wait when it is full.
 const inboxSize = 1 << 14
 
-func newLoop() *loop {
-	return &loop{agenda: &emulator.EventQueue{}, start: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{})}
+func newLoop() *eventLoop {
+	return &eventLoop{queue: &emulator.EventQueue{}, start: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{})}
 }
 
-func (l *loop) now() time.Duration { return time.Since(l.start) }
+func (l *eventLoop) now() time.Duration { return time.Since(l.start) }
 
 // run goes on until the context ends.
-func (l *loop) run(ctx context.Context) {
+func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		now := l.now()
-		if next, some := l.agenda.Next(); some {
-			l.late = max(l.late, now-next)
+		if next, some := l.queue.Next(); some {
+			l.maxDelay = max(l.maxDelay, now-next)
 		}
-		l.agenda.RunUntil(now)
+		l.queue.RunUntil(now)
 		wait := time.Second
-		if next, some := l.agenda.Next(); some {
+		if next, some := l.queue.Next(); some {
 			wait = max(0, next-l.now())
 		}
 		timer.Reset(wait)
@@ -47,7 +47,7 @@
 		case <-ctx.Done():
 			return
 		case do := <-l.inbox:
-			l.agenda.RunUntil(l.now())
+			l.queue.RunUntil(l.now())
 			do()
 			l.drain()
 		case <-timer.C:
@@ -56,7 +56,7 @@
 }
 
 // drain does some more of what waits, without a look at the clock for each.
-func (l *loop) drain() {
+func (l *eventLoop) drain() {
 	const most = 64
 	for range most {
 		select {
@@ -69,15 +69,15 @@
 }
 
 // post has the loop do something.
-func (l *loop) post(do func()) {
+func (l *eventLoop) post(do func()) {
 	select {
 	case l.inbox <- do:
 	case <-l.done:
 	}
 }
 
-// ask has the loop do something and waits for it.
-func (l *loop) ask(do func()) {
+// call has the loop do something and waits for it.
+func (l *eventLoop) call(do func()) {
 	finished := make(chan struct{})
 	l.post(func() { do(); close(finished) })
 	select {
--- a/internal/scalerun/measure.go
+++ b/internal/scalerun/measure.go
@@ -56,8 +56,8 @@
 	peak      uint64
 }
 
-// measures are what a region counts. Only the loop writes to them, but for the processes.
-type measures struct {
+// metrics are what a region counts. Only the loop writes to them, but for the processes.
+type metrics struct {
 	measuring bool
 	began     time.Duration
 
@@ -83,13 +83,13 @@
 	processes map[string]*watchedProcess
 }
 
-func newMeasures() *measures {
-	return &measures{timeToStart: map[string]distribution{}, accept: newDistribution(), roundTrip: newDistribution(), leaderGaps: newDistribution(),
+func newMetrics() *metrics {
+	return &metrics{timeToStart: map[string]distribution{}, accept: newDistribution(), roundTrip: newDistribution(), leaderGaps: newDistribution(),
 		statuses: map[string]int64{}, processes: map[string]*watchedProcess{}}
 }
 
 // begin starts the measured part.
-func (m *measures) begin(now time.Duration) {
+func (m *metrics) begin(now time.Duration) {
 	m.measuring, m.began = true, now
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *measures) report(status int, took time.Duration, bytes int64) {
+func (m *metrics) report(status int, took time.Duration, bytes int64) {
 	if !m.measuring {
 		return
 	}
@@ -114,27 +114,27 @@
 // directHeader is about what the lines before a direct request's or answer's body take.
 const directHeader = 150
 
-func (m *measures) direct(bytes int) {
+func (m *metrics) direct(bytes int) {
 	if m.measuring {
 		m.directCalls++
 		m.workerBytes += int64(bytes + directHeader)
 	}
 }
 
-func (m *measures) accepted(took time.Duration) {
+func (m *metrics) accepted(took time.Duration) {
 	if m.measuring {
 		m.accept.add(took)
 	}
 }
 
-func (m *measures) answer(op string, status int, _ time.Duration) {
+func (m *metrics) answer(op string, status int, _ time.Duration) {
 	if m.measuring {
 		m.statuses[statusKey(op, status)]++
 	}
 }
 
 // started notes the first start of a task.
-func (m *measures) started(class string, wait time.Duration) {
+func (m *metrics) started(class string, wait time.Duration) {
 	m.secondStarts++
 	if !m.measuring {
 		return
@@ -147,7 +147,7 @@
 }
 
 // second closes a second of starts.
-func (m *measures) second() {
+func (m *metrics) second() {
 	if m.measuring {
 		m.peakSecond = max(m.peakSecond, m.secondStarts)
 		m.peakRunning = max(m.peakRunning, m.running)
@@ -156,7 +156,7 @@
 }
 
 // watchProcess follows a process under a label.
-func (m *measures) watchProcess(label string, pid int) {
+func (m *metrics) watchProcess(label string, pid int) {
 	handle, err := process.NewProcess(int32(pid))
 	if err != nil {
 		return // it has ended already, which its owner notices
@@ -174,7 +174,7 @@
 }
 
 // sample reads what the processes have taken, and returns the memory of all, in bytes.
-func (m *measures) sample() uint64 {
+func (m *metrics) sample() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	total := uint64(0)
@@ -191,7 +191,7 @@
 }
 
 // uses sums up the processes over the measured part.
-func (m *measures) uses(measured time.Duration) map[string]ProcessUse {
+func (m *metrics) uses(measured time.Duration) map[string]ProcessUse {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[string]ProcessUse{}
--- a/internal/scalerun/ownership.go
+++ b/internal/scalerun/ownership.go
@@ -40,12 +40,12 @@
 	return &ownership{machines: map[string]*owned{}, jobs: map[string]*owned{}}
 }
 
-// answered notes that a machine took a controller's answer.
-func (o *ownership) answered(machine string, controller int, now time.Duration) {
-	o.note(o.machines, machine, uint64(controller), now)
+// workerAnswered notes that a machine took a controller's answer.
+func (o *ownership) workerAnswered(machine string, controller int, now time.Duration) {
+	o.recordOwner(o.machines, machine, uint64(controller), now)
 }
 
-func (o *ownership) note(table map[string]*owned, key string, owner uint64, now time.Duration) {
+func (o *ownership) recordOwner(table map[string]*owned, key string, owner uint64, now time.Duration) {
 	switch e := table[key]; {
 	case e == nil:
 		table[key] = &owned{owner: owner, changedAt: now}
@@ -55,14 +55,14 @@
 	}
 }
 
-// began notes the start of a job's task. It returns whether a later leader had started some before:
+// taskStarted notes the start of a job's task. It returns whether a later leader had started some before:
 // then two of them take the job for theirs.
-func (o *ownership) began(uid string, try uint64, now time.Duration) (twice bool) {
+func (o *ownership) taskStarted(uid string, try uint64, now time.Duration) (twice bool) {
 	token := try >> attemptBlockBits
 	if e := o.jobs[uid]; e != nil && token < e.owner {
 		return true
 	}
-	o.note(o.jobs, uid, token, now)
+	o.recordOwner(o.jobs, uid, token, now)
 	return false
 }
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// sum adds up what was counted.
-func (o *ownership) sum() Ownership {
+// totals adds up what was counted.
+func (o *ownership) totals() Ownership {
 	out := Ownership{Machines: len(o.machines), Jobs: len(o.jobs)}
 	for _, e := range o.machines {
 		out.MachineMoves += e.changes
@@ -88,20 +88,20 @@
 	return out
 }
 
-// orphanAfter is how long a job may go unanswered at a run's end while most others are answered:
+// orphanTimeout is how long a job may go unanswered at a run's end while most others are answered:
 // four of its user's questions.
-const orphanAfter = 4 * pollEvery
+const orphanTimeout = 4 * pollInterval
 
-// lookForOrphans finds jobs that are not over and that nobody answers for, and ends the run with the
+// checkOrphanedJobs finds jobs that are not over and that nobody answers for, and ends the run with the
 // first. Where nobody is answered at all the region is down, which is no orphan.
-func (r *region) lookForOrphans() int {
-	now := r.loop.agenda.Now()
+func (r *region) checkOrphanedJobs() int {
+	now := r.loop.queue.Now()
 	var orphan *job
 	orphans, answered := 0, 0
-	for _, j := range r.rules.jobs {
+	for _, j := range r.invariants.jobs {
 		switch {
-		case j.accepted == 0 || j.over():
-		case now > max(j.answered, j.accepted)+orphanAfter:
+		case j.acceptedAt == 0 || j.finished():
+		case now > max(j.answeredAt, j.acceptedAt)+orphanTimeout:
 			orphan = j
 			orphans++
 		default:
@@ -111,15 +111,15 @@
 	if orphan == nil || answered <= orphans {
 		return 0
 	}
-	r.rules.breaks(orphan, "orphaned", "nobody answers for %s and %d others", orphan.uid, orphans-1)
+	r.invariants.violate(orphan, "orphaned", "nobody answers for %s and %d others", orphan.uid, orphans-1)
 	return orphans
 }
 
 // expiredSessions counts the machines whose lease ran out though they live.
 func expiredSessions(fleet *emulator.Fleet) int {
 	n := 0
-	for _, k := range fleet.Workers {
-		if k.Up && k.Session > 1 {
+	for _, worker := range fleet.Workers {
+		if worker.Up && worker.Session > 1 {
 			n++
 		}
 	}
--- a/internal/scalerun/ownership_test.go
+++ b/internal/scalerun/ownership_test.go
@@ -11,16 +11,16 @@
 func TestOwnership(t *testing.T) {
 	o := newOwnership()
 	const first, second = uint64(3 << attemptBlockBits), uint64(4 << attemptBlockBits)
-	if o.began("j-1", first|1, 0) || o.began("j-1", second|1, 0) || !o.began("j-1", first|2, 0) {
+	if o.taskStarted("j-1", first|1, 0) || o.taskStarted("j-1", second|1, 0) || !o.taskStarted("j-1", first|2, 0) {
 		t.Error("a job that is started by an earlier leader again is not found")
 	}
-	o.answered("i-1", 0, 0)
+	o.workerAnswered("i-1", 0, 0)
 	o.reset()
-	o.answered("i-1", 0, 0)
-	o.answered("i-1", 2, 0)
-	o.answered("i-1", 1, 0)
-	o.answered("i-2", 1, 0)
-	if s := o.sum(); s.Machines != 2 || s.MachineMoves != 2 || s.MostMoves != 2 || s.Jobs != 1 {
+	o.workerAnswered("i-1", 0, 0)
+	o.workerAnswered("i-1", 2, 0)
+	o.workerAnswered("i-1", 1, 0)
+	o.workerAnswered("i-2", 1, 0)
+	if s := o.totals(); s.Machines != 2 || s.MachineMoves != 2 || s.MostMoves != 2 || s.Jobs != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -43,10 +43,10 @@
 	d := newDetection()
 	now := at
 	d.now = func() time.Time { return now }
-	d.failed("c0", FaultKillLeader, 0, 1)
+	d.faultInjected("c0", FaultKillLeader, 0, 1)
 	now = at.Add(1400 * time.Millisecond)
-	d.began(1)
-	d.began(2)
+	d.taskStarted(1)
+	d.taskStarted(2)
 	got := d.results([]string{log, filepath.Join(t.TempDir(), "missing")})
 	want := Detection{Kind: FaultKillLeader, SuspectMS: 500, SuspectAll: 700, DeadMS: 3000, DeadAll: 3000, ElectedMS: 1250, LoadedMS: 1300, PlacedMS: 1400}
 	if len(got) != 1 || got[0] != want {
--- a/internal/scalerun/plan.go
+++ b/internal/scalerun/plan.go
@@ -137,12 +137,12 @@
 
 // Bounds that no plan may raise, and estimates that plans are checked with.
 const (
-	mostMemoryShare = 0.5
-	mostProcesses   = 300
-	portsPerRegion  = 10
-	// hollowBytes and connectionBytes are what a hollow worker and its connections take in
+	maxMemoryShare = 0.5
+	maxProcesses   = 300
+	portsPerRegion = 10
+	// workerBytes and connectionBytes are what a hollow worker and its connections take in
 	// the region's process, generously.
-	hollowBytes    = 60 << 10
+	workerBytes    = 60 << 10
 	regionBytes    = 200 << 20
 	spareFiles     = 200
 	filesPerWorker = 1.3 // its own connection, and a share of those for direct commands
@@ -158,7 +158,7 @@
 		Cloud:   CloudPlan{RPS: 12, ListLagS: 5},
 		Workers: WorkerPlan{ReportS: 6, LeaseS: 31, CancelS: 61, GangWaitS: 30, GangPeerS: 5},
 		Teams:   TeamPlan{Count: 6, UrgentWithinS: 4.5, UrgentStartShare: 0.95},
-		Limits:  LimitPlan{MemoryShare: mostMemoryShare, Processes: mostProcesses},
+		Limits:  LimitPlan{MemoryShare: maxMemoryShare, Processes: maxProcesses},
 	}
 }
 
@@ -194,17 +194,17 @@
 	return &p, p.check()
 }
 
-// number is a setting with its bounds.
-type number struct {
-	field     string
-	value     float64
-	min, most float64
+// bound is a setting with its bounds.
+type bound struct {
+	field    string
+	value    float64
+	min, max float64
 }
 
 func (p *Plan) check() error {
 	for _, n := range p.numbers() {
-		if !(n.value >= n.min && n.value <= n.most) {
-			return planError(n.field, "%v is not between %v and %v", n.value, n.min, n.most)
+		if !(n.value >= n.min && n.value <= n.max) {
+			return planError(n.field, "%v is not between %v and %v", n.value, n.min, n.max)
 		}
 	}
 	if err := p.checkFleet(); err != nil {
@@ -216,34 +216,34 @@
 	return p.checkFaults()
 }
 
-func (p *Plan) numbers() []number {
+func (p *Plan) numbers() []bound {
 	const day = 86_400
-	list := []number{
-		{field: "run.warmup_s", value: p.Run.WarmupS, min: 0, most: day},
-		{field: "run.duration_s", value: p.Run.DurationS, min: 1, most: day},
-		{field: "run.base_port", value: float64(p.Run.BasePort), min: 1024, most: 60_000},
-		{field: "fleet.workers", value: float64(p.Fleet.Workers), min: 1, most: 60_000},
-		{field: "fleet.regions", value: float64(p.Fleet.Regions), min: 1, most: 4},
-		{field: "control.controllers", value: float64(p.Control.Controllers), min: 1, most: 9},
-		{field: "control.cores", value: p.Control.Cores, min: 0.01, most: 64},
-		{field: "control.memory_mb", value: p.Control.MemoryMB, min: 16, most: 1 << 20},
-		{field: "control.sockets", value: float64(p.Control.Sockets), min: 64, most: 1 << 20},
-		{field: "control.restart_s", value: p.Control.RestartS, min: 0.1, most: day},
-		{field: "state.rps", value: p.State.RPS, min: 5, most: 1e9},
-		{field: "state.write_rps", value: p.State.WriteRPS, min: 3, most: 1e9},
-		{field: "state.value_kb", value: p.State.ValueKB, min: 1, most: 1e6},
-		{field: "state.txn_ops", value: float64(p.State.TxnOps), min: 2, most: 1e6},
-		{field: "state.latency_ms", value: p.State.LatencyMS, min: 0, most: 1e4},
-		{field: "cloud.rps", value: p.Cloud.RPS, min: 0.1, most: 1e9},
-		{field: "cloud.list_lag_s", value: p.Cloud.ListLagS, min: 0, most: 3600},
-		{field: "workers.report_s", value: p.Workers.ReportS, min: 0.1, most: 3600},
-		{field: "workers.lease_s", value: p.Workers.LeaseS, min: 1, most: 3600},
-		{field: "workers.cancel_s", value: p.Workers.CancelS, min: p.Workers.LeaseS, most: day},
-		{field: "workers.gang_wait_s", value: p.Workers.GangWaitS, min: 0.1, most: 3600},
-		{field: "workers.gang_peer_s", value: p.Workers.GangPeerS, min: 0.1, most: 3600},
-		{field: "teams.count", value: float64(p.Teams.Count), min: 1, most: 10_000},
-		{field: "limits.memory_share", value: p.Limits.MemoryShare, min: 0.01, most: mostMemoryShare},
-		{field: "limits.processes", value: float64(p.Limits.Processes), min: 2, most: mostProcesses},
+	list := []bound{
+		{field: "run.warmup_s", value: p.Run.WarmupS, min: 0, max: day},
+		{field: "run.duration_s", value: p.Run.DurationS, min: 1, max: day},
+		{field: "run.base_port", value: float64(p.Run.BasePort), min: 1024, max: 60_000},
+		{field: "fleet.workers", value: float64(p.Fleet.Workers), min: 1, max: 60_000},
+		{field: "fleet.regions", value: float64(p.Fleet.Regions), min: 1, max: 4},
+		{field: "control.controllers", value: float64(p.Control.Controllers), min: 1, max: 9},
+		{field: "control.cores", value: p.Control.Cores, min: 0.01, max: 64},
+		{field: "control.memory_mb", value: p.Control.MemoryMB, min: 16, max: 1 << 20},
+		{field: "control.sockets", value: float64(p.Control.Sockets), min: 64, max: 1 << 20},
+		{field: "control.restart_s", value: p.Control.RestartS, min: 0.1, max: day},
+		{field: "state.rps", value: p.State.RPS, min: 5, max: 1e9},
+		{field: "state.write_rps", value: p.State.WriteRPS, min: 3, max: 1e9},
+		{field: "state.value_kb", value: p.State.ValueKB, min: 1, max: 1e6},
+		{field: "state.txn_ops", value: float64(p.State.TxnOps), min: 2, max: 1e6},
+		{field: "state.latency_ms", value: p.State.LatencyMS, min: 0, max: 1e4},
+		{field: "cloud.rps", value: p.Cloud.RPS, min: 0.1, max: 1e9},
+		{field: "cloud.list_lag_s", value: p.Cloud.ListLagS, min: 0, max: 3600},
+		{field: "workers.report_s", value: p.Workers.ReportS, min: 0.1, max: 3600},
+		{field: "workers.lease_s", value: p.Workers.LeaseS, min: 1, max: 3600},
+		{field: "workers.cancel_s", value: p.Workers.CancelS, min: p.Workers.LeaseS, max: day},
+		{field: "workers.gang_wait_s", value: p.Workers.GangWaitS, min: 0.1, max: 3600},
+		{field: "workers.gang_peer_s", value: p.Workers.GangPeerS, min: 0.1, max: 3600},
+		{field: "teams.count", value: float64(p.Teams.Count), min: 1, max: 10_000},
+		{field: "limits.memory_share", value: p.Limits.MemoryShare, min: 0.01, max: maxMemoryShare},
+		{field: "limits.processes", value: float64(p.Limits.Processes), min: 2, max: maxProcesses},
 	}
 	return list
 }
@@ -311,8 +311,8 @@
 	return nil
 }
 
-// leastTeams is how many teams a plan is scaled down to at the least.
-const leastTeams = 6
+// minTeams is how many teams a plan is scaled down to at the least.
+const minTeams = 6
 
 // Scale changes the size of a plan: workers, load and teams. The rates of the state service and
 // of the cloud stay.
@@ -321,7 +321,7 @@
 		return planError("scale", "%v is not between 0 and 100", factor)
 	}
 	p.Fleet.Workers = int(float64(p.Fleet.Workers)*factor + 0.5)
-	p.Teams.Count = max(leastTeams, int(float64(p.Teams.Count)*factor+0.5))
+	p.Teams.Count = max(minTeams, int(float64(p.Teams.Count)*factor+0.5))
 	for i := range p.Load {
 		p.Load[i].StartsPerS *= factor
 	}
@@ -347,10 +347,10 @@
 // processes is how many processes a run has.
 func (p *Plan) processes() int { return 1 + p.Fleet.Regions*(1+p.Control.Controllers) }
 
-// bytes is what a run may take of the machine's memory, at the most.
-func (p *Plan) bytes() float64 {
+// memoryBytes is what a run may take of the machine's memory, at the most.
+func (p *Plan) memoryBytes() float64 {
 	control := float64(p.Fleet.Regions*p.Control.Controllers) * p.Control.MemoryMB * (1 << 20)
-	return control + float64(p.Fleet.Workers)*hollowBytes + float64(p.Fleet.Regions)*regionBytes
+	return control + float64(p.Fleet.Workers)*workerBytes + float64(p.Fleet.Regions)*regionBytes
 }
 
 // Errors of plans that this machine has no room for.
@@ -366,8 +366,8 @@
 	if err != nil {
 		return fmt.Errorf("memory of this machine: %w", err)
 	}
-	if most := float64(memory.Total) * p.Limits.MemoryShare; p.bytes() > most {
-		return fmt.Errorf("%w: %.0f MB of %.0f", errMemory, p.bytes()/(1<<20), most/(1<<20))
+	if most := float64(memory.Total) * p.Limits.MemoryShare; p.memoryBytes() > most {
+		return fmt.Errorf("%w: %.0f MB of %.0f", errMemory, p.memoryBytes()/(1<<20), most/(1<<20))
 	}
 	if n := p.processes(); n > p.Limits.Processes {
 		return fmt.Errorf("%w: %d of %d", errProcesses, n, p.Limits.Processes)
--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -24,21 +24,21 @@
 	number int
 	dir    string // for settings and logs
 
-	loop        *loop
-	state       *emulator.StateService
-	cloud       *emulator.Cloud
-	fleet       *emulator.Fleet
-	byAddress   map[string]*emulator.Worker
-	carrier     *carrier
-	rules       *rules
-	users       *users
-	measure     *measures
-	controllers []*controller
-	turn        int
-	random      *rand.Rand
+	loop           *eventLoop
+	state          *emulator.StateService
+	cloud          *emulator.Cloud
+	fleet          *emulator.Fleet
+	byAddress      map[string]*emulator.Worker
+	carrier        *heartbeatCarrier
+	invariants     *invariants
+	users          *users
+	metrics        *metrics
+	controllers    []*controller
+	nextController int
+	random         *rand.Rand
 	// closing: the run is over, and nobody asks for anything new.
-	closing    bool
-	ownedTwice int
+	closing        bool
+	jobsOwnedTwice int
 
 	ownership   *ownership
 	detection   *detection
@@ -72,34 +72,34 @@
 		return nil, err
 	}
 	defer r.stopControllers()
-	r.measure.watchProcess("hollow workers, stand-ins and users", os.Getpid())
+	r.metrics.watchProcess("hollow workers, stand-ins and users", os.Getpid())
 	for _, c := range r.controllers {
 		if err := r.startController(c); err != nil {
 			return nil, err
 		}
 		go r.probe(ctx, c)
 	}
-	r.loop.ask(func() { r.begin() })
+	r.loop.call(func() { r.startLoad() })
 	if err := r.wait(ctx, seconds(plan.Run.WarmupS), nil); err != nil {
 		return nil, err
 	}
-	r.measure.sample()
-	r.loop.ask(func() { r.beginMeasuring(ctx) })
+	r.metrics.sample()
+	r.loop.call(func() { r.beginMeasuring(ctx) })
 	started := time.Now()
-	err = r.wait(ctx, seconds(plan.Run.DurationS), r.rules.broken)
+	err = r.wait(ctx, seconds(plan.Run.DurationS), r.invariants.violations)
 	var result *RegionResult
-	r.measure.sample()
-	r.loop.ask(func() {
+	r.metrics.sample()
+	r.loop.call(func() {
 		r.closing = true
 		orphans := 0
 		if err == nil {
-			orphans = r.lookForOrphans()
+			orphans = r.checkOrphanedJobs()
 		}
 		result = r.result(time.Since(started))
 		result.Ownership.JobsOrphaned = orphans
 	})
 	if err == nil {
-		err = r.lastBroken()
+		err = r.pendingViolation()
 	}
 	if err == nil && result.Upgrade != nil {
 		err = result.Upgrade.check(number)
@@ -107,10 +107,10 @@
 	return result, err
 }
 
-// lastBroken is a rule that was found broken at the very end.
-func (r *region) lastBroken() error {
+// pendingViolation is a rule that was found broken at the very end.
+func (r *region) pendingViolation() error {
 	select {
-	case b := <-r.rules.broken:
+	case b := <-r.invariants.violations:
 		return b
 	default:
 		return nil
@@ -119,9 +119,9 @@
 
 func newRegion(plan *Plan, number int, dir string) *region {
 	l := newLoop()
-	agenda := l.agenda
-	r := &region{plan: plan, number: number, dir: dir, loop: l, byAddress: map[string]*emulator.Worker{}, measure: newMeasures(),
-		rules: newRules(agenda, number, plan), random: rand.New(rand.NewPCG(plan.Run.Seed, uint64(number))), failures: make(chan error, 1)}
+	agenda := l.queue
+	r := &region{plan: plan, number: number, dir: dir, loop: l, byAddress: map[string]*emulator.Worker{}, metrics: newMetrics(),
+		invariants: newInvariants(agenda, number, plan), random: rand.New(rand.NewPCG(plan.Run.Seed, uint64(number))), failures: make(chan error, 1)}
 	r.state = emulator.NewStateService(agenda, emulator.StateLimits{ValueBytes: int(plan.State.ValueKB * 1024), Changes: plan.State.TxnOps,
 		RequestRate: plan.State.RPS, ChangeRate: plan.State.WriteRPS})
 	r.state.MostChanges = plan.State.TxnOps
@@ -136,7 +136,7 @@
 
 func (r *region) newCloud(wrong func(string)) {
 	p := r.plan
-	cloud := emulator.NewCloud(r.loop.agenda)
+	cloud := emulator.NewCloud(r.loop.queue)
 	cloud.Wrong, cloud.Rate, cloud.Lag = wrong, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
 	cloud.Left = map[emulator.Pool]int{} // what the fleet has lost can be rented again, no more
 	cloud.Name = func(n int) string { return fmt.Sprintf("i-%d%06d", r.number, n) }
@@ -150,12 +150,12 @@
 	}
 	cloud.BootTime = func(typ string) time.Duration { return seconds(r.typeOf(typ).BootS) }
 	cloud.Launch = func(m *emulator.Machine) {
-		k := r.addWorker(m)
-		r.loop.agenda.After(cloud.BootTime(m.Type), k.Boot)
+		worker := r.addWorker(m)
+		r.loop.queue.After(cloud.BootTime(m.Type), worker.Boot)
 	}
 	cloud.Remove = func(m *emulator.Machine) {
-		if k := r.fleet.Workers[m.ID]; k != nil {
-			k.Die()
+		if worker := r.fleet.Workers[m.ID]; worker != nil {
+			worker.Die()
 		}
 	}
 	r.cloud = cloud
@@ -168,17 +168,19 @@
 
 func (r *region) newFleet(wrong func(string)) {
 	w := r.plan.Workers
-	f := emulator.NewFleet(r.loop.agenda, emulator.Timing{Report: seconds(w.ReportS), Jitter: 0.25, LeastPause: 500 * time.Millisecond,
+	f := emulator.NewFleet(r.loop.queue, emulator.Timing{Report: seconds(w.ReportS), Jitter: 0.25, LeastPause: 500 * time.Millisecond,
 		NextController: time.Second, SentAway: 250 * time.Millisecond, Lease: seconds(w.LeaseS),
 		GangWait: seconds(w.GangWaitS), GangPeer: seconds(w.GangPeerS), Look: 100 * time.Millisecond})
 	f.Random, f.RefuseUnfit, f.FetchTime = r.random.Float64, true, emulator.FetchImage
 	var addresses []string
 	for i := range r.plan.Control.Controllers {
-		addresses = append(addresses, r.userAddress(i))
+		addresses = append(addresses, r.clientAddress(i))
 	}
-	r.carrier = newCarrier(r.loop, addresses, r.measure)
-	r.carrier.answered = func(machine string, controller int) { r.ownership.answered(machine, controller, r.loop.agenda.Now()) }
-	f.Carrier, f.Controllers = r.carrier.carry, len(addresses)
+	r.carrier = newHeartbeatCarrier(r.loop, addresses, r.metrics)
+	r.carrier.onAnswer = func(machine string, controller int) {
+		r.ownership.workerAnswered(machine, controller, r.loop.queue.Now())
+	}
+	f.Carrier, f.Controllers = r.carrier.send, len(addresses)
 	f.Label = func(name string) int {
 		for i := range addresses {
 			if controllerLabel(i) == name {
@@ -188,84 +190,84 @@
 		return -1
 	}
 	f.Jobs = func(uid string) *emulator.Job {
-		if j := r.rules.jobs[uid]; j != nil {
+		if j := r.invariants.jobs[uid]; j != nil {
 			return &j.Job
 		}
 		return nil
 	}
 	f.RunTime = func(task string) time.Duration {
 		uid, _, _ := strings.Cut(task, "/")
-		if j := r.rules.jobs[uid]; j != nil {
+		if j := r.invariants.jobs[uid]; j != nil {
 			return time.Duration(j.load.RunS * (0.8 + 0.4*r.random.Float64()) * float64(time.Second))
 		}
 		return 0
 	}
-	f.Begins, f.Leaves = r.taskBegins, r.taskLeaves
+	f.Begins, f.Leaves = r.onTaskStarted, r.onTaskStopped
 	f.Done = func(task string, t *emulator.Task) {
-		if j := r.rules.jobs[t.UID]; j != nil {
-			j.done[task] = true
-			r.measure.exits++
+		if j := r.invariants.jobs[t.UID]; j != nil {
+			j.completed[task] = true
+			r.metrics.exits++
 		}
 	}
-	f.Died = func(k *emulator.Worker) {
-		r.cloud.Fail(k.ID)
-		r.carrier.drop(k.ID)
-		delete(r.byAddress, k.Addr)
-		delete(r.fleet.Workers, k.ID)
+	f.Died = func(worker *emulator.Worker) {
+		r.cloud.Fail(worker.ID)
+		r.carrier.closeConnection(worker.ID)
+		delete(r.byAddress, worker.Addr)
+		delete(r.fleet.Workers, worker.ID)
 	}
 	f.Wrong = wrong
 	r.fleet = f
 }
 
 func (r *region) addWorker(m *emulator.Machine) *emulator.Worker {
-	k := r.fleet.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
-	k.Size = r.typeOf(m.Type)
-	k.Controller = r.random.IntN(r.plan.Control.Controllers)
-	r.byAddress[m.Addr] = k
-	return k
+	worker := r.fleet.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
+	worker.Size = r.typeOf(m.Type)
+	worker.Controller = r.random.IntN(r.plan.Control.Controllers)
+	r.byAddress[m.Addr] = worker
+	return worker
 }
 
-func (r *region) taskBegins(k *emulator.Worker, task string, t *emulator.Task) {
-	r.rules.begins(k, task, t)
+func (r *region) onTaskStarted(worker *emulator.Worker, task string, t *emulator.Task) {
+	r.invariants.taskStarted(worker, task, t)
 	r.noteBegin(task, t)
-	r.measure.running++
-	r.detection.began(t.Try >> attemptBlockBits)
-	if r.ownership.began(t.UID, t.Try, r.loop.agenda.Now()) {
-		r.ownedTwice++
-		r.rules.breaks(r.rules.jobs[t.UID], "owned_twice", "%s is started by attempt %d though a later leader had started some", task, t.Try)
+	r.metrics.running++
+	r.detection.taskStarted(t.Try >> attemptBlockBits)
+	if r.ownership.taskStarted(t.UID, t.Try, r.loop.queue.Now()) {
+		r.jobsOwnedTwice++
+		r.invariants.violate(r.invariants.jobs[t.UID], "owned_twice", "%s is started by attempt %d though a later leader had started some", task, t.Try)
 	}
-	j := r.rules.jobs[t.UID]
-	if j != nil && !j.startedOnce[task] {
-		j.startedOnce[task] = true
-		r.measure.started(j.class, r.loop.agenda.Now()-j.submitted)
+	j := r.invariants.jobs[t.UID]
+	if j != nil && !j.started[task] {
+		j.started[task] = true
+		r.metrics.started(j.class, r.loop.queue.Now()-j.submittedAt)
 	}
 }
 
-func (r *region) taskLeaves(k *emulator.Worker, task string, t *emulator.Task) {
-	r.rules.leaves(k, task, t)
+func (r *region) onTaskStopped(worker *emulator.Worker, task string, t *emulator.Task) {
+	r.invariants.taskStopped(worker, task, t)
 	r.noteLeave(task, t)
-	r.measure.running--
+	r.metrics.running--
 }
 
-// begin brings the fleet up, over the time of a report, and has users arrive.
-func (r *region) begin() {
-	agenda := r.loop.agenda
+// startLoad brings the fleet up, over the time of a report, and has users arrive.
+func (r *region) startLoad() {
+	agenda := r.loop.queue
 	n := r.plan.regionWorkers(r.number)
 	for i, typ := range r.plan.typesOf(n) {
 		m := r.cloud.Create(emulator.Pool{Type: typ, Zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)]})
 		m.Up = true
 		r.cloud.Left[m.Pool]++ // it was there before
-		k := r.addWorker(m)
-		agenda.After(seconds(r.plan.Workers.ReportS*r.random.Float64()), k.Boot)
+		worker := r.addWorker(m)
+		agenda.After(seconds(r.plan.Workers.ReportS*r.random.Float64()), worker.Boot)
 	}
-	r.users.begin()
+	r.users.startArrivals()
 	r.every(100*time.Millisecond, func() {
 		r.fleet.StepGangs()
 		r.watchLeader()
 	})
 	r.every(time.Second, func() {
-		r.measure.second()
-		r.rules.lookForForgotten()
+		r.metrics.second()
+		r.invariants.checkForgottenJobs()
 	})
 }
 
@@ -287,7 +289,7 @@
 }
 
 func (r *region) every(d time.Duration, do func()) {
-	r.loop.agenda.After(d, func() {
+	r.loop.queue.After(d, func() {
 		do()
 		r.every(d, do)
 	})
@@ -319,7 +321,7 @@
 
 // watchLeader counts changes of the leader and how long there was none.
 func (r *region) watchLeader() {
-	now := r.loop.agenda.Now()
+	now := r.loop.queue.Now()
 	v, some := r.leader()
 	r.watchGate(v)
 	if !some {
@@ -329,10 +331,10 @@
 	if v.Token == r.leaderToken {
 		return // also one that has been killed, until its lease is over
 	}
-	if r.leaderToken > 0 && r.measure.measuring {
-		r.measure.leaderChanges++
+	if r.leaderToken > 0 && r.metrics.measuring {
+		r.metrics.leaderChanges++
 		if r.leaderLost > 0 {
-			r.measure.leaderGaps.add(now - r.leaderLost)
+			r.metrics.leaderGaps.add(now - r.leaderLost)
 		}
 	}
 	r.leaderLost, r.leaderToken = 0, v.Token
@@ -341,17 +343,17 @@
 // loseLeader notes since when there is no leader.
 func (r *region) loseLeader() {
 	if r.leaderLost == 0 && r.leaderToken > 0 {
-		r.leaderLost = r.loop.agenda.Now()
+		r.leaderLost = r.loop.queue.Now()
 	}
 }
 
 func (r *region) beginMeasuring(ctx context.Context) {
-	r.measure.begin(r.loop.agenda.Now())
+	r.metrics.begin(r.loop.queue.Now())
 	r.ownership.reset()
 	r.stateBase = r.state.Stats
-	r.measure.peakRunning = r.measure.running
+	r.metrics.peakRunning = r.metrics.running
 	for _, f := range r.plan.Faults {
-		r.loop.agenda.After(seconds(f.AtS), func() { r.cause(ctx, f) })
+		r.loop.queue.After(seconds(f.AtS), func() { r.inject(ctx, f) })
 	}
 }
 
@@ -367,9 +369,9 @@
 var errMemoryPassed = errors.New("the run takes more memory than it may")
 
 // wait lets time pass, and ends early if something is wrong.
-func (r *region) wait(ctx context.Context, d time.Duration, broken <-chan *BrokenRule) error {
+func (r *region) wait(ctx context.Context, d time.Duration, broken <-chan *RuleViolation) error {
 	if broken == nil {
-		broken = r.rules.broken
+		broken = r.invariants.violations
 	}
 	over := time.NewTimer(d)
 	defer over.Stop()
@@ -389,7 +391,7 @@
 		case b := <-broken:
 			return b
 		case <-second.C:
-			if total := r.measure.sample(); total > most {
+			if total := r.metrics.sample(); total > most {
 				return fmt.Errorf("%w: %d MB of %d in region %d", errMemoryPassed, total>>20, most>>20, r.number)
 			}
 		case <-over.C:
--- a/internal/scalerun/reports.go
+++ b/internal/scalerun/reports.go
@@ -13,67 +13,67 @@
 	"claybarrow/internal/emulator"
 )
 
-// carrier takes reports to the controllers, over one connection for each worker that stays
+// heartbeatCarrier takes reports to the controllers, over one connection for each worker that stays
 // open, as a worker's does.
-type carrier struct {
-	loop      *loop
+type heartbeatCarrier struct {
+	loop      *eventLoop
 	addresses []string // of the controllers
-	measure   *measures
-	// answered is told, by the loop, of each answer that a worker takes.
-	answered func(machine string, controller int)
-	mu       sync.Mutex
-	links    map[string]*link
-	readers  sync.Pool
+	metrics   *metrics
+	// onAnswer is told, by the loop, of each answer that a worker takes.
+	onAnswer    func(machine string, controller int)
+	mu          sync.Mutex
+	connections map[string]*connection
+	readers     sync.Pool
 }
 
-// link is a worker's connection. Only its one report in flight uses it.
-type link struct {
+// connection is a worker's connection. Only its one report in flight uses it.
+type connection struct {
 	conn       net.Conn
 	controller int
 }
 
 // heartbeatTimeout is how long a worker waits for the answer to a report.
-const reportWait = 4 * time.Second
+const heartbeatTimeout = 4 * time.Second
 
-const mostAnswer = 1 << 20
+const maxAnswerBytes = 1 << 20
 
-func newCarrier(l *loop, addresses []string, m *measures) *carrier {
-	return &carrier{loop: l, addresses: addresses, measure: m, links: map[string]*link{},
+func newHeartbeatCarrier(l *eventLoop, addresses []string, m *metrics) *heartbeatCarrier {
+	return &heartbeatCarrier{loop: l, addresses: addresses, metrics: m, connections: map[string]*connection{},
 		readers: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4096) }}}
 }
 
-// carry is the fleet's Carrier: it is called by the loop, and answers by it.
-func (c *carrier) carry(k *emulator.Worker, controller int, body []byte, answer emulator.Reply) {
-	if k.ReportsLost {
-		c.loop.agenda.After(reportWait, func() { answer(0, nil) })
+// send is the fleet's Carrier: it is called by the loop, and answers by it.
+func (c *heartbeatCarrier) send(worker *emulator.Worker, controller int, body []byte, answer emulator.Reply) {
+	if worker.ReportsLost {
+		c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
 		return
 	}
-	id, sent := k.ID, time.Now()
+	id, sent := worker.ID, time.Now()
 	go func() {
 		status, reply, traffic := c.exchange(id, controller, body)
 		c.loop.post(func() {
-			c.measure.report(status, time.Since(sent), traffic)
-			if k.Hung || k.AnswersLost {
-				c.loop.agenda.After(reportWait, func() { answer(0, nil) })
+			c.metrics.report(status, time.Since(sent), traffic)
+			if worker.Hung || worker.AnswersLost {
+				c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
 				return
 			}
 			if status == http.StatusOK {
-				c.answered(id, controller)
+				c.onAnswer(id, controller)
 			}
 			answer(status, reply)
 		})
 	}()
 }
 
-// take is the worker's link, if it has one to that controller.
-func (c *carrier) take(id string, controller int) net.Conn {
+// takeConnection is the worker's link, if it has one to that controller.
+func (c *heartbeatCarrier) takeConnection(id string, controller int) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.links[id]
+	l := c.connections[id]
 	if l == nil {
 		return nil
 	}
-	delete(c.links, id)
+	delete(c.connections, id)
 	if l.controller != controller {
 		l.conn.Close()
 		return nil
@@ -81,27 +81,27 @@
 	return l.conn
 }
 
-func (c *carrier) keep(id string, controller int, conn net.Conn) {
+func (c *heartbeatCarrier) keepConnection(id string, controller int, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links[id] = &link{conn, controller}
+	c.connections[id] = &connection{conn, controller}
 }
 
-// drop closes the connection of a worker that is gone.
-func (c *carrier) drop(id string) {
+// closeConnection closes the connection of a worker that is gone.
+func (c *heartbeatCarrier) closeConnection(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.links[id]; l != nil {
+	if l := c.connections[id]; l != nil {
 		l.conn.Close()
-		delete(c.links, id)
+		delete(c.connections, id)
 	}
 }
 
 // exchange sends one report and reads its answer; status 0: there was none. An old connection
 // may have been closed by the other side, so then a new one is tried.
-func (c *carrier) exchange(id string, controller int, body []byte) (status int, reply []byte, traffic int64) {
-	deadline := time.Now().Add(reportWait)
-	if conn := c.take(id, controller); conn != nil {
+func (c *heartbeatCarrier) exchange(id string, controller int, body []byte) (status int, reply []byte, traffic int64) {
+	deadline := time.Now().Add(heartbeatTimeout)
+	if conn := c.takeConnection(id, controller); conn != nil {
 		status, reply, traffic = c.roundTrip(id, controller, conn, body, deadline)
 		if status != 0 || time.Now().After(deadline) {
 			return status, reply, traffic
@@ -116,7 +116,7 @@
 	return status, reply, traffic + more
 }
 
-func (c *carrier) roundTrip(id string, controller int, conn net.Conn, body []byte, deadline time.Time) (int, []byte, int64) {
+func (c *heartbeatCarrier) roundTrip(id string, controller int, conn net.Conn, body []byte, deadline time.Time) (int, []byte, int64) {
 	_ = conn.SetDeadline(deadline) // a connection that takes no deadline fails below
 	var request bytes.Buffer
 	fmt.Fprintf(&request, "POST /hello HTTP/1.1\r\nHost: %s\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", c.addresses[controller], len(body))
@@ -135,7 +135,7 @@
 		conn.Close()
 		return 0, nil, traffic + counted.bytes
 	}
-	reply, err := io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	reply, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	response.Body.Close()
 	traffic += counted.bytes
 	if err != nil {
@@ -145,7 +145,7 @@
 	if response.Close || response.StatusCode == http.StatusMisdirectedRequest {
 		conn.Close()
 	} else {
-		c.keep(id, controller, conn)
+		c.keepConnection(id, controller, conn)
 	}
 	return response.StatusCode, reply, traffic
 }
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -45,7 +45,7 @@
 
 // result sums up, by the loop.
 func (r *region) result(measured time.Duration) *RegionResult {
-	m, s, base := r.measure, r.state.Stats, r.stateBase
+	m, s, base := r.metrics, r.state.Stats, r.stateBase
 	per := func(n float64) float64 { return n / measured.Seconds() }
 	out := &RegionResult{Region: r.number, MeasuredS: measured.Seconds(), Workers: len(r.fleet.Workers),
 		Starts: m.starts, StartsPerS: per(float64(m.starts)), PeakStartsPerS: m.peakSecond, TasksDone: m.exits, PeakRunning: m.peakRunning,
@@ -55,9 +55,9 @@
 		LeaderChanges: m.leaderChanges, LeaderGaps: m.leaderGaps.quantiles(),
 		StateRequests: per(float64(s.Requests - base.Requests)), StateChanges: per(float64(s.Changes - base.Changes)),
 		StateBytes: per(float64(s.Bytes - base.Bytes)), StateTooMany: s.TooMany - base.TooMany, StateConflicts: s.Conflicts - base.Conflicts,
-		StateKeys: len(r.state.Keys()), Processes: m.uses(measured), LoopLateS: r.loop.late.Seconds()}
-	out.Ownership = r.ownership.sum()
-	out.Ownership.JobsOwnedTwice = r.ownedTwice
+		StateKeys: len(r.state.Keys()), Processes: m.uses(measured), LoopLateS: r.loop.maxDelay.Seconds()}
+	out.Ownership = r.ownership.totals()
+	out.Ownership.JobsOwnedTwice = r.jobsOwnedTwice
 	out.Ownership.SessionsExpired = expiredSessions(r.fleet)
 	var logs []string
 	for _, c := range r.controllers {
@@ -75,11 +75,11 @@
 
 // Result is a whole run.
 type Result struct {
-	Plan    *Plan           `json:"plan"`
-	Version string          `json:"version,omitempty"`
-	Regions []*RegionResult `json:"regions"`
-	Broken  *BrokenRule     `json:"broken_rule,omitempty"`
-	Error   string          `json:"error,omitempty"`
+	Plan      *Plan           `json:"plan"`
+	Version   string          `json:"version,omitempty"`
+	Regions   []*RegionResult `json:"regions"`
+	Violation *RuleViolation  `json:"broken_rule,omitempty"`
+	Error     string          `json:"error,omitempty"`
 }
 
 // Summary is the result for people.
@@ -90,8 +90,8 @@
 		region.summary(&b)
 	}
 	switch {
-	case r.Broken != nil:
-		fmt.Fprintf(&b, "RULE BROKEN: %v\n", r.Broken)
+	case r.Violation != nil:
+		fmt.Fprintf(&b, "RULE BROKEN: %v\n", r.Violation)
 	case r.Error != "":
 		fmt.Fprintf(&b, "ended early: %s\n", r.Error)
 	default:
--- a/internal/scalerun/rules.go
+++ b/internal/scalerun/rules.go
@@ -13,34 +13,34 @@
 // job is a job of this run, with what its user and its workers saw of it.
 type job struct {
 	emulator.Job
-	uid, class, team string
-	load             *LoadPlan
-	spread           bool
-	submitted        time.Duration // first attempt
-	accepted         time.Duration // 0: not yet
-	told             protocol.JobState
-	toldAt           time.Duration // when it was first told so
-	cancelAsked      bool
-	toldCancelled    time.Duration
-	answered         time.Duration // when a question was last answered
-	done             map[string]bool
-	startedOnce      map[string]bool
-	places           map[string]*place // tasks on machines, by task
-	inZone           map[string]int
-	history          []string
+	uid, class, team    string
+	load                *LoadPlan
+	spread              bool
+	submittedAt         time.Duration // first attempt
+	acceptedAt          time.Duration // 0: not yet
+	reportedState       protocol.JobState
+	reportedAt          time.Duration // when it was first told so
+	cancelRequested     bool
+	reportedCancelledAt time.Duration
+	answeredAt          time.Duration // when a question was last answered
+	completed           map[string]bool
+	started             map[string]bool
+	placements          map[string]*placement // tasks on machines, by task
+	tasksByZone         map[string]int
+	history             []string
 }
 
-// place is where a task is.
-type place struct {
+// placement is where a task is.
+type placement struct {
 	worker *emulator.Worker
 	task   *emulator.Task
 }
 
-// mostHistory bounds what is kept of one job.
-const mostHistory = 60
+// maxHistory bounds what is kept of one job.
+const maxHistory = 60
 
 func (j *job) note(now time.Duration, format string, args ...any) {
-	if len(j.history) < mostHistory {
+	if len(j.history) < maxHistory {
 		j.history = append(j.history, fmt.Sprintf("%.3f ", now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
@@ -48,8 +48,8 @@
 // teamUse is what a team's tasks take now, and may take.
 type teamUse struct{ cores, accel, coresMax, accelMax float64 }
 
-// BrokenRule is a rule of the protocol that did not hold, with what is known of the job.
-type BrokenRule struct {
+// RuleViolation is a rule of the protocol that did not hold, with what is known of the job.
+type RuleViolation struct {
 	Rule    string   `json:"rule"`
 	What    string   `json:"what"`
 	AtS     float64  `json:"at_s"`
@@ -58,23 +58,23 @@
 }
 
 // Error is the rule and what happened.
-func (b *BrokenRule) Error() string {
+func (b *RuleViolation) Error() string {
 	return fmt.Sprintf("rule broken: %s: %s\n  %s", b.Rule, b.What, strings.Join(b.History, "\n  "))
 }
 
-// rules checks the protocol's rules as things happen.
-type rules struct {
-	agenda *emulator.EventQueue
-	region int
-	jobs   map[string]*job
-	teams  map[string]*teamUse
-	cancel time.Duration
-	broken chan *BrokenRule
+// invariants checks the protocol's rules as things happen.
+type invariants struct {
+	queue          *emulator.EventQueue
+	region         int
+	jobs           map[string]*job
+	teams          map[string]*teamUse
+	cancelDeadline time.Duration
+	violations     chan *RuleViolation
 }
 
-func newRules(agenda *emulator.EventQueue, region int, plan *Plan) *rules {
-	r := &rules{agenda: agenda, region: region, jobs: map[string]*job{}, teams: map[string]*teamUse{},
-		cancel: seconds(plan.Workers.CancelS), broken: make(chan *BrokenRule, 1)}
+func newInvariants(agenda *emulator.EventQueue, region int, plan *Plan) *invariants {
+	r := &invariants{queue: agenda, region: region, jobs: map[string]*job{}, teams: map[string]*teamUse{},
+		cancelDeadline: seconds(plan.Workers.CancelS), violations: make(chan *RuleViolation, 1)}
 	for i := range plan.Teams.Count {
 		r.teams[teamName(i)] = &teamUse{coresMax: plan.Teams.CoresMax / float64(plan.Fleet.Regions), accelMax: plan.Teams.AcceleratorsMax / float64(plan.Fleet.Regions)}
 	}
@@ -85,113 +85,115 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// breaks reports a broken rule; the first one ends the run.
-func (r *rules) breaks(j *job, rule, format string, args ...any) {
-	b := &BrokenRule{Rule: rule, What: fmt.Sprintf(format, args...), AtS: r.agenda.Now().Seconds(), Region: r.region}
+// violate reports a broken rule; the first one ends the run.
+func (c *invariants) violate(j *job, rule, format string, args ...any) {
+	b := &RuleViolation{Rule: rule, What: fmt.Sprintf(format, args...), AtS: c.queue.Now().Seconds(), Region: c.region}
 	if j != nil {
 		b.History = j.history
 	}
 	select {
-	case r.broken <- b:
+	case c.violations <- b:
 	default:
 	}
 }
 
-// begins checks the moment a task begins to be on its machine.
-func (r *rules) begins(k *emulator.Worker, task string, t *emulator.Task) {
-	j := r.jobs[t.UID]
+// taskStarted checks the moment a task begins to be on its machine.
+func (c *invariants) taskStarted(worker *emulator.Worker, task string, t *emulator.Task) {
+	j := c.jobs[t.UID]
 	if j == nil {
-		r.breaks(nil, "invented", "%s runs, and nobody submitted its job", task)
+		c.violate(nil, "invented", "%s runs, and nobody submitted its job", task)
 		return
 	}
-	now := r.agenda.Now()
-	j.note(now, "%s begins on %s (%s, attempt %d)", task, k.ID, k.Zone, t.Try)
-	if other := j.places[task]; other != nil {
-		r.breaks(j, "ran_twice", "%s begins on %s while it is on %s", task, k.ID, other.worker.ID)
+	now := c.queue.Now()
+	j.note(now, "%s begins on %s (%s, attempt %d)", task, worker.ID, worker.Zone, t.Try)
+	if other := j.placements[task]; other != nil {
+		c.violate(j, "ran_twice", "%s begins on %s while it is on %s", task, worker.ID, other.worker.ID)
 	}
-	if j.toldCancelled > 0 {
-		r.breaks(j, "ran_cancelled", "%s begins after its user was told of the cancellation", task)
+	if j.reportedCancelledAt > 0 {
+		c.violate(j, "ran_cancelled", "%s begins after its user was told of the cancellation", task)
 	}
-	j.places[task] = &place{k, t}
-	j.inZone[k.Zone]++
-	if most := (j.Tasks + 1) / 2; j.spread && j.inZone[k.Zone] > most {
-		r.breaks(j, "wrong_place", "%d of %d tasks of %s in zone %s", j.inZone[k.Zone], j.Tasks, j.uid, k.Zone)
+	j.placements[task] = &placement{worker, t}
+	j.tasksByZone[worker.Zone]++
+	if most := (j.Tasks + 1) / 2; j.spread && j.tasksByZone[worker.Zone] > most {
+		c.violate(j, "wrong_place", "%d of %d tasks of %s in zone %s", j.tasksByZone[worker.Zone], j.Tasks, j.uid, worker.Zone)
 	}
-	team := r.teams[j.team]
+	team := c.teams[j.team]
 	team.cores += j.Cores
 	team.accel += j.Accel
 	const slack = 1e-3
 	if team.coresMax > 0 && team.cores > team.coresMax+slack || team.accelMax > 0 && team.accel > team.accelMax+slack {
-		r.breaks(j, "quota", "%s uses %.1f cores and %.1f accelerators", j.team, team.cores, team.accel)
+		c.violate(j, "quota", "%s uses %.1f cores and %.1f accelerators", j.team, team.cores, team.accel)
 	}
 }
 
-// leaves notes that a task is no longer on its machine.
-func (r *rules) leaves(k *emulator.Worker, task string, t *emulator.Task) {
-	j := r.jobs[t.UID]
-	if j == nil || j.places[task] == nil || j.places[task].task != t {
+// taskStopped notes that a task is no longer on its machine.
+func (c *invariants) taskStopped(worker *emulator.Worker, task string, t *emulator.Task) {
+	j := c.jobs[t.UID]
+	if j == nil || j.placements[task] == nil || j.placements[task].task != t {
 		return
 	}
-	j.note(r.agenda.Now(), "%s leaves %s (%s %s)", task, k.ID, t.State, t.Cause)
-	delete(j.places, task)
-	j.inZone[k.Zone]--
-	team := r.teams[j.team]
+	j.note(c.queue.Now(), "%s leaves %s (%s %s)", task, worker.ID, t.State, t.Cause)
+	delete(j.placements, task)
+	j.tasksByZone[worker.Zone]--
+	team := c.teams[j.team]
 	team.cores -= j.Cores
 	team.accel -= j.Accel
 }
 
-// tells checks what a user was told of a job, in answer to a request that was sent at a time. One
+// statusReported checks what a user was told of a job, in answer to a request that was sent at a time. One
 // that was under way while the user was told something may be answered with what held before.
-func (r *rules) tells(j *job, state protocol.JobState, sent time.Duration) {
-	before := j.told
-	if state != before && sent < j.toldAt {
+func (c *invariants) statusReported(j *job, state protocol.JobState, sent time.Duration) {
+	before := j.reportedState
+	if state != before && sent < j.reportedAt {
 		return
 	}
 	if state != before {
-		j.note(r.agenda.Now(), "its user is told %s", state)
+		j.note(c.queue.Now(), "its user is told %s", state)
 	}
 	if (before == protocol.Done || before == protocol.Cancelled) && state != before {
-		r.breaks(j, "went_back", "%s was %s, now %s", j.uid, before, state)
+		c.violate(j, "went_back", "%s was %s, now %s", j.uid, before, state)
 	}
-	if state == protocol.Done && before != state && len(j.done) < j.Tasks {
-		r.breaks(j, "not_done", "%s: %d of %d tasks have completed", j.uid, len(j.done), j.Tasks)
+	if state == protocol.Done && before != state && len(j.completed) < j.Tasks {
+		c.violate(j, "not_done", "%s: %d of %d tasks have completed", j.uid, len(j.completed), j.Tasks)
 	}
 	if state == protocol.Cancelled && before != state {
-		if !j.cancelAsked {
-			r.breaks(j, "went_back", "%s is called cancelled, and nobody asked for it", j.uid)
+		if !j.cancelRequested {
+			c.violate(j, "went_back", "%s is called cancelled, and nobody asked for it", j.uid)
 		}
-		j.toldCancelled = r.agenda.Now()
-		r.agenda.After(r.cancel, func() {
-			if len(j.places) > 0 {
-				r.breaks(j, "ran_cancelled", "%s still has %d tasks", j.uid, len(j.places))
+		j.reportedCancelledAt = c.queue.Now()
+		c.queue.After(c.cancelDeadline, func() {
+			if len(j.placements) > 0 {
+				c.violate(j, "ran_cancelled", "%s still has %d tasks", j.uid, len(j.placements))
 			}
 		})
 	}
 	if state != before {
-		j.told, j.toldAt = state, r.agenda.Now()
+		j.reportedState, j.reportedAt = state, c.queue.Now()
 	}
 }
 
-// answers checks the status of an answer about a job.
-func (r *rules) answers(j *job, op string, status int) {
-	if j.accepted > 0 && (status == 404 || op == opSubmit && (status == 400 || status == 422)) {
-		r.breaks(j, "forgotten", "%s answered %d to %s", j.uid, status, op)
+// answerReceived checks the status of an answer about a job.
+func (c *invariants) answerReceived(j *job, op string, status int) {
+	if j.acceptedAt > 0 && (status == 404 || op == opSubmit && (status == 400 || status == 422)) {
+		c.violate(j, "forgotten", "%s answered %d to %s", j.uid, status, op)
 	}
 }
 
-// over says whether its user has been told that the job has ended.
-func (j *job) over() bool { return j.told == protocol.Done || j.told == protocol.Cancelled }
+// finished says whether its user has been told that the job has ended.
+func (j *job) finished() bool {
+	return j.reportedState == protocol.Done || j.reportedState == protocol.Cancelled
+}
 
-// lookForForgotten finds jobs about which no question was answered for long, while most other
+// checkForgottenJobs finds jobs about which no question was answered for long, while most other
 // jobs' were. A region that answers nobody forgets nobody: it is down.
-func (r *rules) lookForForgotten() {
+func (c *invariants) checkForgottenJobs() {
 	const most = 90 * time.Second
 	var silent *job
 	unanswered, answered := 0, 0
-	for _, j := range r.jobs {
+	for _, j := range c.jobs {
 		switch {
-		case j.accepted == 0 || j.over():
-		case r.agenda.Now() > max(j.answered, j.accepted)+most:
+		case j.acceptedAt == 0 || j.finished():
+		case c.queue.Now() > max(j.answeredAt, j.acceptedAt)+most:
 			silent = j
 			unanswered++
 		default:
@@ -199,6 +201,6 @@
 		}
 	}
 	if silent != nil && answered > unanswered {
-		r.breaks(silent, "forgotten", "no question about %s was answered for %v", silent.uid, most)
+		c.violate(silent, "forgotten", "no question about %s was answered for %v", silent.uid, most)
 	}
 }
--- a/internal/scalerun/rules_test.go
+++ b/internal/scalerun/rules_test.go
@@ -11,7 +11,7 @@
 // Each rule, broken once, is seen; what keeps it is not.
 func TestRulesAreSeen(t *testing.T) {
 	type bench struct {
-		*rules
+		*invariants
 		job *job
 		one *emulator.Worker
 		two *emulator.Worker
@@ -23,75 +23,75 @@
 	}{
 		{"", func(b *bench) {
 			first := task()
-			b.begins(b.one, "j-1/0", first)
-			b.leaves(b.one, "j-1/0", first)
-			b.begins(b.two, "j-1/0", task())
+			b.taskStarted(b.one, "j-1/0", first)
+			b.taskStopped(b.one, "j-1/0", first)
+			b.taskStarted(b.two, "j-1/0", task())
 		}},
 		{"ran_twice", func(b *bench) {
-			b.begins(b.one, "j-1/0", task())
-			b.begins(b.two, "j-1/0", task())
+			b.taskStarted(b.one, "j-1/0", task())
+			b.taskStarted(b.two, "j-1/0", task())
 		}},
 		{"quota", func(b *bench) {
 			for _, name := range []string{"j-1/0", "j-1/1", "j-1/2"} {
-				b.begins(b.one, name, task())
+				b.taskStarted(b.one, name, task())
 			}
 		}},
 		{"wrong_place", func(b *bench) {
 			b.job.spread = true
 			b.job.Cores = 0
 			for _, name := range []string{"j-1/0", "j-1/1", "j-1/2"} {
-				b.begins(b.one, name, task())
+				b.taskStarted(b.one, name, task())
 			}
 		}},
-		{"invented", func(b *bench) { b.begins(b.one, "j-2/0", &emulator.Task{UID: "j-2"}) }},
+		{"invented", func(b *bench) { b.taskStarted(b.one, "j-2/0", &emulator.Task{UID: "j-2"}) }},
 		{"ran_cancelled", func(b *bench) {
-			b.job.cancelAsked = true
-			b.agenda.RunUntil(time.Second)
-			b.tells(b.job, protocol.Cancelled, b.agenda.Now())
-			b.begins(b.one, "j-1/0", task())
+			b.job.cancelRequested = true
+			b.queue.RunUntil(time.Second)
+			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
+			b.taskStarted(b.one, "j-1/0", task())
 		}},
 		{"ran_cancelled", func(b *bench) {
-			b.job.cancelAsked = true
-			b.begins(b.one, "j-1/0", task())
-			b.agenda.RunUntil(time.Second)
-			b.tells(b.job, protocol.Cancelled, b.agenda.Now())
-			b.agenda.RunUntil(time.Minute)
+			b.job.cancelRequested = true
+			b.taskStarted(b.one, "j-1/0", task())
+			b.queue.RunUntil(time.Second)
+			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
+			b.queue.RunUntil(time.Minute)
 		}},
-		{"went_back", func(b *bench) { b.tells(b.job, protocol.Cancelled, b.agenda.Now()) }},
+		{"went_back", func(b *bench) { b.statusReported(b.job, protocol.Cancelled, b.queue.Now()) }},
 		{"went_back", func(b *bench) {
-			b.job.cancelAsked = true
-			b.tells(b.job, protocol.Cancelled, b.agenda.Now())
-			b.tells(b.job, protocol.Active, b.agenda.Now())
+			b.job.cancelRequested = true
+			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
+			b.statusReported(b.job, protocol.Active, b.queue.Now())
 		}},
 		{"", func(b *bench) { // the question was under way when the user was told
-			b.job.cancelAsked = true
-			b.agenda.RunUntil(time.Second)
-			b.tells(b.job, protocol.Cancelled, b.agenda.Now())
-			b.tells(b.job, protocol.Pending, b.agenda.Now()/2)
+			b.job.cancelRequested = true
+			b.queue.RunUntil(time.Second)
+			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
+			b.statusReported(b.job, protocol.Pending, b.queue.Now()/2)
 		}},
-		{"not_done", func(b *bench) { b.tells(b.job, protocol.Done, b.agenda.Now()) }},
+		{"not_done", func(b *bench) { b.statusReported(b.job, protocol.Done, b.queue.Now()) }},
 		{"forgotten", func(b *bench) {
-			b.job.accepted = 1
-			b.answers(b.job, opPoll, 404)
+			b.job.acceptedAt = 1
+			b.answerReceived(b.job, opPoll, 404)
 		}},
 		{"forgotten", func(b *bench) {
-			b.job.accepted = 1
-			b.agenda.RunUntil(2 * time.Minute)
-			b.jobs["j-2"] = &job{uid: "j-2", accepted: 1, answered: time.Minute}
-			b.jobs["j-3"] = &job{uid: "j-3", accepted: 1, answered: time.Minute}
-			b.lookForForgotten()
+			b.job.acceptedAt = 1
+			b.queue.RunUntil(2 * time.Minute)
+			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1, answeredAt: time.Minute}
+			b.jobs["j-3"] = &job{uid: "j-3", acceptedAt: 1, answeredAt: time.Minute}
+			b.checkForgottenJobs()
 		}},
 		{"", func(b *bench) { // nobody is answered
-			b.job.accepted = 1
-			b.agenda.RunUntil(2 * time.Minute)
-			b.jobs["j-2"] = &job{uid: "j-2", accepted: 1}
-			b.lookForForgotten()
+			b.job.acceptedAt = 1
+			b.queue.RunUntil(2 * time.Minute)
+			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1}
+			b.checkForgottenJobs()
 		}},
 		{"", func(b *bench) {
-			b.answers(b.job, opPoll, 404) // it has not been accepted
-			b.job.done["j-1/0"], b.job.done["j-1/1"], b.job.done["j-1/2"], b.job.done["j-1/3"] = true, true, true, true
-			b.tells(b.job, protocol.Done, b.agenda.Now())
-			b.tells(b.job, protocol.Done, b.agenda.Now())
+			b.answerReceived(b.job, opPoll, 404) // it has not been accepted
+			b.job.completed["j-1/0"], b.job.completed["j-1/1"], b.job.completed["j-1/2"], b.job.completed["j-1/3"] = true, true, true, true
+			b.statusReported(b.job, protocol.Done, b.queue.Now())
+			b.statusReported(b.job, protocol.Done, b.queue.Now())
 		}},
 	} {
 		plan := DefaultPlan()
@@ -99,13 +99,13 @@
 		plan.Workers.CancelS = 30
 		agenda := &emulator.EventQueue{}
 		fleet := emulator.NewFleet(agenda, emulator.Timing{})
-		b := &bench{rules: newRules(agenda, 0, &plan), one: fleet.Add("i-1", "", "m", "a", false), two: fleet.Add("i-2", "", "m", "b", false)}
-		b.job = &job{uid: "j-1", team: teamName(0), Job: emulator.Job{Tasks: 4, Cores: 2}, done: map[string]bool{}, places: map[string]*place{}, inZone: map[string]int{}}
+		b := &bench{invariants: newInvariants(agenda, 0, &plan), one: fleet.Add("i-1", "", "m", "a", false), two: fleet.Add("i-2", "", "m", "b", false)}
+		b.job = &job{uid: "j-1", team: teamName(0), Job: emulator.Job{Tasks: 4, Cores: 2}, completed: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
 		b.jobs["j-1"] = b.job
 		tc.do(b)
 		got := ""
 		select {
-		case broken := <-b.broken:
+		case broken := <-b.violations:
 			got = broken.Rule
 		default:
 		}
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -20,9 +20,9 @@
 
 // regionExit is how a region's process tells its parent what happened.
 type regionExit struct {
-	Result *RegionResult `json:"result,omitempty"`
-	Broken *BrokenRule   `json:"broken,omitempty"`
-	Error  string        `json:"error,omitempty"`
+	Result    *RegionResult  `json:"result,omitempty"`
+	Violation *RuleViolation `json:"broken,omitempty"`
+	Error     string         `json:"error,omitempty"`
 }
 
 // ServeRegion plays one region for a parent process and writes what happened to out. It ends
@@ -36,10 +36,10 @@
 	}()
 	result, err := RunRegion(ctx, plan, number)
 	exit := regionExit{Result: result}
-	var broken *BrokenRule
+	var broken *RuleViolation
 	switch {
 	case errors.As(err, &broken):
-		exit.Broken = broken
+		exit.Violation = broken
 	case err != nil:
 		exit.Error = err.Error()
 	}
@@ -81,8 +81,8 @@
 			}
 			result.Regions[number] = exit.Result
 			switch {
-			case exit.Broken != nil:
-				return exit.Broken
+			case exit.Violation != nil:
+				return exit.Violation
 			case exit.Error != "":
 				return &RegionError{number, exit.Error}
 			}
@@ -91,7 +91,7 @@
 	}
 	err := group.Wait()
 	result.Regions = withoutNil(result.Regions)
-	if !errors.As(err, &result.Broken) && err != nil {
+	if !errors.As(err, &result.Violation) && err != nil {
 		result.Error = err.Error()
 	}
 	return result, err
@@ -107,8 +107,8 @@
 	return out
 }
 
-// childEnds is how long a region has for its end once it was told to.
-const childEnds = 10 * time.Second
+// childShutdownTimeout is how long a region has for its end once it was told to.
+const childShutdownTimeout = 10 * time.Second
 
 // runChild starts a region's process. When the context ends, its standard input does, and it
 // ends its own children and itself.
@@ -126,7 +126,7 @@
 	}
 	stop := context.AfterFunc(ctx, func() {
 		in.Close()
-		time.AfterFunc(childEnds, func() { _ = command.Process.Kill() }) // it may have ended
+		time.AfterFunc(childShutdownTimeout, func() { _ = command.Process.Kill() }) // it may have ended
 	})
 	defer stop()
 	if err := command.Wait(); err != nil && out.Len() == 0 {
--- a/internal/scalerun/servers.go
+++ b/internal/scalerun/servers.go
@@ -18,7 +18,7 @@
 	portState = iota
 	portCloud
 	portWorkers
-	portUsers     // of the controllers, by zone and number: see controllerHost
+	portClients   // of the controllers, by zone and number: see controllerHost
 	portPeers     //
 	networkOctets = 16
 )
@@ -92,7 +92,7 @@
 
 func (r *region) serveState(request *http.Request, body []byte, reply emulator.Reply) {
 	r.state.Serve(0, request.Method, request.URL.RequestURI(), body, func(status int, body []byte) {
-		r.loop.agenda.After(seconds(r.plan.State.LatencyMS/1000), func() { reply(status, body) })
+		r.loop.queue.After(seconds(r.plan.State.LatencyMS/1000), func() { reply(status, body) })
 	})
 }
 
@@ -108,13 +108,13 @@
 		reply(http.StatusForbidden, nil)
 		return
 	}
-	k := r.byAddress[local.String()]
-	if k == nil || !k.Reachable() {
+	worker := r.byAddress[local.String()]
+	if worker == nil || !worker.Reachable() {
 		return
 	}
-	r.measure.direct(len(body))
-	k.Serve(request.URL.Path, body, func(status int, answer []byte) {
-		r.measure.direct(len(answer))
+	r.metrics.direct(len(body))
+	worker.Serve(request.URL.Path, body, func(status int, answer []byte) {
+		r.metrics.direct(len(answer))
 		reply(status, answer)
 	})
 }
--- a/internal/scalerun/upgrade.go
+++ b/internal/scalerun/upgrade.go
@@ -41,7 +41,7 @@
 
 // check ends a run with what must not happen.
 func (u *UpgradeResult) check(region int) error {
-	broken := &BrokenRule{Region: region}
+	broken := &RuleViolation{Region: region}
 	switch {
 	case u.Early != "":
 		broken.Rule, broken.What = "opened_early", u.Early
@@ -73,9 +73,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case !c.newer:
+	case !c.runsNewer:
 		return r.plan.Run.Older, r.upgrade.older
-	case c.held:
+	case c.gateHeld:
 		return r.plan.Run.Program, r.upgrade.held
 	}
 	return r.plan.Run.Program, r.upgrade.newer
@@ -84,7 +84,7 @@
 // changeProgram ends a controller, which is started again with the other program.
 func (r *region) changeProgram(ctx context.Context, c *controller, newer bool) {
 	c.mu.Lock()
-	c.newer, c.held = newer, c.held && newer
+	c.runsNewer, c.gateHeld = newer, c.gateHeld && newer
 	c.mu.Unlock()
 	r.kill(ctx, c)
 }
@@ -96,7 +96,7 @@
 		return
 	}
 	c.mu.Lock()
-	c.held = true
+	c.gateHeld = true
 	c.mu.Unlock()
 	r.kill(ctx, c)
 }
@@ -112,10 +112,10 @@
 	if u.open {
 		state = "open"
 	}
-	u.gate = append(u.gate, fmt.Sprintf("%s at %.1f s", state, r.loop.agenda.Now().Seconds()))
+	u.gate = append(u.gate, fmt.Sprintf("%s at %.1f s", state, r.loop.queue.Now().Seconds()))
 	for _, c := range r.controllers {
 		c.mu.Lock()
-		if u.open && !c.newer {
+		if u.open && !c.runsNewer {
 			u.early = c.label + " ran the older program when the gate opened"
 		}
 		c.mu.Unlock()
@@ -131,9 +131,9 @@
 
 // noteBegin counts a task that begins again and should not.
 func (r *region) noteBegin(task string, t *emulator.Task) {
-	if j := r.rules.jobs[t.UID]; r.upgrade.left[task] && j != nil && !j.cancelAsked {
+	if j := r.invariants.jobs[t.UID]; r.upgrade.left[task] && j != nil && !j.cancelRequested {
 		r.upgrade.dropped++
-		j.note(r.loop.agenda.Now(), "%s is dropped and begins again", task)
+		j.note(r.loop.queue.Now(), "%s is dropped and begins again", task)
 	}
 }
 
--- a/internal/scalerun/upgrade_test.go
+++ b/internal/scalerun/upgrade_test.go
@@ -51,7 +51,7 @@
 		"": {}, "opened_early": {Early: "controller-1"}, "unreadable": {Unreadable: 1}, "dropped": {Dropped: 2},
 	} {
 		err := u.check(0)
-		var broken *BrokenRule
+		var broken *RuleViolation
 		if errors.As(err, &broken) != (rule != "") || broken != nil && broken.Rule != rule {
 			t.Errorf("%+v: %v", u, err)
 		}
--- a/internal/scalerun/users.go
+++ b/internal/scalerun/users.go
@@ -25,59 +25,59 @@
 
 // Times of the protocol's users.
 const (
-	pollEvery    = 5 * time.Second
-	pollWait     = 2 * time.Second
-	decisionWait = 5 * time.Second
-	retryPause   = time.Second
-	mostRetry    = 30 * time.Second
-	giveUp       = 60 * time.Second
+	pollInterval    = 5 * time.Second
+	pollTimeout     = 2 * time.Second
+	decisionTimeout = 5 * time.Second
+	retryPause      = time.Second
+	maxRetryPause   = 30 * time.Second
+	submitDeadline  = 60 * time.Second
 )
 
 // users submit at set rates whatever becomes of their jobs, ask about each until it is over,
 // and cancel some.
 type users struct {
-	region *region
-	client *http.Client
-	random *rand.Rand // by the loop alone
-	last   int
+	region  *region
+	client  *http.Client
+	random  *rand.Rand // by the loop alone
+	lastJob int
 }
 
 func newUsers(r *region) *users {
 	return &users{region: r, random: rand.New(rand.NewPCG(r.plan.Run.Seed, uint64(r.number)+100)),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second,
-			DialContext: (&net.Dialer{Timeout: dialWithin}).DialContext}}}
+			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
 
-// begin starts the arrivals of each class, by the loop.
-func (u *users) begin() {
+// startArrivals starts the arrivals of each class, by the loop.
+func (u *users) startArrivals() {
 	for i := range u.region.plan.Load {
 		load := &u.region.plan.Load[i]
 		rate := load.StartsPerS / float64(load.Tasks) / float64(u.region.plan.Fleet.Regions)
-		u.arrive(load, rate)
+		u.scheduleArrival(load, rate)
 	}
 }
 
-// arrive submits a job of a class, and the next one after an exponential time.
-func (u *users) arrive(load *LoadPlan, perSecond float64) {
-	u.region.loop.agenda.After(time.Duration(u.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+// scheduleArrival submits a job of a class, and the next one after an exponential time.
+func (u *users) scheduleArrival(load *LoadPlan, perSecond float64) {
+	u.region.loop.queue.After(time.Duration(u.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if u.region.closing {
 			return
 		}
 		u.submit(load)
-		u.arrive(load, perSecond)
+		u.scheduleArrival(load, perSecond)
 	})
 }
 
 func (u *users) submit(load *LoadPlan) {
 	r := u.region
-	u.last++
-	uid := fmt.Sprintf("j-%d%07d", r.number, u.last)
+	u.lastJob++
+	uid := fmt.Sprintf("j-%d%07d", r.number, u.lastJob)
 	j := &job{uid: uid, class: load.Name, team: teamName(u.random.IntN(r.plan.Teams.Count)), load: load, spread: load.Spread,
 		Job: emulator.Job{Image: load.Name + "-" + strconv.Itoa(u.random.IntN(load.Images)), ImageGB: load.ImageGB, Tasks: load.Tasks,
 			Gang: load.Shape == "group", Service: load.Shape == "service", Cores: load.Cores, Accel: load.Accelerators, Memory: load.MemoryGB},
-		submitted: r.loop.agenda.Now(), done: map[string]bool{}, startedOnce: map[string]bool{}, places: map[string]*place{}, inZone: map[string]int{}}
-	r.rules.jobs[uid] = j
-	u.ask(j, opSubmit, u.description(j), func() { u.accepted(j) })
+		submittedAt: r.loop.queue.Now(), completed: map[string]bool{}, started: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
+	r.invariants.jobs[uid] = j
+	u.requestUntilDecided(j, opSubmit, u.description(j), func() { u.onAccepted(j) })
 }
 
 // description is the body of a submission.
@@ -92,11 +92,11 @@
 		"saveEveryS": 0.0, "saveTakesS": 0.0, "dueS": nil})
 }
 
-func (u *users) accepted(j *job) {
+func (u *users) onAccepted(j *job) {
 	r := u.region
-	if j.accepted == 0 {
-		j.accepted = r.loop.agenda.Now()
-		r.measure.accepted(j.accepted - j.submitted)
+	if j.acceptedAt == 0 {
+		j.acceptedAt = r.loop.queue.Now()
+		r.metrics.accepted(j.acceptedAt - j.submittedAt)
 		u.poll(j)
 	}
 	end := j.load.RunS
@@ -107,11 +107,11 @@
 	default:
 		return
 	}
-	r.loop.agenda.After(seconds(end), func() {
-		if !j.over() && !r.closing {
-			j.cancelAsked = true
-			j.note(r.loop.agenda.Now(), "its user asks to cancel it")
-			u.ask(j, opCancel, nil, func() {})
+	r.loop.queue.After(seconds(end), func() {
+		if !j.finished() && !r.closing {
+			j.cancelRequested = true
+			j.note(r.loop.queue.Now(), "its user asks to cancel it")
+			u.requestUntilDecided(j, opCancel, nil, func() {})
 		}
 	})
 }
@@ -119,9 +119,9 @@
 // poll asks about a job every five seconds until it is over.
 func (u *users) poll(j *job) {
 	r := u.region
-	r.loop.agenda.After(pollEvery, func() {
-		if j.over() || r.closing {
-			u.forget(j)
+	r.loop.queue.After(pollInterval, func() {
+		if j.finished() || r.closing {
+			u.forgetFinished(j)
 			return
 		}
 		u.send(j, opPoll, nil, func(int, time.Duration) {})
@@ -129,20 +129,20 @@
 	})
 }
 
-// forget drops what is no longer needed of a job that is over, once all its tasks are gone.
-func (u *users) forget(j *job) {
+// forgetFinished drops what is no longer needed of a job that is over, once all its tasks are gone.
+func (u *users) forgetFinished(j *job) {
 	r := u.region
-	r.loop.agenda.After(2*r.rules.cancel, func() {
-		if len(j.places) == 0 {
-			delete(r.rules.jobs, j.uid)
+	r.loop.queue.After(2*r.invariants.cancelDeadline, func() {
+		if len(j.placements) == 0 {
+			delete(r.invariants.jobs, j.uid)
 		}
 	})
 }
 
-// ask repeats a request until it is decided.
-func (u *users) ask(j *job, op string, body []byte, decided func()) {
+// requestUntilDecided repeats a request until it is decided.
+func (u *users) requestUntilDecided(j *job, op string, body []byte, decided func()) {
 	r := u.region
-	first := r.loop.agenda.Now()
+	first := r.loop.queue.Now()
 	var again func()
 	again = func() {
 		u.send(j, op, body, func(status int, wait time.Duration) {
@@ -150,11 +150,11 @@
 				decided()
 				return
 			}
-			if r.closing || r.loop.agenda.Now() > first+giveUp && op == opSubmit {
-				r.measure.givenUp++
+			if r.closing || r.loop.queue.Now() > first+submitDeadline && op == opSubmit {
+				r.metrics.givenUp++
 				return
 			}
-			r.loop.agenda.After(max(retryPause, min(wait, mostRetry)), again)
+			r.loop.queue.After(max(retryPause, min(wait, maxRetryPause)), again)
 		})
 	}
 	again()
@@ -165,26 +165,26 @@
 	r := u.region
 	c := r.pick()
 	if c == nil {
-		r.measure.answer(op, 0, 0)
+		r.metrics.answer(op, 0, 0)
 		then(0, 0)
 		return
 	}
-	started, sent := time.Now(), r.loop.agenda.Now()
+	started, sent := time.Now(), r.loop.queue.Now()
 	go func() {
-		status, answer, wait := u.exchange(c.users, op, j.uid, body)
+		status, answer, wait := u.exchange(c.clientAddress, op, j.uid, body)
 		took := time.Since(started)
 		r.loop.post(func() {
-			r.measure.answer(op, status, took)
-			u.take(j, op, status, answer, sent)
+			r.metrics.answer(op, status, took)
+			u.checkAnswer(j, op, status, answer, sent)
 			then(status, wait)
 		})
 	}()
 }
 
-// take checks an answer against the rules.
-func (u *users) take(j *job, op string, status int, body []byte, sent time.Duration) {
+// checkAnswer checks an answer against the rules.
+func (u *users) checkAnswer(j *job, op string, status int, body []byte, sent time.Duration) {
 	r := u.region
-	r.rules.answers(j, op, status)
+	r.invariants.answerReceived(j, op, status)
 	if status != 200 && status != 201 {
 		return
 	}
@@ -193,15 +193,15 @@
 		r.fail(fmt.Errorf("an answer about %s can't be read: %w", j.uid, err))
 		return
 	}
-	j.answered = r.loop.agenda.Now()
-	r.rules.tells(j, s.State, sent)
+	j.answeredAt = r.loop.queue.Now()
+	r.invariants.statusReported(j, s.State, sent)
 }
 
 func (u *users) exchange(addr, op, uid string, body []byte) (status int, answer []byte, retryAfter time.Duration) {
-	method, path, wait := "POST", "/api/jobs", decisionWait
+	method, path, wait := "POST", "/api/jobs", decisionTimeout
 	switch op {
 	case opPoll:
-		method, path, wait = "GET", "/api/jobs/"+uid, pollWait
+		method, path, wait = "GET", "/api/jobs/"+uid, pollTimeout
 	case opCancel:
 		path = "/api/jobs/" + uid + "/withdraw"
 	}
@@ -216,7 +216,7 @@
 		return 0, nil, 0
 	}
 	defer response.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(response.Body, mostAnswer))
+	answer, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, nil, 0
 	}
