--- a/internal/scalerun/controllers.go
+++ b/internal/scalerun/controllers.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
@@ -12,106 +11,43 @@
 	"sync"
 	"syscall"
 	"time"
-
-	"claybarrow/internal/config"
 )
 
-// controller is a real process of the program.
+// controller is one controller of a region: a real process of the program, which is started again
+// after the injected faults that end it.
 type controller struct {
-	label, zone   string
-	clientAddress string // its address for users and workers
-	settings      string // its settings file
-	log           string
+	label         string
+	clientAddress string // host and port for clients and workers
+	settings      string // path of its settings file
+	log           string // path of its log, to which all of its processes append
 
 	mu      sync.Mutex
 	command *exec.Cmd
 	starts  int
 	stopped bool // it is not to be started again
-	killed  bool
+	killed  bool // by an injected fault, until it is started again
 	frozen  bool
 	healthy bool
-	// runsNewer: it runs the plan's program, not the older one; held: with the gate held closed.
+	// runsNewer: it runs run.program, not run.older. gateHeld: with the feature gate held closed.
 	runsNewer, gateHeld bool
 }
 
-// operatorSettings keep idle machines: the fleet's size is the plan's, not the demand's.
-const operatorSettings = "[fleet]\nidle_ratio = 1000.0\n"
-
-// prepareControllers writes the settings of the region's controllers.
-func (r *region) prepareControllers() error {
-	if err := r.writeOperators(); err != nil {
-		return err
-	}
-	for i := range r.plan.Control.Controllers {
-		c := &controller{label: controllerLabel(i), zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)], clientAddress: r.clientAddress(i),
-			settings: filepath.Join(r.dir, controllerLabel(i)+".json"), log: filepath.Join(r.dir, controllerLabel(i)+".log"),
-			runsNewer: r.plan.Run.Older == ""}
-		raw, err := json.Marshal(r.settingsOf(i))
-		if err != nil {
-			return fmt.Errorf("settings of %s: %w", c.label, err)
-		}
-		if err := os.WriteFile(c.settings, raw, 0o600); err != nil {
-			return err
-		}
-		r.controllers = append(r.controllers, c)
-	}
-	return nil
-}
-
-func controllerLabel(i int) string { return fmt.Sprintf("controller-%d", i) }
-
-func (r *region) clientAddress(i int) string {
-	return fmt.Sprintf("%s:%d", controllerHost(r.number, i), r.plan.port(r.number, portClients))
-}
-
-func (r *region) peerAddress(i int) string {
-	return fmt.Sprintf("%s:%d", controllerHost(r.number, i), r.plan.port(r.number, portPeers))
-}
-
-// settingsOf are a controller's settings, in the form of the deploy page. A team's
-// guarantees and limits are divided evenly between the regions.
-func (r *region) settingsOf(i int) *config.Settings {
-	p := r.plan
-	s := &config.Settings{Label: controllerLabel(i), Zone: p.Fleet.Zones[i%len(p.Fleet.Zones)], ClientListen: r.clientAddress(i), PeerListen: r.peerAddress(i)}
-	for other := range p.Control.Controllers {
-		if other != i {
-			s.Siblings = append(s.Siblings, config.Peer{Label: controllerLabel(other), Zone: p.Fleet.Zones[other%len(p.Fleet.Zones)], Addr: r.peerAddress(other)})
-		}
-	}
-	s.Services.State = fmt.Sprintf("127.0.0.1:%d", p.port(r.number, portState))
-	s.Services.Cloud = fmt.Sprintf("127.0.0.1:%d", p.port(r.number, portCloud))
-	c := &s.Cluster
-	c.Size, c.Zones = p.Control.Controllers, p.Fleet.Zones
-	regions := float64(p.Fleet.Regions)
-	for n := range p.Teams.Count {
-		c.Teams = append(c.Teams, config.Team{Name: teamName(n), Cores: p.Teams.Cores / regions, CoresMax: p.Teams.CoresMax / regions,
-			Accelerators: p.Teams.Accelerators / regions, AccelMax: p.Teams.AcceleratorsMax / regions})
-	}
-	for _, l := range p.Load {
-		if l.Urgent {
-			c.Objectives = append(c.Objectives, config.Objective{Kind: "wait", Class: l.Name, WithinS: p.Teams.UrgentWithinS, Share: p.Teams.UrgentStartShare})
-		}
-	}
-	c.Workers = config.Workers{ReportS: p.Workers.ReportS, LeaseS: p.Workers.LeaseS, CancelS: p.Workers.CancelS, GangPeerS: p.Workers.GangPeerS}
-	c.State = config.State{RPS: p.State.RPS, WriteRPS: p.State.WriteRPS, ValueKB: p.State.ValueKB, TxnOps: p.State.TxnOps}
-	c.Cloud = config.Cloud{RPS: p.Cloud.RPS, ListLagS: p.Cloud.ListLagS}
-	c.Resources = config.Resources{Cores: p.Control.Cores, MemMB: p.Control.MemoryMB, FDs: p.Control.Sockets}
-	c.ClockErrorMS = 25
-	return s
-}
-
-// ControllerError is a controller that did not start or ended by itself.
+// ControllerError is a controller that did not start, or whose process ended by itself.
 type ControllerError struct {
 	Label    string
 	Cause    error
 	LastLine string // of its log
 }
 
-// Error names the process and its log's last line.
+// Error names the controller and gives the last line of its log.
 func (e *ControllerError) Error() string {
 	return fmt.Sprintf("%s ended by itself: %v: %s", e.Label, e.Cause, e.LastLine)
 }
 
+// Unwrap returns why the process did not start or how it ended.
+func (e *ControllerError) Unwrap() error { return e.Cause }
+
+// lastLine returns a file's last line that is not empty, or why the file can't be read.
 func lastLine(path string) string {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -128,17 +64,103 @@
 	return string(raw[begin:end])
 }
 
-// startController runs the program. The process ends with this one, however that ends.
-func (r *region) startController(c *controller) error {
+// freeze stops the process for a while (SIGSTOP, SIGCONT): its sockets stay open and its clocks run
+// on. It does nothing if the process has ended or is frozen already.
+func (c *controller) freeze(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.command == nil || c.frozen || c.stopped {
+		return
+	}
+	process := c.command.Process
+	if err := process.Signal(syscall.SIGSTOP); err != nil {
+		return // it has ended
+	}
+	c.frozen = true
+	time.AfterFunc(d, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.frozen = false
+		_ = process.Signal(syscall.SIGCONT) // it may have ended
+	})
+}
+
+// terminate kills the process, if there is one. The caller holds the lock.
+func (c *controller) terminate() {
+	if c.command != nil {
+		_ = c.command.Process.Kill() // it may have ended
+	}
+}
+
+// isHealthy says whether the load balancer's probes find the controller ready.
+func (c *controller) isHealthy() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.healthy
+}
+
+// controlPlane is a region's controllers: it starts, ends and upgrades their processes and balances
+// the clients' requests over them.
+type controlPlane struct {
+	plan          *Plan
+	region        int
+	dir           string // for settings and logs
+	metrics       *metrics
+	fail          func(error) // ends the run
+	controllers   []*controller
+	operatorFiles operatorFiles
+	lastPicked    int // by pick; only the event loop uses it
+}
+
+// prepare writes the settings of all controllers.
+func (p *controlPlane) prepare() error {
+	var err error
+	if p.operatorFiles, err = writeOperatorFiles(p.dir, &p.plan.Control); err != nil {
+		return err
+	}
+	for i := range p.plan.Control.Controllers {
+		label := controllerLabel(i)
+		c := &controller{label: label, clientAddress: p.plan.clientAddress(p.region, i), settings: filepath.Join(p.dir, label+".json"),
+			log: filepath.Join(p.dir, label+".log"), runsNewer: p.plan.Run.Older == ""}
+		if err := p.plan.writeControllerSettings(c.settings, p.region, i); err != nil {
+			return err
+		}
+		p.controllers = append(p.controllers, c)
+	}
+	return nil
+}
+
+// find returns the controller with a label, or nil.
+func (p *controlPlane) find(label string) *controller {
+	for _, c := range p.controllers {
+		if c.label == label {
+			return c
+		}
+	}
+	return nil
+}
+
+// logs lists the paths of the controllers' logs.
+func (p *controlPlane) logs() []string {
+	var paths []string
+	for _, c := range p.controllers {
+		paths = append(paths, c.log)
+	}
+	return paths
+}
+
+// start runs a controller's program, unless the run is over. The kernel kills the process when this
+// one ends, in whatever way (Pdeathsig). A process that ends by itself ends the run.
+func (p *controlPlane) start(c *controller) error {
 	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer log.Close()
-	program, operator := r.programOf(c)
+	defer closeQuietly(log) // the process has a descriptor of its own; nothing is written through this one
+	program, operator := p.programOf(c)
 	command := exec.Command(program, "--operator", operator, "--config", c.settings)
 	command.Stderr = log
-	command.Env = append(os.Environ(), "LOG_LEVEL="+r.plan.Run.LogLevel)
+	command.Env = append(os.Environ(), "LOG_LEVEL="+p.plan.Run.LogLevel)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,107 +172,90 @@
 	}
 	c.command, c.killed = command, false
 	c.starts++
-	r.metrics.watchProcess(c.label, command.Process.Pid)
-	go func() {
-		err := command.Wait()
-		c.mu.Lock()
-		byItself := !c.killed && !c.stopped
-		c.healthy = false
-		c.mu.Unlock()
-		if byItself {
-			r.fail(&ControllerError{c.label, err, lastLine(c.log)})
-		}
-	}()
+	p.metrics.watchProcess(c.label, command.Process.Pid)
+	go p.await(c, command)
 	return nil
 }
 
-// kill ends a controller, which is started again after the plan's time.
-func (r *region) kill(ctx context.Context, c *controller) {
+// await waits for the end of a controller's process, and ends the run if no fault was its cause.
+func (p *controlPlane) await(c *controller, command *exec.Cmd) {
+	err := command.Wait()
 	c.mu.Lock()
-	c.killed = true
-	if c.command != nil {
-		_ = c.command.Process.Kill() // it may have ended
+	unexpected := !c.killed && !c.stopped
+	c.healthy = false
+	c.mu.Unlock()
+	if unexpected {
+		p.fail(&ControllerError{c.label, err, lastLine(c.log)})
 	}
+}
+
+// kill ends a controller's process; it is started again after control.restart_s.
+func (p *controlPlane) kill(ctx context.Context, c *controller) {
+	c.mu.Lock()
+	c.killed = true
+	c.terminate()
 	c.mu.Unlock()
-	time.AfterFunc(seconds(r.plan.Control.RestartS), func() {
+	time.AfterFunc(seconds(p.plan.Control.RestartS), func() {
 		if ctx.Err() != nil {
 			return
 		}
-		if err := r.startController(c); err != nil {
-			r.fail(err)
+		if err := p.start(c); err != nil {
+			p.fail(err)
 		}
 	})
 }
 
-// freeze has a controller stand still for a while: the process is stopped, with its sockets open
-// and its clocks running on.
-func (r *region) freeze(c *controller, d time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.command == nil || c.frozen || c.stopped {
-		return
-	}
-	process := c.command.Process
-	if err := process.Signal(syscall.SIGSTOP); err != nil {
-		return // it has ended
-	}
-	c.frozen = true
-	time.AfterFunc(d, func() {
+// runningExcept returns the first controller other than the one with a label that is neither frozen
+// nor killed, or nil.
+func (p *controlPlane) runningExcept(label string) *controller {
+	for _, c := range p.controllers {
 		c.mu.Lock()
-		defer c.mu.Unlock()
-		c.frozen = false
-		_ = process.Signal(syscall.SIGCONT) // it may have ended
-	})
-}
-
-// other is a controller that neither leads nor stands still.
-func (r *region) other() *controller {
-	leader, _ := r.leader()
-	for _, c := range r.controllers {
-		c.mu.Lock()
-		able := c.label != leader.Label && !c.frozen && !c.killed
+		running := c.label != label && !c.frozen && !c.killed
 		c.mu.Unlock()
-		if able {
+		if running {
 			return c
 		}
 	}
 	return nil
 }
 
-// stopControllers ends all of them for good and waits for it.
-func (r *region) stopControllers() {
-	for _, c := range r.controllers {
+// stopAll kills all controllers for good, without waiting for their ends.
+func (p *controlPlane) stopAll() {
+	for _, c := range p.controllers {
 		c.mu.Lock()
 		c.stopped = true
-		if c.command != nil {
-			_ = c.command.Process.Kill() // it may have ended
-		}
+		c.terminate()
 		c.mu.Unlock()
 	}
 }
 
-// probe asks each controller about once a second whether it takes requests, as the load
-// balancer does: two failures in a row make it unhealthy, two successes healthy.
-func (r *region) probe(ctx context.Context, c *controller) {
-	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true,
-		DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
-	streak := 0
-	ticker := time.NewTicker(time.Second)
+// The load balancer's health checks.
+const (
+	probeInterval = time.Second
+	probeTimeout  = time.Second
+	// dialTimeout is when the load balancer gives up a connection to a controller.
+	dialTimeout = 500 * time.Millisecond
+	// probesToChange is how many probes in a row must contradict a controller's health to change it.
+	probesToChange = 2
+)
+
+// probe asks a controller about once a second whether it takes requests, as the load balancer does:
+// two failures in a row make it unhealthy, two successes healthy. Its first start needs one success.
+func (p *controlPlane) probe(ctx context.Context, c *controller) {
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
+	contradictions := 0
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
-		ok := false
-		if response, err := client.Get("http://" + c.clientAddress + "/ready"); err == nil {
-			ok = response.StatusCode == http.StatusOK
-			response.Body.Close()
-		}
+		ready := isReady(client, c.clientAddress)
 		c.mu.Lock()
-		if ok != c.healthy {
-			streak++
+		if ready != c.healthy {
+			contradictions++
 		} else {
-			streak = 0
+			contradictions = 0
 		}
-		if streak >= 2 || ok && c.starts == 1 {
-			c.healthy, streak = ok, 0
+		if contradictions >= probesToChange || ready && c.starts == 1 {
+			c.healthy, contradictions = ready, 0
 		}
 		c.mu.Unlock()
 		select {
@@ -261,19 +266,22 @@
 	}
 }
 
-// dialTimeout is when the load balancer gives up a connection to a controller.
-const dialTimeout = 500 * time.Millisecond
+// isReady says whether a controller answers its readiness check with 200.
+func isReady(client *http.Client, address string) bool {
+	response, err := client.Get("http://" + address + "/ready")
+	if err != nil {
+		return false
+	}
+	defer closeQuietly(response.Body)
+	return response.StatusCode == http.StatusOK
+}
 
-// pick chooses the healthy controllers in turn; none if no one is.
-func (r *region) pick() *controller {
-	n := len(r.controllers)
+// pick chooses among the healthy controllers in turn (round robin), or returns nil if none is.
+func (p *controlPlane) pick() *controller {
+	n := len(p.controllers)
 	for range n {
-		r.nextController++
-		c := r.controllers[r.nextController%n]
-		c.mu.Lock()
-		ok := c.healthy
-		c.mu.Unlock()
-		if ok {
+		p.lastPicked++
+		if c := p.controllers[p.lastPicked%n]; c.isHealthy() {
 			return c
 		}
 	}
--- a/internal/scalerun/detection.go
+++ b/internal/scalerun/detection.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// detection follows how the controllers notice that one of them has failed: by their logs, and by the
-// first task that is started under a new leader.
+// detection measures how soon the controllers notice that one of them has failed, and how soon a new
+// leader works: by the controllers' logs, and by the first task that starts under a later token.
 type detection struct {
 	faults []*controllerFault
 	now    func() time.Time
 }
 
-// controllerFault is a controller that was killed or frozen.
+// controllerFault is an injected fault of a controller: it was killed or frozen.
 type controllerFault struct {
 	label  string
 	kind   string
 	at     time.Time
 	lasts  time.Duration // 0: it was killed
-	token  uint64        // of the leader then
-	placed time.Time     // first start under a later token
+	token  uint64        // fencing token of the leader at that time
+	placed time.Time     // first start of a task under a later token
 }
 
-// Detection is what became of one fault. Times are in milliseconds from the fault; 0: it did not
-// happen.
+// Detection is how one fault was detected and repaired. Times are in milliseconds from the fault; 0: it
+// did not happen.
 type Detection struct {
 	Kind       string  `json:"kind"`
 	ForS       float64 `json:"for_s,omitempty"`
@@ -42,12 +42,12 @@
 
 func newDetection() *detection { return &detection{now: time.Now} }
 
-// faultInjected notes a fault as it is brought about, under a leader's token.
+// faultInjected records a fault at the time it is injected, with the fencing token of the leader.
 func (d *detection) faultInjected(label, kind string, lasts time.Duration, token uint64) {
 	d.faults = append(d.faults, &controllerFault{label: label, kind: kind, at: d.now(), lasts: lasts, token: token})
 }
 
-// taskStarted notes a start under a token.
+// taskStarted records the start of a task under a fencing token.
 func (d *detection) taskStarted(token uint64) {
 	for _, f := range d.faults {
 		if f.placed.IsZero() && token > f.token {
@@ -56,7 +56,17 @@
 	}
 }
 
-// logLine is a line of a controller's log that tells of a member or of the leadership.
+// Messages of the controllers' logs that detection is measured by.
+const (
+	messageSuspect = "controller is suspect"
+	messageDead    = "controller is dead"
+	messageAlive   = "controller is alive"
+	messageElected = "leader"
+	messageLoaded  = "ledger read"
+)
+
+// logLine is a line of a controller's log that has a message and the node that wrote it; controller is
+// the member that it is about, if any.
 type logLine struct {
 	at                        time.Time
 	message, node, controller string
@@ -64,16 +74,21 @@
 
 var logPattern = regexp.MustCompile(`^time=(\S+) level=\S+ msg=("[^"]*"|\S+) node=(\S+)(?:.* controller=(\S+))?`)
 
-// readLog reads what a log tells of members and leaders.
+const (
+	logBufferBytes  = 64 << 10
+	maxLogLineBytes = 1 << 20
+)
+
+// readLog returns the lines of a log that match logPattern, or none if it can't be read.
 func readLog(path string) []logLine {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil // the controller did not start
 	}
-	defer file.Close()
+	defer closeQuietly(file)
 	var out []logLine
 	lines := bufio.NewScanner(file)
-	lines.Buffer(make([]byte, 64<<10), 1<<20)
+	lines.Buffer(make([]byte, logBufferBytes), maxLogLineBytes)
 	for lines.Scan() {
 		found := logPattern.FindStringSubmatch(lines.Text())
 		if found == nil {
@@ -88,7 +103,8 @@
 	return out
 }
 
-// results reads the logs of all controllers and says what became of each fault.
+// results evaluates each fault by the logs of all controllers. Lines after the next fault of the same
+// controller count for that one.
 func (d *detection) results(logs []string) []Detection {
 	var lines []logLine
 	for _, path := range logs {
@@ -105,35 +121,60 @@
 	return out
 }
 
+// result evaluates the fault by the log lines from the fault on, up to a time (zero: to the end).
 func (f *controllerFault) result(lines []logLine, until time.Time) Detection {
 	out := Detection{Kind: f.kind, ForS: f.lasts.Seconds()}
-	since := func(t time.Time) float64 { return float64(t.Sub(f.at).Microseconds()) / microsPerMilli }
-	first := func(to *float64, t time.Time) {
-		if *to == 0 || since(t) < *to {
-			*to = since(t)
-		}
-	}
 	for _, l := range lines {
 		if l.at.Before(f.at) || !until.IsZero() && l.at.After(until) {
 			continue
 		}
-		switch {
-		case l.message == "controller is suspect" && l.controller == f.label:
-			first(&out.SuspectMS, l.at)
-			out.SuspectAll = max(out.SuspectAll, since(l.at))
-		case l.message == "controller is dead" && l.controller == f.label:
-			first(&out.DeadMS, l.at)
-			out.DeadAll = max(out.DeadAll, since(l.at))
-		case l.message == "controller is alive" && l.controller == f.label:
-			first(&out.AliveMS, l.at)
-		case l.message == "leader" && l.node != f.label:
-			first(&out.ElectedMS, l.at)
-		case l.message == "ledger read" && l.node != f.label:
-			first(&out.LoadedMS, l.at)
+		if l.controller == f.label {
+			out.addMembership(l.message, f.millisTo(l.at))
+		}
+		if l.node != f.label {
+			out.addLeadership(l.message, f.millisTo(l.at))
 		}
 	}
 	if !f.placed.IsZero() {
-		out.PlacedMS = since(f.placed)
+		out.PlacedMS = f.millisTo(f.placed)
 	}
 	return out
 }
+
+// millisTo returns the milliseconds from the fault to a time.
+func (f *controllerFault) millisTo(t time.Time) float64 {
+	return float64(t.Sub(f.at).Microseconds()) / microsPerMilli
+}
+
+// addMembership takes in that a controller changed the state of the failed one, at a time in
+// milliseconds from the fault.
+func (d *Detection) addMembership(message string, atMS float64) {
+	switch message {
+	case messageSuspect:
+		setEarliest(&d.SuspectMS, atMS)
+		d.SuspectAll = max(d.SuspectAll, atMS)
+	case messageDead:
+		setEarliest(&d.DeadMS, atMS)
+		d.DeadAll = max(d.DeadAll, atMS)
+	case messageAlive:
+		setEarliest(&d.AliveMS, atMS)
+	}
+}
+
+// addLeadership takes in that another controller has been elected or has loaded the state, at a time
+// in milliseconds from the fault.
+func (d *Detection) addLeadership(message string, atMS float64) {
+	switch message {
+	case messageElected:
+		setEarliest(&d.ElectedMS, atMS)
+	case messageLoaded:
+		setEarliest(&d.LoadedMS, atMS)
+	}
+}
+
+// setEarliest lowers a time to an earlier one; 0 is none.
+func setEarliest(earliest *float64, at float64) {
+	if *earliest == 0 || at < *earliest {
+		*earliest = at
+	}
+}
--- a/internal/scalerun/loop.go
+++ b/internal/scalerun/eventloop.go
@@ -7,27 +7,27 @@
 	"claybarrow/internal/emulator"
 )
 
-// eventLoop is the goroutine that owns all of a region's stand-ins: it does what is due on their
-// agenda, by the real clock, and what others ask of it.
+// eventLoop is the goroutine that owns all emulated parts of a region. It runs the events of their
+// queue by the real clock, and the functions that other goroutines post to it.
 type eventLoop struct {
 	queue *emulator.EventQueue
 	start time.Time
 	inbox chan func()
 	done  chan struct{}
-	// maxDelay is the longest that something was done after its time.
+	// maxDelay is the longest time by which an event ran after it was due.
 	maxDelay time.Duration
 }
 
-// inboxSize bounds what waits for the loop: askers wait when it is full.
+// inboxSize bounds the functions that wait for the loop; post blocks while the inbox is full.
 const inboxSize = 1 << 14
 
-func newLoop() *eventLoop {
+func newEventLoop() *eventLoop {
 	return &eventLoop{queue: &emulator.EventQueue{}, start: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{})}
 }
 
 func (l *eventLoop) now() time.Duration { return time.Since(l.start) }
 
-// run goes on until the context ends.
+// run returns when the context ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -55,10 +55,10 @@
 	}
 }
 
-// drain does some more of what waits, without a look at the clock for each.
+// drain runs a bounded number of further posted functions without reading the clock for each.
 func (l *eventLoop) drain() {
-	const most = 64
-	for range most {
+	const maxBatch = 64
+	for range maxBatch {
 		select {
 		case do := <-l.inbox:
 			do()
@@ -68,7 +68,7 @@
 	}
 }
 
-// post has the loop do something.
+// post has the loop run a function, without waiting for it. It is dropped once the loop has ended.
 func (l *eventLoop) post(do func()) {
 	select {
 	case l.inbox <- do:
@@ -76,7 +76,7 @@
 	}
 }
 
-// call has the loop do something and waits for it.
+// call has the loop run a function and waits until it has returned or the loop has ended.
 func (l *eventLoop) call(do func()) {
 	finished := make(chan struct{})
 	l.post(func() { do(); close(finished) })
@@ -85,3 +85,11 @@
 	case <-l.done:
 	}
 }
+
+// every runs a function at a fixed interval, first after one interval. Only the loop may call it.
+func (l *eventLoop) every(interval time.Duration, do func()) {
+	l.queue.After(interval, func() {
+		do()
+		l.every(interval, do)
+	})
+}
--- a/internal/scalerun/faults.go
+++ b/internal/scalerun/faults.go
@@ -2,82 +2,118 @@
 
 import (
 	"context"
+	"math/rand/v2"
 	"time"
 
 	"claybarrow/internal/emulator"
 )
 
-// inject brings a fault about, by the loop.
-func (r *region) inject(ctx context.Context, f FaultPlan) {
-	switch f.Kind {
+// faultInjector brings the plan's faults about. Only the event loop uses it.
+type faultInjector struct {
+	queue        *emulator.EventQueue
+	controlPlane *controlPlane
+	leader       *leaderMonitor
+	detection    *detection
+	fleet        *emulator.Fleet
+	state        *emulator.StateService
+	random       *rand.Rand
+}
+
+// inject brings one fault about; those that last schedule the rest of it.
+func (i *faultInjector) inject(ctx context.Context, fault FaultPlan) {
+	switch fault.Kind {
 	case FaultKillLeader:
-		if leader, some := r.leader(); some {
-			r.loseLeader()
-			r.detection.faultInjected(leader.Label, f.Kind, 0, r.leaderToken)
-			r.killLabel(ctx, leader.Label)
-		}
+		i.killLeader(ctx, fault)
 	case FaultKillOther:
-		if c := r.other(); c != nil {
-			r.detection.faultInjected(c.label, f.Kind, 0, r.leaderToken)
-			r.kill(ctx, c)
-		}
+		i.killFollower(ctx, fault)
 	case FaultFreezeLeader:
-		if leader, some := r.leader(); some {
-			r.freezeLabel(leader.Label, f)
-		}
+		i.freezeLeader(fault)
 	case FaultFreezeOther:
-		if c := r.other(); c != nil {
-			r.freezeLabel(c.label, f)
+		if c := i.follower(); c != nil {
+			i.freeze(c, c.label, fault)
 		}
 	case FaultRack:
-		for _, worker := range r.randomWorkers(f.Share) {
+		for _, worker := range i.randomWorkers(fault.Share) {
 			worker.Die()
 		}
 	case FaultMachineChurn:
-		victims := r.randomWorkers(f.Share)
-		for i, worker := range victims {
-			r.loop.queue.After(seconds(f.ForS*float64(i)/float64(len(victims))), worker.Die)
-		}
+		i.churnMachines(fault)
 	case FaultRollRestart:
-		for i, c := range r.controllers {
-			r.loop.queue.After(seconds(f.ForS)*time.Duration(i), func() { r.kill(ctx, c) })
-		}
+		i.forEachController(fault, func(c *controller) { i.controlPlane.kill(ctx, c) })
 	case FaultUpgrade, FaultRollback:
-		for i, c := range r.controllers {
-			r.loop.queue.After(seconds(f.ForS)*time.Duration(i), func() { r.changeProgram(ctx, c, f.Kind == FaultUpgrade) })
-		}
+		i.forEachController(fault, func(c *controller) { i.controlPlane.changeProgram(ctx, c, fault.Kind == FaultUpgrade) })
 	case FaultHold:
-		r.hold(ctx)
+		if c := i.follower(); c != nil {
+			i.controlPlane.holdGate(ctx, c)
+		}
 	case FaultStateOutage:
-		r.state.Outage(seconds(f.ForS))
+		i.state.Outage(seconds(fault.ForS))
 	}
 }
 
-func (r *region) killLabel(ctx context.Context, label string) {
-	for _, c := range r.controllers {
-		if c.label == label {
-			r.kill(ctx, c)
-		}
+func (i *faultInjector) killLeader(ctx context.Context, fault FaultPlan) {
+	leader, leads := i.leader.current()
+	if !leads {
+		return
+	}
+	i.leader.markLost()
+	i.detection.faultInjected(leader.Label, fault.Kind, 0, i.leader.token)
+	if c := i.controlPlane.find(leader.Label); c != nil {
+		i.controlPlane.kill(ctx, c)
 	}
 }
 
-func (r *region) freezeLabel(label string, f FaultPlan) {
-	r.detection.faultInjected(label, f.Kind, seconds(f.ForS), r.leaderToken)
-	for _, c := range r.controllers {
-		if c.label == label {
-			r.freeze(c, seconds(f.ForS))
-		}
+func (i *faultInjector) killFollower(ctx context.Context, fault FaultPlan) {
+	if c := i.follower(); c != nil {
+		i.detection.faultInjected(c.label, fault.Kind, 0, i.leader.token)
+		i.controlPlane.kill(ctx, c)
+	}
+}
+
+func (i *faultInjector) freezeLeader(fault FaultPlan) {
+	if leader, leads := i.leader.current(); leads {
+		i.freeze(i.controlPlane.find(leader.Label), leader.Label, fault)
+	}
+}
+
+// freeze stops a controller for the fault's time. The fault is recorded under the label also if no
+// controller of the region has it.
+func (i *faultInjector) freeze(c *controller, label string, fault FaultPlan) {
+	i.detection.faultInjected(label, fault.Kind, seconds(fault.ForS), i.leader.token)
+	if c != nil {
+		c.freeze(seconds(fault.ForS))
+	}
+}
+
+// follower returns a controller that is up and does not lead, or nil.
+func (i *faultInjector) follower() *controller {
+	leader, _ := i.leader.current()
+	return i.controlPlane.runningExcept(leader.Label)
+}
+
+// forEachController acts on the controllers one after the other, the fault's time apart.
+func (i *faultInjector) forEachController(fault FaultPlan, act func(c *controller)) {
+	for n, c := range i.controlPlane.controllers {
+		i.queue.After(seconds(fault.ForS)*time.Duration(n), func() { act(c) })
+	}
+}
+
+// churnMachines ends a share of the workers, evenly spread over the fault's time.
+func (i *faultInjector) churnMachines(fault FaultPlan) {
+	victims := i.randomWorkers(fault.Share)
+	for n, worker := range victims {
+		i.queue.After(seconds(fault.ForS*float64(n)/float64(len(victims))), worker.Die)
 	}
 }
 
 // randomWorkers chooses a share of the workers that are up.
-func (r *region) randomWorkers(share float64) []*emulator.Worker {
+func (i *faultInjector) randomWorkers(share float64) []*emulator.Worker {
 	var up []*emulator.Worker
-	for _, worker := range r.fleet.Sorted() {
+	for _, worker := range i.fleet.Sorted() {
 		if worker.Up && !worker.Deleted {
 			up = append(up, worker)
 		}
 	}
-	r.random.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
+	i.random.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
 	return up[:int(share*float64(len(up)))]
 }
--- /dev/null
+++ b/internal/scalerun/fleet.go
@@ -0,0 +1,174 @@
+package scalerun
+
+import (
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"claybarrow/internal/emulator"
+	"claybarrow/internal/protocol"
+)
+
+// Timing of the emulated workers and the cloud that no plan sets.
+const (
+	heartbeatJitter    = 0.25 // of workers.report_s, up or down
+	minHeartbeatPause  = 500 * time.Millisecond
+	nextControllerWait = time.Second
+	redirectWait       = 250 * time.Millisecond
+	leaseCheckInterval = 100 * time.Millisecond
+	spotDiscount       = 2 // spot machines cost the price divided by this
+	minRunTimeShare    = 0.8
+	runTimeSpread      = 0.4 // tasks run from 0.8 to 1.2 of the plan's time
+)
+
+// newCloud makes the region's emulated cloud.
+func (r *region) newCloud() {
+	p := r.plan
+	cloud := emulator.NewCloud(r.loop.queue)
+	cloud.Wrong, cloud.Rate, cloud.Lag = r.failOnProtocolError, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
+	cloud.Left = map[emulator.Pool]int{} // machines that the fleet has lost can be launched again, no more
+	cloud.Name = func(n int) string { return fmt.Sprintf("i-%d%06d", r.number, n) }
+	cloud.Addr = func(id string) string {
+		n, _ := strconv.Atoi(id[3:]) // Name made it, so that it parses
+		return p.workerAddress(r.number, n)
+	}
+	for _, t := range p.Fleet.Types {
+		cloud.Types = append(cloud.Types, protocol.MachineType{Name: t.Name, Cores: t.Cores, Accelerators: t.Accelerators, MemoryGB: t.MemoryGB,
+			CacheGB: t.CacheGB, FetchGBPerS: t.FetchGBPerS, Price: t.Price, SpotPrice: t.Price / spotDiscount, BootS: t.BootS, Zones: p.Fleet.Zones})
+	}
+	cloud.BootTime = func(typ string) time.Duration { return seconds(r.typeOf(typ).BootS) }
+	cloud.Launch = func(m *emulator.Machine) {
+		worker := r.addWorker(m)
+		r.loop.queue.After(cloud.BootTime(m.Type), worker.Boot)
+	}
+	cloud.Remove = func(m *emulator.Machine) {
+		if worker := r.fleet.Workers[m.ID]; worker != nil {
+			worker.Die()
+		}
+	}
+	r.cloud = cloud
+}
+
+// typeOf returns a machine type of the plan by its name.
+func (r *region) typeOf(name string) protocol.MachineType {
+	i := slices.IndexFunc(r.cloud.Types, func(t protocol.MachineType) bool { return t.Name == name })
+	return r.cloud.Types[i]
+}
+
+// newFleet makes the region's emulated workers, which report to the real controllers.
+func (r *region) newFleet() {
+	w := r.plan.Workers
+	f := emulator.NewFleet(r.loop.queue, emulator.Timing{Report: seconds(w.ReportS), Jitter: heartbeatJitter, LeastPause: minHeartbeatPause,
+		NextController: nextControllerWait, SentAway: redirectWait, Lease: seconds(w.LeaseS),
+		GangWait: seconds(w.GangWaitS), GangPeer: seconds(w.GangPeerS), Look: leaseCheckInterval})
+	f.Random, f.RefuseUnfit, f.FetchTime = r.random.Float64, true, emulator.FetchImage
+	var addresses, labels []string
+	for i := range r.plan.Control.Controllers {
+		addresses = append(addresses, r.plan.clientAddress(r.number, i))
+		labels = append(labels, controllerLabel(i))
+	}
+	r.carrier = newHeartbeatCarrier(r.loop, addresses, r.metrics)
+	r.carrier.onAnswer = func(machine string, controller int) {
+		r.ownership.workerAnswered(machine, controller, r.loop.queue.Now())
+	}
+	f.Carrier, f.Controllers = r.carrier.send, len(addresses)
+	f.Label = func(name string) int { return slices.Index(labels, name) }
+	f.Jobs = func(uid string) *emulator.Job {
+		if j := r.invariants.jobs[uid]; j != nil {
+			return &j.Job
+		}
+		return nil
+	}
+	f.RunTime = r.runTime
+	f.Observer = emulator.Observer{Begins: r.onTaskStarted, Leaves: r.onTaskStopped, Done: r.onTaskCompleted, Died: r.onWorkerDied, Wrong: r.failOnProtocolError}
+	r.fleet = f
+}
+
+// runTime draws how long a task runs; 0 for a job that is not known any more.
+func (r *region) runTime(task string) time.Duration {
+	uid, _, _ := strings.Cut(task, "/")
+	if j := r.invariants.jobs[uid]; j != nil {
+		return time.Duration(j.load.RunS * (minRunTimeShare + runTimeSpread*r.random.Float64()) * float64(time.Second))
+	}
+	return 0
+}
+
+func (r *region) addWorker(m *emulator.Machine) *emulator.Worker {
+	worker := r.fleet.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
+	worker.Size = r.typeOf(m.Type)
+	worker.Controller = r.random.IntN(r.plan.Control.Controllers)
+	r.byAddress[m.Addr] = worker
+	return worker
+}
+
+// bootFleet boots the plan's workers, each at a random moment within the first workers.report_s.
+func (r *region) bootFleet() {
+	n := r.plan.regionWorkers(r.number)
+	for i, typ := range r.plan.machineTypes(n) {
+		m := r.cloud.Create(emulator.Pool{Type: typ, Zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)]})
+		m.Up = true
+		r.cloud.Left[m.Pool]++ // Create counts it as newly launched, and it was there before
+		worker := r.addWorker(m)
+		r.loop.queue.After(seconds(r.plan.Workers.ReportS*r.random.Float64()), worker.Boot)
+	}
+}
+
+// machineTypes returns the types of n machines, interleaved by their shares of the fleet.
+func (p *Plan) machineTypes(n int) []string {
+	var out []string
+	given := make([]float64, len(p.Fleet.Types))
+	for range n {
+		next := 0
+		for i, t := range p.Fleet.Types {
+			if given[i]/t.Share < given[next]/p.Fleet.Types[next].Share {
+				next = i
+			}
+		}
+		given[next]++
+		out = append(out, p.Fleet.Types[next].Name)
+	}
+	return out
+}
+
+// onTaskStarted is told by the fleet of each task that starts on a machine.
+func (r *region) onTaskStarted(worker *emulator.Worker, task string, t *emulator.Task) {
+	now := r.loop.queue.Now()
+	r.invariants.taskStarted(worker, task, t)
+	j := r.invariants.jobs[t.UID]
+	r.upgrade.taskStarted(task, j, now)
+	r.metrics.running++
+	r.detection.taskStarted(t.Try >> attemptBlockBits)
+	if r.ownership.taskStarted(t.UID, t.Try, now) {
+		r.jobsOwnedTwice++
+		r.invariants.violate(j, "owned_twice", "%s is started by attempt %d though a later leader had started some", task, t.Try)
+	}
+	if j != nil && !j.started[task] {
+		j.started[task] = true
+		r.metrics.started(j.class, now-j.submittedAt)
+	}
+}
+
+// onTaskStopped is told by the fleet of each task that is no longer on its machine.
+func (r *region) onTaskStopped(worker *emulator.Worker, task string, t *emulator.Task) {
+	r.invariants.taskStopped(worker, task, t)
+	r.upgrade.taskStopped(task, t)
+	r.metrics.running--
+}
+
+// onTaskCompleted is told by the fleet of each task that has completed.
+func (r *region) onTaskCompleted(task string, t *emulator.Task) {
+	if j := r.invariants.jobs[t.UID]; j != nil {
+		j.completed[task] = true
+		r.metrics.exits++
+	}
+}
+
+// onWorkerDied is told by the fleet of each machine that has ended.
+func (r *region) onWorkerDied(worker *emulator.Worker) {
+	r.cloud.Fail(worker.ID)
+	r.carrier.closeConnection(worker.ID)
+	delete(r.byAddress, worker.Addr)
+	delete(r.fleet.Workers, worker.ID)
+}
--- a/internal/scalerun/reports.go
+++ b/internal/scalerun/heartbeats.go
@@ -13,36 +13,39 @@
 	"claybarrow/internal/emulator"
 )
 
-// heartbeatCarrier takes reports to the controllers, over one connection for each worker that stays
-// open, as a worker's does.
+// heartbeatCarrier sends the workers' heartbeats to the controllers. Each worker has one connection,
+// which stays open between heartbeats as a real worker's does.
 type heartbeatCarrier struct {
 	loop      *eventLoop
 	addresses []string // of the controllers
 	metrics   *metrics
-	// onAnswer is told, by the loop, of each answer that a worker takes.
+	// onAnswer is called by the event loop for each answer that a worker takes.
 	onAnswer    func(machine string, controller int)
 	mu          sync.Mutex
 	connections map[string]*connection
 	readers     sync.Pool
 }
 
-// connection is a worker's connection. Only its one report in flight uses it.
+// connection is a worker's connection. A worker has one heartbeat in flight at most, which alone uses it.
 type connection struct {
 	conn       net.Conn
 	controller int
 }
 
-// heartbeatTimeout is how long a worker waits for the answer to a report.
-const heartbeatTimeout = 4 * time.Second
-
-const maxAnswerBytes = 1 << 20
+const (
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// maxAnswerBytes bounds how much of an answer's body is read.
+	maxAnswerBytes   = 1 << 20
+	readerBufferSize = 4096
+)
 
 func newHeartbeatCarrier(l *eventLoop, addresses []string, m *metrics) *heartbeatCarrier {
 	return &heartbeatCarrier{loop: l, addresses: addresses, metrics: m, connections: map[string]*connection{},
-		readers: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 4096) }}}
+		readers: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerBufferSize) }}}
 }
 
-// send is the fleet's Carrier: it is called by the loop, and answers by it.
+// send is the fleet's Carrier: the event loop calls it, and the answer is given on the event loop.
 func (c *heartbeatCarrier) send(worker *emulator.Worker, controller int, body []byte, answer emulator.Reply) {
 	if worker.ReportsLost {
 		c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
@@ -65,7 +68,8 @@
 	}()
 }
 
-// takeConnection is the worker's link, if it has one to that controller.
+// takeConnection removes and returns the worker's open connection to a controller, or nil. One to
+// another controller is closed.
 func (c *heartbeatCarrier) takeConnection(id string, controller int) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,30 +79,32 @@
 	}
 	delete(c.connections, id)
 	if l.controller != controller {
-		l.conn.Close()
+		closeQuietly(l.conn)
 		return nil
 	}
 	return l.conn
 }
 
+// keepConnection stores an open connection for the worker's next heartbeat.
 func (c *heartbeatCarrier) keepConnection(id string, controller int, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.connections[id] = &connection{conn, controller}
 }
 
-// closeConnection closes the connection of a worker that is gone.
+// closeConnection closes the connection of a worker whose machine has ended.
 func (c *heartbeatCarrier) closeConnection(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l := c.connections[id]; l != nil {
-		l.conn.Close()
+		closeQuietly(l.conn)
 		delete(c.connections, id)
 	}
 }
 
-// exchange sends one report and reads its answer; status 0: there was none. An old connection
-// may have been closed by the other side, so then a new one is tried.
+// exchange sends one heartbeat and reads its answer; status 0: there was none in time. The worker's
+// open connection may have been closed by the controller meanwhile, so that a failure over it is
+// retried over a new one. traffic is in bytes, both ways.
 func (c *heartbeatCarrier) exchange(id string, controller int, body []byte) (status int, reply []byte, traffic int64) {
 	deadline := time.Now().Add(heartbeatTimeout)
 	if conn := c.takeConnection(id, controller); conn != nil {
@@ -116,13 +122,14 @@
 	return status, reply, traffic + more
 }
 
+// roundTrip sends one heartbeat over a connection, and keeps the connection if it can be used again.
 func (c *heartbeatCarrier) roundTrip(id string, controller int, conn net.Conn, body []byte, deadline time.Time) (int, []byte, int64) {
 	_ = conn.SetDeadline(deadline) // a connection that takes no deadline fails below
 	var request bytes.Buffer
 	fmt.Fprintf(&request, "POST /hello HTTP/1.1\r\nHost: %s\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", c.addresses[controller], len(body))
 	request.Write(body)
 	if _, err := conn.Write(request.Bytes()); err != nil {
-		conn.Close()
+		closeQuietly(conn)
 		return 0, nil, 0
 	}
 	traffic := int64(request.Len())
@@ -132,31 +139,31 @@
 	defer c.readers.Put(reader)
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		conn.Close()
+		closeQuietly(conn)
 		return 0, nil, traffic + counted.bytes
 	}
 	reply, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
-	response.Body.Close()
+	closeQuietly(response.Body)
 	traffic += counted.bytes
 	if err != nil {
-		conn.Close()
+		closeQuietly(conn)
 		return 0, nil, traffic
 	}
 	if response.Close || response.StatusCode == http.StatusMisdirectedRequest {
-		conn.Close()
+		closeQuietly(conn)
 	} else {
 		c.keepConnection(id, controller, conn)
 	}
 	return response.StatusCode, reply, traffic
 }
 
-// countingReader counts what is read.
+// countingReader counts the bytes that are read.
 type countingReader struct {
 	io.Reader
 	bytes int64
 }
 
-// Read is part of io.Reader.
+// Read implements io.Reader.
 func (r *countingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	r.bytes += int64(n)
--- a/internal/scalerun/measure.go
+++ b/internal/scalerun/metrics.go
@@ -1,6 +1,7 @@
 package scalerun
 
 import (
+	"net/http"
 	"sync"
 	"time"
 
@@ -8,7 +9,7 @@
 	"github.com/shirou/gopsutil/v4/process"
 )
 
-// Quantiles sum up a distribution, in milliseconds.
+// Quantiles sum up a distribution of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -16,13 +17,14 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// distribution is of durations, in microseconds up to ten minutes.
+// distribution is a histogram of durations, in microseconds up to ten minutes.
 type distribution struct{ h *hdrhistogram.Histogram }
 
 const (
 	longestMicros      = 600_000_000
 	significantFigures = 3
 	microsPerMilli     = 1000.0
+	millisPerSecond    = 1000
 )
 
 func newDistribution() distribution {
@@ -30,7 +32,7 @@
 }
 
 func (d distribution) add(t time.Duration) {
-	_ = d.h.RecordValue(min(longestMicros, max(1, t.Microseconds()))) // clipped to its range
+	_ = d.h.RecordValue(min(longestMicros, max(1, t.Microseconds()))) // clipped to its range, so that it takes every value
 }
 
 func (d distribution) quantiles() Quantiles {
@@ -38,15 +40,16 @@
 		P99: float64(d.h.ValueAtQuantile(99)) / microsPerMilli, Max: float64(d.h.Max()) / microsPerMilli}
 }
 
-// ProcessUse is what one process took.
+// ProcessUse is what the processes of one label used in the measured part of a run. CPUShare is in
+// cores, PeakMB the largest resident memory of one process in MiB.
 type ProcessUse struct {
-	CPUSeconds float64 `json:"cpu_s"` // in the measured part
+	CPUSeconds float64 `json:"cpu_s"` // user and system
 	CPUShare   float64 `json:"cpu_share"`
 	PeakMB     float64 `json:"peak_rss_mb"`
 	Restarts   int     `json:"restarts"`
 }
 
-// watchedProcess is followed by its id.
+// watchedProcess is the present process of a label, with the use of CPU time in seconds.
 type watchedProcess struct {
 	handle    *process.Process
 	starts    int
@@ -56,7 +59,8 @@
 	peak      uint64
 }
 
-// metrics are what a region counts. Only the loop writes to them, but for the processes.
+// metrics are the counts of one region. Only the event loop uses them, but for the processes, which
+// mu guards.
 type metrics struct {
 	measuring bool
 	began     time.Duration
@@ -98,12 +102,13 @@
 	}
 }
 
+// report records a heartbeat's exchange, with its traffic in bytes.
 func (m *metrics) report(status int, took time.Duration, bytes int64) {
 	if !m.measuring {
 		return
 	}
 	m.workerBytes += bytes
-	if status == 200 {
+	if status == http.StatusOK {
 		m.reports++
 		m.roundTrip.add(took)
 	} else {
@@ -111,9 +116,10 @@
 	}
 }
 
-// directHeader is about what the lines before a direct request's or answer's body take.
+// directHeader is about how many bytes the lines before the body of a direct request or answer take.
 const directHeader = 150
 
+// direct records a direct request or its answer, with the size of its body in bytes.
 func (m *metrics) direct(bytes int) {
 	if m.measuring {
 		m.directCalls++
@@ -121,19 +127,21 @@
 	}
 }
 
+// accepted records how long a job took from its first submission to its acceptance.
 func (m *metrics) accepted(took time.Duration) {
 	if m.measuring {
 		m.accept.add(took)
 	}
 }
 
-func (m *metrics) answer(op string, status int, _ time.Duration) {
+// answer counts the answers to clients, by operation and status (0: none).
+func (m *metrics) answer(op string, status int) {
 	if m.measuring {
 		m.statuses[statusKey(op, status)]++
 	}
 }
 
-// started notes the first start of a task.
+// started records the first start of a task, with the time since its job was submitted.
 func (m *metrics) started(class string, wait time.Duration) {
 	m.secondStarts++
 	if !m.measuring {
@@ -146,7 +154,7 @@
 	m.timeToStart[class].add(wait)
 }
 
-// second closes a second of starts.
+// second ends a second of the counts by second.
 func (m *metrics) second() {
 	if m.measuring {
 		m.peakSecond = max(m.peakSecond, m.secondStarts)
@@ -155,7 +163,7 @@
 	m.secondStarts = 0
 }
 
-// watchProcess follows a process under a label.
+// watchProcess measures a process under a label, in the place of an earlier one of that label.
 func (m *metrics) watchProcess(label string, pid int) {
 	handle, err := process.NewProcess(int32(pid))
 	if err != nil {
@@ -173,7 +181,7 @@
 	p.starts++
 }
 
-// sample reads what the processes have taken, and returns the memory of all, in bytes.
+// sample reads the CPU time and memory of the processes, and returns the memory of all in bytes.
 func (m *metrics) sample() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -190,7 +198,7 @@
 	return total
 }
 
-// uses sums up the processes over the measured part.
+// uses sums up the use of the processes over the measured part.
 func (m *metrics) uses(measured time.Duration) map[string]ProcessUse {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/scalerun/ownership.go
+++ b/internal/scalerun/ownership.go
@@ -6,9 +6,9 @@
 	"claybarrow/internal/emulator"
 )
 
-// ownership counts who serves each machine and who owns each job, and how often that changed.
-// A machine's owner is the controller whose answer it took last; a job's is the token under which a
-// task of it was started last, as the attempt's number tells.
+// ownership counts which controller serves each machine and which leader owns each job, and how often
+// that changes. A machine is owned by the controller whose answer it took last; a job by the fencing
+// token under which a task of it was started last, which is part of the attempt's number.
 type ownership struct {
 	machines map[string]*owned
 	jobs     map[string]*owned
@@ -16,35 +16,37 @@
 
 // owned is a machine or a job with its owner.
 type owned struct {
-	owner     uint64 // a controller's number, or a token's block of attempts
+	owner     uint64 // a controller's number, or a fencing token
 	changes   int
 	changedAt time.Duration
 }
 
-// Ownership is what a run counted of it in the measured part.
+// Ownership counts the changes of owners in the measured part of a run.
 type Ownership struct {
-	Machines        int `json:"machines"`         // that took an answer
-	MachineMoves    int `json:"machine_moves"`    // changes of their controllers
-	MostMoves       int `json:"most_moves"`       // of one machine
-	Jobs            int `json:"jobs"`             // of which a task was started
+	Machines        int `json:"machines"`         // that took a controller's answer
+	MachineMoves    int `json:"machine_moves"`    // to another controller
+	MostMoves       int `json:"most_moves"`       // of the machine that changed its controller most often
+	Jobs            int `json:"jobs"`             // with a task that was started
 	JobHandovers    int `json:"job_handovers"`    // to a later token
 	JobsOwnedTwice  int `json:"jobs_owned_twice"` // started under an earlier token after a later one
-	JobsOrphaned    int `json:"jobs_orphaned"`    // not over, and nobody answers for them at the end
-	SessionsExpired int `json:"sessions_expired"` // of machines that lived on
+	JobsOrphaned    int `json:"jobs_orphaned"`    // not finished, and no question about them was answered at the end
+	SessionsExpired int `json:"sessions_expired"` // of machines that are up
 }
 
-// attemptBlockBits is how many low bits of an attempt's number count within a token.
+// attemptBlockBits is how many low bits of an attempt's number count the attempts under one fencing
+// token; the bits above are the token.
 const attemptBlockBits = 24
 
 func newOwnership() *ownership {
 	return &ownership{machines: map[string]*owned{}, jobs: map[string]*owned{}}
 }
 
-// workerAnswered notes that a machine took a controller's answer.
+// workerAnswered records that a machine took a controller's answer.
 func (o *ownership) workerAnswered(machine string, controller int, now time.Duration) {
 	o.recordOwner(o.machines, machine, uint64(controller), now)
 }
 
+// recordOwner sets an owner, and counts it if it differs from the one before.
 func (o *ownership) recordOwner(table map[string]*owned, key string, owner uint64, now time.Duration) {
 	switch e := table[key]; {
 	case e == nil:
@@ -55,8 +57,8 @@
 	}
 }
 
-// taskStarted notes the start of a job's task. It returns whether a later leader had started some before:
-// then two of them take the job for theirs.
+// taskStarted records the start of a job's task. It returns whether a later leader had started tasks of
+// the job before: then two leaders own the job.
 func (o *ownership) taskStarted(uid string, try uint64, now time.Duration) (twice bool) {
 	token := try >> attemptBlockBits
 	if e := o.jobs[uid]; e != nil && token < e.owner {
@@ -66,7 +68,7 @@
 	return false
 }
 
-// reset begins the measured part: owners stay, changes are counted anew.
+// reset begins the measured part: the owners stay, the counts start from 0.
 func (o *ownership) reset() {
 	for _, table := range []map[string]*owned{o.machines, o.jobs} {
 		for _, e := range table {
@@ -75,7 +77,7 @@
 	}
 }
 
-// totals adds up what was counted.
+// totals sums up the counts of all machines and jobs.
 func (o *ownership) totals() Ownership {
 	out := Ownership{Machines: len(o.machines), Jobs: len(o.jobs)}
 	for _, e := range o.machines {
@@ -88,34 +90,7 @@
 	return out
 }
 
-// orphanTimeout is how long a job may go unanswered at a run's end while most others are answered:
-// four of its user's questions.
-const orphanTimeout = 4 * pollInterval
-
-// checkOrphanedJobs finds jobs that are not over and that nobody answers for, and ends the run with the
-// first. Where nobody is answered at all the region is down, which is no orphan.
-func (r *region) checkOrphanedJobs() int {
-	now := r.loop.queue.Now()
-	var orphan *job
-	orphans, answered := 0, 0
-	for _, j := range r.invariants.jobs {
-		switch {
-		case j.acceptedAt == 0 || j.finished():
-		case now > max(j.answeredAt, j.acceptedAt)+orphanTimeout:
-			orphan = j
-			orphans++
-		default:
-			answered++
-		}
-	}
-	if orphan == nil || answered <= orphans {
-		return 0
-	}
-	r.invariants.violate(orphan, "orphaned", "nobody answers for %s and %d others", orphan.uid, orphans-1)
-	return orphans
-}
-
-// expiredSessions counts the machines whose lease ran out though they live.
+// expiredSessions counts the machines that are up and whose lease has expired at least once.
 func expiredSessions(fleet *emulator.Fleet) int {
 	n := 0
 	for _, worker := range fleet.Workers {
--- a/internal/scalerun/plan_test.go
+++ b/internal/scalerun/plan_test.go
@@ -82,7 +82,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	t.Cleanup(func() {
+		if err := l.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	port := l.Addr().(*net.TCPAddr).Port
 	err = plan(func(p *Plan) { p.Run.BasePort = port })
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(port)) {
--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -6,51 +6,47 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/shirou/gopsutil/v4/mem"
 
 	"claybarrow/internal/emulator"
-	"claybarrow/internal/protocol"
 )
 
-// region plays one region: its state service, its cloud, its workers and its users, against
+// region runs one region: an emulated state service, cloud, workers and clients, against real
 // controllers of its own.
 type region struct {
 	plan   *Plan
 	number int
-	dir    string // for settings and logs
 
-	loop           *eventLoop
-	state          *emulator.StateService
-	cloud          *emulator.Cloud
-	fleet          *emulator.Fleet
-	byAddress      map[string]*emulator.Worker
-	carrier        *heartbeatCarrier
+	loop         *eventLoop
+	state        *emulator.StateService
+	cloud        *emulator.Cloud
+	fleet        *emulator.Fleet
+	byAddress    map[string]*emulator.Worker
+	carrier      *heartbeatCarrier
+	users        *users
+	controlPlane *controlPlane
+	random       *rand.Rand // used by the event loop alone
+	closing      bool       // the run is over, and clients send nothing new
+
 	invariants     *invariants
-	users          *users
 	metrics        *metrics
-	controllers    []*controller
-	nextController int
-	random         *rand.Rand
-	// closing: the run is over, and nobody asks for anything new.
-	closing        bool
+	ownership      *ownership
 	jobsOwnedTwice int
-
-	ownership   *ownership
-	detection   *detection
-	upgrade     upgradeWatch
-	leaderToken uint64
-	leaderLost  time.Duration // since when there is no leader; 0: there is one
-	stateBase   emulator.StateStats
-	failures    chan error
+	leader         *leaderMonitor
+	detection      *detection
+	upgrade        *upgradeMonitor
+	faults         *faultInjector
+	stateBase      emulator.StateStats // when measuring began
+	failures       chan error
 }
 
-// RunRegion plays a region until its time is over, and says what it measured. The result is
-// there also if a rule was broken.
+// processLabel is the key of the region's own process among RegionResult.Processes.
+const processLabel = "hollow workers, stand-ins and users"
+
+// RunRegion runs a region until the plan's time is over, and returns what it measured. The result is
+// there also when an invariant was violated (RuleViolation).
 func RunRegion(ctx context.Context, plan *Plan, number int) (*RegionResult, error) {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("scalerun-%d-", number))
 	if err != nil {
@@ -58,7 +54,7 @@
 	}
 	defer func() {
 		if !plan.Run.KeepLogs {
-			os.RemoveAll(dir)
+			_ = os.RemoveAll(dir) // temporary files; the result stands without their removal
 		}
 	}()
 	ctx, stop := context.WithCancel(ctx)
@@ -68,32 +64,42 @@
 	if err := r.serveAll(ctx); err != nil {
 		return nil, err
 	}
-	if err := r.prepareControllers(); err != nil {
+	if err := r.controlPlane.prepare(); err != nil {
 		return nil, err
 	}
-	defer r.stopControllers()
-	r.metrics.watchProcess("hollow workers, stand-ins and users", os.Getpid())
-	for _, c := range r.controllers {
-		if err := r.startController(c); err != nil {
-			return nil, err
-		}
-		go r.probe(ctx, c)
-	}
-	r.loop.call(func() { r.startLoad() })
-	if err := r.wait(ctx, seconds(plan.Run.WarmupS), nil); err != nil {
+	defer r.controlPlane.stopAll()
+	if err := r.warmUp(ctx); err != nil {
 		return nil, err
 	}
+	return r.measure(ctx)
+}
+
+// warmUp starts the controllers, the fleet and the load, and lets the time before measuring pass.
+func (r *region) warmUp(ctx context.Context) error {
+	r.metrics.watchProcess(processLabel, os.Getpid())
+	for _, c := range r.controlPlane.controllers {
+		if err := r.controlPlane.start(c); err != nil {
+			return err
+		}
+		go r.controlPlane.probe(ctx, c)
+	}
+	r.loop.call(r.startLoad)
+	return r.wait(ctx, seconds(r.plan.Run.WarmupS))
+}
+
+// measure runs the measured part of the run.
+func (r *region) measure(ctx context.Context) (*RegionResult, error) {
 	r.metrics.sample()
 	r.loop.call(func() { r.beginMeasuring(ctx) })
 	started := time.Now()
-	err = r.wait(ctx, seconds(plan.Run.DurationS), r.invariants.violations)
+	err := r.wait(ctx, seconds(r.plan.Run.DurationS))
 	var result *RegionResult
 	r.metrics.sample()
 	r.loop.call(func() {
 		r.closing = true
 		orphans := 0
 		if err == nil {
-			orphans = r.checkOrphanedJobs()
+			orphans = r.invariants.checkOrphanedJobs()
 		}
 		result = r.result(time.Since(started))
 		result.Ownership.JobsOrphaned = orphans
@@ -102,262 +108,71 @@
 		err = r.pendingViolation()
 	}
 	if err == nil && result.Upgrade != nil {
-		err = result.Upgrade.check(number)
+		err = result.Upgrade.check(r.number)
 	}
 	return result, err
 }
 
-// pendingViolation is a rule that was found broken at the very end.
+// pendingViolation returns an invariant that was found violated at the very end of the run.
 func (r *region) pendingViolation() error {
 	select {
-	case b := <-r.invariants.violations:
-		return b
+	case violation := <-r.invariants.violations:
+		return violation
 	default:
 		return nil
 	}
 }
 
 func newRegion(plan *Plan, number int, dir string) *region {
-	l := newLoop()
-	agenda := l.queue
-	r := &region{plan: plan, number: number, dir: dir, loop: l, byAddress: map[string]*emulator.Worker{}, metrics: newMetrics(),
-		invariants: newInvariants(agenda, number, plan), random: rand.New(rand.NewPCG(plan.Run.Seed, uint64(number))), failures: make(chan error, 1)}
-	r.state = emulator.NewStateService(agenda, emulator.StateLimits{ValueBytes: int(plan.State.ValueKB * 1024), Changes: plan.State.TxnOps,
+	loop, metrics := newEventLoop(), newMetrics()
+	queue := loop.queue
+	r := &region{plan: plan, number: number, loop: loop, byAddress: map[string]*emulator.Worker{}, metrics: metrics,
+		invariants: newInvariants(queue, number, plan), random: rand.New(rand.NewPCG(plan.Run.Seed, uint64(number))),
+		ownership: newOwnership(), detection: newDetection(), upgrade: newUpgradeMonitor(), failures: make(chan error, 1)}
+	r.controlPlane = &controlPlane{plan: plan, region: number, dir: dir, metrics: metrics, fail: r.fail}
+	r.state = emulator.NewStateService(queue, emulator.StateLimits{ValueBytes: int(plan.State.ValueKB * 1024), Changes: plan.State.TxnOps,
 		RequestRate: plan.State.RPS, ChangeRate: plan.State.WriteRPS})
 	r.state.MostChanges = plan.State.TxnOps
-	wrong := func(what string) { r.fail(fmt.Errorf("a controller's message is wrong: %s", what)) }
-	r.state.Wrong = wrong
+	r.state.Wrong = r.failOnProtocolError
 	r.users = newUsers(r)
-	r.ownership, r.detection = newOwnership(), newDetection()
-	r.newCloud(wrong)
-	r.newFleet(wrong)
+	r.newCloud()
+	r.newFleet()
+	r.leader = &leaderMonitor{state: r.state, queue: queue, metrics: metrics}
+	r.faults = &faultInjector{queue: queue, controlPlane: r.controlPlane, leader: r.leader, detection: r.detection, fleet: r.fleet, state: r.state, random: r.random}
 	return r
 }
 
-func (r *region) newCloud(wrong func(string)) {
-	p := r.plan
-	cloud := emulator.NewCloud(r.loop.queue)
-	cloud.Wrong, cloud.Rate, cloud.Lag = wrong, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
-	cloud.Left = map[emulator.Pool]int{} // what the fleet has lost can be rented again, no more
-	cloud.Name = func(n int) string { return fmt.Sprintf("i-%d%06d", r.number, n) }
-	cloud.Addr = func(id string) string {
-		n, _ := strconv.Atoi(id[3:]) // of our own making
-		return p.workerAddress(r.number, n)
-	}
-	for _, t := range p.Fleet.Types {
-		cloud.Types = append(cloud.Types, protocol.MachineType{Name: t.Name, Cores: t.Cores, Accelerators: t.Accelerators, MemoryGB: t.MemoryGB,
-			CacheGB: t.CacheGB, FetchGBPerS: t.FetchGBPerS, Price: t.Price, SpotPrice: t.Price / 2, BootS: t.BootS, Zones: p.Fleet.Zones})
-	}
-	cloud.BootTime = func(typ string) time.Duration { return seconds(r.typeOf(typ).BootS) }
-	cloud.Launch = func(m *emulator.Machine) {
-		worker := r.addWorker(m)
-		r.loop.queue.After(cloud.BootTime(m.Type), worker.Boot)
-	}
-	cloud.Remove = func(m *emulator.Machine) {
-		if worker := r.fleet.Workers[m.ID]; worker != nil {
-			worker.Die()
-		}
-	}
-	r.cloud = cloud
-}
-
-func (r *region) typeOf(name string) protocol.MachineType {
-	i := slices.IndexFunc(r.cloud.Types, func(t protocol.MachineType) bool { return t.Name == name })
-	return r.cloud.Types[i]
-}
-
-func (r *region) newFleet(wrong func(string)) {
-	w := r.plan.Workers
-	f := emulator.NewFleet(r.loop.queue, emulator.Timing{Report: seconds(w.ReportS), Jitter: 0.25, LeastPause: 500 * time.Millisecond,
-		NextController: time.Second, SentAway: 250 * time.Millisecond, Lease: seconds(w.LeaseS),
-		GangWait: seconds(w.GangWaitS), GangPeer: seconds(w.GangPeerS), Look: 100 * time.Millisecond})
-	f.Random, f.RefuseUnfit, f.FetchTime = r.random.Float64, true, emulator.FetchImage
-	var addresses []string
-	for i := range r.plan.Control.Controllers {
-		addresses = append(addresses, r.clientAddress(i))
-	}
-	r.carrier = newHeartbeatCarrier(r.loop, addresses, r.metrics)
-	r.carrier.onAnswer = func(machine string, controller int) {
-		r.ownership.workerAnswered(machine, controller, r.loop.queue.Now())
-	}
-	f.Carrier, f.Controllers = r.carrier.send, len(addresses)
-	f.Label = func(name string) int {
-		for i := range addresses {
-			if controllerLabel(i) == name {
-				return i
-			}
-		}
-		return -1
-	}
-	f.Jobs = func(uid string) *emulator.Job {
-		if j := r.invariants.jobs[uid]; j != nil {
-			return &j.Job
-		}
-		return nil
-	}
-	f.RunTime = func(task string) time.Duration {
-		uid, _, _ := strings.Cut(task, "/")
-		if j := r.invariants.jobs[uid]; j != nil {
-			return time.Duration(j.load.RunS * (0.8 + 0.4*r.random.Float64()) * float64(time.Second))
-		}
-		return 0
-	}
-	f.Begins, f.Leaves = r.onTaskStarted, r.onTaskStopped
-	f.Done = func(task string, t *emulator.Task) {
-		if j := r.invariants.jobs[t.UID]; j != nil {
-			j.completed[task] = true
-			r.metrics.exits++
-		}
-	}
-	f.Died = func(worker *emulator.Worker) {
-		r.cloud.Fail(worker.ID)
-		r.carrier.closeConnection(worker.ID)
-		delete(r.byAddress, worker.Addr)
-		delete(r.fleet.Workers, worker.ID)
-	}
-	f.Wrong = wrong
-	r.fleet = f
-}
-
-func (r *region) addWorker(m *emulator.Machine) *emulator.Worker {
-	worker := r.fleet.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
-	worker.Size = r.typeOf(m.Type)
-	worker.Controller = r.random.IntN(r.plan.Control.Controllers)
-	r.byAddress[m.Addr] = worker
-	return worker
-}
-
-func (r *region) onTaskStarted(worker *emulator.Worker, task string, t *emulator.Task) {
-	r.invariants.taskStarted(worker, task, t)
-	r.noteBegin(task, t)
-	r.metrics.running++
-	r.detection.taskStarted(t.Try >> attemptBlockBits)
-	if r.ownership.taskStarted(t.UID, t.Try, r.loop.queue.Now()) {
-		r.jobsOwnedTwice++
-		r.invariants.violate(r.invariants.jobs[t.UID], "owned_twice", "%s is started by attempt %d though a later leader had started some", task, t.Try)
-	}
-	j := r.invariants.jobs[t.UID]
-	if j != nil && !j.started[task] {
-		j.started[task] = true
-		r.metrics.started(j.class, r.loop.queue.Now()-j.submittedAt)
-	}
-}
-
-func (r *region) onTaskStopped(worker *emulator.Worker, task string, t *emulator.Task) {
-	r.invariants.taskStopped(worker, task, t)
-	r.noteLeave(task, t)
-	r.metrics.running--
-}
-
-// startLoad brings the fleet up, over the time of a report, and has users arrive.
+// startLoad boots the workers, spread over the time of one report, and starts the clients' arrivals
+// and the periodic checks.
 func (r *region) startLoad() {
-	agenda := r.loop.queue
-	n := r.plan.regionWorkers(r.number)
-	for i, typ := range r.plan.typesOf(n) {
-		m := r.cloud.Create(emulator.Pool{Type: typ, Zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)]})
-		m.Up = true
-		r.cloud.Left[m.Pool]++ // it was there before
-		worker := r.addWorker(m)
-		agenda.After(seconds(r.plan.Workers.ReportS*r.random.Float64()), worker.Boot)
-	}
+	const (
+		stepInterval  = 100 * time.Millisecond
+		checkInterval = time.Second
+	)
+	r.bootFleet()
 	r.users.startArrivals()
-	r.every(100*time.Millisecond, func() {
+	r.loop.every(stepInterval, func() {
 		r.fleet.StepGangs()
-		r.watchLeader()
+		r.upgrade.gateState(r.leader.poll(), r.controlPlane.controllers, r.loop.queue.Now())
 	})
-	r.every(time.Second, func() {
+	r.loop.every(checkInterval, func() {
 		r.metrics.second()
 		r.invariants.checkForgottenJobs()
 	})
 }
 
-// typesOf lists the types of n machines, by their shares and mixed.
-func (p *Plan) typesOf(n int) []string {
-	var out []string
-	given := make([]float64, len(p.Fleet.Types))
-	for range n {
-		next := 0
-		for i, t := range p.Fleet.Types {
-			if given[i]/t.Share < given[next]/p.Fleet.Types[next].Share {
-				next = i
-			}
-		}
-		given[next]++
-		out = append(out, p.Fleet.Types[next].Name)
-	}
-	return out
-}
-
-func (r *region) every(d time.Duration, do func()) {
-	r.loop.queue.After(d, func() {
-		do()
-		r.every(d, do)
-	})
-}
-
-// leaderKey and leaderValue are what the program keeps of its leader.
-const leaderKey = "c/leader"
-
-type leaderValue struct {
-	Label string `msgpack:"l"`
-	Token uint64 `msgpack:"n"`
-	// Form is not 0 while the feature gate is not closed: then the key is permanent, and the key of
-	// the lease tells whether its holder leads.
-	Form uint64 `msgpack:"f"`
-}
-
-// leaseKey hangs on the leader's lease while the feature gate is not closed.
-const leaseKey = "c/lease"
-
-// leader is who holds the leader key, or nobody.
-func (r *region) leader() (leaderValue, bool) {
-	var v leaderValue
-	it := r.state.Item(leaderKey)
-	if it == nil || protocol.Decode(it.Value, &v) != nil {
-		return v, false
-	}
-	return v, v.Form == 0 || r.state.Item(leaseKey) != nil
-}
-
-// watchLeader counts changes of the leader and how long there was none.
-func (r *region) watchLeader() {
-	now := r.loop.queue.Now()
-	v, some := r.leader()
-	r.watchGate(v)
-	if !some {
-		r.loseLeader()
-		return
-	}
-	if v.Token == r.leaderToken {
-		return // also one that has been killed, until its lease is over
-	}
-	if r.leaderToken > 0 && r.metrics.measuring {
-		r.metrics.leaderChanges++
-		if r.leaderLost > 0 {
-			r.metrics.leaderGaps.add(now - r.leaderLost)
-		}
-	}
-	r.leaderLost, r.leaderToken = 0, v.Token
-}
-
-// loseLeader notes since when there is no leader.
-func (r *region) loseLeader() {
-	if r.leaderLost == 0 && r.leaderToken > 0 {
-		r.leaderLost = r.loop.queue.Now()
-	}
-}
-
+// beginMeasuring starts the measured part and schedules the plan's faults.
 func (r *region) beginMeasuring(ctx context.Context) {
 	r.metrics.begin(r.loop.queue.Now())
 	r.ownership.reset()
 	r.stateBase = r.state.Stats
 	r.metrics.peakRunning = r.metrics.running
-	for _, f := range r.plan.Faults {
-		r.loop.queue.After(seconds(f.AtS), func() { r.inject(ctx, f) })
+	for _, fault := range r.plan.Faults {
+		r.loop.queue.After(seconds(fault.AtS), func() { r.faults.inject(ctx, fault) })
 	}
 }
 
-// fail ends the run.
+// fail ends the run. Only the first error counts.
 func (r *region) fail(err error) {
 	select {
 	case r.failures <- err:
@@ -365,14 +180,20 @@
 	}
 }
 
-// errMemoryPassed ends a run that takes more than its plan may.
+// errProtocol ends a run whose controllers sent something that the protocol does not allow.
+var errProtocol = errors.New("a controller's message is wrong")
+
+// failOnProtocolError ends the run because of a message that no controller may send.
+func (r *region) failOnProtocolError(problem string) {
+	r.fail(fmt.Errorf("%w: %s", errProtocol, problem))
+}
+
+// errMemoryPassed ends a run whose processes take more memory than limits.memory_share.
 var errMemoryPassed = errors.New("the run takes more memory than it may")
 
-// wait lets time pass, and ends early if something is wrong.
-func (r *region) wait(ctx context.Context, d time.Duration, broken <-chan *RuleViolation) error {
-	if broken == nil {
-		broken = r.invariants.violations
-	}
+// wait lets time pass. It ends early with the first failure or violation, when the context ends, or
+// when the region's processes take more than their share of the machine's memory.
+func (r *region) wait(ctx context.Context, d time.Duration) error {
 	over := time.NewTimer(d)
 	defer over.Stop()
 	second := time.NewTicker(time.Second)
@@ -381,18 +202,18 @@
 	if err != nil {
 		return err
 	}
-	most := uint64(float64(memory.Total) * r.plan.Limits.MemoryShare / float64(r.plan.Fleet.Regions))
+	maxBytes := uint64(float64(memory.Total) * r.plan.Limits.MemoryShare / float64(r.plan.Fleet.Regions))
 	for {
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		case err := <-r.failures:
 			return err
-		case b := <-broken:
-			return b
+		case violation := <-r.invariants.violations:
+			return violation
 		case <-second.C:
-			if total := r.metrics.sample(); total > most {
-				return fmt.Errorf("%w: %d MB of %d in region %d", errMemoryPassed, total>>20, most>>20, r.number)
+			if total := r.metrics.sample(); total > maxBytes {
+				return fmt.Errorf("%w: %d MB of %d in region %d", errMemoryPassed, total>>20, maxBytes>>20, r.number)
 			}
 		case <-over.C:
 			return nil
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// RegionResult is what one region measured.
+// RegionResult is what was measured in one region.
 type RegionResult struct {
 	Region          int                   `json:"region"`
 	MeasuredS       float64               `json:"measured_s"`
@@ -43,7 +43,7 @@
 	LoopLateS       float64               `json:"stand_in_latest_s"`
 }
 
-// result sums up, by the loop.
+// result sums up the measured part. The event loop calls it.
 func (r *region) result(measured time.Duration) *RegionResult {
 	m, s, base := r.metrics, r.state.Stats, r.stateBase
 	per := func(n float64) float64 { return n / measured.Seconds() }
@@ -59,13 +59,10 @@
 	out.Ownership = r.ownership.totals()
 	out.Ownership.JobsOwnedTwice = r.jobsOwnedTwice
 	out.Ownership.SessionsExpired = expiredSessions(r.fleet)
-	var logs []string
-	for _, c := range r.controllers {
-		logs = append(logs, c.log)
-	}
+	logs := r.controlPlane.logs()
 	out.Detections = r.detection.results(logs)
 	if r.plan.Run.Older != "" {
-		out.Upgrade = r.upgradeResult(logs)
+		out.Upgrade = r.upgrade.result(logs)
 	}
 	for class, d := range m.timeToStart {
 		out.TimeToStart[class] = d.quantiles()
@@ -73,7 +70,7 @@
 	return out
 }
 
-// Result is a whole run.
+// Result is a whole run. Its plan names the programs without their folders.
 type Result struct {
 	Plan      *Plan           `json:"plan"`
 	Version   string          `json:"version,omitempty"`
@@ -82,7 +79,7 @@
 	Error     string          `json:"error,omitempty"`
 }
 
-// Summary is the result for people.
+// Summary renders the result as text for the terminal.
 func (r *Result) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d workers planned in %d region(s), %.0f s measured after %.0f s\n", r.Plan.Fleet.Workers, r.Plan.Fleet.Regions, r.Plan.Run.DurationS, r.Plan.Run.WarmupS)
@@ -131,11 +128,12 @@
 	fmt.Fprintf(b, "  stand-ins were at most %.3f s late\n", r.LoopLateS)
 }
 
-// String is a distribution in one line.
+// String renders the quantiles in one line.
 func (q Quantiles) String() string {
 	return fmt.Sprintf("p50 %.1f ms, p99 %.1f ms, max %.1f ms (%d)", q.P50, q.P99, q.Max, q.Count)
 }
 
+// statusKey is the key of an answer among RegionResult.Statuses.
 func statusKey(op string, status int) string {
 	if status == 0 {
 		return op + ": no answer"
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -18,15 +18,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// regionExit is how a region's process tells its parent what happened.
+// regionExit is what a region's process writes to its parent when it ends.
 type regionExit struct {
 	Result    *RegionResult  `json:"result,omitempty"`
 	Violation *RuleViolation `json:"broken,omitempty"`
 	Error     string         `json:"error,omitempty"`
 }
 
-// ServeRegion plays one region for a parent process and writes what happened to out. It ends
-// at once when in ends: then the parent is gone.
+// ServeRegion runs one region for a parent process and writes its regionExit to out as JSON. It ends
+// early when in ends, which means that the parent has ended or was interrupted.
 func ServeRegion(ctx context.Context, plan *Plan, number int, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -46,9 +46,10 @@
 	return json.NewEncoder(out).Encode(exit)
 }
 
+// errInterrupted ends a region whose parent has ended or was interrupted.
 var errInterrupted = errors.New("interrupted")
 
-// RegionError is what went wrong in a region.
+// RegionError is why a region ended early, other than by a RuleViolation.
 type RegionError struct {
 	Region  int
 	Problem string
@@ -57,8 +58,9 @@
 // Error names the region.
 func (e *RegionError) Error() string { return fmt.Sprintf("region %d: %s", e.Region, e.Problem) }
 
-// Run plays a plan, each region in a process of its own that runs this program with
-// regionArgs and the region's number. The result is there also if the run ended early.
+// Run runs a plan, each region in a process of its own: the program self with regionArgs and the
+// region's number. The result is there also if the run ended early. The error is a *PlanError for a
+// program that does not exist, a *RuleViolation or a *RegionError.
 func Run(ctx context.Context, plan *Plan, self string, regionArgs []string) (*Result, error) {
 	if err := plan.CheckMachine(); err != nil {
 		return nil, err
@@ -66,12 +68,12 @@
 	if _, err := os.Stat(plan.Run.Program); err != nil {
 		return nil, planError("run.program", "%v", err)
 	}
-	played := *plan
-	played.Run.Program = filepath.Base(plan.Run.Program) // its folder says nothing to others
+	shown := *plan
+	shown.Run.Program = filepath.Base(plan.Run.Program) // its folder is of no use to readers of the result
 	if plan.Run.Older != "" {
-		played.Run.Older = filepath.Base(plan.Run.Older)
+		shown.Run.Older = filepath.Base(plan.Run.Older)
 	}
-	result := &Result{Plan: &played, Version: programVersion(ctx, plan.Run.Program), Regions: make([]*RegionResult, plan.Fleet.Regions)}
+	result := &Result{Plan: &shown, Version: programVersion(ctx, plan.Run.Program), Regions: make([]*RegionResult, plan.Fleet.Regions)}
 	group, ctx := errgroup.WithContext(ctx)
 	for number := range plan.Fleet.Regions {
 		group.Go(func() error {
@@ -97,6 +99,7 @@
 	return result, err
 }
 
+// withoutNil drops the regions that have no result.
 func withoutNil(list []*RegionResult) []*RegionResult {
 	var out []*RegionResult
 	for _, r := range list {
@@ -107,11 +110,11 @@
 	return out
 }
 
-// childShutdownTimeout is how long a region has for its end once it was told to.
+// childShutdownTimeout is how long a region's process has to end after its standard input was closed.
 const childShutdownTimeout = 10 * time.Second
 
-// runChild starts a region's process. When the context ends, its standard input does, and it
-// ends its own children and itself.
+// runChild runs a region's process and returns what it wrote. When the context ends its standard input
+// is closed, upon which it ends its own children and itself.
 func runChild(ctx context.Context, self string, args []string) (*regionExit, error) {
 	command := exec.Command(self, args...)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM, Setpgid: true}
@@ -125,7 +128,7 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() {
-		in.Close()
+		closeQuietly(in)                                                            // the child ends when its standard input does
 		time.AfterFunc(childShutdownTimeout, func() { _ = command.Process.Kill() }) // it may have ended
 	})
 	defer stop()
@@ -139,7 +142,7 @@
 	return &exit, nil
 }
 
-// programVersion is what the program says of itself.
+// programVersion returns what the program's version command prints, or nothing if it fails.
 func programVersion(ctx context.Context, program string) string {
 	out, err := exec.CommandContext(ctx, program, "version").Output()
 	if err != nil {
--- a/internal/scalerun/servers.go
+++ b/internal/scalerun/servers.go
@@ -13,7 +13,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// Ports of a region, after its first.
+// Ports of a region, as offsets from its first.
 const (
 	portState = iota
 	portCloud
@@ -34,26 +34,34 @@
 	return fmt.Sprintf("127.%d.255.%d", networkOctets+region, n+1)
 }
 
-// answer is what a stand-in says.
+// answer is what an emulated server answers.
 type answer struct {
 	status int
 	body   []byte
 }
 
-// serveAll starts the stand-ins' servers; they end with the context.
+// Limits of the emulated servers.
+const (
+	serverReadTimeout    = 2 * time.Minute
+	serverIdleTimeout    = 10 * time.Minute
+	serverMaxHeaderBytes = 8 << 10
+)
+
+// serveAll starts the servers of the emulated state service, cloud and workers; they end with the
+// context.
 func (r *region) serveAll(ctx context.Context) error {
 	listen := func(addr string, handler http.Handler) error {
 		l, err := net.Listen("tcp4", addr)
 		if err != nil {
 			return err
 		}
-		server := &http.Server{Handler: handler, ReadTimeout: 2 * time.Minute, IdleTimeout: 10 * time.Minute, MaxHeaderBytes: 8 << 10}
+		server := &http.Server{Handler: handler, ReadTimeout: serverReadTimeout, IdleTimeout: serverIdleTimeout, MaxHeaderBytes: serverMaxHeaderBytes}
 		go func() {
 			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 				r.fail(fmt.Errorf("stand-in on %s: %w", addr, err))
 			}
 		}()
-		context.AfterFunc(ctx, func() { server.Close() })
+		context.AfterFunc(ctx, func() { closeQuietly(server) })
 		return nil
 	}
 	if err := listen(fmt.Sprintf("127.0.0.1:%d", r.plan.port(r.number, portState)), r.handle(r.serveState)); err != nil {
@@ -62,12 +70,12 @@
 	if err := listen(fmt.Sprintf("127.0.0.1:%d", r.plan.port(r.number, portCloud)), r.handle(r.serveCloud)); err != nil {
 		return err
 	}
-	// One listener takes the connections to all workers' addresses; others than those of the
-	// loopback network are closed unread.
+	// One listener takes the connections to all workers' addresses. serveWorker refuses requests to
+	// addresses outside the loopback network.
 	return listen(fmt.Sprintf(":%d", r.plan.port(r.number, portWorkers)), r.handle(r.serveWorker))
 }
 
-// handle answers requests by the loop.
+// handle serves requests on the event loop.
 func (r *region) handle(serve func(request *http.Request, body []byte, reply emulator.Reply)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, 2*protocol.MaxBody))
@@ -83,25 +91,27 @@
 		case a := <-answers:
 			w.Header().Set("Content-Type", "application/msgpack")
 			w.WriteHeader(a.status)
-			_, _ = w.Write(a.body) // the other side may have gone
+			_, _ = w.Write(a.body) // the client may have gone
 		case <-request.Context().Done():
 		case <-r.loop.done:
 		}
 	})
 }
 
+// serveState serves a request to the state service, and answers after the plan's latency.
 func (r *region) serveState(request *http.Request, body []byte, reply emulator.Reply) {
 	r.state.Serve(0, request.Method, request.URL.RequestURI(), body, func(status int, body []byte) {
-		r.loop.queue.After(seconds(r.plan.State.LatencyMS/1000), func() { reply(status, body) })
+		r.loop.queue.After(seconds(r.plan.State.LatencyMS/millisPerSecond), func() { reply(status, body) })
 	})
 }
 
+// serveCloud serves a request to the cloud.
 func (r *region) serveCloud(request *http.Request, body []byte, reply emulator.Reply) {
 	reply(r.cloud.Serve(request.Method, request.URL.RequestURI(), body))
 }
 
-// serveWorker takes a direct request: the address that it came to tells whom it is for. A
-// worker that can't be reached answers nothing.
+// serveWorker serves a direct request to the worker whose address it was sent to. A worker that can't
+// be reached does not answer.
 func (r *region) serveWorker(request *http.Request, body []byte, reply emulator.Reply) {
 	local, _ := request.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if local == nil || !local.IP.IsLoopback() {
--- a/internal/scalerun/users.go
+++ b/internal/scalerun/users.go
@@ -16,14 +16,14 @@
 	"claybarrow/internal/protocol"
 )
 
-// What a user asks for.
+// Operations of a client; they are keys of RegionResult.Statuses.
 const (
 	opSubmit = "submit"
 	opPoll   = "poll"
 	opCancel = "cancel"
 )
 
-// Times of the protocol's users.
+// Times of the protocol's clients. A submission that is not decided within submitDeadline is given up.
 const (
 	pollInterval    = 5 * time.Second
 	pollTimeout     = 2 * time.Second
@@ -33,12 +33,12 @@
 	submitDeadline  = 60 * time.Second
 )
 
-// users submit at set rates whatever becomes of their jobs, ask about each until it is over,
-// and cancel some.
+// users are the clients of a region. They submit jobs at set rates, whatever becomes of those before
+// (an open-loop load), poll each until it has ended, and cancel some.
 type users struct {
 	region  *region
 	client  *http.Client
-	random  *rand.Rand // by the loop alone
+	random  *rand.Rand // used by the event loop alone
 	lastJob int
 }
 
@@ -48,7 +48,7 @@
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
 
-// startArrivals starts the arrivals of each class, by the loop.
+// startArrivals starts the arrivals of each class. The event loop calls it.
 func (u *users) startArrivals() {
 	for i := range u.region.plan.Load {
 		load := &u.region.plan.Load[i]
@@ -57,7 +57,8 @@
 	}
 }
 
-// scheduleArrival submits a job of a class, and the next one after an exponential time.
+// scheduleArrival submits a job of a class after an exponentially distributed time, and schedules the
+// next one (a Poisson process).
 func (u *users) scheduleArrival(load *LoadPlan, perSecond float64) {
 	u.region.loop.queue.After(time.Duration(u.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if u.region.closing {
@@ -68,6 +69,7 @@
 	})
 }
 
+// submit makes a job of a class and submits it until it is decided.
 func (u *users) submit(load *LoadPlan) {
 	r := u.region
 	u.lastJob++
@@ -92,6 +94,8 @@
 		"saveEveryS": 0.0, "saveTakesS": 0.0, "dueS": nil})
 }
 
+// onAccepted begins to poll a job, and schedules its cancellation: services are cancelled at the end of
+// their time, a share of the other jobs halfway.
 func (u *users) onAccepted(j *job) {
 	r := u.region
 	if j.acceptedAt == 0 {
@@ -116,7 +120,7 @@
 	})
 }
 
-// poll asks about a job every five seconds until it is over.
+// poll asks about a job every pollInterval until the client is told that it has ended.
 func (u *users) poll(j *job) {
 	r := u.region
 	r.loop.queue.After(pollInterval, func() {
@@ -129,7 +133,8 @@
 	})
 }
 
-// forgetFinished drops what is no longer needed of a job that is over, once all its tasks are gone.
+// forgetFinished drops the record of a job that has ended, once the deadline for its tasks has passed
+// twice and they are gone; it bounds the memory of a long run.
 func (u *users) forgetFinished(j *job) {
 	r := u.region
 	r.loop.queue.After(2*r.invariants.cancelDeadline, func() {
@@ -139,14 +144,15 @@
 	})
 }
 
-// requestUntilDecided repeats a request until it is decided.
+// requestUntilDecided retries a request until it succeeds, after the pause that the answer names. It gives
+// up when the run is over, and a submission after submitDeadline.
 func (u *users) requestUntilDecided(j *job, op string, body []byte, decided func()) {
 	r := u.region
 	first := r.loop.queue.Now()
 	var again func()
 	again = func() {
 		u.send(j, op, body, func(status int, wait time.Duration) {
-			if status == 200 || status == 201 {
+			if succeeded(status) {
 				decided()
 				return
 			}
@@ -160,32 +166,34 @@
 	again()
 }
 
-// send makes one request, and tells of its answer by the loop; status 0: there was none.
+// succeeded says whether a status accepts a request.
+func succeeded(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
+
+// send makes one request, and calls then with its answer on the event loop; status 0: there was none.
 func (u *users) send(j *job, op string, body []byte, then func(status int, retryAfter time.Duration)) {
 	r := u.region
-	c := r.pick()
+	c := r.controlPlane.pick()
 	if c == nil {
-		r.metrics.answer(op, 0, 0)
+		r.metrics.answer(op, 0)
 		then(0, 0)
 		return
 	}
-	started, sent := time.Now(), r.loop.queue.Now()
+	sent := r.loop.queue.Now()
 	go func() {
 		status, answer, wait := u.exchange(c.clientAddress, op, j.uid, body)
-		took := time.Since(started)
 		r.loop.post(func() {
-			r.metrics.answer(op, status, took)
+			r.metrics.answer(op, status)
 			u.checkAnswer(j, op, status, answer, sent)
 			then(status, wait)
 		})
 	}()
 }
 
-// checkAnswer checks an answer against the rules.
+// checkAnswer checks an answer against the invariants.
 func (u *users) checkAnswer(j *job, op string, status int, body []byte, sent time.Duration) {
 	r := u.region
 	r.invariants.answerReceived(j, op, status)
-	if status != 200 && status != 201 {
+	if !succeeded(status) {
 		return
 	}
 	var s protocol.JobStatus
@@ -197,6 +205,7 @@
 	r.invariants.statusReported(j, s.State, sent)
 }
 
+// exchange makes one request and reads its answer; status 0: there was none in time.
 func (u *users) exchange(addr, op, uid string, body []byte) (status int, answer []byte, retryAfter time.Duration) {
 	method, path, wait := "POST", "/api/jobs", decisionTimeout
 	switch op {
@@ -215,7 +224,7 @@
 	if err != nil {
 		return 0, nil, 0
 	}
-	defer response.Body.Close()
+	defer closeQuietly(response.Body)
 	answer, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, nil, 0
