--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -1,6 +1,7 @@
 package emulator
 
 import (
+	"net/http"
 	"net/url"
 	"slices"
 	"strconv"
@@ -15,63 +16,66 @@
 	maxListed    = 500
 	maxLaunched  = 50
 	maxDeleted   = 100
-	burstSeconds = 2
-	// failureListingDelay is how long a machine that has died is still listed as running.
+	burstSeconds = 2 // of requests at the rate limit
+	// failureListingDelay is how long a machine that has failed is still listed as running.
 	failureListingDelay = 30 * time.Second
 )
 
-// Pool is a type, zone and kind of machine.
+// Pool is a kind of machine that the cloud has a capacity of: type, zone, and spot or not.
 type Pool struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Machine is what the cloud knows of a machine.
+// Machine is a machine as the cloud knows it.
 type Machine struct {
 	ID, Addr string
 	Pool
 	Rented  time.Duration
 	Up      bool
-	Deleted bool          // deleted or taken: no longer listed
-	Failed  time.Duration // when it stopped on its own, 0: it has not
+	Deleted bool          // deleted or preempted: no longer listed
+	Failed  time.Duration // when it stopped on its own; 0: it has not
 }
 
-// Cloud rents machines.
+// Cloud emulates a cloud that launches and deletes machines.
 type Cloud struct {
-	queue             *EventQueue
-	machines          []*Machine // in the order of creation, which is the order of names
-	byName            map[string]*Machine
+	queue    *EventQueue
+	machines []*Machine // in the order of creation, which is the order of names
+	byName   map[string]*Machine
+	// launchedByRequest holds the names of the machines launched by each request's key: launch requests
+	// are idempotent.
 	launchedByRequest map[string][]string
 	requestBudget     tokenBucket
 
 	Types []protocol.MachineType
-	// Name and Addr give the n-th machine its name, from 1, and its worker's address.
+	// Name returns the n-th machine's name, with n from 1, and Addr its worker's address. Names must
+	// sort in the order of n.
 	Name func(n int) string
 	Addr func(id string) string
-	// Left is what can still be rented of each pool; nil: as much as anybody likes.
+	// Left is how many more machines of each pool can be launched; nil: any number.
 	Left map[Pool]int
-	// Lag is how old the list is, BootTime how long a machine takes to come up, and
-	// Rate the calls a second, 0: no limit.
+	// Lag is how long a new machine is missing from the list, BootTime how long a machine takes to boot,
+	// and Rate the limit of requests a second; 0: no limit.
 	Lag      time.Duration
 	BootTime func(typ string) time.Duration
 	Rate     float64
-	// Down: all calls fail. Full: nothing can be rented.
+	// Down has all requests fail, Full all launches (injected faults).
 	Down, Full bool
-	// Deleted are the machines that were asked to be deleted, in that order.
+	// Deleted are the names in the requests for deletion, in their order.
 	Deleted []string
-	// Launch and Remove are told of machines that begin to boot and that are deleted.
+	// Launch is called for each machine that begins to boot, Remove for each that is deleted.
 	Launch func(m *Machine)
 	Remove func(m *Machine)
-	// Wrong is told of requests that no controller may send; nil: nobody is.
+	// Wrong is called for requests that violate the protocol; nil: they are only refused.
 	Wrong func(what string)
 }
 
-// NewCloud makes a cloud without machines.
+// NewCloud returns a cloud without machines.
 func NewCloud(queue *EventQueue) *Cloud {
 	return &Cloud{queue: queue, byName: map[string]*Machine{}, launchedByRequest: map[string][]string{}}
 }
 
-// Create makes a machine that begins to boot now.
+// Create makes a machine that begins to boot now, without a call of Launch.
 func (c *Cloud) Create(pool Pool) *Machine {
 	id := c.Name(len(c.machines) + 1)
 	m := &Machine{ID: id, Addr: c.Addr(id), Pool: pool, Rented: c.queue.Now()}
@@ -83,10 +87,10 @@
 	return m
 }
 
-// Machine finds a machine by its name, or nil.
+// Machine returns a machine by its name, or nil.
 func (c *Cloud) Machine(id string) *Machine { return c.byName[id] }
 
-// Fail notes that a machine has stopped on its own.
+// Fail records that a machine has stopped on its own.
 func (c *Cloud) Fail(id string) {
 	if m := c.byName[id]; m != nil && !m.Deleted && m.Failed == 0 {
 		m.Failed = c.queue.Now()
@@ -94,13 +98,14 @@
 	}
 }
 
+// releaseCapacity lets a machine's place be launched again.
 func (c *Cloud) releaseCapacity(m *Machine) {
 	if c.Left != nil {
 		c.Left[m.Pool]++
 	}
 }
 
-// Serve answers one call.
+// Serve answers one request with an HTTP status and a body.
 func (c *Cloud) Serve(method, target string, body []byte) (int, []byte) {
 	if c.Down {
 		return statusUnavailable, protocol.Encode(map[string]any{"error": "trouble"})
@@ -111,33 +116,36 @@
 	path, query, _ := strings.Cut(target, "?")
 	switch {
 	case path == "/flavors":
-		return 200, protocol.Encode(protocol.MachineTypes{Types: c.Types})
-	case path == "/machines" && method == "POST":
+		return http.StatusOK, protocol.Encode(protocol.MachineTypes{Types: c.Types})
+	case path == "/machines" && method == http.MethodPost:
 		return c.launchMachines(body)
 	case path == "/machines":
 		values, err := url.ParseQuery(query)
 		if err != nil {
-			return 400, nil
+			return http.StatusBadRequest, nil
 		}
-		return 200, protocol.Encode(c.list(values))
+		return http.StatusOK, protocol.Encode(c.list(values))
 	case path == "/machines/delete":
 		return c.deleteMachines(body)
 	}
 	c.reportViolation(method + " " + target)
-	return 400, nil
+	return http.StatusBadRequest, nil
 }
 
+// reportViolation tells of a request that violates the protocol.
 func (c *Cloud) reportViolation(what string) {
 	if c.Wrong != nil {
 		c.Wrong("cloud: " + what)
 	}
 }
 
+// launchMachines launches up to as many machines as asked for. A request that is repeated under the same
+// key is answered with the machines that it launched first.
 func (c *Cloud) launchMachines(body []byte) (int, []byte) {
 	var request protocol.LaunchRequest
 	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 || request.Count > maxLaunched {
 		c.reportViolation("a rental can't be read or asks for too many")
-		return 400, nil
+		return http.StatusBadRequest, nil
 	}
 	pool := Pool{request.Type, request.Zone, request.Spot}
 	if c.launchedByRequest[request.Request] == nil {
@@ -155,11 +163,12 @@
 			c.queue.After(c.BootTime(m.Type), func() { m.Up = true })
 		}
 	}
-	return 200, protocol.Encode(protocol.MachineNames{Machines: c.launchedByRequest[request.Request]})
+	return http.StatusOK, protocol.Encode(protocol.MachineNames{Machines: c.launchedByRequest[request.Request]})
 }
 
+// list returns one page of the machines in the order of their names.
 func (c *Cloud) list(values url.Values) protocol.MachineList {
-	limit, _ := strconv.Atoi(values.Get("limit"))
+	limit, _ := strconv.Atoi(values.Get("limit")) // absent: 0
 	if limit <= 0 || limit > maxListed {
 		limit = maxListed
 	}
@@ -188,11 +197,12 @@
 	return out
 }
 
+// deleteMachines deletes machines by their names; unknown ones are ignored.
 func (c *Cloud) deleteMachines(body []byte) (int, []byte) {
 	var request protocol.MachineNames
 	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > maxDeleted {
 		c.reportViolation("a deletion can't be read or names too many")
-		return 400, nil
+		return http.StatusBadRequest, nil
 	}
 	for _, id := range request.Machines {
 		c.Deleted = append(c.Deleted, id)
@@ -206,5 +216,5 @@
 		m.Deleted = true
 		c.Remove(m)
 	}
-	return 200, nil
+	return http.StatusOK, nil
 }
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/eventqueue.go
@@ -1,7 +1,3 @@
-// Package emulator plays what a controller talks to, after the protocol's page: the state
-// service, the cloud and the workers. It is a deterministic state machine on an agenda: tests
-// run it on a clock of their own, the scale run on the real one. Nothing in it is safe for
-// use by several goroutines: whoever owns the agenda owns all of it.
 package emulator
 
 import (
@@ -9,30 +5,32 @@
 	"time"
 )
 
-// EventQueue is a list of things to do at their times, and the clock that goes with it.
+// EventQueue is a queue of functions that are due at given times, with the clock that they are due by.
+// The zero value is an empty queue at time 0.
 type EventQueue struct {
 	now    time.Duration
 	seq    int
 	events eventHeap
 }
 
+// event is a function that is due at a time; seq orders those of the same time.
 type event struct {
 	at     time.Duration
 	seq    int
 	action func()
 }
 
-// Now is the time that the agenda has reached.
+// Now returns the time that the queue has reached.
 func (q *EventQueue) Now() time.Duration { return q.now }
 
-// After has something done a while from now; things due at the same time are done in the
-// order in which they were asked for.
+// After schedules a function for a time from now; a negative time counts as 0. Functions that are due
+// at the same time run in the order in which they were scheduled.
 func (q *EventQueue) After(d time.Duration, do func()) {
 	q.seq++
 	heap.Push(&q.events, event{q.now + max(d, 0), q.seq, do})
 }
 
-// RunUntil does all that is due up to a time, which becomes now.
+// RunUntil runs all that is due up to a time, which becomes now.
 func (q *EventQueue) RunUntil(end time.Duration) {
 	for len(q.events) > 0 && q.events[0].at <= end {
 		next := heap.Pop(&q.events).(event)
@@ -42,7 +40,7 @@
 	q.now = max(q.now, end)
 }
 
-// Next is when the next thing is due; false: there is none.
+// Next returns when the next function is due; false: there is none.
 func (q *EventQueue) Next() (time.Duration, bool) {
 	if len(q.events) == 0 {
 		return 0, false
@@ -50,27 +48,27 @@
 	return q.events[0].at, true
 }
 
-// Empty says whether there is nothing to do.
+// Empty says whether nothing is scheduled.
 func (q *EventQueue) Empty() bool { return len(q.events) == 0 }
 
-// eventHeap is a heap by time.
+// eventHeap is a heap by time, for container/heap.
 type eventHeap []event
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h eventHeap) Len() int { return len(h) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (h eventHeap) Less(i, j int) bool {
 	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
@@ -78,6 +76,3 @@
 	*h = (*h)[:last]
 	return x
 }
-
-// Reply takes the answer to a request.
-type Reply func(status int, body []byte)
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -11,7 +11,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// gangTasks lists a gang's tasks under one attempt that are on machines.
+// GangAttempt identifies an attempt of a gang by its job and the attempt's number.
+type GangAttempt struct {
+	UID     string
+	Attempt uint64
+}
+
+// gangTasks lists the tasks of a gang's attempt that occupy machines, in the order of their starts.
 func (f *Fleet) gangTasks(try GangAttempt) (out []*Task) {
 	for t, worker := range f.gangs[try] {
 		if t.Here() && !worker.Deleted {
@@ -24,7 +30,7 @@
 
 func (t *Task) gangAttempt() GangAttempt { return GangAttempt{t.UID, t.Try} }
 
-// joinGang puts a task among those of its attempt.
+// joinGang adds a task to those of its gang's attempt.
 func (f *Fleet) joinGang(worker *Worker, t *Task) {
 	try := t.gangAttempt()
 	if f.gangs[try] == nil {
@@ -33,7 +39,7 @@
 	f.gangs[try][t] = worker
 }
 
-// leaveGang takes a task that its worker has forgotten out of its gang.
+// leaveGang removes a task that its worker no longer knows from its gang.
 func (f *Fleet) leaveGang(t *Task) {
 	try := t.gangAttempt()
 	delete(f.gangs[try], t)
@@ -42,8 +48,8 @@
 	}
 }
 
-// waitForGang has a gang's task wait for the others, and starts the gang once the last one is
-// there.
+// waitForGang has a gang's task wait for the others, and starts the gang with the last one. Without it
+// the task ends after Timing.GangWait.
 func (w *Worker) waitForGang(name string, t *Task, job *Job) {
 	f := w.fleet
 	w.setState(name, t, protocol.WaitingForGang, "")
@@ -56,7 +62,7 @@
 	})
 }
 
-// startGangIfComplete starts a gang whose tasks all wait. They end together.
+// startGangIfComplete starts a gang whose tasks all wait. They complete together.
 func (f *Fleet) startGangIfComplete(try GangAttempt, job *Job) {
 	all := f.gangTasks(try)
 	whole := func(state protocol.TaskState) bool {
@@ -84,6 +90,7 @@
 	})
 }
 
+// finishGang completes all tasks of a gang.
 func (f *Fleet) finishGang(try GangAttempt, all []*Task) {
 	for _, t := range all {
 		worker := f.gangs[try][t]
@@ -97,7 +104,7 @@
 	}
 }
 
-// attemptKey finds the key of a task on the worker.
+// attemptKey returns the key of a task among the worker's Tasks.
 func (w *Worker) attemptKey(t *Task) string {
 	for name, other := range w.Tasks {
 		if other == t {
@@ -107,8 +114,8 @@
 	return Name(t.UID, t.Try)
 }
 
-// stopGangTask stops a gang's task: at once, unless it runs and has time to save. Until it
-// ends it is called running, as the protocol's page has it.
+// stopGangTask stops a gang's task: at once, unless it runs and the grace period (seconds) is long
+// enough to save a checkpoint. Until it ends it is reported as running, as the protocol's page says.
 func (w *Worker) stopGangTask(name string, t *Task, job *Job, graceS float64) {
 	f := w.fleet
 	if t.Halted == 0 && f.Halted != nil {
@@ -123,8 +130,8 @@
 	}
 }
 
-// StepGangs has running tasks of gangs do what the protocol's page says of the end of one
-// of them, or of a stop. Whoever owns the fleet calls it often.
+// StepGangs has the running tasks of gangs react to the end or the stop of one of them, as the protocol's
+// page says. The owner of the fleet calls it at short intervals.
 func (f *Fleet) StepGangs() {
 	tries := slices.SortedFunc(maps.Keys(f.gangs), func(a, b GangAttempt) int {
 		return cmp.Or(strings.Compare(a.UID, b.UID), cmp.Compare(a.Attempt, b.Attempt))
@@ -145,18 +152,18 @@
 	}
 }
 
-// checkGangPeers ends a task when others of its gang have been gone, or were told to stop and it
-// was not, for gang_peer_s.
+// checkGangPeers ends a task when for gang_peer_s others of its gang have been missing, or were told to
+// stop and it was not.
 func (f *Fleet) checkGangPeers(worker *Worker, t *Task, job *Job) {
-	all := 0
+	running := 0
 	for _, mate := range f.gangTasks(t.gangAttempt()) {
 		if mate.State == protocol.Running && mate.Halted == 0 {
-			all++
+			running++
 		}
 	}
 	now := f.queue.Now()
 	switch {
-	case all == job.Tasks:
+	case running == job.Tasks:
 		t.peersMissingSince = 0
 	case t.peersMissingSince == 0:
 		t.peersMissingSince = now
@@ -165,8 +172,8 @@
 	}
 }
 
-// stepGangStop ends a task that was told to stop: with its progress saved, once it has saved and
-// all others were told, or without when they weren't in time.
+// stepGangStop ends a task that was told to stop: with a checkpoint once it has saved and all others were
+// told to stop too, or without one if they were not within gang_peer_s.
 func (f *Fleet) stepGangStop(worker *Worker, t *Task, job *Job) {
 	try := t.gangAttempt()
 	told, first := f.checkpointedTasks[try], t.Halted // those that have ended were told
--- a/internal/emulator/images.go
+++ b/internal/emulator/images.go
@@ -4,15 +4,18 @@
 	"time"
 )
 
-// imageCache is what a machine has of images: the most recently used stay.
+// imageCache holds the images on a machine; the least recently used are evicted first.
 type imageCache struct {
-	readyAt map[string]time.Duration // when each is, or was, there
+	readyAt map[string]time.Duration // when the fetch of each is, or was, complete
 	sizeGB  map[string]float64
 	usedAt  map[string]time.Duration
 }
 
-// FetchImage is how long a task waits for its image on the worker: a machine fetches an
-// image once for all tasks that need it, at its type's rate. It serves as a Fleet's FetchTime.
+// minFetchGBPerS keeps the fetch time finite for machine types without a rate.
+const minFetchGBPerS = 1e-3
+
+// FetchImage returns how long a task waits for its image on the worker, and is meant as a Fleet's
+// FetchTime. A machine fetches an image once for all tasks that need it, at its type's rate.
 func FetchImage(worker *Worker, _ string, job *Job) time.Duration {
 	c, now := &worker.images, worker.fleet.queue.Now()
 	if c.readyAt == nil {
@@ -22,13 +25,13 @@
 	if ready, known := c.readyAt[job.Image]; known {
 		return max(0, ready-now)
 	}
-	wait := time.Duration(job.ImageGB / max(worker.Size.FetchGBPerS, 1e-3) * float64(time.Second))
+	wait := time.Duration(job.ImageGB / max(worker.Size.FetchGBPerS, minFetchGBPerS) * float64(time.Second))
 	c.readyAt[job.Image], c.sizeGB[job.Image] = now+wait, job.ImageGB
 	c.evict(worker)
 	return wait
 }
 
-// evict drops images that were used longest ago and that no task needs, until the rest fits.
+// evict drops the least recently used images that no task needs, until the rest fits the cache.
 func (c *imageCache) evict(worker *Worker) {
 	total := 0.0
 	for _, gb := range c.sizeGB {
--- /dev/null
+++ b/internal/emulator/state_transaction.go
@@ -0,0 +1,130 @@
+package emulator
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"claybarrow/internal/protocol"
+)
+
+// transaction is protocol.Txn with undecoded values, so that they are stored as they came.
+type transaction struct {
+	If   []protocol.Condition `msgpack:"if"`
+	Then []struct {
+		Put    string             `msgpack:"put"`
+		Value  msgpack.RawMessage `msgpack:"data"`
+		Lease  uint64             `msgpack:"tenure"`
+		Delete string             `msgpack:"delete"`
+	} `msgpack:"apply"`
+}
+
+// maxJSONGrowth is how many times longer a value's JSON may be than its MessagePack: values that are
+// shorter than the limit by that much need not be converted to be measured.
+const maxJSONGrowth = 6
+
+// tooLarge says whether a transaction is over the limits.
+func (s *StateService) tooLarge(t *transaction) bool {
+	if s.Limits.Changes > 0 && len(t.Then) > s.Limits.Changes {
+		return true
+	}
+	if s.Limits.ValueBytes == 0 {
+		return false
+	}
+	for _, change := range t.Then {
+		if len(change.Value)*maxJSONGrowth <= s.Limits.ValueBytes {
+			continue
+		}
+		var value any
+		if len(change.Value) > 0 && protocol.Decode(change.Value, &value) != nil {
+			return true
+		}
+		if text, err := json.Marshal(value); err != nil || len(text) > s.Limits.ValueBytes {
+			return true
+		}
+	}
+	return false
+}
+
+// transact applies a transaction, unless it is malformed, too large or over the rate of changes.
+func (s *StateService) transact(body []byte, reply Reply) {
+	s.Stats.Transactions++
+	s.Stats.Bytes += int64(len(body))
+	var t transaction
+	if err := protocol.Decode(body, &t); err != nil {
+		s.reportViolation("a transaction can't be read: %v", err)
+		reply(http.StatusBadRequest, nil)
+		return
+	}
+	if limit := s.MostChanges; limit > 0 && (len(body) > protocol.MaxBody || len(t.Then) > limit || len(t.If) > maxConditionsPerChange*limit) {
+		s.reportViolation("a transaction over the limits: %d changes, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
+	}
+	if s.tooLarge(&t) {
+		s.Over++
+		reply(http.StatusBadRequest, nil)
+		return
+	}
+	if s.calledMalformed(body) {
+		reply(http.StatusBadRequest, nil)
+		return
+	}
+	if !s.changeBudget.allow(s.queue.Now(), s.Limits.ChangeRate, float64(len(t.Then))) {
+		s.Stats.TooMany++
+		reply(statusTooMany, nil)
+		return
+	}
+	s.apply(&t, reply)
+}
+
+// calledMalformed says whether the injected fault Malformed refuses a transaction.
+func (s *StateService) calledMalformed(body []byte) bool {
+	if s.Malformed == nil {
+		return false
+	}
+	var txn protocol.Txn
+	return protocol.Decode(body, &txn) != nil || s.Malformed(txn)
+}
+
+// apply makes a transaction's changes under one revision, if all its conditions hold: each compares a
+// key's version, 0 for a key that does not exist (compare-and-swap).
+func (s *StateService) apply(t *transaction, reply Reply) {
+	if failed := s.failedConditions(t.If); len(failed) > 0 {
+		s.Stats.Conflicts++
+		reply(http.StatusConflict, protocol.Encode(protocol.TxnReply{Revision: s.revision, Failed: failed}))
+		return
+	}
+	for _, change := range t.Then {
+		if change.Lease != 0 && s.leases[change.Lease] == nil {
+			reply(http.StatusBadRequest, nil)
+			return
+		}
+	}
+	s.revision++
+	s.Stats.Changes += int64(len(t.Then))
+	for _, change := range t.Then {
+		if change.Delete != "" {
+			if s.Item(change.Delete) != nil {
+				s.applyChange(change.Delete, nil)
+			}
+			continue
+		}
+		s.applyChange(change.Put, &Item{Value: change.Value, Lease: change.Lease})
+	}
+	reply(http.StatusOK, protocol.Encode(protocol.TxnReply{Revision: s.revision}))
+	s.notifyWatches()
+}
+
+// failedConditions lists the keys whose versions are not those that the conditions name.
+func (s *StateService) failedConditions(conditions []protocol.Condition) (failed []string) {
+	for _, condition := range conditions {
+		version := uint64(0)
+		if item := s.Item(condition.Key); item != nil {
+			version = item.Version
+		}
+		if version != condition.Version {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
--- /dev/null
+++ b/internal/emulator/state_watch.go
@@ -0,0 +1,68 @@
+package emulator
+
+import (
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"claybarrow/internal/protocol"
+)
+
+// watch is an open long-polling request for the changes of keys under a prefix.
+type watch struct {
+	client        int
+	prefix        string
+	afterRevision uint64
+	reply         Reply
+	done          bool
+}
+
+// openWatch answers a watch at once if there are changes already, otherwise with the next one or, without
+// any, after the time that the client names.
+func (s *StateService) openWatch(client int, values url.Values, reply Reply) {
+	after, _ := strconv.ParseUint(values.Get("after"), 10, 64) // absent: 0
+	block, _ := strconv.Atoi(values.Get("blockMs"))            // absent: 0
+	if len(s.events) >= maxKeptEvents && after+1 < s.events[0].Version {
+		reply(statusTooOld, nil)
+		return
+	}
+	open := &watch{client: client, prefix: values.Get("under"), afterRevision: after, reply: reply}
+	if s.answerWatch(open, false) {
+		return
+	}
+	s.watches = append(s.watches, open)
+	s.queue.After(time.Duration(min(block, maxWatchMillis))*time.Millisecond, func() { s.answerWatch(open, true) })
+}
+
+// notifyWatches answers the watches that the latest changes concern.
+func (s *StateService) notifyWatches() {
+	s.watches = slices.DeleteFunc(s.watches, func(open *watch) bool { return s.answerWatch(open, false) })
+}
+
+// answerWatch answers with the changes after the watch's revision, if there are any or its time is over.
+// It returns whether the watch has been answered.
+func (s *StateService) answerWatch(open *watch, over bool) bool {
+	if open.done || s.Down || s.Refuse[open.client] {
+		return open.done
+	}
+	out := protocol.Events{Revision: s.revision}
+	first := len(s.events) // of the events after the watch's revision
+	for first > 0 && s.events[first-1].Version > open.afterRevision {
+		first--
+	}
+	for _, e := range s.events[first:] {
+		if strings.HasPrefix(e.Put, open.prefix) && e.Put != "" || strings.HasPrefix(e.Delete, open.prefix) && e.Delete != "" {
+			out.Events = append(out.Events, e)
+		}
+	}
+	if len(out.Events) == 0 && !over {
+		open.afterRevision = s.revision
+		return false
+	}
+	open.done = true
+	open.reply(http.StatusOK, protocol.Encode(out))
+	return true
+}
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -8,10 +8,27 @@
 	"claybarrow/internal/protocol"
 )
 
-// Name is the key of a task's attempt on its worker.
+// Task is an attempt of a task on a worker. Times are those of the event queue; 0: not yet.
+type Task struct {
+	UID               string
+	Try               uint64
+	State             protocol.TaskState
+	Cause             protocol.ExitCause
+	Stored            bool          // a checkpoint was saved
+	Halted            time.Duration // when a gang's task was told to stop
+	peersMissingSince time.Duration // since when another task of its gang is missing or stopping
+	generation        int           // number of the worker's task starts when it was made
+}
+
+// Here says whether a task occupies its machine, as the protocol's page counts it.
+func (t *Task) Here() bool {
+	return t.State == protocol.Running || t.State == protocol.Saving || t.State == protocol.WaitingForGang
+}
+
+// Name returns the key of a task's attempt among its worker's Tasks.
 func Name(task string, try uint64) string { return fmt.Sprintf("%s@%d", task, try) }
 
-// Execute carries out commands in order.
+// Execute carries out commands in order. Each is idempotent: a repeated one has no effect.
 func (w *Worker) Execute(commands []protocol.Command) {
 	for _, c := range commands {
 		name := Name(c.Task, c.Attempt)
@@ -35,7 +52,7 @@
 	}
 }
 
-// Hold has a task on the machine that no command has started.
+// Hold puts a task on the machine that no command has started.
 func (w *Worker) Hold(task string, t *Task) {
 	w.Tasks[Name(task, t.Try)] = t
 	if job := w.fleet.Jobs(t.UID); job != nil && job.Gang {
@@ -43,7 +60,7 @@
 	}
 }
 
-// setState changes a task's state, and tells of it where that matters.
+// setState changes a task's state, which is reported soon, and tells the observer if it leaves.
 func (w *Worker) setState(name string, t *Task, state protocol.TaskState, cause protocol.ExitCause) {
 	wasRunning := t.Here()
 	t.State, t.Cause = state, cause
@@ -53,7 +70,7 @@
 	w.heartbeatSoon()
 }
 
-// notifyLeft tells that a task that was on the machine no longer is.
+// notifyLeft tells the observer of a task that is no longer on the machine, if it was.
 func (w *Worker) notifyLeft(name string, t *Task, wasRunning bool) {
 	if wasRunning && w.fleet.Leaves != nil {
 		task, _, _ := strings.Cut(name, "@")
@@ -61,6 +78,7 @@
 	}
 }
 
+// startTask begins to fetch a task's image, unless the worker refuses the task.
 func (w *Worker) startTask(task, name string, try uint64) {
 	f := w.fleet
 	uid, _, _ := strings.Cut(task, "/")
@@ -84,7 +102,7 @@
 	})
 }
 
-// refusalCause tells why a task can't start here, or nothing.
+// refusalCause returns why a task can't start on this worker, or nothing.
 func (w *Worker) refusalCause(task string, started *Task, job *Job) protocol.ExitCause {
 	if job == nil {
 		return "no_such"
@@ -101,14 +119,14 @@
 			cores, accel, memory = cores+j.Cores, accel+j.Accel, memory+j.Memory
 		}
 	}
-	const slack = 1e-3
+	const slack = 1e-3 // for the rounding of sums
 	if cores > w.Size.Cores+slack || accel > w.Size.Accelerators+slack || memory > w.Size.MemoryGB+slack {
 		return protocol.CauseNoRoom
 	}
 	return ""
 }
 
-// imageReady has a task that has its image be on its machine.
+// imageReady starts to run a task whose image has been fetched.
 func (w *Worker) imageReady(task, name string, t *Task, job *Job) {
 	f := w.fleet
 	if f.Fails != nil && f.Fails(w, t) {
@@ -131,7 +149,7 @@
 func (w *Worker) finishTask(task, name string, t *Task, generation int) {
 	f := w.fleet
 	if w.Hung {
-		// It does not execute its tasks meanwhile.
+		// A hung machine does not execute its tasks, so that they end when it goes on.
 		f.queue.After(f.Timing.Look, func() { w.finishTask(task, name, t, generation) })
 		return
 	}
@@ -144,7 +162,8 @@
 	}
 }
 
-// stopTask stops a task: at once, or once it has saved.
+// stopTask stops a task: at once or, if it saves checkpoints and the grace period (seconds) is long
+// enough, once it has saved one.
 func (w *Worker) stopTask(name string, t *Task, graceS float64) {
 	job := w.fleet.Jobs(t.UID)
 	if job.Gang {
