--- a/internal/scalerun/invariants_test.go
+++ b/internal/scalerun/invariants_test.go
@@ -8,109 +8,148 @@
 	"claybarrow/internal/protocol"
 )
 
-// Each rule, broken once, is seen; what keeps it is not.
-func TestRulesAreSeen(t *testing.T) {
-	type bench struct {
-		*invariants
-		job *job
-		one *emulator.Worker
-		two *emulator.Worker
+// invariantsBench is invariants with one job of four tasks (two cores each, in a team that may use five)
+// and two workers in two zones.
+type invariantsBench struct {
+	*invariants
+	job        *job
+	one, other *emulator.Worker
+}
+
+func newInvariantsBench() *invariantsBench {
+	plan := DefaultPlan()
+	plan.Teams = TeamPlan{Count: 1, CoresMax: 5}
+	plan.Workers.CancelS = 30
+	queue := &emulator.EventQueue{}
+	fleet := emulator.NewFleet(queue, emulator.Timing{})
+	b := &invariantsBench{invariants: newInvariants(queue, 0, &plan), one: fleet.Add("i-1", "", "m", "a", false), other: fleet.Add("i-2", "", "m", "b", false)}
+	b.job = &job{uid: "j-1", team: teamName(0), Job: emulator.Job{Tasks: 4, Cores: 2}, completed: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
+	b.jobs["j-1"] = b.job
+	return b
+}
+
+// start starts tasks of the job on a worker.
+func (b *invariantsBench) start(worker *emulator.Worker, tasks ...string) {
+	for _, task := range tasks {
+		b.taskStarted(worker, task, runningTask())
+	}
+}
+
+func runningTask() *emulator.Task {
+	return &emulator.Task{UID: "j-1", Try: 1, State: protocol.Running}
+}
+
+// report has the job's client be told a state now.
+func (b *invariantsBench) report(state protocol.JobState) {
+	b.statusReported(b.job, state, b.queue.Now())
+}
+
+// violation returns the rule that was violated first, or nothing.
+func (b *invariantsBench) violation() string {
+	select {
+	case violation := <-b.violations:
+		return violation.Rule
+	default:
+		return ""
+	}
+}
+
+// invariantsCase is what happens to a job, and the rule that it violates; empty: none.
+type invariantsCase struct {
+	name, rule string
+	do         func(b *invariantsBench)
+}
+
+func testInvariants(t *testing.T, cases []invariantsCase) {
+	t.Helper()
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			b := newInvariantsBench()
+			tc.do(b)
+			if got := b.violation(); got != tc.rule {
+				t.Errorf("violated %q, want %q", got, tc.rule)
+			}
+		})
 	}
-	task := func() *emulator.Task { return &emulator.Task{UID: "j-1", Try: 1, State: protocol.Running} }
-	for _, tc := range []struct {
-		rule string
-		do   func(b *bench)
-	}{
-		{"", func(b *bench) {
-			first := task()
+}
+
+func TestPlacementInvariants(t *testing.T) {
+	testInvariants(t, []invariantsCase{
+		{"a task moves", "", func(b *invariantsBench) {
+			first := runningTask()
 			b.taskStarted(b.one, "j-1/0", first)
 			b.taskStopped(b.one, "j-1/0", first)
-			b.taskStarted(b.two, "j-1/0", task())
-		}},
-		{"ran_twice", func(b *bench) {
-			b.taskStarted(b.one, "j-1/0", task())
-			b.taskStarted(b.two, "j-1/0", task())
+			b.start(b.other, "j-1/0")
 		}},
-		{"quota", func(b *bench) {
-			for _, name := range []string{"j-1/0", "j-1/1", "j-1/2"} {
-				b.taskStarted(b.one, name, task())
-			}
+		{"a task runs on two machines", "ran_twice", func(b *invariantsBench) {
+			b.start(b.one, "j-1/0")
+			b.start(b.other, "j-1/0")
 		}},
-		{"wrong_place", func(b *bench) {
+		{"a team is over its limit", "quota", func(b *invariantsBench) { b.start(b.one, "j-1/0", "j-1/1", "j-1/2") }},
+		{"a spread job is in one zone", "wrong_place", func(b *invariantsBench) {
 			b.job.spread = true
 			b.job.Cores = 0
-			for _, name := range []string{"j-1/0", "j-1/1", "j-1/2"} {
-				b.taskStarted(b.one, name, task())
-			}
+			b.start(b.one, "j-1/0", "j-1/1", "j-1/2")
 		}},
-		{"invented", func(b *bench) { b.taskStarted(b.one, "j-2/0", &emulator.Task{UID: "j-2"}) }},
-		{"ran_cancelled", func(b *bench) {
+		{"a task of an unknown job", "invented", func(b *invariantsBench) { b.taskStarted(b.one, "j-2/0", &emulator.Task{UID: "j-2"}) }},
+		{"a task starts after the cancellation", "ran_cancelled", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.queue.RunUntil(time.Second)
-			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
-			b.taskStarted(b.one, "j-1/0", task())
+			b.report(protocol.Cancelled)
+			b.start(b.one, "j-1/0")
 		}},
-		{"ran_cancelled", func(b *bench) {
+		{"a task runs on after the cancellation", "ran_cancelled", func(b *invariantsBench) {
 			b.job.cancelRequested = true
-			b.taskStarted(b.one, "j-1/0", task())
+			b.start(b.one, "j-1/0")
 			b.queue.RunUntil(time.Second)
-			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
+			b.report(protocol.Cancelled)
 			b.queue.RunUntil(time.Minute)
 		}},
-		{"went_back", func(b *bench) { b.statusReported(b.job, protocol.Cancelled, b.queue.Now()) }},
-		{"went_back", func(b *bench) {
+	})
+}
+
+func TestReportedStateInvariants(t *testing.T) {
+	testInvariants(t, []invariantsCase{
+		{"cancelled without a request", "went_back", func(b *invariantsBench) { b.report(protocol.Cancelled) }},
+		{"active after cancelled", "went_back", func(b *invariantsBench) {
 			b.job.cancelRequested = true
-			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
-			b.statusReported(b.job, protocol.Active, b.queue.Now())
+			b.report(protocol.Cancelled)
+			b.report(protocol.Active)
 		}},
-		{"", func(b *bench) { // the question was under way when the user was told
+		{"the question was under way when the client was told", "", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.queue.RunUntil(time.Second)
-			b.statusReported(b.job, protocol.Cancelled, b.queue.Now())
+			b.report(protocol.Cancelled)
 			b.statusReported(b.job, protocol.Pending, b.queue.Now()/2)
 		}},
-		{"not_done", func(b *bench) { b.statusReported(b.job, protocol.Done, b.queue.Now()) }},
-		{"forgotten", func(b *bench) {
+		{"done without its tasks", "not_done", func(b *invariantsBench) { b.report(protocol.Done) }},
+		{"done twice, and not found before it was accepted", "", func(b *invariantsBench) {
+			b.answerReceived(b.job, opPoll, 404)
+			b.job.completed["j-1/0"], b.job.completed["j-1/1"], b.job.completed["j-1/2"], b.job.completed["j-1/3"] = true, true, true, true
+			b.report(protocol.Done)
+			b.report(protocol.Done)
+		}},
+	})
+}
+
+func TestForgottenJobs(t *testing.T) {
+	testInvariants(t, []invariantsCase{
+		{"an accepted job is not found", "forgotten", func(b *invariantsBench) {
 			b.job.acceptedAt = 1
 			b.answerReceived(b.job, opPoll, 404)
 		}},
-		{"forgotten", func(b *bench) {
+		{"one job of three is not answered for", "forgotten", func(b *invariantsBench) {
 			b.job.acceptedAt = 1
 			b.queue.RunUntil(2 * time.Minute)
 			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1, answeredAt: time.Minute}
 			b.jobs["j-3"] = &job{uid: "j-3", acceptedAt: 1, answeredAt: time.Minute}
 			b.checkForgottenJobs()
 		}},
-		{"", func(b *bench) { // nobody is answered
+		{"nobody is answered", "", func(b *invariantsBench) {
 			b.job.acceptedAt = 1
 			b.queue.RunUntil(2 * time.Minute)
 			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1}
 			b.checkForgottenJobs()
 		}},
-		{"", func(b *bench) {
-			b.answerReceived(b.job, opPoll, 404) // it has not been accepted
-			b.job.completed["j-1/0"], b.job.completed["j-1/1"], b.job.completed["j-1/2"], b.job.completed["j-1/3"] = true, true, true, true
-			b.statusReported(b.job, protocol.Done, b.queue.Now())
-			b.statusReported(b.job, protocol.Done, b.queue.Now())
-		}},
-	} {
-		plan := DefaultPlan()
-		plan.Teams = TeamPlan{Count: 1, CoresMax: 5}
-		plan.Workers.CancelS = 30
-		agenda := &emulator.EventQueue{}
-		fleet := emulator.NewFleet(agenda, emulator.Timing{})
-		b := &bench{invariants: newInvariants(agenda, 0, &plan), one: fleet.Add("i-1", "", "m", "a", false), two: fleet.Add("i-2", "", "m", "b", false)}
-		b.job = &job{uid: "j-1", team: teamName(0), Job: emulator.Job{Tasks: 4, Cores: 2}, completed: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
-		b.jobs["j-1"] = b.job
-		tc.do(b)
-		got := ""
-		select {
-		case broken := <-b.violations:
-			got = broken.Rule
-		default:
-		}
-		if got != tc.rule {
-			t.Errorf("seen %q, want %q", got, tc.rule)
-		}
-	}
+	})
 }
--- a/internal/scalerun/plan_test.go
+++ b/internal/scalerun/plan_test.go
@@ -26,35 +26,37 @@
 	return "[run]\n" + run + "\n[fleet]\n" + fleet + "\n" + smallTypes + "\n" + rest + "\n" + smallLoad
 }
 
-// A setting that is wrong is named in one line.
-func TestPlanNamesWhatIsWrong(t *testing.T) {
-	for _, tc := range []struct{ text, field string }{
-		{smallPlan("", "workers = 0", ""), "fleet.workers"},
-		{smallPlan("", "workers = -5", ""), "fleet.workers"},
-		{smallPlan("", "workers = 2", ""), "fleet.workers"},
-		{smallPlan("", "regions = 5", ""), "fleet.regions"},
-		{smallPlan("duration_s = 0.0", "", ""), "run.duration_s"},
-		{smallPlan("colour = 1", "", ""), "run.colour"},
-		{smallPlan("", `zones = ["a", "a"]`, ""), "fleet.zones"},
-		{smallPlan("", "", "[control]\ncontrollers = 0"), "control.controllers"},
-		{smallPlan("", "", "[limits]\nmemory_share = 0.9"), "limits.memory_share"},
-		{smallPlan("", "", "[limits]\nprocesses = 1000"), "limits.processes"},
-		{smallPlan("", "", "[[faults]]\nkind = \"flood\""), "faults[0].kind"},
-		{smallPlan("", "", "[[faults]]\nkind = \"rack\"\nshare = 2.0"), "faults[0].share"},
-		{smallPlan("", "", "[[faults]]\nkind = \"freeze_leader\"\nat_s = 1.0"), "faults[0].for_s"},
-		{smallPlan("", "", "[[faults]]\nkind = \"kill_leader\"\nat_s = 1e6"), "faults[0].at_s"},
-		{strings.Replace(smallPlan("", "", ""), "share = 1.0", "share = 0.5", 1), "fleet.types"},
-		{strings.Replace(smallPlan("", "", ""), `shape = "batch"`, `shape = "cube"`, 1), "load[0].shape"},
-		{strings.Replace(smallPlan("", "", ""), `priority = "normal"`, `priority = "or"`, 1), "load[0].priority"},
-		{"[fleet]\n" + smallTypes, "load"},
+func TestPlanErrorNamesTheSetting(t *testing.T) {
+	good := smallPlan("", "", "")
+	for _, tc := range []struct{ name, text, field string }{
+		{"no workers", smallPlan("", "workers = 0", ""), "fleet.workers"},
+		{"negative workers", smallPlan("", "workers = -5", ""), "fleet.workers"},
+		{"fewer workers than zones", smallPlan("", "workers = 2", ""), "fleet.workers"},
+		{"too many regions", smallPlan("", "regions = 5", ""), "fleet.regions"},
+		{"no duration", smallPlan("duration_s = 0.0", "", ""), "run.duration_s"},
+		{"unknown key", smallPlan("colour = 1", "", ""), "run.colour"},
+		{"a zone twice", smallPlan("", `zones = ["a", "a"]`, ""), "fleet.zones"},
+		{"no controllers", smallPlan("", "", "[control]\ncontrollers = 0"), "control.controllers"},
+		{"memory over the bound", smallPlan("", "", "[limits]\nmemory_share = 0.9"), "limits.memory_share"},
+		{"processes over the bound", smallPlan("", "", "[limits]\nprocesses = 1000"), "limits.processes"},
+		{"unknown fault", smallPlan("", "", "[[faults]]\nkind = \"flood\""), "faults[0].kind"},
+		{"more than all workers", smallPlan("", "", "[[faults]]\nkind = \"rack\"\nshare = 2.0"), "faults[0].share"},
+		{"freeze without a length", smallPlan("", "", "[[faults]]\nkind = \"freeze_leader\"\nat_s = 1.0"), "faults[0].for_s"},
+		{"fault after the end", smallPlan("", "", "[[faults]]\nkind = \"kill_leader\"\nat_s = 1e6"), "faults[0].at_s"},
+		{"shares below 1", strings.Replace(good, "share = 1.0", "share = 0.5", 1), "fleet.types"},
+		{"unknown shape", strings.Replace(good, `shape = "batch"`, `shape = "cube"`, 1), "load[0].shape"},
+		{"unknown priority", strings.Replace(good, `priority = "normal"`, `priority = "or"`, 1), "load[0].priority"},
+		{"no load", "[fleet]\n" + smallTypes, "load"},
 	} {
-		_, err := ParsePlan(tc.text)
-		var wrong *PlanError
-		if !errors.As(err, &wrong) || wrong.Field != tc.field || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v, want one line that names %s", err, tc.field)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			_, err := ParsePlan(tc.text)
+			var planErr *PlanError
+			if !errors.As(err, &planErr) || planErr.Field != tc.field || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want one line that names %s", err, tc.field)
+			}
+		})
 	}
-	if _, err := ParsePlan(smallPlan("", "", "")); err != nil {
+	if _, err := ParsePlan(good); err != nil {
 		t.Errorf("a plan in order: %v", err)
 	}
 }
--- a/internal/scalerun/upgrade_test.go
+++ b/internal/scalerun/upgrade_test.go
@@ -45,15 +45,23 @@
 	noChildren(t, program)
 }
 
-// What must not happen in an upgrade ends a run as a broken rule does.
+// What must not happen in an upgrade ends a run as a violated invariant does.
 func TestUpgradeResultIsChecked(t *testing.T) {
-	for rule, u := range map[string]UpgradeResult{
-		"": {}, "opened_early": {Early: "controller-1"}, "unreadable": {Unreadable: 1}, "dropped": {Dropped: 2},
+	for _, tc := range []struct {
+		name, rule string
+		result     UpgradeResult
+	}{
+		{"in order", "", UpgradeResult{}},
+		{"gate opened early", "opened_early", UpgradeResult{Early: "controller-1"}},
+		{"unreadable record", "unreadable", UpgradeResult{Unreadable: 1}},
+		{"dropped placements", "dropped", UpgradeResult{Dropped: 2}},
 	} {
-		err := u.check(0)
-		var broken *RuleViolation
-		if errors.As(err, &broken) != (rule != "") || broken != nil && broken.Rule != rule {
-			t.Errorf("%+v: %v", u, err)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			err := tc.result.check(0)
+			var violation *RuleViolation
+			if errors.As(err, &violation) != (tc.rule != "") || violation != nil && violation.Rule != tc.rule {
+				t.Errorf("%+v: %v", tc.result, err)
+			}
+		})
 	}
 }
