--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -18,8 +18,8 @@
 }
 
 // gangTasks lists the tasks of a gang's attempt that occupy machines, in the order of their starts.
-func (f *Fleet) gangTasks(try GangAttempt) (out []*Task) {
-	for t, worker := range f.gangs[try] {
+func (f *Fleet) gangTasks(attempt GangAttempt) (out []*Task) {
+	for t, worker := range f.gangs[attempt] {
 		if t.Here() && !worker.Deleted {
 			out = append(out, t)
 		}
@@ -32,19 +32,19 @@
 
 // joinGang adds a task to those of its gang's attempt.
 func (f *Fleet) joinGang(worker *Worker, t *Task) {
-	try := t.gangAttempt()
-	if f.gangs[try] == nil {
-		f.gangs[try] = map[*Task]*Worker{}
+	attempt := t.gangAttempt()
+	if f.gangs[attempt] == nil {
+		f.gangs[attempt] = map[*Task]*Worker{}
 	}
-	f.gangs[try][t] = worker
+	f.gangs[attempt][t] = worker
 }
 
 // leaveGang removes a task that its worker no longer knows from its gang.
 func (f *Fleet) leaveGang(t *Task) {
-	try := t.gangAttempt()
-	delete(f.gangs[try], t)
-	if len(f.gangs[try]) == 0 {
-		delete(f.gangs, try)
+	attempt := t.gangAttempt()
+	delete(f.gangs[attempt], t)
+	if len(f.gangs[attempt]) == 0 {
+		delete(f.gangs, attempt)
 	}
 }
 
@@ -63,8 +63,8 @@
 }
 
 // startGangIfComplete starts a gang whose tasks all wait. They complete together.
-func (f *Fleet) startGangIfComplete(try GangAttempt, job *Job) {
-	all := f.gangTasks(try)
+func (f *Fleet) startGangIfComplete(attempt GangAttempt, job *Job) {
+	all := f.gangTasks(attempt)
 	whole := func(state protocol.TaskState) bool {
 		n := 0
 		for _, t := range all {
@@ -79,27 +79,27 @@
 	}
 	for _, t := range all {
 		t.State = protocol.Running
-		f.gangs[try][t].heartbeatSoon()
+		f.gangs[attempt][t].heartbeatSoon()
 	}
-	f.Wholes[try.UID]++
-	f.queue.After(f.RunTime(try.UID+"/0"), func() {
-		if len(f.gangTasks(try)) != len(all) || !whole(protocol.Running) {
+	f.Wholes[attempt.UID]++
+	f.queue.After(f.RunTime(attempt.UID+"/0"), func() {
+		if len(f.gangTasks(attempt)) != len(all) || !whole(protocol.Running) {
 			return
 		}
-		f.finishGang(try, all)
+		f.finishGang(attempt, all)
 	})
 }
 
 // finishGang completes all tasks of a gang.
-func (f *Fleet) finishGang(try GangAttempt, all []*Task) {
+func (f *Fleet) finishGang(attempt GangAttempt, all []*Task) {
 	for _, t := range all {
-		worker := f.gangs[try][t]
+		worker := f.gangs[attempt][t]
 		name := worker.attemptKey(t)
 		worker.setState(name, t, protocol.Exited, protocol.CauseDone)
 	}
 	for i, t := range all {
 		if f.Done != nil {
-			f.Done(try.UID+"/"+strconv.Itoa(i), t)
+			f.Done(attempt.UID+"/"+strconv.Itoa(i), t)
 		}
 	}
 }
@@ -133,13 +133,13 @@
 // StepGangs has the running tasks of gangs react to the end or the stop of one of them, as the protocol's
 // page says. The owner of the fleet calls it at short intervals.
 func (f *Fleet) StepGangs() {
-	tries := slices.SortedFunc(maps.Keys(f.gangs), func(a, b GangAttempt) int {
+	attempts := slices.SortedFunc(maps.Keys(f.gangs), func(a, b GangAttempt) int {
 		return cmp.Or(strings.Compare(a.UID, b.UID), cmp.Compare(a.Attempt, b.Attempt))
 	})
-	for _, try := range tries {
-		job := f.Jobs(try.UID)
-		for _, t := range f.gangTasks(try) {
-			worker := f.gangs[try][t]
+	for _, attempt := range attempts {
+		job := f.Jobs(attempt.UID)
+		for _, t := range f.gangTasks(attempt) {
+			worker := f.gangs[attempt][t]
 			if t.State != protocol.Running || worker.Hung {
 				continue
 			}
@@ -156,8 +156,8 @@
 // stop and it was not.
 func (f *Fleet) checkGangPeers(worker *Worker, t *Task, job *Job) {
 	running := 0
-	for _, mate := range f.gangTasks(t.gangAttempt()) {
-		if mate.State == protocol.Running && mate.Halted == 0 {
+	for _, peer := range f.gangTasks(t.gangAttempt()) {
+		if peer.State == protocol.Running && peer.Halted == 0 {
 			running++
 		}
 	}
@@ -175,25 +175,25 @@
 // stepGangStop ends a task that was told to stop: with a checkpoint once it has saved and all others were
 // told to stop too, or without one if they were not within gang_peer_s.
 func (f *Fleet) stepGangStop(worker *Worker, t *Task, job *Job) {
-	try := t.gangAttempt()
-	told, first := f.checkpointedTasks[try], t.Halted // those that have ended were told
-	for _, mate := range f.gangTasks(try) {
-		if mate.Halted > 0 {
-			told++
-			first = min(first, mate.Halted)
+	attempt := t.gangAttempt()
+	stopping, first := f.checkpointedTasks[attempt], t.Halted // those that have ended were told
+	for _, peer := range f.gangTasks(attempt) {
+		if peer.Halted > 0 {
+			stopping++
+			first = min(first, peer.Halted)
 		}
 	}
 	takes := time.Duration(job.SaveS * float64(time.Second))
 	now := f.queue.Now()
 	switch {
 	case now < t.Halted+takes:
-	case told == job.Tasks:
+	case stopping == job.Tasks:
 		t.Stored = true
 		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CauseStopped)
-		if f.checkpointedTasks[try] == 0 {
+		if f.checkpointedTasks[attempt] == 0 {
 			f.Saves[t.UID]++
 		}
-		f.checkpointedTasks[try]++
+		f.checkpointedTasks[attempt]++
 	case now >= first+f.Timing.GangPeer:
 		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CausePeersLost)
 	}
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -26,26 +26,26 @@
 }
 
 // Name returns the key of a task's attempt among its worker's Tasks.
-func Name(task string, try uint64) string { return fmt.Sprintf("%s@%d", task, try) }
+func Name(task string, attempt uint64) string { return fmt.Sprintf("%s@%d", task, attempt) }
 
 // Execute carries out commands in order. Each is idempotent: a repeated one has no effect.
 func (w *Worker) Execute(commands []protocol.Command) {
 	for _, c := range commands {
 		name := Name(c.Task, c.Attempt)
-		t := w.Tasks[name]
+		existing := w.Tasks[name]
 		switch c.Verb {
 		case protocol.VerbRun:
-			if t == nil {
+			if existing == nil {
 				w.startTask(c.Task, name, c.Attempt)
 			}
 		case protocol.VerbStop:
-			if t != nil && t.State != protocol.Exited {
-				w.stopTask(name, t, c.GraceS)
+			if existing != nil && existing.State != protocol.Exited {
+				w.stopTask(name, existing, c.GraceS)
 			}
 		case protocol.VerbClear:
-			if t != nil && t.State == protocol.Exited {
+			if existing != nil && existing.State == protocol.Exited {
 				delete(w.Tasks, name)
-				w.fleet.leaveGang(t)
+				w.fleet.leaveGang(existing)
 				w.heartbeatSoon()
 			}
 		}
@@ -79,12 +79,12 @@
 }
 
 // startTask begins to fetch a task's image, unless the worker refuses the task.
-func (w *Worker) startTask(task, name string, try uint64) {
+func (w *Worker) startTask(task, name string, attempt uint64) {
 	f := w.fleet
 	uid, _, _ := strings.Cut(task, "/")
 	job := f.Jobs(uid)
 	w.Lives++
-	t := &Task{UID: uid, Try: try, State: protocol.FetchingImage, generation: w.Lives}
+	t := &Task{UID: uid, Try: attempt, State: protocol.FetchingImage, generation: w.Lives}
 	w.Tasks[name] = t
 	w.heartbeatSoon()
 	if f.RefuseUnfit {
