--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,4 +1,5 @@
-// Command scalerun plays a large fleet against the deployed program on this machine.
+// Command scalerun is a load test with fault injection: it runs real controller processes on this machine
+// against an emulated fleet of thousands of workers. See package internal/scalerun.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"claybarrow/internal/scalerun"
 )
 
-// planFlags name a plan and what is changed of it.
+// planFlags name a plan and the settings that replace the plan's.
 type planFlags struct {
 	Plan     string  `arg:"" help:"The plan (TOML); docs/scale/ has some."`
 	Scale    float64 `default:"1" placeholder:"FACTOR" help:"Multiply workers, load and teams."`
@@ -25,12 +26,13 @@
 	WriteRPS float64 `name:"write-rps" placeholder:"RATE" help:"Changes a second that each state service takes, not the plan's."`
 }
 
-// args repeats the flags, for a region's process.
+// args returns the arguments of a region's process, without the region's number.
 func (f planFlags) args() []string {
 	return []string{"region", f.Plan, "--scale", fmt.Sprint(f.Scale), "--regions", fmt.Sprint(f.Regions), "--program", f.Program,
 		"--write-rps", fmt.Sprint(f.WriteRPS), "--base-port", fmt.Sprint(f.BasePort)}
 }
 
+// load reads the plan and applies the flags to it.
 func (f planFlags) load() (*scalerun.Plan, error) {
 	plan, err := scalerun.LoadPlanFile(f.Plan)
 	if err != nil {
@@ -53,13 +55,16 @@
 	return plan, plan.Scale(f.Scale)
 }
 
+// runCmd runs a plan and prints its summary.
 type runCmd struct {
 	planFlags
 	Out string `placeholder:"FILE" help:"Write the result there as JSON."`
 }
 
+// checkCmd checks a plan without running it.
 type checkCmd struct{ planFlags }
 
+// regionCmd runs one region; runCmd starts it in a process of its own.
 type regionCmd struct {
 	planFlags
 	Number int `arg:""`
@@ -79,17 +84,18 @@
 
 func main() {
 	var cli commands
-	k := kong.Parse(&cli, kong.Name("scalerun"), kong.Description(description), kong.UsageOnError())
+	command := kong.Parse(&cli, kong.Name("scalerun"), kong.Description(description), kong.UsageOnError())
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	k.BindTo(ctx, (*context.Context)(nil))
-	if err := k.Run(); err != nil {
+	command.BindTo(ctx, (*context.Context)(nil))
+	if err := command.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "scalerun:", err)
 		stop()
 		os.Exit(1)
 	}
 }
 
+// Run is called by kong.
 func (c checkCmd) Run() error {
 	plan, err := c.load()
 	if err != nil {
@@ -102,6 +108,7 @@
 	return nil
 }
 
+// Run is called by kong. It returns an error if the run ended early or violated an invariant.
 func (c runCmd) Run(ctx context.Context) error {
 	plan, err := c.load()
 	if err != nil {
@@ -118,14 +125,15 @@
 	}
 	fmt.Print(result.Summary())
 	if c.Out != "" {
-		if writeErr := write(c.Out, result); writeErr != nil {
+		if writeErr := writeResult(c.Out, result); writeErr != nil {
 			return writeErr
 		}
 	}
 	return err
 }
 
-func write(path string, result *scalerun.Result) error {
+// writeResult writes a result as indented JSON.
+func writeResult(path string, result *scalerun.Result) error {
 	raw, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
 		return err
@@ -133,6 +141,7 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
+// Run is called by kong.
 func (c regionCmd) Run(ctx context.Context) error {
 	plan, err := c.load()
 	if err != nil {
--- a/internal/scalerun/detection.go
+++ b/internal/scalerun/detection.go
@@ -28,16 +28,16 @@
 // Detection is how one fault was detected and repaired. Times are in milliseconds from the fault; 0: it
 // did not happen.
 type Detection struct {
-	Kind       string  `json:"kind"`
-	ForS       float64 `json:"for_s,omitempty"`
-	SuspectMS  float64 `json:"first_suspect_ms"`
-	SuspectAll float64 `json:"last_suspect_ms"`
-	DeadMS     float64 `json:"first_dead_ms"`
-	DeadAll    float64 `json:"last_dead_ms"`
-	AliveMS    float64 `json:"alive_again_ms"`
-	ElectedMS  float64 `json:"elected_ms"`
-	LoadedMS   float64 `json:"loaded_ms"`
-	PlacedMS   float64 `json:"first_placement_ms"`
+	Kind             string  `json:"kind"`
+	ForS             float64 `json:"for_s,omitempty"`
+	FirstSuspectMS   float64 `json:"first_suspect_ms"`
+	LastSuspectMS    float64 `json:"last_suspect_ms"`
+	FirstDeadMS      float64 `json:"first_dead_ms"`
+	LastDeadMS       float64 `json:"last_dead_ms"`
+	AliveAgainMS     float64 `json:"alive_again_ms"`
+	ElectedMS        float64 `json:"elected_ms"`
+	LoadedMS         float64 `json:"loaded_ms"`
+	FirstPlacementMS float64 `json:"first_placement_ms"`
 }
 
 func newDetection() *detection { return &detection{now: time.Now} }
@@ -136,7 +136,7 @@
 		}
 	}
 	if !f.placed.IsZero() {
-		out.PlacedMS = f.millisTo(f.placed)
+		out.FirstPlacementMS = f.millisTo(f.placed)
 	}
 	return out
 }
@@ -151,13 +151,13 @@
 func (d *Detection) addMembership(message string, atMS float64) {
 	switch message {
 	case messageSuspect:
-		setEarliest(&d.SuspectMS, atMS)
-		d.SuspectAll = max(d.SuspectAll, atMS)
+		setEarliest(&d.FirstSuspectMS, atMS)
+		d.LastSuspectMS = max(d.LastSuspectMS, atMS)
 	case messageDead:
-		setEarliest(&d.DeadMS, atMS)
-		d.DeadAll = max(d.DeadAll, atMS)
+		setEarliest(&d.FirstDeadMS, atMS)
+		d.LastDeadMS = max(d.LastDeadMS, atMS)
 	case messageAlive:
-		setEarliest(&d.AliveMS, atMS)
+		setEarliest(&d.AliveAgainMS, atMS)
 	}
 }
 
--- a/internal/scalerun/fleet.go
+++ b/internal/scalerun/fleet.go
@@ -146,7 +146,7 @@
 	}
 	if j != nil && !j.started[task] {
 		j.started[task] = true
-		r.metrics.started(j.class, now-j.submittedAt)
+		r.metrics.taskStarted(j.class, now-j.submittedAt)
 	}
 }
 
@@ -161,7 +161,7 @@
 func (r *region) onTaskCompleted(task string, t *emulator.Task) {
 	if j := r.invariants.jobs[t.UID]; j != nil {
 		j.completed[task] = true
-		r.metrics.exits++
+		r.metrics.tasksCompleted++
 	}
 }
 
--- a/internal/scalerun/heartbeats.go
+++ b/internal/scalerun/heartbeats.go
@@ -55,7 +55,7 @@
 	go func() {
 		status, reply, traffic := c.exchange(id, controller, body)
 		c.loop.post(func() {
-			c.metrics.report(status, time.Since(sent), traffic)
+			c.metrics.heartbeat(status, time.Since(sent), traffic)
 			if worker.Hung || worker.AnswersLost {
 				c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
 				return
@@ -122,7 +122,7 @@
 	return status, reply, traffic + more
 }
 
-// roundTrip sends one heartbeat over a connection, and keeps the connection if it can be used again.
+// heartbeatRoundTrip sends one heartbeat over a connection, and keeps the connection if it can be used again.
 func (c *heartbeatCarrier) roundTrip(id string, controller int, conn net.Conn, body []byte, deadline time.Time) (int, []byte, int64) {
 	_ = conn.SetDeadline(deadline) // a connection that takes no deadline fails below
 	var request bytes.Buffer
--- a/internal/scalerun/invariants.go
+++ b/internal/scalerun/invariants.go
@@ -14,7 +14,7 @@
 // RuleViolation is an invariant of the protocol that did not hold, with the history of the job.
 type RuleViolation struct {
 	Rule    string   `json:"rule"`
-	What    string   `json:"what"`
+	Problem string   `json:"what"`
 	AtS     float64  `json:"at_s"`
 	Region  int      `json:"region"`
 	History []string `json:"history"`
@@ -22,7 +22,7 @@
 
 // Error gives the rule, what happened, and the job's history.
 func (v *RuleViolation) Error() string {
-	return fmt.Sprintf("rule broken: %s: %s\n  %s", v.Rule, v.What, strings.Join(v.History, "\n  "))
+	return fmt.Sprintf("rule broken: %s: %s\n  %s", v.Rule, v.Problem, strings.Join(v.History, "\n  "))
 }
 
 // teamUsage is what a team's tasks use now, and its limits (0: none).
@@ -63,7 +63,7 @@
 
 // violate reports a violation. The first one ends the run; later ones are dropped. The job may be nil.
 func (i *invariants) violate(j *job, rule, format string, args ...any) {
-	violation := &RuleViolation{Rule: rule, What: fmt.Sprintf(format, args...), AtS: i.queue.Now().Seconds(), Region: i.region}
+	violation := &RuleViolation{Rule: rule, Problem: fmt.Sprintf(format, args...), AtS: i.queue.Now().Seconds(), Region: i.region}
 	if j != nil {
 		violation.History = j.history
 	}
--- a/internal/scalerun/metrics.go
+++ b/internal/scalerun/metrics.go
@@ -18,7 +18,7 @@
 }
 
 // distribution is a histogram of durations, in microseconds up to ten minutes.
-type distribution struct{ h *hdrhistogram.Histogram }
+type distribution struct{ histogram *hdrhistogram.Histogram }
 
 const (
 	longestMicros      = 600_000_000
@@ -32,12 +32,12 @@
 }
 
 func (d distribution) add(t time.Duration) {
-	_ = d.h.RecordValue(min(longestMicros, max(1, t.Microseconds()))) // clipped to its range, so that it takes every value
+	_ = d.histogram.RecordValue(min(longestMicros, max(1, t.Microseconds()))) // clipped to its range, so that it takes every value
 }
 
 func (d distribution) quantiles() Quantiles {
-	return Quantiles{Count: d.h.TotalCount(), P50: float64(d.h.ValueAtQuantile(50)) / microsPerMilli,
-		P99: float64(d.h.ValueAtQuantile(99)) / microsPerMilli, Max: float64(d.h.Max()) / microsPerMilli}
+	return Quantiles{Count: d.histogram.TotalCount(), P50: float64(d.histogram.ValueAtQuantile(50)) / microsPerMilli,
+		P99: float64(d.histogram.ValueAtQuantile(99)) / microsPerMilli, Max: float64(d.histogram.Max()) / microsPerMilli}
 }
 
 // ProcessUse is what the processes of one label used in the measured part of a run. CPUShare is in
@@ -51,12 +51,12 @@
 
 // watchedProcess is the present process of a label, with the use of CPU time in seconds.
 type watchedProcess struct {
-	handle    *process.Process
-	starts    int
-	cpuBefore float64 // of earlier processes of the same label, in the measured part
-	cpuBase   float64
-	cpuLast   float64
-	peak      uint64
+	handle       *process.Process
+	starts       int
+	cpuOfEarlier float64 // of earlier processes of the same label, in the measured part
+	cpuBase      float64
+	cpuLast      float64
+	peakRSS      uint64
 }
 
 // metrics are the counts of one region. Only the event loop uses them, but for the processes, which
@@ -65,31 +65,31 @@
 	measuring bool
 	began     time.Duration
 
-	starts        int64
-	exits         int64
-	running       int
-	peakRunning   int
-	peakSecond    int64
-	secondStarts  int64
-	timeToStart   map[string]distribution
-	accept        distribution
-	roundTrip     distribution
-	statuses      map[string]int64
-	reports       int64
-	reportRefused int64
-	workerBytes   int64
-	directCalls   int64
-	leaderChanges int
-	leaderGaps    distribution
-	givenUp       int64
+	starts             int64
+	tasksCompleted     int64
+	running            int
+	peakRunning        int
+	peakSecond         int64
+	startsThisSecond   int64
+	timeToStart        map[string]distribution
+	timeToAccept       distribution
+	heartbeatRoundTrip distribution
+	answers            map[string]int64
+	heartbeats         int64
+	heartbeatsRefused  int64
+	workerBytes        int64
+	directMessages     int64
+	leaderChanges      int
+	leaderGaps         distribution
+	requestsGivenUp    int64
 
 	mu        sync.Mutex
 	processes map[string]*watchedProcess
 }
 
 func newMetrics() *metrics {
-	return &metrics{timeToStart: map[string]distribution{}, accept: newDistribution(), roundTrip: newDistribution(), leaderGaps: newDistribution(),
-		statuses: map[string]int64{}, processes: map[string]*watchedProcess{}}
+	return &metrics{timeToStart: map[string]distribution{}, timeToAccept: newDistribution(), heartbeatRoundTrip: newDistribution(), leaderGaps: newDistribution(),
+		answers: map[string]int64{}, processes: map[string]*watchedProcess{}}
 }
 
 // begin starts the measured part.
@@ -98,21 +98,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.processes {
-		p.cpuBase, p.cpuBefore, p.peak = p.cpuLast, 0, 0
+		p.cpuBase, p.cpuOfEarlier, p.peakRSS = p.cpuLast, 0, 0
 	}
 }
 
-// report records a heartbeat's exchange, with its traffic in bytes.
-func (m *metrics) report(status int, took time.Duration, bytes int64) {
+// heartbeat records a heartbeat's exchange, with its traffic in bytes.
+func (m *metrics) heartbeat(status int, took time.Duration, bytes int64) {
 	if !m.measuring {
 		return
 	}
 	m.workerBytes += bytes
 	if status == http.StatusOK {
-		m.reports++
-		m.roundTrip.add(took)
+		m.heartbeats++
+		m.heartbeatRoundTrip.add(took)
 	} else {
-		m.reportRefused++
+		m.heartbeatsRefused++
 	}
 }
 
@@ -122,28 +122,28 @@
 // direct records a direct request or its answer, with the size of its body in bytes.
 func (m *metrics) direct(bytes int) {
 	if m.measuring {
-		m.directCalls++
+		m.directMessages++
 		m.workerBytes += int64(bytes + directHeader)
 	}
 }
 
-// accepted records how long a job took from its first submission to its acceptance.
-func (m *metrics) accepted(took time.Duration) {
+// jobAccepted records how long a job took from its first submission to its acceptance.
+func (m *metrics) jobAccepted(took time.Duration) {
 	if m.measuring {
-		m.accept.add(took)
+		m.timeToAccept.add(took)
 	}
 }
 
 // answer counts the answers to clients, by operation and status (0: none).
 func (m *metrics) answer(op string, status int) {
 	if m.measuring {
-		m.statuses[statusKey(op, status)]++
+		m.answers[statusKey(op, status)]++
 	}
 }
 
-// started records the first start of a task, with the time since its job was submitted.
-func (m *metrics) started(class string, wait time.Duration) {
-	m.secondStarts++
+// taskStarted records the first start of a task, with the time since its job was submitted.
+func (m *metrics) taskStarted(class string, wait time.Duration) {
+	m.startsThisSecond++
 	if !m.measuring {
 		return
 	}
@@ -154,13 +154,13 @@
 	m.timeToStart[class].add(wait)
 }
 
-// second ends a second of the counts by second.
-func (m *metrics) second() {
+// endSecond ends a second of the counts by second.
+func (m *metrics) endSecond() {
 	if m.measuring {
-		m.peakSecond = max(m.peakSecond, m.secondStarts)
+		m.peakSecond = max(m.peakSecond, m.startsThisSecond)
 		m.peakRunning = max(m.peakRunning, m.running)
 	}
-	m.secondStarts = 0
+	m.startsThisSecond = 0
 }
 
 // watchProcess measures a process under a label, in the place of an earlier one of that label.
@@ -176,7 +176,7 @@
 		p = &watchedProcess{}
 		m.processes[label] = p
 	}
-	p.cpuBefore += p.cpuLast - p.cpuBase
+	p.cpuOfEarlier += p.cpuLast - p.cpuBase
 	p.handle, p.cpuBase, p.cpuLast = handle, 0, 0
 	p.starts++
 }
@@ -191,21 +191,21 @@
 			p.cpuLast = times.User + times.System
 		}
 		if memory, err := p.handle.MemoryInfo(); err == nil {
-			p.peak = max(p.peak, memory.RSS)
+			p.peakRSS = max(p.peakRSS, memory.RSS)
 			total += memory.RSS
 		}
 	}
 	return total
 }
 
-// uses sums up the use of the processes over the measured part.
-func (m *metrics) uses(measured time.Duration) map[string]ProcessUse {
+// processUse sums up the use of the processes over the measured part.
+func (m *metrics) processUse(measured time.Duration) map[string]ProcessUse {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := map[string]ProcessUse{}
 	for label, p := range m.processes {
-		cpu := p.cpuBefore + p.cpuLast - p.cpuBase
-		out[label] = ProcessUse{CPUSeconds: cpu, CPUShare: cpu / measured.Seconds(), PeakMB: float64(p.peak) / (1 << 20), Restarts: p.starts - 1}
+		cpu := p.cpuOfEarlier + p.cpuLast - p.cpuBase
+		out[label] = ProcessUse{CPUSeconds: cpu, CPUShare: cpu / measured.Seconds(), PeakMB: float64(p.peakRSS) / (1 << 20), Restarts: p.starts - 1}
 	}
 	return out
 }
--- a/internal/scalerun/ownership.go
+++ b/internal/scalerun/ownership.go
@@ -25,7 +25,7 @@
 type Ownership struct {
 	Machines        int `json:"machines"`         // that took a controller's answer
 	MachineMoves    int `json:"machine_moves"`    // to another controller
-	MostMoves       int `json:"most_moves"`       // of the machine that changed its controller most often
+	MaxMoves        int `json:"most_moves"`       // of the machine that changed its controller most often
 	Jobs            int `json:"jobs"`             // with a task that was started
 	JobHandovers    int `json:"job_handovers"`    // to a later token
 	JobsOwnedTwice  int `json:"jobs_owned_twice"` // started under an earlier token after a later one
@@ -82,7 +82,7 @@
 	out := Ownership{Machines: len(o.machines), Jobs: len(o.jobs)}
 	for _, e := range o.machines {
 		out.MachineMoves += e.changes
-		out.MostMoves = max(out.MostMoves, e.changes)
+		out.MaxMoves = max(out.MaxMoves, e.changes)
 	}
 	for _, e := range o.jobs {
 		out.JobHandovers += e.changes
--- a/internal/scalerun/ownership_test.go
+++ b/internal/scalerun/ownership_test.go
@@ -20,7 +20,7 @@
 	o.workerAnswered("i-1", 2, 0)
 	o.workerAnswered("i-1", 1, 0)
 	o.workerAnswered("i-2", 1, 0)
-	if s := o.totals(); s.Machines != 2 || s.MachineMoves != 2 || s.MostMoves != 2 || s.Jobs != 1 {
+	if s := o.totals(); s.Machines != 2 || s.MachineMoves != 2 || s.MaxMoves != 2 || s.Jobs != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -48,7 +48,7 @@
 	d.taskStarted(1)
 	d.taskStarted(2)
 	got := d.results([]string{log, filepath.Join(t.TempDir(), "missing")})
-	want := Detection{Kind: FaultKillLeader, SuspectMS: 500, SuspectAll: 700, DeadMS: 3000, DeadAll: 3000, ElectedMS: 1250, LoadedMS: 1300, PlacedMS: 1400}
+	want := Detection{Kind: FaultKillLeader, FirstSuspectMS: 500, LastSuspectMS: 700, FirstDeadMS: 3000, LastDeadMS: 3000, ElectedMS: 1250, LoadedMS: 1300, FirstPlacementMS: 1400}
 	if len(got) != 1 || got[0] != want {
 		t.Errorf("%+v", got)
 	}
--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -25,7 +25,7 @@
 	fleet        *emulator.Fleet
 	byAddress    map[string]*emulator.Worker
 	carrier      *heartbeatCarrier
-	users        *users
+	clients      *clients
 	controlPlane *controlPlane
 	random       *rand.Rand // used by the event loop alone
 	closing      bool       // the run is over, and clients send nothing new
@@ -134,7 +134,7 @@
 		RequestRate: plan.State.RPS, ChangeRate: plan.State.WriteRPS})
 	r.state.MostChanges = plan.State.TxnOps
 	r.state.Wrong = r.failOnProtocolError
-	r.users = newUsers(r)
+	r.clients = newClients(r)
 	r.newCloud()
 	r.newFleet()
 	r.leader = &leaderMonitor{state: r.state, queue: queue, metrics: metrics}
@@ -150,13 +150,13 @@
 		checkInterval = time.Second
 	)
 	r.bootFleet()
-	r.users.startArrivals()
+	r.clients.startArrivals()
 	r.loop.every(stepInterval, func() {
 		r.fleet.StepGangs()
 		r.upgrade.gateState(r.leader.poll(), r.controlPlane.controllers, r.loop.queue.Now())
 	})
 	r.loop.every(checkInterval, func() {
-		r.metrics.second()
+		r.metrics.endSecond()
 		r.invariants.checkForgottenJobs()
 	})
 }
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -11,36 +11,36 @@
 
 // RegionResult is what was measured in one region.
 type RegionResult struct {
-	Region          int                   `json:"region"`
-	MeasuredS       float64               `json:"measured_s"`
-	Workers         int                   `json:"workers"`
-	Starts          int64                 `json:"starts"`
-	StartsPerS      float64               `json:"starts_per_s"`
-	PeakStartsPerS  int64                 `json:"peak_starts_per_s"`
-	TasksDone       int64                 `json:"tasks_done"`
-	PeakRunning     int                   `json:"peak_tasks_running"`
-	TimeToStart     map[string]Quantiles  `json:"time_to_start"`
-	Accept          Quantiles             `json:"accept"`
-	Statuses        map[string]int64      `json:"answers"`
-	GivenUp         int64                 `json:"requests_given_up"`
-	ReportRoundTrip Quantiles             `json:"report_round_trip"`
-	ReportsPerS     float64               `json:"reports_per_s"`
-	ReportsRefused  int64                 `json:"reports_refused"`
-	DirectPerS      float64               `json:"direct_messages_per_s"`
-	WorkerBytesPerS float64               `json:"bytes_per_s_by_worker"`
-	LeaderChanges   int                   `json:"leader_changes"`
-	LeaderGaps      Quantiles             `json:"leader_gaps"`
-	StateRequests   float64               `json:"state_requests_per_s"`
-	StateChanges    float64               `json:"state_changes_per_s"`
-	StateBytes      float64               `json:"state_bytes_per_s"`
-	StateTooMany    int64                 `json:"state_429s"`
-	StateConflicts  int64                 `json:"state_409s"`
-	StateKeys       int                   `json:"state_keys"`
-	Ownership       Ownership             `json:"ownership"`
-	Detections      []Detection           `json:"detections,omitempty"`
-	Upgrade         *UpgradeResult        `json:"upgrade,omitempty"`
-	Processes       map[string]ProcessUse `json:"processes"`
-	LoopLateS       float64               `json:"stand_in_latest_s"`
+	Region             int                   `json:"region"`
+	MeasuredS          float64               `json:"measured_s"`
+	Workers            int                   `json:"workers"`
+	Starts             int64                 `json:"starts"`
+	StartsPerS         float64               `json:"starts_per_s"`
+	PeakStartsPerS     int64                 `json:"peak_starts_per_s"`
+	TasksDone          int64                 `json:"tasks_done"`
+	PeakRunning        int                   `json:"peak_tasks_running"`
+	TimeToStart        map[string]Quantiles  `json:"time_to_start"`
+	TimeToAccept       Quantiles             `json:"accept"`
+	Answers            map[string]int64      `json:"answers"`
+	RequestsGivenUp    int64                 `json:"requests_given_up"`
+	HeartbeatRoundTrip Quantiles             `json:"report_round_trip"`
+	HeartbeatsPerS     float64               `json:"reports_per_s"`
+	HeartbeatsRefused  int64                 `json:"reports_refused"`
+	DirectMessagesPerS float64               `json:"direct_messages_per_s"`
+	WorkerBytesPerS    float64               `json:"bytes_per_s_by_worker"`
+	LeaderChanges      int                   `json:"leader_changes"`
+	LeaderGaps         Quantiles             `json:"leader_gaps"`
+	StateRequestsPerS  float64               `json:"state_requests_per_s"`
+	StateChangesPerS   float64               `json:"state_changes_per_s"`
+	StateBytesPerS     float64               `json:"state_bytes_per_s"`
+	StateRateLimited   int64                 `json:"state_429s"`
+	StateConflicts     int64                 `json:"state_409s"`
+	StateKeys          int                   `json:"state_keys"`
+	Ownership          Ownership             `json:"ownership"`
+	Detections         []Detection           `json:"detections,omitempty"`
+	Upgrade            *UpgradeResult        `json:"upgrade,omitempty"`
+	Processes          map[string]ProcessUse `json:"processes"`
+	MaxEventDelayS     float64               `json:"stand_in_latest_s"`
 }
 
 // result sums up the measured part. The event loop calls it.
@@ -48,14 +48,14 @@
 	m, s, base := r.metrics, r.state.Stats, r.stateBase
 	per := func(n float64) float64 { return n / measured.Seconds() }
 	out := &RegionResult{Region: r.number, MeasuredS: measured.Seconds(), Workers: len(r.fleet.Workers),
-		Starts: m.starts, StartsPerS: per(float64(m.starts)), PeakStartsPerS: m.peakSecond, TasksDone: m.exits, PeakRunning: m.peakRunning,
-		TimeToStart: map[string]Quantiles{}, Accept: m.accept.quantiles(), Statuses: m.statuses, GivenUp: m.givenUp,
-		ReportRoundTrip: m.roundTrip.quantiles(), ReportsPerS: per(float64(m.reports)), ReportsRefused: m.reportRefused,
-		DirectPerS: per(float64(m.directCalls)), WorkerBytesPerS: per(float64(m.workerBytes)) / float64(max(1, len(r.fleet.Workers))),
+		Starts: m.starts, StartsPerS: per(float64(m.starts)), PeakStartsPerS: m.peakSecond, TasksDone: m.tasksCompleted, PeakRunning: m.peakRunning,
+		TimeToStart: map[string]Quantiles{}, TimeToAccept: m.timeToAccept.quantiles(), Answers: m.answers, RequestsGivenUp: m.requestsGivenUp,
+		HeartbeatRoundTrip: m.heartbeatRoundTrip.quantiles(), HeartbeatsPerS: per(float64(m.heartbeats)), HeartbeatsRefused: m.heartbeatsRefused,
+		DirectMessagesPerS: per(float64(m.directMessages)), WorkerBytesPerS: per(float64(m.workerBytes)) / float64(max(1, len(r.fleet.Workers))),
 		LeaderChanges: m.leaderChanges, LeaderGaps: m.leaderGaps.quantiles(),
-		StateRequests: per(float64(s.Requests - base.Requests)), StateChanges: per(float64(s.Changes - base.Changes)),
-		StateBytes: per(float64(s.Bytes - base.Bytes)), StateTooMany: s.TooMany - base.TooMany, StateConflicts: s.Conflicts - base.Conflicts,
-		StateKeys: len(r.state.Keys()), Processes: m.uses(measured), LoopLateS: r.loop.maxDelay.Seconds()}
+		StateRequestsPerS: per(float64(s.Requests - base.Requests)), StateChangesPerS: per(float64(s.Changes - base.Changes)),
+		StateBytesPerS: per(float64(s.Bytes - base.Bytes)), StateRateLimited: s.TooMany - base.TooMany, StateConflicts: s.Conflicts - base.Conflicts,
+		StateKeys: len(r.state.Keys()), Processes: m.processUse(measured), MaxEventDelayS: r.loop.maxDelay.Seconds()}
 	out.Ownership = r.ownership.totals()
 	out.Ownership.JobsOwnedTwice = r.jobsOwnedTwice
 	out.Ownership.SessionsExpired = expiredSessions(r.fleet)
@@ -84,7 +84,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d workers planned in %d region(s), %.0f s measured after %.0f s\n", r.Plan.Fleet.Workers, r.Plan.Fleet.Regions, r.Plan.Run.DurationS, r.Plan.Run.WarmupS)
 	for _, region := range r.Regions {
-		region.summary(&b)
+		region.writeSummary(&b)
 	}
 	switch {
 	case r.Violation != nil:
@@ -97,35 +97,35 @@
 	return b.String()
 }
 
-func (r *RegionResult) summary(b *strings.Builder) {
+func (r *RegionResult) writeSummary(b *strings.Builder) {
 	fmt.Fprintf(b, "\nregion %d: %d workers at the end, at most %d tasks running\n", r.Region, r.Workers, r.PeakRunning)
 	fmt.Fprintf(b, "  starts            %.1f/s, most in a second %d\n", r.StartsPerS, r.PeakStartsPerS)
 	for _, class := range slices.Sorted(maps.Keys(r.TimeToStart)) {
 		fmt.Fprintf(b, "  %-17s %s\n", "start: "+class, r.TimeToStart[class])
 	}
-	fmt.Fprintf(b, "  accepted          %s\n", r.Accept)
-	fmt.Fprintf(b, "  reports           %.0f/s, round trip %s, refused %d\n", r.ReportsPerS, r.ReportRoundTrip, r.ReportsRefused)
+	fmt.Fprintf(b, "  accepted          %s\n", r.TimeToAccept)
+	fmt.Fprintf(b, "  reports           %.0f/s, round trip %s, refused %d\n", r.HeartbeatsPerS, r.HeartbeatRoundTrip, r.HeartbeatsRefused)
 	fmt.Fprintf(b, "  each worker       %.0f bytes/s\n", r.WorkerBytesPerS)
-	fmt.Fprintf(b, "  state service     %.0f requests/s, %.0f changes/s, %.0f bytes/s, 429s %d, 409s %d, %d keys\n", r.StateRequests, r.StateChanges, r.StateBytes, r.StateTooMany, r.StateConflicts, r.StateKeys)
+	fmt.Fprintf(b, "  state service     %.0f requests/s, %.0f changes/s, %.0f bytes/s, 429s %d, 409s %d, %d keys\n", r.StateRequestsPerS, r.StateChangesPerS, r.StateBytesPerS, r.StateRateLimited, r.StateConflicts, r.StateKeys)
 	fmt.Fprintf(b, "  leader changes    %d, without one %s\n", r.LeaderChanges, r.LeaderGaps)
 	o := r.Ownership
-	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one at most %d times; %d leases ran out\n", o.Machines, o.MachineMoves, o.MostMoves, o.SessionsExpired)
+	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one at most %d times; %d leases ran out\n", o.Machines, o.MachineMoves, o.MaxMoves, o.SessionsExpired)
 	fmt.Fprintf(b, "  jobs              %d, handed over %d times, owned twice %d, orphaned %d\n", o.Jobs, o.JobHandovers, o.JobsOwnedTwice, o.JobsOrphaned)
 	for _, d := range r.Detections {
 		fmt.Fprintf(b, "  %-17s suspect %.0f to %.0f ms, dead %.0f to %.0f ms, alive %.0f ms; elected %.0f ms, loaded %.0f ms, placed %.0f ms\n",
-			d.Kind, d.SuspectMS, d.SuspectAll, d.DeadMS, d.DeadAll, d.AliveMS, d.ElectedMS, d.LoadedMS, d.PlacedMS)
+			d.Kind, d.FirstSuspectMS, d.LastSuspectMS, d.FirstDeadMS, d.LastDeadMS, d.AliveAgainMS, d.ElectedMS, d.LoadedMS, d.FirstPlacementMS)
 	}
 	if u := r.Upgrade; u != nil {
-		fmt.Fprintf(b, "  upgrade           placements dropped %d, unreadable records %d, gate %s\n", u.Dropped, u.Unreadable, strings.Join(u.Gate, ", "))
+		fmt.Fprintf(b, "  upgrade           placements dropped %d, unreadable records %d, gate %s\n", u.DroppedPlacements, u.UnreadableRecords, strings.Join(u.GateChanges, ", "))
 	}
-	for _, key := range slices.Sorted(maps.Keys(r.Statuses)) {
-		fmt.Fprintf(b, "  %-17s %d\n", key, r.Statuses[key])
+	for _, key := range slices.Sorted(maps.Keys(r.Answers)) {
+		fmt.Fprintf(b, "  %-17s %d\n", key, r.Answers[key])
 	}
 	for _, label := range slices.Sorted(maps.Keys(r.Processes)) {
 		p := r.Processes[label]
 		fmt.Fprintf(b, "  %s: %.3f of a core, %.0f MB, %d restarts\n", label, p.CPUShare, p.PeakMB, p.Restarts)
 	}
-	fmt.Fprintf(b, "  stand-ins were at most %.3f s late\n", r.LoopLateS)
+	fmt.Fprintf(b, "  stand-ins were at most %.3f s late\n", r.MaxEventDelayS)
 }
 
 // String renders the quantiles in one line.
--- a/internal/scalerun/run_test.go
+++ b/internal/scalerun/run_test.go
@@ -39,7 +39,7 @@
 }
 
 // planFile writes a plan of 50 workers with the program, and readies the test program to
-// play its regions.
+// run its regions.
 func planFile(t *testing.T, program, rest string) *Plan {
 	t.Helper()
 	return planFileFor(t, "program = \""+program+"\"\nduration_s = 8.0", rest)
@@ -97,7 +97,7 @@
 		t.Fatalf("%v\n%s", err, result.Summary())
 	}
 	r := result.Regions[0]
-	if r.Starts < 10 || r.LeaderChanges < 1 || r.Workers != 50 || r.ReportsPerS < 5 || r.Statuses["submit: 201"] == 0 {
+	if r.Starts < 10 || r.LeaderChanges < 1 || r.Workers != 50 || r.HeartbeatsPerS < 5 || r.Answers["submit: 201"] == 0 {
 		t.Errorf("%s", result.Summary())
 	}
 	if use := r.Processes["controller-0"]; use.PeakMB < 1 {
@@ -128,8 +128,8 @@
 	if r.Ownership.JobsOwnedTwice+r.Ownership.JobsOrphaned+r.Ownership.SessionsExpired > 0 || r.LeaderChanges < 1 || r.Starts < 10 {
 		t.Errorf("%s", result.Summary())
 	}
-	if len(r.Detections) != 2 || r.Detections[0].SuspectMS <= 0 || r.Detections[0].ElectedMS <= r.Detections[0].SuspectMS ||
-		r.Detections[0].PlacedMS <= 0 || r.Detections[1].SuspectMS <= 0 {
+	if len(r.Detections) != 2 || r.Detections[0].FirstSuspectMS <= 0 || r.Detections[0].ElectedMS <= r.Detections[0].FirstSuspectMS ||
+		r.Detections[0].FirstPlacementMS <= 0 || r.Detections[1].FirstSuspectMS <= 0 {
 		t.Errorf("%+v\n%s", r.Detections, result.Summary())
 	}
 	noChildren(t, program)
@@ -154,8 +154,8 @@
 // A program that can't be started, or ends at once, is named with its last line.
 func TestProgramThatDoesNotRun(t *testing.T) {
 	plan := planFile(t, "/nowhere/claybarrow", "")
-	var wrong *PlanError
-	if _, err := Run(context.Background(), plan, os.Args[0], nil); !errors.As(err, &wrong) || wrong.Field != "run.program" {
+	var planErr *PlanError
+	if _, err := Run(context.Background(), plan, os.Args[0], nil); !errors.As(err, &planErr) || planErr.Field != "run.program" {
 		t.Errorf("%v", err)
 	}
 	ends := filepath.Join(t.TempDir(), "ends")
--- a/internal/scalerun/servers.go
+++ b/internal/scalerun/servers.go
@@ -58,7 +58,7 @@
 		server := &http.Server{Handler: handler, ReadTimeout: serverReadTimeout, IdleTimeout: serverIdleTimeout, MaxHeaderBytes: serverMaxHeaderBytes}
 		go func() {
 			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-				r.fail(fmt.Errorf("stand-in on %s: %w", addr, err))
+				r.fail(fmt.Errorf("emulated server on %s: %w", addr, err))
 			}
 		}()
 		context.AfterFunc(ctx, func() { closeQuietly(server) })
--- a/internal/scalerun/upgrade.go
+++ b/internal/scalerun/upgrade.go
@@ -29,26 +29,26 @@
 
 // UpgradeResult counts what a run saw of an upgrade.
 type UpgradeResult struct {
-	// Dropped counts tasks that started again though they were done or nobody had told them to stop.
-	Dropped int `json:"placements_dropped"`
-	// Unreadable counts the records that a controller could not read, by its log.
-	Unreadable int `json:"unreadable_records"`
-	// Gate lists the changes of the feature gate, in seconds after the start.
-	Gate []string `json:"gate"`
-	// Early says which controller ran the older program when the gate opened; empty: none.
-	Early string `json:"opened_early,omitempty"`
+	// DroppedPlacements counts tasks that started again though they were done or nobody had told them to stop.
+	DroppedPlacements int `json:"placements_dropped"`
+	// UnreadableRecords counts the records that a controller could not read, by its log.
+	UnreadableRecords int `json:"unreadable_records"`
+	// GateChanges lists the changes of the feature gate, in seconds after the start.
+	GateChanges []string `json:"gate"`
+	// OpenedEarly says which controller ran the older program when the gate opened; empty: none.
+	OpenedEarly string `json:"opened_early,omitempty"`
 }
 
 // check returns a RuleViolation if something happened that must not happen in an upgrade.
 func (u *UpgradeResult) check(region int) error {
 	violation := &RuleViolation{Region: region}
 	switch {
-	case u.Early != "":
-		violation.Rule, violation.What = "opened_early", u.Early
-	case u.Unreadable > 0:
-		violation.Rule, violation.What = "unreadable", fmt.Sprintf("%d records could not be read", u.Unreadable)
-	case u.Dropped > 0:
-		violation.Rule, violation.What = "dropped", fmt.Sprintf("%d tasks began again", u.Dropped)
+	case u.OpenedEarly != "":
+		violation.Rule, violation.Problem = "opened_early", u.OpenedEarly
+	case u.UnreadableRecords > 0:
+		violation.Rule, violation.Problem = "unreadable", fmt.Sprintf("%d records could not be read", u.UnreadableRecords)
+	case u.DroppedPlacements > 0:
+		violation.Rule, violation.Problem = "dropped", fmt.Sprintf("%d tasks began again", u.DroppedPlacements)
 	default:
 		return nil
 	}
@@ -125,13 +125,13 @@
 
 // result sums up the upgrade, with what the controllers' logs tell of it.
 func (u *upgradeMonitor) result(logs []string) *UpgradeResult {
-	out := &UpgradeResult{Dropped: u.dropped, Gate: u.gateChanges, Early: u.openedEarly}
+	out := &UpgradeResult{DroppedPlacements: u.dropped, GateChanges: u.gateChanges, OpenedEarly: u.openedEarly}
 	for _, path := range logs {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			continue // it never started
 		}
-		out.Unreadable += bytes.Count(raw, []byte(unreadableRecord))
+		out.UnreadableRecords += bytes.Count(raw, []byte(unreadableRecord))
 	}
 	return out
 }
--- a/internal/scalerun/upgrade_test.go
+++ b/internal/scalerun/upgrade_test.go
@@ -39,7 +39,7 @@
 		t.Fatalf("%v\n%s", err, result.Summary())
 	}
 	u := result.Regions[0].Upgrade
-	if u == nil || u.Dropped+u.Unreadable > 0 || len(u.Gate) != 2 || !strings.HasPrefix(u.Gate[0], "open at") || !strings.HasPrefix(u.Gate[1], "closed at") {
+	if u == nil || u.DroppedPlacements+u.UnreadableRecords > 0 || len(u.GateChanges) != 2 || !strings.HasPrefix(u.GateChanges[0], "open at") || !strings.HasPrefix(u.GateChanges[1], "closed at") {
 		t.Errorf("%+v\n%s", u, result.Summary())
 	}
 	noChildren(t, program)
@@ -52,9 +52,9 @@
 		result     UpgradeResult
 	}{
 		{"in order", "", UpgradeResult{}},
-		{"gate opened early", "opened_early", UpgradeResult{Early: "controller-1"}},
-		{"unreadable record", "unreadable", UpgradeResult{Unreadable: 1}},
-		{"dropped placements", "dropped", UpgradeResult{Dropped: 2}},
+		{"gate opened early", "opened_early", UpgradeResult{OpenedEarly: "controller-1"}},
+		{"unreadable record", "unreadable", UpgradeResult{UnreadableRecords: 1}},
+		{"dropped placements", "dropped", UpgradeResult{DroppedPlacements: 2}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := tc.result.check(0)
