--- /dev/null
+++ b/internal/scalerun/clients.go
@@ -0,0 +1,241 @@
+package scalerun
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"claybarrow/internal/emulator"
+	"claybarrow/internal/protocol"
+)
+
+// Operations of a client; they are keys of RegionResult.Statuses.
+const (
+	opSubmit = "submit"
+	opPoll   = "poll"
+	opCancel = "cancel"
+)
+
+// Times of the protocol's clients. A submission that is not decided within submitDeadline is given up.
+const (
+	pollInterval    = 5 * time.Second
+	pollTimeout     = 2 * time.Second
+	decisionTimeout = 5 * time.Second
+	retryPause      = time.Second
+	maxRetryPause   = 30 * time.Second
+	submitDeadline  = 60 * time.Second
+)
+
+const (
+	maxIdleConnections    = 64 // to each controller
+	idleConnectionTimeout = 30 * time.Second
+	// clientSeedOffset keeps the clients' random numbers apart from those of the regions.
+	clientSeedOffset = 100
+)
+
+// clients are all clients of a region. They submit jobs at set rates, whatever becomes of those before
+// (an open-loop load), poll each until it has ended, and cancel some.
+type clients struct {
+	region        *region
+	httpClient    *http.Client
+	random        *rand.Rand // used by the event loop alone
+	jobsSubmitted int
+}
+
+func newClients(r *region) *clients {
+	return &clients{region: r, random: rand.New(rand.NewPCG(r.plan.Run.Seed, uint64(r.number)+clientSeedOffset)),
+		httpClient: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleConnectionTimeout,
+			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
+}
+
+// startArrivals starts the arrivals of each class. The event loop calls it.
+func (c *clients) startArrivals() {
+	for i := range c.region.plan.Load {
+		load := &c.region.plan.Load[i]
+		rate := load.StartsPerS / float64(load.Tasks) / float64(c.region.plan.Fleet.Regions)
+		c.scheduleArrival(load, rate)
+	}
+}
+
+// scheduleArrival submits a job of a class after an exponentially distributed time, and schedules the
+// next one (a Poisson process).
+func (c *clients) scheduleArrival(load *LoadPlan, perSecond float64) {
+	c.region.loop.queue.After(time.Duration(c.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+		if c.region.closing {
+			return
+		}
+		c.submit(load)
+		c.scheduleArrival(load, perSecond)
+	})
+}
+
+// submit makes a job of a class and submits it until it is decided.
+func (c *clients) submit(load *LoadPlan) {
+	r := c.region
+	c.jobsSubmitted++
+	uid := fmt.Sprintf("j-%d%07d", r.number, c.jobsSubmitted)
+	j := &job{uid: uid, class: load.Name, team: teamName(c.random.IntN(r.plan.Teams.Count)), load: load, spread: load.Spread,
+		Job: emulator.Job{Image: load.Name + "-" + strconv.Itoa(c.random.IntN(load.Images)), ImageGB: load.ImageGB, Tasks: load.Tasks,
+			Gang: load.Shape == "group", Service: load.Shape == "service", Cores: load.Cores, Accel: load.Accelerators, Memory: load.MemoryGB},
+		submittedAt: r.loop.queue.Now(), completed: map[string]bool{}, started: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
+	r.invariants.jobs[uid] = j
+	c.requestUntilDecided(j, opSubmit, c.description(j), func() { c.onAccepted(j) })
+}
+
+// description returns the body of a submission.
+func (c *clients) description(j *job) []byte {
+	estimate := j.load.RunS
+	if j.Service {
+		estimate = 0
+	}
+	return protocol.Encode(map[string]any{"uid": j.uid, "tier": j.class, "owner": j.team, "shape": j.load.Shape, "rank": j.load.Priority,
+		"shards": j.Tasks, "cores": j.Cores, "accelerators": j.Accel, "ramGb": j.Memory, "bundle": j.Image, "sizeGb": j.ImageGB,
+		"flavours": nil, "yard": nil, "together": false, "apart": j.spread, "borrowed": false, "expectS": estimate,
+		"saveEveryS": 0.0, "saveTakesS": 0.0, "dueS": nil})
+}
+
+// onAccepted begins to poll a job, and schedules its cancellation: services are cancelled at the end of
+// their time, a share of the other jobs halfway.
+func (c *clients) onAccepted(j *job) {
+	r := c.region
+	if j.acceptedAt == 0 {
+		j.acceptedAt = r.loop.queue.Now()
+		r.metrics.jobAccepted(j.acceptedAt - j.submittedAt)
+		c.poll(j)
+	}
+	end := j.load.RunS
+	switch {
+	case j.Service:
+	case c.random.Float64() < j.load.Cancelled:
+		end /= 2
+	default:
+		return
+	}
+	r.loop.queue.After(seconds(end), func() {
+		if !j.finished() && !r.closing {
+			j.cancelRequested = true
+			j.note(r.loop.queue.Now(), "its user asks to cancel it")
+			c.requestUntilDecided(j, opCancel, nil, func() {})
+		}
+	})
+}
+
+// poll asks about a job every pollInterval until the client is told that it has ended.
+func (c *clients) poll(j *job) {
+	r := c.region
+	r.loop.queue.After(pollInterval, func() {
+		if j.finished() || r.closing {
+			c.forgetFinished(j)
+			return
+		}
+		c.send(j, opPoll, nil, func(int, time.Duration) {})
+		c.poll(j)
+	})
+}
+
+// forgetFinished drops the record of a job that has ended, once the deadline for its tasks has passed
+// twice and they are gone; it bounds the memory of a long run.
+func (c *clients) forgetFinished(j *job) {
+	r := c.region
+	r.loop.queue.After(2*r.invariants.cancelDeadline, func() {
+		if len(j.placements) == 0 {
+			delete(r.invariants.jobs, j.uid)
+		}
+	})
+}
+
+// requestUntilDecided retries a request until it succeeds, after the pause that the answer names. It gives
+// up when the run is over, and a submission after submitDeadline.
+func (c *clients) requestUntilDecided(j *job, op string, body []byte, decided func()) {
+	r := c.region
+	first := r.loop.queue.Now()
+	var again func()
+	again = func() {
+		c.send(j, op, body, func(status int, wait time.Duration) {
+			if succeeded(status) {
+				decided()
+				return
+			}
+			if r.closing || r.loop.queue.Now() > first+submitDeadline && op == opSubmit {
+				r.metrics.requestsGivenUp++
+				return
+			}
+			r.loop.queue.After(max(retryPause, min(wait, maxRetryPause)), again)
+		})
+	}
+	again()
+}
+
+// succeeded says whether a status accepts a request.
+func succeeded(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
+
+// send makes one request, and calls then with its answer on the event loop; status 0: there was none.
+func (c *clients) send(j *job, op string, body []byte, then func(status int, retryAfter time.Duration)) {
+	r := c.region
+	controller := r.controlPlane.pick()
+	if controller == nil {
+		r.metrics.answer(op, 0)
+		then(0, 0)
+		return
+	}
+	sent := r.loop.queue.Now()
+	go func() {
+		status, answer, wait := c.roundTrip(controller.clientAddress, op, j.uid, body)
+		r.loop.post(func() {
+			r.metrics.answer(op, status)
+			c.checkAnswer(j, op, status, answer, sent)
+			then(status, wait)
+		})
+	}()
+}
+
+// checkAnswer checks an answer against the invariants.
+func (c *clients) checkAnswer(j *job, op string, status int, body []byte, sent time.Duration) {
+	r := c.region
+	r.invariants.answerReceived(j, op, status)
+	if !succeeded(status) {
+		return
+	}
+	var s protocol.JobStatus
+	if err := protocol.Decode(body, &s); err != nil {
+		r.fail(fmt.Errorf("an answer about %s can't be read: %w", j.uid, err))
+		return
+	}
+	j.answeredAt = r.loop.queue.Now()
+	r.invariants.statusReported(j, s.State, sent)
+}
+
+// roundTrip makes one request and reads its answer; status 0: there was none in time.
+func (c *clients) roundTrip(addr, op, uid string, body []byte) (status int, answer []byte, retryAfter time.Duration) {
+	method, path, timeout := http.MethodPost, "/api/jobs", decisionTimeout
+	switch op {
+	case opPoll:
+		method, path, timeout = http.MethodGet, "/api/jobs/"+uid, pollTimeout
+	case opCancel:
+		path = "/api/jobs/" + uid + "/withdraw"
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
+	if err != nil {
+		return 0, nil, 0
+	}
+	response, err := c.httpClient.Do(request)
+	if err != nil {
+		return 0, nil, 0
+	}
+	defer closeQuietly(response.Body)
+	answer, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	if err != nil {
+		return 0, nil, 0
+	}
+	after, _ := strconv.Atoi(strings.TrimSpace(response.Header.Get("Retry-After"))) // absent: 0
+	return response.StatusCode, answer, time.Duration(after) * time.Second
+}
--- /dev/null
+++ b/internal/scalerun/eventloop.go
@@ -0,0 +1,95 @@
+package scalerun
+
+import (
+	"context"
+	"time"
+
+	"claybarrow/internal/emulator"
+)
+
+// eventLoop is the goroutine that owns all emulated parts of a region. It runs the events of their
+// queue by the real clock, and the functions that other goroutines post to it.
+type eventLoop struct {
+	queue *emulator.EventQueue
+	start time.Time
+	inbox chan func()
+	done  chan struct{}
+	// maxDelay is the longest time by which an event ran after it was due.
+	maxDelay time.Duration
+}
+
+// inboxSize bounds the functions that wait for the loop; post blocks while the inbox is full.
+const inboxSize = 1 << 14
+
+func newEventLoop() *eventLoop {
+	return &eventLoop{queue: &emulator.EventQueue{}, start: time.Now(), inbox: make(chan func(), inboxSize), done: make(chan struct{})}
+}
+
+func (l *eventLoop) now() time.Duration { return time.Since(l.start) }
+
+// run returns when the context ends.
+func (l *eventLoop) run(ctx context.Context) {
+	defer close(l.done)
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		now := l.now()
+		if next, some := l.queue.Next(); some {
+			l.maxDelay = max(l.maxDelay, now-next)
+		}
+		l.queue.RunUntil(now)
+		wait := time.Second
+		if next, some := l.queue.Next(); some {
+			wait = max(0, next-l.now())
+		}
+		timer.Reset(wait)
+		select {
+		case <-ctx.Done():
+			return
+		case do := <-l.inbox:
+			l.queue.RunUntil(l.now())
+			do()
+			l.drain()
+		case <-timer.C:
+		}
+	}
+}
+
+// drain runs a bounded number of further posted functions without reading the clock for each.
+func (l *eventLoop) drain() {
+	const maxBatch = 64
+	for range maxBatch {
+		select {
+		case do := <-l.inbox:
+			do()
+		default:
+			return
+		}
+	}
+}
+
+// post has the loop run a function, without waiting for it. It is dropped once the loop has ended.
+func (l *eventLoop) post(do func()) {
+	select {
+	case l.inbox <- do:
+	case <-l.done:
+	}
+}
+
+// call has the loop run a function and waits until it has returned or the loop has ended.
+func (l *eventLoop) call(do func()) {
+	finished := make(chan struct{})
+	l.post(func() { do(); close(finished) })
+	select {
+	case <-finished:
+	case <-l.done:
+	}
+}
+
+// every runs a function at a fixed interval, first after one interval. Only the loop may call it.
+func (l *eventLoop) every(interval time.Duration, do func()) {
+	l.queue.After(interval, func() {
+		do()
+		l.every(interval, do)
+	})
+}
--- a/internal/scalerun/upgrade_test.go
+++ b/internal/scalerun/upgrade_test.go
@@ -39,21 +39,29 @@
 		t.Fatalf("%v\n%s", err, result.Summary())
 	}
 	u := result.Regions[0].Upgrade
-	if u == nil || u.Dropped+u.Unreadable > 0 || len(u.Gate) != 2 || !strings.HasPrefix(u.Gate[0], "open at") || !strings.HasPrefix(u.Gate[1], "closed at") {
+	if u == nil || u.DroppedPlacements+u.UnreadableRecords > 0 || len(u.GateChanges) != 2 || !strings.HasPrefix(u.GateChanges[0], "open at") || !strings.HasPrefix(u.GateChanges[1], "closed at") {
 		t.Errorf("%+v\n%s", u, result.Summary())
 	}
 	noChildren(t, program)
 }
 
-// What must not happen in an upgrade ends a run as a broken rule does.
+// What must not happen in an upgrade ends a run as a violated invariant does.
 func TestUpgradeResultIsChecked(t *testing.T) {
-	for rule, u := range map[string]UpgradeResult{
-		"": {}, "opened_early": {Early: "controller-1"}, "unreadable": {Unreadable: 1}, "dropped": {Dropped: 2},
+	for _, tc := range []struct {
+		name, rule string
+		result     UpgradeResult
+	}{
+		{"in order", "", UpgradeResult{}},
+		{"gate opened early", "opened_early", UpgradeResult{OpenedEarly: "controller-1"}},
+		{"unreadable record", "unreadable", UpgradeResult{UnreadableRecords: 1}},
+		{"dropped placements", "dropped", UpgradeResult{DroppedPlacements: 2}},
 	} {
-		err := u.check(0)
-		var broken *BrokenRule
-		if errors.As(err, &broken) != (rule != "") || broken != nil && broken.Rule != rule {
-			t.Errorf("%+v: %v", u, err)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			err := tc.result.check(0)
+			var violation *RuleViolation
+			if errors.As(err, &violation) != (tc.rule != "") || violation != nil && violation.Rule != tc.rule {
+				t.Errorf("%+v: %v", tc.result, err)
+			}
+		})
 	}
 }
