--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -81,13 +81,13 @@
 const (
 	NoCause                 Cause = ""
 	NotHeard                Cause = "is not heard"
-	NoStatement             Cause = "is of a version without the gate"
-	CannotRead              Cause = "does not read the form"
-	FeatureOff              Cause = "has the feature off"
-	HeldClosed              Cause = "is told to hold the gate closed"
-	NotSettled              Cause = "has not stated the form for a leader's lease"
-	RecentlyClosed          Cause = "closed the gate lately"
-	ExceedsTransactionLimit Cause = "can't store the opening within the state service's limits"
+	NoStatement             Cause = "runs a version without the feature gate"
+	CannotRead              Cause = "does not read the storage version"
+	FeatureOff              Cause = "has the feature disabled"
+	HeldClosed              Cause = "holds the gate closed"
+	NotSettled              Cause = "has not stated the storage version for a leader's lease"
+	RecentlyClosed          Cause = "closed the gate recently"
+	ExceedsTransactionLimit Cause = "opening exceeds the state service's limits"
 )
 
 // Obstacle is a cause and the label of the controller that it comes from.
--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -42,6 +42,6 @@
 		s.active = false
 		log.Info("load shedding ended",
 			"requests", rejected-s.rejectedBefore,
-			"seconds", int((s.lastRejectionAt - s.startedAt).Seconds()))
+			"duration_s", int((s.lastRejectionAt - s.startedAt).Seconds()))
 	}
 }
--- a/internal/transport/load_shedding_test.go
+++ b/internal/transport/load_shedding_test.go
@@ -22,7 +22,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 || !strings.Contains(lines[0], "load shedding started") ||
-		!strings.Contains(lines[1], "load shedding ended") || !strings.Contains(lines[1], "requests=10 seconds=4") {
+		!strings.Contains(lines[1], "load shedding ended") || !strings.Contains(lines[1], "requests=10 duration_s=4") {
 		t.Errorf("logged:\n%s", out.String())
 	}
 }
