--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -2,13 +2,17 @@
 
 import (
 	"fmt"
+	"net/http"
 	"time"
 
 	"claybarrow/internal/membership"
 	"claybarrow/internal/protocol"
 )
 
-// election watches the leader keys in the state service and campaigns when nobody leads.
+// election watches the leader keys in the state service and campaigns when there is no leader.
+//
+// It owns what this controller knows of the leader keys, its candidacy and its backoff. It belongs to the
+// process, not to a leadership, and so survives each failover; a process pause drops the candidacy.
 type election struct {
 	controller *Controller
 	detection  *failureDetection
@@ -18,91 +22,165 @@
 
 	leaderKeys leaderKeys
 	candidate  *candidate
-	// electionBackoffUntil: until then, others are given the chance to lead.
+	// electionBackoffUntil is the time until which the other controllers get the chance to lead. It is set
+	// when this controller shuts down, or gives up its leadership as it can't reach the workers.
 	electionBackoffUntil time.Duration
 }
 
-// candidate is one try to become leader.
+// candidate is one attempt to become leader.
 type candidate struct {
-	leaseID      uint64
-	leaseAskedAt time.Duration // when the lease was asked for
-	nextAt       time.Duration
-	inFlight     bool
+	leaseID      uint64        // 0: there is no lease
+	leaseAskedAt time.Duration // when the request that acquired or last renewed the lease was sent
+	nextAt       time.Duration // no request before this time, after one that failed
+	inFlight     bool          // a request is under way
 }
 
-// watchLeaderKeys keeps the leadership keys in sight: a list, then a watch after it.
+// Fractions and multiples of the leader's lease (config.LeaderTTL) in an election.
+const (
+	// stateCallTimeoutDivisor bounds the wait for one answer of the state service to half of the lease, so
+	// that a request whose answer is lost can be repeated within it.
+	stateCallTimeoutDivisor = 2
+	// watchBlockLeases is how long the state service may keep a watch open without an event. One more
+	// lease is allowed for the answer.
+	watchBlockLeases = 4
+	// campaignLeaseDivisor: a candidate campaigns only with a lease that was asked for in the last half of
+	// a lease, as the new leadership counts its lease from then.
+	campaignLeaseDivisor = 2
+	// candidateRenewalDivisor: a candidate renews its lease after a third of it.
+	candidateRenewalDivisor = 3
+	// backoffLeaseDivisor: a backoff ends early when nobody has led for a fifth of a worker's lease
+	// (config.Lease), long before the workers would lose theirs.
+	backoffLeaseDivisor = 5
+)
+
+// leaderKeysLimit bounds the list of the leader keys, of which there are three at the most.
+const leaderKeysLimit = 10
+
+// candidateLeaseMaxAge is the age at which a candidate's lease is not renewed any more but replaced: by the
+// time the renewal arrived it might have expired.
+func candidateLeaseMaxAge(ttl time.Duration) time.Duration { return ttl * 2 / 3 }
+
+// stateCallTimeout is how long an election waits for an answer of the state service.
+func (e *election) stateCallTimeout() time.Duration {
+	return e.env.cfg.LeaderTTL() / stateCallTimeoutDivisor
+}
+
+// watchLeaderKeys campaigns when there is no leader, and keeps what is known of the leader keys current: it
+// lists them once and then watches them from the revision of the list.
 func (e *election) watchLeaderKeys() {
-	keys := &e.leaderKeys
-	if e.controller.leadership == nil && keys.known && keys.leader == nil && !e.backsOffElection() && e.mayCampaign() && e.supportsStoredVersion() {
+	if e.shouldCampaign() {
 		e.campaign()
 	}
-	if keys.inFlight || e.env.now < keys.nextAt || e.controller.leadership != nil || !e.outbox.stateRequests.Has(e.env.now, 1) {
+	if !e.mayReadLeaderKeys() {
 		return
 	}
-	keys.inFlight = true
-	gen := keys.generation
-	if !keys.known {
-		e.outbox.stateCall("GET", "/store?under="+keyPrefix+"&limit=10", nil, e.env.cfg.LeaderTTL()/2, func(r Result) {
-			if keys.generation != gen {
-				return
-			}
-			keys.inFlight = false
-			var items protocol.Items
-			if r.Status != 200 || protocol.Decode(r.Body, &items) != nil {
-				keys.nextAt = e.env.now + e.env.retryPause()
-				if !keys.listFailureLogged {
-					keys.listFailureLogged = true
-					e.env.log.Info("listing the leader keys failed", "addr", e.env.cfg.Services.State, "status", r.Status)
-				}
-				return
-			}
-			keys.known, keys.revision, keys.listFailureLogged = true, items.Revision, false
-			keys.clearKeys()
-			for _, it := range items.Items {
-				keys.applyKey(it.Key, it.Value, it.Version)
-			}
-			e.observeLeader()
-			e.watchLeaderKeys()
-		})
-		return
+	e.leaderKeys.inFlight = true
+	if e.leaderKeys.known {
+		e.followLeaderKeys()
+	} else {
+		e.listLeaderKeys()
 	}
-	block := 4 * e.env.cfg.LeaderTTL()
-	path := fmt.Sprintf("/follow?under=%s&after=%d&blockMs=%d", keyPrefix, keys.revision, block.Milliseconds())
-	e.outbox.stateCall("GET", path, nil, block+e.env.cfg.LeaderTTL(), func(r Result) {
-		if keys.generation != gen {
-			return
-		}
-		keys.inFlight = false
-		var events protocol.Events
-		if r.Status != 200 || protocol.Decode(r.Body, &events) != nil {
-			keys.known, keys.nextAt = false, e.env.now+e.env.retryPause()
+}
+
+// shouldCampaign reports whether there is no leader and it is this controller's turn to become one.
+func (e *election) shouldCampaign() bool {
+	return e.controller.leadership == nil && e.leaderKeys.known && e.leaderKeys.leader == nil &&
+		!e.backsOffElection() && e.mayCampaign() && e.supportsStoredVersion()
+}
+
+// mayReadLeaderKeys reports whether the keys can be listed or watched now. A leader does not watch them:
+// each of its writes has the leader key's version as a condition.
+func (e *election) mayReadLeaderKeys() bool {
+	keys := &e.leaderKeys
+	return !keys.inFlight && e.env.now >= keys.nextAt && e.controller.leadership == nil &&
+		e.outbox.stateRequests.Has(e.env.now, 1)
+}
+
+// listLeaderKeys requests all leader keys.
+func (e *election) listLeaderKeys() {
+	path := fmt.Sprintf("/store?under=%s&limit=%d", keyPrefix, leaderKeysLimit)
+	e.readLeaderKeys(path, e.stateCallTimeout(), e.onLeaderKeysListed)
+}
+
+// followLeaderKeys requests the changes of the leader keys after the revision that is known. The state
+// service answers at the first change, or without any after watchBlockLeases.
+func (e *election) followLeaderKeys() {
+	ttl := e.env.cfg.LeaderTTL()
+	block := watchBlockLeases * ttl
+	path := fmt.Sprintf("/follow?under=%s&after=%d&blockMs=%d", keyPrefix, e.leaderKeys.revision, block.Milliseconds())
+	e.readLeaderKeys(path, block+ttl, e.onLeaderKeysChanged)
+}
+
+// readLeaderKeys sends a request for the leader keys and passes its result on, unless the keys were refreshed
+// meanwhile: then a newer request replaces this one.
+func (e *election) readLeaderKeys(path string, timeout time.Duration, then func(Result)) {
+	generation := e.leaderKeys.generation
+	e.outbox.stateCall(http.MethodGet, path, nil, timeout, func(result Result) {
+		if e.leaderKeys.generation != generation {
 			return
 		}
-		keys.revision = events.Revision
-		for _, event := range events.Events {
-			if event.Delete != "" {
-				keys.applyKey(event.Delete, nil, 0)
-			} else {
-				keys.applyKey(event.Put, event.Value, event.Version)
-			}
-		}
-		e.observeLeader()
-		e.watchLeaderKeys()
+		e.leaderKeys.inFlight = false
+		then(result)
 	})
 }
 
-// campaign tries to become leader: a lease, then one transaction that raises
-// the counter and puts the leader key, if nobody did so meanwhile.
-func (e *election) campaign() {
-	if e.candidate == nil {
-		e.candidate = &candidate{}
+// onLeaderKeysListed replaces what is known of the leader keys by a list of them.
+func (e *election) onLeaderKeysListed(result Result) {
+	keys := &e.leaderKeys
+	var items protocol.Items
+	if !decodeStateReply(result, &items) {
+		keys.nextAt = e.env.now + e.env.retryPause()
+		e.logListFailure(result.Status)
+		return
 	}
-	candidate := e.candidate
-	if candidate.inFlight || e.env.now < candidate.nextAt || !e.outbox.stateRequests.Has(e.env.now, 1) {
+	keys.known, keys.revision, keys.listFailureLogged = true, items.Revision, false
+	keys.clearKeys()
+	for _, item := range items.Items {
+		keys.applyKey(item.Key, item.Value, item.Version)
+	}
+	e.observeLeader()
+	e.watchLeaderKeys()
+}
+
+// logListFailure logs the first failure in a row: an outage of the state service would fill the log.
+func (e *election) logListFailure(status int) {
+	if e.leaderKeys.listFailureLogged {
 		return
 	}
-	ttl := e.env.cfg.LeaderTTL()
-	if candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+ttl/2 {
+	e.leaderKeys.listFailureLogged = true
+	e.env.log.Info("listing the leader keys failed", "addr", e.env.cfg.Services.State, "status", status)
+}
+
+// onLeaderKeysChanged applies the changes that a watch returned. A watch that failed may have missed some, so
+// that the keys are listed again.
+func (e *election) onLeaderKeysChanged(result Result) {
+	keys := &e.leaderKeys
+	var events protocol.Events
+	if !decodeStateReply(result, &events) {
+		keys.known, keys.nextAt = false, e.env.now+e.env.retryPause()
+		return
+	}
+	keys.revision = events.Revision
+	for _, event := range events.Events {
+		if event.Delete != "" {
+			keys.applyKey(event.Delete, nil, 0)
+		} else {
+			keys.applyKey(event.Put, event.Value, event.Version)
+		}
+	}
+	e.observeLeader()
+	e.watchLeaderKeys()
+}
+
+// campaign attempts to become leader: it acquires a lease, then sends one transaction that raises the
+// counter and puts the leader key on condition that no other controller did so meanwhile.
+func (e *election) campaign() {
+	candidate := e.currentCandidate()
+	if !e.mayCall(candidate) {
+		return
+	}
+	maxAge := e.env.cfg.LeaderTTL() / campaignLeaseDivisor
+	if candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+maxAge {
 		e.acquireLease(candidate, func() {
 			if e.leaderKeys.known && e.leaderKeys.leader == nil && e.controller.leadership == nil {
 				e.campaign()
@@ -110,72 +188,99 @@
 		})
 		return
 	}
+	e.sendElection(candidate)
+}
+
+// currentCandidate is this controller's candidacy, begun if there is none.
+func (e *election) currentCandidate() *candidate {
+	if e.candidate == nil {
+		e.candidate = &candidate{}
+	}
+	return e.candidate
+}
+
+// mayCall reports whether the candidate may send its next request now.
+func (e *election) mayCall(candidate *candidate) bool {
+	return !candidate.inFlight && e.env.now >= candidate.nextAt && e.outbox.stateRequests.Has(e.env.now, 1)
+}
+
+// sendElection sends the transaction that makes the candidate the leader.
+func (e *election) sendElection(candidate *candidate) {
 	candidate.inFlight = true
-	keys := &e.leaderKeys
-	rec := leaderRecord{Label: e.env.cfg.Label, Incarnation: e.env.incarnation, Token: keys.counter + 1, LeaseID: candidate.leaseID}
-	txn := keys.electionTxn(&rec)
-	e.outbox.stateCall("POST", "/multi", txn, ttl/2, func(r Result) {
-		candidate.inFlight = false
-		if e.candidate != candidate || e.controller.leadership != nil {
-			// The watch told of our own key before this answer came: a process
-			// ended here by taking over twice.
-			return
-		}
-		var reply protocol.TxnReply
-		if r.Status == 200 && protocol.Decode(r.Body, &reply) == nil {
-			keys.noteElectionWon(&rec, reply.Revision)
-			e.controller.becomeLeader(&rec, reply.Revision)
-			return
-		}
-		candidate.nextAt = e.env.now + e.env.retryPause()
-		if r.Status == 400 {
-			candidate.leaseID = 0 // it ran out before the transaction came
-		}
-		// Lost races and lost answers alike: look at the keys again. The watch
-		// goes on, but a fresh list is needed before the next try.
-		keys.refresh(e.env.now)
+	record := &leaderRecord{
+		Label:       e.env.cfg.Label,
+		Incarnation: e.env.incarnation,
+		Token:       e.leaderKeys.counter + 1,
+		LeaseID:     candidate.leaseID,
+	}
+	txn := e.leaderKeys.electionTxn(record)
+	e.outbox.stateCall(http.MethodPost, "/multi", txn, e.stateCallTimeout(), func(result Result) {
+		e.onElectionResult(candidate, record, result)
 	})
 }
 
-// successorRank is this controller's place among those who may follow a leader.
+// onElectionResult begins the leadership if the transaction applied. A lost race and a lost answer are handled
+// alike: the watch would go on, but a fresh list is needed before the next attempt.
+func (e *election) onElectionResult(candidate *candidate, record *leaderRecord, result Result) {
+	candidate.inFlight = false
+	if e.candidate != candidate || e.controller.leadership != nil {
+		// The watch showed our own key before this answer came. Without this check a process once
+		// became leader twice and crashed.
+		return
+	}
+	var reply protocol.TxnReply
+	if decodeStateReply(result, &reply) {
+		e.leaderKeys.noteElectionWon(record, reply.Revision)
+		e.controller.becomeLeader(record, reply.Revision)
+		return
+	}
+	candidate.nextAt = e.env.now + e.env.retryPause()
+	if result.Status == http.StatusBadRequest {
+		candidate.leaseID = 0 // it expired before the transaction arrived
+	}
+	e.leaderKeys.refresh(e.env.now)
+}
+
+// successorRank is this controller's rank among those that may succeed a leader, 0 being the first.
 func (e *election) successorRank(former string) int {
 	return membership.Rank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.Successors(former))
 }
 
-// mayCampaign says whether it is this candidate's turn: the first by rank at once, the others one
-// after the other, as a rush of all costs the state service's requests and gains nothing.
+// mayCampaign reports whether it is this candidate's turn: the first by rank campaigns at once, the others one
+// after the other, as all of them at once would cost requests to the state service and gain nothing.
 func (e *election) mayCampaign() bool {
 	if !e.detection.enabled() {
 		return true
 	}
-	apart := e.env.cfg.LeaderTTL() / candidateSpacing
-	return e.env.now >= e.leaderKeys.leaderlessSince+time.Duration(e.successorRank(e.preparer.preparation.formerLeader))*apart
+	spacing := e.env.cfg.LeaderTTL() / candidateSpacingDivisor
+	rank := e.successorRank(e.preparer.preparation.formerLeader)
+	return e.env.now >= e.leaderKeys.leaderlessSince+time.Duration(rank)*spacing
 }
 
-// maintainCandidateLease has a lease at hand, so that an election is one transaction.
+// maintainCandidateLease keeps a lease ready, so that an election takes one transaction only.
 func (e *election) maintainCandidateLease() {
-	if e.candidate == nil {
-		e.candidate = &candidate{}
+	candidate := e.currentCandidate()
+	if !e.mayCall(candidate) {
+		return
 	}
-	candidate := e.candidate
 	ttl := e.env.cfg.LeaderTTL()
 	switch {
-	case candidate.inFlight || e.env.now < candidate.nextAt || !e.outbox.stateRequests.Has(e.env.now, 1):
-	case candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+ttl*2/3:
+	case candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+candidateLeaseMaxAge(ttl):
 		e.acquireLease(candidate, func() {})
-	case e.env.now > candidate.leaseAskedAt+ttl/3:
+	case e.env.now > candidate.leaseAskedAt+ttl/candidateRenewalDivisor:
 		e.renewCandidateLease(candidate)
 	}
 }
 
-// acquireLease asks for the candidate's lease.
+// acquireLease requests a lease for the candidate; then is called once it is there.
 func (e *election) acquireLease(candidate *candidate, then func()) {
 	candidate.inFlight = true
-	sent, ttl := e.env.now, e.env.cfg.LeaderTTL()
-	e.outbox.stateCall("POST", "/leases", protocol.LeaseRequest{TTLMillis: ttl.Milliseconds()}, ttl/2, func(r Result) {
+	sent := e.env.now
+	request := protocol.LeaseRequest{TTLMillis: e.env.cfg.LeaderTTL().Milliseconds()}
+	e.outbox.stateCall(http.MethodPost, "/leases", request, e.stateCallTimeout(), func(result Result) {
 		candidate.inFlight = false
 		var lease protocol.LeaseReply
-		if r.Status != 200 || protocol.Decode(r.Body, &lease) != nil {
+		if !decodeStateReply(result, &lease) {
 			candidate.nextAt = e.env.now + e.env.retryPause()
 			return
 		}
@@ -184,25 +289,26 @@
 	})
 }
 
-// renewCandidateLease renews the candidate's lease before an election.
+// renewCandidateLease renews the candidate's lease ahead of an election.
 func (e *election) renewCandidateLease(candidate *candidate) {
 	candidate.inFlight = true
-	sent, ttl := e.env.now, e.env.cfg.LeaderTTL()
-	e.outbox.stateCall("POST", fmt.Sprintf("/leases/%d/extend", candidate.leaseID), nil, ttl/2, func(r Result) {
+	sent := e.env.now
+	path := leaseRenewalPath(candidate.leaseID)
+	e.outbox.stateCall(http.MethodPost, path, nil, e.stateCallTimeout(), func(result Result) {
 		candidate.inFlight = false
-		switch r.Status {
-		case 200:
+		switch result.Status {
+		case http.StatusOK:
 			candidate.leaseAskedAt = sent
-		case 404:
-			candidate.leaseID = 0
+		case http.StatusNotFound:
+			candidate.leaseID = 0 // expired
 		default:
 			candidate.nextAt = e.env.now + e.env.retryPause()
 		}
 	})
 }
 
-// supportsStoredVersion says whether this version reads the records that are stored; one that does not
-// leaves the leadership to those that do.
+// supportsStoredVersion reports whether this version of the program can read the stored records. One that
+// can't leaves the leadership to the controllers that can.
 func (e *election) supportsStoredVersion() bool {
 	keys := &e.leaderKeys
 	if keys.record == nil || keys.record.storageVersion() <= newestStorageVersion {
@@ -216,44 +322,51 @@
 	return false
 }
 
-// observeLeader looks at who leads by the keys.
+// observeLeader evaluates the leader keys after a change: who leads, and whether that concerns this controller.
 func (e *election) observeLeader() {
 	keys := &e.leaderKeys
-	rec := keys.currentLeader()
-	if rec == nil {
+	record := keys.currentLeader()
+	if record == nil {
 		if keys.leader != nil || keys.leaderlessSince == 0 {
 			keys.leaderlessSince = e.env.now
 		}
 		keys.leader = nil
 		return
 	}
-	if keys.loggedToken != rec.Token {
-		// Once: a follower in a cut reads the keys anew every few seconds.
-		keys.loggedToken = rec.Token
-		e.env.log.Info("leader observed", "leader", rec.Label, "token", rec.Token)
+	if keys.loggedToken != record.Token {
+		// Logged once per token: a partitioned follower lists the keys again every few seconds.
+		keys.loggedToken = record.Token
+		e.env.log.Info("leader observed", "leader", record.Label, "token", record.Token)
 	}
-	keys.leader = rec
-	if e.controller.leadership != nil {
-		// A watch that was open when we won tells of ourselves, or of somebody
-		// who came after us.
-		if rec.Token > e.controller.leadership.lease.token {
-			e.controller.endLeadership(endLaterLeaderKey)
-		}
-		return
+	keys.leader = record
+	switch {
+	case e.controller.leadership != nil:
+		e.checkOwnLeadership(record)
+	case record.Label == e.env.cfg.Label:
+		e.onOwnLeaderRecord(record)
 	}
-	if rec.Label != e.env.cfg.Label {
-		return
+}
+
+// checkOwnLeadership ends this controller's leadership if the leader key is of a later one. A watch that was
+// open at the election shows this leadership's own key, or that of a successor.
+func (e *election) checkOwnLeadership(record *leaderRecord) {
+	if record.Token > e.controller.leadership.lease.token {
+		e.controller.endLeadership(endLaterLeaderKey)
 	}
-	if rec.Incarnation == e.env.incarnation && e.candidate != nil && rec.LeaseID == e.candidate.leaseID {
-		// Our own transaction, whose answer was lost, did apply.
-		e.controller.becomeLeader(rec, keys.recordVersion)
+}
+
+// onOwnLeaderRecord handles a leader key that names this controller although it does not lead: either the
+// election's transaction applied and its answer was lost, or the key is of an earlier process.
+func (e *election) onOwnLeaderRecord(record *leaderRecord) {
+	if record.Incarnation == e.env.incarnation && e.candidate != nil && record.LeaseID == e.candidate.leaseID {
+		e.controller.becomeLeader(record, e.leaderKeys.recordVersion)
 		return
 	}
-	e.revokeFormerLease(rec.LeaseID)
+	e.revokeFormerLease(record.LeaseID)
 }
 
-// revokeFormerLease ends the lease of an earlier process of ours, or of a transaction of ours that we
-// gave up. That is safe, as its writes are fenced.
+// revokeFormerLease revokes the lease of an earlier process of this controller, or of an election that was
+// abandoned, so that nobody has to wait for its expiry. That is safe, as the writes under it are fenced.
 func (e *election) revokeFormerLease(lease uint64) {
 	keys := &e.leaderKeys
 	if keys.revokedLease == lease {
@@ -261,15 +374,29 @@
 	}
 	keys.revokedLease = lease
 	e.env.log.Info("revoking the lease of an earlier incarnation", "lease", lease)
-	e.outbox.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, e.env.cfg.LeaderTTL()/2, func(res Result) {
-		if res.Status == 0 || res.Status >= 429 {
+	e.outbox.stateCall(http.MethodDelete, leasePath(lease), nil, e.stateCallTimeout(), func(result Result) {
+		// No answer (0), throttled, or a fault of the service: the lease may still be there.
+		if result.Status == 0 || result.Status >= http.StatusTooManyRequests {
 			keys.revokedLease = 0
 			keys.refresh(e.env.now + e.env.retryPause())
 		}
 	})
 }
 
-// backsOffElection says whether this controller leaves the leadership to others.
+// backsOffElection reports whether this controller leaves the leadership to others.
 func (e *election) backsOffElection() bool {
-	return e.env.now < e.electionBackoffUntil && e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.Lease()/5
+	return e.env.now < e.electionBackoffUntil &&
+		e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.Lease()/backoffLeaseDivisor
+}
+
+// leasePath is the state service's path of a lease.
+func leasePath(lease uint64) string { return fmt.Sprintf("/leases/%d", lease) }
+
+// leaseRenewalPath is the state service's path that renews a lease.
+func leaseRenewalPath(lease uint64) string { return leasePath(lease) + "/extend" }
+
+// decodeStateReply decodes the body of an answer of the state service. It returns false if there was no
+// answer, its status is not 200 or its body can't be decoded; reply may then be partly filled.
+func decodeStateReply(result Result, reply any) bool {
+	return result.Status == http.StatusOK && protocol.Decode(result.Body, reply) == nil
 }
--- a/internal/controller/failover_preparation.go
+++ b/internal/controller/failover_preparation.go
@@ -1,19 +1,21 @@
 package controller
 
 import (
+	"net/http"
 	"time"
 
 	"claybarrow/internal/membership"
 	"claybarrow/internal/protocol"
 )
 
-// A follower that suspects the leader prepares to succeed it: it takes a lease and reads the
-// records ahead. It campaigns only once the state service no longer has the leader's key, which
-// nobody's suspicion brings about. What it read ahead is checked after the election against
-// all that has changed since, so that the former leader's last writes are never missed.
-
 // failoverPreparer prepares a follower to succeed a suspected leader: it acquires a lease and preloads the
 // stored records ahead of the election.
+//
+// The follower campaigns only once the state service no longer has the leader's key; no controller's suspicion
+// brings that about. What was preloaded is checked after the election against all that has changed since, so
+// that the former leader's last writes are never missed.
+//
+// It owns the preparation. At a failover the new leadership takes the preloaded records; the rest is dropped.
 type failoverPreparer struct {
 	controller *Controller
 	detection  *failureDetection
@@ -24,48 +26,48 @@
 	preparation failoverPreparation
 }
 
-// failoverPreparation is what a follower does ahead of an election.
+// failoverPreparation is what a follower has prepared ahead of an election.
 type failoverPreparation struct {
-	suspectedAt  time.Duration // when the leader was; 0: it is not
-	formerLeader string        // who led last
+	suspectedAt  time.Duration // when the leader was suspected; 0: it is not
+	formerLeader string        // the label of the last leader
 	preload      *recordPreload
 }
 
-// Ratios of the succession.
+// Limits of the preparation and the succession.
 const (
-	// candidateSpacing of the leader's lease lie between two candidates' campaigns.
-	candidateSpacing = 10
-	// preparingCandidates is how many candidates prepare: the first, and one more should it be gone too.
+	// candidateSpacingDivisor: a tenth of the leader's lease passes between the campaigns of two candidates.
+	candidateSpacingDivisor = 10
+	// preparingCandidates is how many candidates prepare: the first by rank, and one more in case the first
+	// has failed too.
 	preparingCandidates = 2
-	// preloadMemoryShare is the part of the memory that records read ahead may take, counted as
-	// they came.
-	preloadMemoryShare = 16
-	// preloadReserve of the burst of requests is left to others while records are read ahead.
+	// preloadMemoryDivisor bounds the preloaded records to a sixteenth of the memory, counted as encoded.
+	preloadMemoryDivisor = 16
+	// preloadReserve is the fraction of the burst of requests that preloading leaves to others.
 	preloadReserve = 0.5
+	// bytesPerMB converts the configured memory.
+	bytesPerMB = 1 << 20
 )
 
 // prepareFailover prepares while the leader is suspected, and drops what was prepared once it is not.
 func (p *failoverPreparer) prepareFailover() {
-	s := &p.preparation
 	if !p.detection.enabled() || p.controller.leadership != nil {
 		return
 	}
-	if p.election.leaderKeys.leader != nil {
-		s.formerLeader = p.election.leaderKeys.leader.Label
-	}
 	leader := p.election.leaderKeys.leader
 	if leader == nil {
-		return // the election is on
+		return // the election is under way
 	}
-	if leader.Label == p.env.cfg.Label || p.detection.peerState(leader.Label) == membership.Alive || p.election.backsOffElection() {
-		s.suspectedAt, s.preload = 0, nil
+	preparation := &p.preparation
+	preparation.formerLeader = leader.Label
+	if !p.suspectsLeader(leader.Label) {
+		preparation.suspectedAt, preparation.preload = 0, nil
 		return
 	}
 	if !p.election.leaderKeys.known {
-		return // what was prepared stays: the keys are looked at anew now and then
+		return // the preparation is kept: the keys are listed again now and then
 	}
-	if s.suspectedAt == 0 {
-		s.suspectedAt = p.env.now
+	if preparation.suspectedAt == 0 {
+		preparation.suspectedAt = p.env.now
 	}
 	if p.election.successorRank(leader.Label) < preparingCandidates {
 		p.election.maintainCandidateLease()
@@ -73,44 +75,73 @@
 	}
 }
 
-// preloadNextPage reads the next page, where the budget allows.
+// suspectsLeader reports whether another controller leads that may have failed, and this controller does not
+// leave its succession to others.
+func (p *failoverPreparer) suspectsLeader(label string) bool {
+	return label != p.env.cfg.Label && p.detection.peerState(label) != membership.Alive && !p.election.backsOffElection()
+}
+
+// preloadNextPage requests the next page of the records of the leader with a token, if the budget of requests
+// allows.
 func (p *failoverPreparer) preloadNextPage(token uint64) {
-	s := &p.preparation
-	if s.preload == nil || s.preload.token != token {
-		order := loadOrder(p.election.leaderKeys.record.storageVersion())
-		s.preload = &recordPreload{token: token, order: order, prefixes: make([]preloadedPrefix, 1, len(order))}
-	}
-	a := s.preload
-	if a.finished || a.inFlight || !p.outbox.stateRequests.Has(p.env.now, 1+preloadReserve*p.outbox.stateRequests.Burst()) {
+	preload := p.preloadOf(token)
+	requests := &p.outbox.stateRequests
+	if preload.finished || preload.inFlight || !requests.Has(p.env.now, 1+preloadReserve*requests.Burst()) {
 		return
 	}
-	a.inFlight = true
-	prefix := a.order[len(a.prefixes)-1]
-	p.outbox.stateCall("GET", listPath(prefix, a.after), nil, p.env.cfg.LeaderTTL(), func(res Result) {
-		a.inFlight = false
-		if s.preload != a || a.finished {
-			return
-		}
-		var items protocol.Items
-		if res.Status != 200 || protocol.Decode(res.Body, &items) != nil {
-			a.finished = true
-			return
-		}
-		a.bytes += len(res.Body)
-		a.addPage(items)
-		if a.bytes > int(p.env.cfg.Cluster.Resources.MemMB*(1<<20))/preloadMemoryShare {
-			a.finished = true
-		}
-		if p.election.leaderKeys.leader != nil && p.controller.leadership == nil {
-			p.preloadNextPage(token)
-		}
+	preload.inFlight = true
+	path := listPath(preload.currentPrefix(), preload.after)
+	p.outbox.stateCall(http.MethodGet, path, nil, p.env.cfg.LeaderTTL(), func(result Result) {
+		p.onPagePreloaded(preload, result)
 	})
 }
 
-// beginFailover begins to note what becomes of a take-over.
+// preloadOf is the preload of the records of the leader with a token, begun if there is none.
+func (p *failoverPreparer) preloadOf(token uint64) *recordPreload {
+	preparation := &p.preparation
+	if preparation.preload == nil || preparation.preload.token != token {
+		preparation.preload = newRecordPreload(token, loadOrder(p.election.leaderKeys.record.storageVersion()))
+	}
+	return preparation.preload
+}
+
+// onPagePreloaded adds a page and requests the next. An unusable answer ends the preload: the records that it
+// lacks are read after the election.
+func (p *failoverPreparer) onPagePreloaded(preload *recordPreload, result Result) {
+	preload.inFlight = false
+	if p.preparation.preload != preload || preload.finished {
+		return
+	}
+	var items protocol.Items
+	if !decodeStateReply(result, &items) {
+		preload.finished = true
+		return
+	}
+	preload.bytes += len(result.Body)
+	preload.addPage(items)
+	if preload.bytes > p.preloadLimitBytes() {
+		preload.finished = true
+	}
+	if p.election.leaderKeys.leader != nil && p.controller.leadership == nil {
+		p.preloadNextPage(preload.token)
+	}
+}
+
+// preloadLimitBytes is how many bytes of encoded records may be preloaded.
+func (p *failoverPreparer) preloadLimitBytes() int {
+	return int(p.env.cfg.Cluster.Resources.MemMB*bytesPerMB) / preloadMemoryDivisor
+}
+
+// beginFailover begins the trace of the failover to this controller, and resets the preparation.
 func (p *failoverPreparer) beginFailover(token uint64) *Failover {
-	s := &p.preparation
-	h := &Failover{Token: token, Former: s.formerLeader, Suspected: s.suspectedAt, LeaderKeyGone: p.election.leaderKeys.leaderlessSince, Elected: p.env.now}
-	s.suspectedAt, s.formerLeader = 0, p.env.cfg.Label
-	return h
+	preparation := &p.preparation
+	failover := &Failover{
+		Token:         token,
+		Former:        preparation.formerLeader,
+		Suspected:     preparation.suspectedAt,
+		LeaderKeyGone: p.election.leaderKeys.leaderlessSince,
+		Elected:       p.env.now,
+	}
+	preparation.suspectedAt, preparation.formerLeader = 0, p.env.cfg.Label
+	return failover
 }
--- a/internal/controller/failover_trace.go
+++ b/internal/controller/failover_trace.go
@@ -2,47 +2,49 @@
 
 import "claybarrow/internal/clusterstate"
 
-// failoverTrace notes the steps of a failover until the first placement, for the log and the observer.
+// failoverTrace records the steps of the failover to this leadership until its first placement, for the log
+// and the observer.
+//
+// It owns that record. Each leadership has a trace of its own.
 type failoverTrace struct {
 	env    *environment
 	loader *stateLoader
 	state  *clusterstate.State
 
-	// failover is what is noted of the take-over until its end, ahead the records that were read
-	// before the election.
+	// failover is the record; nil once it is finished.
 	failover *Failover
 }
 
-// noteStateLoaded notes that the records are read.
+// noteStateLoaded notes that all records are loaded, and releases the preloaded ones.
 func (t *failoverTrace) noteStateLoaded() {
-	h := t.failover
-	h.Loaded, h.Jobs, h.Machines = t.env.now, len(t.state.Jobs), len(t.state.Machines)
+	failover := t.failover
+	failover.Loaded, failover.Jobs, failover.Machines = t.env.now, len(t.state.Jobs), len(t.state.Machines)
 	t.loader.preload = nil
 }
 
-// noteFirstPlacement notes the first start of the term, which ends the handover.
+// noteFirstPlacement notes the first start of a task by this leadership, which finishes the failover.
 func (t *failoverTrace) noteFirstPlacement() {
-	if h := t.failover; h != nil && h.FirstPlacement == 0 {
-		h.FirstPlacement = t.env.now
+	if failover := t.failover; failover != nil && failover.FirstPlacement == 0 {
+		failover.FirstPlacement = t.env.now
 		t.finishFailover()
 	}
 }
 
-// finishFailover tells of it once.
+// expireFailover finishes the failover without a placement when there was none for a worker's lease.
+func (t *failoverTrace) expireFailover() {
+	if failover := t.failover; failover != nil && failover.Loaded > 0 && t.env.now > failover.Loaded+t.env.cfg.Lease() {
+		t.finishFailover()
+	}
+}
+
+// finishFailover logs the failover and hands it to the observer, once.
 func (t *failoverTrace) finishFailover() {
-	h := t.failover
-	args := []any{"token", h.Token, "former_leader", h.Former, "preloaded", h.Preloaded}
-	for _, step := range h.Steps() {
+	failover := t.failover
+	args := []any{"token", failover.Token, "former_leader", failover.Former, "preloaded", failover.Preloaded}
+	for _, step := range failover.Steps() {
 		args = append(args, step.Name+"_s", (step.To - step.From).Seconds())
 	}
 	t.env.log.Info("failover finished", args...)
-	t.env.observer.FailedOver(*h)
+	t.env.observer.FailedOver(*failover)
 	t.failover = nil
 }
-
-// expireFailover gives up waiting for a first placement.
-func (t *failoverTrace) expireFailover() {
-	if h := t.failover; h != nil && h.Loaded > 0 && t.env.now > h.Loaded+t.env.cfg.Lease() {
-		t.finishFailover()
-	}
-}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -10,16 +10,18 @@
 	"claybarrow/internal/statestore"
 )
 
-// leadership is all that a leader knows and does from its election to its end. It
-// is dropped whole: nothing of it outlives the leadership.
+// leadership is all that a leader knows and does from its election to its end, as a composition of components
+// that each own a part of it (wire connects them). It is dropped whole when it ends: a successor loads the
+// stored records and learns the rest from the workers' heartbeats.
 type leadership struct {
 	controller *Controller
-	// store are written to the state service, each under the leader key's version.
+	// store writes the records to the state service, each on condition of the leader key's version.
 	store *statestore.Writer
+	// state is the cluster state: jobs, machines, attempts and quotas.
 	state *clusterstate.State
-	// peers are the other controllers, partitioned the zones that are cut off.
+	// peers are the other controllers, by label.
 	peers map[string]*peer
-	// pool deals with the cloud; what it says of shortages and late boots is logged once.
+	// pool launches and deletes machines in the cloud.
 	pool           *machinepool.Pool
 	lease          *leaderLease
 	timers         *timerQueue
@@ -49,16 +51,18 @@
 	cache          *schedulerCache
 }
 
-// newLeadership makes the leadership that an election has won: version is that of the leader key,
-// confirmed when the lease was asked for.
+// newLeadership makes the leadership of the election that stored a leader record. version is the version of
+// the leader key, confirmed when the lease was asked for.
 func newLeadership(c *Controller, elected *leaderRecord, version uint64, confirmed time.Duration) *leadership {
 	cfg, now := c.env.cfg, c.env.now
 	l := &leadership{
 		controller: c,
 		state:      newClusterState(cfg),
 		peers:      map[string]*peer{},
-		lease: &leaderLease{token: elected.Token, leaseID: elected.LeaseID, electedAt: now, leaseConfirmedAt: confirmed,
-			renewLeaseAt: now + cfg.LeaderTTL()/8},
+		lease: &leaderLease{
+			token: elected.Token, leaseID: elected.LeaseID, electedAt: now, leaseConfirmedAt: confirmed,
+			renewLeaseAt: now + cfg.LeaderTTL()/firstRenewalDivisor,
+		},
 		timers:         &timerQueue{},
 		loader:         &stateLoader{},
 		trace:          &failoverTrace{failover: &Failover{Token: elected.Token, Elected: now}},
@@ -87,6 +91,12 @@
 	for _, sibling := range cfg.Siblings {
 		l.peers[sibling.Label] = &peer{zone: sibling.Zone}
 	}
+	l.connect(version)
+	return l
+}
+
+// connect makes the components that need others at once, in the order of their needs, and then wires all.
+func (l *leadership) connect(version uint64) {
 	l.gating.lease = l.lease
 	l.store = l.newStore(version)
 	l.gating.gate = l.newGate()
@@ -94,10 +104,9 @@
 	l.pool = l.newPool()
 	l.wire()
 	l.cache.rebuild()
-	return l
 }
 
-// newClusterState makes an empty cluster state with the teams' quotas.
+// newClusterState returns an empty cluster state with the quotas of the teams.
 func newClusterState(cfg *config.Config) *clusterstate.State {
 	state := clusterstate.New(cfg.LayoutBytes(), cfg.ValueBytes())
 	for _, team := range cfg.Cluster.Teams {
@@ -108,15 +117,17 @@
 	return state
 }
 
+// seconds converts a number of seconds.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// tick does what is due at a time. Each step leaves early what can wait for the next tick.
 func (l *leadership) tick() {
 	l.lease.renewLeaderLease()
 	if l.lease.ended {
 		return
 	}
 	l.timers.runDue(l.controller.env.now)
-	if !l.loader.ready || l.lease.verifiesLease() {
+	if !l.mayAct() {
 		return
 	}
 	l.health.watchMachines()
@@ -132,20 +143,24 @@
 	l.placement.runScheduling()
 }
 
-// afterEvent runs after every message: what piled up leaves.
+// mayAct reports whether the leader may take decisions: the cluster state is loaded, and no process pause has
+// put its lease in doubt.
+func (l *leadership) mayAct() bool { return l.loader.ready && !l.lease.verifiesLease() }
+
+// afterEvent runs after each event and sends what it has caused to be written.
 func (l *leadership) afterEvent() {
-	if l.lease.ended || !l.loader.ready || l.lease.verifiesLease() {
+	if l.lease.ended || !l.mayAct() {
 		return
 	}
-	// What is decided while a transaction is under way could only leave with the
-	// next one: a burst of arrivals is filled at once, not one by one.
+	// While a transaction is in flight, new decisions could only go out with the next one. So placement
+	// waits for it: a burst of submissions is placed in one round, not job by job.
 	if l.placement.fillPending && !l.store.Busy() {
 		l.placement.runFill()
 	}
 	l.flush()
 }
 
-// flush sends what is to be written, as long as nobody else can have become leader.
+// flush sends pending writes while no other controller can have become leader.
 func (l *leadership) flush() {
 	if l.loader.ready && l.lease.holdsLease() {
 		l.store.Flush()
--- a/internal/controller/record_preload.go
+++ b/internal/controller/record_preload.go
@@ -6,44 +6,54 @@
 	"claybarrow/internal/protocol"
 )
 
-// recordPreload is the records of a leader that is suspected, as they were at some revision.
+// recordPreload is the stored records of a suspected leader, read page by page ahead of the election. They are
+// as they were at some revision each.
 type recordPreload struct {
-	token uint64 // of that leader
-	// order are the prefixes to be read, steps what was read of the first of them.
+	token uint64 // of the suspected leader
+	// order is the prefixes to be read, prefixes what was read of the first of them; the last of prefixes is
+	// being read.
 	order    []string
 	prefixes []preloadedPrefix
-	after    string
-	bytes    int
-	inFlight bool
-	finished bool // all is read, or it was given up
+	after    string // the key after which the next page begins; "": the prefix's first page
+	bytes    int    // encoded size of all pages
+	inFlight bool   // a page was requested
+	finished bool   // all prefixes are read, or the preload was abandoned
 }
 
 // preloadedPrefix is the records under one prefix.
 type preloadedPrefix struct {
 	items []protocol.Item
-	// revision is that of the first page: what has changed after it is asked for.
+	// revision is that of the first page: catchUp needs the changes after it.
 	revision uint64
 	complete bool
 }
 
-// recordsPerPage is how many records a page has. A prefix with fewer is read after the election:
-// that takes one request, as to ask what has changed does.
+// recordsPerPage is how many records the state service returns in one page. A prefix with fewer is not kept:
+// to read it after the election takes one request, as many as to ask what has changed.
 const recordsPerPage = 1000
 
-// addPage adds a page.
-func (p *recordPreload) addPage(items protocol.Items) {
-	step := &p.prefixes[len(p.prefixes)-1]
+// newRecordPreload begins a preload of the records of the leader with a token.
+func newRecordPreload(token uint64, order []string) *recordPreload {
+	return &recordPreload{token: token, order: order, prefixes: make([]preloadedPrefix, 1, len(order))}
+}
+
+// currentPrefix is the prefix that is being read.
+func (p *recordPreload) currentPrefix() string { return p.order[len(p.prefixes)-1] }
+
+// addPage adds a page of the current prefix. After its last page the next prefix is begun.
+func (p *recordPreload) addPage(page protocol.Items) {
+	current := &p.prefixes[len(p.prefixes)-1]
 	if p.after == "" {
-		step.revision = items.Revision
+		current.revision = page.Revision
 	}
-	step.items = append(step.items, items.Items...)
-	if items.More && len(items.Items) > 0 {
-		p.after = items.Items[len(items.Items)-1].Key
+	current.items = append(current.items, page.Items...)
+	if page.More && len(page.Items) > 0 {
+		p.after = page.Items[len(page.Items)-1].Key
 		return
 	}
-	step.complete = true
-	if len(step.items) < recordsPerPage {
-		step.items, step.complete = nil, false
+	current.complete = true
+	if len(current.items) < recordsPerPage {
+		current.items, current.complete = nil, false
 	}
 	if len(p.prefixes) == len(p.order) {
 		p.finished = true
@@ -53,7 +63,8 @@
 	p.prefixes = append(p.prefixes, preloadedPrefix{})
 }
 
-// recordsUnder returns what was read ahead under a prefix; nil: it has to be read whole.
+// recordsUnder returns what was preloaded under a prefix, or nil if it has to be read whole. The preload may be
+// nil: there was none.
 func (p *recordPreload) recordsUnder(prefix string) *preloadedPrefix {
 	if p == nil {
 		return nil
@@ -65,17 +76,18 @@
 	return &p.prefixes[number]
 }
 
-// catchUp brings records that were read ahead to what the state service has now.
+// catchUp applies the changes since the preload and returns the records as the state service has them now, in
+// the order of their keys.
 func (p *preloadedPrefix) catchUp(events []protocol.Event) []protocol.Item {
 	current := make(map[string]protocol.Item, len(p.items))
-	for _, it := range p.items {
-		current[it.Key] = it
+	for _, item := range p.items {
+		current[item.Key] = item
 	}
-	for _, e := range events {
-		if e.Delete != "" {
-			delete(current, e.Delete)
+	for _, event := range events {
+		if event.Delete != "" {
+			delete(current, event.Delete)
 		} else {
-			current[e.Put] = protocol.Item{Key: e.Put, Value: e.Value, Version: e.Version}
+			current[event.Put] = protocol.Item{Key: event.Put, Value: event.Value, Version: event.Version}
 		}
 	}
 	out := make([]protocol.Item, 0, len(current))
