--- a/internal/controller/fleet_summary.go
+++ b/internal/controller/fleet_summary.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"strconv"
 
 	"claybarrow/internal/clusterstate"
@@ -8,7 +9,8 @@
 	"claybarrow/internal/statestore"
 )
 
-// fleetSummary logs the state of the fleet now and then, for those who follow an incident.
+// fleetSummary logs the state of the fleet now and then, for those who follow an incident. It owns no state
+// but resets the store's latency histogram with each summary.
 type fleetSummary struct {
 	env   *environment
 	pool  *machinepool.Pool
@@ -16,64 +18,115 @@
 	store *statestore.Writer
 }
 
-// logFleetSummary logs how the fleet stands, for those who follow an incident.
+// loggedQuantile is the quantile of the transactions' latency that is logged, in percent.
+const loggedQuantile = 99
+
+// logFleetSummary logs machines by what they do, jobs by class, load by machine type and use by team.
 func (f *fleetSummary) logFleetSummary() {
-	up, booting, idle := 0, 0, 0
+	latency := f.store.Took()
+	machines := f.countMachines()
+	args := []any{"transactions", latency.TotalCount(), "transaction_p99_ms", latency.ValueAtQuantile(loggedQuantile),
+		"jobs", len(f.state.Jobs), "busy", machines.busy, "idle", machines.idle, "booting", machines.booting, "launching", len(f.pool.Launching())}
+	args = append(args, f.classAttributes()...)
+	args = append(args, f.loadAttributes()...)
+	args = append(args, f.quotaAttributes()...)
+	f.env.log.Info("fleet summary", args...)
+	latency.Reset()
+}
+
+// machineCounts counts the machines that are kept by what they do.
+type machineCounts struct{ busy, idle, booting int }
+
+func (f *fleetSummary) countMachines() machineCounts {
+	var counts machineCounts
 	for _, m := range f.state.Machines {
 		switch {
 		case m.Releasing:
 		case !m.Up:
-			booting++
+			counts.booting++
 		case len(m.Attempts) == 0:
-			idle++
+			counts.idle++
 		default:
-			up++
+			counts.busy++
+		}
+	}
+	return counts
+}
+
+// classAttributes are the log attributes of the jobs: by class the tasks with an attempt, then those without.
+func (f *fleetSummary) classAttributes() []any {
+	waiting, active := map[string]int{}, map[string]int{}
+	for _, j := range f.state.Jobs {
+		if j.Stored && !j.Cancelling {
+			waiting[j.Spec.Class] += j.Spec.Tasks - j.Done - j.ActiveAttempts
+			active[j.Spec.Class] += j.ActiveAttempts
 		}
 	}
-	// By type and kind: machines that are up, and how much of them is used.
-	type load struct {
-		n    int
-		used float64
+	var args []any
+	for _, class := range sortedKeys(waiting) {
+		args = append(args, class, fmt.Sprintf("%d+%d", active[class], waiting[class]))
 	}
-	kinds := map[string]*load{}
+	return args
+}
+
+// typeLoad is the load of the machines of one type: how many are up, and how many of them are in use, counted
+// in fractions of a machine.
+type typeLoad struct {
+	machines int
+	used     float64
+}
+
+// loadAttributes are the log attributes of the load by machine type, spot machines apart.
+func (f *fleetSummary) loadAttributes() []any {
+	loads := map[string]*typeLoad{}
 	for _, m := range f.state.Machines {
 		if !m.Up || m.Releasing {
 			continue
 		}
-		name := m.Type
-		if m.Spot {
-			name += "/spot"
-		}
-		if kinds[name] == nil {
-			kinds[name] = &load{}
-		}
-		kinds[name].n++
-		if m.Size.Accel > 0 {
-			kinds[name].used += m.Used.Accel / m.Size.Accel
-		} else if m.Size.Cores > 0 {
-			kinds[name].used += m.Used.Cores / m.Size.Cores
+		name := machineTypeLabel(m)
+		if loads[name] == nil {
+			loads[name] = &typeLoad{}
 		}
+		loads[name].machines++
+		loads[name].used += usedFraction(m)
 	}
-	waiting, held := map[string]int{}, map[string]int{}
-	for _, j := range f.state.Jobs {
-		if j.Stored && !j.Cancelling {
-			waiting[j.Spec.Class] += j.Spec.Tasks - j.Done - j.ActiveAttempts
-			held[j.Spec.Class] += j.ActiveAttempts
-		}
+	var args []any
+	for _, name := range sortedKeys(loads) {
+		load := loads[name]
+		args = append(args, name, strconv.FormatFloat(load.used, 'f', 1, 64)+"/"+strconv.Itoa(load.machines))
 	}
-	args := []any{"transactions", f.store.Took().TotalCount(), "transaction_p99_ms", f.store.Took().ValueAtQuantile(99), "jobs", len(f.state.Jobs), "busy", up, "idle", idle, "booting", booting, "launching", len(f.pool.Launching())}
-	for _, class := range sortedKeys(waiting) {
-		args = append(args, class, strconv.Itoa(held[class])+"+"+strconv.Itoa(waiting[class]))
+	return args
+}
+
+// machineTypeLabel names a machine's type in the log.
+func machineTypeLabel(m *clusterstate.Machine) string {
+	if m.Spot {
+		return m.Type + "/spot"
 	}
-	for _, name := range sortedKeys(kinds) {
-		args = append(args, name, strconv.FormatFloat(kinds[name].used, 'f', 1, 64)+"/"+strconv.Itoa(kinds[name].n))
+	return m.Type
+}
+
+// usedFraction is the fraction of a machine that is in use: of its accelerators if it has any, else of its
+// cores.
+func usedFraction(m *clusterstate.Machine) float64 {
+	switch {
+	case m.Size.Accel > 0:
+		return m.Used.Accel / m.Size.Accel
+	case m.Size.Cores > 0:
+		return m.Used.Cores / m.Size.Cores
+	default:
+		return 0 // its type is not known
 	}
-	for _, name := range sortedKeys(f.state.Quotas) {
-		t := f.state.Quotas[name]
-		if t.Used.Cores > 0 {
-			args = append(args, name, strconv.FormatFloat(t.Used.Cores, 'f', 0, 64)+"c/"+strconv.FormatFloat(t.Used.Accel, 'f', 0, 64)+"a")
+}
+
+// quotaAttributes are the log attributes of the teams that use cores: cores and accelerators.
+func (f *fleetSummary) quotaAttributes() []any {
+	var args []any
+	for _, team := range sortedKeys(f.state.Quotas) {
+		used := f.state.Quotas[team].Used
+		if used.Cores > 0 {
+			args = append(args, team, strconv.FormatFloat(used.Cores, 'f', 0, 64)+"c/"+strconv.FormatFloat(used.Accel, 'f', 0, 64)+"a")
 		}
 	}
-	f.env.log.Info("fleet summary", args...)
-	f.store.Took().Reset()
+	return args
 }
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"net/url"
 	"strings"
 
@@ -13,8 +14,10 @@
 	"claybarrow/internal/statestore"
 )
 
-// stateLoader reads all stored records after the election was won: whatever earlier leaders wrote is there
-// by then, and nothing of theirs can be added any more.
+// stateLoader reads all stored records after the election was won: whatever earlier leaders wrote is stored by
+// then, and they can write nothing more, as their writes are fenced.
+//
+// It owns the progress of the loading. Each leadership loads anew, apart from what was preloaded.
 type stateLoader struct {
 	attempts    *attemptTracker
 	completions *completionRecorder
@@ -32,176 +35,229 @@
 	trace       *failoverTrace
 	views       *schedulerViews
 
-	ready   bool // the ledger is read
-	preload *recordPreload
-	// loadCapacity is the capacity while counters are loaded, see loadedCapacity.
+	ready   bool           // all records are loaded
+	preload *recordPreload // what was read ahead of the election; nil: nothing
+	// loadCapacity is the fleet's capacity while the counters are loaded (see loadedCapacity).
 	loadCapacity *scheduler.Need
-	// orphanedCompletions are records of completions whose job is over: an earlier leader, or a
-	// version that does not know them, has left them.
+	// orphanedCompletions are the keys of completion records whose job is over. An earlier leader has left
+	// them, or a version of the program that does not know them.
 	orphanedCompletions []string
 }
 
-// loadState reads the whole ledger after the election was won: whatever earlier leaders
-// wrote is there by now, and nothing of theirs can be added any more.
+// recordKind is the stored records under one prefix and how they are loaded.
+type recordKind struct {
+	prefix string
+	// since is the storage version from which on such records exist.
+	since featuregate.StorageVersion
+	load  func(*stateLoader, protocol.Item) error
+}
+
+// recordKinds are the kinds of a leader's records in the order in which they are loaded. Completions refer to
+// jobs, machines to jobs and their completions. The completion journal changes what jobs and machines hold;
+// it exists only while the feature gate is not closed. The counters need the capacity of the machines.
+var recordKinds = []recordKind{
+	{prefix: clusterstate.JobPrefix, load: decoded((*stateLoader).applyJob)},
+	{prefix: clusterstate.CompletionPrefix, load: decoded((*stateLoader).applyCompletions)},
+	{prefix: clusterstate.CompletionPartPrefix, load: decoded((*stateLoader).applyCompletions)},
+	{prefix: clusterstate.MachinePrefix, load: decoded((*stateLoader).applyMachine)},
+	{prefix: completionjournal.Prefix, since: completionJournalVersion, load: (*stateLoader).applyJournal},
+	{prefix: clusterstate.CounterPrefix, load: decoded((*stateLoader).applyCounters)},
+}
+
+// decoded makes the loader of a kind from a function that applies a decoded record.
+func decoded[Record any](apply func(s *stateLoader, key string, record Record) error) func(*stateLoader, protocol.Item) error {
+	return func(s *stateLoader, item protocol.Item) error {
+		var record Record
+		if err := protocol.Decode(item.Value, &record); err != nil {
+			return err
+		}
+		return apply(s, item.Key, record)
+	}
+}
+
+// loadOrder returns the prefixes of a leader's records in the order in which they are loaded, for records of a
+// storage version.
+func loadOrder(version featuregate.StorageVersion) []string {
+	var order []string
+	for _, kind := range recordKinds {
+		if version >= kind.since {
+			order = append(order, kind.prefix)
+		}
+	}
+	return order
+}
+
+// loadState loads all stored records, and begins the leader's work after the last.
 func (s *stateLoader) loadState() {
 	s.loadPage(0, "")
 }
 
+// loadPage loads the page of records after a key, and then all pages that follow. step counts the prefixes of
+// loadOrder.
 func (s *stateLoader) loadPage(step int, after string) {
 	order := loadOrder(s.gating.storedRecord.storageVersion())
 	if step == len(order) {
 		s.onStateLoaded()
 		return
 	}
-	if ahead := s.preload.recordsUnder(order[step]); ahead != nil && after == "" {
-		s.loadPreloaded(step, order[step], ahead)
+	prefix := order[step]
+	if preloaded := s.preload.recordsUnder(prefix); preloaded != nil && after == "" {
+		s.requestChanges(step, prefix, preloaded)
 		return
 	}
-	s.outbox.stateCall("GET", listPath(order[step], after), nil, s.env.cfg.LeaderTTL(), func(res Result) {
-		if s.lease.ended {
-			return
-		}
-		var items protocol.Items
-		if res.Status != 200 || protocol.Decode(res.Body, &items) != nil {
-			s.timers.runAt(s.env.now+s.env.retryPause(), func() { s.loadPage(step, after) })
-			return
-		}
-		s.loadRecords(items.Items)
-		if items.More && len(items.Items) > 0 {
-			s.loadPage(step, items.Items[len(items.Items)-1].Key)
-			return
+	s.requestPage(step, prefix, after)
+}
+
+// requestPage requests the page of records after a key.
+func (s *stateLoader) requestPage(step int, prefix, after string) {
+	s.outbox.stateCall(http.MethodGet, listPath(prefix, after), nil, s.env.cfg.LeaderTTL(), func(result Result) {
+		if !s.lease.ended {
+			s.onPage(step, after, result)
 		}
-		s.loadPage(step+1, "")
 	})
 }
 
 // listPath is the path of the page of records after a key.
 func listPath(prefix, after string) string {
-	path := "/store?under=" + prefix + "&limit=1000"
+	path := fmt.Sprintf("/store?under=%s&limit=%d", prefix, recordsPerPage)
 	if after != "" {
 		path += "&after=" + url.QueryEscape(after)
 	}
 	return path
 }
 
-// loadRecords takes records that were read.
-func (s *stateLoader) loadRecords(items []protocol.Item) {
-	for _, it := range items {
-		s.store.Loaded(it.Key, it.Version)
-		if err := s.loadRecord(it); err != nil {
-			s.env.log.Error("stored record is unreadable", "key", it.Key, "err", err)
-		}
+// onPage loads the records of a page and requests the next. A request that failed is repeated after a pause.
+func (s *stateLoader) onPage(step int, after string, result Result) {
+	var items protocol.Items
+	if !decodeStateReply(result, &items) {
+		s.timers.runAt(s.env.now+s.env.retryPause(), func() { s.loadPage(step, after) })
+		return
+	}
+	s.loadRecords(items.Items)
+	if items.More && len(items.Items) > 0 {
+		s.loadPage(step, items.Items[len(items.Items)-1].Key)
+		return
 	}
+	s.loadPage(step+1, "")
 }
 
-// loadPreloaded loads a step from what was read ahead and all that has changed since. It is asked
-// for after the election, when nothing of earlier leaders can be added any more.
-func (s *stateLoader) loadPreloaded(number int, prefix string, step *preloadedPrefix) {
-	path := fmt.Sprintf("/follow?under=%s&after=%d&blockMs=0", prefix, step.revision)
-	s.outbox.stateCall("GET", path, nil, s.env.cfg.LeaderTTL(), func(res Result) {
-		if s.lease.ended {
-			return
-		}
-		var events protocol.Events
-		if res.Status != 200 || protocol.Decode(res.Body, &events) != nil {
-			s.preload = nil // too much has changed, say: all is read anew
-			s.loadPage(number, "")
-			return
+// requestChanges requests what has changed under a preloaded prefix since it was read. It does so after the
+// election, when earlier leaders can write nothing more.
+func (s *stateLoader) requestChanges(step int, prefix string, preloaded *preloadedPrefix) {
+	path := fmt.Sprintf("/follow?under=%s&after=%d&blockMs=0", prefix, preloaded.revision)
+	s.outbox.stateCall(http.MethodGet, path, nil, s.env.cfg.LeaderTTL(), func(result Result) {
+		if !s.lease.ended {
+			s.onChanges(step, preloaded, result)
 		}
-		items := step.catchUp(events.Events)
-		s.trace.failover.Preloaded += len(step.items)
-		s.loadRecords(items)
-		s.loadPage(number+1, "")
 	})
 }
 
-// loadOrder are the prefixes of a leader's records in the order in which they are read. The journal
-// of ends changes what jobs and machines hold; it is only there while the feature gate is not closed.
-func loadOrder(form featuregate.StorageVersion) []string {
-	order := []string{clusterstate.JobPrefix, clusterstate.CompletionPrefix, clusterstate.CompletionPartPrefix, clusterstate.MachinePrefix}
-	if form >= completionJournalVersion {
-		order = append(order, completionjournal.Prefix)
+// onChanges loads the preloaded records with their changes. Without a usable answer (too much may have changed
+// for the state service to tell) the whole preload is dropped and all is read again.
+func (s *stateLoader) onChanges(step int, preloaded *preloadedPrefix, result Result) {
+	var events protocol.Events
+	if !decodeStateReply(result, &events) {
+		s.preload = nil
+		s.loadPage(step, "")
+		return
 	}
-	return append(order, clusterstate.CounterPrefix)
+	items := preloaded.catchUp(events.Events)
+	s.trace.failover.Preloaded += len(preloaded.items)
+	s.loadRecords(items)
+	s.loadPage(step+1, "")
 }
 
-func (s *stateLoader) loadRecord(it protocol.Item) error {
-	switch {
-	case strings.HasPrefix(it.Key, clusterstate.JobPrefix):
-		var rec clusterstate.JobRecord
-		if err := protocol.Decode(it.Value, &rec); err != nil {
-			return err
-		}
-		uid := strings.TrimPrefix(it.Key, clusterstate.JobPrefix)
-		switch rec.State {
-		case protocol.Done:
-			s.state.Terminal[uid] = clusterstate.TerminalState{Tasks: rec.Tasks}
-		case protocol.Cancelled:
-			s.state.Terminal[uid] = clusterstate.TerminalState{Cancelled: true}
-		default:
-			if rec.Spec == nil {
-				return fmt.Errorf("state %q without a job", rec.State)
-			}
-			j := s.state.AddJob(rec.Spec, rec.Submitted)
-			j.Stored, j.Cancelling = true, rec.State == clusterstate.Cancelling
-			s.forecast.recordArrival(j)
-		}
-	case strings.HasPrefix(it.Key, clusterstate.CompletionPrefix), strings.HasPrefix(it.Key, clusterstate.CompletionPartPrefix):
-		var rec clusterstate.CompletionRecord
-		if err := protocol.Decode(it.Value, &rec); err != nil {
-			return err
-		}
-		known, err := s.state.LoadCompletions(it.Key, rec)
-		if !known {
-			s.orphanedCompletions = append(s.orphanedCompletions, it.Key)
+// loadRecords loads records. One that is unreadable is logged and left out: the others must not wait for it.
+func (s *stateLoader) loadRecords(items []protocol.Item) {
+	for _, item := range items {
+		s.store.Loaded(item.Key, item.Version)
+		if err := s.loadRecord(item); err != nil {
+			s.env.log.Error("stored record is unreadable", "key", item.Key, "err", err)
 		}
-		return err
-	case strings.HasPrefix(it.Key, clusterstate.MachinePrefix):
-		var rec clusterstate.MachineRecord
-		if err := protocol.Decode(it.Value, &rec); err != nil {
-			return err
+	}
+}
+
+// loadRecord loads a record by the kind that its key's prefix names. Others are ignored.
+func (s *stateLoader) loadRecord(item protocol.Item) error {
+	for i := range recordKinds {
+		if strings.HasPrefix(item.Key, recordKinds[i].prefix) {
+			return recordKinds[i].load(s, item)
 		}
-		s.loadMachine(strings.TrimPrefix(it.Key, clusterstate.MachinePrefix), rec)
-	case isJournalKey(it.Key):
-		return s.completions.load(it)
-	case strings.HasPrefix(it.Key, clusterstate.CounterPrefix):
-		var rec clusterstate.Counters
-		if err := protocol.Decode(it.Value, &rec); err != nil {
-			return err
+	}
+	return nil
+}
+
+// applyJob adds a job, or the final state of one that is over.
+func (s *stateLoader) applyJob(key string, record clusterstate.JobRecord) error {
+	uid := strings.TrimPrefix(key, clusterstate.JobPrefix)
+	switch record.State {
+	case protocol.Done:
+		s.state.Terminal[uid] = clusterstate.TerminalState{Tasks: record.Tasks}
+	case protocol.Cancelled:
+		s.state.Terminal[uid] = clusterstate.TerminalState{Cancelled: true}
+	default:
+		if record.Spec == nil {
+			return fmt.Errorf("state %q without a job", record.State)
 		}
-		s.loadCounters(rec)
+		j := s.state.AddJob(record.Spec, record.Submitted)
+		j.Stored, j.Cancelling = true, record.State == clusterstate.Cancelling
+		s.forecast.recordArrival(j)
 	}
 	return nil
 }
 
-func (s *stateLoader) loadMachine(id string, rec clusterstate.MachineRecord) {
+// applyCompletions marks tasks of a job as completed.
+func (s *stateLoader) applyCompletions(key string, record clusterstate.CompletionRecord) error {
+	known, err := s.state.LoadCompletions(key, record)
+	if !known {
+		s.orphanedCompletions = append(s.orphanedCompletions, key)
+	}
+	return err
+}
+
+// applyMachine adds a machine.
+func (s *stateLoader) applyMachine(key string, record clusterstate.MachineRecord) error {
+	s.loadMachine(strings.TrimPrefix(key, clusterstate.MachinePrefix), record)
+	return nil
+}
+
+// loadMachine adds a machine and the attempts that were assigned to it.
+func (s *stateLoader) loadMachine(id string, record clusterstate.MachineRecord) {
 	m := s.state.AddMachine(id)
-	m.Type, m.Zone, m.Spot, m.Addr = rec.Type, rec.Zone, rec.Spot, rec.Addr
+	m.Type, m.Zone, m.Spot, m.Addr = record.Type, record.Zone, record.Spot, record.Addr
 	m.Recorded = true
-	m.Releasing, m.ReleaseStored = rec.Return, rec.Return
+	m.Releasing, m.ReleaseStored = record.Return, record.Return
 	m.ExistedAt, m.LaunchedAt = s.env.now, s.env.now
-	for _, e := range rec.Attempts {
-		j := s.state.Jobs[e.Job]
+	for _, entry := range record.Attempts {
+		j := s.state.Jobs[entry.Job]
 		if j == nil {
-			continue // over: all its attempts have been proved gone
+			continue // the job is over: all its attempts were proved absent before
 		}
-		if e.Index >= j.Spec.Tasks || e.Index < 0 {
+		if entry.Index >= j.Spec.Tasks || entry.Index < 0 {
 			continue
 		}
-		a := s.state.AddAttempt(m, j, e.Index, e.Number, s.env.now)
+		a := s.state.AddAttempt(m, j, entry.Index, entry.Number, s.env.now)
 		a.Durable, a.Loaded, a.Sent = true, true, true
 		s.machines.noteImageUse(m, j)
 		m.Up = true
 	}
 }
 
-// loadCounters takes the stored counters and tops them up by their own age: a
-// job that held its slots meanwhile must not look younger than it is and set
-// off stops.
-func (s *stateLoader) loadCounters(rec clusterstate.Counters) {
-	age := max(0, float64(s.env.wall-rec.At)/1000)
-	whole := s.loadedCapacity()
-	for uid, row := range rec.Jobs {
+// applyJournal applies a value of the completion journal.
+func (s *stateLoader) applyJournal(item protocol.Item) error { return s.completions.load(item) }
+
+// applyCounters loads counters of attained service.
+func (s *stateLoader) applyCounters(_ string, record clusterstate.Counters) error {
+	s.loadCounters(record)
+	return nil
+}
+
+// loadCounters loads the stored counters and adds the service that was attained since they were stored. Without
+// that, a job that held its slots meanwhile would look younger than it is and have others preempted.
+func (s *stateLoader) loadCounters(record clusterstate.Counters) {
+	ageSeconds := max(0, float64(s.env.wall-record.At)/1000)
+	capacity := s.loadedCapacity()
+	for uid, row := range record.Jobs {
 		j := s.state.Jobs[uid]
 		if j == nil || j.Cancelling {
 			continue
@@ -211,36 +267,53 @@
 		if j.Scale.Degr <= 0 {
 			j.Scale.Degr = 1
 		}
-		j.Scale.Attained += age * float64(j.ActiveAttempts) * scheduler.Share(j.Need, whole)
+		j.Scale.Attained += ageSeconds * float64(j.ActiveAttempts) * scheduler.Share(j.Need, capacity)
 	}
 }
 
-// loadedCapacity is the capacity by the machines' records, which are loaded before the counters. It is worked
-// out once: going through the fleet for each job took a new leader of 3,600 machines and 1,700 jobs two
-// seconds of half a core in one go, longer than its lease, and so on for each leader after it.
+// loadedCapacity is the fleet's capacity by the records of the machines, which are loaded before the counters. It
+// is computed once: going through the fleet for each job took a new leader of 3,600 machines and 1,700 jobs
+// two seconds of half a core in one go, which is longer than its lease, and so on for each leader after it.
 func (s *stateLoader) loadedCapacity() scheduler.Need {
 	if s.loadCapacity == nil {
-		whole := s.views.readyCapacity()
-		s.loadCapacity = &whole
+		capacity := s.views.readyCapacity()
+		s.loadCapacity = &capacity
 	}
 	return *s.loadCapacity
 }
 
-// onStateLoaded starts the work of a leader once the ledger is read.
+// onStateLoaded starts the leader's work once all records are loaded.
 func (s *stateLoader) onStateLoaded() {
 	s.ready, s.loadCapacity = true, nil
+	s.reviewLoadedJobs()
+	s.reviewLoadedAttempts()
+	s.deleteOrphanedCompletions()
+	s.completions.logLoaded()
+	s.env.log.Info("cluster state loaded", "token", s.lease.token, "jobs", len(s.state.Jobs), "terminal_jobs", len(s.state.Terminal), "machines", len(s.state.Machines))
+	s.placement.fillPending = true
+	s.trace.noteStateLoaded()
+}
+
+// reviewLoadedJobs completes what the former leader left incomplete: jobs whose tasks are all completed, gangs
+// of which some attempts are missing, and cancellations.
+func (s *stateLoader) reviewLoadedJobs() {
 	for _, uid := range sortedKeys(s.state.Jobs) {
 		j := s.state.Jobs[uid]
 		switch {
 		case j.Done == j.Spec.Tasks:
 			s.jobs.completeJob(j)
 		case j.Gang != nil && j.Done > 0:
-			s.attempts.completeGang(j) // an older version has stored that one task is done, so all are
+			s.attempts.completeGang(j) // an older version has stored that one task is completed, so all are
 		default:
 			s.attempts.verifyGang(j)
 		}
 		s.jobs.completeCancellation(j)
 	}
+}
+
+// reviewLoadedAttempts requests the stop of attempts that are not wanted any more: of completed tasks, of
+// cancelled jobs, and those that a later attempt has replaced.
+func (s *stateLoader) reviewLoadedAttempts() {
 	newest := s.newestAttempts()
 	for _, m := range s.machines.sortedMachines() {
 		m.Size = s.machines.machineSize(m.Type)
@@ -250,24 +323,25 @@
 			}
 		}
 	}
+}
+
+// deleteOrphanedCompletions deletes the completion records whose job is over.
+func (s *stateLoader) deleteOrphanedCompletions() {
 	for _, key := range s.orphanedCompletions {
 		s.store.Mark(key, statestore.Lazy, func() any { return nil }, nil)
 	}
 	s.orphanedCompletions = nil
-	s.completions.logLoaded()
-	s.env.log.Info("cluster state loaded", "token", s.lease.token, "jobs", len(s.state.Jobs), "terminal_jobs", len(s.state.Terminal), "machines", len(s.state.Machines))
-	s.placement.fillPending = true
-	s.trace.noteStateLoaded()
 }
 
-// taskRef is a task that attempts may be there of.
+// taskRef identifies a task.
 type taskRef struct {
 	job   *clusterstate.Job
 	index int
 }
 
-// newestAttempts are the latest attempts of the tasks that the ledger has several of. Records of machines
-// are written lazily when a task leaves, so that after a take-over there may be thousands.
+// newestAttempts returns the number of the latest attempt of each task that has several by the stored records.
+// The records of machines are written lazily when a task leaves, so that there may be thousands of such tasks
+// after a failover.
 func (s *stateLoader) newestAttempts() map[taskRef]uint64 {
 	newest := map[taskRef]uint64{}
 	for _, m := range s.state.Machines {
