--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -8,56 +8,76 @@
 	"claybarrow/internal/statestore"
 )
 
-// serviceAccounting books the service that jobs attain, and stores it for a successor.
+// serviceAccounting accounts for the service that jobs attain, by which the scheduler orders them, and stores
+// it for a successor.
+//
+// It owns the time of the last accounting; the sums are in the jobs. A successor loads the stored counters and
+// adds what was attained since (see stateLoader.loadCounters).
 type serviceAccounting struct {
 	env   *environment
 	state *clusterstate.State
 	store *statestore.Writer
 	views *schedulerViews
 
-	accrueAt time.Duration
+	accrueAt time.Duration // up to when the attained service is accounted for
 }
 
-// accrueService books the service attained since the last time.
+const (
+	// accrualDivisor: service is accounted for at the most every twentieth of a worker's lease, as each time
+	// goes through all jobs.
+	accrualDivisor = 20
+	// counterRowEntries is the size of a row of counters in units of clusterstate.EntryBytes.
+	counterRowEntries = 2
+)
+
+// accrueService accounts for the service attained since the last time.
 func (a *serviceAccounting) accrueService() {
-	dt := (a.env.now - a.accrueAt).Seconds()
-	if dt < a.env.cfg.Lease().Seconds()/20 {
+	elapsed := (a.env.now - a.accrueAt).Seconds()
+	if elapsed < a.env.cfg.Lease().Seconds()/accrualDivisor {
 		return
 	}
 	a.accrueAt = a.env.now
-	whole := a.views.readyCapacity()
+	capacity := a.views.readyCapacity()
 	for _, j := range a.state.Jobs {
 		if j.ActiveAttempts > 0 && !j.Spec.Service {
-			j.Scale.Attained += dt * float64(j.ActiveAttempts) * shareOf(j, whole)
+			j.Scale.Attained += elapsed * float64(j.ActiveAttempts) * shareOf(j, capacity)
 		}
 	}
 }
 
-// writeCounters stores the attained service in a batch, for a successor.
+// writeCounters stores the attained service for a successor, in as few records as the limit on a value allows.
 func (a *serviceAccounting) writeCounters() {
-	limit := a.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
-	var batch []map[string]clusterstate.CounterRow
+	batches := a.counterBatches()
+	storedAt := a.env.wall
+	for i, jobs := range batches {
+		record := clusterstate.Counters{At: storedAt, Jobs: jobs}
+		a.store.Mark(counterKey(i), statestore.Counters, func() any { return record }, nil)
+	}
+	// Records of earlier, larger batches would bring back old values at a failover.
+	for i := len(batches); a.store.Version(counterKey(i)) != 0; i++ {
+		a.store.Mark(counterKey(i), statestore.Counters, func() any { return nil }, nil)
+	}
+}
+
+// counterBatches returns the rows of counters by job, split into records. Jobs that are not stored, are being
+// cancelled or run as a service have none.
+func (a *serviceAccounting) counterBatches() []map[string]clusterstate.CounterRow {
+	limit := a.env.cfg.ValueBytes() / (counterRowEntries * clusterstate.EntryBytes)
+	var batches []map[string]clusterstate.CounterRow
 	for _, j := range a.state.SortedJobs() {
 		uid := j.Spec.UID
 		if j.Spec.Service || j.Cancelling || !j.Stored {
 			continue
 		}
-		if len(batch) == 0 || len(batch[len(batch)-1]) >= limit {
-			batch = append(batch, map[string]clusterstate.CounterRow{})
+		if len(batches) == 0 || len(batches[len(batches)-1]) >= limit {
+			batches = append(batches, map[string]clusterstate.CounterRow{})
 		}
-		s := j.Scale
-		batch[len(batch)-1][uid] = clusterstate.CounterRow{Attained: s.Attained, Upper: s.Upper, Slots: s.Slots,
-			DoneAt: s.DoneAt, AttainedAt: s.AttainedAt, First: s.First, Degr: s.Degr}
-	}
-	at := a.env.wall
-	for i, jobs := range batch {
-		rec := clusterstate.Counters{At: at, Jobs: jobs}
-		a.store.Mark(counterKey(i), statestore.Counters, func() any { return rec }, nil)
-	}
-	// Batches that are no longer needed.
-	for i := len(batch); a.store.Version(counterKey(i)) != 0; i++ {
-		a.store.Mark(counterKey(i), statestore.Counters, func() any { return nil }, nil)
+		scale := j.Scale
+		batches[len(batches)-1][uid] = clusterstate.CounterRow{Attained: scale.Attained, Upper: scale.Upper, Slots: scale.Slots,
+			DoneAt: scale.DoneAt, AttainedAt: scale.AttainedAt, First: scale.First, Degr: scale.Degr}
 	}
+	return batches
 }
 
+// counterKey is the key of a record of counters.
 func counterKey(i int) string { return clusterstate.CounterPrefix + strconv.Itoa(i) }
--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -2,37 +2,44 @@
 
 import "claybarrow/internal/statestore"
 
-// Attempt numbers are unique for ever and grow: a token in the high bits, a count in the low
-// ones. A term that starts more than a block of them, which 4,000 workers at 420 starts a
-// second do in eleven hours, reserves the next block: it raises the counter of tokens, so that no
-// leader ever gets the token whose numbers it uses. Its own token, which the workers know,
-// stays as it is.
-
-// attemptBlockBits is how many low bits count within a token's block.
-const attemptBlockBits = 24
-
-// attemptNumbers gives out numbers from the blocks that are this leader's.
+// attemptNumbers allocates attempt numbers. They are unique for ever and grow: the high bits are a fencing
+// token, the low bits count within the block of that token.
+//
+// A leadership that starts more attempts than a block has numbers, which 4,000 workers at 420 starts a second do
+// in eleven hours, reserves the next block: it raises the counter of tokens, so that no leader ever gets the
+// token whose numbers it uses. Its own token, which the workers know, stays as it is.
+//
+// It owns the blocks of its leadership. A successor begins with the block of its own token.
 type attemptNumbers struct {
 	env       *environment
 	lease     *leaderLease
 	placement *taskScheduler
 	store     *statestore.Writer
 
-	block     uint64 // a token that is this leader's for good
-	used      uint64 // numbers of it
-	next      uint64 // the next block; 0: not durably reserved
-	reserving bool
+	block     uint64 // the token of the block in use, which no other leader can get
+	used      uint64 // how many numbers of the block were taken
+	next      uint64 // the token of the next block; 0: none is durably reserved
+	reserving bool   // a reservation is under way
 }
 
-func (n *attemptNumbers) left() uint64 { return 1<<attemptBlockBits - 1 - n.used }
+const (
+	// attemptBlockBits is how many low bits of an attempt number count within a block.
+	attemptBlockBits = 24
+	// attemptsPerBlock is how many numbers a block has: 0 is not used.
+	attemptsPerBlock = 1<<attemptBlockBits - 1
+	// reserveBelow is how many numbers are left when the next block is reserved: half of a block.
+	reserveBelow = 1 << (attemptBlockBits - 1)
+	// leastLeft is how many numbers must be left for a placement round to begin: more than any round takes.
+	leastLeft = 1 << 20
+)
 
-// leastLeft is how many numbers there must be for a fill to begin: more than any fill starts.
-const leastLeft = 1 << 20
+// left is how many numbers of the block are left.
+func (n *attemptNumbers) left() uint64 { return attemptsPerBlock - n.used }
 
-// enough says whether a fill may take what it needs.
+// enough reports whether a placement round can get as many numbers as it may take.
 func (n *attemptNumbers) enough() bool { return n.next != 0 || n.left() >= leastLeft }
 
-// take gives out the next number.
+// take returns the next number.
 func (n *attemptNumbers) take() uint64 {
 	if n.left() == 0 {
 		n.block, n.used, n.next = n.next, 0, 0
@@ -41,9 +48,10 @@
 	return n.block<<attemptBlockBits | n.used
 }
 
-// reserveAttempts reserves the next block once half of this one is used.
+// reserveAttempts reserves the next block once half of this one is used. Placement, which may have waited for
+// it, goes on as soon as the reservation is durable.
 func (n *attemptNumbers) reserveAttempts() {
-	if n.reserving || n.next != 0 || n.left() > 1<<(attemptBlockBits-1) {
+	if n.reserving || n.next != 0 || n.left() > reserveBelow {
 		return
 	}
 	n.reserving = true
--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -9,46 +9,62 @@
 	"claybarrow/internal/statestore"
 )
 
-// poolHost is a term as its machine pool sees it.
+// poolHost adapts a leadership to machinepool.Host, which its machine pool works with.
 type poolHost struct{ leader *leadership }
 
+var _ machinepool.Host = poolHost{}
+
+// Limits of how often the cloud's machines are listed.
+const (
+	// listLagDivisor: they are listed every half of the list's usual lag, as more often shows little new.
+	listLagDivisor = 2
+	// requestsPerList: a list is requested at the most once in the time that the cloud's limit allows four
+	// requests, so that most of them are left for launches and deletions.
+	requestsPerList = 4
+)
+
+// newPool returns the machine pool of a leadership.
 func (l *leadership) newPool() *machinepool.Pool {
-	times := machinepool.Times{Lease: l.controller.env.cfg.Lease(), ListLag: l.controller.env.cfg.ListLag(),
-		ListEvery: max(l.controller.env.cfg.ListLag()/2, seconds(4/l.controller.env.cfg.Cluster.Cloud.RPS))}
+	cfg := l.controller.env.cfg
+	times := machinepool.Times{
+		Lease:     cfg.Lease(),
+		ListLag:   cfg.ListLag(),
+		ListEvery: max(cfg.ListLag()/listLagDivisor, seconds(requestsPerList/cfg.Cluster.Cloud.RPS)),
+	}
 	return machinepool.New(poolHost{l}, l.controller.env.log, times, l.lease.token)
 }
 
-// Now is part of machinepool.Host.
+// Now implements machinepool.Host.
 func (h poolHost) Now() time.Duration { return h.leader.controller.env.now }
 
-// Call is part of machinepool.Host.
+// Call implements machinepool.Host.
 func (h poolHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
 	h.leader.controller.outbox.cloudCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
 }
 
-// MayCall is part of machinepool.Host.
+// MayCall implements machinepool.Host.
 func (h poolHost) MayCall() bool {
 	return h.leader.controller.outbox.cloudRequests.Has(h.leader.controller.env.now, 1)
 }
 
-// Pause is part of machinepool.Host.
+// Pause implements machinepool.Host.
 func (h poolHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
 
-// Later is part of machinepool.Host.
+// Later implements machinepool.Host.
 func (h poolHost) Later(at time.Duration, do func()) { h.leader.timers.runAt(at, do) }
 
-// Ended is part of machinepool.Host.
+// Ended implements machinepool.Host.
 func (h poolHost) Ended() bool { return h.leader.lease.ended }
 
-// Listed is part of machinepool.Host.
-func (h poolHost) Listed(l *protocol.ListedMachine) { h.leader.machines.onListed(l) }
+// Listed implements machinepool.Host.
+func (h poolHost) Listed(listed *protocol.ListedMachine) { h.leader.machines.onListed(listed) }
 
-// ListRead is part of machinepool.Host.
+// ListRead implements machinepool.Host.
 func (h poolHost) ListRead(asked time.Duration, names map[string]bool) {
 	h.leader.machines.removeUnlisted(asked, names)
 }
 
-// ToDelete is part of machinepool.Host.
+// ToDelete implements machinepool.Host: machines whose release is durable, in the order of their names.
 func (h poolHost) ToDelete(most int) []string {
 	var names []string
 	for _, m := range h.leader.machines.sortedMachines() {
@@ -59,25 +75,25 @@
 	return names
 }
 
-// Deleted is part of machinepool.Host.
+// Deleted implements machinepool.Host.
 func (h poolHost) Deleted(name string) {
 	if m := h.leader.state.Machines[name]; m != nil {
 		h.leader.machines.removeMachine(m, machineDeleted)
 	}
 }
 
-// Launched is part of machinepool.Host.
-func (h poolHost) Launched(p scheduler.Pool, name string, asked time.Duration) {
+// Launched implements machinepool.Host.
+func (h poolHost) Launched(pool scheduler.Pool, name string, asked time.Duration) {
 	m := h.leader.state.AddMachine(name)
-	m.Type, m.Zone, m.Spot = p.Type, p.Zone, p.Spot
+	m.Type, m.Zone, m.Spot = pool.Type, pool.Zone, pool.Spot
 	m.Size = h.leader.machines.machineSize(m.Type)
 	m.ExistedAt, m.LaunchedAt = h.leader.controller.env.now, asked
 	h.leader.machines.storeMachine(m, statestore.Lazy, nil)
 }
 
-// Short is part of machinepool.Host.
-func (h poolHost) Short(p scheduler.Pool, short bool) {
-	h.leader.scaler.onPoolShortage(p, short)
+// Short implements machinepool.Host: a new shortage has the scaling planned again at once, with other pools.
+func (h poolHost) Short(pool scheduler.Pool, short bool) {
+	h.leader.scaler.onPoolShortage(pool, short)
 	if short {
 		h.leader.placement.planAt = h.leader.controller.env.now
 	}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -9,23 +9,35 @@
 	"claybarrow/internal/statestore"
 )
 
-// recordHost is a term as the writer of its records sees it.
+// recordHost adapts a leadership to statestore.Host, which the writer of its records works with.
 type recordHost struct{ leader *leadership }
 
-// newStore makes the writer of a term's records. The election wrote the counter and the leader key in
-// one transaction, of this version.
+var _ statestore.Host = recordHost{}
+
+// newStore returns the writer of a leadership's records. version is that of the transaction in which the
+// election wrote the counter and the leader key, and the key of the lease while the gate is not closed.
 func (l *leadership) newStore(version uint64) *statestore.Writer {
-	limits := statestore.Limits{Changes: l.controller.env.cfg.Cluster.State.Both().TxnOps, ValueBytes: l.controller.env.cfg.ValueBytes(), Timeout: l.controller.env.cfg.LeaderTTL() / 2}
-	key := statestore.LeaderKey{Key: keyLeader, Version: version, Entry: l.gating.leaderEntry(l.gating.storedRecord), Equal: equalLeader}
-	w := statestore.NewWriter(recordHost{l}, l.controller.env.log, limits, &l.controller.outbox.stateChanges, key)
-	w.Loaded(keyCounter, version)
+	env, outbox := l.controller.env, l.controller.outbox
+	limits := statestore.Limits{
+		Changes:    env.cfg.Cluster.State.Both().TxnOps,
+		ValueBytes: env.cfg.ValueBytes(),
+		Timeout:    env.cfg.LeaderTTL() / stateCallTimeoutDivisor,
+	}
+	key := statestore.LeaderKey{
+		Key:     keyLeader,
+		Version: version,
+		Entry:   l.gating.leaderEntry(l.gating.storedRecord),
+		Equal:   equalLeader,
+	}
+	writer := statestore.NewWriter(recordHost{l}, env.log, limits, &outbox.stateChanges, key)
+	writer.Loaded(keyCounter, version)
 	if l.gating.storedRecord.StorageVersion != 0 {
-		w.Loaded(keyLease, version)
+		writer.Loaded(keyLease, version)
 	}
-	return w
+	return writer
 }
 
-// leaderEntry is how the leader key holds a record: on the leader's lease, or permanently while the
+// leaderEntry is how the leader key stores a record: attached to the leader's lease, or permanently while the
 // feature gate is not closed.
 func (g *gateKeeper) leaderEntry(rec leaderRecord) statestore.LeaderEntry {
 	if rec.StorageVersion != 0 {
@@ -34,38 +46,39 @@
 	return statestore.LeaderEntry{Record: rec, Lease: g.lease.leaseID}
 }
 
-// equalLeader says whether a value that was read is a leader record.
+// equalLeader reports whether a value read from the state service is the given leader record. The writer asks
+// this after a transaction without an answer.
 func equalLeader(value []byte, record any) bool {
-	var read leaderRecord
-	return protocol.Decode(value, &read) == nil && read == record
+	var stored leaderRecord
+	return protocol.Decode(value, &stored) == nil && stored == record
 }
 
-// Now is part of statestore.Host.
+// Now implements statestore.Host.
 func (h recordHost) Now() time.Duration { return h.leader.controller.env.now }
 
-// Call is part of statestore.Host.
+// Call implements statestore.Host.
 func (h recordHost) Call(method, path string, body any, timeout time.Duration, then func(int, []byte)) {
 	h.leader.controller.outbox.stateCall(method, path, body, timeout, func(res Result) { then(res.Status, res.Body) })
 }
 
-// MayCall is part of statestore.Host.
+// MayCall implements statestore.Host.
 func (h recordHost) MayCall() bool {
 	return h.leader.controller.outbox.stateRequests.Has(h.leader.controller.env.now, 1)
 }
 
-// Pause is part of statestore.Host.
+// Pause implements statestore.Host.
 func (h recordHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
 
-// End is part of statestore.Host.
-func (h recordHost) End(why string) { h.leader.controller.endLeadership(endReason(why)) }
+// End implements statestore.Host.
+func (h recordHost) End(reason string) { h.leader.controller.endLeadership(endReason(reason)) }
 
-// Ended is part of statestore.Host.
+// Ended implements statestore.Host.
 func (h recordHost) Ended() bool { return h.leader.lease.ended }
 
-// Unavailable is part of statestore.Host.
+// Unavailable implements statestore.Host: users get an answer at once instead of waiting for the service.
 func (h recordHost) Unavailable() { h.leader.controller.pending.refusePendingRequests() }
 
-// Abandoned is part of statestore.Host: what waits for the record must not wait for ever.
+// Abandoned implements statestore.Host: what waits for an abandoned record to be durable must not wait for ever.
 func (h recordHost) Abandoned(key string) {
 	if id, isMachine := strings.CutPrefix(key, clusterstate.MachinePrefix); isMachine && h.leader.state.Machines[id] != nil {
 		h.leader.machines.abandonMachine(h.leader.state.Machines[id])
@@ -75,14 +88,13 @@
 		h.leader.completions.abandon()
 		return
 	}
-	uid, isJob := strings.CutPrefix(key, clusterstate.JobPrefix)
-	if isJob {
+	if uid, isJob := strings.CutPrefix(key, clusterstate.JobPrefix); isJob {
 		h.leader.userRequests.abandonSubmission(uid)
 	}
 }
 
-// Rendered is part of statestore.Host.
+// Rendered implements statestore.Host.
 func (h recordHost) Rendered(key string) { h.leader.completions.journal.Rendered(key) }
 
-// Stored is part of statestore.Host.
+// Stored implements statestore.Host.
 func (h recordHost) Stored(key string) { h.leader.completions.journal.Stored(key) }
