--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -224,7 +224,7 @@
 func (e *election) onElectionResult(candidate *candidate, record *leaderRecord, result Result) {
 	candidate.inFlight = false
 	if e.candidate != candidate || e.controller.leadership != nil {
-		// The watch showed our own key before this answer came. Without this check a process once
+		// The watch showed this transaction's key before its answer came. Without this check a process once
 		// became leader twice and crashed.
 		return
 	}
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -10,70 +10,82 @@
 	"claybarrow/internal/statestore"
 )
 
-// gateKeeper is the leader's part in the feature gate: it hears what the controllers support, and stores the
-// gate's state in the leader key.
+// The storage versions, in order: forms of the stored records. A version of the program reads all up to its
+// newest.
+const (
+	completionJournalVersion featuregate.StorageVersion = 1 // with the completion journal
+	newestStorageVersion                                = completionJournalVersion
+)
+
+// gatePauseLeases is how many workers' leases pass at the least between a closing of the gate and the next
+// opening, so that a process that comes and goes does not make the gate flap.
+const gatePauseLeases = 6
+
+// gateKeeper is the leader's part in the feature gate: it collects what the controllers state that they support,
+// and stores the gate's state in the leader key. The version of that key is a condition of all that any leader
+// writes, so that what was sent under an earlier state of the gate and arrives late is refused.
+//
+// It owns the leader record and the gate. A successor takes the state of the gate over from the stored record;
+// the statements are collected anew.
 type gateKeeper struct {
 	completions *completionRecorder
 	env         *environment
 	lease       *leaderLease
 	store       *statestore.Writer
 
-	// storedRecord is the leader record as it is stored, gate decides on its form.
+	// storedRecord is the leader record as it is durably stored; the gate decides on its storage version.
 	storedRecord leaderRecord
 	gate         *featuregate.Gate
 	gateLogged   gateLog
 }
 
-// The leader's part in the feature gate: it hears what the controllers state of themselves, and
-// stores the gate's state in the leader key, whose version is a condition of all that any leader
-// writes. So whatever was sent under an earlier state, and arrives late, is refused.
-
-// The forms of stored records, in order. A version reads all up to its newest.
-const (
-	completionJournalVersion featuregate.StorageVersion = 1 // the journal of ends
-	newestStorageVersion                                = completionJournalVersion
-)
-
-// gatePauseLeases is how many workers' leases lie at the least between a closing of the gate and the next
-// opening, so that a process that comes and goes does not have the gate flap.
-const gatePauseLeases = 6
+// newGate returns the gate of a leadership, in the state of the record that the election stored.
+func (l *leadership) newGate() *featuregate.Gate {
+	cfg := l.controller.env.cfg
+	settings := featuregate.Settings{
+		Version:  completionJournalVersion,
+		Self:     cfg.Label,
+		Own:      *readVersionStatement(l.controller.versionStatement()),
+		Fits:     cfg.GateFits(),
+		Settled:  cfg.LeaderTTL(),
+		Patience: cfg.Lease(),
+		Pause:    gatePauseLeases * cfg.Lease(),
+	}
+	for _, sibling := range cfg.Siblings {
+		settings.Peers = append(settings.Peers, sibling.Label)
+	}
+	return featuregate.New(settings, l.gating.storedRecord.gateState())
+}
 
-// versionStatement is what this controller states of itself.
+// versionStatement is what this controller states that it supports.
 func (c *Controller) versionStatement() *protocol.VersionStatement {
-	s := &protocol.VersionStatement{Reads: uint64(newestStorageVersion), Hold: c.env.cfg.Operator.Upgrade.Hold}
+	statement := &protocol.VersionStatement{Reads: uint64(newestStorageVersion), Hold: c.env.cfg.Operator.Upgrade.Hold}
 	if c.env.cfg.Operator.EndJournal.Enabled {
-		s.Writes = uint64(completionJournalVersion)
+		statement.Writes = uint64(completionJournalVersion)
 	}
-	return s
+	return statement
 }
 
-// readVersionStatement is what a peer's message states; nil: it is from a version without a gate.
-func readVersionStatement(s *protocol.VersionStatement) *featuregate.Statement {
-	if s == nil {
+// readVersionStatement converts what a peer's message states. It returns nil for a message without a statement,
+// which is from a version of the program without the gate.
+func readVersionStatement(statement *protocol.VersionStatement) *featuregate.Statement {
+	if statement == nil {
 		return nil
 	}
-	return &featuregate.Statement{Reads: featuregate.StorageVersion(s.Reads), Writes: featuregate.StorageVersion(s.Writes), Hold: s.Hold}
-}
-
-// newGate makes the gate of a term from the record that the election stored.
-func (l *leadership) newGate() *featuregate.Gate {
-	cfg := l.controller.env.cfg
-	settings := featuregate.Settings{Version: completionJournalVersion, Self: cfg.Label, Own: *readVersionStatement(l.controller.versionStatement()),
-		Fits:    cfg.GateFits(),
-		Settled: cfg.LeaderTTL(), Patience: cfg.Lease(), Pause: gatePauseLeases * cfg.Lease()}
-	for _, s := range cfg.Siblings {
-		settings.Peers = append(settings.Peers, s.Label)
+	return &featuregate.Statement{
+		Reads:  featuregate.StorageVersion(statement.Reads),
+		Writes: featuregate.StorageVersion(statement.Writes),
+		Hold:   statement.Hold,
 	}
-	return featuregate.New(settings, l.gating.storedRecord.gateState())
 }
 
-// onVersionStatement takes what a controller states in its heartbeat.
-func (g *gateKeeper) onVersionStatement(ask *protocol.PeerHeartbeat) {
-	g.gate.Heard(g.env.now, ask.From, ask.Incarnation, readVersionStatement(ask.Versions))
+// onVersionStatement hands the statement in a controller's heartbeat to the gate.
+func (g *gateKeeper) onVersionStatement(heartbeat *protocol.PeerHeartbeat) {
+	g.gate.Heard(g.env.now, heartbeat.From, heartbeat.Incarnation, readVersionStatement(heartbeat.Versions))
 }
 
-// tickFeatureGate carries out what the gate decides. Nothing is decided while this leader does not know
-// whether it still is one.
+// tickFeatureGate carries out what the gate decides. Nothing is decided while it is uncertain whether this
+// controller still leads.
 func (g *gateKeeper) tickFeatureGate() {
 	if !g.lease.holdsLease() {
 		return
@@ -84,27 +96,34 @@
 	if g.gate.State() == featuregate.Closing {
 		g.completions.close()
 	}
-	rec := g.storedRecord
+	g.carryOut(action)
+}
+
+// carryOut stores the state of the gate that an action asks for. With the opening the key of the lease comes
+// into being, with the closing it is deleted.
+func (g *gateKeeper) carryOut(action featuregate.Action) {
+	record := g.storedRecord
 	switch action {
+	case featuregate.Nothing:
 	case featuregate.StoreOpen:
-		rec.StorageVersion, rec.Closing = uint64(completionJournalVersion), false
+		record.StorageVersion, record.Closing = uint64(completionJournalVersion), false
 		lease := protocol.Change{Put: keyLease, Value: leaseRecord{Token: g.lease.token}, Lease: g.lease.leaseID}
-		g.storeGate(rec, &statestore.LeaderChange{Puts: []protocol.Change{lease}})
+		g.storeGate(record, &statestore.LeaderChange{Puts: []protocol.Change{lease}})
 	case featuregate.StoreClosing:
-		rec.Closing = true
-		g.storeGate(rec, &statestore.LeaderChange{})
+		record.Closing = true
+		g.storeGate(record, &statestore.LeaderChange{})
 	case featuregate.StoreClosed:
-		rec.StorageVersion, rec.Closing = 0, false
-		g.storeGate(rec, &statestore.LeaderChange{Deletes: []string{keyLease}})
+		record.StorageVersion, record.Closing = 0, false
+		g.storeGate(record, &statestore.LeaderChange{Deletes: []string{keyLease}})
 	}
 }
 
-// storeGate stores the leader key with another state of the gate.
-func (g *gateKeeper) storeGate(rec leaderRecord, change *statestore.LeaderChange) {
-	change.Entry = g.leaderEntry(rec)
+// storeGate stores the leader key with another state of the gate. The journal is used once that is durable.
+func (g *gateKeeper) storeGate(record leaderRecord, change *statestore.LeaderChange) {
+	change.Entry = g.leaderEntry(record)
 	change.Applied = func() {
 		before := g.gate.State()
-		g.storedRecord = rec
+		g.storedRecord = record
 		g.gate.Stored(g.env.now)
 		g.noteGate(before)
 		if g.gate.MayWrite() {
@@ -119,7 +138,7 @@
 	g.store.ChangeLeader(change)
 }
 
-// gateLog is what was last logged of the gate.
+// gateLog is what was last logged of the gate, and when.
 type gateLog struct {
 	obstacle featuregate.Obstacle
 	at       time.Duration
@@ -127,41 +146,43 @@
 
 // GateChange is a change of the feature gate's state, for operators.
 type GateChange struct {
-	Token    uint64
-	At       time.Duration // of the steady clock
+	Token    uint64        // of the leader
+	At       time.Duration // on the steady clock
 	From, To featuregate.State
-	// Why is what keeps the gate from being open; "": nothing does.
+	// Why is what keeps the gate from being open; "" if nothing does.
 	Why string
-	// Statements are the other controllers' last ones, by label: "reads 1, writes 1", say.
+	// Statements are the last statements of the other controllers, by label, for example
+	// "reads 1, writes 1".
 	Statements map[string]string
 }
 
-// noteGate tells of a change of state, and of a new reason for a closed gate that is asked for.
+// noteGate logs a change of the gate's state and hands it to the observer. It also logs a new obstacle to the
+// opening of a gate that operators have enabled, at the most once in a worker's lease.
 func (g *gateKeeper) noteGate(before featuregate.State) {
-	now, obstacle := g.gate.State(), g.gate.Obstacle()
-	wanted := g.env.cfg.Operator.EndJournal.Enabled
-	seen := &g.gateLogged
-	logsCause := wanted && obstacle != seen.obstacle && g.env.now >= seen.at+g.env.cfg.Lease()
-	if now == before && !logsCause {
+	state, obstacle := g.gate.State(), g.gate.Obstacle()
+	enabled := g.env.cfg.Operator.EndJournal.Enabled
+	logged := &g.gateLogged
+	logsObstacle := enabled && obstacle != logged.obstacle && g.env.now >= logged.at+g.env.cfg.Lease()
+	if state == before && !logsObstacle {
 		return
 	}
-	seen.obstacle, seen.at = obstacle, g.env.now
+	logged.obstacle, logged.at = obstacle, g.env.now
 	statements := g.statements()
-	args := []any{"token", g.lease.token, "state", now.String(), "previous", before.String(), "reason", obstacle.String()}
+	args := []any{"token", g.lease.token, "state", state.String(), "previous", before.String(), "reason", obstacle.String()}
 	for _, label := range slices.Sorted(maps.Keys(statements)) {
 		args = append(args, label, statements[label])
 	}
 	g.env.log.Info("feature gate state", args...)
-	if now != before {
-		g.env.observer.GateChanged(GateChange{Token: g.lease.token, At: g.env.now, From: before, To: now, Why: obstacle.String(), Statements: statements})
+	if state != before {
+		g.env.observer.GateChanged(GateChange{Token: g.lease.token, At: g.env.now, From: before, To: state, Why: obstacle.String(), Statements: statements})
 	}
 }
 
-// statements words what the others last stated.
+// statements returns the last statements of the other controllers as text, by label.
 func (g *gateKeeper) statements() map[string]string {
 	out := map[string]string{}
-	for label, s := range g.gate.Statements() {
-		out[label] = s.String()
+	for label, statement := range g.gate.Statements() {
+		out[label] = statement.String()
 	}
 	return out
 }
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -10,8 +10,11 @@
 	"claybarrow/internal/statestore"
 )
 
-// completionRecorder has the ends of tasks stored: in the journal of ends while the feature gate is open,
-// and in the records of jobs and machines otherwise.
+// completionRecorder stores the completions of tasks and the departures of attempts from their machines: in the
+// completion journal while the feature gate is open, and in the records of jobs and machines otherwise.
+//
+// It owns the journal and what was found when it was loaded. A successor loads the values of the journal after
+// the records, and compacts them as its own.
 type completionRecorder struct {
 	env      *environment
 	lease    *leaderLease
@@ -20,31 +23,40 @@
 	store    *statestore.Writer
 
 	journal *completionjournal.Journal
-	// load's findings, told once the records are read.
+	// What load found: values that it read, values that it could not read, and entries whose records had
+	// them already.
 	values, unreadable, redundantEntries int
-	// reported is when the journal's size was last told.
-	reported time.Duration
+	// sizeObservedAt is when the observer was last given the journal's size.
+	sizeObservedAt time.Duration
 }
 
-// Ratios of the journal.
+// Limits of the journal.
 const (
-	// compactionLeases is how many workers' leases a value may be there before its ends are folded.
+	// compactionLeases is how many workers' leases a value may be stored before its entries are compacted
+	// into the records.
 	compactionLeases = 2
-	// journalPages is how many of a take-over's requests the journal may take, each of which has
-	// pageBytes at the most.
+	// journalPages is how many requests of a failover the journal may take to load.
 	journalPages = 4
-	pageBytes    = 512 << 10
+	// pageBytes is the most that the state service returns to one request.
+	pageBytes = 512 << 10
 )
 
-// JournalSize is what the journal of ends holds.
+// JournalSize is what the completion journal holds, in numbers.
 type JournalSize struct {
-	Values, Ends, Waiting, Unreadable int
+	Values     int // stored values
+	Ends       int // completions and departures in them that are not compacted yet
+	Waiting    int // those that wait to be stored
+	Unreadable int // stored values that could not be decoded at the failover
 }
 
+// newCompletionRecorder returns the recorder of a leadership, whose gate decides on the use of the journal.
 func (l *leadership) newCompletionRecorder() *completionRecorder {
 	cfg := l.controller.env.cfg
-	limits := completionjournal.Limits{ValueBytes: cfg.ValueBytes(), CompactAfter: compactionLeases * cfg.Lease(),
-		Values: min(journalPages*pageBytes/cfg.ValueBytes()+1, journalPages*recordsPerPage)}
+	limits := completionjournal.Limits{
+		ValueBytes:   cfg.ValueBytes(),
+		CompactAfter: compactionLeases * cfg.Lease(),
+		Values:       min(journalPages*pageBytes/cfg.ValueBytes()+1, journalPages*recordsPerPage),
+	}
 	journal := completionjournal.New(l.lease.token, limits, l.store, compactionHost{l}, func() time.Duration { return l.controller.env.now })
 	if l.gating.gate.MayWrite() {
 		journal.Open()
@@ -52,32 +64,35 @@
 	return &completionRecorder{journal: journal}
 }
 
-// open has ends go to the journal from now on, close to their records.
-func (r *completionRecorder) open()  { r.journal.Open() }
+// open directs completions and departures to the journal from now on.
+func (r *completionRecorder) open() { r.journal.Open() }
+
+// close directs them to the records from now on.
 func (r *completionRecorder) close() { r.journal.Close() }
 
-// abandon takes back a value that the state service takes in no form.
+// abandon gives up the journal after the state service has rejected a value for good: its entries go to the
+// records.
 func (r *completionRecorder) abandon() {
 	r.env.log.Error("completion journal disabled for this leadership: the state service rejects a value")
 	r.journal.Abandon()
 }
 
-// isCompacted says whether nothing is stored that older versions don't read. Values that can't be read
-// stay: no version reads them, and nothing is lost by that but work.
+// isCompacted reports whether nothing is stored that older versions of the program can't read. Unreadable values
+// do not count: no version reads them, and nothing is lost by that but work.
 func (r *completionRecorder) isCompacted() bool { return r.journal.Empty() }
 
-// tick folds what is due.
+// tick compacts what is due, and gives the observer the journal's size once in a worker's lease.
 func (r *completionRecorder) tick() {
 	r.journal.Tick()
-
-	if r.env.now >= r.reported+r.env.cfg.Lease() {
-		r.reported = r.env.now
-		values, ends, waiting := r.journal.Size()
-		r.env.observer.JournalSized(JournalSize{Values: values, Ends: ends, Waiting: waiting, Unreadable: r.unreadable})
+	if r.env.now < r.sizeObservedAt+r.env.cfg.Lease() {
+		return
 	}
+	r.sizeObservedAt = r.env.now
+	values, ends, waiting := r.journal.Size()
+	r.env.observer.JournalSized(JournalSize{Values: values, Ends: ends, Waiting: waiting, Unreadable: r.unreadable})
 }
 
-// recordCompletion has a task's completion stored; then is called once it is durable.
+// recordCompletion stores the completion of a task; then is called once it is durable.
 func (r *completionRecorder) recordCompletion(j *clusterstate.Job, index int, then func()) {
 	if r.journal.Takes() {
 		r.journal.Add(completionjournal.Entry{Job: j.Spec.UID, Index: index}, r.state.CompletionKey(j, index), then)
@@ -86,8 +101,8 @@
 	r.storeCompletions(j, index, statestore.Done, then)
 }
 
-// recordDeparture has it stored that an attempt has left its machine. A gang's attempts have one number, so
-// that a replaced task may come back under it: its machines' records are written as ever.
+// recordDeparture stores that an attempt has left its machine. The attempts of a gang share one number, under
+// which a replaced task may return to the machine: its departures are stored in the records in any case.
 func (r *completionRecorder) recordDeparture(a *clusterstate.Attempt) {
 	m := a.Machine
 	if !m.Recorded {
@@ -101,12 +116,12 @@
 	r.machines.storeMachine(m, statestore.Lazy, nil)
 }
 
-// storeCompletions marks the record of completions that has the task to be written.
+// storeCompletions has the completion record that covers a task written.
 func (r *completionRecorder) storeCompletions(j *clusterstate.Job, index int, priority statestore.Priority, then func()) {
 	r.store.Mark(r.state.CompletionKey(j, index), priority, func() any { return r.state.CompletionRecord(j, index) }, then)
 }
 
-// releaseJobEntries notes that a job's final state is durable, which makes all its completions redundant.
+// releaseJobEntries releases all journal entries of a job whose final state is durable.
 func (r *completionRecorder) releaseJobEntries(j *clusterstate.Job) {
 	if r.journal.Empty() {
 		return
@@ -116,43 +131,47 @@
 	}
 }
 
-// releaseRecord notes that a record's ends need not be known any more.
+// releaseRecord releases the journal entries that wait for a record to be written: it is not needed any more.
 func (r *completionRecorder) releaseRecord(key string) {
 	r.journal.Rendered(key)
 	r.journal.Stored(key)
 }
 
-// compactionHost is a term as the journal sees it.
+// compactionHost adapts a leadership to completionjournal.Compactor.
 type compactionHost struct{ leader *leadership }
 
-// Compact is part of completionjournal.Compactor.
-func (f compactionHost) Compact(entry completionjournal.Entry, key string, priority statestore.Priority) {
+var _ completionjournal.Compactor = compactionHost{}
+
+// Compact implements completionjournal.Compactor: it has the record written that an entry belongs to.
+func (h compactionHost) Compact(entry completionjournal.Entry, key string, priority statestore.Priority) {
 	if entry.Machine != "" {
-		if m := f.leader.state.Machines[entry.Machine]; m != nil {
-			f.leader.machines.storeMachine(m, priority, nil)
-		} else if !f.leader.store.IsPending(key) && f.leader.store.Version(key) == 0 {
-			f.leader.completions.releaseRecord(key) // its record is deleted
-		} else {
-			f.leader.store.Mark(key, priority, func() any { return nil }, nil)
-		}
+		h.compactDeparture(entry.Machine, key, priority)
 		return
 	}
-	if j := f.leader.state.Jobs[entry.Job]; j != nil {
-		f.leader.completions.storeCompletions(j, entry.Index, priority, nil)
+	if j := h.leader.state.Jobs[entry.Job]; j != nil {
+		h.leader.completions.storeCompletions(j, entry.Index, priority, nil)
 	} else {
-		f.leader.completions.releaseRecord(key) // the job is over
+		h.leader.completions.releaseRecord(key) // the job is over
 	}
 }
 
-// load takes a value of the journal at a take-over, after the records. What it can't read it leaves
-// where it is, and goes on.
-func (r *completionRecorder) load(it protocol.Item) error {
-	var v completionjournal.Value
-	err := protocol.Decode(it.Value, &v)
-	var entries []completionjournal.Entry
-	if err == nil {
-		entries, err = completionjournal.Decode(it.Key, v)
+// compactDeparture has the record of a machine written, or deleted if the machine is.
+func (h compactionHost) compactDeparture(machine, key string, priority statestore.Priority) {
+	m := h.leader.state.Machines[machine]
+	switch {
+	case m != nil:
+		h.leader.machines.storeMachine(m, priority, nil)
+	case !h.leader.store.IsPending(key) && h.leader.store.Version(key) == 0:
+		h.leader.completions.releaseRecord(key) // the record is deleted already
+	default:
+		h.leader.store.Mark(key, priority, func() any { return nil }, nil)
 	}
+}
+
+// load loads a value of the journal at a failover, after the records. A value that can't be decoded is left in
+// the state service and counted.
+func (r *completionRecorder) load(item protocol.Item) error {
+	entries, err := decodeJournalValue(item)
 	if err != nil {
 		r.unreadable++
 		return err
@@ -160,28 +179,43 @@
 	r.values++
 	missing := map[completionjournal.Entry]string{}
 	for _, entry := range entries {
-		if record, lacks := r.apply(entry, it.Version); lacks {
+		if record, lacks := r.apply(entry, item.Version); lacks {
 			missing[entry] = record
 		} else {
 			r.redundantEntries++
 		}
 	}
-	r.journal.Adopt(it.Key, missing)
+	r.journal.Adopt(item.Key, missing)
 	return nil
 }
 
-// apply brings the ledger to what an entry says, and tells which record lacks it. A record that was
-// written later than the value, or with it, has all that the value says and may know better.
+// decodeJournalValue returns the entries of a stored value of the journal.
+func decodeJournalValue(item protocol.Item) ([]completionjournal.Entry, error) {
+	var value completionjournal.Value
+	if err := protocol.Decode(item.Value, &value); err != nil {
+		return nil, err
+	}
+	return completionjournal.Decode(item.Key, value)
+}
+
+// apply applies an entry of a value with a version to the cluster state. It returns the key of the record that
+// lacks the entry, if one does: a record that was written later than the value, or together with it, has all
+// that the value says and may be newer.
 func (r *completionRecorder) apply(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
+	if entry.Machine != "" {
+		return r.applyDeparture(entry, version)
+	}
 	j := r.state.Jobs[entry.Job]
-	if entry.Machine == "" {
-		if j == nil || entry.Index >= j.Spec.Tasks {
-			return "", false
-		}
-		return r.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
+	if j == nil || entry.Index >= j.Spec.Tasks {
+		return "", false
 	}
+	return r.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
+}
+
+// applyDeparture removes an attempt that has left its machine.
+func (r *completionRecorder) applyDeparture(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
 	m, key := r.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
-	if m == nil || j == nil || r.store.Version(key) >= version {
+	if m == nil || r.state.Jobs[entry.Job] == nil || r.store.Version(key) >= version {
 		return "", false
 	}
 	a := m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(entry.Job, entry.Index), Attempt: entry.Attempt}]
@@ -192,7 +226,7 @@
 	return key, true
 }
 
-// logLoaded tells what the journal had, once all records are read.
+// logLoaded logs what the journal held, once all records are loaded.
 func (r *completionRecorder) logLoaded() {
 	if r.values+r.unreadable == 0 {
 		return
@@ -202,5 +236,5 @@
 		"redundant", r.redundantEntries, "unreadable", r.unreadable)
 }
 
-// isJournalKey says whether a key is one of the journal's.
+// isJournalKey reports whether a key is one of the journal's.
 func isJournalKey(key string) bool { return strings.HasPrefix(key, completionjournal.Prefix) }
