--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -1,110 +1,265 @@
 package controller
 
-// The components of a leadership work with one another: each names those that it needs as its fields, and
-// they are connected here, once all of them are there.
+// The components of a leadership work with one another: each names those that it needs as its first fields. They
+// are connected here once all of them exist, as some need one another.
 
-// wire gives each component of a leadership those that it works with.
+// wire gives each component of a leadership the others that it needs.
 func (l *leadership) wire() {
+	l.wireLifecycle()
 	l.wireRecords()
 	l.wireHeartbeats()
+	l.wireMachines()
 	l.wireWork()
-	l.wireScheduling()
+	l.wirePlacement()
+	l.wireScaling()
 }
 
-// wireRecords wires what is stored and how a leadership begins.
-func (l *leadership) wireRecords() {
-	c, env, outbox := l.controller, l.controller.env, l.controller.outbox
-
-	l.lease.controller, l.lease.env, l.lease.outbox = c, env, outbox
+// wireLifecycle wires the components that begin, keep and trace a leadership.
+func (l *leadership) wireLifecycle() {
+	lease := l.lease
+	lease.controller = l.controller
+	lease.env = l.controller.env
+	lease.outbox = l.controller.outbox
 
-	l.loader.attempts, l.loader.completions, l.loader.env, l.loader.forecast = l.attempts, l.completions, env, l.forecast
-	l.loader.gating, l.loader.jobs, l.loader.lease, l.loader.machines = l.gating, l.jobs, l.lease, l.machines
-	l.loader.outbox, l.loader.placement, l.loader.state, l.loader.store = outbox, l.placement, l.state, l.store
-	l.loader.timers, l.loader.trace, l.loader.views = l.timers, l.trace, l.views
+	loader := l.loader
+	loader.attempts = l.attempts
+	loader.completions = l.completions
+	loader.env = l.controller.env
+	loader.forecast = l.forecast
+	loader.gating = l.gating
+	loader.jobs = l.jobs
+	loader.lease = l.lease
+	loader.machines = l.machines
+	loader.outbox = l.controller.outbox
+	loader.placement = l.placement
+	loader.state = l.state
+	loader.store = l.store
+	loader.timers = l.timers
+	loader.trace = l.trace
+	loader.views = l.views
 
-	l.trace.env, l.trace.loader, l.trace.state = env, l.loader, l.state
+	trace := l.trace
+	trace.env = l.controller.env
+	trace.loader = l.loader
+	trace.state = l.state
 
-	l.gating.completions, l.gating.env, l.gating.lease, l.gating.store = l.completions, env, l.lease, l.store
+	gating := l.gating
+	gating.completions = l.completions
+	gating.env = l.controller.env
+	gating.lease = l.lease
+	gating.store = l.store
+}
 
-	l.completions.env, l.completions.lease, l.completions.machines, l.completions.state = env, l.lease, l.machines, l.state
-	l.completions.store = l.store
+// wireRecords wires the components that store attempts, completions and attained service.
+func (l *leadership) wireRecords() {
+	completions := l.completions
+	completions.env = l.controller.env
+	completions.lease = l.lease
+	completions.machines = l.machines
+	completions.state = l.state
+	completions.store = l.store
 
-	l.attemptNumbers.env, l.attemptNumbers.lease, l.attemptNumbers.placement, l.attemptNumbers.store = env, l.lease, l.placement, l.store
+	attemptNumbers := l.attemptNumbers
+	attemptNumbers.env = l.controller.env
+	attemptNumbers.lease = l.lease
+	attemptNumbers.placement = l.placement
+	attemptNumbers.store = l.store
 
-	l.accounting.env, l.accounting.state, l.accounting.store, l.accounting.views = env, l.state, l.store, l.views
+	accounting := l.accounting
+	accounting.env = l.controller.env
+	accounting.state = l.state
+	accounting.store = l.store
+	accounting.views = l.views
 }
 
-// wireHeartbeats wires what the workers tell and are told.
+// wireHeartbeats wires the exchange with the workers: heartbeats and commands.
 func (l *leadership) wireHeartbeats() {
-	c, env, outbox := l.controller, l.controller.env, l.controller.outbox
-
-	l.heartbeats.attempts, l.heartbeats.completions, l.heartbeats.controller, l.heartbeats.env = l.attempts, l.completions, c, env
-	l.heartbeats.failures, l.heartbeats.follower, l.heartbeats.jobs, l.heartbeats.lease = l.failures, c.follower, l.jobs, l.lease
-	l.heartbeats.loader, l.heartbeats.machines, l.heartbeats.outbox, l.heartbeats.placement = l.loader, l.machines, outbox, l.placement
-	l.heartbeats.pool, l.heartbeats.state, l.heartbeats.store = l.pool, l.state, l.store
+	heartbeats := l.heartbeats
+	heartbeats.attempts = l.attempts
+	heartbeats.completions = l.completions
+	heartbeats.controller = l.controller
+	heartbeats.env = l.controller.env
+	heartbeats.failures = l.failures
+	heartbeats.follower = l.controller.follower
+	heartbeats.jobs = l.jobs
+	heartbeats.lease = l.lease
+	heartbeats.loader = l.loader
+	heartbeats.machines = l.machines
+	heartbeats.outbox = l.controller.outbox
+	heartbeats.placement = l.placement
+	heartbeats.pool = l.pool
+	heartbeats.state = l.state
+	heartbeats.store = l.store
 
-	l.router.detection, l.router.env, l.router.lease, l.router.peers = c.detection, env, l.lease, l.peers
+	router := l.router
+	router.detection = l.controller.detection
+	router.env = l.controller.env
+	router.lease = l.lease
+	router.peers = l.peers
 
-	l.dispatcher.env, l.dispatcher.heartbeats, l.dispatcher.lease, l.dispatcher.loader = env, l.heartbeats, l.lease, l.loader
-	l.dispatcher.outbox, l.dispatcher.reach, l.dispatcher.state, l.dispatcher.trace = outbox, l.reach, l.state, l.trace
+	dispatcher := l.dispatcher
+	dispatcher.env = l.controller.env
+	dispatcher.heartbeats = l.heartbeats
+	dispatcher.lease = l.lease
+	dispatcher.loader = l.loader
+	dispatcher.outbox = l.controller.outbox
+	dispatcher.reach = l.reach
+	dispatcher.state = l.state
+	dispatcher.trace = l.trace
 
-	l.reach.detection, l.reach.election, l.reach.env = c.detection, c.election, env
+	reach := l.reach
+	reach.detection = l.controller.detection
+	reach.election = l.controller.election
+	reach.env = l.controller.env
+}
 
-	l.health.attempts, l.health.dispatcher, l.health.env, l.health.heartbeats = l.attempts, l.dispatcher, env, l.heartbeats
-	l.health.lease, l.health.machines, l.health.partitions, l.health.peers = l.lease, l.machines, l.partitions, l.peers
-	l.health.pool, l.health.state = l.pool, l.state
+// wireMachines wires what is known of machines and zones.
+func (l *leadership) wireMachines() {
+	health := l.health
+	health.attempts = l.attempts
+	health.dispatcher = l.dispatcher
+	health.env = l.controller.env
+	health.heartbeats = l.heartbeats
+	health.lease = l.lease
+	health.machines = l.machines
+	health.partitions = l.partitions
+	health.peers = l.peers
+	health.pool = l.pool
+	health.state = l.state
 
-	l.machines.attempts, l.machines.catalog, l.machines.env, l.machines.pool = l.attempts, c.catalog, env, l.pool
-	l.machines.state, l.machines.store = l.state, l.store
+	machines := l.machines
+	machines.attempts = l.attempts
+	machines.catalog = l.controller.catalog
+	machines.env = l.controller.env
+	machines.pool = l.pool
+	machines.state = l.state
+	machines.store = l.store
 
-	l.partitions.env, l.partitions.lease, l.partitions.peers, l.partitions.state = env, l.lease, l.peers, l.state
+	partitions := l.partitions
+	partitions.env = l.controller.env
+	partitions.lease = l.lease
+	partitions.peers = l.peers
+	partitions.state = l.state
 }
 
-// wireWork wires jobs, attempts and their failures.
+// wireWork wires attempts, their failures, jobs and the requests of users.
 func (l *leadership) wireWork() {
-	c, env, outbox := l.controller, l.controller.env, l.controller.outbox
-
-	l.attempts.completions, l.attempts.dispatcher, l.attempts.env, l.attempts.jobs = l.completions, l.dispatcher, env, l.jobs
-	l.attempts.machines, l.attempts.placement, l.attempts.state = l.machines, l.placement, l.state
+	attempts := l.attempts
+	attempts.completions = l.completions
+	attempts.dispatcher = l.dispatcher
+	attempts.env = l.controller.env
+	attempts.jobs = l.jobs
+	attempts.machines = l.machines
+	attempts.placement = l.placement
+	attempts.state = l.state
 
-	l.failures.catalog, l.failures.env, l.failures.state, l.failures.views = c.catalog, env, l.state, l.views
+	failures := l.failures
+	failures.catalog = l.controller.catalog
+	failures.env = l.controller.env
+	failures.state = l.state
+	failures.views = l.views
 
-	l.jobs.completions, l.jobs.env, l.jobs.failures, l.jobs.state = l.completions, env, l.failures, l.state
-	l.jobs.store, l.jobs.userRequests = l.store, l.userRequests
+	jobs := l.jobs
+	jobs.completions = l.completions
+	jobs.env = l.controller.env
+	jobs.failures = l.failures
+	jobs.state = l.state
+	jobs.store = l.store
+	jobs.userRequests = l.userRequests
 
-	l.userRequests.attempts, l.userRequests.catalog, l.userRequests.env, l.userRequests.forecast = l.attempts, c.catalog, env, l.forecast
-	l.userRequests.jobs, l.userRequests.lease, l.userRequests.loader, l.userRequests.machines = l.jobs, l.lease, l.loader, l.machines
-	l.userRequests.outbox, l.userRequests.pending, l.userRequests.placement, l.userRequests.state = outbox, c.pending, l.placement, l.state
-	l.userRequests.store = l.store
+	userRequests := l.userRequests
+	userRequests.attempts = l.attempts
+	userRequests.catalog = l.controller.catalog
+	userRequests.env = l.controller.env
+	userRequests.forecast = l.forecast
+	userRequests.jobs = l.jobs
+	userRequests.lease = l.lease
+	userRequests.loader = l.loader
+	userRequests.machines = l.machines
+	userRequests.outbox = l.controller.outbox
+	userRequests.pending = l.controller.pending
+	userRequests.placement = l.placement
+	userRequests.state = l.state
+	userRequests.store = l.store
 }
 
-// wireScheduling wires placement and scaling.
-func (l *leadership) wireScheduling() {
-	c, env, outbox := l.controller, l.controller.env, l.controller.outbox
+// wirePlacement wires the task scheduler, its views and its cache.
+func (l *leadership) wirePlacement() {
+	placement := l.placement
+	placement.accounting = l.accounting
+	placement.attemptNumbers = l.attemptNumbers
+	placement.attempts = l.attempts
+	placement.cache = l.cache
+	placement.catalog = l.controller.catalog
+	placement.consolidator = l.consolidator
+	placement.dispatcher = l.dispatcher
+	placement.env = l.controller.env
+	placement.failures = l.failures
+	placement.forecast = l.forecast
+	placement.health = l.health
+	placement.lease = l.lease
+	placement.machines = l.machines
+	placement.partitions = l.partitions
+	placement.scaler = l.scaler
+	placement.state = l.state
+	placement.summary = l.summary
+	placement.userRequests = l.userRequests
 
-	l.placement.accounting, l.placement.attemptNumbers, l.placement.attempts, l.placement.cache = l.accounting, l.attemptNumbers, l.attempts, l.cache
-	l.placement.catalog, l.placement.consolidator, l.placement.dispatcher, l.placement.env = c.catalog, l.consolidator, l.dispatcher, env
-	l.placement.failures, l.placement.forecast, l.placement.health, l.placement.lease = l.failures, l.forecast, l.health, l.lease
-	l.placement.machines, l.placement.partitions, l.placement.scaler, l.placement.state = l.machines, l.partitions, l.scaler, l.state
-	l.placement.summary, l.placement.userRequests = l.summary, l.userRequests
+	views := l.views
+	views.catalog = l.controller.catalog
+	views.env = l.controller.env
+	views.forecast = l.forecast
+	views.partitions = l.partitions
+	views.placement = l.placement
+	views.state = l.state
 
-	l.views.catalog, l.views.env, l.views.forecast, l.views.partitions = c.catalog, env, l.forecast, l.partitions
-	l.views.placement, l.views.state = l.placement, l.state
-
-	l.cache.registry = l.machines
-	l.cache.catalog, l.cache.env, l.cache.health, l.cache.placement = c.catalog, env, l.health, l.placement
-	l.cache.state, l.cache.views = l.state, l.views
+	cache := l.cache
+	cache.catalog = l.controller.catalog
+	cache.env = l.controller.env
+	cache.health = l.health
+	cache.placement = l.placement
+	cache.registry = l.machines
+	cache.state = l.state
+	cache.views = l.views
+}
 
-	l.forecast.catalog, l.forecast.env, l.forecast.health, l.forecast.machines = c.catalog, env, l.health, l.machines
-	l.forecast.views = l.views
+// wireScaling wires what scales the fleet and summarizes it.
+func (l *leadership) wireScaling() {
+	forecast := l.forecast
+	forecast.catalog = l.controller.catalog
+	forecast.env = l.controller.env
+	forecast.health = l.health
+	forecast.machines = l.machines
+	forecast.views = l.views
 
-	l.scaler.cache, l.scaler.catalog, l.scaler.env, l.scaler.forecast = l.cache, c.catalog, env, l.forecast
-	l.scaler.health, l.scaler.lease, l.scaler.machines, l.scaler.outbox = l.health, l.lease, l.machines, outbox
-	l.scaler.partitions, l.scaler.pool, l.scaler.reach, l.scaler.state = l.partitions, l.pool, l.reach, l.state
+	scaler := l.scaler
+	scaler.cache = l.cache
+	scaler.catalog = l.controller.catalog
+	scaler.env = l.controller.env
+	scaler.forecast = l.forecast
+	scaler.health = l.health
+	scaler.lease = l.lease
+	scaler.machines = l.machines
+	scaler.outbox = l.controller.outbox
+	scaler.partitions = l.partitions
+	scaler.pool = l.pool
+	scaler.reach = l.reach
+	scaler.state = l.state
 
-	l.consolidator.attempts, l.consolidator.cache, l.consolidator.catalog, l.consolidator.env = l.attempts, l.cache, c.catalog, env
-	l.consolidator.forecast, l.consolidator.lease, l.consolidator.partitions, l.consolidator.pool = l.forecast, l.lease, l.partitions, l.pool
-	l.consolidator.state = l.state
+	consolidator := l.consolidator
+	consolidator.attempts = l.attempts
+	consolidator.cache = l.cache
+	consolidator.catalog = l.controller.catalog
+	consolidator.env = l.controller.env
+	consolidator.forecast = l.forecast
+	consolidator.lease = l.lease
+	consolidator.partitions = l.partitions
+	consolidator.pool = l.pool
+	consolidator.state = l.state
 
-	l.summary.env, l.summary.pool, l.summary.state, l.summary.store = env, l.pool, l.state, l.store
+	summary := l.summary
+	summary.env = l.controller.env
+	summary.pool = l.pool
+	summary.state = l.state
+	summary.store = l.store
 }
