--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -48,9 +48,9 @@
 	return n.block<<attemptBlockBits | n.used
 }
 
-// reserveAttempts reserves the next block once half of this one is used. Placement, which may have waited for
+// reserveBlock reserves the next block once half of this one is used. Placement, which may have waited for
 // it, goes on as soon as the reservation is durable.
-func (n *attemptNumbers) reserveAttempts() {
+func (n *attemptNumbers) reserveBlock() {
 	if n.reserving || n.next != 0 || n.left() > reserveBelow {
 		return
 	}
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -31,7 +31,7 @@
 type candidate struct {
 	leaseID      uint64        // 0: there is no lease
 	leaseAskedAt time.Duration // when the request that acquired or last renewed the lease was sent
-	nextAt       time.Duration // no request before this time, after one that failed
+	retryAt      time.Duration // no request before this time, after one that failed
 	inFlight     bool          // a request is under way
 }
 
@@ -92,7 +92,7 @@
 // each of its writes has the leader key's version as a condition.
 func (e *election) mayReadLeaderKeys() bool {
 	keys := &e.leaderKeys
-	return !keys.inFlight && e.env.now >= keys.nextAt && e.controller.leadership == nil &&
+	return !keys.inFlight && e.env.now >= keys.retryAt && e.controller.leadership == nil &&
 		e.outbox.stateRequests.Has(e.env.now, 1)
 }
 
@@ -129,7 +129,7 @@
 	keys := &e.leaderKeys
 	var items protocol.Items
 	if !decodeStateReply(result, &items) {
-		keys.nextAt = e.env.now + e.env.retryPause()
+		keys.retryAt = e.env.now + e.env.retryPause()
 		e.logListFailure(result.Status)
 		return
 	}
@@ -157,7 +157,7 @@
 	keys := &e.leaderKeys
 	var events protocol.Events
 	if !decodeStateReply(result, &events) {
-		keys.known, keys.nextAt = false, e.env.now+e.env.retryPause()
+		keys.known, keys.retryAt = false, e.env.now+e.env.retryPause()
 		return
 	}
 	keys.revision = events.Revision
@@ -201,7 +201,7 @@
 
 // mayCall reports whether the candidate may send its next request now.
 func (e *election) mayCall(candidate *candidate) bool {
-	return !candidate.inFlight && e.env.now >= candidate.nextAt && e.outbox.stateRequests.Has(e.env.now, 1)
+	return !candidate.inFlight && e.env.now >= candidate.retryAt && e.outbox.stateRequests.Has(e.env.now, 1)
 }
 
 // sendElection sends the transaction that makes the candidate the leader.
@@ -234,7 +234,7 @@
 		e.controller.becomeLeader(record, reply.Revision)
 		return
 	}
-	candidate.nextAt = e.env.now + e.env.retryPause()
+	candidate.retryAt = e.env.now + e.env.retryPause()
 	if result.Status == http.StatusBadRequest {
 		candidate.leaseID = 0 // it expired before the transaction arrived
 	}
@@ -281,7 +281,7 @@
 		candidate.inFlight = false
 		var lease protocol.LeaseReply
 		if !decodeStateReply(result, &lease) {
-			candidate.nextAt = e.env.now + e.env.retryPause()
+			candidate.retryAt = e.env.now + e.env.retryPause()
 			return
 		}
 		candidate.leaseID, candidate.leaseAskedAt = lease.Lease, sent
@@ -302,7 +302,7 @@
 		case http.StatusNotFound:
 			candidate.leaseID = 0 // expired
 		default:
-			candidate.nextAt = e.env.now + e.env.retryPause()
+			candidate.retryAt = e.env.now + e.env.retryPause()
 		}
 	})
 }
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -84,15 +84,15 @@
 	g.gate.Heard(g.env.now, heartbeat.From, heartbeat.Incarnation, readVersionStatement(heartbeat.Versions))
 }
 
-// tickFeatureGate carries out what the gate decides. Nothing is decided while it is uncertain whether this
+// tick carries out what the gate decides. Nothing is decided while it is uncertain whether this
 // controller still leads.
-func (g *gateKeeper) tickFeatureGate() {
+func (g *gateKeeper) tick() {
 	if !g.lease.holdsLease() {
 		return
 	}
 	before := g.gate.State()
 	action := g.gate.Decide(g.env.now, before == featuregate.Closing && g.completions.isCompacted())
-	g.noteGate(before)
+	g.noteGateState(before)
 	if g.gate.State() == featuregate.Closing {
 		g.completions.close()
 	}
@@ -125,7 +125,7 @@
 		before := g.gate.State()
 		g.storedRecord = record
 		g.gate.Stored(g.env.now)
-		g.noteGate(before)
+		g.noteGateState(before)
 		if g.gate.MayWrite() {
 			g.completions.open()
 		}
@@ -133,7 +133,7 @@
 	change.Refused = func() {
 		before := g.gate.State()
 		g.gate.Failed(g.env.now)
-		g.noteGate(before)
+		g.noteGateState(before)
 	}
 	g.store.ChangeLeader(change)
 }
@@ -156,9 +156,9 @@
 	Statements map[string]string
 }
 
-// noteGate logs a change of the gate's state and hands it to the observer. It also logs a new obstacle to the
+// noteGateState logs a change of the gate's state and hands it to the observer. It also logs a new obstacle to the
 // opening of a gate that operators have enabled, at the most once in a worker's lease.
-func (g *gateKeeper) noteGate(before featuregate.State) {
+func (g *gateKeeper) noteGateState(before featuregate.State) {
 	state, obstacle := g.gate.State(), g.gate.Obstacle()
 	enabled := g.env.cfg.Operator.EndJournal.Enabled
 	logged := &g.gateLogged
--- a/internal/controller/leader_keys.go
+++ b/internal/controller/leader_keys.go
@@ -80,7 +80,7 @@
 	leaderlessSince time.Duration // since when nobody is
 
 	inFlight   bool          // a list or a watch is under way
-	nextAt     time.Duration // no list and no watch before this time, after one that failed
+	retryAt    time.Duration // no list and no watch before this time, after one that failed
 	generation int           // answers to calls of an older generation are dropped
 
 	revokedLease      uint64 // a former lease of this controller that it has revoked
@@ -91,7 +91,7 @@
 
 // refresh has the keys listed again from a time on; an open watch is abandoned.
 func (k *leaderKeys) refresh(at time.Duration) {
-	k.known, k.inFlight, k.nextAt = false, false, at
+	k.known, k.inFlight, k.retryAt = false, false, at
 	k.generation++
 }
 
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -95,32 +95,7 @@
 	return l
 }
 
-// connect makes the components that need others at once, in the order of their needs, and then wires all.
-func (l *leadership) connect(version uint64) {
-	l.gating.lease = l.lease
-	l.store = l.newStore(version)
-	l.gating.gate = l.newGate()
-	l.completions = l.newCompletionRecorder()
-	l.pool = l.newPool()
-	l.wire()
-	l.cache.rebuild()
-}
-
-// newClusterState returns an empty cluster state with the quotas of the teams.
-func newClusterState(cfg *config.Config) *clusterstate.State {
-	state := clusterstate.New(cfg.LayoutBytes(), cfg.ValueBytes())
-	for _, team := range cfg.Cluster.Teams {
-		state.Quotas[team.Name] = &scheduler.Quota{
-			Guaranteed: scheduler.Need{Cores: team.Cores, Accel: team.Accelerators},
-			Maximum:    scheduler.Need{Cores: team.CoresMax, Accel: team.AccelMax}}
-	}
-	return state
-}
-
-// seconds converts a number of seconds.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// tick does what is due at a time. Each step leaves early what can wait for the next tick.
+// tick does the leader's periodic work. A step that is not due yet returns at once.
 func (l *leadership) tick() {
 	l.lease.renewLeaderLease()
 	if l.lease.ended {
@@ -136,9 +111,9 @@
 		return
 	}
 	l.trace.expireFailover()
-	l.gating.tickFeatureGate()
+	l.gating.tick()
 	l.completions.tick()
-	l.attemptNumbers.reserveAttempts()
+	l.attemptNumbers.reserveBlock()
 	l.pool.Tick()
 	l.placement.runScheduling()
 }
@@ -166,3 +141,28 @@
 		l.store.Flush()
 	}
 }
+
+// connect makes the components that need others at once, in the order of their needs, and then wires all.
+func (l *leadership) connect(version uint64) {
+	l.gating.lease = l.lease
+	l.store = l.newStore(version)
+	l.gating.gate = l.newGate()
+	l.completions = l.newCompletionRecorder()
+	l.pool = l.newPool()
+	l.wire()
+	l.cache.rebuild()
+}
+
+// newClusterState returns an empty cluster state with the quotas of the teams.
+func newClusterState(cfg *config.Config) *clusterstate.State {
+	state := clusterstate.New(cfg.LayoutBytes(), cfg.ValueBytes())
+	for _, team := range cfg.Cluster.Teams {
+		state.Quotas[team.Name] = &scheduler.Quota{
+			Guaranteed: scheduler.Need{Cores: team.Cores, Accel: team.Accelerators},
+			Maximum:    scheduler.Need{Cores: team.CoresMax, Accel: team.AccelMax}}
+	}
+	return state
+}
+
+// seconds converts a number of seconds.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -244,7 +244,7 @@
 }
 
 // applyJournal applies a value of the completion journal.
-func (s *stateLoader) applyJournal(item protocol.Item) error { return s.completions.load(item) }
+func (s *stateLoader) applyJournal(item protocol.Item) error { return s.completions.loadValue(item) }
 
 // applyCounters loads counters of attained service.
 func (s *stateLoader) applyCounters(_ string, record clusterstate.Counters) error {
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// load loads a value of the journal at a failover, after the records. A value that can't be decoded is left in
+// loadValue loads a value of the journal at a failover, after the records. A value that can't be decoded is left in
 // the state service and counted.
-func (r *completionRecorder) load(item protocol.Item) error {
+func (r *completionRecorder) loadValue(item protocol.Item) error {
 	entries, err := decodeJournalValue(item)
 	if err != nil {
 		r.unreadable++
