--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -1,12 +1,13 @@
 package controller
 
 import (
-	"fmt"
-	"net/http"
+	"errors"
 	"time"
 
+	"claybarrow/internal/apicall"
 	"claybarrow/internal/membership"
 	"claybarrow/internal/protocol"
+	"claybarrow/internal/stateclient"
 )
 
 // election watches the leader keys in the state service and campaigns when there is no leader.
@@ -98,8 +99,12 @@
 
 // listLeaderKeys requests all leader keys.
 func (e *election) listLeaderKeys() {
-	path := fmt.Sprintf("/store?under=%s&limit=%d", keyPrefix, leaderKeysLimit)
-	e.readLeaderKeys(path, e.stateCallTimeout(), e.onLeaderKeysListed)
+	current := e.leaderKeysRequest()
+	e.outbox.state.List(keyPrefix, "", leaderKeysLimit, e.stateCallTimeout(), func(page stateclient.Page, err error) {
+		if current() {
+			e.onLeaderKeysListed(page, err)
+		}
+	})
 }
 
 // followLeaderKeys requests the changes of the leader keys after the revision that is known. The state
@@ -107,35 +112,39 @@
 func (e *election) followLeaderKeys() {
 	ttl := e.env.cfg.LeaderTTL()
 	block := watchBlockLeases * ttl
-	path := fmt.Sprintf("/follow?under=%s&after=%d&blockMs=%d", keyPrefix, e.leaderKeys.revision, block.Milliseconds())
-	e.readLeaderKeys(path, block+ttl, e.onLeaderKeysChanged)
+	current := e.leaderKeysRequest()
+	e.outbox.state.Watch(keyPrefix, e.leaderKeys.revision, block, block+ttl, func(events protocol.Events, err error) {
+		if current() {
+			e.onLeaderKeysChanged(events, err)
+		}
+	})
 }
 
-// readLeaderKeys sends a request for the leader keys and passes its result on, unless the keys were refreshed
-// meanwhile: then a newer request replaces this one.
-func (e *election) readLeaderKeys(path string, timeout time.Duration, then func(Result)) {
+// leaderKeysRequest begins a request for the leader keys. The function that it returns ends the request when
+// its answer is there, and reports whether the answer counts: if the keys were refreshed meanwhile, a newer
+// request has replaced this one.
+func (e *election) leaderKeysRequest() (current func() bool) {
 	generation := e.leaderKeys.generation
-	e.outbox.stateCall(http.MethodGet, path, nil, timeout, func(result Result) {
+	return func() bool {
 		if e.leaderKeys.generation != generation {
-			return
+			return false
 		}
 		e.leaderKeys.inFlight = false
-		then(result)
-	})
+		return true
+	}
 }
 
 // onLeaderKeysListed replaces what is known of the leader keys by a list of them.
-func (e *election) onLeaderKeysListed(result Result) {
+func (e *election) onLeaderKeysListed(page stateclient.Page, err error) {
 	keys := &e.leaderKeys
-	var items protocol.Items
-	if !decodeStateReply(result, &items) {
+	if err != nil {
 		keys.retryAt = e.env.now + e.env.retryPause()
-		e.logListFailure(result.Status)
+		e.logListFailure(apicall.StatusOf(err))
 		return
 	}
-	keys.known, keys.revision, keys.listFailureLogged = true, items.Revision, false
+	keys.known, keys.revision, keys.listFailureLogged = true, page.Revision, false
 	keys.clearKeys()
-	for _, item := range items.Items {
+	for _, item := range page.Items.Items {
 		keys.applyKey(item.Key, item.Value, item.Version)
 	}
 	e.observeLeader()
@@ -153,10 +162,9 @@
 
 // onLeaderKeysChanged applies the changes that a watch returned. A watch that failed may have missed some, so
 // that the keys are listed again.
-func (e *election) onLeaderKeysChanged(result Result) {
+func (e *election) onLeaderKeysChanged(events protocol.Events, err error) {
 	keys := &e.leaderKeys
-	var events protocol.Events
-	if !decodeStateReply(result, &events) {
+	if err != nil {
 		keys.known, keys.retryAt = false, e.env.now+e.env.retryPause()
 		return
 	}
@@ -214,28 +222,27 @@
 		LeaseID:     candidate.leaseID,
 	}
 	txn := e.leaderKeys.electionTxn(record)
-	e.outbox.stateCall(http.MethodPost, "/multi", txn, e.stateCallTimeout(), func(result Result) {
-		e.onElectionResult(candidate, record, result)
+	e.outbox.state.Commit(txn, e.stateCallTimeout(), func(revision uint64, err error) {
+		e.onElectionResult(candidate, record, revision, err)
 	})
 }
 
 // onElectionResult begins the leadership if the transaction applied. A lost race and a lost answer are handled
 // alike: the watch would go on, but a fresh list is needed before the next attempt.
-func (e *election) onElectionResult(candidate *candidate, record *leaderRecord, result Result) {
+func (e *election) onElectionResult(candidate *candidate, record *leaderRecord, revision uint64, err error) {
 	candidate.inFlight = false
 	if e.candidate != candidate || e.controller.leadership != nil {
 		// The watch showed this transaction's key before its answer came. Without this check a process once
 		// became leader twice and crashed.
 		return
 	}
-	var reply protocol.TxnReply
-	if decodeStateReply(result, &reply) {
-		e.leaderKeys.noteElectionWon(record, reply.Revision)
-		e.controller.becomeLeader(record, reply.Revision)
+	if err == nil {
+		e.leaderKeys.noteElectionWon(record, revision)
+		e.controller.becomeLeader(record, revision)
 		return
 	}
 	candidate.retryAt = e.env.now + e.env.retryPause()
-	if result.Status == http.StatusBadRequest {
+	if errors.Is(err, apicall.ErrInvalidRequest) {
 		candidate.leaseID = 0 // it expired before the transaction arrived
 	}
 	e.leaderKeys.refresh(e.env.now)
@@ -276,15 +283,13 @@
 func (e *election) acquireLease(candidate *candidate, then func()) {
 	candidate.inFlight = true
 	sent := e.env.now
-	request := protocol.LeaseRequest{TTLMillis: e.env.cfg.LeaderTTL().Milliseconds()}
-	e.outbox.stateCall(http.MethodPost, "/leases", request, e.stateCallTimeout(), func(result Result) {
+	e.outbox.state.GrantLease(e.env.cfg.LeaderTTL(), e.stateCallTimeout(), func(lease uint64, err error) {
 		candidate.inFlight = false
-		var lease protocol.LeaseReply
-		if !decodeStateReply(result, &lease) {
+		if err != nil {
 			candidate.retryAt = e.env.now + e.env.retryPause()
 			return
 		}
-		candidate.leaseID, candidate.leaseAskedAt = lease.Lease, sent
+		candidate.leaseID, candidate.leaseAskedAt = lease, sent
 		then()
 	})
 }
@@ -293,14 +298,13 @@
 func (e *election) renewCandidateLease(candidate *candidate) {
 	candidate.inFlight = true
 	sent := e.env.now
-	path := leaseRenewalPath(candidate.leaseID)
-	e.outbox.stateCall(http.MethodPost, path, nil, e.stateCallTimeout(), func(result Result) {
+	e.outbox.state.RenewLease(candidate.leaseID, e.stateCallTimeout(), func(err error) {
 		candidate.inFlight = false
-		switch result.Status {
-		case http.StatusOK:
+		switch {
+		case err == nil:
 			candidate.leaseAskedAt = sent
-		case http.StatusNotFound:
-			candidate.leaseID = 0 // expired
+		case errors.Is(err, stateclient.ErrLeaseExpired):
+			candidate.leaseID = 0
 		default:
 			candidate.retryAt = e.env.now + e.env.retryPause()
 		}
@@ -374,9 +378,8 @@
 	}
 	keys.revokedLease = lease
 	e.env.log.Info("revoking the lease of an earlier incarnation", "lease", lease)
-	e.outbox.stateCall(http.MethodDelete, leasePath(lease), nil, e.stateCallTimeout(), func(result Result) {
-		// No answer (0), throttled, or a fault of the service: the lease may still be there.
-		if result.Status == 0 || result.Status >= http.StatusTooManyRequests {
+	e.outbox.state.RevokeLease(lease, e.stateCallTimeout(), func(err error) {
+		if apicall.IsRetryable(err) { // the lease may still be there
 			keys.revokedLease = 0
 			keys.refresh(e.env.now + e.env.retryPause())
 		}
@@ -388,15 +391,3 @@
 	return e.env.now < e.electionBackoffUntil &&
 		e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.Lease()/backoffLeaseDivisor
 }
-
-// leasePath is the state service's path of a lease.
-func leasePath(lease uint64) string { return fmt.Sprintf("/leases/%d", lease) }
-
-// leaseRenewalPath is the state service's path that renews a lease.
-func leaseRenewalPath(lease uint64) string { return leasePath(lease) + "/extend" }
-
-// decodeStateReply decodes the body of an answer of the state service. It returns false if there was no
-// answer, its status is not 200 or its body can't be decoded; reply may then be partly filled.
-func decodeStateReply(result Result, reply any) bool {
-	return result.Status == http.StatusOK && protocol.Decode(result.Body, reply) == nil
-}
--- a/internal/controller/failover_preparation.go
+++ b/internal/controller/failover_preparation.go
@@ -1,11 +1,10 @@
 package controller
 
 import (
-	"net/http"
 	"time"
 
 	"claybarrow/internal/membership"
-	"claybarrow/internal/protocol"
+	"claybarrow/internal/stateclient"
 )
 
 // failoverPreparer prepares a follower to succeed a suspected leader: it acquires a lease and preloads the
@@ -90,9 +89,9 @@
 		return
 	}
 	preload.inFlight = true
-	path := listPath(preload.currentPrefix(), preload.after)
-	p.outbox.stateCall(http.MethodGet, path, nil, p.env.cfg.LeaderTTL(), func(result Result) {
-		p.onPagePreloaded(preload, result)
+	timeout := p.env.cfg.LeaderTTL()
+	p.outbox.state.List(preload.currentPrefix(), preload.after, recordsPerPage, timeout, func(page stateclient.Page, err error) {
+		p.onPagePreloaded(preload, page, err)
 	})
 }
 
@@ -107,18 +106,17 @@
 
 // onPagePreloaded adds a page and requests the next. An unusable answer ends the preload: the records that it
 // lacks are read after the election.
-func (p *failoverPreparer) onPagePreloaded(preload *recordPreload, result Result) {
+func (p *failoverPreparer) onPagePreloaded(preload *recordPreload, page stateclient.Page, err error) {
 	preload.inFlight = false
 	if p.preparation.preload != preload || preload.finished {
 		return
 	}
-	var items protocol.Items
-	if !decodeStateReply(result, &items) {
+	if err != nil {
 		preload.finished = true
 		return
 	}
-	preload.bytes += len(result.Body)
-	preload.addPage(items)
+	preload.bytes += page.Bytes
+	preload.addPage(page.Items)
 	if preload.bytes > p.preloadLimitBytes() {
 		preload.finished = true
 	}
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -1,10 +1,11 @@
 package controller
 
 import (
-	"net/http"
+	"errors"
 	"time"
 
 	"claybarrow/internal/config"
+	"claybarrow/internal/stateclient"
 )
 
 // leaderLease is the leader's fencing token and the lease in the state service that its leadership depends on.
@@ -61,21 +62,21 @@
 func (l *leaderLease) sendRenewal() {
 	l.renewalInFlight = true
 	sent, timeout := l.env.now, l.env.cfg.LeaderTTL()/renewalTimeoutDivisor
-	l.outbox.stateCall(http.MethodPost, leaseRenewalPath(l.leaseID), nil, timeout, func(result Result) {
+	l.outbox.state.RenewLease(l.leaseID, timeout, func(err error) {
 		l.renewalInFlight = false
 		if l.ended {
 			return
 		}
-		l.onRenewalResult(sent, result.Status)
+		l.onRenewalResult(sent, err)
 	})
 }
 
 // onRenewalResult handles the answer to a renewal that was sent at a time. Without a usable answer the leader
 // coasts: it keeps answering workers, but starts nothing.
-func (l *leaderLease) onRenewalResult(sent time.Duration, status int) {
+func (l *leaderLease) onRenewalResult(sent time.Duration, err error) {
 	ttl := l.env.cfg.LeaderTTL()
-	switch status {
-	case http.StatusOK:
+	switch {
+	case err == nil:
 		if !l.holdsLease() {
 			l.env.log.Info("leader lease confirmed again", "token", l.token)
 		}
@@ -84,7 +85,7 @@
 		l.verifyingLeaseUntil = 0
 		l.renewLeaseAt = sent + ttl/renewalDivisor
 		l.coasting = false
-	case http.StatusNotFound:
+	case errors.Is(err, stateclient.ErrLeaseExpired):
 		l.controller.endLeadership(endLeaseExpired)
 		l.coasting = false
 	default:
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"fmt"
 	"time"
 
 	"claybarrow/internal/cloudclient"
@@ -81,7 +80,7 @@
 
 // revokeLease gives a lease back, if that can be done.
 func (o *outbox) revokeLease(lease uint64) {
-	o.stateCall("DELETE", fmt.Sprintf("/leases/%d", lease), nil, o.env.cfg.LeaderTTL()/2, func(Result) {})
+	o.state.RevokeLease(lease, o.env.cfg.LeaderTTL()/2, func(error) {})
 }
 
 func (o *outbox) reply(to requester, status int, body []byte, retryAfter int) {
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
-	"net/url"
 	"strings"
 
 	"claybarrow/internal/clusterstate"
@@ -11,6 +9,7 @@
 	"claybarrow/internal/featuregate"
 	"claybarrow/internal/protocol"
 	"claybarrow/internal/scheduler"
+	"claybarrow/internal/stateclient"
 	"claybarrow/internal/statestore"
 )
 
@@ -110,32 +109,23 @@
 
 // requestPage requests the page of records after a key.
 func (s *stateLoader) requestPage(step int, prefix, after string) {
-	s.outbox.stateCall(http.MethodGet, listPath(prefix, after), nil, s.env.cfg.LeaderTTL(), func(result Result) {
+	s.outbox.state.List(prefix, after, recordsPerPage, s.env.cfg.LeaderTTL(), func(page stateclient.Page, err error) {
 		if !s.lease.ended {
-			s.onPage(step, after, result)
+			s.onPage(step, after, page, err)
 		}
 	})
 }
 
-// listPath is the path of the page of records after a key.
-func listPath(prefix, after string) string {
-	path := fmt.Sprintf("/store?under=%s&limit=%d", prefix, recordsPerPage)
-	if after != "" {
-		path += "&after=" + url.QueryEscape(after)
-	}
-	return path
-}
-
 // onPage loads the records of a page and requests the next. A request that failed is repeated after a pause.
-func (s *stateLoader) onPage(step int, after string, result Result) {
-	var items protocol.Items
-	if !decodeStateReply(result, &items) {
+func (s *stateLoader) onPage(step int, after string, page stateclient.Page, err error) {
+	if err != nil {
 		s.timers.runAt(s.env.now+s.env.retryPause(), func() { s.loadPage(step, after) })
 		return
 	}
-	s.loadRecords(items.Items)
-	if items.More && len(items.Items) > 0 {
-		s.loadPage(step, items.Items[len(items.Items)-1].Key)
+	records := page.Items.Items
+	s.loadRecords(records)
+	if page.More && len(records) > 0 {
+		s.loadPage(step, records[len(records)-1].Key)
 		return
 	}
 	s.loadPage(step+1, "")
@@ -144,19 +134,18 @@
 // requestChanges requests what has changed under a preloaded prefix since it was read. It does so after the
 // election, when earlier leaders can write nothing more.
 func (s *stateLoader) requestChanges(step int, prefix string, preloaded *preloadedPrefix) {
-	path := fmt.Sprintf("/follow?under=%s&after=%d&blockMs=0", prefix, preloaded.revision)
-	s.outbox.stateCall(http.MethodGet, path, nil, s.env.cfg.LeaderTTL(), func(result Result) {
+	const doNotBlock = 0
+	s.outbox.state.Watch(prefix, preloaded.revision, doNotBlock, s.env.cfg.LeaderTTL(), func(events protocol.Events, err error) {
 		if !s.lease.ended {
-			s.onChanges(step, preloaded, result)
+			s.onChanges(step, preloaded, events, err)
 		}
 	})
 }
 
 // onChanges loads the preloaded records with their changes. Without a usable answer (too much may have changed
 // for the state service to tell) the whole preload is dropped and all is read again.
-func (s *stateLoader) onChanges(step int, preloaded *preloadedPrefix, result Result) {
-	var events protocol.Events
-	if !decodeStateReply(result, &events) {
+func (s *stateLoader) onChanges(step int, preloaded *preloadedPrefix, events protocol.Events, err error) {
+	if err != nil {
 		s.preload = nil
 		s.loadPage(step, "")
 		return
