--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -5,7 +5,8 @@
 	"claybarrow/internal/statestore"
 )
 
-// jobCompletion stores the final states of jobs.
+// jobCompletion stores the final states of jobs. It has no state of its own: a failover finds the final states among
+// the stored records, and completes anew what was not stored.
 type jobCompletion struct {
 	completions  *completionRecorder
 	env          *environment
@@ -15,38 +16,38 @@
 	userRequests *userRequests
 }
 
-// completeCancellation records the end of a cancelled job, and then tells of it, once its
-// last task is proved gone. A follower in a zone that is cut off may keep a task
-// alive for longer than cancel_s, but only of a job whose user has not been told.
-// The request itself is stored at once: a user who has not been told asks again, but
-// gives up after a while, and the job must not run on after a change of leader.
+// completeCancellation stores the end of a cancelled job once its last task is proved to have ended; its user is
+// answered once that is stored. A follower in a zone that is cut off may keep a task alive for longer than cancel_s,
+// but only of a job whose user has not been answered. The request to cancel is stored at once: a user who gets no
+// answer asks again, but gives up after a while, and the job must not run on after a failover.
 func (c *jobCompletion) completeCancellation(j *clusterstate.Job) {
 	if !j.Cancelling || j.Finishing || j.ActiveAttempts > 0 {
 		return
 	}
-	uid := j.Spec.UID
 	j.Finishing = true
 	c.failures.withdrawFailures(j)
-	c.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
-		c.state.Terminal[uid] = clusterstate.TerminalState{Cancelled: true}
-		c.completions.releaseJobEntries(j)
-		c.deleteCompletionRecords(j)
-		c.userRequests.replyCancelled(uid)
-		c.state.RemoveJob(uid)
-	})
+	c.storeTerminalState(j, clusterstate.TerminalState{Cancelled: true})
 }
 
-// completeJob writes a job's final state; its user is told once that is durable.
+// completeJob stores the end of a job whose tasks are all done; its user is answered once that is stored. A job that
+// was done before it could be cancelled counts as done.
 func (c *jobCompletion) completeJob(j *clusterstate.Job) {
 	if j.Finishing {
 		return
 	}
-	uid := j.Spec.UID
-	// What ended before it could be cancelled is done.
 	j.Finishing, j.Cancelling = true, false
+	c.storeTerminalState(j, clusterstate.TerminalState{Tasks: j.Spec.Tasks})
+}
+
+// storeTerminalState stores a job's final state. Once that is durable the job and its records of completions are
+// removed, and the users who wait for its cancellation are answered.
+func (c *jobCompletion) storeTerminalState(j *clusterstate.Job, terminal clusterstate.TerminalState) {
+	uid := j.Spec.UID
 	c.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
-		c.env.log.Info("job done", "job", uid)
-		c.state.Terminal[uid] = clusterstate.TerminalState{Tasks: j.Spec.Tasks}
+		if !terminal.Cancelled {
+			c.env.log.Info("job done", "job", uid)
+		}
+		c.state.Terminal[uid] = terminal
 		c.completions.releaseJobEntries(j)
 		c.deleteCompletionRecords(j)
 		c.userRequests.replyCancelled(uid)
@@ -54,7 +55,7 @@
 	})
 }
 
-// deleteCompletionRecords has the records of completions of a job that is over deleted.
+// deleteCompletionRecords has the records of a job's completed tasks deleted, as its final state replaces them.
 func (c *jobCompletion) deleteCompletionRecords(j *clusterstate.Job) {
 	for _, key := range c.state.CompletionKeys(j) {
 		if c.store.Version(key) != 0 || c.store.IsPending(key) {
--- a/internal/controller/observer.go
+++ b/internal/controller/observer.go
@@ -6,70 +6,86 @@
 	"claybarrow/internal/membership"
 )
 
-// Observer takes what operators count and trace. It answers nothing, so that it can't change
-// what the core decides.
+// Observer takes what operators count and trace. Its methods are called on the controller's goroutine while an event
+// is handled, so they must not block. They return nothing, so that an observer can't change what the controller
+// decides.
 type Observer interface {
-	// Detector takes the state of the detector of failed controllers, now and then.
+	// Detector takes the state of the failure detector, once in a workers' lease: its health, from 0 (it trusts its own
+	// observations) to 8 (it hardly does), and its counters since the process started.
 	Detector(health int, counters membership.Counters)
+	// MemberChanged takes a change of the state in which the failure detector holds another controller.
 	MemberChanged(membership.Change)
+	// Dropped takes a message of another controller's failure detector that was not accepted.
 	Dropped(membership.Drop)
+	// FailedOver takes a finished change of leader, at the new leader: at its first placement, or a workers' lease
+	// after the records were loaded if there was none.
 	FailedOver(Failover)
-	// GateChanged takes a change of the feature gate's state; Journal what the journal of ends holds.
+	// GateChanged takes a change of the feature gate's state, or of what keeps it closed, at the leader.
 	GateChanged(GateChange)
+	// JournalSized takes the size of the journal of completions, at the leader, once in a workers' lease.
 	JournalSized(JournalSize)
-	// MachineRedirected counts a machine that was sent to another controller.
+	// MachineRedirected takes the redirection of a machine's worker to another controller, by that one's label.
 	MachineRedirected(machine, to string)
-	// Rerouted and Retried count requests that went to the leader by another controller, and
-	// once more.
+	// Rerouted counts a request that went to the leader by another controller.
 	Rerouted()
+	// Retried counts a request to the leader that will be sent once more.
 	Retried()
-	// Resumed takes how long the process stood still.
-	Resumed(stoodStill time.Duration, led bool)
+	// Resumed takes the length of a process pause that has just ended, and whether this controller led before it.
+	Resumed(pause time.Duration, led bool)
 }
 
-// Failover is a change of leader as its successor saw it. Times are of the steady clock; 0: it did
-// not happen.
+// Failover is a change of leader as the new leader saw it. Times are steady times of the new leader's process; 0: that
+// step did not happen, or was not seen.
 type Failover struct {
-	Token          uint64
-	Former         string
+	Token          uint64        // of the new leader
+	Former         string        // label of the former leader; empty: unknown
 	Suspected      time.Duration // when the former leader was suspected
-	LeaderKeyGone  time.Duration // when its key was gone
-	Elected        time.Duration
-	Loaded         time.Duration // when the records were read
+	LeaderKeyGone  time.Duration // when the state service no longer named it
+	Elected        time.Duration // when the election was won
+	Loaded         time.Duration // when all records were loaded
 	FirstPlacement time.Duration // when the first task was started
-	Jobs           int
-	Machines       int
+	// Jobs and Machines count what was loaded.
+	Jobs     int
+	Machines int
 	// Preloaded counts the records that had been read before the election.
 	Preloaded int
 }
 
-// FailoverStep is a part of a handover.
+// FailoverStep is one step of a failover, in steady times.
 type FailoverStep struct {
 	Name     string
 	From, To time.Duration
 }
 
-// Steps are the parts that happened, in order; there is at least the election.
+// Names of the steps. They are part of log attributes and names of trace spans.
+const (
+	stepSuspicion = "suspicion"
+	stepElection  = "election"
+	stepLoad      = "load"
+	stepPlacement = "placement"
+)
+
+// Steps returns the steps that happened, in their order. There is always the election.
 func (f *Failover) Steps() []FailoverStep {
-	var out []FailoverStep
+	var steps []FailoverStep
 	if f.Suspected > 0 && f.LeaderKeyGone >= f.Suspected {
-		out = append(out, FailoverStep{"suspicion", f.Suspected, f.LeaderKeyGone})
+		steps = append(steps, FailoverStep{stepSuspicion, f.Suspected, f.LeaderKeyGone})
 	}
-	gone := f.LeaderKeyGone
-	if gone == 0 || gone > f.Elected {
-		gone = f.Elected
+	electionFrom := f.LeaderKeyGone
+	if electionFrom == 0 || electionFrom > f.Elected {
+		electionFrom = f.Elected
 	}
-	out = append(out, FailoverStep{"election", gone, f.Elected})
+	steps = append(steps, FailoverStep{stepElection, electionFrom, f.Elected})
 	if f.Loaded > 0 {
-		out = append(out, FailoverStep{"load", f.Elected, f.Loaded})
+		steps = append(steps, FailoverStep{stepLoad, f.Elected, f.Loaded})
 	}
 	if f.FirstPlacement > 0 {
-		out = append(out, FailoverStep{"placement", f.Loaded, f.FirstPlacement})
+		steps = append(steps, FailoverStep{stepPlacement, f.Loaded, f.FirstPlacement})
 	}
-	return out
+	return steps
 }
 
-// noObserver observes nothing.
+// noObserver is the observer of a controller that nobody observes.
 type noObserver struct{}
 
 func (noObserver) Detector(int, membership.Counters) {}
--- a/internal/controller/reasons.go
+++ b/internal/controller/reasons.go
@@ -1,6 +1,7 @@
 package controller
 
-// endReason is why a leadership ended, as the log tells it. The store of a leadership has reasons of its own.
+// endReason is why a leadership ended, as it is logged. A leadership that its store ends is logged with the
+// store's own reasons.
 type endReason string
 
 // Reasons for the end of a leadership.
@@ -14,7 +15,7 @@
 	endShutdown           endReason = "shutdown"
 )
 
-// stopReason is why an attempt is requested to stop.
+// stopReason is why an attempt is requested to stop, as it is logged.
 type stopReason string
 
 // Reasons to stop an attempt.
@@ -30,12 +31,12 @@
 	stopGangTaskLost   stopReason = "gang lost a task"
 )
 
-// releaseReason is why a machine is released.
+// releaseReason is why a machine is released, as it is logged.
 type releaseReason string
 
 // Reasons to release a machine.
 const (
-	// keepMachine: the machine is not released.
+	// keepMachine is the absence of a reason: the machine is not released.
 	keepMachine              releaseReason = ""
 	releaseControllerLost    releaseReason = "zone partitioned and its controller lost"
 	releaseBootTimedOut      releaseReason = "boot timed out"
@@ -49,12 +50,12 @@
 	releaseFailed            releaseReason = "failed in the cloud's list"
 )
 
-// infeasibility is why a job can never run here.
+// infeasibility is why a job can never run on this cluster, as it is logged when the submission is rejected.
 type infeasibility string
 
 // Reasons why a job can never run.
 const (
-	// feasible: nothing speaks against the job.
+	// feasible is the absence of a reason: the job can run.
 	feasible            infeasibility = ""
 	unknownTeam         infeasibility = "unknown team"
 	noMachineTypeFits   infeasibility = "a task fits no allowed machine type"
