--- a/internal/controller/leader_probes.go
+++ b/internal/controller/leader_probes.go
@@ -6,35 +6,40 @@
 	"claybarrow/internal/protocol"
 )
 
-// A follower may lose the leader while the state service still names it: the two zones can't
-// reach each other, or only the controllers can't. In the first case the zone's workers can't
-// reach the leader either, and each one that is sent there goes round all controllers while its
-// lease runs out; in the second they can, and should report to it. The follower can't tell the
-// two apart, so it lets workers find out, at as little risk as it can, and renews the leases of
-// the others meanwhile.
+// A follower may lose the leader while the state service still names it: the two zones can't reach each other, or
+// only the controllers can't. In the first case the zone's workers can't reach the leader either, and each one that
+// is sent there goes round all controllers while its lease runs out; in the second they can, and should send it their
+// heartbeats. The follower can't tell the two apart, so it lets workers find out, at as little risk as it can, and
+// renews the leases of the others meanwhile.
 
-// leaderProbes is what a follower knows of the workers' way to a leader that it has lost.
+// leaderProbes is what a follower knows of the workers' route to a leader that it has lost. It is dropped when the
+// leader answers.
 type leaderProbes struct {
-	// sent holds the workers that were sent to the leader, and when.
+	// sent holds when each worker was sent to the leader that has not come back, by machine.
 	sent map[string]time.Duration
-	// last is when the last one was sent; next is when one may be sent again although others
-	// came back; failures counts those in a row.
-	last, next time.Duration
-	failures   int
+	last time.Duration // when the last worker was sent; 0: none was
+	// next is when a worker may be sent again although others came back; failures counts those in a row.
+	next     time.Duration
+	failures int
 }
 
-// maxProbingWorkers bounds the workers that are remembered.
-const maxProbingWorkers = 1 << 16
+const (
+	// maxProbingWorkers bounds the workers that are remembered, and so the memory that they take.
+	maxProbingWorkers = 1 << 16
+	// conclusiveStay is how many leases a worker must have been away to prove that it reached the leader: its return
+	// has another reason then.
+	conclusiveStay = 3
+)
 
-// noteReturned notes that a worker is here again. One that had been with the leader for long is no
-// sign against the leader.
+// noteReturned notes a worker's heartbeat. It returns true if that worker was sent to the leader and came back so
+// early that it cannot have reached it.
 func (p *leaderProbes) noteReturned(machine string, now, lease time.Duration) bool {
-	at, was := p.sent[machine]
-	if !was {
+	sentAt, wasSent := p.sent[machine]
+	if !wasSent {
 		return false
 	}
 	delete(p.sent, machine)
-	if now > at+3*lease {
+	if now > sentAt+conclusiveStay*lease {
 		return false
 	}
 	p.next = max(p.next, now+lease/2<<min(p.failures, maxBackoffDoublings))
@@ -50,28 +55,34 @@
 	p.sent[machine], p.last = now, now
 }
 
-// sendsWorkerToLeader says whether a worker of our zone is sent to the leader that we have lost. Where
-// our own connections are refused at once, so are the workers', and each may try. Where they get
-// no answer, a worker waits for it at each controller, which may take longer than its lease: then
-// one goes at a time, and before half the time that a leader may coast only one without tasks.
-func (f *follower) sendsWorkerToLeader(msg *protocol.WorkerHeartbeat) bool {
-	contact := &f.contact
-	t := &contact.leaderProbes
-	lease := f.env.cfg.Lease()
-	if t.noteReturned(msg.Machine, f.env.now, lease) || f.env.now < t.next || len(t.sent) >= maxProbingWorkers {
+// sendsWorkerToLeader reports whether a worker of this controller's zone is sent to the leader that this controller
+// has lost, and notes that it is.
+func (f *follower) sendsWorkerToLeader(heartbeat *protocol.WorkerHeartbeat) bool {
+	probes := &f.contact.leaderProbes
+	returned := probes.noteReturned(heartbeat.Machine, f.env.now, f.env.cfg.Lease())
+	if returned || f.env.now < probes.next || len(probes.sent) >= maxProbingWorkers {
 		return false
 	}
-	refusedSearch := time.Duration(len(f.env.cfg.Siblings))*heartbeatRetryPause + f.env.cfg.Report()*5/4
-	if contact.connectionRefused && refusedSearch < lease/2 {
-		t.noteSent(msg.Machine, f.env.now)
-		return true
-	}
-	if t.last > 0 && f.env.now < t.last+f.env.workerSearchTime() {
+	if !f.refusesAtOnce() && !f.mayRiskLease(heartbeat) {
 		return false
 	}
-	if len(msg.Tasks) > 0 && f.env.now < contact.leaderLostAt+f.env.cfg.Coast()/2 {
+	probes.noteSent(heartbeat.Machine, f.env.now)
+	return true
+}
+
+// refusesAtOnce reports whether connections to the leader are refused at once. The workers' are refused then as
+// well, and each of them may try: it is back long before its lease runs out.
+func (f *follower) refusesAtOnce() bool {
+	return f.contact.connectionRefused && f.env.workerScanTime(heartbeatRetryPause) < f.env.cfg.Lease()/2
+}
+
+// mayRiskLease reports whether a worker may try the leader where connections get no answer. It waits for one at
+// each controller then, which may take longer than its lease: so one worker goes at a time, and in the first half of
+// the time for which a leader may coast only one without tasks.
+func (f *follower) mayRiskLease(heartbeat *protocol.WorkerHeartbeat) bool {
+	contact := &f.contact
+	if last := contact.leaderProbes.last; last > 0 && f.env.now < last+f.env.workerFailoverTime() {
 		return false
 	}
-	t.noteSent(msg.Machine, f.env.now)
-	return true
+	return len(heartbeat.Tasks) == 0 || f.env.now >= contact.leaderLostAt+f.env.cfg.Coast()/2
 }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -181,7 +181,7 @@
 	if sent("i-2", 0) {
 		t.Error("a worker that came back is sent again")
 	}
-	w.run(core.env.workerSearchTime() + time.Second)
+	w.run(core.env.workerFailoverTime() + time.Second)
 	if !sent("i-3", 0) || sent("i-2", 0) {
 		t.Error("the next trial is not made")
 	}
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -116,7 +116,7 @@
 	// lease. Where it does not, its workers found their controller again, which
 	// renews leases for the leader: the machines of a zone of 158 were once returned
 	// with all that ran on them.
-	if d.env.workerSearchTime() <= d.env.cfg.Lease() {
+	if d.env.workerFailoverTime() <= d.env.cfg.Lease() {
 		return false
 	}
 	for _, m := range d.state.Machines {
