--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -6,32 +6,38 @@
 	"math/rand/v2"
 
 	"claybarrow/internal/config"
-	"claybarrow/internal/protocol"
 )
 
-// Controller owns all state of a controller.
+// Controller owns all state of a controller. It is not safe for concurrent use: one goroutine hands it the
+// events, one at a time.
 type Controller struct {
+	// leadership is what this controller knows and does as the leader; nil while it does not lead.
 	leadership *leadership
-	env        *environment
-	outbox     *outbox
-	catalog    *machineCatalog
-	pending    *pendingTable
-	pause      *pauseRecovery
-	election   *election
-	preparer   *failoverPreparer
-	follower   *follower
-	relay      *leaderRelay
-	detection  *failureDetection
+
+	// The components that every controller has for as long as its process runs.
+	env       *environment
+	outbox    *outbox
+	catalog   *machineCatalog
+	pending   *pendingTable
+	pause     *pauseRecovery
+	election  *election
+	preparer  *failoverPreparer
+	follower  *follower
+	relay     *leaderRelay
+	detection *failureDetection
 }
 
-// New makes a controller. Random numbers are injected so that failures replay.
+// New returns a controller that knows nothing yet. All its random numbers come from rng, so that a run can be
+// repeated.
 func New(cfg *config.Config, rng *rand.Rand, log *slog.Logger) *Controller {
-	env := &environment{cfg: cfg, rng: rng, log: log, observer: noObserver{}, incarnation: fmt.Sprintf("%016x", rng.Uint64())}
+	incarnation := fmt.Sprintf("%016x", rng.Uint64())
+	env := &environment{cfg: cfg, rng: rng, log: log, observer: noObserver{}, incarnation: incarnation}
+	outbox := newOutbox(env)
 	c := &Controller{
 		env:       env,
-		outbox:    newOutbox(env),
-		catalog:   &machineCatalog{typeInfo: map[string]protocol.MachineType{}, warnedOfFetch: map[string]bool{}},
-		pending:   &pendingTable{pendingRequests: map[uint64]*pendingRequest{}},
+		outbox:    outbox,
+		catalog:   newMachineCatalog(env, outbox),
+		pending:   &pendingTable{env: env, outbox: outbox, pendingRequests: map[uint64]*pendingRequest{}},
 		pause:     &pauseRecovery{},
 		election:  &election{},
 		preparer:  &failoverPreparer{},
@@ -43,12 +49,11 @@
 	return c
 }
 
-// wire gives each component those that it works with.
+// wire connects the components with those that they need. The components of a leadership are connected in
+// wiring.go.
 func (c *Controller) wire() {
 	env, outbox := c.env, c.outbox
 	outbox.pause = c.pause
-	c.catalog.env, c.catalog.outbox = env, outbox
-	c.pending.env, c.pending.outbox = env, outbox
 
 	c.pause.controller, c.pause.env, c.pause.outbox = c, env, outbox
 	c.pause.detection, c.pause.election, c.pause.follower = c.detection, c.election, c.follower
@@ -71,27 +76,25 @@
 	c.detection.follower, c.detection.preparer = c.follower, c.preparer
 }
 
-// Observe has somebody told of what operators count and trace. It is called before anything is
-// handled.
+// Observe sets the observer of this controller. It must be called before the first event is handled.
 func (c *Controller) Observe(observer Observer) { c.env.observer = observer }
 
-// Handle takes one message and returns what is to be done.
-func (c *Controller) Handle(at Clock, ev Event) []Effect {
-	woke := c.pause.detectPause(at.Steady - c.env.now)
-	c.env.now, c.env.wall, c.outbox.effects = max(c.env.now, at.Steady), at.Wall, nil
-	if woke {
+// Handle takes one event, with the clocks' reading of this moment, and returns the effects to carry out, in
+// their order. Steady times must not go back; one that does counts as the last one.
+func (c *Controller) Handle(at Clock, event Event) []Effect {
+	paused := c.pause.detectPause(at.Steady - c.env.now)
+	c.env.now, c.env.wall = max(c.env.now, at.Steady), at.Wall
+	c.outbox.effects = nil
+	if paused {
 		c.pause.recoverFromPause()
 	}
-	switch ev := ev.(type) {
+	switch event := event.(type) {
 	case Tick:
 		c.tick()
 	case Result:
-		if then, ok := c.outbox.calls[ev.ID]; ok {
-			delete(c.outbox.calls, ev.ID)
-			then(ev)
-		}
+		c.outbox.deliver(event)
 	case Request:
-		c.onRequest(ev)
+		c.onRequest(event)
 	case Shutdown:
 		c.shutDown()
 	}
@@ -101,8 +104,10 @@
 	return c.outbox.effects
 }
 
+// tick does what is due with time alone. The leader's own work comes last, as it depends on all that
+// precedes it.
 func (c *Controller) tick() {
-	c.pending.expirePendingRequests()
+	c.pending.expire()
 	c.relay.runRetries()
 	c.catalog.refreshMachineTypes()
 	c.detection.tickFailureDetector()
@@ -114,6 +119,21 @@
 	}
 }
 
+// becomeLeader begins the leadership of the candidate whose election has been stored; version is that of the
+// leader key.
+func (c *Controller) becomeLeader(record *leaderRecord, version uint64) {
+	candidate := c.election.candidate
+	c.election.candidate = nil
+	c.env.log.Info("elected leader", "token", record.Token, "lease", record.LeaseID)
+	c.leadership = newLeadership(c, record, version, candidate.leaseAskedAt)
+	c.leadership.trace.failover = c.preparer.beginFailover(record.Token)
+	c.leadership.loader.preload = c.preparer.preparation.preload
+	c.preparer.preparation.preload = nil
+	c.leadership.loader.loadState()
+}
+
+// endLeadership ends this controller's leadership, if there is one, and refuses all requests that wait for it.
+// Callbacks of calls that are under way find the leadership marked as ended.
 func (c *Controller) endLeadership(reason endReason) {
 	l := c.leadership
 	if l == nil {
@@ -122,24 +142,16 @@
 	c.env.log.Info("leadership ended", "token", l.lease.token, "reason", reason)
 	l.lease.ended = true
 	c.leadership = nil
-	l.controller.pending.refusePendingRequests()
-	// Whatever else the view says may be old: read it again before acting.
-	c.election.leaderKeys.leader, c.election.leaderKeys.leaderlessSince = nil, c.env.now
-	c.election.leaderKeys.refresh(c.env.now)
-}
-
-func (c *Controller) becomeLeader(rec *leaderRecord, version uint64) {
-	candidate := c.election.candidate
-	c.election.candidate = nil
-	c.env.log.Info("elected leader", "token", rec.Token, "lease", rec.LeaseID)
-	c.leadership = newLeadership(c, rec, version, candidate.leaseAskedAt)
-	c.leadership.trace.failover, c.leadership.loader.preload = c.preparer.beginFailover(rec.Token), c.preparer.preparation.preload
-	c.preparer.preparation.preload = nil
-	c.leadership.loader.loadState()
+	c.pending.refuseAll()
+	// What else is known of the leadership keys may be out of date: list them before acting on them.
+	keys := &c.election.leaderKeys
+	keys.leader, keys.leaderlessSince = nil, c.env.now
+	keys.refresh(c.env.now)
 }
 
-// shutDown ends in good order: a leader gives its lease back, so that another one takes over at
-// once, and the others are told.
+// shutDown ends in good order: a leader revokes its lease, so that another controller can be elected at once,
+// and the failure detectors of the others are told. Without failure detection the process just ends, as
+// earlier versions did.
 func (c *Controller) shutDown() {
 	if !c.detection.enabled() {
 		return
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"net/http"
 	"time"
 
 	"claybarrow/internal/config"
@@ -9,12 +10,14 @@
 	"claybarrow/internal/protocol"
 )
 
-// What the detector of failed controllers says decides where messages go, which controller serves
-// which machine, when a successor prepares, and what operators see. It never decides who leads,
-// nor what is proved: see docs/failure-detection.md.
-
-// failureDetection is this controller's part in it. Without a detector it is turned off, and
-// the controller looks to others like one of a version that knows no probes.
+// failureDetection runs the detector of failed controllers: it sends the probes that package membership asks
+// for, answers those of the others and tells operators of changes. Without a detector it is turned off, and the
+// controller looks to the others like one of a version that knows no probes. It belongs to the process: a
+// failover does not touch it.
+//
+// What the detector finds decides where messages go, which controller serves which machine, when a successor
+// prepares, and what operators see. It never decides who leads, nor that a machine or a task is lost: see
+// docs/failure-detection.md.
 type failureDetection struct {
 	env      *environment
 	follower *follower
@@ -22,51 +25,78 @@
 	pause    *pauseRecovery
 	preparer *failoverPreparer
 
-	detector *membership.Detector
-	// probed are those whose probe is not answered yet, by the detector's number.
-	probed      map[uint64]requester
-	lastRequest uint64
-	reportAt    time.Duration // when the counters were last told
+	detector *membership.Detector // nil: turned off
+	// probed are the controllers whose probe is not answered yet, by the number that the detector knows it by.
+	probed        map[uint64]requester
+	lastRequest   uint64        // the last such number
+	countersDueAt time.Duration // when the observer next gets the detector's counters
 }
 
-// probePath is where controllers of this version are probed.
-const probePath = "/probe"
-
-// Ratio of the detector's stall to its probe timeout: a gap in which a whole probe would have
-// failed.
+// stallTimeouts is the detector's stall in probe timeouts: a gap between two ticks in which a whole probe would
+// have failed.
 const stallTimeouts = 3
 
-func newFailureDetection(cfg *config.Config, random *rand.Rand) *failureDetection {
+func newFailureDetection(cfg *config.Config, rng *rand.Rand) *failureDetection {
 	if !cfg.Operator.Membership.Enabled || len(cfg.Siblings) == 0 {
 		return &failureDetection{}
 	}
-	settings := membership.Settings{Self: cfg.Label, Interval: cfg.ProbeInterval(), Timeout: cfg.ProbeTimeout(),
-		Suspicion: cfg.Suspicion(), SuspicionFactor: config.SuspicionFactor, Steady: cfg.Steady(),
-		Stall: stallTimeouts * cfg.ProbeTimeout(), ClockError: cfg.ClockError()}
-	for _, s := range cfg.Siblings {
-		settings.Peers = append(settings.Peers, s.Label)
+	settings := membership.Settings{
+		Self:            cfg.Label,
+		Interval:        cfg.ProbeInterval(),
+		Timeout:         cfg.ProbeTimeout(),
+		Suspicion:       cfg.Suspicion(),
+		SuspicionFactor: config.SuspicionFactor,
+		Steady:          cfg.Steady(),
+		Stall:           stallTimeouts * cfg.ProbeTimeout(),
+		ClockError:      cfg.ClockError(),
+	}
+	for _, sibling := range cfg.Siblings {
+		settings.Peers = append(settings.Peers, sibling.Label)
 	}
-	return &failureDetection{detector: membership.New(settings, random), probed: map[uint64]requester{}}
+	return &failureDetection{detector: membership.New(settings, rng), probed: map[uint64]requester{}}
 }
 
-// enabled says whether failed controllers are noticed by probes.
+// enabled reports whether failed controllers are detected by probes.
 func (d *failureDetection) enabled() bool { return d.detector != nil }
 
-func (d *failureDetection) detectorClock() membership.Clock {
-	return membership.Clock{Steady: d.env.now, Wall: d.env.wall}
-}
-
 // tickFailureDetector lets time pass for the detector.
 func (d *failureDetection) tickFailureDetector() {
-	v := d
-	if !v.enabled() {
+	if !d.enabled() {
 		return
 	}
-	d.applyDetectorActions(v.detector.Tick(d.detectorClock()))
-	if d.env.now >= v.reportAt {
-		v.reportAt = d.env.now + d.env.cfg.Lease()
-		d.env.observer.Detector(v.detector.Health(), v.detector.Counters())
+	d.applyDetectorActions(d.detector.Tick(d.detectorClock()))
+	if d.env.now >= d.countersDueAt {
+		d.countersDueAt = d.env.now + d.env.cfg.Lease()
+		d.env.observer.Detector(d.detector.Health(), d.detector.Counters())
+	}
+}
+
+// onProbe takes another controller's probe. The detector answers it, now or after it has probed a third
+// controller.
+func (d *failureDetection) onProbe(from requester, body []byte) {
+	if !d.enabled() {
+		d.outbox.reply(from, http.StatusNotFound, nil, 0)
+		return
+	}
+	d.lastRequest++
+	d.probed[d.lastRequest] = from
+	d.applyDetectorActions(d.detector.Probed(d.detectorClock(), d.lastRequest, body))
+}
+
+// notePeerAnswer notes that a controller answered a request that was sent at a steady time: it is alive, as if
+// it had answered a probe.
+func (d *failureDetection) notePeerAnswer(label string, sent time.Duration) {
+	if d.enabled() {
+		d.applyDetectorActions(d.detector.Heard(d.detectorClock(), label, sent))
+	}
+}
+
+// peerState is the state that the detector holds a controller in; alive while nothing is known of it.
+func (d *failureDetection) peerState(label string) membership.State {
+	if !d.enabled() {
+		return membership.Alive
 	}
+	return d.detector.StateOf(label)
 }
 
 // applyDetectorActions carries out what the detector wants done.
@@ -80,62 +110,44 @@
 		case membership.Change:
 			d.onMemberChange(action)
 		case membership.Drop:
-			d.env.observer.Dropped(action)
-			if action.First {
-				d.env.log.Info("peer message dropped", "controller", action.Label, "reason", string(action.Reason))
-			}
+			d.onDroppedMessage(action)
 		}
 	}
 }
 
+// sendProbe sends a probe. A controller of a version that knows no probes gets a heartbeat in its place.
 func (d *failureDetection) sendProbe(send membership.Send) {
 	path, body := probePath, send.Body
 	if send.Heartbeat {
-		path, body = "/heartbeat", protocol.EncodePeer(d.follower.peerHeartbeat())
+		path, body = peerHeartbeatPath, protocol.EncodePeer(d.follower.peerHeartbeat())
 	}
 	sent := d.env.now
-	d.outbox.call(ToPeer, d.env.peerAddr(send.To), "POST", path, body, send.Timeout, func(res Result) {
-		if d.enabled() {
-			d.pause.noteAnswer(sent, res.Status != 0)
-			d.applyDetectorActions(d.detector.Answered(d.detectorClock(), send.ID, membership.Answer{Status: res.Status, Body: res.Body}))
+	d.outbox.peerCall(send.To, path, body, send.Timeout, func(res Result) {
+		if !d.enabled() {
+			return
 		}
+		d.pause.noteAnswer(sent, res.Status != 0)
+		answer := membership.Answer{Status: res.Status, Body: res.Body}
+		d.applyDetectorActions(d.detector.Answered(d.detectorClock(), send.ID, answer))
 	})
 }
 
+// replyToProbe answers the controller whose probe the detector has dealt with.
 func (d *failureDetection) replyToProbe(respond membership.Respond) {
-	v := d
-	from, waits := v.probed[respond.Request]
+	from, waits := d.probed[respond.Request]
 	if !waits {
 		return
 	}
-	delete(v.probed, respond.Request)
+	delete(d.probed, respond.Request)
 	retryAfter := 0
-	if respond.Status == 503 {
+	if respond.Status == http.StatusServiceUnavailable {
 		retryAfter = retryAfterSeconds
 	}
 	d.outbox.reply(from, respond.Status, respond.Body, retryAfter)
 }
 
-// onProbe takes another controller's probe.
-func (d *failureDetection) onProbe(from requester, body []byte) {
-	v := d
-	if !v.enabled() {
-		d.outbox.reply(from, 404, nil, 0)
-		return
-	}
-	v.lastRequest++
-	v.probed[v.lastRequest] = from
-	d.applyDetectorActions(v.detector.Probed(d.detectorClock(), v.lastRequest, body))
-}
-
-// notePeerAnswer notes that a peer answered a request that was sent at a time.
-func (d *failureDetection) notePeerAnswer(label string, sent time.Duration) {
-	if d.enabled() {
-		d.applyDetectorActions(d.detector.Heard(d.detectorClock(), label, sent))
-	}
-}
-
-// onMemberChange logs a change of state and tells those whom it concerns.
+// onMemberChange logs a controller's change of state, and has the failover prepared if it is the leader that
+// is suspected.
 func (d *failureDetection) onMemberChange(change membership.Change) {
 	d.env.log.Info("controller is "+change.To.String(), "controller", change.Label, "previous", change.From.String(),
 		"reason", string(change.Reason), "incarnation", uint64(change.Incarnation), "after_s", change.After.Seconds())
@@ -145,10 +157,14 @@
 	}
 }
 
-// peerState is what a controller is held for; alive, while nothing is known.
-func (d *failureDetection) peerState(label string) membership.State {
-	if !d.enabled() {
-		return membership.Alive
+// onDroppedMessage counts a message that the detector did not take, and logs the first of its kind.
+func (d *failureDetection) onDroppedMessage(drop membership.Drop) {
+	d.env.observer.Dropped(drop)
+	if drop.First {
+		d.env.log.Info("peer message dropped", "controller", drop.Label, "reason", string(drop.Reason))
 	}
-	return d.detector.StateOf(label)
+}
+
+func (d *failureDetection) detectorClock() membership.Clock {
+	return membership.Clock{Steady: d.env.now, Wall: d.env.wall}
 }
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -63,8 +63,8 @@
 // its report came by, or none.
 func (r *heartbeatRouter) assignedRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
 	by := r.env.cfg.Label
-	if from.relay {
-		by = from.by
+	if from.relayed {
+		by = from.forwardedBy
 	}
 	if by == "" || m.Zone == "" || msg.Token != r.lease.token || r.env.now < r.lease.electedAt+r.env.cfg.Lease()/2 {
 		return ""
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -82,7 +82,7 @@
 	if r.detection.enabled() {
 		return r.assignedRedirect(m, msg, from)
 	}
-	if from.relay || m.Zone == r.env.cfg.Zone || m.Zone == "" || msg.Token != r.lease.token || r.env.now < r.lease.electedAt+r.env.cfg.Lease()/2 {
+	if from.relayed || m.Zone == r.env.cfg.Zone || m.Zone == "" || msg.Token != r.lease.token || r.env.now < r.lease.electedAt+r.env.cfg.Lease()/2 {
 		return ""
 	}
 	to := r.nearestController(m.Zone)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -8,90 +8,116 @@
 	"time"
 )
 
-// Clock is a reading of the steady clock and of the time of day.
+// Clock is one reading of both clocks of a process.
 type Clock struct {
+	// Steady is the time since the process started. It never goes back; all deadlines and leases
+	// are computed from it.
 	Steady time.Duration
-	Wall   int64 // ms
+	// Wall is the time of day in Unix milliseconds, for what is compared between processes. No lease
+	// depends on it.
+	Wall int64
 }
 
-// Op is what somebody asks of the core.
+// Op is the operation that a Request asks for.
 type Op string
 
-// The operations.
+// The operations. OpSubmit, OpPoll, OpCancel and OpWorkerHeartbeat also travel in relayed requests,
+// so their values are part of the protocol between controllers.
 const (
-	OpSubmit             Op = "submit"
-	OpPoll               Op = "poll"
-	OpCancel             Op = "cancel"
-	OpReady              Op = "ready"
-	OpWorkerHeartbeat    Op = "report"
-	OpRelay              Op = "relay"     // a user's request passed on by another controller
-	OpForwardedHeartbeat Op = "forward"   // a worker's report passed on by its zone's controller
-	OpPeerHeartbeat      Op = "heartbeat" // another controller stays in touch with the leader
-	OpProbe              Op = "probe"     // another controller asks for a sign of life
+	OpSubmit             Op = "submit"    // a user submits a job
+	OpPoll               Op = "poll"      // a user asks for a job's status
+	OpCancel             Op = "cancel"    // a user cancels a job
+	OpReady              Op = "ready"     // the load balancer asks whether to send requests here
+	OpWorkerHeartbeat    Op = "report"    // a worker's heartbeat
+	OpRelay              Op = "relay"     // a user's request that another controller relays
+	OpForwardedHeartbeat Op = "forward"   // a worker's heartbeat that its zone's controller forwards
+	OpPeerHeartbeat      Op = "heartbeat" // another controller's heartbeat to the leader
+	OpProbe              Op = "probe"     // another controller's failure detection probes this one
 )
 
-// Request is a message that wants a Reply with its ID.
+// Paths of the API between controllers.
+const (
+	relayPath              = "/relay"
+	forwardedHeartbeatPath = "/forward"
+	peerHeartbeatPath      = "/heartbeat"
+	probePath              = "/probe"
+)
+
+// Event is what Controller.Handle takes: a Request, a Result, a Tick or a Shutdown.
+type Event interface{ isEvent() }
+
+// Request is a message from a user, a worker, another controller or the load balancer. It is
+// answered by a Reply with its ID.
 type Request struct {
-	ID   uint64
-	Op   Op
+	ID uint64
+	Op Op
+	// UID is the job that a user's request names in its path; empty for the other operations and for
+	// submissions, which name it in their body.
 	UID  string
 	Body []byte
 }
 
-// Result is the outcome of a Call. Status 0: no response; ConnectionFailed: not even a
-// connection could be made.
+// Result is the outcome of a Call.
 type Result struct {
-	ID               uint64
-	Status           int
-	Body             []byte
+	ID uint64
+	// Status is the HTTP status; 0: no response came.
+	Status int
+	Body   []byte
+	// ConnectionFailed: not even a connection could be made, so the request cannot have arrived.
 	ConnectionFailed bool
 }
 
-// Tick lets time pass.
+// Tick reports that time has passed. It comes at the interval of config.Config.Tick.
 type Tick struct{}
 
-// Shutdown tells the controller to end in good order: what it says goodbye with are its last
-// effects.
+// Shutdown tells the controller that its process ends. The effects of this event are its last ones.
 type Shutdown struct{}
 
-// Event is a Request, a Result, a Tick or a Shutdown.
-type Event any
+func (Request) isEvent()  {}
+func (Result) isEvent()   {}
+func (Tick) isEvent()     {}
+func (Shutdown) isEvent() {}
+
+// Effect is what Controller.Handle wants carried out: a Reply or a Call.
+type Effect interface{ isEffect() }
 
 // Reply answers a Request.
 type Reply struct {
-	ID         uint64
-	Status     int
-	Body       []byte
-	RetryAfter int // seconds, 0: none
-	// ValidUntil is when the answer stops being true for sure, by the steady clock; 0:
-	// never. A process that stood still after the decision must not send it.
+	ID     uint64
+	Status int // of HTTP
+	Body   []byte
+	// RetryAfter is when the requester should come back, in seconds; 0: not stated.
+	RetryAfter int
+	// ValidUntil is the steady time up to which the answer is certainly true; 0: for ever. A process
+	// that was paused after the decision must not send it later.
 	ValidUntil time.Duration
 }
 
-// Target is whom a Call goes to.
+// Target is the kind of receiver of a Call. Each has its own connection pool.
 type Target int
 
 // The targets.
 const (
-	ToState Target = iota
-	ToCloud
-	ToWorker
-	ToPeer
+	ToState  Target = iota // the state service
+	ToCloud                // the cloud's API
+	ToWorker               // a worker
+	ToPeer                 // another controller
 )
 
-// Call is a request to somebody else, answered by a Result with its ID.
+// Call is a request of the controller to another process. Its outcome comes back as a Result with
+// its ID.
 type Call struct {
 	ID      uint64
 	Target  Target
-	Addr    string
-	Method  string
+	Addr    string // host:port
+	Method  string // of HTTP
 	Path    string
 	Body    []byte
 	Timeout time.Duration
-	// ValidUntil is when the request must not leave any more, by the steady clock; 0: never. A process
-	// that stood still after the decision must not act on it.
+	// ValidUntil is the steady time after which the request must not be sent; 0: no limit. A process
+	// that was paused after the decision must not act on it.
 	ValidUntil time.Duration
 }
 
-// Effect is a Reply or a Call.
-type Effect any
+func (Reply) isEffect() {}
+func (Call) isEffect()  {}
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -2,7 +2,14 @@
 
 import "time"
 
-// pauseRecovery detects that the process was paused, and tracks whether it has heard of anybody since.
+// A process may be paused for seconds while its clocks run on: its machine is suspended, or another process
+// takes its core. What it believes afterwards is old, and what has arrived in the meantime is read all at once.
+// So a leader that resumes first asks the state service whether its lease still runs. Until it knows, it sends
+// no commands and does not take a worker's silence for a failure: a leader that had been replaced for half a
+// minute once took 60 machines for lost, as it was the one that had not listened.
+
+// pauseRecovery detects that the process was paused, and tracks whether any other process has answered it
+// since. It belongs to the process, whether it leads or not.
 type pauseRecovery struct {
 	controller *Controller
 	detection  *failureDetection
@@ -14,29 +21,25 @@
 	preparer   *failoverPreparer
 	relay      *leaderRelay
 
-	// recoveringUntil: the process stood still and has heard of nobody since; until when at most.
+	// recoveringUntil is until when this controller takes part in nothing, as no answer has come since it resumed;
+	// 0: it was not paused, or one has come.
 	recoveringUntil time.Duration
-	resumedAt       time.Duration // when it last went on after that
+	resumedAt       time.Duration // when the process last resumed; 0: it was never paused
 }
 
-// A process may stand still for seconds while its clocks run on: the machine pauses, or
-// another takes its core. What it believes then is old, and what piled up meanwhile is
-// read at once. So a leader that wakes first asks the state service whether its lease
-// still runs. Until it knows, it gives no commands and takes nobody's silence for a sign:
-// one that had been replaced for half a minute once took 60 machines for lost, as it had
-// not listened.
-
-// detectPause looks at how long nothing was handled, and returns true after a standstill.
+// detectPause reports whether the process was paused, and logs it: gap is the time since the last event was
+// handled, and ticks come many times in a leader's lease.
 func (p *pauseRecovery) detectPause(gap time.Duration) bool {
 	if p.env.now == 0 || gap <= p.env.cfg.LeaderTTL() {
 		return false
 	}
-	p.env.log.Info("process pause detected", "duration_s", gap.Seconds(), "leader", p.controller.leadership != nil)
-	p.env.observer.Resumed(gap, p.controller.leadership != nil)
+	leads := p.controller.leadership != nil
+	p.env.log.Info("process pause detected", "duration_s", gap.Seconds(), "leader", leads)
+	p.env.observer.Resumed(gap, leads)
 	return true
 }
 
-// recoverFromPause has the leadership looked at anew.
+// recoverFromPause has a leader confirm its lease before it acts, and a follower read anew who leads.
 func (p *pauseRecovery) recoverFromPause() {
 	if p.detection.enabled() {
 		p.discardStaleDecisions()
@@ -50,34 +53,25 @@
 	p.election.leaderKeys.refresh(p.env.now)
 }
 
-// discardStaleDecisions forgets what a controller had decided before it stood still: to campaign, to
-// answer workers for a leader that was lost then, to pass on what users still wait for. It
-// takes part in nothing before it has heard of somebody, or for as long as a succession takes.
+// discardStaleDecisions drops what the controller had decided before it was paused: to campaign, to renew
+// workers' leases for a leader that was lost then, to relay what users still wait for. It takes part in
+// nothing before an answer has come, or for as long as a failover takes.
 func (p *pauseRecovery) discardStaleDecisions() {
 	p.recoveringUntil, p.resumedAt = p.env.now+p.env.maxFailoverTime(), p.env.now
 	p.election.candidate = nil
 	p.preparer.preparation = failoverPreparation{}
-	contact := &p.follower.contact
-	p.follower.contact = leaderContact{highestToken: contact.highestToken, lastServed: contact.lastServed, inFlight: contact.inFlight, nextAt: p.env.now}
-	for _, id := range sortedRequests(p.pending.pendingRequests) {
-		waiting := p.pending.pendingRequests[id]
-		delete(p.pending.pendingRequests, id)
-		p.outbox.replyUnavailable(waiting.from)
-	}
-	for _, r := range p.relay.retries {
-		if r.request.path == "/forward" {
-			p.outbox.replyUnavailable(r.request.from)
-		}
-	}
-	p.relay.retries = nil
+	p.follower.discardContact()
+	p.pending.refuseAll()
+	p.relay.discardRetries()
 }
 
-// noteAnswer notes the outcome of a request that was sent at a time.
+// noteAnswer notes the outcome of a request that was sent at a steady time. Any answer to a request since the
+// process resumed ends the recovery.
 func (p *pauseRecovery) noteAnswer(sent time.Duration, answered bool) {
 	if answered && sent >= p.resumedAt {
 		p.recoveringUntil = 0
 	}
 }
 
-// isRecovering says whether the process stood still and has heard of nobody since.
+// isRecovering reports whether the process was paused and no answer has come since.
 func (p *pauseRecovery) isRecovering() bool { return p.env.now < p.recoveringUntil }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -1,112 +1,118 @@
 package controller
 
 import (
-	"time"
+	"net/http"
 
 	"claybarrow/internal/protocol"
 )
 
-// Times of the protocol's users: they wait 5 s for a submission or a
-// cancellation and 2 s for a poll. Requests are given up well inside that.
-const (
-	decisionTimeout   = 1500 * time.Millisecond
-	relayTimeout      = 1300 * time.Millisecond
-	retryAfterSeconds = 1 // seconds
-)
+// A user's request passes these steps:
+//
+//  1. onRequest takes it from the transport, and refuses it if the process has just been paused.
+//  2. onUserRequest hands it to the leader's userRequests, or to leaderRelay where another controller leads. The
+//     leader gets it there as an OpRelay, in onRelayedRequest.
+//  3. userRequests answers at once, or notes the requester in the pendingTable while the record is stored that
+//     the answer depends on.
+//  4. Once it is stored the requester is taken from the table and answered. One that waits for longer than
+//     decisionTimeout, or whose leader ends, is told to come back: requests are idempotent.
 
-func (c *Controller) onRequest(q Request) {
-	from := requester{id: q.ID}
-	if c.pause.isRecovering() && q.Op.needsLeader() {
-		from.relay = q.Op == OpRelay || q.Op == OpForwardedHeartbeat
+// onRequest takes a request and answers it, now or by its deadline.
+func (c *Controller) onRequest(request Request) {
+	from := requester{id: request.ID}
+	if c.pause.isRecovering() && request.Op.needsLeader() {
+		from.relayed = request.Op == OpRelay || request.Op == OpForwardedHeartbeat
 		c.outbox.replyUnavailable(from)
 		return
 	}
-	switch q.Op {
+	switch request.Op {
 	case OpReady:
-		if c.isReady() {
-			c.outbox.reply(from, 200, nil, 0)
-		} else {
-			c.outbox.replyUnavailable(from)
-		}
+		c.onReadinessCheck(from)
 	case OpWorkerHeartbeat:
-		c.onWorkerHeartbeat(from, q.Body)
+		c.onWorkerHeartbeat(from, request.Body)
 	case OpForwardedHeartbeat:
-		var relay protocol.Relay
-		from.relay = true
-		if protocol.DecodePeer(q.Body, &relay) != nil {
-			c.outbox.replyUnavailable(from)
-			return
-		}
-		if c.leadership == nil {
-			c.relay.forwardRelay(from, q, relay)
-			return
-		}
-		from.by = relay.From
-		c.onWorkerHeartbeat(from, relay.Body)
+		c.onForwardedHeartbeat(from, request.Body)
 	case OpPeerHeartbeat:
-		c.onPeerHeartbeat(from, q.Body)
+		c.onPeerHeartbeat(from, request.Body)
 	case OpProbe:
-		c.detection.onProbe(from, q.Body)
+		c.detection.onProbe(from, request.Body)
 	case OpRelay:
-		var relay protocol.Relay
-		if protocol.DecodePeer(q.Body, &relay) != nil {
-			c.outbox.reply(from, 400, nil, 0)
-			return
-		}
-		from.relay = true
-		if c.leadership == nil {
-			c.relay.forwardRelay(from, q, relay)
-			return
-		}
-		c.leadership.userRequests.handle(from, Op(relay.Op), relay.UID, relay.Body)
+		c.onRelayedRequest(from, request.Body)
+	case OpSubmit, OpPoll, OpCancel:
+		c.onUserRequest(from, request)
 	default:
-		if c.leadership != nil {
-			c.leadership.userRequests.handle(from, q.Op, q.UID, q.Body)
-			return
-		}
-		c.relay.relayUserRequest(from, q)
+		c.onUserRequest(from, request) // the leader refuses what it doesn't know
 	}
 }
 
-// isReady must not flap: the load balancer doubles its pause at each removal.
-// A controller is fit for requests while it knows a leader, or lost the last
-// one only a moment ago; what can't be decided is answered 503 at once.
-func (c *Controller) isReady() bool {
-	if c.leadership != nil {
-		return c.leadership.loader.ready || c.env.now < c.leadership.lease.electedAt+c.env.cfg.Lease()
-	}
-	if !c.election.leaderKeys.known && c.election.leaderKeys.leader == nil && c.election.leaderKeys.leaderlessSince == 0 {
+// needsLeader reports whether a request can be answered only by the leader or with its help. Workers'
+// heartbeats need it too, but onWorkerHeartbeat refuses those itself.
+func (op Op) needsLeader() bool {
+	switch op {
+	case OpReady, OpPeerHeartbeat, OpProbe, OpWorkerHeartbeat:
 		return false
+	case OpSubmit, OpPoll, OpCancel, OpRelay, OpForwardedHeartbeat:
+		return true
 	}
-	// One that can't reach the leader who is there, as connections between
-	// controllers are refused, could only send its users away one by one.
-	if contact := &c.follower.contact; contact.leaderLost && len(c.env.cfg.Siblings) > 0 {
-		patience := c.env.cfg.Lease() / 2
-		if c.election.leaderKeys.known && c.election.leaderKeys.leader != nil {
-			patience = min(2*c.env.cfg.LeaderTTL(), c.env.cfg.Lease()*3/20)
-		}
-		if c.env.now > contact.leaderLostAt+patience {
-			return false
-		}
+	return true
+}
+
+// onUserRequest decides a user's request, or relays it to the leader.
+func (c *Controller) onUserRequest(from requester, request Request) {
+	if c.leadership == nil {
+		c.relay.relayFromUser(from, request)
+		return
 	}
-	return c.follower.leaderLabel() != "" || c.env.now < c.election.leaderKeys.leaderlessSince+c.env.cfg.Lease()/2
+	c.leadership.userRequests.handle(from, request.Op, request.UID, request.Body)
 }
 
-// relayUserRequest passes a user's request on to the leader.
-func (r *leaderRelay) relayUserRequest(from requester, q Request) {
-	if q.Op == OpSubmit {
-		// What is malformed needs no leader, unless the id may be known to it.
-		if uid, _, err := protocol.ParseSubmission(q.Body); err != nil && !protocol.ValidUID(uid) {
-			r.outbox.reply(from, 400, nil, 0)
-			return
-		}
+// onRelayedRequest decides a user's request that another controller relayed, or relays it once more for a
+// controller that does not reach the leader.
+func (c *Controller) onRelayedRequest(from requester, body []byte) {
+	var relay protocol.Relay
+	if protocol.DecodePeer(body, &relay) != nil {
+		c.outbox.reply(from, http.StatusBadRequest, nil, 0)
+		return
+	}
+	from.relayed = true
+	if c.leadership == nil {
+		c.relay.relayFromPeer(from, relayPath, relay)
+		return
 	}
-	r.relayToLeader(from, r.follower.leaderLabel(), "/relay", protocol.Relay{Op: string(q.Op), UID: q.UID, Body: q.Body})
+	c.leadership.userRequests.handle(from, Op(relay.Op), relay.UID, relay.Body)
 }
 
-// requester is who asked: a user or worker directly, or another controller for one.
-type requester struct {
-	id    uint64
-	relay bool
-	by    string // the controller that forwarded a report, if it tells
+// onForwardedHeartbeat takes a worker's heartbeat that another controller forwarded, or forwards it once more
+// for a controller that does not reach the leader.
+func (c *Controller) onForwardedHeartbeat(from requester, body []byte) {
+	from.relayed = true
+	var relay protocol.Relay
+	if protocol.DecodePeer(body, &relay) != nil {
+		c.outbox.replyUnavailable(from)
+		return
+	}
+	if c.leadership == nil {
+		c.relay.relayFromPeer(from, forwardedHeartbeatPath, relay)
+		return
+	}
+	from.forwardedBy = relay.From
+	c.onWorkerHeartbeat(from, relay.Body)
+}
+
+// onReadinessCheck answers the load balancer.
+func (c *Controller) onReadinessCheck(from requester) {
+	if !c.isReady() {
+		c.outbox.replyUnavailable(from)
+		return
+	}
+	c.outbox.reply(from, http.StatusOK, nil, 0)
+}
+
+// isReady reports whether the load balancer should send requests here. It must not flap, as the load balancer
+// doubles its pause at each removal: a controller is ready while it knows a leader, or has lost the last one
+// only a moment ago. What can't be decided in that time is refused at once with status 503.
+func (c *Controller) isReady() bool {
+	if l := c.leadership; l != nil {
+		return l.loader.ready || c.env.now < l.lease.electedAt+c.env.cfg.Lease()
+	}
+	return c.follower.isReady()
 }
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -63,7 +63,7 @@
 func (h recordHost) Ended() bool { return h.leader.lease.ended }
 
 // Unavailable is part of statestore.Host.
-func (h recordHost) Unavailable() { h.leader.controller.pending.refusePendingRequests() }
+func (h recordHost) Unavailable() { h.leader.controller.pending.refuseAll() }
 
 // Abandoned is part of statestore.Host: what waits for the record must not wait for ever.
 func (h recordHost) Abandoned(key string) {
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 
 	"claybarrow/internal/clusterstate"
@@ -9,8 +10,9 @@
 	"claybarrow/internal/statestore"
 )
 
-// userRequests are what users ask of a leader: submissions whose records are being written, and
-// cancellations whose users wait for the last task's end.
+// userRequests decides users' requests as the leader. It holds the submissions whose records are being stored and
+// the users who wait for the end of a cancelled job. At the end of the leadership all of them are refused, come back
+// and ask the next leader: an id names the same job there.
 type userRequests struct {
 	attempts  *attemptTracker
 	catalog   *machineCatalog
@@ -26,11 +28,11 @@
 	state     *clusterstate.State
 	store     *statestore.Writer
 
-	pendingSubmissions map[string]*pendingSubmission
-	cancelWaiters      map[string][]requester
+	pendingSubmissions map[string]*pendingSubmission // by job
+	cancelWaiters      map[string][]requester        // by job
 }
 
-// pendingSubmission is a submission whose record is being written.
+// pendingSubmission is a submission whose record is being stored.
 type pendingSubmission struct {
 	job     *clusterstate.Job
 	waiters []requester
@@ -50,105 +52,133 @@
 	case OpCancel:
 		u.cancel(from, uid)
 	default:
-		u.outbox.reply(from, 400, nil, 0)
+		// A relayed request may name any operation.
+		u.outbox.reply(from, http.StatusBadRequest, nil, 0)
 	}
 }
 
-// terminalStatus is the final state of a job that is over.
-func (u *userRequests) terminalStatus(uid string) (protocol.JobStatus, bool) {
-	f, ok := u.state.Terminal[uid]
-	if !ok {
-		return protocol.JobStatus{}, false
-	}
-	if f.Cancelled {
-		return protocol.JobStatus{UID: uid, State: protocol.Cancelled}, true
-	}
-	return protocol.JobStatus{UID: uid, State: protocol.Done, Done: f.Tasks}, true
-}
-
-// activeStatus is the state of a job that is not over.
-func (u *userRequests) activeStatus(j *clusterstate.Job) protocol.JobStatus {
-	s := protocol.JobStatus{UID: j.Spec.UID, State: protocol.Pending, Done: j.Done, Running: j.Running}
-	if j.Running > 0 {
-		s.State = protocol.Active
-	}
-	return s
-}
-
-// submit takes a submission, or says why it is not taken.
+// submit accepts a job, or rejects it. It may be repeated: a job that has been accepted is answered with its status.
 func (u *userRequests) submit(from requester, body []byte) {
 	uid, spec, err := protocol.ParseSubmission(body)
-	if u.answerKnownJob(from, uid) {
+	if u.replyToKnownJob(from, uid) {
 		return
 	}
 	if err != nil {
 		u.env.log.Info("submission rejected as malformed", "job", uid, "err", err)
-		u.outbox.reply(from, 400, nil, 0)
+		u.outbox.reply(from, http.StatusBadRequest, nil, 0)
 		return
 	}
 	if submission := u.pendingSubmissions[uid]; submission != nil {
-		if u.pending.addPending(from) {
+		if u.pending.add(from) {
 			submission.waiters = append(submission.waiters, from)
 		}
 		return
 	}
 	if len(u.catalog.types) == 0 {
-		u.outbox.replyUnavailable(from)
+		u.outbox.replyUnavailable(from) // feasibility can't be decided yet
 		return
 	}
 	if reason := u.infeasibleReason(spec); reason != feasible {
 		u.env.log.Info("submission rejected as infeasible", "job", uid, "reason", reason)
-		u.outbox.reply(from, 422, nil, 0)
+		u.outbox.reply(from, http.StatusUnprocessableEntity, nil, 0)
 		return
 	}
-	if u.pending.addPending(from) {
+	if u.pending.add(from) {
 		u.storeSubmission(from, uid, spec)
 	}
 }
 
-// answerKnownJob answers a submission that can be answered by its id alone: a job accepted before is answered
-// first, whatever its repeat holds, and who is not certainly the leader decides nothing.
-func (u *userRequests) answerKnownJob(from requester, uid string) bool {
-	if s, ok := u.terminalStatus(uid); ok {
-		u.outbox.replyStatus(from, 200, s)
+// replyToKnownJob answers a submission that can be answered by its id alone: a job accepted before is answered
+// first, whatever its repetition holds, and a controller that is not certain to be the leader decides nothing.
+func (u *userRequests) replyToKnownJob(from requester, uid string) bool {
+	if status, ok := u.terminalStatus(uid); ok {
+		u.outbox.replyStatus(from, http.StatusOK, status)
 		return true
 	}
-	if !u.loader.ready || !u.lease.holdsLease() {
+	if !u.canDecide() {
 		u.outbox.replyUnavailable(from)
 		return true
 	}
 	if j := u.state.Jobs[uid]; j != nil && j.Stored {
-		u.replyAsLeader(from, 200, u.activeStatus(j))
+		u.replyAsLeader(from, http.StatusOK, u.activeStatus(j))
 		return true
 	}
 	return false
 }
 
-// storeSubmission has a job's record written; its users are told once it is durable.
+// infeasibleReason returns why a job can never run on this cluster, or feasible.
+func (u *userRequests) infeasibleReason(spec *protocol.Spec) infeasibility {
+	quota := u.state.Quotas[spec.Team]
+	if quota == nil {
+		return unknownTeam
+	}
+	need := scheduler.Need{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB}
+	zones := u.feasibleZones(spec, need)
+	if len(zones) == 0 {
+		return noMachineTypeFits
+	}
+	if spec.Gang && spec.Spread && spec.Tasks > 1 && (spec.OneZone || len(zones) == 1) {
+		return gangCannotSpread
+	}
+	// Services and gangs run all their tasks at the same time, other jobs may run one by one.
+	atOnce := need
+	if spec.Service || spec.Gang {
+		atOnce = need.Times(float64(spec.Tasks))
+	}
+	if !(&scheduler.Quota{Maximum: quota.Maximum}).WithinMaximum(atOnce) {
+		return exceedsQuotaMaximum
+	}
+	return feasible
+}
+
+// feasibleZones returns the zones that have a machine type which the job may use and a task of it fits on.
+func (u *userRequests) feasibleZones(spec *protocol.Spec, need scheduler.Need) map[string]bool {
+	zones := map[string]bool{}
+	for _, t := range u.catalog.types {
+		allowed := spec.Types == nil || slices.Contains(spec.Types, t.Name)
+		if !allowed || !need.Fits(t.Size) {
+			continue
+		}
+		for _, zone := range t.Zones {
+			if spec.Zone == "" || spec.Zone == zone {
+				zones[zone] = true
+			}
+		}
+	}
+	return zones
+}
+
+// storeSubmission has a job's record stored; its users are answered, and its tasks placed, once it is durable.
 func (u *userRequests) storeSubmission(from requester, uid string, spec *protocol.Spec) {
 	j := u.state.AddJob(spec, u.env.wall)
 	submission := &pendingSubmission{job: j, waiters: []requester{from}}
 	u.pendingSubmissions[uid] = submission
 	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
-		delete(u.pendingSubmissions, uid)
-		j.Stored = true
-		u.env.log.Info("job accepted", "job", uid, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
-		u.forecast.recordArrival(j)
-		u.placement.fillPending = true
-		for _, w := range submission.waiters {
-			if u.pending.takePending(w) {
-				u.replyAsLeader(w, 201, u.activeStatus(j))
-			}
-		}
+		u.onSubmissionStored(submission)
 	})
 }
 
-// dropAbandonedSubmissions takes back submissions that nobody waits for any more, if they
-// have not left: their users were told to come back.
+// onSubmissionStored accepts a job whose record is durable.
+func (u *userRequests) onSubmissionStored(submission *pendingSubmission) {
+	j := submission.job
+	spec := j.Spec
+	delete(u.pendingSubmissions, spec.UID)
+	j.Stored = true
+	u.env.log.Info("job accepted", "job", spec.UID, "class", spec.Class, "team", spec.Team, "tasks", spec.Tasks)
+	u.forecast.recordArrival(j)
+	u.placement.fillPending = true
+	for _, waiter := range submission.waiters {
+		if u.pending.take(waiter) {
+			u.replyAsLeader(waiter, http.StatusCreated, u.activeStatus(j))
+		}
+	}
+}
+
+// dropAbandonedSubmissions drops the submissions that nobody waits for any more, unless their record is on its way to
+// the state service: their users were told to come back.
 func (u *userRequests) dropAbandonedSubmissions() {
 	for _, uid := range sortedKeys(u.pendingSubmissions) {
-		submission := u.pendingSubmissions[uid]
-		if slices.ContainsFunc(submission.waiters, func(a requester) bool { return u.pending.pendingRequests[a.id] != nil }) {
+		if slices.ContainsFunc(u.pendingSubmissions[uid].waiters, u.pending.isWaiting) {
 			continue
 		}
 		if u.store.Unmark(clusterstate.JobPrefix + uid) {
@@ -158,78 +188,38 @@
 	}
 }
 
-// infeasibleReason says why a job can never run here, or nothing.
-func (u *userRequests) infeasibleReason(s *protocol.Spec) infeasibility {
-	team := u.state.Quotas[s.Team]
-	if team == nil {
-		return unknownTeam
+// abandonSubmission gives up a submission whose record the state service refuses to store in any form. Its users are
+// told to come back.
+func (u *userRequests) abandonSubmission(uid string) {
+	submission := u.pendingSubmissions[uid]
+	if submission == nil {
+		return
 	}
-	need := scheduler.Need{Cores: s.Cores, Accel: s.Accelerators, Mem: s.MemoryGB}
-	zones := map[string]bool{}
-	for _, t := range u.catalog.types {
-		if !need.Fits(t.Size) || s.Types != nil && !slices.Contains(s.Types, t.Name) {
-			continue
-		}
-		for _, z := range t.Zones {
-			if s.Zone == "" || s.Zone == z {
-				zones[z] = true
-			}
+	for _, waiter := range submission.waiters {
+		if u.pending.take(waiter) {
+			u.outbox.replyUnavailable(waiter)
 		}
 	}
-	if len(zones) == 0 {
-		return noMachineTypeFits
-	}
-	if s.Gang && s.Spread && s.Tasks > 1 && (s.OneZone || len(zones) == 1) {
-		return gangCannotSpread
-	}
-	whole := need
-	if s.Service || s.Gang {
-		whole = need.Times(float64(s.Tasks))
-	}
-	if !(&scheduler.Quota{Maximum: team.Maximum}).WithinMaximum(whole) {
-		return exceedsQuotaMaximum
-	}
-	return feasible
-}
-
-// findActiveJob returns an accepted job that is not over. For all else it answers: final
-// states never change and may be told even by a leader that can't know whether
-// it still is one; the rest only by one that is, with a complete ledger.
-func (u *userRequests) findActiveJob(from requester, uid string) *clusterstate.Job {
-	if s, ok := u.terminalStatus(uid); ok {
-		u.outbox.replyStatus(from, 200, s)
-		return nil
-	}
-	j := u.state.Jobs[uid]
-	switch {
-	case !u.loader.ready || !u.lease.holdsLease():
-		u.outbox.replyUnavailable(from)
-	case j == nil:
-		u.outbox.replyUntil(from, 404, nil, 0, u.lease.holdsLeaseUntil())
-	case !j.Stored:
-		u.outbox.replyUnavailable(from) // about to be accepted: not durable yet
-	default:
-		return j
-	}
-	return nil
+	delete(u.pendingSubmissions, uid)
+	u.state.RemoveJob(uid)
 }
 
-// poll answers a user's question.
+// poll answers with a job's status. A job that is about to be done or cancelled is reported so once that is durable;
+// until then its status before is still true for its user.
 func (u *userRequests) poll(from requester, uid string) {
-	// One that is about to be done or cancelled is told so once that is durable;
-	// until then what it was before is still true for its user.
 	if j := u.findActiveJob(from, uid); j != nil {
-		u.replyAsLeader(from, 200, u.activeStatus(j))
+		u.replyAsLeader(from, http.StatusOK, u.activeStatus(j))
 	}
 }
 
-// cancel stops a job's tasks; its user is told once the last one is proved gone.
+// cancel stops a job's tasks; its user is answered once the last one is proved to have ended.
 func (u *userRequests) cancel(from requester, uid string) {
 	j := u.findActiveJob(from, uid)
-	if j == nil || !u.pending.addPending(from) {
+	if j == nil || !u.pending.add(from) {
 		return
 	}
-	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(a requester) bool { return u.pending.pendingRequests[a.id] == nil })
+	// Users who were refused meanwhile ask again, and would pile up here.
+	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(waiter requester) bool { return !u.pending.isWaiting(waiter) })
 	u.cancelWaiters[uid] = append(waiting, from)
 	if j.Cancelling || j.Finishing {
 		return // answered when that is durable
@@ -237,7 +227,12 @@
 	u.env.log.Info("job cancellation accepted", "job", uid)
 	j.Cancelling = true
 	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, nil)
-	// Nothing it does from here on is of use.
+	u.stopAttempts(j)
+	u.jobs.completeCancellation(j)
+}
+
+// stopAttempts requests all attempts of a job to stop without grace, as nothing that they still do is of use.
+func (u *userRequests) stopAttempts(j *clusterstate.Job) {
 	for _, m := range u.machines.sortedMachines() {
 		for _, a := range m.Sorted() {
 			if a.Job == j {
@@ -245,38 +240,67 @@
 			}
 		}
 	}
-	u.jobs.completeCancellation(j)
 }
 
-// replyCancelled tells those who wait for a job's cancellation what became of it.
+// replyCancelled answers the users who wait for a job's cancellation with its final state.
 func (u *userRequests) replyCancelled(uid string) {
-	s, _ := u.terminalStatus(uid)
-	for _, a := range u.cancelWaiters[uid] {
-		if u.pending.takePending(a) {
-			u.outbox.replyStatus(a, 200, s)
+	status, _ := u.terminalStatus(uid)
+	for _, waiter := range u.cancelWaiters[uid] {
+		if u.pending.take(waiter) {
+			u.outbox.replyStatus(waiter, http.StatusOK, status)
 		}
 	}
 	delete(u.cancelWaiters, uid)
 }
 
-// abandonSubmission gives up a submission whose record the state service takes in no form: its users come back.
-func (u *userRequests) abandonSubmission(uid string) {
-	submission := u.pendingSubmissions[uid]
-	if submission == nil {
-		return
+// findActiveJob returns an accepted job that is not over. In all other cases it answers the request and returns nil.
+// Final states never change, so even a controller that can't know whether it still leads may state them; everything
+// else only one that does, with all records loaded.
+func (u *userRequests) findActiveJob(from requester, uid string) *clusterstate.Job {
+	if status, ok := u.terminalStatus(uid); ok {
+		u.outbox.replyStatus(from, http.StatusOK, status)
+		return nil
+	}
+	j := u.state.Jobs[uid]
+	switch {
+	case !u.canDecide():
+		u.outbox.replyUnavailable(from)
+	case j == nil:
+		u.outbox.replyUntil(from, http.StatusNotFound, nil, 0, u.lease.holdsLeaseUntil())
+	case !j.Stored:
+		u.outbox.replyUnavailable(from) // about to be accepted, but not durable yet
+	default:
+		return j
 	}
+	return nil
+}
 
-	for _, from := range submission.waiters {
-		if u.pending.takePending(from) {
-			u.outbox.replyUnavailable(from)
-		}
+// canDecide reports whether this controller has loaded all records and is certain to be the leader.
+func (u *userRequests) canDecide() bool { return u.loader.ready && u.lease.holdsLease() }
+
+// terminalStatus returns the final state of a job; false: the job is not over, or not known.
+func (u *userRequests) terminalStatus(uid string) (protocol.JobStatus, bool) {
+	terminal, ok := u.state.Terminal[uid]
+	if !ok {
+		return protocol.JobStatus{}, false
 	}
-	delete(u.pendingSubmissions, uid)
-	u.state.RemoveJob(uid)
+	if terminal.Cancelled {
+		return protocol.JobStatus{UID: uid, State: protocol.Cancelled}, true
+	}
+	return protocol.JobStatus{UID: uid, State: protocol.Done, Done: terminal.Tasks}, true
+}
+
+// activeStatus is the status of a job that is not over.
+func (u *userRequests) activeStatus(j *clusterstate.Job) protocol.JobStatus {
+	status := protocol.JobStatus{UID: j.Spec.UID, State: protocol.Pending, Done: j.Done, Running: j.Running}
+	if j.Running > 0 {
+		status.State = protocol.Active
+	}
+	return status
 }
 
-// replyAsLeader answers with what only a leader may say, and only as long as it is certain
-// to be one.
-func (u *userRequests) replyAsLeader(to requester, status int, s protocol.JobStatus) {
-	u.outbox.replyUntil(to, status, protocol.Encode(s), 0, u.lease.holdsLeaseUntil())
+// replyAsLeader answers with what only a leader may state. The answer is sent only while this controller is certain
+// to lead.
+func (u *userRequests) replyAsLeader(to requester, status int, job protocol.JobStatus) {
+	u.outbox.replyUntil(to, status, protocol.Encode(job), 0, u.lease.holdsLeaseUntil())
 }
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -74,14 +74,14 @@
 		c.outbox.replyUnavailable(from)
 		return
 	}
-	if from.relay {
-		l.router.noteForwardedBy(from.by, m.Zone)
+	if from.relayed {
+		l.router.noteForwardedBy(from.forwardedBy, m.Zone)
 	}
 	if label := l.router.redirectTarget(m, &msg, from); label != "" {
 		c.outbox.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: label}), 0)
 		return
 	}
-	if !from.relay {
+	if !from.relayed {
 		l.reach.noteReached(c.env.now)
 	}
 	m.LastAnswered = c.env.now
@@ -111,7 +111,7 @@
 	if msg.Token > h.lease.token {
 		h.controller.endLeadership(endWorkerSawLater)
 	}
-	if msg.Token > h.lease.token || msg.Token == 0 || from.relay {
+	if msg.Token > h.lease.token || msg.Token == 0 || from.relayed {
 		h.outbox.replyUnavailable(from)
 		return
 	}
