--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -73,7 +73,7 @@
 func (h recordHost) Ended() bool { return h.leader.lease.ended }
 
 // Unavailable implements statestore.Host: users get an answer at once instead of waiting for the service.
-func (h recordHost) Unavailable() { h.leader.controller.pending.refusePendingRequests() }
+func (h recordHost) Unavailable() { h.leader.controller.pending.refuseAll() }
 
 // Abandoned implements statestore.Host: what waits for an abandoned record to be durable must not wait for ever.
 func (h recordHost) Abandoned(key string) {
