--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -28,7 +28,7 @@
 	whole := a.views.readyCapacity()
 	for _, j := range a.state.Jobs {
 		if j.ActiveAttempts > 0 && !j.Spec.Service {
-			j.Scale.Attained += dt * float64(j.ActiveAttempts) * shareOf(j, whole)
+			j.Scale.Attained += dt * float64(j.ActiveAttempts) * capacityShare(j, whole)
 		}
 	}
 }
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -26,10 +26,10 @@
 	drainAt time.Duration
 }
 
-// consolidationWork bounds what one go at emptying looks at, in machines: it copies
+// maxConsolidationWork bounds what one go at emptying looks at, in machines: it copies
 // the fleet for each machine that might be emptied, and a leader of thousands must
 // renew its lease meanwhile.
-const consolidationWork = 100_000
+const maxConsolidationWork = 100_000
 
 // consolidate empties dear machines whose tasks can go on elsewhere at once,
 // where their images are: long-lived replicas, and the last tasks of batches when
@@ -41,14 +41,14 @@
 	}
 	s := c.cache.fullSnapshot()
 	s.Fill()
-	if replicaWaits(s) {
+	if replicaIsWaiting(s) {
 		return
 	}
 	most := 1 + len(s.Machines)/10
 	candidates := c.drainCandidates(s)
 	s.Looked = 0
 	for _, candidate := range candidates[:min(len(candidates), 2*most)] {
-		if s.Looked > consolidationWork {
+		if s.Looked > maxConsolidationWork {
 			break // what is left comes with the next time
 		}
 		rest := s.WithoutMachine(candidate.id, candidate.tasks, c.forecast.forecastDemand)
@@ -63,8 +63,8 @@
 	}
 }
 
-// replicaWaits says whether a replica waits for room that its team may use.
-func replicaWaits(s *scheduler.Snapshot) bool {
+// replicaIsWaiting says whether a replica waits for room that its team may use.
+func replicaIsWaiting(s *scheduler.Snapshot) bool {
 	return slices.ContainsFunc(s.Jobs, func(j *scheduler.Job) bool {
 		return len(j.Waiting) > 0 && j.Service && s.Quotas[j.Team].WithinMaximum(j.Need)
 	})
@@ -170,14 +170,14 @@
 			(!service && (a.Job.Spec.CheckpointS <= 0 || free < 0.5)) {
 			return nil
 		}
-		out = append(out, singleTaskJob(a))
+		out = append(out, singleTaskView(a))
 	}
 	return out
 }
 
-// singleTaskJob is an attempt as a job of one task that is to start elsewhere.
-func singleTaskJob(a *clusterstate.Attempt) *scheduler.Job {
-	j := schedulerJob(a.Job)
+// singleTaskView is an attempt as a job of one task that is to start elsewhere.
+func singleTaskView(a *clusterstate.Attempt) *scheduler.Job {
+	j := newJobView(a.Job)
 	j.InZone, j.Waiting = a.Job.InZone(), []int{a.Index}
 	j.InZone[a.Machine.Zone]--
 	return j
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -35,8 +35,8 @@
 	services map[string]scheduler.Need
 }
 
-// maxArrivalSeconds bounds what is kept of a class. Room is kept for four boots' worth.
-const maxArrivalSeconds = 3600
+// arrivalHistorySeconds bounds what is kept of a class. Room is kept for four boots' worth.
+const arrivalHistorySeconds = 3600
 
 func (f *demandForecast) recordArrival(j *clusterstate.Job) {
 	a := f.arrivals[j.Spec.Class]
@@ -45,7 +45,7 @@
 		f.arrivals[j.Spec.Class] = a
 	}
 	a.add(j)
-	f.warnOfFetch(j)
+	f.warnOfSlowFetch(j)
 }
 
 // add notes a job's arrival. After a take-over they come in no order.
@@ -54,7 +54,7 @@
 	i, found := slices.BinarySearchFunc(h.seconds, at, func(s arrivalSecond, at int64) int { return cmp.Compare(s.at, at) })
 	if !found {
 		h.seconds = slices.Insert(h.seconds, i, arrivalSecond{at: at, images: map[string]int{}, services: map[string]scheduler.Need{}})
-		if len(h.seconds) > maxArrivalSeconds {
+		if len(h.seconds) > arrivalHistorySeconds {
 			h.seconds = h.seconds[1:]
 			if i--; i < 0 {
 				return // older than all that is kept
@@ -99,7 +99,7 @@
 		}
 		for _, a := range m.Sorted() {
 			if a.Job.Spec.Service && !a.Job.Cancelling && !a.StopRequested {
-				j := schedulerJob(a.Job)
+				j := newJobView(a.Job)
 				j.ID, j.Headroom, j.Spread, j.OneZone = "^"+a.Key().Task, true, false, false
 				j.Waiting = []int{a.Index}
 				out = append(out, j)
--- a/internal/controller/demand_forecast_test.go
+++ b/internal/controller/demand_forecast_test.go
@@ -29,18 +29,18 @@
 // After a take-over jobs come in the order of their ids; the past is bounded.
 func TestArrivalsInNoOrder(t *testing.T) {
 	a := &arrivalHistory{}
-	for i := range 2 * maxArrivalSeconds {
-		a.add(arrivalAt(int64(10_000+i*7919%(2*maxArrivalSeconds)), 1))
+	for i := range 2 * arrivalHistorySeconds {
+		a.add(arrivalAt(int64(10_000+i*7919%(2*arrivalHistorySeconds)), 1))
 	}
-	if len(a.seconds) > maxArrivalSeconds {
+	if len(a.seconds) > arrivalHistorySeconds {
 		t.Errorf("%d seconds are kept", len(a.seconds))
 	}
-	newest := int64(10_000 + 2*maxArrivalSeconds)
+	newest := int64(10_000 + 2*arrivalHistorySeconds)
 	if tasks, _, sample := a.since(newest - 200); tasks != 200 || sample.Submitted != (newest-1)*1000 {
 		t.Errorf("%d of 200 tasks count, the last is of %d", tasks, sample.Submitted)
 	}
 	a.add(arrivalAt(1, 5))
-	if tasks, _, _ := a.since(0); tasks != maxArrivalSeconds {
+	if tasks, _, _ := a.since(0); tasks != arrivalHistorySeconds {
 		t.Errorf("%d tasks are kept", tasks)
 	}
 }
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -86,7 +86,7 @@
 	j.Failures.LastWave = f.env.now
 	wait := f.retryDelay(j)
 	j.NotBefore = max(j.NotBefore, f.env.now+wait)
-	j.Scale.Attained += wait.Seconds() * shareOf(j, f.views.readyCapacity())
+	j.Scale.Attained += wait.Seconds() * capacityShare(j, f.views.readyCapacity())
 }
 
 // retryDelay doubles with each failure. At most a lease, as a job that waits for longer with
--- a/internal/controller/fetch_warning.go
+++ b/internal/controller/fetch_warning.go
@@ -6,14 +6,14 @@
 	"claybarrow/internal/clusterstate"
 )
 
-// warnOfFetch tells operators once of a class whose images take longer to fetch than its tasks may
+// warnOfSlowFetch tells operators once of a class whose images take longer to fetch than its tasks may
 // wait. The settings alone don't tell: the sizes come with the jobs, the rates from the cloud.
-func (f *demandForecast) warnOfFetch(j *clusterstate.Job) {
+func (f *demandForecast) warnOfSlowFetch(j *clusterstate.Job) {
 	class, aim := j.Spec.Class, f.views.waitObjective(j.Spec.Class)
 	if aim <= 0 || f.catalog.warnedOfFetch[class] {
 		return
 	}
-	fetch := f.catalog.shortestFetch(j)
+	fetch := f.catalog.shortestFetchS(j)
 	if fetch <= aim {
 		return
 	}
@@ -22,9 +22,9 @@
 		"class", class, "within_s", aim, "fetch_s", math.Round(fetch*10)/10, "image_gb", j.Spec.ImageGB)
 }
 
-// shortestFetch is how long a job's image takes on the type that fetches fastest, of those that the
+// shortestFetchS is how long a job's image takes on the type that fetches fastest, of those that the
 // job may use, in seconds; 0 if nothing is known of them.
-func (m *machineCatalog) shortestFetch(j *clusterstate.Job) float64 {
+func (m *machineCatalog) shortestFetchS(j *clusterstate.Job) float64 {
 	fastest := 0.0
 	for _, t := range m.types {
 		if j.Types == nil || j.Types[t.Name] {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -74,7 +74,7 @@
 		placement:      newTaskScheduler(c.env),
 		views:          &schedulerViews{},
 		forecast:       &demandForecast{arrivals: map[string]*arrivalHistory{}},
-		scaler:         &autoscaler{shortPools: map[scheduler.Pool]*condition{}},
+		scaler:         &autoscaler{shortPools: map[scheduler.Pool]*loggedCondition{}},
 		consolidator:   &consolidator{},
 		accounting:     &serviceAccounting{accrueAt: now},
 		summary:        &fleetSummary{},
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -26,10 +26,10 @@
 	scaler *autoscaler
 	needed map[string]bool // those that waiting and expected work will be on
 	// manySilent: many silent machines at once speak of our own network, not of theirs.
-	manySilent      bool
-	controllerLost  map[string]bool          // zones that are cut off and have lost their controller
-	zonesHeardSince map[string]time.Duration // see term.zonesHeardSince
-	spare           *spareCapacity
+	manySilent     bool
+	controllerLost map[string]bool          // zones that are cut off and have lost their controller
+	heardSince     map[string]time.Duration // see term.heardSince
+	spare          *spareCapacity
 }
 
 func (a *autoscaler) newScaleInPass(needed map[string]bool) *scaleInPass {
@@ -43,7 +43,7 @@
 		}
 	}
 	pass := &scaleInPass{scaler: a, needed: needed, manySilent: silent > 2 && silent > up/3,
-		controllerLost: map[string]bool{}, zonesHeardSince: a.zonesHeardSince(), spare: &spareCapacity{cache: a.cache}}
+		controllerLost: map[string]bool{}, heardSince: a.zonesHeardSince(), spare: &spareCapacity{cache: a.cache}}
 	for zone := range a.partitions.partitioned {
 		pass.controllerLost[zone] = a.partitions.controllerLost(zone)
 	}
@@ -81,7 +81,7 @@
 
 // bootingReleaseReason is why a machine that is not up is returned.
 func (p *scaleInPass) bootingReleaseReason(m *clusterstate.Machine) releaseReason {
-	if p.scaler.env.now > max(m.LaunchedAt+seconds(p.scaler.catalog.machineType(m.Type).BootS*longestBoot), p.scaler.lease.electedAt+p.scaler.env.cfg.Lease()/2) {
+	if p.scaler.env.now > max(m.LaunchedAt+seconds(p.scaler.catalog.machineType(m.Type).BootS*bootTimeoutFactor), p.scaler.lease.electedAt+p.scaler.env.cfg.Lease()/2) {
 		// Not at once after a take-over: idle machines that have long been up have
 		// no record, and asking thousands takes a while (scale run, 5,500
 		// workers: 107 were returned within the first second).
@@ -97,7 +97,7 @@
 func (p *scaleInPass) silentReleaseReason(m *clusterstate.Machine) releaseReason {
 	lease := p.scaler.env.cfg.Lease()
 	switch {
-	case !p.manySilent && p.scaler.isUnreachable(m, p.zonesHeardSince) && p.scaler.health.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
+	case !p.manySilent && p.scaler.isUnreachable(m, p.heardSince) && p.scaler.health.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
 		return releaseUnreachable
 	case !p.manySilent && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && p.scaler.health.silentFor(m) > lease/2:
 		// After a take-over the proof by time is far away, and the cloud's
@@ -163,7 +163,7 @@
 	}
 	var jobs []*scheduler.Job
 	for _, a := range m.Sorted() {
-		jobs = append(jobs, singleTaskJob(a))
+		jobs = append(jobs, singleTaskView(a))
 	}
 	return s.left.Absorbs(jobs)
 }
@@ -184,7 +184,7 @@
 	return true
 }
 
-// zonesHeardSince tells, by zone, since when a tenth of its machines, two at least, have
+// heardSince tells, by zone, since when a tenth of its machines, two at least, have
 // been heard: a zone that has just been cut off has none after the cut.
 func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
 	heard := map[string][]time.Duration{}
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -22,18 +22,18 @@
 	reach      *reachability
 	state      *clusterstate.State
 
-	shortPools map[scheduler.Pool]*condition
-	lateBoots  condition
+	shortPools map[scheduler.Pool]*loggedCondition
+	lateBoots  loggedCondition
 }
 
 // Boots are called late when a quarter of the machines that boot, two at least, have taken
 // longer than usual, and late no more when none or less than an eighth has.
 const (
-	leastLate   = 2
-	lateBegins  = 4
-	lateIsOver  = 8
-	usualBoots  = 1.6 // the longest usual boot, by the type's own time
-	longestBoot = 2.5 // of one that is still waited for
+	minLateBoots          = 2
+	lateBootsBeginDivisor = 4
+	lateBootsEndDivisor   = 8
+	usualBootFactor       = 1.6 // the longest usual boot, by the type's own time
+	bootTimeoutFactor     = 2.5 // of one that is still waited for
 )
 
 // watchBootTimes says when machines come up late, and when that is over.
@@ -45,13 +45,13 @@
 			continue
 		}
 		booting++
-		if a.env.now > m.LaunchedAt+seconds(t.BootS*usualBoots) {
+		if a.env.now > m.LaunchedAt+seconds(t.BootS*usualBootFactor) {
 			late++
 		}
 	}
-	holds := late >= leastLate && late*lateBegins >= booting
-	if a.lateBoots.holds {
-		holds = late > 0 && late*lateIsOver >= booting
+	holds := late >= minLateBoots && late*lateBootsBeginDivisor >= booting
+	if a.lateBoots.active {
+		holds = late > 0 && late*lateBootsEndDivisor >= booting
 	}
 	a.lateBoots.update(holds, a.env.now, a.env.log, "machine boots are late", "machine boots are on time again", "late", late, "booting", booting)
 }
@@ -60,7 +60,7 @@
 func (a *autoscaler) onPoolShortage(p scheduler.Pool, short bool) {
 	k := a.shortPools[p]
 	if k == nil {
-		k = &condition{}
+		k = &loggedCondition{}
 		a.shortPools[p] = k
 	}
 	k.update(short, a.env.now, a.env.log, "machine pool short of capacity", "machine pool has capacity again", "type", p.Type, "zone", p.Zone, "spot", p.Spot)
@@ -70,11 +70,11 @@
 // a thirty-second of the fleet. A fleet of any size is rented within 32 plans.
 const (
 	minLaunches        = 64
-	fleetShareOfLaunch = 32
+	launchFleetDivisor = 32
 )
 
 func (a *autoscaler) maxLaunches() int {
-	return max(minLaunches, a.env.cfg.FleetSize()/fleetShareOfLaunch)
+	return max(minLaunches, a.env.cfg.FleetSize()/launchFleetDivisor)
 }
 
 // planScaling rents what waiting and expected work needs, and returns what it doesn't.
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -24,36 +24,36 @@
 	state     *clusterstate.State
 	views     *schedulerViews
 
-	fleet    *scheduler.Fleet
-	types    int // the generation of the machine types
-	listed   []*clusterstate.Machine
-	registry *machineRegistry
-	machines []*cachedMachine // in the order of listed
-	known    map[*clusterstate.Machine]*cachedMachine
-	waiting  map[*clusterstate.Job]*cachedJob
-	// ordered are the same jobs, in the order in which they came to wait.
-	ordered []*clusterstate.Job
-	teams   map[string]*scheduler.Quota
+	fleet           *scheduler.Fleet
+	typesGeneration int // the generation of the machine types
+	machineList     []*clusterstate.Machine
+	machines        *machineRegistry
+	cachedMachines  []*cachedMachine // in the order of listed
+	machineOf       map[*clusterstate.Machine]*cachedMachine
+	cachedJobs      map[*clusterstate.Job]*cachedJob
+	// waitingOrder are the same jobs, in the order in which they came to wait.
+	waitingOrder []*clusterstate.Job
+	teams        map[string]*scheduler.Quota
 	// Memory of the last snapshot, for the next.
-	machineViews []*scheduler.Machine
-	jobViews     []*scheduler.Job
-	ready        int // machines of a plan that are up
-	// checkFrom is the machine that the next check begins with.
-	checkFrom int
-	// drifted: a difference has been logged.
-	drifted bool
+	machineBuffer    []*scheduler.Machine
+	jobBuffer        []*scheduler.Job
+	schedulableCount int // machines of a plan that are up
+	// nextVerified is the machine that the next check begins with.
+	nextVerified int
+	// driftLogged: a difference has been logged.
+	driftLogged bool
 }
 
 // cachedMachine is a machine as the scheduler saw it last.
 type cachedMachine struct {
-	view     scheduler.Machine
-	machine  *clusterstate.Machine
-	revision uint64
-	size     scheduler.Need
-	place    int
-	placed   bool // it has a place
-	inFleet  bool // it was usable
-	listed   bool // while the list is gone through: it is still there
+	view        scheduler.Machine
+	machine     *clusterstate.Machine
+	revision    uint64
+	size        scheduler.Need
+	position    int
+	hasPosition bool // it has a place
+	inFleet     bool // it was usable
+	stillListed bool // while the list is gone through: it is still there
 }
 
 // cachedJob is a job with tasks that wait.
@@ -62,21 +62,21 @@
 	revision uint64
 	waiting  []int
 	resume   int
-	drawn    bool
-	// zonesRevision is the job's when its places by zone were last counted.
-	zonesRevision uint64
+	filled   bool
+	// inZoneRevision is the job's when its places by zone were last counted.
+	inZoneRevision uint64
 }
 
 // newSchedulerCache makes a cache that knows nothing yet: rebuild follows once it has what it works with.
 func newSchedulerCache() *schedulerCache {
-	return &schedulerCache{teams: map[string]*scheduler.Quota{}, waiting: map[*clusterstate.Job]*cachedJob{}}
+	return &schedulerCache{teams: map[string]*scheduler.Quota{}, cachedJobs: map[*clusterstate.Job]*cachedJob{}}
 }
 
 // rebuild forgets what it knows of the machines.
 func (c *schedulerCache) rebuild() {
-	c.fleet, c.known = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
-	c.listed, c.machines = nil, nil
-	c.types = c.catalog.typesGeneration
+	c.fleet, c.machineOf = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
+	c.machineList, c.cachedMachines = nil, nil
+	c.typesGeneration = c.catalog.typesGeneration
 }
 
 // snapshotForFill is what a fill decides from; nil if no job waits or no machine may be used.
@@ -104,9 +104,9 @@
 // boot. The plan must be ended with endPlan.
 func (c *schedulerCache) snapshotForPlan() *scheduler.Snapshot {
 	out := c.fullSnapshot()
-	c.ready = len(out.Machines)
-	place := len(c.machines) * placeGap * 2
-	for _, m := range c.listed {
+	c.schedulableCount = len(out.Machines)
+	place := len(c.cachedMachines) * positionGap * 2
+	for _, m := range c.machineList {
 		if t := c.views.bootingType(m); t != nil {
 			view := c.views.machineView(m, t)
 			view.Booting = true
@@ -120,10 +120,10 @@
 
 // endPlan takes out again what the plan has brought in.
 func (c *schedulerCache) endPlan(plan *scheduler.Snapshot) {
-	for _, m := range plan.Machines[c.ready:] {
+	for _, m := range plan.Machines[c.schedulableCount:] {
 		c.fleet.Remove(m)
 	}
-	c.machineViews = plan.Machines[:c.ready]
+	c.machineBuffer = plan.Machines[:c.schedulableCount]
 }
 
 // snapshotForRound is what a round decides from: all jobs, and what runs. The round must be ended with
@@ -147,14 +147,14 @@
 		out.Jobs = append(out.Jobs, &views[i])
 	}
 	tasks := 0
-	for _, e := range c.machines {
+	for _, e := range c.cachedMachines {
 		tasks += len(e.machine.Attempts)
 	}
 	running := make([]scheduler.RunningTask, 0, tasks)
-	for _, e := range c.machines {
+	for _, e := range c.cachedMachines {
 		if e.inFleet {
 			first := len(running)
-			running = c.views.appendPreemptible(running, e.machine, jobs)
+			running = c.views.appendRunningTasks(running, e.machine, jobs)
 			e.view.Running = running[first:len(running):len(running)]
 		}
 	}
@@ -163,14 +163,14 @@
 
 // endRound drops what only a round needs.
 func (c *schedulerCache) endRound() {
-	for _, e := range c.machines {
+	for _, e := range c.cachedMachines {
 		e.view.Running = nil
 	}
 }
 
 // emptySnapshot is an empty snapshot of the fleet.
 func (c *schedulerCache) emptySnapshot() *scheduler.Snapshot {
-	if c.types != c.catalog.typesGeneration {
+	if c.typesGeneration != c.catalog.typesGeneration {
 		c.rebuild()
 	}
 	return &scheduler.Snapshot{Quotas: c.teams, UpperCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
@@ -197,11 +197,11 @@
 	for _, j := range c.state.TakeOpenedJobs() {
 		c.addWaiting(j)
 	}
-	list, ordered := c.jobViews[:0], c.ordered[:0]
-	for _, j := range c.ordered {
-		kept := c.waiting[j]
+	list, ordered := c.jobBuffer[:0], c.waitingOrder[:0]
+	for _, j := range c.waitingOrder {
+		kept := c.cachedJobs[j]
 		if c.state.Jobs[j.Spec.UID] != j {
-			delete(c.waiting, j)
+			delete(c.cachedJobs, j)
 			continue
 		}
 		waiting, resume := []int(nil), 0
@@ -209,112 +209,112 @@
 			waiting, resume = c.waitingTasks(j, kept)
 		}
 		if j.Stored && len(waiting) == 0 && j.ActiveAttempts > 0 && j.OpenTasks() == 0 {
-			delete(c.waiting, j) // until it loses a task
+			delete(c.cachedJobs, j) // until it loses a task
 			continue
 		}
 		ordered = append(ordered, j)
 		if len(waiting) > 0 {
-			list = append(list, c.jobView(j, kept, waiting, resume, claims[j.Spec.UID]))
+			list = append(list, c.refreshJob(j, kept, waiting, resume, claims[j.Spec.UID]))
 		}
 	}
-	c.jobViews, c.ordered = list, ordered
+	c.jobBuffer, c.waitingOrder = list, ordered
 	return list
 }
 
 // addWaiting has a job be looked at by each fill.
 func (c *schedulerCache) addWaiting(j *clusterstate.Job) {
-	if c.waiting[j] == nil {
-		c.waiting[j] = &cachedJob{}
-		c.ordered = append(c.ordered, j)
+	if c.cachedJobs[j] == nil {
+		c.cachedJobs[j] = &cachedJob{}
+		c.waitingOrder = append(c.waitingOrder, j)
 	}
 }
 
 // waitingTasks is the term's, from memory if nothing has changed.
 func (c *schedulerCache) waitingTasks(j *clusterstate.Job, kept *cachedJob) ([]int, int) {
-	if j.Gang != nil || !kept.drawn || kept.revision != j.Revision() {
-		kept.drawn, kept.revision = true, j.Revision()
+	if j.Gang != nil || !kept.filled || kept.revision != j.Revision() {
+		kept.filled, kept.revision = true, j.Revision()
 		kept.waiting, kept.resume = j.AppendWaitingTasks(kept.waiting[:0], maxWaitingTasks)
 	}
-	return c.views.startableTasks(j, kept.waiting, kept.resume)
+	return c.views.limitStartable(j, kept.waiting, kept.resume)
 }
 
-// jobView is a job as the scheduler sees it now. Amounts that change by themselves are always
+// refreshJob is a job as the scheduler sees it now. Amounts that change by themselves are always
 // taken from the ledger; its places by zone change with its tasks. A plan, or a gang without room
 // for all of it, has changed them without: then it holds more than the ledger says.
-func (c *schedulerCache) jobView(j *clusterstate.Job, kept *cachedJob, waiting []int, resume, claims int) *scheduler.Job {
+func (c *schedulerCache) refreshJob(j *clusterstate.Job, kept *cachedJob, waiting []int, resume, claims int) *scheduler.Job {
 	inZone := kept.view.InZone
-	if inZone == nil || j.Gang != nil || kept.zonesRevision != j.Revision() || kept.view.Held != j.ActiveAttempts {
-		inZone, kept.zonesRevision = j.InZone(), j.Revision()
+	if inZone == nil || j.Gang != nil || kept.inZoneRevision != j.Revision() || kept.view.Held != j.ActiveAttempts {
+		inZone, kept.inZoneRevision = j.InZone(), j.Revision()
 	}
 	c.views.updateJobView(&kept.view, j, waiting, resume, claims)
 	kept.view.InZone = inZone
 	return &kept.view
 }
 
-// placeGap leaves room for machines that come between others.
-const placeGap = 1 << 20
+// positionGap leaves room for machines that come between others.
+const positionGap = 1 << 20
 
 // syncMachineList takes in machines that have come and drops those that are gone.
 func (c *schedulerCache) syncMachineList() {
-	list := c.registry.sortedMachines()
-	if len(list) == len(c.listed) && (len(list) == 0 || &list[0] == &c.listed[0]) {
+	list := c.machines.sortedMachines()
+	if len(list) == len(c.machineList) && (len(list) == 0 || &list[0] == &c.machineList[0]) {
 		return
 	}
-	c.listed = list
-	for _, e := range c.machines {
-		e.listed = false
+	c.machineList = list
+	for _, e := range c.cachedMachines {
+		e.stillListed = false
 	}
 	machines := make([]*cachedMachine, 0, len(list))
 	for _, m := range list {
-		e := c.known[m]
+		e := c.machineOf[m]
 		if e == nil {
 			e = &cachedMachine{machine: m}
-			c.known[m] = e
+			c.machineOf[m] = e
 		}
-		e.listed = true
+		e.stillListed = true
 		machines = append(machines, e)
 	}
-	for _, e := range c.machines {
-		if !e.listed {
-			c.dropMachine(e)
-			delete(c.known, e.machine)
+	for _, e := range c.cachedMachines {
+		if !e.stillListed {
+			c.removeFromFleet(e)
+			delete(c.machineOf, e.machine)
 		}
 	}
-	c.machines = machines
-	c.assignPlaces()
+	c.cachedMachines = machines
+	c.assignPositions()
 }
 
-// assignPlaces numbers new machines between their neighbours, or all if there is no room.
-func (c *schedulerCache) assignPlaces() {
+// assignPositions numbers new machines between their neighbours, or all if there is no room.
+func (c *schedulerCache) assignPositions() {
 	last := 0
-	for i, e := range c.machines {
-		if e.placed {
-			last = e.place
+	for i, e := range c.cachedMachines {
+		if e.hasPosition {
+			last = e.position
 			continue
 		}
-		next := last + 2*placeGap
-		if k := slices.IndexFunc(c.machines[i:], func(o *cachedMachine) bool { return o.placed }); k >= 0 {
-			next = c.machines[i+k].place
+		next := last + 2*positionGap
+		if k := slices.IndexFunc(c.cachedMachines[i:], func(o *cachedMachine) bool { return o.hasPosition }); k >= 0 {
+			next = c.cachedMachines[i+k].position
 		}
 		if next-last < 2 {
-			c.renumber()
+			c.renumberPositions()
 			return
 		}
-		e.place, e.placed = last+min(placeGap, (next-last)/2), true
-		last = e.place
+		e.position, e.hasPosition = last+min(positionGap, (next-last)/2), true
+		last = e.position
 	}
 }
 
-func (c *schedulerCache) renumber() {
-	for _, e := range c.machines {
-		c.dropMachine(e)
+func (c *schedulerCache) renumberPositions() {
+	for _, e := range c.cachedMachines {
+		c.removeFromFleet(e)
 	}
-	for i, e := range c.machines {
-		e.place, e.placed = (i+1)*placeGap, true
+	for i, e := range c.cachedMachines {
+		e.position, e.hasPosition = (i+1)*positionGap, true
 	}
 }
 
-func (c *schedulerCache) dropMachine(e *cachedMachine) {
+func (c *schedulerCache) removeFromFleet(e *cachedMachine) {
 	if e.inFleet {
 		c.fleet.Remove(&e.view)
 		e.inFleet = false
@@ -324,8 +324,8 @@
 // syncMachines draws those anew that have changed, and lists the usable ones.
 func (c *schedulerCache) syncMachines(out *scheduler.Snapshot) {
 	now := c.env.now
-	list := c.machineViews[:0]
-	for _, e := range c.machines {
+	list := c.machineBuffer[:0]
+	for _, e := range c.cachedMachines {
 		m := e.machine
 		if m.Up && !m.Releasing {
 			out.Capacity = out.Capacity.Plus(m.Size)
@@ -334,20 +334,20 @@
 			out.Moving = out.Moving || movesReplicas(m)
 		}
 		if !c.health.isSchedulable(m) {
-			c.dropMachine(e)
+			c.removeFromFleet(e)
 			continue
 		}
 		if !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size || e.view.ReservedFor != c.placement.reservations[m.ID].job {
 			t := c.catalog.machineType(m.Type)
 			if t == nil {
-				c.dropMachine(e)
+				c.removeFromFleet(e)
 				continue
 			}
 			c.refreshMachine(e, t)
 		}
 		list = append(list, &e.view)
 	}
-	c.machineViews, out.Machines = list, list
+	c.machineBuffer, out.Machines = list, list
 }
 
 // refreshMachine has a machine be as the ledger has it.
@@ -356,37 +356,37 @@
 	e.view = c.views.machineView(m, t)
 	setImages(&e.view, m)
 	e.revision, e.size, e.inFleet = m.Revision(), m.Size, true
-	c.fleet.Update(&e.view, e.place)
+	c.fleet.Update(&e.view, e.position)
 }
 
-// checkSlice is how many machines a check looks at.
-const checkSlice = 32
+// machinesPerVerification is how many machines a check looks at.
+const machinesPerVerification = 32
 
 // verify compares some machines with the ledger, those that it takes for unchanged. A difference
 // is a fault of this program: it is logged once, and the view is built anew.
 func (c *schedulerCache) verify() {
-	if len(c.machines) == 0 {
+	if len(c.cachedMachines) == 0 {
 		return
 	}
-	for i := range min(checkSlice, len(c.machines)) {
-		e := c.machines[(c.checkFrom+i)%len(c.machines)]
+	for i := range min(machinesPerVerification, len(c.cachedMachines)) {
+		e := c.cachedMachines[(c.nextVerified+i)%len(c.cachedMachines)]
 		if c.matchesState(e) {
 			continue
 		}
-		if !c.drifted {
-			c.drifted = true
+		if !c.driftLogged {
+			c.driftLogged = true
 			c.env.log.Error("scheduler cache differs from the cluster state", "machine", e.machine.ID)
 		}
 		c.rebuild()
 		return
 	}
-	c.checkFrom = (c.checkFrom + checkSlice) % len(c.machines)
+	c.nextVerified = (c.nextVerified + machinesPerVerification) % len(c.cachedMachines)
 }
 
 // matchesState says whether a machine that nothing seems to have changed is as the ledger has it.
 func (c *schedulerCache) matchesState(e *cachedMachine) bool {
 	m := e.machine
-	if c.types != c.catalog.typesGeneration || !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
+	if c.typesGeneration != c.catalog.typesGeneration || !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
 		e.view.ReservedFor != c.placement.reservations[m.ID].job {
 		return true // drawn anew at the next fill
 	}
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -24,20 +24,20 @@
 // changed after each event, and now and then a whole snapshot with one drawn anew. All worlds
 // are checked so.
 func (w *world) checkSchedulerCache(l *leadership) {
-	for _, e := range l.cache.machines {
+	for _, e := range l.cache.cachedMachines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
 			w.breaks("the standing view of %s differs from the ledger", e.machine.ID)
 		}
 	}
 	for _, j := range l.state.Jobs {
-		kept := l.cache.waiting[j]
+		kept := l.cache.cachedJobs[j]
 		if kept == nil {
 			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.OpenedJobs(), j) {
 				w.breaks("%s waits and is not in the standing view", j.Spec.UID)
 			}
 			continue
 		}
-		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.drawn && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finishing && !slices.Equal(fresh, kept.waiting) {
+		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.filled && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finishing && !slices.Equal(fresh, kept.waiting) {
 			w.breaks("%s: waiting tasks %v, the standing view has %v", j.Spec.UID, fresh, kept.waiting)
 		}
 	}
@@ -142,7 +142,7 @@
 		case l.health.isSchedulable(m):
 			setImages(sm, m)
 			if running {
-				sm.Running = l.views.appendPreemptible(nil, m, jobs)
+				sm.Running = l.views.appendRunningTasks(nil, m, jobs)
 			}
 		case booting && l.views.bootingType(m) != nil:
 			sm.Booting = true
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -18,7 +18,7 @@
 	state      *clusterstate.State
 }
 
-func shareOf(j *clusterstate.Job, capacity scheduler.Need) float64 {
+func capacityShare(j *clusterstate.Job, capacity scheduler.Need) float64 {
 	return scheduler.Share(j.Need, capacity)
 }
 
@@ -38,8 +38,8 @@
 	return n
 }
 
-// schedulerJob is a job as the scheduler sees it, without its tasks.
-func schedulerJob(j *clusterstate.Job) *scheduler.Job {
+// newJobView is a job as the scheduler sees it, without its tasks.
+func newJobView(j *clusterstate.Job) *scheduler.Job {
 	sj := &scheduler.Job{}
 	describeJob(sj, j)
 	return sj
@@ -66,12 +66,12 @@
 // interrupted.
 func (v *schedulerViews) waitingTasks(j *clusterstate.Job) (waiting []int, resume int) {
 	waiting, resume = j.WaitingTasks(maxWaitingTasks)
-	return v.startableTasks(j, waiting, resume)
+	return v.limitStartable(j, waiting, resume)
 }
 
-// startableTasks is what may be started now of the tasks that wait: nothing for a while after
+// limitStartable is what may be started now of the tasks that wait: nothing for a while after
 // failures, and one at a time while it is tried whether the job still fails.
-func (v *schedulerViews) startableTasks(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
+func (v *schedulerViews) limitStartable(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
 	if j.Cancelling || j.Finishing || v.env.now < j.NotBefore {
 		waiting, resume = nil, 0
 	}
@@ -117,7 +117,7 @@
 	if m.Up || m.Releasing || v.partitions.isPartitioned(m.Zone) {
 		return nil
 	}
-	if t := v.catalog.machineType(m.Type); t != nil && v.env.now < m.LaunchedAt+seconds(t.BootS*usualBoots) {
+	if t := v.catalog.machineType(m.Type); t != nil && v.env.now < m.LaunchedAt+seconds(t.BootS*usualBootFactor) {
 		return t
 	}
 	return nil
@@ -148,8 +148,8 @@
 	}
 }
 
-// appendPreemptible adds a machine's tasks that may be stopped for others to a list.
-func (v *schedulerViews) appendPreemptible(list []scheduler.RunningTask, m *clusterstate.Machine, jobs map[*clusterstate.Job]*scheduler.Job) []scheduler.RunningTask {
+// appendRunningTasks adds a machine's tasks that may be stopped for others to a list.
+func (v *schedulerViews) appendRunningTasks(list []scheduler.RunningTask, m *clusterstate.Machine, jobs map[*clusterstate.Job]*scheduler.Job) []scheduler.RunningTask {
 	for _, a := range m.Sorted() {
 		if sj := jobs[a.Job]; sj != nil && !a.StopRequested {
 			list = append(list, scheduler.RunningTask{Job: sj, Index: a.Index, SinceS: (v.env.now - a.Since).Seconds()})
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -91,7 +91,7 @@
 	l.views.catalog, l.views.env, l.views.forecast, l.views.partitions = c.catalog, env, l.forecast, l.partitions
 	l.views.placement, l.views.state = l.placement, l.state
 
-	l.cache.registry = l.machines
+	l.cache.machines = l.machines
 	l.cache.catalog, l.cache.env, l.cache.health, l.cache.placement = c.catalog, env, l.health, l.placement
 	l.cache.state, l.cache.views = l.state, l.views
 
