--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -8,7 +8,9 @@
 	"claybarrow/internal/scheduler"
 )
 
-// demandForecast predicts the tasks that will arrive while a machine boots, from recent arrivals.
+// demandForecast predicts the tasks that will arrive while a machine boots, and describes them to the scheduler as
+// headroom jobs: jobs that keep room free and are never started. It owns the recent arrivals by class. A new leader
+// records the arrivals again as it reads the stored jobs.
 type demandForecast struct {
 	catalog  *machineCatalog
 	env      *environment
@@ -19,49 +21,141 @@
 	arrivals map[string]*arrivalHistory
 }
 
-// arrivalHistory are a class's recent arrivals, for the room kept free: added up by the second,
-// oldest first.
+// Prefixes of the ids of headroom jobs, which keep them apart from the ids of users' jobs.
+const (
+	demandIDPrefix      = "~" // before the class whose arrivals are expected
+	replacementIDPrefix = "^" // before the key of the task that may have to be replaced
+)
+
+// Limits of the forecast, in boot times of the slowest machine type.
+const (
+	// arrivalWindowBoots is the length of the window of recent arrivals that the forecast is made from.
+	arrivalWindowBoots = 4
+	// maxHeadroomObjectiveBoots is the longest wait objective that headroom is kept for: tasks that may wait longer
+	// start in time on machines that are launched when they arrive.
+	maxHeadroomObjectiveBoots = 2
+)
+
+// recordArrival counts a job among the recent arrivals of its class.
+func (f *demandForecast) recordArrival(j *clusterstate.Job) {
+	history := f.arrivals[j.Spec.Class]
+	if history == nil {
+		history = &arrivalHistory{}
+		f.arrivals[j.Spec.Class] = history
+	}
+	history.add(j)
+	f.warnOfSlowFetch(j)
+}
+
+// appendHeadroom appends all headroom jobs to a list of jobs.
+func (f *demandForecast) appendHeadroom(jobs []*scheduler.Job) []*scheduler.Job {
+	jobs = append(jobs, f.forecastDemand()...)
+	return append(jobs, f.forecastReplacements()...)
+}
+
+// forecastDemand makes headroom jobs of the tasks that are expected to arrive while a machine boots, for classes of
+// services whose wait objective is too short to launch machines for them then.
+func (f *demandForecast) forecastDemand() []*scheduler.Job {
+	bootS := f.catalog.longestBootS()
+	windowS, from := f.arrivalWindow()
+	var jobs []*scheduler.Job
+	for _, class := range sortedKeys(f.arrivals) {
+		objective := f.views.waitObjective(class)
+		if objective <= 0 || objective > maxHeadroomObjectiveBoots*bootS {
+			continue
+		}
+		tasks, images, sample := f.arrivals[class].since(from)
+		if sample == nil || !sample.Spec.Service {
+			continue
+		}
+		expected := float64(tasks) / windowS * bootS * f.env.cfg.Operator.Fleet.Headroom
+		job := expectedJob(class, sample, max(1, int(expected+0.5)))
+		job.Images, job.AimS = imageShares(images, tasks), objective
+		jobs = append(jobs, job)
+	}
+	return jobs
+}
+
+// forecastReplacements makes headroom jobs of the replicas on overdue machines, so that the machines that may replace
+// those boot while the proof that the replicas are gone is still awaited.
+func (f *demandForecast) forecastReplacements() []*scheduler.Job {
+	var jobs []*scheduler.Job
+	for _, m := range f.machines.sortedMachines() {
+		if !f.health.isOverdue(m) {
+			continue
+		}
+		for _, a := range m.Sorted() {
+			if a.Job.Spec.Service && !a.Job.Cancelling && !a.StopRequested {
+				jobs = append(jobs, replacementJob(a))
+			}
+		}
+	}
+	return jobs
+}
+
+// arrivalWindow is the window of recent arrivals that the forecast is made from: its length in seconds, and the Unix
+// time in seconds at which it begins.
+func (f *demandForecast) arrivalWindow() (lengthS float64, from int64) {
+	lengthS = arrivalWindowBoots * f.catalog.longestBootS()
+	return lengthS, (f.env.wall - int64(lengthS*1000)) / 1000
+}
+
+// expectedJob makes a headroom job of as many tasks as are expected of a class, each like the tasks of a sample job.
+func expectedJob(class string, sample *clusterstate.Job, tasks int) *scheduler.Job {
+	spec := sample.Spec
+	job := &scheduler.Job{
+		ID: demandIDPrefix + class, Class: class, Priority: int(spec.Priority),
+		Service: true, Headroom: true, Tasks: tasks, Degradation: 1,
+		Need: sample.Need, ImageGB: spec.ImageGB, Spot: spec.Spot, Types: sample.Types,
+	}
+	for i := range tasks {
+		job.Waiting = append(job.Waiting, i)
+	}
+	return job
+}
+
+// replacementJob makes a headroom job of the task of an attempt that is probably gone.
+func replacementJob(a *clusterstate.Attempt) *scheduler.Job {
+	job := newJobView(a.Job)
+	job.ID, job.Headroom, job.Spread, job.OneZone = replacementIDPrefix+a.Key().Task, true, false, false
+	job.Waiting = []int{a.Index}
+	return job
+}
+
+// imageShares is the share of the tasks that need each image, in a fixed order, so that runs can be replayed.
+func imageShares(tasksByImage map[string]float64, tasks int) []scheduler.ImageShare {
+	var shares []scheduler.ImageShare
+	for _, image := range sortedKeys(tasksByImage) {
+		shares = append(shares, scheduler.ImageShare{Image: image, Share: tasksByImage[image] / float64(tasks)})
+	}
+	return shares
+}
+
+// arrivalHistory are the recent arrivals of a class, added up by the second, oldest first.
 type arrivalHistory struct {
 	seconds []arrivalSecond
 }
 
-// arrivalSecond is what arrived within a second of the time of day.
+// arrivalSecond is what arrived within one second.
 type arrivalSecond struct {
-	at     int64 // s
+	at     int64 // Unix time, s
 	tasks  int
 	images map[string]int    // tasks by image
-	sample *clusterstate.Job // the last one
-	// services is what the replicas among them need, by team.
+	sample *clusterstate.Job // the job that was added last
+	// services is the total need of the replicas among the tasks, by team.
 	services map[string]scheduler.Need
 }
 
-// arrivalHistorySeconds bounds what is kept of a class. Room is kept for four boots' worth.
+// arrivalHistorySeconds bounds how many seconds with arrivals are kept of a class. It is far more than
+// arrivalWindowBoots boot times.
 const arrivalHistorySeconds = 3600
 
-func (f *demandForecast) recordArrival(j *clusterstate.Job) {
-	a := f.arrivals[j.Spec.Class]
-	if a == nil {
-		a = &arrivalHistory{}
-		f.arrivals[j.Spec.Class] = a
-	}
-	a.add(j)
-	f.warnOfSlowFetch(j)
-}
-
-// add notes a job's arrival. After a take-over they come in no order.
+// add counts the arrival of a job. After a failover they come in any order.
 func (h *arrivalHistory) add(j *clusterstate.Job) {
-	at := j.Submitted / 1000
-	i, found := slices.BinarySearchFunc(h.seconds, at, func(s arrivalSecond, at int64) int { return cmp.Compare(s.at, at) })
-	if !found {
-		h.seconds = slices.Insert(h.seconds, i, arrivalSecond{at: at, images: map[string]int{}, services: map[string]scheduler.Need{}})
-		if len(h.seconds) > arrivalHistorySeconds {
-			h.seconds = h.seconds[1:]
-			if i--; i < 0 {
-				return // older than all that is kept
-			}
-		}
+	s := h.secondAt(j.Submitted / 1000)
+	if s == nil {
+		return
 	}
-	s := &h.seconds[i]
 	s.tasks += j.Spec.Tasks
 	s.images[j.Spec.Image] += j.Spec.Tasks
 	s.sample = j
@@ -70,13 +164,36 @@
 	}
 }
 
-// recent is what arrived from a second of the time of day on.
+// secondAt is the entry of a second, which is added if there is none. It is nil if the second is older than all that
+// are kept.
+func (h *arrivalHistory) secondAt(at int64) *arrivalSecond {
+	i, found := h.search(at)
+	if found {
+		return &h.seconds[i]
+	}
+	h.seconds = slices.Insert(h.seconds, i, arrivalSecond{at: at, images: map[string]int{}, services: map[string]scheduler.Need{}})
+	if len(h.seconds) > arrivalHistorySeconds {
+		h.seconds = h.seconds[1:]
+		i--
+	}
+	if i < 0 {
+		return nil
+	}
+	return &h.seconds[i]
+}
+
+// search is the index at which a second is or would be inserted.
+func (h *arrivalHistory) search(at int64) (i int, found bool) {
+	return slices.BinarySearchFunc(h.seconds, at, func(s arrivalSecond, at int64) int { return cmp.Compare(s.at, at) })
+}
+
+// recent is what arrived from a second on.
 func (h *arrivalHistory) recent(from int64) []arrivalSecond {
-	i, _ := slices.BinarySearchFunc(h.seconds, from, func(s arrivalSecond, from int64) int { return cmp.Compare(s.at, from) })
+	i, _ := h.search(from)
 	return h.seconds[i:]
 }
 
-// since adds up what arrived from a moment on.
+// since adds up what arrived from a second on. sample is the latest job, nil if there was none.
 func (h *arrivalHistory) since(from int64) (tasks int, images map[string]float64, sample *clusterstate.Job) {
 	images = map[string]float64{}
 	for _, s := range h.recent(from) {
@@ -88,63 +205,3 @@
 	}
 	return tasks, images, sample
 }
-
-// forecastReplacements stand for the replicas on machines that are overdue, so that their
-// next machines boot while the proof that they are gone is still awaited.
-func (f *demandForecast) forecastReplacements() []*scheduler.Job {
-	var out []*scheduler.Job
-	for _, m := range f.machines.sortedMachines() {
-		if !f.health.isOverdue(m) {
-			continue
-		}
-		for _, a := range m.Sorted() {
-			if a.Job.Spec.Service && !a.Job.Cancelling && !a.StopRequested {
-				j := newJobView(a.Job)
-				j.ID, j.Headroom, j.Spread, j.OneZone = "^"+a.Key().Task, true, false, false
-				j.Waiting = []int{a.Index}
-				out = append(out, j)
-			}
-		}
-	}
-	return out
-}
-
-// forecastDemand are phantom tasks for what arrives while a machine would boot, for
-// classes whose aims are shorter than that.
-func (f *demandForecast) forecastDemand() []*scheduler.Job {
-	boot := f.catalog.longestBootS()
-	window := 4 * boot
-	var out []*scheduler.Job
-	for _, class := range sortedKeys(f.arrivals) {
-		aim := f.views.waitObjective(class)
-		if aim <= 0 || aim > 2*boot {
-			continue
-		}
-		tasks, images, sample := f.arrivals[class].since((f.env.wall - int64(window*1000)) / 1000)
-		if sample == nil || !sample.Spec.Service {
-			continue
-		}
-		expect := float64(tasks) / window * boot * f.env.cfg.Operator.Fleet.Headroom
-		k := int(expect + 0.5)
-		if k < 1 {
-			k = 1
-		}
-		sp := sample.Spec
-		j := &scheduler.Job{ID: "~" + class, Class: class, Service: true, Need: sample.Need, Spot: sp.Spot, Types: sample.Types,
-			Spread: false, Tasks: k, Headroom: true, Degradation: 1, Priority: int(sp.Priority), Images: imageShares(images, tasks), ImageGB: sp.ImageGB, AimS: aim}
-		for i := range k {
-			j.Waiting = append(j.Waiting, i)
-		}
-		out = append(out, j)
-	}
-	return out
-}
-
-// imageShares tells which images the tasks need, in a fixed order, so runs replay.
-func imageShares(tasksByImage map[string]float64, tasks int) []scheduler.ImageShare {
-	var out []scheduler.ImageShare
-	for _, image := range sortedKeys(tasksByImage) {
-		out = append(out, scheduler.ImageShare{Image: image, Share: tasksByImage[image] / float64(tasks)})
-	}
-	return out
-}
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -8,7 +8,7 @@
 	"claybarrow/internal/scheduler"
 )
 
-// schedulerViews describes jobs and machines to the scheduler.
+// schedulerViews describes jobs and machines of the cluster state in the scheduler's terms. It owns no state.
 type schedulerViews struct {
 	catalog    *machineCatalog
 	env        *environment
@@ -18,59 +18,64 @@
 	state      *clusterstate.State
 }
 
+// capacityShare is the share of a capacity that one task of the job needs: of the accelerators where it needs any.
 func capacityShare(j *clusterstate.Job, capacity scheduler.Need) float64 {
 	return scheduler.Share(j.Need, capacity)
 }
 
-// readyCapacity is what the ready machines hold, or one of each if there are none.
+// readyCapacity is the total size of the machines that are up and not being released, or of one machine of each
+// type if there are none.
 func (v *schedulerViews) readyCapacity() scheduler.Need {
-	var n scheduler.Need
+	var total scheduler.Need
 	for _, m := range v.state.Machines {
 		if m.Up && !m.Releasing {
-			n = n.Plus(m.Size)
+			total = total.Plus(m.Size)
 		}
 	}
-	if n.Cores == 0 {
+	if total.Cores == 0 {
 		for _, t := range v.catalog.types {
-			n = n.Plus(t.Size)
+			total = total.Plus(t.Size)
 		}
 	}
-	return n
+	return total
 }
 
-// newJobView is a job as the scheduler sees it, without its tasks.
+// newJobView makes a view of a job, without its tasks.
 func newJobView(j *clusterstate.Job) *scheduler.Job {
-	sj := &scheduler.Job{}
-	describeJob(sj, j)
-	return sj
+	view := &scheduler.Job{}
+	describeJob(view, j)
+	return view
 }
 
-// describeJob has a view be of a job as it is now, without its tasks.
-func describeJob(sj *scheduler.Job, j *clusterstate.Job) {
+// describeJob overwrites a view with the job as it is now, without its tasks.
+func describeJob(view *scheduler.Job, j *clusterstate.Job) {
 	s := j.Spec
-	*sj = scheduler.Job{ID: s.UID, Class: s.Class, Team: s.Team, Image: s.Image, ImageGB: s.ImageGB, Service: s.Service,
-		Priority: int(s.Priority), Submitted: j.Submitted, Need: j.Need, SaveS: s.SaveS, Spot: s.Spot, Types: j.Types,
-		Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread, Tasks: s.Tasks,
-		Held: j.ActiveAttempts, Upper: j.Scale.Upper && !s.Service, Slots: j.Scale.Slots,
-		Attained: j.Scale.Attained, Degradation: j.Scale.Degr}
+	*view = scheduler.Job{
+		ID: s.UID, Class: s.Class, Team: s.Team, Priority: int(s.Priority), Submitted: j.Submitted,
+		Service: s.Service, Tasks: s.Tasks, Held: j.ActiveAttempts,
+		Need: j.Need, SaveS: s.SaveS, Image: s.Image, ImageGB: s.ImageGB,
+		Spot: s.Spot, Types: j.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread,
+		Upper: j.Scale.Upper && !s.Service, Slots: j.Scale.Slots,
+		Attained: j.Scale.Attained, Degradation: j.Scale.Degr,
+	}
 	if j.Gang != nil {
-		// Gangs skip the upper queue, with degradation 1, and have no slots.
-		sj.Gang, sj.Upper, sj.Slots, sj.Degradation = true, false, s.Tasks, 1
+		// Gangs skip the upper queue, with degradation 1, and their number of slots does not change.
+		view.Gang, view.Upper, view.Slots, view.Degradation = true, false, s.Tasks, 1
 	}
 }
 
-// maxWaitingTasks bounds how many waiting tasks of a job are looked at in one go.
+// maxWaitingTasks bounds how many waiting tasks of a job a snapshot holds, and with it the work of a fill.
 const maxWaitingTasks = 512
 
-// waitingTasks lists what waits of a job now; the first of them, as many as it says, were
+// waitingTasks lists the tasks of a job that may be started now. The first resume of them ran before and were
 // interrupted.
 func (v *schedulerViews) waitingTasks(j *clusterstate.Job) (waiting []int, resume int) {
 	waiting, resume = j.WaitingTasks(maxWaitingTasks)
 	return v.limitStartable(j, waiting, resume)
 }
 
-// limitStartable is what may be started now of the tasks that wait: nothing for a while after
-// failures, and one at a time while it is tried whether the job still fails.
+// limitStartable limits waiting tasks to those that may be started now: none for a while after failures, and one at
+// a time while the job is probed for whether it still fails. It notes since when the job has had no task anywhere.
 func (v *schedulerViews) limitStartable(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
 	if j.Cancelling || j.Finishing || v.env.now < j.NotBefore {
 		waiting, resume = nil, 0
@@ -78,41 +83,37 @@
 	if j.Failures.Probing() && j.Gang == nil && len(waiting) > 1 {
 		waiting, resume = waiting[:1], min(resume, 1)
 	}
+	v.noteWaitingSince(j)
+	return waiting, resume
+}
+
+// noteWaitingSince notes when a job came to be without any task on a machine, and forgets it once it has one or ends.
+func (v *schedulerViews) noteWaitingSince(j *clusterstate.Job) {
 	if j.ActiveAttempts > 0 || j.Cancelling || j.Finishing {
 		j.WaitingSince = 0
 	} else if j.WaitingSince == 0 {
 		j.WaitingSince = v.env.now
 	}
-	return waiting, resume
 }
 
-// activeReservations counts the tasks that machines are kept for, by job, and drops what is over.
-func (t *taskScheduler) activeReservations() map[string]int {
-	claims := map[string]int{}
-	for id, cl := range t.reservations {
-		if j := t.state.Jobs[cl.job]; j == nil || j.Cancelling || t.env.now >= cl.until || t.state.Machines[id] == nil {
-			delete(t.reservations, id)
-		} else {
-			claims[cl.job] += cl.tasks
-		}
-	}
-	return claims
-}
+// patienceBoots is after how many boot times a waiting job is taken for one that no machine will be launched for.
+const patienceBoots = 2
 
-// updateJobView has a view be of a job as it is now, but for its places by zone.
-func (v *schedulerViews) updateJobView(sj *scheduler.Job, j *clusterstate.Job, waiting []int, resume, claims int) {
-	describeJob(sj, j)
-	sj.Waiting, sj.Resume = waiting, resume
-	sj.AimS = v.waitObjective(j.Spec.Class)
-	sj.Plain = sj.IsPlain(v.catalog.types)
-	sj.LeftS, sj.Late = v.deadlineSlack(j)
-	sj.Patient = float64(v.env.wall-j.Submitted)/1000 > 2*v.catalog.longestBootS()
-	sj.Avoid = j.Failures.Avoid(v.env.now, v.env.cfg.Cancel())
-	sj.Starved = j.WaitingSince > 0 && v.env.now > j.WaitingSince+seconds(v.catalog.longestBootS())
-	sj.Reserved = min(claims, len(sj.Waiting))
+// updateJobView overwrites a view with the job as it is now, apart from its tasks by zone. reservedTasks is how many
+// of its tasks machines are reserved for.
+func (v *schedulerViews) updateJobView(view *scheduler.Job, j *clusterstate.Job, waiting []int, resume, reservedTasks int) {
+	describeJob(view, j)
+	view.Waiting, view.Resume = waiting, resume
+	view.AimS = v.waitObjective(j.Spec.Class)
+	view.Plain = view.IsPlain(v.catalog.types)
+	view.LeftS, view.Late = v.deadlineSlack(j)
+	view.Patient = float64(v.env.wall-j.Submitted)/1000 > patienceBoots*v.catalog.longestBootS()
+	view.Avoid = j.Failures.Avoid(v.env.now, v.env.cfg.Cancel())
+	view.Starved = j.WaitingSince > 0 && v.env.now > j.WaitingSince+seconds(v.catalog.longestBootS())
+	view.Reserved = min(reservedTasks, len(view.Waiting))
 }
 
-// bootingType is the type of a machine that will most probably be up soon; nil: it won't.
+// bootingType is the type of a machine that is booting and will most probably be up soon, or nil.
 func (v *schedulerViews) bootingType(m *clusterstate.Machine) *scheduler.Type {
 	if m.Up || m.Releasing || v.partitions.isPartitioned(m.Zone) {
 		return nil
@@ -123,16 +124,19 @@
 	return nil
 }
 
-// machineView is a machine as the scheduler sees it, without what is on it.
+// machineView is a view of a machine, without its images and tasks.
 func (v *schedulerViews) machineView(m *clusterstate.Machine, t *scheduler.Type) scheduler.Machine {
-	entries := v.env.cfg.ValueBytes() / clusterstate.EntryBytes
-	return scheduler.Machine{ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot, Free: m.Size.Minus(m.Used),
-		Room: entries - len(m.Attempts), Used: len(m.Attempts) > 0, ReservedFor: v.placement.reservations[m.ID].job, ImageSet: v.state.ImageSet(m)}
+	maxAttempts := v.env.cfg.ValueBytes() / clusterstate.EntryBytes // that fit into the machine's record
+	return scheduler.Machine{
+		ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot,
+		Free: m.Size.Minus(m.Used), Room: maxAttempts - len(m.Attempts), Used: len(m.Attempts) > 0,
+		ReservedFor: v.placement.reservations[m.ID].job, ImageSet: v.state.ImageSet(m),
+	}
 }
 
-// setImages tells which images a machine has, and which it is fetching.
-func setImages(sm *scheduler.Machine, m *clusterstate.Machine) {
-	sm.Images = m.Images
+// setImages sets the images that a machine has cached, and those that it is fetching.
+func setImages(view *scheduler.Machine, m *clusterstate.Machine) {
+	view.Images = m.Images
 	if !m.Starting() {
 		return
 	}
@@ -141,59 +145,69 @@
 		if a.State != "" && a.State != protocol.FetchingImage || m.Images[image] {
 			continue
 		}
-		if sm.Fetching == nil {
-			sm.Fetching = map[string]bool{}
+		if view.Fetching == nil {
+			view.Fetching = map[string]bool{}
 		}
-		sm.Fetching[image] = true
+		view.Fetching[image] = true
 	}
 }
 
-// appendRunningTasks adds a machine's tasks that may be stopped for others to a list.
-func (v *schedulerViews) appendRunningTasks(list []scheduler.RunningTask, m *clusterstate.Machine, jobs map[*clusterstate.Job]*scheduler.Job) []scheduler.RunningTask {
+// appendRunningTasks appends a machine's tasks that may be preempted: those of the jobs in viewOf that are not
+// requested to stop yet.
+func (v *schedulerViews) appendRunningTasks(
+	list []scheduler.RunningTask, m *clusterstate.Machine, viewOf map[*clusterstate.Job]*scheduler.Job,
+) []scheduler.RunningTask {
 	for _, a := range m.Sorted() {
-		if sj := jobs[a.Job]; sj != nil && !a.StopRequested {
-			list = append(list, scheduler.RunningTask{Job: sj, Index: a.Index, SinceS: (v.env.now - a.Since).Seconds()})
+		if view := viewOf[a.Job]; view != nil && !a.StopRequested {
+			list = append(list, scheduler.RunningTask{Job: view, Index: a.Index, SinceS: (v.env.now - a.Since).Seconds()})
 		}
 	}
 	return list
 }
 
-// reserveServiceQuota leaves a little of each team's limit to its services: as much as
-// arrives in three rounds. Batches that fill a limit to the brim make each new
-// replica wait for a round's stop and a save, and some aims are a second.
-func (v *schedulerViews) reserveServiceQuota(teams map[string]*scheduler.Quota) {
-	window := 4 * v.catalog.longestBootS()
-	if window == 0 {
+// serviceReserveRounds is for how many rounds the arrivals of services are reserved within their teams' quotas.
+const serviceReserveRounds = 3
+
+// reserveServiceQuota reserves a part of each team's maximum quota for its services: as much as arrives in
+// serviceReserveRounds rounds. Where batch jobs use a quota up, each new replica has to wait for a round's
+// preemption and for a checkpoint to be saved, and some wait objectives are a second.
+func (v *schedulerViews) reserveServiceQuota(quotas map[string]*scheduler.Quota) {
+	windowS, from := v.forecast.arrivalWindow()
+	if windowS == 0 {
 		return
 	}
-	from := (v.env.wall - int64(window*1000)) / 1000
-	rounds := 3 * v.env.cfg.Operator.Green.RoundS / window
-	for _, a := range v.forecast.arrivals {
-		for _, second := range a.recent(from) {
-			for team, need := range second.services {
-				if t := teams[team]; t != nil {
-					t.ServiceReserve = t.ServiceReserve.Plus(need.Times(rounds))
-				}
-			}
+	reserved := serviceReserveRounds * v.env.cfg.Operator.Green.RoundS / windowS // as a part of the window's arrivals
+	for _, history := range v.forecast.arrivals {
+		for _, second := range history.recent(from) {
+			reserveArrivals(quotas, second.services, reserved)
+		}
+	}
+}
+
+// reserveArrivals reserves a part of what arrived, by team.
+func reserveArrivals(quotas map[string]*scheduler.Quota, arrived map[string]scheduler.Need, part float64) {
+	for team, need := range arrived {
+		if quota := quotas[team]; quota != nil {
+			quota.ServiceReserve = quota.ServiceReserve.Plus(need.Times(part))
 		}
 	}
 }
 
-// waitObjective is the shortest waiting time that the users aim at for a class.
+// waitObjective is the shortest of the service-level objectives for the waiting time of a class, in seconds; 0 if it
+// has none.
 func (v *schedulerViews) waitObjective(class string) float64 {
-	aim := 0.0
+	shortest := 0.0
 	for _, o := range v.env.cfg.Cluster.Objectives {
-		if o.Kind == "wait" && o.Class == class && (aim == 0 || o.WithinS < aim) {
-			aim = o.WithinS
+		if o.Kind == "wait" && o.Class == class && (shortest == 0 || o.WithinS < shortest) {
+			shortest = o.WithinS
 		}
 	}
-	return aim
+	return shortest
 }
 
-// deadlineSlack is what a batch with a deadline has left until the next of the
-// times that the users aim at, with its tasks started now and running for half
-// of what their owner says, as estimates are often wrong by half. Infinite: it
-// has no deadline, or late: none of those times can be met any more.
+// deadlineSlack is the time in seconds that a batch job with a deadline has left until the next time that an
+// objective counts, if its tasks start now and run for half of their owner's estimate, as estimates are often wrong
+// by half. It is infinite for jobs without a deadline. late: none of those times can be met any more.
 func (v *schedulerViews) deadlineSlack(j *clusterstate.Job) (left float64, late bool) {
 	left = math.Inf(1)
 	if j.Spec.Service || j.Spec.DeadlineS <= 0 {
@@ -201,21 +215,22 @@
 	}
 	end := float64(v.env.wall-j.Submitted)/1000 + j.Spec.EstimateS/2
 	late = true
-	for _, times := range v.deadlineMultiples(j.Spec.Class) {
-		if due := j.Spec.DeadlineS * times; end <= due {
+	for _, multiple := range v.deadlineMultiples(j.Spec.Class) {
+		if due := j.Spec.DeadlineS * multiple; end <= due {
 			left, late = min(left, due-end), false
 		}
 	}
 	return left, late
 }
 
-// deadlineMultiples are the multiples of a class's deadlines that the users aim at.
+// deadlineMultiples are the multiples of a class's deadlines that its objectives count: one, and those of the
+// settings.
 func (v *schedulerViews) deadlineMultiples(class string) []float64 {
-	out := []float64{1}
+	multiples := []float64{1}
 	for _, o := range v.env.cfg.Cluster.Objectives {
 		if o.Kind == "deadline" && o.Class == class && o.Times > 0 {
-			out = append(out, o.Times)
+			multiples = append(multiples, o.Times)
 		}
 	}
-	return out
+	return multiples
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -9,7 +9,10 @@
 	"claybarrow/internal/statestore"
 )
 
-// taskScheduler starts and preempts tasks: it runs the fills and rounds of the scheduler.
+// taskScheduler starts and preempts tasks. It runs the scheduler's fills, which place waiting tasks in free room,
+// and its rounds, which preempt tasks where there is none, and calls what else is due at regular intervals.
+// It owns the times at which these are next due, the reservations, and the memory of the bounded search for
+// preemptions. All of it is lost at a failover: the next leader's first round preempts and reserves anew.
 type taskScheduler struct {
 	accounting     *serviceAccounting
 	attemptNumbers *attemptNumbers
@@ -30,14 +33,20 @@
 	summary        *fleetSummary
 	userRequests   *userRequests
 
-	fillPending  bool
-	fillAt       time.Duration
-	planAt       time.Duration
-	summaryAt    time.Duration
-	roundAt      time.Duration
-	countersAt   time.Duration
-	reservations map[string]reservation // by machine
-	// searchedJobs are the jobs that bounded rounds could stop nothing for, see sched.Snapshot.Stops.
+	// fillPending: something has changed that a fill may place tasks by. The fill itself runs after the event that
+	// is being handled, as soon as no transaction is under way.
+	fillPending bool
+	// Times at which each periodic duty is next due.
+	fillAt     time.Duration
+	roundAt    time.Duration
+	countersAt time.Duration
+	summaryAt  time.Duration
+	planAt     time.Duration
+
+	// reservations are the machines that are kept for a job, by machine id.
+	reservations map[string]reservation
+	// searchedJobs are the jobs, by id, that rounds of bounded work have found no preemption for;
+	// see scheduler.Snapshot.Stops.
 	searchedJobs map[string]bool
 }
 
@@ -52,82 +61,88 @@
 	}
 }
 
-// runScheduling is called at every tick.
+// runScheduling runs what is due of the scheduling. It is called at every tick.
 func (t *taskScheduler) runScheduling() {
-	g := t.env.cfg.Operator.Green
+	cfg, green := t.env.cfg, t.env.cfg.Operator.Green
 	t.accounting.accrueService()
 	t.userRequests.dropAbandonedSubmissions()
-	if t.env.now >= t.fillAt {
-		t.fillAt = t.env.now + seconds(g.FillS)
+	if t.isDue(&t.fillAt, seconds(green.FillS)) {
 		t.fillPending = true
 	}
+	// A round that is due before the fleet has reported stays due.
 	if t.env.now >= t.roundAt && t.health.fleetReported() {
-		t.roundAt = t.env.now + seconds(g.RoundS)
+		t.roundAt = t.env.now + seconds(green.RoundS)
 		t.runRound()
 		t.consolidator.consolidate()
 		t.cache.verify()
 	}
-	if t.env.now >= t.countersAt {
-		t.countersAt = t.env.now + seconds(g.CountersS)
+	if t.isDue(&t.countersAt, seconds(green.CountersS)) {
 		t.accounting.writeCounters()
 	}
-	if t.env.now >= t.summaryAt {
-		t.summaryAt = t.env.now + t.env.cfg.Lease()
+	if t.isDue(&t.summaryAt, cfg.Lease()) {
 		t.summary.logFleetSummary()
 	}
-	if t.env.now >= t.planAt {
+	if t.isDue(&t.planAt, cfg.LeaderTTL()*2/3) {
 		t.partitions.detectPartitions()
 		t.scaler.watchBootTimes()
-		t.planAt = t.env.now + t.env.cfg.LeaderTTL()*2/3
-		t.fillPending = true // delays of failing jobs and set-aside machines end with time
+		t.fillPending = true // the retry delays of failed jobs and the quarantine of machines end with time alone
 		t.scaler.planScaling()
 	}
 }
 
-// runFill starts what waits, as rank and room allow. Starts leave only once they
-// are in the ledger of the state service.
+// isDue says whether the time of a periodic duty has come, and if so sets when it is due next.
+func (t *taskScheduler) isDue(at *time.Duration, interval time.Duration) bool {
+	if t.env.now < *at {
+		return false
+	}
+	*at = t.env.now + interval
+	return true
+}
+
+// runFill starts waiting tasks as rank and free room allow. A start is sent to its worker only once it is durable
+// in the state service.
 func (t *taskScheduler) runFill() {
 	t.fillPending = false
 	if !t.lease.holdsLease() || len(t.catalog.types) == 0 || !t.attemptNumbers.enough() {
 		return
 	}
-	s := t.cache.snapshotForFill()
-	if s == nil {
+	snapshot := t.cache.snapshotForFill()
+	if snapshot == nil {
 		return
 	}
-	if slices.ContainsFunc(s.Jobs, func(j *scheduler.Job) bool { return !j.Service }) {
-		// Room is kept from batches; replicas go before it.
-		s.Jobs = append(s.Jobs, t.forecast.forecastDemand()...)
-		s.Jobs = append(s.Jobs, t.forecast.forecastReplacements()...)
+	if slices.ContainsFunc(snapshot.Jobs, func(j *scheduler.Job) bool { return !j.Service }) {
+		// Headroom is kept from batch jobs only: replicas rank before it.
+		snapshot.Jobs = t.forecast.appendHeadroom(snapshot.Jobs)
 	}
-	tries := map[*clusterstate.Job]uint64{} // a gang's tasks have one number
-	for _, p := range s.Fill() {
+	t.startPlacements(snapshot.Fill())
+}
+
+// startPlacements starts the tasks that a fill has placed, and ends the reservations of the gangs among them.
+func (t *taskScheduler) startPlacements(placements []scheduler.Placement) {
+	numbers := map[*clusterstate.Job]uint64{} // of each job's latest attempt: all tasks of a gang share one
+	for _, p := range placements {
 		j := t.state.Jobs[p.Job.ID]
 		switch {
-		case j.Gang != nil && tries[j] != 0:
+		case j.Gang != nil && numbers[j] != 0:
 		case j.Gang != nil && j.Gang.State == clusterstate.GangGathering:
-			tries[j] = j.Gang.Number // it replaces a lost task while the others gather
+			numbers[j] = j.Gang.Number // this task replaces a lost one while the others wait at the gang barrier
 		default:
-			tries[j] = t.attemptNumbers.take()
+			numbers[j] = t.attemptNumbers.take()
 		}
-		t.startTask(j, p.Index, t.state.Machines[p.Machine.ID], tries[j])
+		t.startTask(j, p.Index, t.state.Machines[p.Machine.ID], numbers[j])
 	}
-	for j := range tries {
+	for j := range numbers {
 		if j.Gang != nil {
-			t.dropReservations(j.Spec.UID) // it has its whole room, wherever that is
+			t.dropReservations(j.Spec.UID) // the whole gang is placed, on the reserved machines or elsewhere
 		}
 	}
 }
 
-func (t *taskScheduler) startTask(j *clusterstate.Job, index int, m *clusterstate.Machine, try uint64) {
-	if cl := t.reservations[m.ID]; cl.job == j.Spec.UID {
-		if cl.tasks--; cl.tasks > 0 {
-			t.reservations[m.ID] = cl
-		} else {
-			delete(t.reservations, m.ID)
-		}
-	}
-	a := t.state.AddAttempt(m, j, index, try, t.env.now)
+// startTask adds an attempt to the cluster state and has it stored. The worker gets its start once the machine's
+// record is durable; an attempt that was requested to stop before then is removed without having been sent.
+func (t *taskScheduler) startTask(j *clusterstate.Job, index int, m *clusterstate.Machine, number uint64) {
+	t.useReservation(m.ID, j.Spec.UID)
+	a := t.state.AddAttempt(m, j, index, number, t.env.now)
 	t.failures.noteProbingStart(j)
 	t.env.log.Debug("task placed", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
 	priority := statestore.Start
@@ -148,15 +163,11 @@
 	})
 }
 
-// reservation keeps a machine for the job that tasks were stopped for, until as many
-// of its tasks have started there.
-type reservation struct {
-	job   string
-	tasks int
-	until time.Duration
-}
+// preemptionFleetDivisor bounds the preemptions of a round by the fleet's size: one for each four machines.
+const preemptionFleetDivisor = 4
 
-// runRound is GREEN's: jobs gain slots, and tasks ranked past capacity stop.
+// runRound is a round of GREEN: jobs gain slots for their progress, and tasks that rank past the capacity are
+// preempted for tasks that rank before them.
 func (t *taskScheduler) runRound() {
 	for _, j := range t.state.Jobs {
 		if !j.Spec.Service && j.Gang == nil {
@@ -166,29 +177,24 @@
 	if !t.lease.holdsLease() {
 		return
 	}
-	s := t.cache.snapshotForRound()
+	snapshot := t.cache.snapshotForRound()
 	defer t.cache.endRound()
-	// Room that a fill keeps from what waits is no room here either: a gang was once
-	// taken to fit into it, round after round, and waited for a boot.
-	s.Jobs = append(s.Jobs, t.forecast.forecastDemand()...)
-	s.Jobs = append(s.Jobs, t.forecast.forecastReplacements()...)
-	s.Fill() // what finds room needs no stop
-	preemption := s.Stops(max(t.env.cfg.Cluster.State.TxnOps, len(s.Machines)/4), t.searchedJobs)
-	patience := map[string]time.Duration{} // by job: until its victims must be gone
-	for _, st := range preemption.Stops {
-		patience[st.For.ID] = max(patience[st.For.ID], t.stopDuration(st.Victim.Job))
-		t.preempt(st)
-	}
-	for _, kept := range preemption.Reservations {
-		cl := t.reservations[kept.Machine.ID]
-		cl.job = kept.Job.ID
-		cl.until = t.env.now + t.env.cfg.Lease() + patience[kept.Job.ID]
-		cl.tasks += kept.Tasks
-		t.reservations[kept.Machine.ID] = cl
-	}
+	// Headroom that a fill keeps from waiting tasks must not count as room here either: rounds once
+	// took a gang to fit into it, one after the other, and the gang waited for a machine to boot.
+	snapshot.Jobs = t.forecast.appendHeadroom(snapshot.Jobs)
+	snapshot.Fill() // a task that finds room needs no preemption
+	most := max(t.env.cfg.Cluster.State.TxnOps, len(snapshot.Machines)/preemptionFleetDivisor)
+	preemption := snapshot.Stops(most, t.searchedJobs)
+	stopTimes := map[string]time.Duration{} // by job: how long the slowest of the tasks preempted for it may take
+	for _, stop := range preemption.Stops {
+		stopTimes[stop.For.ID] = max(stopTimes[stop.For.ID], t.stopDuration(stop.Victim.Job))
+		t.preempt(stop)
+	}
+	t.reserve(preemption.Reservations, stopTimes)
 }
 
-// stopDuration is how long a task may take to end in good order.
+// stopDuration is how long a task may take to stop gracefully: to save a checkpoint, and in a gang to
+// wait for its peers.
 func (t *taskScheduler) stopDuration(victim *scheduler.Job) time.Duration {
 	if victim.Gang {
 		return seconds(victim.SaveS) + t.env.cfg.GangPeer()
@@ -196,23 +202,14 @@
 	return seconds(victim.SaveS)
 }
 
-// preempt has a task stopped for a job that ranks before it.
-func (t *taskScheduler) preempt(st scheduler.Stop) {
-	m := t.state.Machines[st.Machine.ID]
+// preempt requests a task to stop for a job that ranks before its own.
+func (t *taskScheduler) preempt(stop scheduler.Stop) {
+	m := t.state.Machines[stop.Machine.ID]
 	for _, a := range m.Sorted() {
-		if a.Job.Spec.UID == st.Victim.Job.ID && a.Index == st.Victim.Index {
-			t.env.log.Info("preempting task", "task", a.Key().Task, "machine", m.ID, "preemptor", st.For.ID)
+		if a.Job.Spec.UID == stop.Victim.Job.ID && a.Index == stop.Victim.Index {
+			t.env.log.Info("preempting task", "task", a.Key().Task, "machine", m.ID, "preemptor", stop.For.ID)
 			a.Preempted = true
 			t.attempts.requestStop(a, a.Job.Spec.SaveS, stopPreempted)
 		}
 	}
 }
-
-// dropReservations gives up the room that is kept for a job.
-func (t *taskScheduler) dropReservations(uid string) {
-	for id, cl := range t.reservations {
-		if cl.job == uid {
-			delete(t.reservations, id)
-		}
-	}
-}
