--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -1,124 +1,113 @@
 package controller
 
 import (
-	"slices"
-
 	"claybarrow/internal/clusterstate"
 	"claybarrow/internal/scheduler"
 )
 
-// schedulerCache is what the scheduler sees of the fleet and of the jobs that wait, kept from one
-// fill to the next. A fill follows a transaction, many times a second: drawing all machines and
-// jobs anew for each took longer than the leader's lease in a fleet of thousands.
+// schedulerCache keeps the scheduler's view of the machines and the waiting jobs from one fill to the next. A fill
+// follows each transaction, many times a second: building the view of all machines and jobs anew for each took
+// longer than the leader's lease in a fleet of thousands.
+//
+// The tasks on a machine and the waiting tasks of a job are followed by the revisions that the cluster state
+// counts for them. Whether a machine may be given tasks depends on the time too, so each snapshot checks that for
+// all machines, at a few comparisons each. The cache decides nothing that the cluster state does not say when a
+// fill begins: a cancellation, the loss of a machine or a lower quota need no invalidation of their own.
 //
-// What is on a machine and which tasks of a job wait are followed by the ledger's revisions.
-// Whether a machine may be used hangs on the time too, so each fill asks that of all machines:
-// that is a few comparisons for each. Nothing in here decides anything that the ledger does not
-// say when a fill begins, so a cancellation, a machine that is lost or a lower limit need no
-// care of their own.
+// It is empty after an election, and filled from the cluster state by the first snapshot. Its parts: machines in
+// scheduler_cache_machines.go, waiting jobs in scheduler_cache_jobs.go, the comparison with the cluster state
+// in scheduler_cache_verify.go.
 type schedulerCache struct {
 	catalog   *machineCatalog
 	env       *environment
 	health    *machineHealth
+	machines  *machineRegistry
 	placement *taskScheduler
 	state     *clusterstate.State
 	views     *schedulerViews
 
-	fleet           *scheduler.Fleet
-	typesGeneration int // the generation of the machine types
-	machineList     []*clusterstate.Machine
-	machines        *machineRegistry
-	cachedMachines  []*cachedMachine // in the order of listed
-	machineOf       map[*clusterstate.Machine]*cachedMachine
-	cachedJobs      map[*clusterstate.Job]*cachedJob
-	// waitingOrder are the same jobs, in the order in which they came to wait.
+	// fleet is the scheduler's index of the schedulable machines.
+	fleet *scheduler.Fleet
+	// typesGeneration is the generation of the machine types that the machines' views refer to.
+	typesGeneration int
+	// machineList is the list of machines that the cache was last brought up to date with, cachedMachines the
+	// cached ones in the same order, machineOf the same by machine.
+	machineList    []*clusterstate.Machine
+	cachedMachines []*cachedMachine
+	machineOf      map[*clusterstate.Machine]*cachedMachine
+
+	// cachedJobs are the jobs that may have waiting tasks, waitingOrder the same in the order in which they
+	// came to wait.
+	cachedJobs   map[*clusterstate.Job]*cachedJob
 	waitingOrder []*clusterstate.Job
-	teams        map[string]*scheduler.Quota
-	// Memory of the last snapshot, for the next.
-	machineBuffer    []*scheduler.Machine
-	jobBuffer        []*scheduler.Job
-	schedulableCount int // machines of a plan that are up
-	// nextVerified is the machine that the next check begins with.
-	nextVerified int
-	// driftLogged: a difference has been logged.
-	driftLogged bool
-}
 
-// cachedMachine is a machine as the scheduler saw it last.
-type cachedMachine struct {
-	view        scheduler.Machine
-	machine     *clusterstate.Machine
-	revision    uint64
-	size        scheduler.Need
-	position    int
-	hasPosition bool // it has a place
-	inFleet     bool // it was usable
-	stillListed bool // while the list is gone through: it is still there
-}
+	// quotas are those of the cluster state with the part that is reserved for services, by team.
+	quotas map[string]*scheduler.Quota
 
-// cachedJob is a job with tasks that wait.
-type cachedJob struct {
-	view     scheduler.Job
-	revision uint64
-	waiting  []int
-	resume   int
-	filled   bool
-	// inZoneRevision is the job's when its places by zone were last counted.
-	inZoneRevision uint64
+	// machineBuffer and jobBuffer are the lists of the last snapshot, whose memory the next one uses.
+	machineBuffer []*scheduler.Machine
+	jobBuffer     []*scheduler.Job
+	// schedulableCount is how many machines of a plan's snapshot are schedulable; booting ones follow them.
+	schedulableCount int
+
+	// nextVerified is the index of the machine that the next verification begins with.
+	nextVerified int
+	// driftLogged: a difference from the cluster state has been logged.
+	driftLogged bool
 }
 
-// newSchedulerCache makes a cache that knows nothing yet: rebuild follows once it has what it works with.
+// newSchedulerCache makes an empty cache. It must be rebuilt once its dependencies are set.
 func newSchedulerCache() *schedulerCache {
-	return &schedulerCache{teams: map[string]*scheduler.Quota{}, cachedJobs: map[*clusterstate.Job]*cachedJob{}}
+	return &schedulerCache{quotas: map[string]*scheduler.Quota{}, cachedJobs: map[*clusterstate.Job]*cachedJob{}}
 }
 
-// rebuild forgets what it knows of the machines.
+// rebuild drops all cached machines: the next snapshot takes them from the cluster state.
 func (c *schedulerCache) rebuild() {
 	c.fleet, c.machineOf = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
 	c.machineList, c.cachedMachines = nil, nil
 	c.typesGeneration = c.catalog.typesGeneration
 }
 
-// snapshotForFill is what a fill decides from; nil if no job waits or no machine may be used.
+// snapshotForFill is what a fill decides from; nil if no job waits or no machine is schedulable.
 func (c *schedulerCache) snapshotForFill() *scheduler.Snapshot {
-	out := c.emptySnapshot()
-	if out.Jobs = c.waitingJobs(c.placement.activeReservations()); len(out.Jobs) == 0 {
+	snapshot := c.emptySnapshot()
+	if snapshot.Jobs = c.waitingJobs(c.placement.activeReservations()); len(snapshot.Jobs) == 0 {
 		return nil
 	}
-	c.syncFleet(out)
-	if len(out.Machines) == 0 {
+	c.syncFleet(snapshot)
+	if len(snapshot.Machines) == 0 {
 		return nil
 	}
-	return out
+	return snapshot
 }
 
-// fullSnapshot is what a fill decides from, also with nothing that waits.
+// fullSnapshot is like snapshotForFill, and never nil.
 func (c *schedulerCache) fullSnapshot() *scheduler.Snapshot {
-	out := c.emptySnapshot()
-	out.Jobs = c.waitingJobs(c.placement.activeReservations())
-	c.syncFleet(out)
-	return out
+	snapshot := c.emptySnapshot()
+	snapshot.Jobs = c.waitingJobs(c.placement.activeReservations())
+	c.syncFleet(snapshot)
+	return snapshot
 }
 
-// snapshotForPlan is what a plan decides from: also with nothing that waits, and with the machines that
-// boot. The plan must be ended with endPlan.
+// snapshotForPlan is what a scaling plan decides from: a full snapshot with the booting machines after the
+// schedulable ones. endPlan must follow.
 func (c *schedulerCache) snapshotForPlan() *scheduler.Snapshot {
-	out := c.fullSnapshot()
-	c.schedulableCount = len(out.Machines)
-	place := len(c.cachedMachines) * positionGap * 2
+	snapshot := c.fullSnapshot()
+	c.schedulableCount = len(snapshot.Machines)
+	position := len(c.cachedMachines) * positionGap * 2 // after all cached machines
 	for _, m := range c.machineList {
 		if t := c.views.bootingType(m); t != nil {
 			view := c.views.machineView(m, t)
 			view.Booting = true
-			place++
-			out.Machines = append(out.Machines, &view)
-			c.fleet.Update(&view, place)
+			position++
+			snapshot.Machines = append(snapshot.Machines, &view)
+			c.fleet.Update(&view, position)
 		}
 	}
-	return out
+	return snapshot
 }
 
-// endPlan takes out again what the plan has brought in.
+// endPlan removes the machines from the fleet that the plan has added.
 func (c *schedulerCache) endPlan(plan *scheduler.Snapshot) {
 	for _, m := range plan.Machines[c.schedulableCount:] {
 		c.fleet.Remove(m)
@@ -126,283 +115,75 @@
 	c.machineBuffer = plan.Machines[:c.schedulableCount]
 }
 
-// snapshotForRound is what a round decides from: all jobs, and what runs. The round must be ended with
-// endRound.
+// snapshotForRound is what a round decides from: all stored jobs, and the running tasks that may be preempted.
+// endRound must follow.
 func (c *schedulerCache) snapshotForRound() *scheduler.Snapshot {
-	out := c.emptySnapshot()
-	claims := c.placement.activeReservations()
-	c.syncFleet(out)
-	jobs := make(map[*clusterstate.Job]*scheduler.Job, len(c.state.Jobs))
+	snapshot := c.emptySnapshot()
+	reservedTasks := c.placement.activeReservations()
+	c.syncFleet(snapshot)
+	viewOf := make(map[*clusterstate.Job]*scheduler.Job, len(c.state.Jobs))
 	views := make([]scheduler.Job, len(c.state.Jobs)) // one allocation for all
 	for i, j := range c.state.SortedJobs() {
 		if !j.Stored {
 			continue
 		}
+		view := &views[i]
 		waiting, resume := c.views.waitingTasks(j)
-		c.views.updateJobView(&views[i], j, waiting, resume, claims[j.Spec.UID])
+		c.views.updateJobView(view, j, waiting, resume, reservedTasks[j.Spec.UID])
 		if len(waiting) > 0 {
-			views[i].InZone = j.InZone()
+			view.InZone = j.InZone()
 		}
-		jobs[j] = &views[i]
-		out.Jobs = append(out.Jobs, &views[i])
+		viewOf[j] = view
+		snapshot.Jobs = append(snapshot.Jobs, view)
 	}
-	tasks := 0
+	c.addRunningTasks(viewOf)
+	return snapshot
+}
+
+// addRunningTasks lists the running tasks in the views of the schedulable machines. All lists share one array.
+func (c *schedulerCache) addRunningTasks(viewOf map[*clusterstate.Job]*scheduler.Job) {
+	attempts := 0
 	for _, e := range c.cachedMachines {
-		tasks += len(e.machine.Attempts)
+		attempts += len(e.machine.Attempts)
 	}
-	running := make([]scheduler.RunningTask, 0, tasks)
+	running := make([]scheduler.RunningTask, 0, attempts)
 	for _, e := range c.cachedMachines {
 		if e.inFleet {
 			first := len(running)
-			running = c.views.appendRunningTasks(running, e.machine, jobs)
+			running = c.views.appendRunningTasks(running, e.machine, viewOf)
 			e.view.Running = running[first:len(running):len(running)]
 		}
 	}
-	return out
 }
 
-// endRound drops what only a round needs.
+// endRound drops the lists of running tasks, which only a round needs.
 func (c *schedulerCache) endRound() {
 	for _, e := range c.cachedMachines {
 		e.view.Running = nil
 	}
 }
 
-// emptySnapshot is an empty snapshot of the fleet.
+// emptySnapshot is a snapshot without jobs and machines. It rebuilds the cache if there are new machine types,
+// which the views of machines point to.
 func (c *schedulerCache) emptySnapshot() *scheduler.Snapshot {
 	if c.typesGeneration != c.catalog.typesGeneration {
 		c.rebuild()
 	}
-	return &scheduler.Snapshot{Quotas: c.teams, UpperCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
+	return &scheduler.Snapshot{Quotas: c.quotas, UpperCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
 }
 
-// syncFleet has a snapshot know machines and teams as they are now.
-func (c *schedulerCache) syncFleet(out *scheduler.Snapshot) {
+// syncFleet brings machines and quotas up to date with the cluster state, and has the snapshot refer to them.
+func (c *schedulerCache) syncFleet(snapshot *scheduler.Snapshot) {
 	c.syncMachineList()
-	c.syncMachines(out)
-	if out.Capacity.Cores == 0 {
-		out.Capacity = c.views.readyCapacity()
-	}
-	for name, t := range c.state.Quotas {
-		if c.teams[name] == nil {
-			c.teams[name] = &scheduler.Quota{}
-		}
-		*c.teams[name] = *t
-	}
-	c.views.reserveServiceQuota(c.teams)
-}
-
-// waitingJobs lists those that wait.
-func (c *schedulerCache) waitingJobs(claims map[string]int) []*scheduler.Job {
-	for _, j := range c.state.TakeOpenedJobs() {
-		c.addWaiting(j)
-	}
-	list, ordered := c.jobBuffer[:0], c.waitingOrder[:0]
-	for _, j := range c.waitingOrder {
-		kept := c.cachedJobs[j]
-		if c.state.Jobs[j.Spec.UID] != j {
-			delete(c.cachedJobs, j)
-			continue
-		}
-		waiting, resume := []int(nil), 0
-		if j.Stored {
-			waiting, resume = c.waitingTasks(j, kept)
-		}
-		if j.Stored && len(waiting) == 0 && j.ActiveAttempts > 0 && j.OpenTasks() == 0 {
-			delete(c.cachedJobs, j) // until it loses a task
-			continue
-		}
-		ordered = append(ordered, j)
-		if len(waiting) > 0 {
-			list = append(list, c.refreshJob(j, kept, waiting, resume, claims[j.Spec.UID]))
-		}
-	}
-	c.jobBuffer, c.waitingOrder = list, ordered
-	return list
-}
-
-// addWaiting has a job be looked at by each fill.
-func (c *schedulerCache) addWaiting(j *clusterstate.Job) {
-	if c.cachedJobs[j] == nil {
-		c.cachedJobs[j] = &cachedJob{}
-		c.waitingOrder = append(c.waitingOrder, j)
-	}
-}
-
-// waitingTasks is the term's, from memory if nothing has changed.
-func (c *schedulerCache) waitingTasks(j *clusterstate.Job, kept *cachedJob) ([]int, int) {
-	if j.Gang != nil || !kept.filled || kept.revision != j.Revision() {
-		kept.filled, kept.revision = true, j.Revision()
-		kept.waiting, kept.resume = j.AppendWaitingTasks(kept.waiting[:0], maxWaitingTasks)
-	}
-	return c.views.limitStartable(j, kept.waiting, kept.resume)
-}
-
-// refreshJob is a job as the scheduler sees it now. Amounts that change by themselves are always
-// taken from the ledger; its places by zone change with its tasks. A plan, or a gang without room
-// for all of it, has changed them without: then it holds more than the ledger says.
-func (c *schedulerCache) refreshJob(j *clusterstate.Job, kept *cachedJob, waiting []int, resume, claims int) *scheduler.Job {
-	inZone := kept.view.InZone
-	if inZone == nil || j.Gang != nil || kept.inZoneRevision != j.Revision() || kept.view.Held != j.ActiveAttempts {
-		inZone, kept.inZoneRevision = j.InZone(), j.Revision()
-	}
-	c.views.updateJobView(&kept.view, j, waiting, resume, claims)
-	kept.view.InZone = inZone
-	return &kept.view
-}
-
-// positionGap leaves room for machines that come between others.
-const positionGap = 1 << 20
-
-// syncMachineList takes in machines that have come and drops those that are gone.
-func (c *schedulerCache) syncMachineList() {
-	list := c.machines.sortedMachines()
-	if len(list) == len(c.machineList) && (len(list) == 0 || &list[0] == &c.machineList[0]) {
-		return
-	}
-	c.machineList = list
-	for _, e := range c.cachedMachines {
-		e.stillListed = false
-	}
-	machines := make([]*cachedMachine, 0, len(list))
-	for _, m := range list {
-		e := c.machineOf[m]
-		if e == nil {
-			e = &cachedMachine{machine: m}
-			c.machineOf[m] = e
-		}
-		e.stillListed = true
-		machines = append(machines, e)
-	}
-	for _, e := range c.cachedMachines {
-		if !e.stillListed {
-			c.removeFromFleet(e)
-			delete(c.machineOf, e.machine)
-		}
-	}
-	c.cachedMachines = machines
-	c.assignPositions()
-}
-
-// assignPositions numbers new machines between their neighbours, or all if there is no room.
-func (c *schedulerCache) assignPositions() {
-	last := 0
-	for i, e := range c.cachedMachines {
-		if e.hasPosition {
-			last = e.position
-			continue
-		}
-		next := last + 2*positionGap
-		if k := slices.IndexFunc(c.cachedMachines[i:], func(o *cachedMachine) bool { return o.hasPosition }); k >= 0 {
-			next = c.cachedMachines[i+k].position
-		}
-		if next-last < 2 {
-			c.renumberPositions()
-			return
-		}
-		e.position, e.hasPosition = last+min(positionGap, (next-last)/2), true
-		last = e.position
-	}
-}
-
-func (c *schedulerCache) renumberPositions() {
-	for _, e := range c.cachedMachines {
-		c.removeFromFleet(e)
-	}
-	for i, e := range c.cachedMachines {
-		e.position, e.hasPosition = (i+1)*positionGap, true
-	}
-}
-
-func (c *schedulerCache) removeFromFleet(e *cachedMachine) {
-	if e.inFleet {
-		c.fleet.Remove(&e.view)
-		e.inFleet = false
-	}
-}
-
-// syncMachines draws those anew that have changed, and lists the usable ones.
-func (c *schedulerCache) syncMachines(out *scheduler.Snapshot) {
-	now := c.env.now
-	list := c.machineBuffer[:0]
-	for _, e := range c.cachedMachines {
-		m := e.machine
-		if m.Up && !m.Releasing {
-			out.Capacity = out.Capacity.Plus(m.Size)
-		}
-		if now < m.DrainUntil {
-			out.Moving = out.Moving || movesReplicas(m)
-		}
-		if !c.health.isSchedulable(m) {
-			c.removeFromFleet(e)
-			continue
-		}
-		if !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size || e.view.ReservedFor != c.placement.reservations[m.ID].job {
-			t := c.catalog.machineType(m.Type)
-			if t == nil {
-				c.removeFromFleet(e)
-				continue
-			}
-			c.refreshMachine(e, t)
-		}
-		list = append(list, &e.view)
-	}
-	c.machineBuffer, out.Machines = list, list
-}
-
-// refreshMachine has a machine be as the ledger has it.
-func (c *schedulerCache) refreshMachine(e *cachedMachine, t *scheduler.Type) {
-	m := e.machine
-	e.view = c.views.machineView(m, t)
-	setImages(&e.view, m)
-	e.revision, e.size, e.inFleet = m.Revision(), m.Size, true
-	c.fleet.Update(&e.view, e.position)
-}
-
-// machinesPerVerification is how many machines a check looks at.
-const machinesPerVerification = 32
-
-// verify compares some machines with the ledger, those that it takes for unchanged. A difference
-// is a fault of this program: it is logged once, and the view is built anew.
-func (c *schedulerCache) verify() {
-	if len(c.cachedMachines) == 0 {
-		return
+	c.syncMachines(snapshot)
+	if snapshot.Capacity.Cores == 0 {
+		snapshot.Capacity = c.views.readyCapacity()
 	}
-	for i := range min(machinesPerVerification, len(c.cachedMachines)) {
-		e := c.cachedMachines[(c.nextVerified+i)%len(c.cachedMachines)]
-		if c.matchesState(e) {
-			continue
-		}
-		if !c.driftLogged {
-			c.driftLogged = true
-			c.env.log.Error("scheduler cache differs from the cluster state", "machine", e.machine.ID)
-		}
-		c.rebuild()
-		return
-	}
-	c.nextVerified = (c.nextVerified + machinesPerVerification) % len(c.cachedMachines)
-}
-
-// matchesState says whether a machine that nothing seems to have changed is as the ledger has it.
-func (c *schedulerCache) matchesState(e *cachedMachine) bool {
-	m := e.machine
-	if c.typesGeneration != c.catalog.typesGeneration || !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
-		e.view.ReservedFor != c.placement.reservations[m.ID].job {
-		return true // drawn anew at the next fill
-	}
-	fresh := c.views.machineView(m, e.view.Type)
-	setImages(&fresh, m)
-	return fresh.Free == e.view.Free && fresh.Room == e.view.Room && fresh.Used == e.view.Used && fresh.Zone == e.view.Zone &&
-		fresh.Spot == e.view.Spot && fresh.Type.Name == m.Type && fresh.ImageSet == e.view.ImageSet &&
-		len(fresh.Fetching) == len(e.view.Fetching) && c.fleet.Follows(&e.view)
-}
-
-// movesReplicas says whether replicas are on their way from the machine to others.
-func movesReplicas(m *clusterstate.Machine) bool {
-	for _, a := range m.Attempts {
-		if a.Job.Spec.Service {
-			return true
+	for name, quota := range c.state.Quotas {
+		if c.quotas[name] == nil {
+			c.quotas[name] = &scheduler.Quota{}
 		}
+		*c.quotas[name] = *quota
 	}
-	return false
+	c.views.reserveServiceQuota(c.quotas)
 }
