--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -6,8 +6,9 @@
 	"claybarrow/internal/scheduler"
 )
 
-// autoscaler scales the fleet out and in: it launches machines for waiting and predicted work, and releases
-// those that are no longer needed.
+// autoscaler scales the fleet out and in: it launches machines for waiting and predicted tasks, and releases machines
+// that are not needed or probably lost. It owns only the conditions that it logs, which a new leader begins to watch
+// anew; what it decides is in the cluster state and the machine pool.
 type autoscaler struct {
 	cache      *schedulerCache
 	catalog    *machineCatalog
@@ -26,17 +27,27 @@
 	lateBoots  loggedCondition
 }
 
-// Boots are called late when a quarter of the machines that boot, two at least, have taken
-// longer than usual, and late no more when none or less than an eighth has.
+// Messages of the conditions that the autoscaler logs.
+var (
+	lateBootMessages     = conditionMessages{begin: "machine boots are late", end: "machine boots are on time again"}
+	poolShortageMessages = conditionMessages{begin: "machine pool short of capacity", end: "machine pool has capacity again"}
+)
+
+// Boots are late once a quarter of the booting machines, and two at least, have taken longer than usual. They are on
+// time again once none or less than an eighth has: the gap keeps the condition from flapping.
 const (
 	minLateBoots          = 2
 	lateBootsBeginDivisor = 4
 	lateBootsEndDivisor   = 8
-	usualBootFactor       = 1.6 // the longest usual boot, by the type's own time
-	bootTimeoutFactor     = 2.5 // of one that is still waited for
 )
 
-// watchBootTimes says when machines come up late, and when that is over.
+// Boot times, as multiples of the boot time that the cloud names for the type.
+const (
+	usualBootFactor   = 1.6 // the longest usual boot
+	bootTimeoutFactor = 2.5 // the longest boot that is waited for
+)
+
+// watchBootTimes logs when machines begin to boot late, and when that is over.
 func (a *autoscaler) watchBootTimes() {
 	booting, late := 0, 0
 	for _, m := range a.state.Machines {
@@ -49,25 +60,25 @@
 			late++
 		}
 	}
-	holds := late >= minLateBoots && late*lateBootsBeginDivisor >= booting
+	active := late >= minLateBoots && late*lateBootsBeginDivisor >= booting
 	if a.lateBoots.active {
-		holds = late > 0 && late*lateBootsEndDivisor >= booting
+		active = late > 0 && late*lateBootsEndDivisor >= booting
 	}
-	a.lateBoots.update(holds, a.env.now, a.env.log, "machine boots are late", "machine boots are on time again", "late", late, "booting", booting)
+	a.lateBoots.update(active, a.env.now, a.env.log, lateBootMessages, "late", late, "booting", booting)
 }
 
-// onPoolShortage says that a pool has too few machines for what was asked, once until it is over.
+// onPoolShortage logs when a pool begins to have too few machines for what was launched, and when that is over.
 func (a *autoscaler) onPoolShortage(p scheduler.Pool, short bool) {
-	k := a.shortPools[p]
-	if k == nil {
-		k = &loggedCondition{}
-		a.shortPools[p] = k
+	condition := a.shortPools[p]
+	if condition == nil {
+		condition = &loggedCondition{}
+		a.shortPools[p] = condition
 	}
-	k.update(short, a.env.now, a.env.log, "machine pool short of capacity", "machine pool has capacity again", "type", p.Type, "zone", p.Zone, "spot", p.Spot)
+	condition.update(short, a.env.now, a.env.log, poolShortageMessages, "type", p.Type, "zone", p.Zone, "spot", p.Spot)
 }
 
-// One plan rents a few machines at a time, so that what comes up meanwhile is used first: 64, or
-// a thirty-second of the fleet. A fleet of any size is rented within 32 plans.
+// A plan launches a limited number of machines, so that those that come up meanwhile are used first: 64, or a
+// thirty-second of the fleet. A fleet of any size is launched within 32 plans.
 const (
 	minLaunches        = 64
 	launchFleetDivisor = 32
@@ -77,37 +88,54 @@
 	return max(minLaunches, a.env.cfg.FleetSize()/launchFleetDivisor)
 }
 
-// planScaling rents what waiting and expected work needs, and returns what it doesn't.
+// planScaling launches machines for waiting and expected tasks, and releases those that neither needs.
 func (a *autoscaler) planScaling() {
 	if len(a.catalog.types) == 0 || !a.pool.HasList() || !a.lease.holdsLease() {
 		return
 	}
-	s := a.cache.snapshotForPlan()
-	s.Jobs = append(s.Jobs, a.forecast.forecastDemand()...)
-	s.Jobs = append(s.Jobs, a.forecast.forecastReplacements()...)
-	inFlight := map[scheduler.Pool]int{}
-	for _, q := range a.pool.Launching() {
-		inFlight[q.Pool] += q.Count
-		if t := a.catalog.machineType(q.Type); t != nil {
-			for range q.Count {
-				s.AddMachine(&scheduler.Machine{Type: t, Zone: q.Zone, Spot: q.Spot, Free: t.Size, Room: 1 << 20, Booting: true})
-			}
-		}
-	}
-	// What boots in a zone that is cut off can't be heard, and costs all the same.
+	plan := a.cache.snapshotForPlan()
+	plan.Jobs = a.forecast.appendHeadroom(plan.Jobs)
+	inFlight := a.addLaunching(plan)
 	blocked := func(p scheduler.Pool) bool {
+		// A machine that boots in a partitioned zone can't reach us, and costs all the same.
 		return a.partitions.isPartitioned(p.Zone) || a.pool.IsShort(p) || inFlight[p] > 0
 	}
-	for _, want := range s.Plan(a.catalog.types, blocked, a.maxLaunches()) {
-		if !a.outbox.cloudRequests.Has(a.env.now, 1) {
-			break
-		}
-		a.pool.Launch(want.Pool, want.Count)
-	}
+	a.launch(plan.Plan(a.catalog.types, blocked, a.maxLaunches()))
 	needed := map[string]bool{}
-	for _, m := range s.Machines {
+	for _, m := range plan.Machines {
 		needed[m.ID] = m.Used
 	}
-	a.cache.endPlan(s)
+	a.cache.endPlan(plan)
 	a.scaleIn(needed)
 }
+
+// launchingMachineRoom is how many tasks the record of a machine that is still being launched is taken to hold: more
+// than fit into any machine.
+const launchingMachineRoom = 1 << 20
+
+// addLaunching adds the machines of launch requests under way to a plan, and counts them by pool.
+func (a *autoscaler) addLaunching(plan *scheduler.Snapshot) map[scheduler.Pool]int {
+	inFlight := map[scheduler.Pool]int{}
+	for _, request := range a.pool.Launching() {
+		inFlight[request.Pool] += request.Count
+		t := a.catalog.machineType(request.Type)
+		if t == nil {
+			continue
+		}
+		for range request.Count {
+			plan.AddMachine(&scheduler.Machine{Type: t, Zone: request.Zone, Spot: request.Spot,
+				Free: t.Size, Room: launchingMachineRoom, Booting: true})
+		}
+	}
+	return inFlight
+}
+
+// launch asks the cloud for machines, as far as its rate limit allows now. The next plan asks for the rest.
+func (a *autoscaler) launch(launches []scheduler.Launch) {
+	for _, l := range launches {
+		if !a.outbox.cloudRequests.Has(a.env.now, 1) {
+			return
+		}
+		a.pool.Launch(l.Pool, l.Count)
+	}
+}
