--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -8,7 +8,27 @@
 	"claybarrow/internal/scheduler"
 )
 
-// scaleIn returns machines that are of no use any more.
+// Limits of scaling in.
+const (
+	// Many silent machines at once are a sign of trouble with our own network: more than silentMachinesMin, and more
+	// than a third of those that are up.
+	silentMachinesMin     = 2
+	silentMachinesDivisor = 3
+	// silentLeases is after how many leases of silence a machine is released whatever the proof.
+	silentLeases = 3
+	// failedCallsMin is how many calls in a row must have failed before a machine is taken for unreachable: a single
+	// one may have been lost.
+	failedCallsMin = 2
+	// unseenAnswersMin is how many heartbeats in a row, though answered, must still have shown an older token before
+	// a machine is taken to hear no answers. An expired worker lease counts as several, see clusterstate.
+	unseenAnswersMin = 3
+	// A zone is heard from once a tenth of its machines have been heard, and two at least.
+	heardMachinesMin     = 2
+	heardMachinesDivisor = 10
+)
+
+// scaleIn releases the machines that are of no use any more. needed are the ids of those that waiting and expected
+// tasks will be placed on.
 func (a *autoscaler) scaleIn(needed map[string]bool) {
 	pass := a.newScaleInPass(needed)
 	for _, m := range a.machines.sortedMachines() {
@@ -21,14 +41,62 @@
 	}
 }
 
-// scaleInPass is one look at all machines.
+// isSilent says whether a machine has not been heard for two fifths of its lease: several heartbeats are missing.
+func (a *autoscaler) isSilent(m *clusterstate.Machine) bool {
+	return a.health.silentFor(m) > a.env.cfg.Lease()*2/5
+}
+
+// isUnreachable says whether a machine is most probably lost with all its tasks: it is silent and no connection to it
+// can be made, while other machines of its zone have been heard since and we reach all that others hear. The cloud's
+// deletion proves that it is gone much sooner than its lease. Hanging machines accept connections and are left alone,
+// as they may go on within their lease.
+func (a *autoscaler) isUnreachable(m *clusterstate.Machine, heardByZone map[string]time.Duration) bool {
+	return m.ConnectionFailed && m.FailedCalls >= failedCallsMin && len(a.reach.missedMachines) == 0 &&
+		!a.partitions.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt && a.restartsQuickly(m)
+}
+
+// restartsQuickly says whether a machine's replicas fetch their images in less than a lease. The machine may only be
+// partitioned, and come back with them: a wrong guess costs the fetch, a right one saves the rest of the lease.
+func (a *autoscaler) restartsQuickly(m *clusterstate.Machine) bool {
+	t := a.catalog.machineType(m.Type)
+	if t == nil {
+		return false
+	}
+	for _, attempt := range m.Attempts {
+		if spec := attempt.Job.Spec; spec.Service && spec.ImageGB > t.FetchGBPerS*a.env.cfg.Lease().Seconds() {
+			return false
+		}
+	}
+	return true
+}
+
+// zonesHeardSince is, by zone, a time since which a tenth of its machines, and two at least, have been heard. A zone
+// that has just been partitioned has none after the partition began.
+func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
+	heard := map[string][]time.Duration{}
+	for _, m := range a.state.Machines {
+		if m.Up && !m.Releasing {
+			heard[m.Zone] = append(heard[m.Zone], m.LastSeen)
+		}
+	}
+	since := map[string]time.Duration{}
+	for zone, times := range heard {
+		if k := max(heardMachinesMin, len(times)/heardMachinesDivisor); len(times) > k {
+			slices.Sort(times)
+			since[zone] = times[len(times)-k]
+		}
+	}
+	return since
+}
+
+// scaleInPass decides for each machine of the fleet at one moment whether it is released.
 type scaleInPass struct {
 	scaler *autoscaler
-	needed map[string]bool // those that waiting and expected work will be on
-	// manySilent: many silent machines at once speak of our own network, not of theirs.
+	needed map[string]bool // ids of the machines that waiting and expected tasks will be placed on
+	// manySilent: so many machines are silent that our own network is the likely cause.
 	manySilent     bool
-	controllerLost map[string]bool          // zones that are cut off and have lost their controller
-	heardSince     map[string]time.Duration // see term.heardSince
+	controllerLost map[string]bool          // partitioned zones that have lost their controller
+	heardSince     map[string]time.Duration // by zone, see zonesHeardSince
 	spare          *spareCapacity
 }
 
@@ -37,30 +105,36 @@
 	for _, m := range a.state.Machines {
 		if m.Up && !m.Releasing && !a.partitions.isPartitioned(m.Zone) {
 			up++
-			if a.health.silentFor(m) > a.env.cfg.Lease()*2/5 {
+			if a.isSilent(m) {
 				silent++
 			}
 		}
 	}
-	pass := &scaleInPass{scaler: a, needed: needed, manySilent: silent > 2 && silent > up/3,
-		controllerLost: map[string]bool{}, heardSince: a.zonesHeardSince(), spare: &spareCapacity{cache: a.cache}}
+	pass := &scaleInPass{
+		scaler:         a,
+		needed:         needed,
+		manySilent:     silent > silentMachinesMin && silent > up/silentMachinesDivisor,
+		controllerLost: map[string]bool{},
+		heardSince:     a.zonesHeardSince(),
+		spare:          &spareCapacity{cache: a.cache},
+	}
 	for zone := range a.partitions.partitioned {
 		pass.controllerLost[zone] = a.partitions.controllerLost(zone)
 	}
 	return pass
 }
 
-// releaseReason is why a machine is returned now, or "" if it stays; what keeps it for now is
-// noted as use of it.
+// releaseReason is why a machine is released now, or keepMachine. Where something keeps the machine for now, it is
+// noted as in use, so that it is not released as idle right after.
 func (p *scaleInPass) releaseReason(m *clusterstate.Machine) releaseReason {
 	now := p.scaler.env.now
 	switch {
 	case p.controllerLost[m.Zone] && len(m.Attempts) > 0:
 		return releaseControllerLost
 	case p.scaler.partitions.isPartitioned(m.Zone) && m.Up:
-		// Its follower may be keeping its tasks alive. Even without one, what
-		// must be spread waits for this zone, and for a cut's length a
-		// machine with its images is worth more than a new one.
+		// A follower in the zone may be renewing its lease. Even without one, tasks that
+		// must be spread wait for this zone, and for the time of a partition a
+		// machine with cached images is worth more than a new one.
 		m.IdleSince = now
 		return keepMachine
 	case !m.Up:
@@ -69,90 +143,98 @@
 	if reason := p.silentReleaseReason(m); reason != keepMachine {
 		return reason
 	}
-	if p.scaler.health.silentFor(m) > p.scaler.env.cfg.Lease()*2/5 {
-		// Hanging or cut off, it may come back with its images; a dead one is
-		// soon called failed by the cloud. It was once returned as idle when
-		// its lease was over, seconds before it would have come back.
+	if p.scaler.isSilent(m) {
+		// It may hang or be partitioned, and come back with its images; a dead machine is
+		// soon listed as failed by the cloud. Machines were once released as idle when
+		// their leases had expired, seconds before they would have come back.
 		m.IdleSince = now
 		return keepMachine
 	}
 	return p.idleReleaseReason(m)
 }
 
-// bootingReleaseReason is why a machine that is not up is returned.
+// bootingReleaseReason is why a machine that is not up is released: it has taken too long to boot.
 func (p *scaleInPass) bootingReleaseReason(m *clusterstate.Machine) releaseReason {
-	if p.scaler.env.now > max(m.LaunchedAt+seconds(p.scaler.catalog.machineType(m.Type).BootS*bootTimeoutFactor), p.scaler.lease.electedAt+p.scaler.env.cfg.Lease()/2) {
-		// Not at once after a take-over: idle machines that have long been up have
-		// no record, and asking thousands takes a while (scale run, 5,500
-		// workers: 107 were returned within the first second).
+	scaler := p.scaler
+	bootTimeout := m.LaunchedAt + seconds(scaler.catalog.machineType(m.Type).BootS*bootTimeoutFactor)
+	// Not at once after a failover: idle machines that have long been up have no stored
+	// record, and asking thousands of them takes a while (scale run with 5,500 workers: 107
+	// were released within the first second).
+	askedBy := scaler.lease.electedAt + scaler.env.cfg.Lease()/2
+	if scaler.env.now > max(bootTimeout, askedBy) {
 		return releaseBootTimedOut
 	}
 	if p.needed[m.ID] || m.IdleSince == 0 {
-		m.IdleSince = p.scaler.env.now
+		m.IdleSince = scaler.env.now
 	}
 	return keepMachine
 }
 
-// silentReleaseReason is why a machine that does not answer is returned.
+// silentReleaseReason is why a machine that does not answer is released.
 func (p *scaleInPass) silentReleaseReason(m *clusterstate.Machine) releaseReason {
-	lease := p.scaler.env.cfg.Lease()
 	switch {
-	case !p.manySilent && p.scaler.isUnreachable(m, p.heardSince) && p.scaler.health.silentFor(m) > lease*2/5 && p.spare.absorbs(m):
+	case !p.manySilent && p.isReplaceable(m):
 		return releaseUnreachable
-	case !p.manySilent && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && p.scaler.health.silentFor(m) > lease/2:
-		// After a take-over the proof by time is far away, and the cloud's
-		// word that the machine is gone comes sooner. A machine that this
-		// leader did hear is left alone: cut off or hanging, its tasks go
-		// on until its lease ends, and it may come back.
+	case !p.manySilent && p.isUnheardSinceFailover(m):
 		return releaseUnheardOnFailover
-	case m.UnseenAnswers > 2 && m.FailedCalls > 1 && m.TokenAcknowledgedAt == 0 && len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+lease:
-		// It reports and never shows our token: it hears no answer, so its
-		// lease is over, but no message of it can prove that what an earlier
-		// leader started there is gone.
+	case p.hearsNoAnswer(m):
 		return releaseAnswersLost
-	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > 3*lease:
+	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > silentLeases*p.scaler.env.cfg.Lease():
 		return releaseSilent
 	}
 	return keepMachine
 }
 
-// idleReleaseReason is why a machine that answers is returned.
+// isReplaceable says whether a machine is most probably lost, and all its tasks have room elsewhere.
+func (p *scaleInPass) isReplaceable(m *clusterstate.Machine) bool {
+	return p.scaler.isUnreachable(m, p.heardSince) && p.scaler.isSilent(m) && p.spare.absorbs(m)
+}
+
+// isUnheardSinceFailover says whether a machine has been silent since this leader was elected. The proof by the
+// worker's lease is far away then, and the cloud's word that the machine is gone comes sooner. A machine that this
+// leader has heard is left alone: if it hangs or is partitioned, its tasks go on until its lease ends, and it may come
+// back.
+func (p *scaleInPass) isUnheardSinceFailover(m *clusterstate.Machine) bool {
+	return m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
+		p.scaler.health.silentFor(m) > p.scaler.env.cfg.Lease()/2
+}
+
+// hearsNoAnswer says whether a machine with tasks sends heartbeats that never show our token. It hears none of our
+// answers, so its lease has expired, but no message of it can prove that the tasks which an earlier leader started
+// there are gone.
+func (p *scaleInPass) hearsNoAnswer(m *clusterstate.Machine) bool {
+	return m.UnseenAnswers >= unseenAnswersMin && m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
+		len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+p.scaler.env.cfg.Lease()
+}
+
+// idleReleaseReason is why a machine that answers is released: it has no tasks, and is quarantined, drained or idle
+// for too long.
 func (p *scaleInPass) idleReleaseReason(m *clusterstate.Machine) releaseReason {
+	now := p.scaler.env.now
 	boot := seconds(p.scaler.catalog.machineType(m.Type).BootS)
 	switch {
 	case len(m.Attempts) > 0 || p.needed[m.ID]:
-		m.IdleSince = p.scaler.env.now
+		m.IdleSince = now
 	case m.Faults.Faulty:
 		return releaseQuarantined
-	case p.scaler.env.now < m.DrainUntil:
+	case now < m.DrainUntil:
 		return releaseDrained
-	case p.scaler.env.now > m.IdleSince+time.Duration(float64(boot)*p.scaler.env.cfg.Operator.Fleet.IdleRatio):
+	case now > m.IdleSince+time.Duration(float64(boot)*p.scaler.env.cfg.Operator.Fleet.IdleRatio):
 		return releaseIdle
 	}
 	return keepMachine
 }
 
-// isUnreachable says whether a machine is most probably gone with all that is on it:
-// it is silent, and no connection to it can be made, while others of its zone were
-// heard since and we reach all that others hear. The cloud's deletion proves it
-// much sooner than its lease; hanging machines take connections, and are left
-// alone, as they may go on within their lease.
-func (a *autoscaler) isUnreachable(m *clusterstate.Machine, heardByZone map[string]time.Duration) bool {
-	return m.ConnectionFailed && m.FailedCalls > 1 && len(a.reach.missedMachines) == 0 && !a.partitions.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt &&
-		a.restartsQuickly(m)
-}
-
-// spareCapacity is what ready machines have to spare beside all that waits, for the tasks of
-// machines that are most probably gone.
+// spareCapacity is the room that ready machines have left beside all waiting tasks, for the tasks of machines that
+// are most probably lost.
 type spareCapacity struct {
 	cache *schedulerCache
-	left  *scheduler.Snapshot // nil: not looked at yet
+	left  *scheduler.Snapshot // nil until it is first needed
 }
 
-// absorbs says whether all tasks of a machine have room elsewhere now, and takes that
-// room. Where there is none, an early deletion gains nothing, and the machine may only
-// be cut off and come back: 25 of 270 were once deleted so, and gangs waited for the boots
-// of others, up to 50 s, for longer than the cut lasted.
+// absorbs says whether all tasks of a machine have room elsewhere now, and takes that room. Where they have none, an
+// early deletion gains nothing, and the machine may only be partitioned and come back: 25 of 270 machines were once
+// deleted so, and gangs waited for others to boot, up to 50 s, for longer than the partition lasted.
 func (s *spareCapacity) absorbs(m *clusterstate.Machine) bool {
 	if len(m.Attempts) == 0 {
 		return false // nothing is gained
@@ -161,44 +243,9 @@
 		s.left = s.cache.fullSnapshot()
 		s.left.Fill()
 	}
-	var jobs []*scheduler.Job
+	var tasks []*scheduler.Job
 	for _, a := range m.Sorted() {
-		jobs = append(jobs, singleTaskView(a))
-	}
-	return s.left.Absorbs(jobs)
-}
-
-// restartsQuickly says whether a machine's replicas fetch their images in less than
-// a lease. The machine may only be cut off, and come back with them: a wrong guess
-// costs the fetch, a right one gains the rest of the lease.
-func (a *autoscaler) restartsQuickly(m *clusterstate.Machine) bool {
-	t := a.catalog.machineType(m.Type)
-	if t == nil {
-		return false
-	}
-	for _, attempt := range m.Attempts {
-		if s := attempt.Job.Spec; s.Service && s.ImageGB > t.FetchGBPerS*a.env.cfg.Lease().Seconds() {
-			return false
-		}
-	}
-	return true
-}
-
-// heardSince tells, by zone, since when a tenth of its machines, two at least, have
-// been heard: a zone that has just been cut off has none after the cut.
-func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
-	heard := map[string][]time.Duration{}
-	for _, m := range a.state.Machines {
-		if m.Up && !m.Releasing {
-			heard[m.Zone] = append(heard[m.Zone], m.LastSeen)
-		}
-	}
-	out := map[string]time.Duration{}
-	for zone, list := range heard {
-		if k := max(2, len(list)/10); len(list) > k {
-			slices.Sort(list)
-			out[zone] = list[len(list)-k]
-		}
+		tasks = append(tasks, singleTaskView(a))
 	}
-	return out
+	return s.left.Absorbs(tasks)
 }
