--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -40,7 +40,7 @@
 	capacity := a.views.readyCapacity()
 	for _, j := range a.state.Jobs {
 		if j.ActiveAttempts > 0 && !j.Spec.Service {
-			j.Scale.Attained += elapsed * float64(j.ActiveAttempts) * shareOf(j, capacity)
+			j.Scale.Attained += elapsed * float64(j.ActiveAttempts) * capacityShare(j, capacity)
 		}
 	}
 }
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -218,7 +218,7 @@
 	cache.env = l.controller.env
 	cache.health = l.health
 	cache.placement = l.placement
-	cache.registry = l.machines
+	cache.machines = l.machines
 	cache.state = l.state
 	cache.views = l.views
 }
