--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -9,106 +9,120 @@
 	"claybarrow/internal/ratelimit"
 )
 
-// Which controller serves a machine's reports is a function of the live controllers of its
-// zone, the leader among them: rendezvous hashing, so that a controller's end moves its machines
-// alone, each to one of the others. The leader tells a worker where to report, as nobody
-// else's view counts. It sends none to a controller that is suspected, out of touch, or back for
-// too short a time, and takes none from one that is only suspected.
+// With failure detection, the controller that serves a machine's heartbeats is a function of the live controllers
+// of its zone, the leader among them: rendezvous hashing, so that a controller's end moves its own machines
+// alone, each to one of the others. The leader tells a worker where to send its heartbeats, as nobody else's
+// view counts. It sends none to a controller that is suspected, out of contact, or back for too short a time,
+// and takes none from one that is only suspected.
 
-// assignments are the owners of machines by zone, in the detector's view.
+// assignments are the owners of machines by zone, in the failure detector's view.
 type assignments struct {
 	zones map[string]*membership.Assignment
-	// own is the way of workers to the leader itself.
-	own heartbeatRoute
-	// moves is how many machines may be sent elsewhere now: all of a fleet's within a lease, and in
-	// small fleets a few with each report.
-	moves ratelimit.TokenBucket
+	// ownRoute is the workers' route to the leader itself.
+	ownRoute heartbeatRoute
+	// redirectBudget is how many machines may be redirected now: all of a fleet's within a lease, and in small
+	// fleets minRedirectsPerHeartbeat in each heartbeat interval.
+	redirectBudget ratelimit.TokenBucket
 }
 
-func newAssignments(c *Controller) assignments {
-	report := c.env.cfg.Report().Seconds()
-	rate := max(float64(c.env.cfg.FleetSize())/c.env.cfg.Lease().Seconds(), leastMoves/report)
-	return assignments{zones: map[string]*membership.Assignment{}, moves: ratelimit.New(rate, rate*report)}
-}
-
-// leastMoves is how many machines may be sent elsewhere between two reports, however small the fleet.
-const leastMoves = 4
-
-// zoneServers are the controllers of a zone that may serve machines, sorted.
-func (r *heartbeatRouter) zoneServers(zone string) []string {
-	var out []string
-	if r.env.cfg.Zone == zone {
-		out = append(out, r.env.cfg.Label)
-	}
-	for _, s := range r.env.cfg.Siblings {
-		if s.Zone == zone && r.detection.detector.Serves(s.Label, r.env.now) {
-			out = append(out, s.Label)
-		}
-	}
-	slices.Sort(out)
-	return out
-}
+// minRedirectsPerHeartbeat is how many machines may be redirected in a heartbeat interval, however small the
+// fleet is.
+const minRedirectsPerHeartbeat = 4
 
-// ownerOf is the controller that a machine's reports fall to; "": its zone has none.
-func (r *heartbeatRouter) ownerOf(m *clusterstate.Machine) string {
-	a := r.assignments.zones[m.Zone]
-	if a == nil {
-		a = &membership.Assignment{}
-		r.assignments.zones[m.Zone] = a
-	}
-	return a.Owner(m.ID, r.zoneServers(m.Zone))
+func newAssignments(c *Controller) assignments {
+	cfg := c.env.cfg
+	interval := cfg.Report().Seconds()
+	perSecond := max(float64(cfg.FleetSize())/cfg.Lease().Seconds(), minRedirectsPerHeartbeat/interval)
+	return assignments{zones: map[string]*membership.Assignment{}, redirectBudget: ratelimit.New(perSecond, perSecond*interval)}
 }
 
-// assignedRedirect names the controller that the worker is to report to instead of the one that
-// its report came by, or none.
+// assignedRedirect names the controller that the worker is to send its heartbeats to instead of the one that this
+// heartbeat came by. It is empty if the worker stays there.
 func (r *heartbeatRouter) assignedRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
-	by := r.env.cfg.Label
+	servedBy := r.env.cfg.Label
 	if from.relay {
-		by = from.by
+		servedBy = from.by
 	}
-	if by == "" || m.Zone == "" || msg.Token != r.lease.token || r.env.now < r.lease.electedAt+r.env.cfg.Lease()/2 {
+	if servedBy == "" || !r.mayRedirect(m, msg) {
 		return ""
 	}
 	owner := r.ownerOf(m)
-	if by == r.env.cfg.Label {
-		r.assignments.own.noteForwarded(r.env.now)
+	if servedBy == r.env.cfg.Label {
+		r.assignments.ownRoute.noteForwarded(r.env.now)
 	}
-	if owner == "" || owner == by || !r.isInContact(owner) {
+	if owner == "" || owner == servedBy || !r.isInContact(owner) {
 		return ""
 	}
-	way, process := r.routeTo(owner)
+	route, process := r.routeTo(owner)
 	if m.RedirectedTo == owner && m.RedirectedProcess == process && m.RedirectedAt > 0 {
-		r.onWorkerReturned(m, way)
+		r.onWorkerReturned(m, route)
 		return ""
 	}
 	if m.RedirectedProcess != process {
 		m.FailedRedirects = 0
 	}
-	if r.env.now < m.NoRedirectUntil || !r.assignments.moves.Has(r.env.now, 1) || !way.accepts(r.env.now, r.env.cfg.Report()) {
+	if !r.takeRedirect(m, route) {
 		return ""
 	}
-	r.assignments.moves.Take(r.env.now, 1)
 	m.RedirectedAt, m.RedirectedTo, m.RedirectedProcess = r.env.now, owner, process
 	r.env.observer.MachineRedirected(m.ID, owner)
 	return owner
 }
 
-// isInContact says whether machines may be sent to a controller now: it is not suspected, and what
-// it passes on reaches us.
+// takeRedirect takes a redirect of the machine from the budget, if it may be redirected by that route now. The
+// route is asked last, as its answer starts a trial.
+func (r *heartbeatRouter) takeRedirect(m *clusterstate.Machine, route *heartbeatRoute) bool {
+	if r.env.now < m.NoRedirectUntil || !r.assignments.redirectBudget.Has(r.env.now, 1) {
+		return false
+	}
+	if !route.accepts(r.env.now, r.env.cfg.Report()) {
+		return false
+	}
+	r.assignments.redirectBudget.Take(r.env.now, 1)
+	return true
+}
+
+// ownerOf is the controller that the machine's heartbeats are assigned to, or empty if its zone has none.
+func (r *heartbeatRouter) ownerOf(m *clusterstate.Machine) string {
+	assignment := r.assignments.zones[m.Zone]
+	if assignment == nil {
+		assignment = &membership.Assignment{}
+		r.assignments.zones[m.Zone] = assignment
+	}
+	return assignment.Owner(m.ID, r.zoneServers(m.Zone))
+}
+
+// zoneServers are the controllers of a zone that may serve machines, sorted.
+func (r *heartbeatRouter) zoneServers(zone string) []string {
+	var labels []string
+	if r.env.cfg.Zone == zone {
+		labels = append(labels, r.env.cfg.Label)
+	}
+	for _, sibling := range r.env.cfg.Siblings {
+		if sibling.Zone == zone && r.detection.detector.Serves(sibling.Label, r.env.now) {
+			labels = append(labels, sibling.Label)
+		}
+	}
+	slices.Sort(labels)
+	return labels
+}
+
+// isInContact reports whether machines may be redirected to a controller now: it is not suspected, and what it
+// forwards reaches the leader.
 func (r *heartbeatRouter) isInContact(label string) bool {
-	p := r.peers[label]
 	if label == r.env.cfg.Label {
 		return true
 	}
-	return p != nil && p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.cfg.Lease()/8 && r.detection.detector.TakesWork(label, r.env.now)
+	p := r.peers[label]
+	return p != nil && r.heardLately(p) && r.detection.detector.TakesWork(label, r.env.now)
 }
 
-// routeTo is the way of workers to a controller, and which process that is. A machine that came
-// back from there can't reach it, and is left alone for a while; what an earlier process
-// of the same label did not take counts for nothing.
+// routeTo is the workers' route to a controller, and the incarnation of that controller's process. A machine that
+// came back from there can't reach it, and is left alone for a while; what it could not reach of an earlier
+// process with the same label does not count.
 func (r *heartbeatRouter) routeTo(label string) (*heartbeatRoute, string) {
 	if p := r.peers[label]; p != nil {
 		return &p.route, p.incarnation
 	}
-	return &r.assignments.own, r.env.incarnation
+	return &r.assignments.ownRoute, r.env.incarnation
 }
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -9,7 +9,21 @@
 	"claybarrow/internal/protocol"
 )
 
+// Workers send their heartbeats to a controller of their own zone, which forwards them to the leader, so that
+// no worker has to look for a controller when the zone is partitioned. A controller that is in contact with the
+// leader may still be unreachable for the workers. So the leader first redirects a single worker to it, and
+// more only while heartbeats come by it: a leader that had stepped down because it could not reach the workers
+// was once sent all the workers of its zone, who waited 4 s for it each time, and their tasks were moved or
+// lost.
+//
+// Without failure detection this file decides alone. With it, heartbeat_assignment.go names the controller, and
+// the routes here say whether a worker may be redirected to it now.
+
 // heartbeatRouter decides which controller each worker sends its heartbeats to.
+//
+// It owns the assignments of machines to controllers; the routes by the other controllers are kept with its
+// peers, and a machine's own redirects with the machine. All of them end with the leadership: the next leader
+// tries each route anew.
 type heartbeatRouter struct {
 	detection *failureDetection
 	env       *environment
@@ -19,80 +33,86 @@
 	assignments assignments
 }
 
-// Workers report to a controller of their own zone, which forwards the reports to
-// the leader, so that none has to look for it when the zone is cut off. A controller
-// that is in touch with the leader may still be out of reach of the workers. So the
-// leader first sends it a single one, and more only while reports come by it: a
-// leader that had stepped down for want of a way to the workers was once sent all
-// the workers of its zone, who waited 4 s for it each time, and their tasks were
-// moved or lost.
-
-// How long a worker waits for the answer to a report, and until it tries the
-// next controller.
+// The worker's side of a heartbeat.
 const (
-	heartbeatTimeout    = 4 * time.Second
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatRetryPause is how long it then waits before it tries the next controller.
 	heartbeatRetryPause = time.Second
 )
 
-// heartbeatRoute is what a leader knows of the way of reports by another controller.
+const (
+	// maxBackoffDoublings bounds the doublings of the time between two trials of a route.
+	maxBackoffDoublings = 5
+	// routeFreshHeartbeats is for how many heartbeat intervals a forwarded heartbeat shows that a route works.
+	routeFreshHeartbeats = 3
+	// settledLeases is after how many leases a worker that comes back from a controller is taken to have been
+	// served there: its return is then no sign against the route.
+	settledLeases = 3
+)
+
+// heartbeatRoute is what a leader knows of the workers' route to it by one controller.
 type heartbeatRoute struct {
-	// forwarded is when a report last came by it.
-	forwarded time.Duration
-	// nextProbe is when a worker may be sent there though no reports come by it;
-	// failures counts the workers in a row that came back.
-	nextProbe time.Duration
-	failures  int
+	// lastForwardedAt is when a heartbeat last came by it; 0: none since a worker came back from there.
+	lastForwardedAt time.Duration
+	// nextProbeAt is when a worker may be redirected there though no heartbeats come by it; failures counts
+	// the workers in a row that came back.
+	nextProbeAt time.Duration
+	failures    int
 }
 
-// maxBackoffDoublings bounds the doublings of the time between two trials.
-const maxBackoffDoublings = 5
-
-// noteForwarded notes that a worker's report came by the controller.
+// noteForwarded notes that a worker's heartbeat came by the controller.
 func (r *heartbeatRoute) noteForwarded(now time.Duration) {
-	r.forwarded, r.failures = now, 0
+	r.lastForwardedAt, r.failures = now, 0
 }
 
-// noteReturn notes that a worker came back from the controller. Reports of others
-// prove at once that it was the worker's own trouble.
+// noteReturn notes that a worker came back from the controller. A heartbeat of another worker that comes by it
+// right now proves that the fault was the worker's own.
 func (r *heartbeatRoute) noteReturn(now, lease time.Duration) {
-	if r.forwarded < now {
-		r.forwarded = 0
+	if r.lastForwardedAt < now {
+		r.lastForwardedAt = 0
 	}
-	r.nextProbe = max(r.nextProbe, now+lease/2<<min(r.failures, maxBackoffDoublings))
+	r.nextProbeAt = max(r.nextProbeAt, now+redirectBackoff(lease, r.failures))
 	r.failures++
 }
 
-// accepts says whether a worker may be sent there now. Unless reports come by it, that
-// is a trial, and the next one has to wait for the outcome.
-func (r *heartbeatRoute) accepts(now, report time.Duration) bool {
-	if r.forwarded > 0 && now < r.forwarded+3*report {
+// accepts reports whether a worker may be redirected there now. Unless heartbeats come by it that is a trial,
+// and the next trial has to wait for its outcome.
+func (r *heartbeatRoute) accepts(now, heartbeatInterval time.Duration) bool {
+	if r.lastForwardedAt > 0 && now < r.lastForwardedAt+routeFreshHeartbeats*heartbeatInterval {
 		return true
 	}
-	if now < r.nextProbe {
+	if now < r.nextProbeAt {
 		return false
 	}
-	r.nextProbe = now + heartbeatTimeout + heartbeatRetryPause
+	r.nextProbeAt = now + heartbeatTimeout + heartbeatRetryPause
 	return true
 }
 
-// redirectTarget names the controller that the worker is to report to: one of its own
-// zone that is in touch with us, or none. A worker that comes back from there
+// redirectBackoff is how long nothing is redirected after a number of failures in a row: half a lease after the
+// first, and twice as long after each further one.
+func redirectBackoff(lease time.Duration, failures int) time.Duration {
+	return lease / 2 << min(failures, maxBackoffDoublings)
+}
+
+// redirectTarget names the controller that the worker is to send its heartbeats to: one of its own zone that is
+// in contact with the leader. It is empty if the worker stays where it is. A worker that comes back from there
 // can't reach it, and is left alone for a while.
 func (r *heartbeatRouter) redirectTarget(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
 	if r.detection.enabled() {
 		return r.assignedRedirect(m, msg, from)
 	}
-	if from.relay || m.Zone == r.env.cfg.Zone || m.Zone == "" || msg.Token != r.lease.token || r.env.now < r.lease.electedAt+r.env.cfg.Lease()/2 {
+	if from.relay || m.Zone == r.env.cfg.Zone || !r.mayRedirect(m, msg) {
 		return ""
 	}
-	to := r.nearestController(m.Zone)
-	if to == "" {
+	label := r.nearestController(m.Zone)
+	if label == "" {
 		return ""
 	}
-	p := r.peers[to]
-	// One that has ended since is no reason: on a day of restarts one after the
-	// other the workers of a zone were left with the leader, and lost in a cut.
-	// As its end may not be known yet, the first time counts for little.
+	p := r.peers[label]
+	// A redirect to an earlier process of the controller does not count: on a day of rolling restarts the
+	// workers of a zone were left with the leader, and lost in a partition. As the end of a process may not be
+	// known yet, the first return from one counts for little.
 	if m.RedirectedProcess != p.incarnation {
 		m.FailedRedirects = 0
 	} else if m.RedirectedAt > 0 {
@@ -103,41 +123,51 @@
 		return ""
 	}
 	m.RedirectedAt, m.RedirectedProcess = r.env.now, p.incarnation
-	return to
+	return label
+}
+
+// mayRedirect reports whether a worker may be redirected at all: its zone is known, it has the leader's token,
+// and half a lease has passed since the election.
+func (r *heartbeatRouter) mayRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) bool {
+	return m.Zone != "" && msg.Token == r.lease.token && r.env.now >= r.lease.electedAt+r.env.cfg.Lease()/2
 }
 
-// onWorkerReturned notes that a worker reports to us again though it was sent to another
-// controller.
-func (r *heartbeatRouter) onWorkerReturned(m *clusterstate.Machine, way *heartbeatRoute) {
-	if r.env.now > m.RedirectedAt+3*r.env.cfg.Lease() {
-		m.FailedRedirects = 0 // it was there for long
+// onWorkerReturned notes that a worker sends its heartbeats elsewhere though it was redirected to a controller.
+func (r *heartbeatRouter) onWorkerReturned(m *clusterstate.Machine, route *heartbeatRoute) {
+	lease := r.env.cfg.Lease()
+	if r.env.now > m.RedirectedAt+settledLeases*lease {
+		m.FailedRedirects = 0
 	}
-	m.NoRedirectUntil = r.env.now + r.env.cfg.Lease()/2<<min(m.FailedRedirects, maxBackoffDoublings)
+	m.NoRedirectUntil = r.env.now + redirectBackoff(lease, m.FailedRedirects)
 	m.FailedRedirects++
 	m.RedirectedAt = 0
-	way.noteReturn(r.env.now, r.env.cfg.Lease())
+	route.noteReturn(r.env.now, lease)
 }
 
-// nearestController is the controller of a zone that is in touch with us, if any: of several
-// the one whose next neighbour of the same zone is tried soonest after it.
+// nearestController is the controller of a zone that is in contact with the leader, if any. Of several it is the
+// one after which a worker tries the next controller of the same zone soonest.
 func (r *heartbeatRouter) nearestController(zone string) string {
-	var near []string
-	for _, s := range r.env.cfg.Siblings {
-		asked := r.peers[s.Label].lastHeard
-		if s.Zone == zone && asked > 0 && r.env.now < asked+r.env.cfg.Lease()/8 {
-			near = append(near, s.Label)
+	var candidates []string
+	for _, sibling := range r.env.cfg.Siblings {
+		if sibling.Zone == zone && r.heardLately(r.peers[sibling.Label]) {
+			candidates = append(candidates, sibling.Label)
 		}
 	}
-	if len(near) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return slices.MinFunc(near, func(a, b string) int {
+	return slices.MinFunc(candidates, func(a, b string) int {
 		return cmp.Compare(r.env.controllersBetween(a), r.env.controllersBetween(b))
 	})
 }
 
-// noteForwardedBy notes by which controller a report came. Older versions don't tell:
-// then it is the zone's, if it has only one.
+// heardLately reports whether the leader had a heartbeat of the controller within the last eighth of a lease.
+func (r *heartbeatRouter) heardLately(p *peer) bool {
+	return p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.cfg.Lease()/8
+}
+
+// noteForwardedBy notes which controller forwarded a heartbeat. Older versions don't say which: then it is the
+// controller of the worker's zone, if that has only one.
 func (r *heartbeatRouter) noteForwardedBy(label, zone string) {
 	p := r.peers[label]
 	if label == "" {
@@ -148,7 +178,7 @@
 	}
 }
 
-// onlyPeerIn is the single other controller of a zone, or nil.
+// onlyPeerIn is the single other controller of a zone, or nil if there are none or several.
 func (r *heartbeatRouter) onlyPeerIn(zone string) *peer {
 	var only *peer
 	for _, p := range r.peers {
@@ -163,19 +193,19 @@
 	return only
 }
 
-// controllersBetween is how many controllers a worker tries between this one and the next of
-// the same zone, should it end: they go through them in turn, and each that is
-// cut off costs 4 s of a lease.
+// controllersBetween is how many controllers a worker tries from this one to the next of the same zone, should
+// this one end. Workers try them in the order of their labels, and each that is unreachable costs 4 s of a
+// lease.
 func (e *environment) controllersBetween(label string) int {
-	type node struct{ label, zone string }
-	all := []node{{e.cfg.Label, e.cfg.Zone}}
-	for _, s := range e.cfg.Siblings {
-		all = append(all, node{s.Label, s.Zone})
+	type controller struct{ label, zone string }
+	all := []controller{{e.cfg.Label, e.cfg.Zone}}
+	for _, sibling := range e.cfg.Siblings {
+		all = append(all, controller{sibling.Label, sibling.Zone})
 	}
-	slices.SortFunc(all, func(a, b node) int {
+	slices.SortFunc(all, func(a, b controller) int {
 		return cmp.Or(cmp.Compare(len(a.label), len(b.label)), cmp.Compare(a.label, b.label))
 	})
-	at := slices.IndexFunc(all, func(n node) bool { return n.label == label })
+	at := slices.IndexFunc(all, func(c controller) bool { return c.label == label })
 	for i := 1; i < len(all); i++ {
 		if all[(at+i)%len(all)].zone == all[at].zone {
 			return i
