--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"time"
 
 	"claybarrow/internal/clusterstate"
@@ -9,7 +10,11 @@
 	"claybarrow/internal/statestore"
 )
 
-// heartbeatReceiver takes the workers' heartbeats and applies them to the cluster state.
+// heartbeatReceiver takes the workers' heartbeats, and the responses to direct calls, which have the same form,
+// and applies them to the cluster state.
+//
+// Its own state is only when it last renewed a worker's lease without commands. It ends with the leadership:
+// after a failover every worker is heard anew.
 type heartbeatReceiver struct {
 	attempts    *attemptTracker
 	completions *completionRecorder
@@ -30,69 +35,90 @@
 	leaseOnlyReplyAt time.Duration // when a worker was last answered without commands
 }
 
-// onWorkerHeartbeat takes a worker's report.
+// maxSpotNoticeS bounds the notice of a spot reclaim, in seconds, so that a wrong value can't overflow a time.
+const maxSpotNoticeS = 1e6
+
+// onWorkerHeartbeat answers a worker's heartbeat, as the leader or as a follower.
 func (c *Controller) onWorkerHeartbeat(from requester, body []byte) {
 	var msg protocol.WorkerHeartbeat
 	if err := protocol.Decode(body, &msg); err != nil || msg.Machine == "" {
-		c.outbox.reply(from, 400, nil, 0)
+		c.outbox.reply(from, http.StatusBadRequest, nil, 0)
 		return
 	}
-	l := c.leadership
 	if c.pause.isRecovering() {
-		c.outbox.replyUnavailable(from) // it knows nothing yet, not even whether it leads
+		// After a process pause it knows nothing yet, not even whether it leads.
+		c.outbox.replyUnavailable(from)
 		return
 	}
-	if l == nil {
-		if c.follower.renewsLeaseForLeader(&msg) {
-			c.follower.replyLeaseOnly(from, &msg)
-			return
-		}
-		if c.follower.forwardsHeartbeat(&msg) {
-			c.follower.forwardHeartbeat(from, &msg, body)
-			return
-		}
-		leader := c.follower.leaderLabel()
-		if leader == "" || leader == c.env.cfg.Label {
-			c.outbox.replyUnavailable(from)
-			return
-		}
-		c.outbox.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: leader}), 0)
+	if c.leadership == nil {
+		c.follower.onWorkerHeartbeat(from, &msg, body)
 		return
 	}
-	if !l.loader.ready || l.lease.verifiesLease() {
-		l.heartbeats.renewWithoutCommands(from, &msg)
+	c.leadership.onWorkerHeartbeat(from, &msg)
+}
+
+// onWorkerHeartbeat answers a worker's heartbeat while this controller does not lead: it renews the worker's
+// lease for the leader, forwards the heartbeat to the leader, or redirects the worker there.
+func (f *follower) onWorkerHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
+	if f.renewsLeaseForLeader(msg) {
+		f.replyLeaseOnly(from, msg)
 		return
 	}
-	m, fresh := l.heartbeats.applyHeartbeat(&msg, true)
-	if l.lease.ended {
-		c.outbox.replyUnavailable(from)
+	if f.forwardsHeartbeat(msg) {
+		f.forwardHeartbeat(from, msg, body)
 		return
 	}
-	if !fresh {
-		// A late copy, or a machine that is gone: no evidence and no sign of
-		// life, and an answer would reach nobody.
-		c.outbox.replyUnavailable(from)
+	leader := f.leaderLabel()
+	if leader == "" || leader == f.env.cfg.Label {
+		f.outbox.replyUnavailable(from)
+		return
+	}
+	f.outbox.replyRedirect(from, leader)
+}
+
+// onWorkerHeartbeat answers a worker's heartbeat as the leader.
+func (l *leadership) onWorkerHeartbeat(from requester, msg *protocol.WorkerHeartbeat) {
+	env, outbox := l.controller.env, l.controller.outbox
+	if !l.loader.ready || l.lease.verifiesLease() {
+		l.heartbeats.renewWithoutCommands(from, msg)
+		return
+	}
+	m, newest := l.heartbeats.applyHeartbeat(msg, true)
+	if l.lease.ended || !newest {
+		// What is not newest is a late copy, or from a machine that was removed. It is neither evidence nor a
+		// sign of life, and nobody waits for the answer.
+		outbox.replyUnavailable(from)
 		return
 	}
 	if from.relay {
 		l.router.noteForwardedBy(from.by, m.Zone)
 	}
-	if label := l.router.redirectTarget(m, &msg, from); label != "" {
-		c.outbox.reply(from, 421, protocol.Encode(protocol.Redirect{Leader: label}), 0)
+	if label := l.router.redirectTarget(m, msg, from); label != "" {
+		outbox.replyRedirect(from, label)
 		return
 	}
 	if !from.relay {
-		l.reach.noteReached(c.env.now)
+		l.reach.noteReached(env.now)
 	}
-	m.LastAnswered = c.env.now
-	reply := protocol.WorkerHeartbeatReply{Token: l.lease.token, Commands: l.dispatcher.pendingCommands(m, true)}
-	c.outbox.reply(from, 200, protocol.Encode(reply), 0)
+	m.LastAnswered = env.now
+	l.heartbeats.replyWithCommands(from, l.dispatcher.pendingCommands(m, true))
 }
 
-// answerForwardedHeartbeat answers a report that we passed on to another leader, who did not answer,
-// and lead ourselves now. Turned away, the worker would look for us elsewhere, and wait for
-// each controller that has ended. It may have answered a direct request since: then the
-// report is no evidence, but its lease is renewed all the same.
+// replyRedirect tells a worker to send its heartbeats to another controller.
+func (o *outbox) replyRedirect(to requester, label string) {
+	o.reply(to, http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: label}), 0)
+}
+
+// replyWithCommands answers a heartbeat under the leader's token, which renews the worker's lease.
+func (h *heartbeatReceiver) replyWithCommands(to requester, commands []protocol.Command) {
+	reply := protocol.WorkerHeartbeatReply{Token: h.lease.token, Commands: commands}
+	h.outbox.reply(to, http.StatusOK, protocol.Encode(reply), 0)
+}
+
+// answerForwardedHeartbeat answers a heartbeat that this controller forwarded as a follower to another leader,
+// which did not answer, now that it leads itself. If it refused the worker, the worker would look for the
+// leader elsewhere and wait for each controller that has ended. The worker may have answered a direct call
+// since: then the heartbeat is no evidence, but its lease is renewed all the same.
 func (h *heartbeatReceiver) answerForwardedHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
 	m := h.state.Machines[msg.Machine]
 	if !h.loader.ready || m == nil || m.Epoch != msg.Epoch || msg.Sequence > m.Sequence || msg.Token > h.lease.token {
@@ -100,13 +126,13 @@
 		return
 	}
 	m.LastAnswered = h.env.now
-	h.outbox.reply(from, 200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: h.lease.token, Commands: []protocol.Command{}}), 0)
+	h.replyWithCommands(from, []protocol.Command{})
 }
 
-// renewWithoutCommands keeps a worker whose report comes while the ledger is being read, or before a
-// leader that stood still knows whether it still leads: without commands and with the
-// token that it shows, as a follower does. Turned away, it would wait for each controller
-// that has ended.
+// renewWithoutCommands renews the lease of a worker whose heartbeat comes while the stored records are being
+// read, or after a process pause before the leader knows whether it still leads. As a follower does, it sends
+// no commands and the token that the worker shows. A worker that is refused waits for each controller that has
+// ended.
 func (h *heartbeatReceiver) renewWithoutCommands(from requester, msg *protocol.WorkerHeartbeat) {
 	if msg.Token > h.lease.token {
 		h.controller.endLeadership(endWorkerSawLater)
@@ -119,9 +145,10 @@
 	h.follower.replyLeaseOnly(from, msg)
 }
 
-// applyHeartbeat takes a worker's report, sent by itself or as an answer to a direct
-// request. It returns false for what is not the machine's newest message.
-func (h *heartbeatReceiver) applyHeartbeat(msg *protocol.WorkerHeartbeat, reported bool) (*clusterstate.Machine, bool) {
+// applyHeartbeat applies a worker's message to the cluster state: a heartbeat (isHeartbeat), or the response to
+// a direct call. It returns false for what is not the machine's newest message. A message with a later token
+// ends the leadership.
+func (h *heartbeatReceiver) applyHeartbeat(msg *protocol.WorkerHeartbeat, isHeartbeat bool) (*clusterstate.Machine, bool) {
 	if msg.Token > h.lease.token {
 		h.controller.endLeadership(endWorkerSawLater)
 		return nil, false
@@ -129,9 +156,36 @@
 	if h.pool.WasRemoved(msg.Machine) {
 		return nil, false
 	}
+	m := h.sender(msg)
+	header := clusterstate.HeartbeatHeader{Epoch: msg.Epoch, Sequence: msg.Sequence, Token: msg.Token, Heartbeat: isHeartbeat}
+	if !m.IsNewest(header) {
+		return m, false
+	}
+	if !m.Seen {
+		m.IdleSince = h.env.now
+	}
+	if !m.Up {
+		h.env.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
+	}
+	observation := m.Apply(header, h.lease.token, h.env.now, h.env.cfg.Lease())
+	m.Up = true
+	if observation.AnswersLost {
+		h.env.log.Info("machine receives no answers", "machine", m.ID, "epoch", msg.Epoch)
+	}
+	if observation.LeaseExpired {
+		h.env.log.Info("agent epoch expired", "machine", m.ID, "epoch", msg.Epoch)
+	}
+	h.placement.fillPending = h.placement.fillPending || observation.FirstToken
+	h.noteSpotNotice(m, msg)
+	reconcile(m, msg, observation.ShowsToken, h)
+	return m, true
+}
+
+// sender is the machine that a message comes from, with what the message says of its type and address. One
+// that nobody expected is added: it is used, or released when it is idle.
+func (h *heartbeatReceiver) sender(msg *protocol.WorkerHeartbeat) *clusterstate.Machine {
 	m := h.state.Machines[msg.Machine]
 	if m == nil {
-		// Nobody expected it: it is used, or returned when idle.
 		h.env.log.Info("heartbeat from an unknown machine", "machine", msg.Machine, "type", msg.Type, "zone", msg.Zone)
 		m = h.state.AddMachine(msg.Machine)
 		m.ExistedAt, m.LaunchedAt = h.env.now, h.env.now
@@ -143,51 +197,37 @@
 	if msg.Addr != "" {
 		m.Addr = msg.Addr
 	}
-	message := clusterstate.HeartbeatHeader{Epoch: msg.Epoch, Sequence: msg.Sequence, Token: msg.Token, Heartbeat: reported}
-	if !m.IsNewest(message) {
-		return m, false
-	}
-	if !m.Seen {
-		m.IdleSince = h.env.now
-	}
-	if !m.Up {
-		h.env.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
-	}
-	sign := m.Apply(message, h.lease.token, h.env.now, h.env.cfg.Lease())
-	m.Up = true
-	if sign.AnswersLost {
-		h.env.log.Info("machine receives no answers", "machine", m.ID, "epoch", msg.Epoch)
+	return m
+}
+
+// noteSpotNotice notes when the cloud will reclaim a spot machine, as its worker says. Of several notices the
+// earliest counts.
+func (h *heartbeatReceiver) noteSpotNotice(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
+	if msg.SpotNoticeS == nil {
+		return
 	}
-	if sign.LeaseExpired {
-		h.env.log.Info("agent epoch expired", "machine", m.ID, "epoch", msg.Epoch)
+	reclaimedBy := h.env.now + seconds(max(0, min(*msg.SpotNoticeS, maxSpotNoticeS)))
+	if !m.SpotNotice {
+		h.env.log.Info("spot reclaim notice", "machine", m.ID, "notice_s", *msg.SpotNoticeS)
+		m.SpotNotice, m.ReclaimedBy = true, reclaimedBy
+		h.placement.fillPending = true
 	}
-	h.placement.fillPending = h.placement.fillPending || sign.FirstToken
-	if msg.SpotNoticeS != nil {
-		by := h.env.now + seconds(max(0, min(*msg.SpotNoticeS, 1e6)))
-		if !m.SpotNotice {
-			h.env.log.Info("spot reclaim notice", "machine", m.ID, "notice_s", *msg.SpotNoticeS)
-			m.SpotNotice, m.ReclaimedBy = true, by
-			h.placement.fillPending = true
-		}
-		m.ReclaimedBy = min(m.ReclaimedBy, by)
-	}
-	reconcile(m, msg, sign.ShowsToken, h)
-	return m, true
+	m.ReclaimedBy = min(m.ReclaimedBy, reclaimedBy)
 }
 
-// onRunning takes the beginning of an attempt's run: its image is there.
+// onRunning handles an attempt that has begun to run, so that its image is on the machine.
 func (h *heartbeatReceiver) onRunning(m *clusterstate.Machine, a *clusterstate.Attempt) {
 	h.machines.noteImageUse(m, a.Job)
 	h.env.log.Debug("task running", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
 }
 
-// onAbsent takes an attempt that the machine no longer has.
-func (h *heartbeatReceiver) onAbsent(a *clusterstate.Attempt, why absenceProof) {
-	h.attempts.removeAttempt(a, why)
+// onAbsent handles an attempt that is proved to be no longer on the machine.
+func (h *heartbeatReceiver) onAbsent(a *clusterstate.Attempt, proof absenceProof) {
+	h.attempts.removeAttempt(a, proof)
 }
 
-// adoptUnknownAttempt notes an attempt that the ledger did not have on that machine. Its
-// presence blocks a second start; it is halted.
+// adoptUnknownAttempt adds an attempt that the cluster state did not have on that machine. While it is there,
+// the task is not started a second time; it is stopped. The result is nil if the task's job is unknown.
 func (h *heartbeatReceiver) adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
 	uid, index, ok := clusterstate.ParseTask(key.Task)
 	if !ok {
@@ -195,13 +235,7 @@
 	}
 	j := h.state.Jobs[uid]
 	if j == nil || index >= j.Spec.Tasks {
-		if m.UnknownTasks == nil {
-			m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{}
-		}
-		if _, known := m.UnknownTasks[key]; !known {
-			h.env.log.Info("heartbeat lists an unknown task", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
-			m.UnknownTasks[key] = 0
-		}
+		h.noteUnknownTask(m, key)
 		return nil
 	}
 	h.env.log.Info("heartbeat lists an unrecorded attempt", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
@@ -211,3 +245,14 @@
 	h.machines.storeMachine(m, statestore.Lazy, nil)
 	return a
 }
+
+// noteUnknownTask notes a task whose job the cluster state does not have. The dispatcher stops it.
+func (h *heartbeatReceiver) noteUnknownTask(m *clusterstate.Machine, key clusterstate.AttemptKey) {
+	if m.UnknownTasks == nil {
+		m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{}
+	}
+	if _, known := m.UnknownTasks[key]; !known {
+		h.env.log.Info("heartbeat lists an unknown task", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
+		m.UnknownTasks[key] = 0
+	}
+}
