--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -5,10 +5,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// verifyGang looks at a gang that a new leader has read: only one whose places
-// are all in the ledger, under one number, goes on. Any other is cleared and starts anew,
-// as nobody knows which of its tasks an earlier leader, or an older version that
-// starts them one by one, has sent.
+// verifyGang checks a gang that a new leader has read. Only one whose tasks all have recorded placements under
+// one attempt number goes on. Any other is stopped and starts anew, as nobody knows which of its tasks an
+// earlier leader, or an older version that starts them one by one, has sent.
 func (t *attemptTracker) verifyGang(j *clusterstate.Job) {
 	if j.Gang == nil || j.ActiveAttempts == 0 || j.Gang.Complete() {
 		return
@@ -17,7 +16,7 @@
 	t.abortGang(j, stopGangIncomplete)
 }
 
-// startGang sends the runs of a gang once the last of its places is durable.
+// startGang sends the run commands of a gang once the last of its placements is durable.
 func (t *attemptTracker) startGang(j *clusterstate.Job) {
 	if j.Gang == nil || !j.Gang.Complete() {
 		return
@@ -27,16 +26,25 @@
 	}
 }
 
-// gangTaskGone decides what the end of one task means for the rest of its gang.
-func (t *attemptTracker) gangTaskGone(a *clusterstate.Attempt, reason absenceProof) {
+// completeGang marks all tasks of a gang as done, as one of them is.
+func (t *attemptTracker) completeGang(j *clusterstate.Job) {
+	j.Gang.Apply(clusterstate.TaskDone)
+	for i := range j.Spec.Tasks {
+		j.MarkDone(i)
+	}
+	t.jobs.completeJob(j)
+}
+
+// onGangTaskRemoved decides what the removal of one task's attempt means for the rest of its gang.
+func (t *attemptTracker) onGangTaskRemoved(a *clusterstate.Attempt, proof absenceProof) {
 	g := a.Job.Gang
-	if g == nil || a.Number != g.Number || g.State == clusterstate.GangDone || endedAsTold(a, reason) {
+	if g == nil || a.Number != g.Number || g.State == clusterstate.GangDone || stoppedAsRequested(a, proof) {
 		return
 	}
 	event := clusterstate.TaskLost
-	if reason != reportedExited && a.Durable && !a.Loaded && g.Replaces() {
-		// The place is proved empty, and the worker does not have the number: after an
-		// exit it would take a repeated run for one that it has had.
+	if proof != reportedExited && a.Durable && !a.Loaded && g.Replaces() {
+		// The attempt is proved absent and the worker does not know its number. After an exit the worker would
+		// take a repeated run command for one that it has executed.
 		event = clusterstate.TaskReplaceable
 	}
 	if g.Apply(event) && g.State == clusterstate.GangBroken {
@@ -44,46 +52,39 @@
 	}
 }
 
-// endedAsTold says whether a task that was told to stop has ended in good order, so
-// that the others of its gang go on with saving.
-func endedAsTold(a *clusterstate.Attempt, reason absenceProof) bool {
-	switch reason {
+// stoppedAsRequested reports whether a task that was requested to stop has ended as requested, so that the
+// others of its gang go on saving.
+func stoppedAsRequested(a *clusterstate.Attempt, proof absenceProof) bool {
+	switch proof {
 	case neverSent, absentFromHeartbeat:
 		return a.StopRequested
 	case reportedExited:
 		return a.StopRequested && a.Exit == protocol.CauseStopped
+	case notRecorded, leaseExpired, machineFailed, machineDeleted, machineUnlisted:
+		return false // the task was lost, whatever was requested of it
 	}
 	return false
 }
 
-// abortGang stops all that may be left of a gang's attempt, at once.
+// abortGang stops all that may be left of a gang's attempts at once, without a grace period.
 func (t *attemptTracker) abortGang(j *clusterstate.Job, reason stopReason) {
 	for _, a := range j.Gang.Attempts() {
 		t.requestAttemptStop(a, 0, reason)
 	}
 }
 
-// requestGangStop stops all tasks under the attempt's number in the same breath and with
-// the same leeway, which leaves them time to wait for one another after saving.
-func (t *attemptTracker) requestGangStop(j *clusterstate.Job, try uint64, grace float64, reason stopReason) {
-	if try == j.Gang.Number {
+// requestGangStop stops all tasks under one attempt number together and with the same grace period, which
+// leaves them time to wait for one another after saving.
+func (t *attemptTracker) requestGangStop(j *clusterstate.Job, number uint64, grace float64, reason stopReason) {
+	if number == j.Gang.Number {
 		j.Gang.Apply(clusterstate.StopRequested)
 	}
 	if grace > 0 {
 		grace += t.env.cfg.GangPeer().Seconds()
 	}
 	for _, a := range j.Gang.Attempts() {
-		if a.Number == try {
+		if a.Number == number {
 			t.requestAttemptStop(a, grace, reason)
 		}
 	}
 }
-
-// completeGang notes that a gang is done, as one of its tasks is.
-func (t *attemptTracker) completeGang(j *clusterstate.Job) {
-	j.Gang.Apply(clusterstate.TaskDone)
-	for i := range j.Spec.Tasks {
-		j.MarkDone(i)
-	}
-	t.jobs.completeJob(j)
-}
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -5,43 +5,47 @@
 	"claybarrow/internal/protocol"
 )
 
-// reconciliationHandler is told of what the comparison of a report with the ledger finds.
+// reconciliationHandler acts on the differences that reconciliation finds between a machine's message and the
+// cluster state.
 type reconciliationHandler interface {
-	// onExit takes a task that the machine reports as ended.
-	onExit(m *clusterstate.Machine, key clusterstate.AttemptKey, t protocol.TaskStatus)
-	// onRunning takes an attempt that has begun to run.
+	// onExit handles a task that the machine reports as exited.
+	onExit(m *clusterstate.Machine, key clusterstate.AttemptKey, status protocol.TaskStatus)
+	// onRunning handles an attempt that has begun to run.
 	onRunning(m *clusterstate.Machine, a *clusterstate.Attempt)
-	// adoptUnknownAttempt takes a task that the ledger does not have there; nil: nothing is known of it at all.
+	// adoptUnknownAttempt handles a task that the cluster state does not have on the machine. It returns the
+	// attempt that it adds, or nil if the task's job is unknown.
 	adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt
-	// onAbsent takes an attempt that is proved to be no longer on the machine.
-	onAbsent(a *clusterstate.Attempt, why absenceProof)
+	// onAbsent handles an attempt that is proved to be no longer on the machine.
+	onAbsent(a *clusterstate.Attempt, proof absenceProof)
 }
 
-// reconciliation sets the newest message of a machine against what the ledger has there.
+// reconciliation compares a machine's newest message with what the cluster state has on the machine. It lasts
+// for one message.
 type reconciliation struct {
 	machine *clusterstate.Machine
-	// ours: the message shows our token, so no command of an earlier leader can follow it.
-	ours     bool
-	handler  reconciliationHandler
-	reported map[clusterstate.AttemptKey]bool
+	// showsToken: the message shows the leader's token, so no command of an earlier leader can follow it.
+	showsToken bool
+	handler    reconciliationHandler
+	reported   map[clusterstate.AttemptKey]bool
 }
 
-// reconcile takes a machine's newest message.
-func reconcile(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, ours bool, outcomes reconciliationHandler) {
-	c := &reconciliation{machine: m, ours: ours, handler: outcomes, reported: map[clusterstate.AttemptKey]bool{}}
-	for _, t := range msg.Tasks {
-		c.reconcileTask(t)
+// reconcile compares the newest message of a machine with the cluster state, and has the handler act on the
+// differences.
+func reconcile(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, showsToken bool, handler reconciliationHandler) {
+	r := &reconciliation{machine: m, showsToken: showsToken, handler: handler, reported: map[clusterstate.AttemptKey]bool{}}
+	for _, status := range msg.Tasks {
+		r.reconcileTask(status)
 	}
-	c.removeAbsent()
-	c.forgetUnreported()
+	r.removeAbsent()
+	r.forgetUnreported()
 }
 
-// reconcileTask takes a task that the machine reports.
-func (r *reconciliation) reconcileTask(t protocol.TaskStatus) {
-	key := clusterstate.AttemptKey{Task: t.Task, Attempt: t.Attempt}
+// reconcileTask compares one reported task with the cluster state.
+func (r *reconciliation) reconcileTask(status protocol.TaskStatus) {
+	key := clusterstate.AttemptKey{Task: status.Task, Attempt: status.Attempt}
 	r.reported[key] = true
-	if t.State == protocol.Exited {
-		r.handler.onExit(r.machine, key, t)
+	if status.State == protocol.Exited {
+		r.handler.onExit(r.machine, key, status)
 		return
 	}
 	a := r.machine.Attempts[key]
@@ -53,19 +57,19 @@
 	}
 	a.Acknowledged, a.Sent = true, true
 	a.Epoch = r.machine.Epoch
-	if a.State == t.State {
+	if a.State == status.State {
 		return
 	}
-	a.SetState(t.State)
-	if t.State == protocol.Running {
+	a.SetState(status.State)
+	if status.State == protocol.Running {
 		r.handler.onRunning(r.machine, a)
 	}
 }
 
-// removeAbsent looks for attempts whose absence from the message proves that they are gone.
+// removeAbsent finds the attempts whose absence from the message proves that they are no longer on the machine.
 func (r *reconciliation) removeAbsent() {
 	if !r.lacksSentAttempt() {
-		return // mostly so, and nothing to sort
+		return // the usual case, which needs no sorted list
 	}
 	for _, a := range r.machine.Sorted() {
 		if !r.reported[a.Key()] && a.Sent && r.provesAbsence(a) {
@@ -74,7 +78,7 @@
 	}
 }
 
-// lacksSentAttempt says whether an attempt whose run was sent is not reported.
+// lacksSentAttempt reports whether any attempt whose run command was sent is not in the message.
 func (r *reconciliation) lacksSentAttempt() bool {
 	for key, a := range r.machine.Attempts {
 		if !r.reported[key] && a.Sent {
@@ -84,30 +88,35 @@
 	return false
 }
 
-// provesAbsence says whether the message, which lacks the attempt, proves that it is not on the
-// machine: by a later session than any run of it named, or by our token after its run was
-// answered. Without our token the message may be old, and a run of an earlier leader under way.
-// Of one that is to be stopped it is also enough that no run of it can be on its way: none was
-// lost, and a report was sent after the last answer that carried one. Without this a task
-// whose runs had all been refused was waited for until its machine's session ended.
+// provesAbsence reports whether the message, which lacks the attempt, proves that it is not on the machine. One
+// proof is a later agent epoch than any run command of it named. The other is the leader's token, once a run
+// command of it was answered; without the token the message may be old, and a run command of an earlier
+// leader may be on its way.
+//
+// For an attempt that is to be stopped it is also enough that no run command of it can be on its way: none was
+// lost, and the worker has sent a heartbeat after the last reply that carried one. Without this rule a task
+// whose run commands had all been refused was waited for until its machine's agent epoch ended.
 func (r *reconciliation) provesAbsence(a *clusterstate.Attempt) bool {
 	if !a.Loaded && a.Epoch < r.machine.Epoch {
 		return true
 	}
+	if !r.showsToken || a.RunsInFlight != 0 {
+		return false
+	}
 	neverBegins := a.StopRequested && !a.RunLost && r.machine.HeartbeatSequence > a.RunSequence
-	return r.ours && (a.Acknowledged || a.Loaded || neverBegins) && a.RunsInFlight == 0
+	return a.Acknowledged || a.Loaded || neverBegins
 }
 
-// forgetUnreported drops ended and unknown tasks that the machine no longer reports.
+// forgetUnreported forgets the exited and unknown tasks that the machine no longer reports.
 func (r *reconciliation) forgetUnreported() {
 	for key := range r.machine.Exited {
-		if r.ours && !r.reported[key] {
+		if r.showsToken && !r.reported[key] {
 			delete(r.machine.Exited, key)
 		}
 	}
 	for key := range r.machine.UnknownTasks {
-		// Gone or ended: with any left the machine takes no work.
-		if r.machine.Exited[key] != nil || r.ours && !r.reported[key] {
+		// A machine with unknown tasks gets no work, so those that have exited are forgotten too.
+		if r.machine.Exited[key] != nil || r.showsToken && !r.reported[key] {
 			delete(r.machine.UnknownTasks, key)
 		}
 	}
