--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -12,7 +12,10 @@
 	"claybarrow/internal/statestore"
 )
 
-// machineRegistry takes machines in and out of the cluster state, and has their records stored.
+// machineRegistry adds machines to the cluster state and removes them from it, and has their records stored.
+//
+// It has no state of its own. After a failover the next leader reads the machines from their records, and finds
+// those without one in the cloud's list and by their heartbeats.
 type machineRegistry struct {
 	attempts *attemptTracker
 	catalog  *machineCatalog
@@ -22,12 +25,24 @@
 	store    *statestore.Writer
 }
 
-func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+// Bounds of the age of a cloud list: it describes a moment at most twice the usual lag before it was asked for,
+// and a fifth of the lag is added to be safe.
+const (
+	maxListLags       = 2
+	listLagMarginPart = 5
+)
+
+// machineStateRunning and machineStateFailed are the states of a listed machine that matter here.
+const (
+	machineStateRunning = "running"
+	machineStateFailed  = "failed"
+)
 
-// sortedMachines lists the machines in a fixed order, so runs replay.
+// sortedMachines lists the machines in a fixed order, so that a run can be replayed.
 func (r *machineRegistry) sortedMachines() []*clusterstate.Machine { return r.state.SortedMachines() }
 
-// storeMachine marks the machine's record to be written.
+// storeMachine marks the machine's record to be written, or to be deleted once the machine is removed; then is
+// called when that is durable.
 func (r *machineRegistry) storeMachine(m *clusterstate.Machine, priority statestore.Priority, then func()) {
 	r.store.Mark(clusterstate.MachinePrefix+m.ID, priority, func() any {
 		if r.state.Machines[m.ID] != m {
@@ -38,18 +53,21 @@
 	}, then)
 }
 
-// noteImageUse notes that a task of the job has its image on the machine.
+// noteImageUse notes that the image of the job's tasks is on the machine, and was used now.
 func (r *machineRegistry) noteImageUse(m *clusterstate.Machine, j *clusterstate.Job) {
 	m.UseImage(j.Spec.Image, j.Spec.ImageGB, r.catalog.typeInfo[m.Type].CacheGB)
 }
 
-func (r *machineRegistry) machineSize(typ string) scheduler.Need {
-	if t, ok := r.catalog.typeInfo[typ]; ok {
-		return scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB}
+// machineSize is what a machine of the type offers; nothing if the catalog does not have the type.
+func (r *machineRegistry) machineSize(typeName string) scheduler.Need {
+	if info, ok := r.catalog.typeInfo[typeName]; ok {
+		return scheduler.Need{Cores: info.Cores, Accel: info.Accelerators, Mem: info.MemoryGB}
 	}
 	return scheduler.Need{}
 }
 
+// onListed applies what the cloud's list says of a machine. One that is not known yet is added, and one that has
+// failed is released.
 func (r *machineRegistry) onListed(listed *protocol.ListedMachine) {
 	m := r.state.Machines[listed.ID]
 	if m == nil {
@@ -68,8 +86,8 @@
 	if listed.Addr != "" {
 		m.Addr = listed.Addr
 	}
-	m.Listed = listed.State == "running"
-	if listed.State == "failed" && !m.Releasing {
+	m.Listed = listed.State == machineStateRunning
+	if listed.State == machineStateFailed && !m.Releasing {
 		r.env.log.Info("machine failed in the cloud's list", "machine", m.ID, "tasks", len(m.Attempts))
 		for _, a := range m.Sorted() {
 			r.attempts.removeAttempt(a, machineFailed)
@@ -78,33 +96,33 @@
 	}
 }
 
-// removeUnlisted drops machines that are gone: a list describes a moment at most
-// twice the lag before it was asked for, and one that surely existed by then
-// would be in it.
-func (r *machineRegistry) removeUnlisted(asked time.Duration, seen map[string]bool) {
+// removeUnlisted removes machines that no longer exist: one that surely existed at the moment that the list
+// describes would be in it. askedAt is when the list was asked for.
+func (r *machineRegistry) removeUnlisted(askedAt time.Duration, listed map[string]bool) {
+	lag := r.env.cfg.ListLag()
 	for _, m := range r.sortedMachines() {
-		if !seen[m.ID] && asked > m.ExistedAt+2*r.env.cfg.ListLag()+r.env.cfg.ListLag()/5 {
+		if !listed[m.ID] && askedAt > m.ExistedAt+maxListLags*lag+lag/listLagMarginPart {
 			r.removeMachine(m, machineUnlisted)
 		}
 	}
 }
 
-// removeMachine takes a machine that is proved gone out of the ledger.
-func (r *machineRegistry) removeMachine(m *clusterstate.Machine, why absenceProof) {
+// removeMachine removes a machine that is proved to exist no longer from the cluster state, with its attempts.
+func (r *machineRegistry) removeMachine(m *clusterstate.Machine, proof absenceProof) {
 	if r.state.Machines[m.ID] != m {
 		return
 	}
-	r.env.log.Info("machine removed", "machine", m.ID, "reason", why, "tasks", len(m.Attempts))
+	r.env.log.Info("machine removed", "machine", m.ID, "reason", proof, "tasks", len(m.Attempts))
 	for _, a := range m.Sorted() {
-		r.attempts.removeAttempt(a, why)
+		r.attempts.removeAttempt(a, proof)
 	}
 	r.state.RemoveMachine(m)
 	r.pool.Remove(m.ID)
 	r.storeMachine(m, statestore.Lazy, nil)
 }
 
-// releaseMachine returns a machine. The mark is durable before the deletion leaves,
-// so that a late deletion hits nothing in use.
+// releaseMachine has a machine deleted. Its record says so durably before the deletion is requested, so that a
+// deletion that is executed late hits nothing in use.
 func (r *machineRegistry) releaseMachine(m *clusterstate.Machine, reason releaseReason) {
 	if m.Releasing {
 		return
@@ -114,7 +132,7 @@
 	r.storeMachine(m, statestore.Done, func() { m.ReleaseStored = true })
 }
 
-// abandonMachine drops what was to be started on a machine whose record can't be written.
+// abandonMachine removes the attempts that were to be started on a machine whose record the state service rejects.
 func (r *machineRegistry) abandonMachine(m *clusterstate.Machine) {
 	m.QuarantinedUntil = r.env.now + r.env.cfg.Lease()
 	for _, a := range m.Sorted() {
@@ -122,9 +140,10 @@
 			r.attempts.removeAttempt(a, notRecorded)
 		}
 	}
-	// A record that was stored under a higher limit may not fit any more. The mark
-	// only keeps a later leader from using the machine until the deletion comes,
-	// which costs its tasks as a machine's end does; without the deletion an
-	// unreachable machine would be waited for without end.
+	// A record that was stored under a higher limit may not fit any more. The mark only keeps a later leader
+	// from using the machine until the deletion is executed, which costs its tasks as any end of a machine does.
+	// Without the deletion an unreachable machine would be waited for without end.
 	m.ReleaseStored = m.ReleaseStored || m.Releasing
 }
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
