--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -161,9 +161,13 @@
 	})
 }
 
-// heardLately reports whether the leader had a heartbeat of the controller within the last eighth of a lease.
+// peerContactLimit is how long after a heartbeat of another controller that one counts as in contact: an eighth of
+// the workers' lease.
+func (e *environment) peerContactLimit() time.Duration { return e.cfg.Lease() / 8 }
+
+// heardLately reports whether the controller is in contact with the leader.
 func (r *heartbeatRouter) heardLately(p *peer) bool {
-	return p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.cfg.Lease()/8
+	return p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.peerContactLimit()
 }
 
 // noteForwardedBy notes which controller forwarded a heartbeat. Older versions don't say which: then it is the
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -46,6 +46,12 @@
 // maxUnanswered is how long a machine's heartbeats may be unanswered until it gets no more tasks: half a lease.
 func (h *machineHealth) maxUnanswered() time.Duration { return h.env.cfg.Lease() / 2 }
 
+// exchangeTime is how long a command and the worker's word for its effect may take where all is well: two
+// heartbeat intervals, and a tenth of a lease.
+func (h *machineHealth) exchangeTime() time.Duration {
+	return 2*h.env.cfg.Report() + h.env.cfg.Lease()/10
+}
+
 // overdueAfter is how long a machine that can't be reached is silent until its tasks will probably be needed
 // elsewhere: 0.4 of a lease.
 func (h *machineHealth) overdueAfter() time.Duration { return h.env.cfg.Lease() * 2 / 5 }
@@ -103,13 +109,13 @@
 	if !m.TokenAcknowledged || m.FailedCalls > 0 {
 		return false
 	}
-	if m.LastSeen < h.env.now-2*h.env.cfg.Report()-h.env.cfg.Lease()/10 || !h.leaseUnrenewed(m, h.evacuationStart()) {
+	if m.LastSeen < h.env.now-h.exchangeTime() || !h.leaseUnrenewed(m, h.evacuationStart()) {
 		return false
 	}
 	for _, p := range h.peers {
 		// A peer's statement counts from the reading of this leader's clock that it echoes: a heartbeat that was
 		// held up in a partition told of the time before the partition when it came, and 125 tasks were stopped.
-		if p.zone == m.Zone && h.env.now > p.servedKnownUntil+h.env.cfg.Lease()/8+h.env.cfg.Heartbeat() {
+		if p.zone == m.Zone && h.env.now > p.servedKnownUntil+h.env.peerContactLimit()+h.env.cfg.Heartbeat() {
 			return false
 		}
 	}
@@ -179,7 +185,7 @@
 		if spec.CheckpointS <= 0 {
 			continue
 		}
-		if h.env.now > m.ReclaimedBy-seconds(spec.SaveS)-2*h.env.cfg.Report()-h.env.cfg.Lease()/10 {
+		if h.env.now > m.ReclaimedBy-seconds(spec.SaveS)-h.exchangeTime() {
 			h.attempts.requestStop(a, spec.SaveS+1, stopSpotReclaim)
 		}
 	}
