--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -3,12 +3,12 @@
 import (
 	"cmp"
 	"maps"
-	"net/http"
 	"slices"
 	"time"
 
 	"claybarrow/internal/clusterstate"
 	"claybarrow/internal/protocol"
+	"claybarrow/internal/workerclient"
 )
 
 // commandDispatcher sends commands to the workers, in direct calls or in the replies to their heartbeats, and
@@ -98,21 +98,19 @@
 	}
 	d.callLimiter.begin(d.env.now, call.mayHang)
 	m.CallInFlight, m.Probed = true, true
-	body := protocol.Commands{Token: d.lease.token, Epoch: m.Epoch, Commands: commands}
-	if body.Commands == nil {
-		body.Commands = []protocol.Command{} // the wire has an empty list there, never null
-	}
+	body := workerclient.NewCommands(d.lease.token, m.Epoch, commands)
 	validUntil := time.Duration(0)
 	if len(call.attempts) > 0 {
 		// A run command must not leave once another leader may be elected.
 		validUntil = d.lease.holdsLeaseUntil()
 		d.trace.noteFirstPlacement()
 	}
-	d.outbox.callUntil(ToWorker, m.Addr, http.MethodPost, "/commands", body, d.callTimeout(), validUntil, func(res Result) {
-		if !d.lease.ended {
-			d.onCommandReply(call, res)
-		}
-	})
+	d.outbox.callUntil(ToWorker, m.Addr, workerclient.CommandsMethod, workerclient.CommandsPath, body, d.callTimeout(), validUntil,
+		func(res Result) {
+			if !d.lease.ended {
+				d.onCommandReply(call, res)
+			}
+		})
 }
 
 // onCommandReply handles the response to a direct call, or its absence.
@@ -120,34 +118,34 @@
 	m := call.machine
 	m.CallInFlight = false
 	d.callLimiter.end(call.mayHang)
-	if res.Status != 0 {
+	reply := workerclient.ReadReply(m.ID, res.Status, res.Body)
+	if reply.Outcome != workerclient.NoAnswer {
 		d.reach.noteReached(d.env.now)
 	} else if m.LastSeen > call.sentAt {
 		d.reach.noteMissed(m.ID, d.env.now)
 	}
-	call.settleRuns(res.Status)
+	call.settleRuns(reply.Outcome)
 	if d.state.Machines[m.ID] != m {
 		return
 	}
-	if res.Status != http.StatusOK && res.Status != http.StatusConflict {
+	if !reply.Outcome.IsAnswer() {
 		d.backOffCalls(call, res)
 		return
 	}
 	m.FailedCalls, m.ConnectionFailed = 0, false
-	var msg protocol.WorkerHeartbeat
-	if protocol.Decode(res.Body, &msg) != nil || msg.Machine != m.ID {
+	if reply.Heartbeat == nil {
 		m.NextCall = d.env.now + d.env.cfg.Report()
 		return
 	}
-	d.heartbeats.applyHeartbeat(&msg, false)
+	d.heartbeats.applyHeartbeat(reply.Heartbeat, false)
 	if d.lease.ended {
 		return
 	}
-	if res.Status == http.StatusConflict {
+	if reply.Outcome == workerclient.Rejected {
 		// The worker has another agent epoch than the call named. The response says which.
 		m.Probed = false
 		m.NextCall = d.env.now + d.epochRetryPause()
-		if msg.Epoch == call.epoch {
+		if reply.Heartbeat.Epoch == call.epoch {
 			m.NextCall = d.env.now + d.env.cfg.Report()
 		}
 	}
@@ -165,14 +163,14 @@
 
 // settleRuns notes what became of the run commands that the call carried. Without a response a copy of them
 // may still be executed; with a conflict none was.
-func (call *directCall) settleRuns(status int) {
+func (call *directCall) settleRuns(outcome workerclient.Outcome) {
 	for _, a := range call.attempts {
 		a.RunsInFlight--
-		switch status {
-		case http.StatusOK:
+		switch outcome {
+		case workerclient.Executed:
 			a.Acknowledged = true
-		case http.StatusConflict:
-		default:
+		case workerclient.Rejected:
+		case workerclient.NoAnswer, workerclient.Failed:
 			a.RunLost = true
 		}
 	}
