--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -11,7 +11,7 @@
 // A new leader works the fleet's capacity out once for all counters that it reads. Going through the
 // fleet for each job kept one of 3,600 machines and 1,700 jobs from renewing its lease for longer than that
 // lasts, and each leader after it: eight in ten seconds.
-func TestCapacityIsWorkedOutOnceForAllCounters(t *testing.T) {
+func TestCapacityIsComputedOnceForAllCounters(t *testing.T) {
 	w := newWorld(t, 73)
 	c := w.nodes[w.awaitLeader()].controller
 	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.env.now)
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -6,9 +6,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// nearlyUse leaves the leader as many numbers of its block.
-func (w *world) nearlyUse(left uint64) {
-	n := w.term().attemptNumbers
+// leaveAttemptNumbers leaves the leader as many numbers of its block.
+func (w *world) leaveAttemptNumbers(left uint64) {
+	n := w.leadership().attemptNumbers
 	n.used = 1<<attemptBlockBits - 1 - left
 }
 
@@ -17,14 +17,14 @@
 func TestAttemptNumbersBeyondABlock(t *testing.T) {
 	w := newWorld(t, 71)
 	w.awaitLeader()
-	token := w.term().lease.token
-	w.nearlyUse(leastLeft + 3)
+	token := w.leadership().lease.token
+	w.leaveAttemptNumbers(leastLeft + 3)
 	w.run(2 * second)
-	w.nearlyUse(3)
+	w.leaveAttemptNumbers(3)
 	w.submit("j-1", map[string]any{"shards": 6})
 	w.until(90*second, "tasks run", func() bool { return w.running("j-1") == 6 })
 	tries := map[uint64]bool{}
-	for _, m := range w.term().state.Machines {
+	for _, m := range w.leadership().state.Machines {
 		for _, a := range m.Attempts {
 			if tries[a.Number] {
 				t.Errorf("two attempts have the number %d", a.Number)
@@ -41,16 +41,16 @@
 			t.Errorf("number %d is of a block that a later leader gets, the counter is %d", try, counter.Token)
 		}
 	}
-	if w.term().lease.token != token {
+	if w.leadership().lease.token != token {
 		t.Error("the leader changed")
 	}
 	// The next leader's token is beyond the block.
 	w.crash(w.leader())
 	w.awaitLeader()
-	if next := w.term().lease.token; next <= counter.Token {
+	if next := w.leadership().lease.token; next <= counter.Token {
 		t.Errorf("the next leader has token %d, block %d was used", next, counter.Token)
 	}
-	w.awaitTold(90*second, "j-1", "done")
+	w.awaitStatus(90*second, "j-1", "done")
 	w.settle()
 }
 
@@ -61,14 +61,14 @@
 	w.script = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: node == lead && c.Path == "/multi"}
 	}
-	w.nearlyUse(3)
+	w.leaveAttemptNumbers(3)
 	w.run(second)
-	if l := w.term(); l.attemptNumbers.enough() {
+	if l := w.leadership(); l.attemptNumbers.enough() {
 		t.Error("a fill may begin with three numbers left")
 	}
 	w.script = nil
 	w.run(5 * second)
 	w.submit("j-1", map[string]any{"shards": 6})
-	w.awaitTold(120*second, "j-1", "done")
+	w.awaitStatus(120*second, "j-1", "done")
 	w.settle()
 }
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -10,7 +10,7 @@
 
 // Direct calls are bounded by what a core can take in a moment, however many sockets there are;
 // with the sockets of today's deployments the bounds are as they were.
-func TestCallsAtOnceAreBoundedByTheCore(t *testing.T) {
+func TestConcurrentCallsAreBoundedByTheCore(t *testing.T) {
 	for _, tc := range []struct {
 		sockets int
 		cores   float64
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -18,18 +18,18 @@
 	answered        map[string]time.Duration // when a question was last answered
 	waitingSince    map[string]time.Duration // since when it waits though there is room
 	turn            int
-	halts           map[string][]halted
+	stopCommands    map[string][]stopCommand
 	starts          map[string]int // how often a task has begun to be on a machine
-	// calm is since when all troubles are over; 0: they are not.
-	calm time.Duration
+	// calmSince is since when all troubles are over; 0: they are not.
+	calmSince time.Duration
 	// lateCopy tells how much later a copy of a report arrives; 0: none does.
 	lateCopy func() time.Duration
 	// ended is told of each task's completion.
 	ended func(uid string)
 }
 
-// halted is a task's first command to stop.
-type halted struct {
+// stopCommand is a task's first command to stop.
+type stopCommand struct {
 	at    time.Duration
 	grace float64
 }
@@ -44,7 +44,7 @@
 
 func newChecker() checker {
 	return checker{cancelRequested: map[string]bool{}, invalid: map[string]bool{}, accepted: map[string]time.Duration{},
-		answered: map[string]time.Duration{}, waitingSince: map[string]time.Duration{}, halts: map[string][]halted{},
+		answered: map[string]time.Duration{}, waitingSince: map[string]time.Duration{}, stopCommands: map[string][]stopCommand{},
 		starts: map[string]int{}}
 }
 
@@ -54,8 +54,8 @@
 	var look func()
 	look = func() {
 		w.lateCancelled()
-		w.lookForForgotten()
-		w.lookForWaiting()
+		w.checkForgotten()
+		w.checkWaiting()
 		w.at(time.Second, look)
 	}
 	w.at(time.Second, look)
@@ -67,12 +67,12 @@
 	w.at(tick, step)
 }
 
-func (w *world) over(uid string) bool {
+func (w *world) isOver(uid string) bool {
 	return w.lastReplies[uid] == protocol.Done || w.lastReplies[uid] == protocol.Cancelled
 }
 
-// noteAnswer begins the polling of a job when its user is first told of it.
-func (w *world) noteAnswer(uid string) {
+// startPolling begins the polling of a job when its user is first told of it.
+func (w *world) startPolling(uid string) {
 	w.answered[uid] = w.Now()
 	if _, known := w.accepted[uid]; known {
 		return
@@ -80,7 +80,7 @@
 	w.accepted[uid] = w.Now()
 	var poll func()
 	poll = func() {
-		if w.over(uid) {
+		if w.isOver(uid) {
 			return
 		}
 		w.turn++
@@ -93,30 +93,30 @@
 func (w *world) checkAnswer(op Op, uid string, status int) {
 	switch {
 	case w.invalid[uid] && (status == 200 || status == 201):
-		w.breaks("an invalid submission was accepted: %s", uid)
+		w.violated("an invalid submission was accepted: %s", uid)
 	case w.specs[uid] == nil && status == 200:
-		w.breaks("invented: %s", uid)
+		w.violated("invented: %s", uid)
 	case w.lastReplies[uid] != "" && (status == 400 || status == 422):
-		w.breaks("forgotten: %s answered %d to %s", uid, status, op)
+		w.violated("forgotten: %s answered %d to %s", uid, status, op)
 	}
 }
 
-func (w *world) lookForForgotten() {
-	if w.calm == 0 {
+func (w *world) checkForgotten() {
+	if w.calmSince == 0 {
 		return
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		if since := max(w.answered[uid], w.calm); !w.over(uid) && w.Now() > since+forgottenAfter {
-			w.breaks("forgotten: no question about %s was answered since %v", uid, since)
+		if since := max(w.answered[uid], w.calmSince); !w.isOver(uid) && w.Now() > since+forgottenAfter {
+			w.violated("forgotten: no question about %s was answered since %v", uid, since)
 			w.answered[uid] = w.Now()
 		}
 	}
 }
 
-// lookForWaiting counts how long a job has had no task anywhere though a machine
+// checkWaiting counts how long a job has had no task anywhere though a machine
 // that fits has room and its team is under its limit.
-func (w *world) lookForWaiting() {
-	if w.calm == 0 {
+func (w *world) checkWaiting() {
+	if w.calmSince == 0 {
 		clear(w.waitingSince)
 		return
 	}
@@ -136,7 +136,7 @@
 		if spec["shape"] == "group" {
 			need *= float64(spec["shards"].(int)) // it waits for room for all of it
 		}
-		if w.over(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
+		if w.isOver(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
 			delete(w.waitingSince, uid)
 			continue
 		}
@@ -144,7 +144,7 @@
 			w.waitingSince[uid] = w.Now()
 		}
 		if w.Now() > w.waitingSince[uid]+waitsAtMost {
-			w.breaks("waiting: %s has waited since %v though there is room", uid, w.waitingSince[uid])
+			w.violated("waiting: %s has waited since %v though there is room", uid, w.waitingSince[uid])
 			w.waitingSince[uid] = w.Now()
 		}
 	}
@@ -182,7 +182,7 @@
 // then ends what is left: services are cancelled, batches have to become done.
 func (w *world) settle() {
 	w.t.Helper()
-	w.script, w.reports, w.lateCopy, w.ended = nil, nil, nil, nil
+	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
 	w.state.Down, w.state.Refuse, w.cloud.Down = false, map[int]bool{}, false
 	for _, k := range w.fleet() {
 		k.Cut, k.AnswersLost, k.ReportsLost = false, false, false
@@ -192,17 +192,17 @@
 			w.boot(i)
 		}
 	}
-	w.calm = w.Now()
+	w.calmSince = w.Now()
 	w.run(waitsAtMost + 30*time.Second)
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		if w.specs[uid]["shape"] == "service" && !w.over(uid) {
+		if w.specs[uid]["shape"] == "service" && !w.isOver(uid) {
 			w.cancel(uid)
 		}
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		w.until(400*time.Second, uid+" is over", func() bool { return w.over(uid) })
+		w.until(400*time.Second, uid+" is over", func() bool { return w.isOver(uid) })
 	}
 	// Until a told cancellation's bound is over everywhere.
 	w.run(cancelWithin + 5*time.Second)
-	w.keptRules()
+	w.requireNoViolations()
 }
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -13,60 +13,63 @@
 // The meetings of troubles that the operators have named, one test for each, and
 // random ones of two or three. All are judged by the checker alone.
 
-// mess is what the network does while a meeting lasts.
-type mess struct {
+// networkFaults is what the network does while a meeting lasts.
+type networkFaults struct {
 	w *world
-	// apart are controllers without state service and other controllers.
-	apart map[int]bool
-	// noOrders are controllers whose direct commands reach nobody.
-	noOrders map[int]bool
+	// isolated are controllers without state service and other controllers.
+	isolated map[int]bool
+	// commandsLost are controllers whose direct commands reach nobody.
+	commandsLost map[int]bool
 	// Shares of calls: transactions carried out late and never answered, direct
 	// commands held up for seconds, direct commands whose answer is lost.
-	lateWrites, heldOrders, lostAnswers float64
+	lateTransactions, delayedCommands, lostAnswers float64
 	// slowState and slowLinks delay each call by up to so much.
 	slowState, slowLinks time.Duration
 }
 
-func (w *world) mess() *mess {
-	m := &mess{w: w, apart: map[int]bool{}, noOrders: map[int]bool{}}
-	w.script = m.fate
+func (w *world) injectNetworkFaults() *networkFaults {
+	m := &networkFaults{w: w, isolated: map[int]bool{}, commandsLost: map[int]bool{}}
+	w.script = m.fault
 	return m
 }
 
-func (m *mess) chance(share float64) bool { return share > 0 && m.w.rng.Float64() < share }
+func (m *networkFaults) chance(share float64) bool { return share > 0 && m.w.rng.Float64() < share }
 
-func (m *mess) upTo(d time.Duration) time.Duration {
+func (m *networkFaults) randomUpTo(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
 	return time.Duration(m.w.rng.Int64N(int64(d)))
 }
 
-func (m *mess) fate(node int, c Call) deliveryFault {
-	f := deliveryFault{hold: m.upTo(m.slowLinks)}
+func (m *networkFaults) fault(node int, c Call) deliveryFault {
+	f := deliveryFault{hold: m.randomUpTo(m.slowLinks)}
 	switch c.Target {
 	case ToState:
-		if m.apart[node] {
+		if m.isolated[node] {
 			return deliveryFault{lost: true}
 		}
-		f.hold += m.upTo(m.slowState)
-		if c.Path == "/multi" && m.chance(m.lateWrites) {
-			return deliveryFault{answerLost: true, hold: 2*second + m.upTo(10*second)}
+		f.hold += m.randomUpTo(m.slowState)
+		if c.Path == "/multi" && m.chance(m.lateTransactions) {
+			return deliveryFault{answerLost: true, hold: 2*second + m.randomUpTo(10*second)}
 		}
 	case ToPeer:
 		to := -1
-		fmt.Sscanf(c.Addr, "10.0.0.%d:", &to)
-		if m.apart[node] || m.apart[to] {
+		if _, err := fmt.Sscanf(c.Addr, "10.0.0.%d:", &to); err != nil {
+			m.w.t.Errorf("the address of a peer %q: %v", c.Addr, err)
+		}
+		if m.isolated[node] || m.isolated[to] {
 			return deliveryFault{lost: true}
 		}
 	case ToWorker:
-		if m.noOrders[node] {
+		if m.commandsLost[node] {
 			return deliveryFault{lost: true}
 		}
-		if m.chance(m.heldOrders) {
-			return deliveryFault{hold: 2*second + m.upTo(25*second), answerLost: m.chance(0.5)}
+		if m.chance(m.delayedCommands) {
+			return deliveryFault{hold: 2*second + m.randomUpTo(25*second), answerLost: m.chance(0.5)}
 		}
 		f.answerLost = m.chance(m.lostAnswers)
+	case ToCloud: // delayed at the most
 	}
 	return f
 }
@@ -96,8 +99,8 @@
 	}
 }
 
-// some picks a share of the machines that are up.
-func (w *world) some(share float64) []*emulator.Worker {
+// randomMachines picks a share of the machines that are up.
+func (w *world) randomMachines(share float64) []*emulator.Worker {
 	var out []*emulator.Worker
 	for _, k := range w.fleet() {
 		if k.Up && !k.Deleted && w.rng.Float64() < share {
@@ -117,16 +120,16 @@
 	})
 }
 
-// aLeader is whoever leads, or the first controller.
-func (w *world) aLeader() int { return max(0, w.leader()) }
+// leaderOrFirst is whoever leads, or the first controller.
+func (w *world) leaderOrFirst() int { return max(0, w.leader()) }
 
 // startCompoundFailure plays a test at several seeds.
-func startCompoundFailure(t *testing.T, seeds int, play func(w *world, m *mess)) {
+func startCompoundFailure(t *testing.T, seeds int, play func(w *world, m *networkFaults)) {
 	t.Helper()
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, uint64(1000+seed))
-			m := w.mess()
+			m := w.injectNetworkFaults()
 			w.initialJobs()
 			play(w, m)
 			w.settle()
@@ -134,35 +137,35 @@
 	}
 }
 
-func (w *world) ms(least, most int) time.Duration {
+func (w *world) randomMilliseconds(least, most int) time.Duration {
 	return time.Duration(least+w.rng.IntN(most-least+1)) * time.Millisecond
 }
 
 // The gap: the state service refuses the leader alone, another controller
 // confirms cancellations, then the service is down for all for longer than
 // cancel_s, while the workers go on reporting to the old leader.
-func TestCompoundGap(t *testing.T) {
-	startCompoundFailure(t, 12, func(w *world, m *mess) {
+func TestCompoundRefusalThenOutage(t *testing.T) {
+	startCompoundFailure(t, 12, func(w *world, m *networkFaults) {
 		old := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
 			// The others can't even reach the workers to tell them.
 			for i := range 3 {
-				m.noOrders[i] = i != old
+				m.commandsLost[i] = i != old
 			}
 		}
-		for _, k := range w.some(0.3) {
+		for _, k := range w.randomMachines(0.3) {
 			switch w.rng.IntN(3) {
 			case 0:
-				k.Hang(w.ms(2000, 30_000))
+				k.Hang(w.randomMilliseconds(2000, 30_000))
 			case 1:
 				k.AnswersLost = true
 			}
 		}
 		w.state.Refuse[old] = true
-		w.at(w.ms(0, 2500), func() { w.cancelSome("j-s1", "j-b1", "j-s2") })
-		w.run(w.ms(1500, 12_000))
+		w.at(w.randomMilliseconds(0, 2500), func() { w.cancelSome("j-s1", "j-b1", "j-s2") })
+		w.run(w.randomMilliseconds(1500, 12_000))
 		w.state.Outage(time.Duration(40+w.rng.IntN(40)) * second)
-		w.run(w.ms(0, 12_000))
+		w.run(w.randomMilliseconds(0, 12_000))
 		w.state.Refuse[old] = false
 		w.run(90 * second)
 	})
@@ -171,12 +174,12 @@
 // Jobs are cancelled at the very moment at which the state service refuses the
 // leader alone, and a second later it is out for longer than cancel_s.
 func TestCompoundCancelAtRefusal(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		old := w.awaitLeader()
 		w.cancelSome("j-s1", "j-s3")
 		w.state.Refuse[old] = true
 		w.cancelSome("j-b1", "j-s2")
-		w.run(w.ms(500, 1500))
+		w.run(w.randomMilliseconds(500, 1500))
 		w.state.Outage(45 * second)
 		w.run(60 * second)
 	})
@@ -184,21 +187,21 @@
 
 // Controllers hand over and back, all end, and one returns, also within a second.
 func TestCompoundFailoverAndBack(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for range 8 {
-			w.restart(w.aLeader(), w.ms(50, 900))
-			w.run(w.ms(300, 4000))
+			w.restart(w.leaderOrFirst(), w.randomMilliseconds(50, 900))
+			w.run(w.randomMilliseconds(300, 4000))
 		}
 		w.cancelSome("j-s1")
 		for i := range 3 {
 			w.crash(i)
 		}
-		w.run(w.ms(50, 900))
+		w.run(w.randomMilliseconds(50, 900))
 		w.boot(w.rng.IntN(3))
-		w.run(w.ms(200, 5000))
+		w.run(w.randomMilliseconds(200, 5000))
 		w.cancelSome("j-b1")
 		for i := range 3 {
-			w.restart(i, w.ms(50, 6000))
+			w.restart(i, w.randomMilliseconds(50, 6000))
 		}
 		w.run(30 * second)
 	})
@@ -206,19 +209,19 @@
 
 // A leader ends while machines with long tasks can't be reached, or don't hear
 // the new leader's answer.
-func TestCompoundLeaderEndsMachinesGone(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
-		for n, k := range w.some(0.6) {
+func TestCompoundLeaderEndsMachinesUnreachable(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
+		for n, k := range w.randomMachines(0.6) {
 			if n%2 == 0 {
 				k.Cut = true
-				w.at(w.ms(3000, 40_000), func() { k.Cut = false })
+				w.at(w.randomMilliseconds(3000, 40_000), func() { k.Cut = false })
 			} else {
 				k.AnswersLost = true
-				w.at(w.ms(3000, 60_000), func() { k.AnswersLost = false })
+				w.at(w.randomMilliseconds(3000, 60_000), func() { k.AnswersLost = false })
 			}
 		}
-		w.restart(w.aLeader(), w.ms(500, 8000))
-		w.run(w.ms(0, 6000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 8000))
+		w.run(w.randomMilliseconds(0, 6000))
 		w.cancelSome("j-s1", "j-b1")
 		w.run(70 * second)
 	})
@@ -227,13 +230,13 @@
 // A machine hears no answer from before the take-over on: no message of it can prove
 // what is gone there, and a job that waits for it must not wait for ever.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
-	startCompoundFailure(t, 4, func(w *world, m *mess) {
+	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
 		for _, k := range w.fleet() {
 			if k.Up && len(k.Tasks) > 0 {
 				k.AnswersLost = true
 			}
 		}
-		w.restart(w.aLeader(), 2*second)
+		w.restart(w.leaderOrFirst(), 2*second)
 		w.run(second)
 		w.cancelSome("j-s2")
 		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.Cancelled })
@@ -253,14 +256,14 @@
 // The state service answers slowly, or refuses the leader alone and then
 // everybody for longer than cancel_s, while users cancel and ask.
 func TestCompoundSlowThenRefused(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
-		m.slowState = w.ms(300, 900)
+	startCompoundFailure(t, 8, func(w *world, m *networkFaults) {
+		m.slowState = w.randomMilliseconds(300, 900)
 		w.cancelSome("j-s1")
 		w.run(10 * second)
-		old := w.aLeader()
+		old := w.leaderOrFirst()
 		w.state.Refuse[old] = true
 		w.cancelSome("j-b1")
-		w.run(w.ms(1000, 6000))
+		w.run(w.randomMilliseconds(1000, 6000))
 		w.state.Outage(40 * second)
 		w.cancelSome("j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 1.0})
@@ -271,7 +274,7 @@
 
 // There is more work than room, urgent and not, over slow links.
 func TestCompoundOverload(t *testing.T) {
-	startCompoundFailure(t, 4, func(w *world, m *mess) {
+	startCompoundFailure(t, 4, func(w *world, m *networkFaults) {
 		m.slowLinks = 400 * time.Millisecond
 		for i := range 12 {
 			rank := []string{"idle", "normal", "high", "production"}[i%4]
@@ -281,9 +284,9 @@
 			}
 			w.submit(fmt.Sprintf("j-o%d", i), map[string]any{"shape": shape, "shards": shards, "cores": float64(1 + w.rng.IntN(4)),
 				"owner": []string{"red", "blue"}[i%2], "rank": rank, "saveEveryS": 5.0, "saveTakesS": 2.0})
-			w.run(w.ms(100, 3000))
+			w.run(w.randomMilliseconds(100, 3000))
 		}
-		w.restart(w.aLeader(), w.ms(200, 3000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 3000))
 		w.cancelSome("j-o3", "j-o5", "j-s1")
 		w.run(60 * second)
 	})
@@ -291,15 +294,15 @@
 
 // All controllers are away for longer than lease_s.
 func TestCompoundAllControllersDown(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.cancelSome("j-s1", "j-b1")
-		w.run(w.ms(0, 400))
+		w.run(w.randomMilliseconds(0, 400))
 		for i := range 3 {
 			w.crash(i)
 		}
-		w.run(w.ms(11_000, 40_000))
+		w.run(w.randomMilliseconds(11_000, 40_000))
 		for i := range 3 {
-			w.at(w.ms(0, 4000), func() {
+			w.at(w.randomMilliseconds(0, 4000), func() {
 				if !w.nodes[i].alive {
 					w.boot(i)
 				}
@@ -312,26 +315,26 @@
 // A leader is cut from the state service and from the other controllers while
 // workers and users still reach it, and jobs are cancelled through the new one.
 func TestCompoundLeaderPartitioned(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+	startCompoundFailure(t, 8, func(w *world, m *networkFaults) {
 		old := w.awaitLeader()
-		m.apart[old] = true
+		m.isolated[old] = true
 		if w.rng.IntN(2) == 0 {
 			for i := range 3 {
-				m.noOrders[i] = i != old
+				m.commandsLost[i] = i != old
 			}
 		}
-		w.run(w.ms(1500, 8000))
+		w.run(w.randomMilliseconds(1500, 8000))
 		w.cancelSome("j-s1", "j-b1", "j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
-		w.run(w.ms(20_000, 80_000))
-		m.apart[old] = false
+		w.run(w.randomMilliseconds(20_000, 80_000))
+		m.isolated[old] = false
 		w.run(20 * second)
 	})
 }
 
 // A report is held back until a new leader has acted, and then arrives there.
 func TestCompoundDelayedHeartbeat(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		type copied struct {
 			k    *emulator.Worker
 			body []byte
@@ -342,13 +345,13 @@
 				held = append(held, copied{k, protocol.Encode(k.Message())})
 				if w.rng.IntN(2) == 0 {
 					k.Cut = true
-					w.at(w.ms(2000, 25_000), func() { k.Cut = false })
+					w.at(w.randomMilliseconds(2000, 25_000), func() { k.Cut = false })
 				}
 			}
 		}
 		w.cancelSome("j-s1")
-		w.restart(w.aLeader(), w.ms(500, 4000))
-		w.run(w.ms(2500, 15_000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 4000))
+		w.run(w.randomMilliseconds(2500, 15_000))
 		w.cancelSome("j-b1")
 		for range 3 {
 			for _, h := range held {
@@ -356,7 +359,7 @@
 					w.ask(i, Request{Op: OpWorkerHeartbeat, Body: h.body}, func(Reply) {})
 				}
 			}
-			w.run(w.ms(1000, 20_000))
+			w.run(w.randomMilliseconds(1000, 20_000))
 		}
 		w.run(20 * second)
 	})
@@ -364,47 +367,47 @@
 
 // Jobs of two or three tasks end far apart across a change of leader.
 func TestCompoundTasksEndFarApart(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, m *networkFaults) {
 		w.runs = func(task string) time.Duration {
 			return time.Duration(5+35*int(task[len(task)-1]-'0')) * second
 		}
 		for i := range 3 {
 			w.submit(fmt.Sprintf("j-f%d", i), map[string]any{"shards": 2 + i%2, "cores": 1.0})
 		}
-		w.run(w.ms(8000, 14_000))
-		m.lateWrites = 0.2
-		w.restart(w.aLeader(), w.ms(200, 5000))
-		w.run(w.ms(10_000, 25_000))
-		w.restart(w.aLeader(), w.ms(200, 5000))
+		w.run(w.randomMilliseconds(8000, 14_000))
+		m.lateTransactions = 0.2
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 5000))
+		w.run(w.randomMilliseconds(10_000, 25_000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 5000))
 		w.run(30 * second)
 	})
 }
 
 // A cancellation, a question or a repeated submission meets the end of a job's
 // last task, with no other trouble.
-func TestCompoundAtTheEnd(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+func TestCompoundCancelAtJobCompletion(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.ended = func(uid string) {
 			switch w.rng.IntN(3) {
 			case 0:
-				w.at(w.ms(0, 1200), func() { w.cancel(uid) })
+				w.at(w.randomMilliseconds(0, 1200), func() { w.cancel(uid) })
 			case 1:
-				w.at(w.ms(0, 1200), func() { w.user(w.rng.IntN(3), OpPoll, uid, nil) })
+				w.at(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpPoll, uid, nil) })
 			case 2:
-				w.at(w.ms(0, 1200), func() { w.user(w.rng.IntN(3), OpSubmit, uid, nil) })
+				w.at(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpSubmit, uid, nil) })
 			}
 		}
 		for i := range 6 {
 			w.submit(fmt.Sprintf("j-e%d", i), map[string]any{"shards": 1 + i%3, "cores": 1.0})
-			w.run(w.ms(0, 3000))
+			w.run(w.randomMilliseconds(0, 3000))
 		}
 		w.run(90 * second)
 	})
 }
 
 // A zone with workers and a controller is cut off for longer than lease_s.
-func TestCompoundZoneCut(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+func TestCompoundZonePartitioned(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, m *networkFaults) {
 		inB := func(addr string) bool {
 			if strings.HasPrefix(addr, "10.0.0.") {
 				return strings.HasPrefix(addr, "10.0.0.2:")
@@ -416,15 +419,15 @@
 			there := c.Target == ToPeer || c.Target == ToWorker
 			return deliveryFault{lost: node == 2 && !there || there && inB(c.Addr) != (node == 2)}
 		}
-		w.reports = func(k *emulator.Worker, node int) deliveryFault {
+		w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault {
 			return deliveryFault{lost: (k.Zone == "b") != (node == 2)}
 		}
 		w.cancelSome("j-s1", "j-s3")
 		if w.rng.IntN(2) == 0 {
-			w.restart(w.rng.IntN(3), w.ms(200, 4000))
+			w.restart(w.rng.IntN(3), w.randomMilliseconds(200, 4000))
 		}
-		w.run(w.ms(12_000, 60_000))
-		w.script, w.reports = m.fate, nil
+		w.run(w.randomMilliseconds(12_000, 60_000))
+		w.script, w.heartbeatFault = m.fault, nil
 		w.run(20 * second)
 	})
 }
@@ -432,16 +435,16 @@
 // Workers can't open connections to any controller, while direct commands still
 // reach them: they must not be filled again and again.
 func TestCompoundHeartbeatsLost(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		var reportsLost []*emulator.Worker
-		for _, k := range w.some(0.6) {
+		for _, k := range w.randomMachines(0.6) {
 			k.ReportsLost = true
 			reportsLost = append(reportsLost, k)
 		}
 		w.cancelSome("j-b1")
-		w.run(w.ms(3000, 12_000))
+		w.run(w.randomMilliseconds(3000, 12_000))
 		if w.rng.IntN(2) == 0 {
-			w.restart(w.aLeader(), w.ms(200, 4000))
+			w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 		}
 		w.run(25 * second)
 		began := map[*emulator.Worker]int{}
@@ -451,7 +454,7 @@
 		w.run(60 * second)
 		for _, k := range reportsLost {
 			if k.Lives > began[k]+2 {
-				w.breaks("a machine whose reports are lost was given %d tasks, all of which die with its lease", k.Lives-began[k])
+				w.violated("a machine whose reports are lost was given %d tasks, all of which die with its lease", k.Lives-began[k])
 			}
 		}
 		// Their work runs elsewhere.
@@ -465,7 +468,7 @@
 				}
 			}
 			if n == 0 {
-				w.breaks("%s runs on machines whose reports are lost alone", uid)
+				w.violated("%s runs on machines whose reports are lost alone", uid)
 			}
 		}
 	})
@@ -473,20 +476,20 @@
 
 // An old report arrives after newer ones, also from an earlier session or attempt.
 func TestCompoundOldHeartbeats(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.lateCopy = func() time.Duration {
 			if w.rng.IntN(3) == 0 {
-				return w.ms(2000, 45_000)
+				return w.randomMilliseconds(2000, 45_000)
 			}
 			return 0
 		}
-		for _, k := range w.some(0.4) {
+		for _, k := range w.randomMachines(0.4) {
 			k.Cut = true // a new session, while copies of the earlier one are on their way
-			w.at(w.ms(9000, 16_000), func() { k.Cut = false })
+			w.at(w.randomMilliseconds(9000, 16_000), func() { k.Cut = false })
 		}
-		w.run(w.ms(4000, 14_000))
+		w.run(w.randomMilliseconds(4000, 14_000))
 		w.cancelSome("j-s1")
-		w.restart(w.aLeader(), w.ms(200, 4000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 		w.run(25 * second)
 		w.cancelSome("j-b1", "j-s2")
 		w.run(40 * second)
@@ -495,18 +498,18 @@
 
 // A team is at its limit when the leader changes, some of its machines can't be
 // asked, and a cancellation falls into that spell.
-func TestCompoundTeamAtItsLimit(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+func TestCompoundTeamAtItsQuota(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for i := range 6 {
 			w.submit(fmt.Sprintf("j-l%d", i), map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue"})
 		}
 		w.run(40 * second)
-		for _, k := range w.some(0.5) {
+		for _, k := range w.randomMachines(0.5) {
 			k.Cut = true
-			w.at(w.ms(5000, 30_000), func() { k.Cut = false })
+			w.at(w.randomMilliseconds(5000, 30_000), func() { k.Cut = false })
 		}
-		w.restart(w.aLeader(), w.ms(500, 5000))
-		w.run(w.ms(500, 5000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 5000))
+		w.run(w.randomMilliseconds(500, 5000))
 		w.cancelSome("j-l0", "j-l1", "j-s2")
 		w.submit("j-n1", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue", "rank": "high"})
 		w.run(60 * second)
@@ -515,19 +518,19 @@
 
 // A command or its answer is held up for seconds, and the machine then goes on.
 func TestCompoundDelayedCommands(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, m *mess) {
-		m.heldOrders, m.lostAnswers = 0.4, 0.2
+	startCompoundFailure(t, 10, func(w *world, m *networkFaults) {
+		m.delayedCommands, m.lostAnswers = 0.4, 0.2
 		for i := range 4 {
 			w.submit(fmt.Sprintf("j-h%d", i), map[string]any{"shards": 2, "cores": 1.0})
-			w.run(w.ms(500, 3000))
-			for _, k := range w.some(0.3) {
-				k.Hang(w.ms(1000, 14_000))
+			w.run(w.randomMilliseconds(500, 3000))
+			for _, k := range w.randomMachines(0.3) {
+				k.Hang(w.randomMilliseconds(1000, 14_000))
 			}
 			if i == 1 {
 				w.cancelSome("j-s1", "j-h0")
 			}
 			if i == 2 {
-				w.restart(w.aLeader(), w.ms(200, 4000))
+				w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 				w.cancelSome("j-b1", "j-h1")
 			}
 		}
@@ -537,26 +540,26 @@
 
 // Leaders change ten times in two minutes, also inside an outage.
 func TestCompoundTenLeaders(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for i := range 10 {
 			if i == 4 {
-				w.state.Outage(w.ms(5000, 30_000))
+				w.state.Outage(w.randomMilliseconds(5000, 30_000))
 			}
-			w.restart(w.aLeader(), w.ms(100, 9000))
+			w.restart(w.leaderOrFirst(), w.randomMilliseconds(100, 9000))
 			if i%3 == 0 {
 				w.cancelSome([]string{"j-s1", "j-b1", "j-s2", "j-b22"}[i/3])
 			}
-			w.run(w.ms(9000, 13_000))
+			w.run(w.randomMilliseconds(9000, 13_000))
 		}
 	})
 }
 
 // Jobs bound to one zone, arrays too, lose machines.
 func TestCompoundBoundToAZone(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
 		w.submit("j-z2", map[string]any{"shards": 3, "cores": 2.0, "together": true})
-		w.run(w.ms(5000, 20_000))
+		w.run(w.randomMilliseconds(5000, 20_000))
 		for _, k := range w.fleet() {
 			if !k.Deleted && k.Up && (k.Zone == "b" || w.rng.IntN(3) == 0) {
 				switch w.rng.IntN(3) {
@@ -564,13 +567,13 @@
 					k.Die()
 				case 1:
 					k.Cut = true
-					w.at(w.ms(5000, 30_000), func() { k.Cut = false })
+					w.at(w.randomMilliseconds(5000, 30_000), func() { k.Cut = false })
 				case 2:
-					k.Hang(w.ms(3000, 20_000))
+					k.Hang(w.randomMilliseconds(3000, 20_000))
 				}
 			}
 		}
-		w.restart(w.aLeader(), w.ms(300, 6000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(300, 6000))
 		w.run(50 * second)
 	})
 }
@@ -578,16 +581,16 @@
 // Transactions without an answer are carried out late, after newer ones of the
 // same controller.
 func TestCompoundLateTransactions(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, m *mess) {
-		m.lateWrites = 0.35
+	startCompoundFailure(t, 10, func(w *world, m *networkFaults) {
+		m.lateTransactions = 0.35
 		for i := range 5 {
 			w.submit(fmt.Sprintf("j-t%d", i), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0, "shape": []string{"batch", "service"}[i%2]})
-			w.run(w.ms(500, 6000))
+			w.run(w.randomMilliseconds(500, 6000))
 			if i == 1 {
 				w.cancelSome("j-t0", "j-s1")
 			}
 			if i == 3 {
-				w.restart(w.aLeader(), w.ms(300, 4000))
+				w.restart(w.leaderOrFirst(), w.randomMilliseconds(300, 4000))
 				w.cancelSome("j-t1", "j-b1")
 			}
 		}
@@ -600,24 +603,24 @@
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, 5000+seed)
-			m := w.mess()
+			m := w.injectNetworkFaults()
 			w.initialJobs()
 			for range 2 + w.rng.IntN(2) {
-				w.trouble(m, w.ms(8000, 60_000))
-				w.run(w.ms(0, 6000))
+				w.injectRandomFault(m, w.randomMilliseconds(8000, 60_000))
+				w.run(w.randomMilliseconds(0, 6000))
 			}
 			w.cancelSome([]string{"j-s1", "j-s2", "j-b1", "j-b22"}[w.rng.IntN(4)])
 			w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
 			w.submit("j-n2", map[string]any{"shape": "group", "shards": 3, "cores": 1.0, "apart": w.rng.IntN(2) == 0})
-			w.run(w.ms(5000, 60_000))
+			w.run(w.randomMilliseconds(5000, 60_000))
 			w.settle()
 		})
 	}
 }
 
-// trouble begins one of the listed troubles, for so long.
-func (w *world) trouble(m *mess, lasts time.Duration) {
-	node := w.aLeader()
+// injectRandomFault begins one of the listed troubles, for so long.
+func (w *world) injectRandomFault(m *networkFaults, lasts time.Duration) {
+	node := w.leaderOrFirst()
 	if w.rng.IntN(3) == 0 {
 		node = w.rng.IntN(3)
 	}
@@ -628,42 +631,42 @@
 		w.state.Refuse[node] = true
 		w.at(lasts, func() { w.state.Refuse[node] = false })
 	case 2:
-		m.apart[node] = true
-		w.at(lasts, func() { m.apart[node] = false })
+		m.isolated[node] = true
+		w.at(lasts, func() { m.isolated[node] = false })
 	case 3:
-		w.restart(node, min(lasts, w.ms(50, 12_000)))
+		w.restart(node, min(lasts, w.randomMilliseconds(50, 12_000)))
 	case 4:
 		for i := range 3 {
-			w.restart(i, w.ms(50, 12_000))
+			w.restart(i, w.randomMilliseconds(50, 12_000))
 		}
 	case 5:
-		for _, k := range w.some(0.4) {
+		for _, k := range w.randomMachines(0.4) {
 			k.AnswersLost = true
 			w.at(lasts, func() { k.AnswersLost = false })
 		}
 	case 6:
-		for _, k := range w.some(0.4) {
+		for _, k := range w.randomMachines(0.4) {
 			k.ReportsLost = true
 			w.at(lasts, func() { k.ReportsLost = false })
 		}
 	case 7:
-		for _, k := range w.some(0.4) {
+		for _, k := range w.randomMachines(0.4) {
 			k.Cut = true
 			w.at(lasts, func() { k.Cut = false })
 		}
 	case 8:
-		for _, k := range w.some(0.4) {
-			k.Hang(min(lasts, w.ms(1000, 15_000)))
+		for _, k := range w.randomMachines(0.4) {
+			k.Hang(min(lasts, w.randomMilliseconds(1000, 15_000)))
 		}
 	case 9:
-		m.lateWrites = 0.3
-		w.at(lasts, func() { m.lateWrites = 0 })
+		m.lateTransactions = 0.3
+		w.at(lasts, func() { m.lateTransactions = 0 })
 	case 10:
-		w.lateCopy = func() time.Duration { return w.ms(2000, 40_000) }
+		w.lateCopy = func() time.Duration { return w.randomMilliseconds(2000, 40_000) }
 	case 11:
-		m.heldOrders, m.lostAnswers = 0.3, 0.2
-		w.at(lasts, func() { m.heldOrders, m.lostAnswers = 0, 0 })
+		m.delayedCommands, m.lostAnswers = 0.3, 0.2
+		w.at(lasts, func() { m.delayedCommands, m.lostAnswers = 0, 0 })
 	case 12:
-		w.ended = func(uid string) { w.at(w.ms(0, 500), func() { w.cancel(uid) }) }
+		w.ended = func(uid string) { w.at(w.randomMilliseconds(0, 500), func() { w.cancel(uid) }) }
 	}
 }
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -12,7 +12,7 @@
 // A state that lasts is logged when it begins and when it is over, not in between.
 func TestConditionsAreLoggedOnce(t *testing.T) {
 	w := newWorld(t, 95)
-	l := w.term()
+	l := w.leadership()
 	var out bytes.Buffer
 	l.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
 	logged := func(what string) int { return strings.Count(out.String(), what) }
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -21,10 +21,10 @@
 	testLeaderLease = 1500 * time.Millisecond
 )
 
-// spread are times of several runs.
-type spread []time.Duration
+// durations are times of several runs.
+type durations []time.Duration
 
-func (s spread) report(b *testing.B, name string) {
+func (s durations) report(b *testing.B, name string) {
 	if len(s) == 0 {
 		return
 	}
@@ -57,13 +57,13 @@
 func BenchmarkDetectionOfDeath(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			var suspect, all, dead, elected, placed spread
+			var suspect, all, dead, elected, placed durations
 			for seed := range uint64(measuredSeeds) {
 				w := newWorldWith(b, 3000+seed, operator)
 				w.steadyLoad()
 				w.run(70*second + time.Duration(seed)*testLeaderLease/measuredSeeds)
 				lead := w.awaitLeader()
-				token := w.term().lease.token
+				token := w.leadership().lease.token
 				var first time.Duration
 				begins := w.machines.Begins
 				w.machines.Begins = func(k *emulator.Worker, task string, t *emulator.Task) {
@@ -80,7 +80,7 @@
 				if first > 0 {
 					placed = append(placed, first-died)
 				}
-				var seen spread
+				var seen durations
 				for i, n := range w.nodes {
 					if at := n.observer.became(label(lead), membership.Suspect, died); i != lead && at > 0 {
 						seen = append(seen, at-died)
@@ -102,20 +102,20 @@
 	})
 }
 
-// wrongs are what an hour of a trouble brought about though no controller died.
-type wrongs struct{ suspicions, deaths, leaders, moves, lapses float64 }
+// falseAlarms are what an hour of a trouble brought about though no controller died.
+type falseAlarms struct{ suspicions, deaths, leaders, moves, lapses float64 }
 
-// countWrongs plays a trouble for some minutes at several seeds.
-func countWrongs(b *testing.B, operator []byte, trouble func(w *world)) {
+// countFalseAlarms plays a trouble for some minutes at several seeds.
+func countFalseAlarms(b *testing.B, operator []byte, trouble func(w *world)) {
 	const lasts, seeds = 10 * time.Minute, 4
-	var sum wrongs
+	var sum falseAlarms
 	for seed := range uint64(seeds) {
 		w := newWorldWith(b, 3100+seed, operator)
 		w.replicas()
-		began, token := w.Now(), w.term().lease.token
+		began, token := w.Now(), w.leadership().lease.token
 		trouble(w)
 		w.run(lasts)
-		sum.leaders += float64(w.term().lease.token - token)
+		sum.leaders += float64(w.leadership().lease.token - token)
 		for _, n := range w.nodes {
 			for _, c := range n.observer.changes {
 				switch {
@@ -135,7 +135,7 @@
 				sum.lapses += float64(k.Session - 1)
 			}
 		}
-		w.keptRules()
+		w.requireNoViolations()
 	}
 	hours := (seeds * lasts).Hours()
 	b.ReportMetric(sum.suspicions/hours, "suspicions/h")
@@ -151,7 +151,7 @@
 		node := 0
 		var next func()
 		next = func() {
-			w.standStill(node, d)
+			w.pauseProcess(node, d)
 			node = (node + 1) % 3
 			w.at(20*second, next)
 		}
@@ -166,7 +166,7 @@
 		b.Run(d.String(), func(b *testing.B) {
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
-					countWrongs(b, operator, stallsEvery(d))
+					countFalseAlarms(b, operator, stallsEvery(d))
 				}
 			})
 		})
@@ -179,7 +179,7 @@
 		b.Run(fmt.Sprintf("%.0f%%", loss*100), func(b *testing.B) {
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
-					countWrongs(b, operator, func(w *world) {
+					countFalseAlarms(b, operator, func(w *world) {
 						w.script = func(_ int, c Call) deliveryFault {
 							return deliveryFault{lost: c.Target == ToPeer && w.rng.Float64() < loss, answerLost: c.Target == ToPeer && w.rng.Float64() < loss}
 						}
@@ -195,10 +195,10 @@
 func BenchmarkDetectionWhileStarved(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			countWrongs(b, operator, func(w *world) {
+			countFalseAlarms(b, operator, func(w *world) {
 				var next func()
 				next = func() {
-					w.standStill(1, 700*time.Millisecond)
+					w.pauseProcess(1, 700*time.Millisecond)
 					w.at(second, next)
 				}
 				next()
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -14,13 +14,13 @@
 // worldObserver keeps what a controller of the world told its operators.
 type worldObserver struct {
 	noObserver
-	w         *world
-	node      int
-	changes   []memberChange
-	sent      map[string][]time.Duration // machines that were sent elsewhere, and when
-	handovers []Failover
-	reroutes  int
-	retries   int
+	w          *world
+	node       int
+	changes    []memberChange
+	redirected map[string][]time.Duration // machines that were sent elsewhere, and when
+	failovers  []Failover
+	reroutes   int
+	retries    int
 }
 
 type memberChange struct {
@@ -33,13 +33,13 @@
 }
 
 func (o *worldObserver) MachineRedirected(machine, _ string) {
-	if o.sent == nil {
-		o.sent = map[string][]time.Duration{}
+	if o.redirected == nil {
+		o.redirected = map[string][]time.Duration{}
 	}
-	o.sent[machine] = append(o.sent[machine], o.w.Now())
+	o.redirected[machine] = append(o.redirected[machine], o.w.Now())
 }
 
-func (o *worldObserver) FailedOver(h Failover) { o.handovers = append(o.handovers, h) }
+func (o *worldObserver) FailedOver(h Failover) { o.failovers = append(o.failovers, h) }
 func (o *worldObserver) Rerouted()             { o.reroutes++ }
 func (o *worldObserver) Retried()              { o.retries++ }
 
@@ -83,9 +83,9 @@
 // placingStep is a moment of placing a replica at which the leader ends.
 type placingStep struct {
 	name string
-	// here says whether a call of the leader is the moment; carried whether the call still arrives.
-	here    func(c Call) bool
-	carried bool
+	// matches says whether a call of the leader is the moment; carried whether the call still arrives.
+	matches   func(c Call) bool
+	delivered bool
 }
 
 func carriesVerb(c Call, verb string) bool {
@@ -130,17 +130,17 @@
 	{"after the clear", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, true},
 }
 
-// placingTrouble is what else goes on while the leader ends.
-type placingTrouble struct {
+// placingFault is what else goes on while the leader ends.
+type placingFault struct {
 	name string
-	// also changes the fate of a call; second has the next leader end, too, while it reads.
-	also   func(w *world, c Call) deliveryFault
+	// fault changes the fate of a call; second has the next leader end, too, while it reads.
+	fault  func(w *world, c Call) deliveryFault
 	second bool
 }
 
-var placingTroubles = []placingTrouble{
+var placingFaults = []placingFault{
 	{name: "alone"},
-	{name: "the state service slow", also: func(w *world, c Call) deliveryFault {
+	{name: "the state service slow", fault: func(w *world, c Call) deliveryFault {
 		if c.Target == ToState {
 			return deliveryFault{hold: time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))}
 		}
@@ -153,16 +153,16 @@
 // owner, whatever else goes on.
 func TestLeaderDiesAtEachStepOfPlacing(t *testing.T) {
 	for s, step := range placingSteps {
-		for k, trouble := range placingTroubles {
+		for k, trouble := range placingFaults {
 			t.Run(step.name+", "+trouble.name, func(t *testing.T) {
 				w := newMembershipWorld(t, uint64(910+100*s+k))
-				dieWhilePlacing(w, step, trouble)
+				killLeaderWhilePlacing(w, step, trouble)
 			})
 		}
 	}
 }
 
-func dieWhilePlacing(w *world, step placingStep, trouble placingTrouble) {
+func killLeaderWhilePlacing(w *world, step placingStep, trouble placingFault) {
 	w.runs = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 3})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 3 })
@@ -170,15 +170,15 @@
 	died, again := false, false
 	w.script = func(node int, c Call) deliveryFault {
 		f := deliveryFault{}
-		if trouble.also != nil {
-			f = trouble.also(w, c)
+		if trouble.fault != nil {
+			f = trouble.fault(w, c)
 		}
 		switch {
-		case !died && step.here(c):
+		case !died && step.matches(c):
 			died = true
 			w.restart(node, 3*second)
 			w.crash(node)
-			f.lost, f.answerLost = !step.carried, true
+			f.lost, f.answerLost = !step.delivered, true
 		case died && trouble.second && !again && c.Target == ToState && strings.HasPrefix(c.Path, "/store?under=j/"):
 			again = true
 			w.restart(node, 3*second)
@@ -191,7 +191,7 @@
 	w.submit("j-3", map[string]any{"shape": "service", "shards": 2, "owner": "blue"})
 	w.until(60*second, "the leader ends at "+step.name, func() bool { return died })
 	w.until(120*second, "all runs", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
-	w.awaitTold(120*second, "j-2", protocol.Done)
+	w.awaitStatus(120*second, "j-2", protocol.Done)
 	if trouble.second && !again {
 		w.t.Error("the second leader did not end")
 	}
@@ -216,7 +216,7 @@
 		}
 		w.submit("j-3", map[string]any{"shards": 2})
 		w.until(60*second, "the leader ends", func() bool { return died })
-		w.awaitTold(120*second, "j-3", protocol.Done)
+		w.awaitStatus(120*second, "j-3", protocol.Done)
 		w.run(20 * second)
 		w.settle()
 	}
@@ -238,10 +238,10 @@
 				}
 				began := w.Now()
 				if who != "relay" {
-					w.standStill(lead, stall)
+					w.pauseProcess(lead, stall)
 				}
 				if who != "leader" {
-					w.standStill(relay, stall)
+					w.pauseProcess(relay, stall)
 				}
 				w.run(stall + 30*second)
 				if stall < lease {
@@ -273,7 +273,7 @@
 	w.replicas()
 	lead := w.awaitLeader()
 	n := w.nodes[lead]
-	w.standStill(lead, 8*second)
+	w.pauseProcess(lead, 8*second)
 	w.run(8*second - time.Millisecond)
 	early := []string{}
 	w.script = func(node int, c Call) deliveryFault {
@@ -285,7 +285,7 @@
 		}
 		return deliveryFault{}
 	}
-	n.still = false
+	n.paused = false
 	w.feed(lead, Tick{}) // it goes on
 	if !n.controller.pause.isRecovering() {
 		t.Fatal("it does not notice that it stood still")
@@ -327,7 +327,7 @@
 
 // A cut in one direction only, between a follower and the leader: its users' requests go round by
 // the third controller, and nobody is suspected.
-func TestRelayRoundABadLink(t *testing.T) {
+func TestRelayAroundAnAsymmetricPartition(t *testing.T) {
 	for _, toLeader := range []bool{true, false} {
 		w := newMembershipWorld(t, 952)
 		w.replicas()
@@ -406,7 +406,7 @@
 		w := newMembershipWorld(t, uint64(960+k))
 		w.replicas()
 		lead := w.awaitLeader()
-		token := w.term().lease.token
+		token := w.leadership().lease.token
 		began := w.Now()
 		w.script = func(node int, c Call) deliveryFault {
 			if c.Target != ToPeer {
@@ -419,7 +419,7 @@
 			return deliveryFault{lost: between && int(w.Now()/second)%5 < 2}
 		}
 		w.run(60 * second)
-		if w.awaitLeader() != lead || w.term().lease.token != token {
+		if w.awaitLeader() != lead || w.leadership().lease.token != token {
 			t.Errorf("loss %v: the leader changed", loss)
 		}
 		for i, n := range w.nodes {
@@ -464,10 +464,11 @@
 	}
 }
 
-func (w *world) controllersOf(zone string) map[string]int {
+// controllersInFirstZone maps each running machine of the first zone to the index of its controller.
+func (w *world) controllersInFirstZone() map[string]int {
 	out := map[string]int{}
 	for _, k := range w.fleet() {
-		if k.Up && !k.Deleted && k.Zone == zone {
+		if k.Up && !k.Deleted && k.Zone == w.topology.zones[0] {
 			out[k.ID] = k.Controller
 		}
 	}
@@ -492,7 +493,7 @@
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "cores": 4.0, "yard": "a", "owner": "blue"})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 8 && w.running("j-2") == 4 })
 	settled := func() bool {
-		l := w.term()
+		l := w.leadership()
 		for _, m := range l.state.Machines {
 			k := w.byID(m.ID)
 			if k != nil && k.Up && !k.Deleted && m.Zone == "a" && label(k.Controller) != l.router.ownerOf(m) {
@@ -503,7 +504,7 @@
 	}
 	w.until(60*second, "each machine reports to its owner", settled)
 	lead := w.awaitLeader()
-	before := w.controllersOf("a")
+	before := w.controllersInFirstZone()
 	victim := -1
 	for _, c := range before {
 		if c != lead {
@@ -519,7 +520,7 @@
 		return deliveryFault{lost: c.Path == probePath && (node == victim || c.Addr == w.cfgs[victim].PeerListen)}
 	}
 	w.run(2800 * time.Millisecond)
-	for id, c := range w.controllersOf("a") {
+	for id, c := range w.controllersInFirstZone() {
 		if c != before[id] {
 			t.Errorf("%s moved from %d to %d while it was suspected", id, before[id], c)
 		}
@@ -529,30 +530,30 @@
 	if w.nodes[lead].observer.became(label(victim), membership.Suspect, began) == 0 || w.nodes[lead].observer.became(label(victim), membership.Dead, began) > 0 {
 		t.Errorf("it is not just suspected: %+v", w.nodes[lead].observer.changes)
 	}
-	for id, c := range w.controllersOf("a") {
+	for id, c := range w.controllersInFirstZone() {
 		if c != before[id] {
 			t.Errorf("%s moved from %d to %d at a suspicion", id, before[id], c)
 		}
 	}
 	w.until(60*second, "each machine reports to its owner", settled)
-	w.nodes[lead].observer.sent = nil
-	before = w.controllersOf("a")
+	w.nodes[lead].observer.redirected = nil
+	before = w.controllersInFirstZone()
 	w.crash(victim)
 	w.run(30 * second)
 	if !settled() {
 		t.Errorf("not all machines report to their owners")
 	}
-	for id, c := range w.controllersOf("a") {
+	for id, c := range w.controllersInFirstZone() {
 		if before[id] != victim && c != before[id] {
 			t.Errorf("%s moved from %d to %d though %d died", id, before[id], c, victim)
 		}
-		if sent := len(w.nodes[lead].observer.sent[id]); sent > 1 {
+		if sent := len(w.nodes[lead].observer.redirected[id]); sent > 1 {
 			t.Errorf("%s was sent elsewhere %d times for one death", id, sent)
 		}
 	}
 	w.boot(victim)
 	w.run(10 * second)
-	for id, c := range w.controllersOf("a") {
+	for id, c := range w.controllersInFirstZone() {
 		if c == victim {
 			t.Errorf("%s is back at a controller that is not steady yet", id)
 		}
@@ -568,7 +569,7 @@
 
 // An older version among them is judged by heartbeats, never suspected for its 404, and leads and
 // follows as before.
-func TestOlderVersionAmongThem(t *testing.T) {
+func TestMixedVersions(t *testing.T) {
 	for older := range 3 {
 		w := newMembershipWorld(t, uint64(980+older))
 		w.cfgs[older].Operator.Membership.Enabled = false
@@ -597,7 +598,7 @@
 }
 
 // Probes are answered 404 while the feature is off, as by a version that does not know them.
-func TestProbesAreUnknownWhileOff(t *testing.T) {
+func TestProbesReturn404WhileDisabled(t *testing.T) {
 	w := newWorldWith(t, 985, nil)
 	w.awaitLeader()
 	w.ask(0, Request{Op: OpProbe, Body: []byte{0xa0}}, func(r Reply) {
@@ -608,7 +609,7 @@
 }
 
 // An orderly end of the leader hands over at once, and is no death.
-func TestOrderlyEnd(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	w := newMembershipWorld(t, 986)
 	w.replicas()
 	lead := w.awaitLeader()
@@ -641,7 +642,7 @@
 
 // A successor reads ahead while the leader is suspected; what the leader wrote after that is known
 // all the same, and if too much has changed all is read anew.
-func TestSuccessorReadsAhead(t *testing.T) {
+func TestSuccessorPreloadsClusterState(t *testing.T) {
 	for _, tooMuch := range []bool{false, true} {
 		w := newMembershipWorld(t, 990)
 		w.storeMany(3500)
@@ -667,8 +668,8 @@
 			if r.Status != 201 {
 				t.Errorf("the submission is answered %d", r.Status)
 			}
-			w.tell("j-6", protocol.JobStatus{UID: "j-6", State: protocol.Pending}, w.Now())
-			w.noteAnswer("j-6")
+			w.recordStatus("j-6", protocol.JobStatus{UID: "j-6", State: protocol.Pending}, w.Now())
+			w.startPolling("j-6")
 		})
 		w.cancelRequested["j-5"] = true
 		w.ask(lead, Request{Op: OpCancel, UID: "j-5"}, func(Reply) {})
@@ -683,7 +684,7 @@
 		next := w.awaitLeader()
 		w.script = nil
 		w.run(15 * second)
-		h := w.nodes[next].observer.handovers
+		h := w.nodes[next].observer.failovers
 		if len(h) == 0 {
 			t.Fatal("no handover is told")
 		}
@@ -699,7 +700,7 @@
 }
 
 // Not all candidates campaign in the same instant.
-func TestCandidatesTakeTurns(t *testing.T) {
+func TestCandidatesDoNotCampaignAtOnce(t *testing.T) {
 	w := newMembershipWorld(t, 995)
 	w.replicas()
 	lead := w.awaitLeader()
@@ -748,11 +749,11 @@
 				switch w.rng.IntN(6) {
 				case 0:
 					if w.nodes[node].alive {
-						w.standStill(node, w.ms(200, 10_000))
+						w.pauseProcess(node, w.randomMilliseconds(200, 10_000))
 					}
 				case 1:
 					w.crash(node)
-					w.restart(node, w.ms(100, 8000))
+					w.restart(node, w.randomMilliseconds(100, 8000))
 				case 2:
 					cutFrom, cutTo = node, (node+1)%3
 				case 3:
@@ -760,10 +761,10 @@
 				case 4:
 					loss = w.rng.Float64() * 0.2
 				case 5:
-					w.state.Outage(w.ms(500, 6000))
+					w.state.Outage(w.randomMilliseconds(500, 6000))
 				}
 				w.submit(fmt.Sprintf("j-7%d", step), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0})
-				w.run(w.ms(1000, 8000))
+				w.run(w.randomMilliseconds(1000, 8000))
 			}
 			w.settle()
 		})
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -10,9 +10,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// failing has tasks of the named jobs fail as soon as they begin, on the given machines or
+// failTasks has tasks of the named jobs fail as soon as they begin, on the given machines or
 // on all.
-func (w *world) failing(jobs map[string]bool, machines map[string]bool) {
+func (w *world) failTasks(jobs map[string]bool, machines map[string]bool) {
 	w.fails = func(k *emulator.Worker, uid string) bool {
 		return (jobs == nil || jobs[uid]) && (machines == nil || machines[k.ID])
 	}
@@ -22,19 +22,19 @@
 // a time, puts no machine aside, leaves the room to others, and can be cancelled at any time.
 func TestJobThatFailsEverywhere(t *testing.T) {
 	w := newWorld(t, 91)
-	w.failing(map[string]bool{"j-9": true}, nil)
+	w.failTasks(map[string]bool{"j-9": true}, nil)
 	w.runs = func(string) time.Duration { return 50 * second }
 	w.submit("j-9", map[string]any{"shards": 12, "cores": 1.0})
 	w.submit("j-1", map[string]any{"shards": 6})
 	w.until(90*second, "it is found out", func() bool {
-		return w.term().state.Jobs["j-9"] != nil && w.term().state.Jobs["j-9"].Failures.Everywhere
+		return w.leadership().state.Jobs["j-9"] != nil && w.leadership().state.Jobs["j-9"].Failures.Everywhere
 	})
-	for _, m := range w.term().machines.sortedMachines() {
+	for _, m := range w.leadership().machines.sortedMachines() {
 		if m.Faults.Faulty || len(m.Faults.Suspects) > 0 || m.QuarantinedUntil > 0 {
 			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
 		}
 	}
-	w.awaitTold(120*second, "j-1", protocol.Done)
+	w.awaitStatus(120*second, "j-1", protocol.Done)
 	w.submit("j-2", map[string]any{"shape": "service"})
 	w.until(60*second, "another runs beside it", func() bool { return w.running("j-2") == 1 })
 	before := w.failures
@@ -43,28 +43,28 @@
 		t.Errorf("tried %d times in three times cancel_s", n)
 	}
 	w.cancel("j-9")
-	w.awaitTold(10*second, "j-9", protocol.Cancelled)
+	w.awaitStatus(10*second, "j-9", protocol.Cancelled)
 	w.settle()
 }
 
 // A faulty machine is given no more work: its tasks complete elsewhere, which tells.
-func TestFaultyMachineIsPutAside(t *testing.T) {
+func TestFaultyMachineIsQuarantined(t *testing.T) {
 	w := newWorld(t, 92)
 	w.runs = func(string) time.Duration { return 10 * second }
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 2.0, "shards": 2, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-0") == 2 })
 	bad := w.fleet()[0].ID
-	w.failing(nil, map[string]bool{bad: true})
+	w.failTasks(nil, map[string]bool{bad: true})
 	for i := range 2 {
 		w.submit(fmt.Sprintf("j-%d", i+1), map[string]any{"shards": 4, "cores": 1.0})
 	}
 	for i := range 2 {
-		w.awaitTold(200*second, fmt.Sprintf("j-%d", i+1), protocol.Done)
+		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i+1), protocol.Done)
 	}
-	if m := w.term().state.Machines[bad]; m != nil && !m.Faults.Faulty {
+	if m := w.leadership().state.Machines[bad]; m != nil && !m.Faults.Faulty {
 		t.Errorf("%d tasks failed on it: %+v", w.failures, m.Faults)
 	}
-	for _, m := range w.term().machines.sortedMachines() {
+	for _, m := range w.leadership().machines.sortedMachines() {
 		if m.ID != bad && (m.Faults.Faulty || m.Faults.Confirmed > 0) {
 			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
 		}
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -27,7 +27,7 @@
 				if ro.steps[journals] == 0 {
 					t.Error("the journal is not written")
 				}
-				ro.over()
+				ro.settleAndCheck()
 			})
 		}
 	}
@@ -41,7 +41,7 @@
 			ro := newRollout(t, 330, defaultTopology)
 			order := ro.leaderAt(1)
 			if opened {
-				ro.opened()
+				ro.openGate()
 				ro.run(20 * second)
 				follower := ro.leaderAt(0)[1]
 				ro.restart(follower, newerOperator(holdOn))
@@ -58,7 +58,7 @@
 			if lead := ro.awaitLeader(); !ro.nodes[lead].withoutGate {
 				t.Error("no older version leads")
 			}
-			ro.over()
+			ro.settleAndCheck()
 		})
 	}
 }
@@ -68,7 +68,7 @@
 // version mends it, and has the gate closed.
 func TestAllRolledBackWithTheGateOpen(t *testing.T) {
 	ro := newRollout(t, 340, defaultTopology)
-	ro.opened()
+	ro.openGate()
 	ro.run(20 * second)
 	for i := range ro.nodes {
 		ro.restart(i, nil)
@@ -88,7 +88,7 @@
 	ro.until(40*second, "the gate is closed", func() bool { return ro.gateIs("closed") })
 	ro.roll([]int{1}, nil)
 	ro.interrupts = true // some workers look for a leader for longer than their lease
-	ro.over()
+	ro.settleAndCheck()
 }
 
 // An older process comes back after the gate has opened. One that stays has the gate closed after a
@@ -97,7 +97,7 @@
 	for _, back := range [][]int{{1}, {1, 2}} {
 		t.Run(fmt.Sprintf("stays, %d", len(back)), func(t *testing.T) {
 			ro := newRollout(t, 350, defaultTopology)
-			ro.opened()
+			ro.openGate()
 			back := ro.leaderAt(0)[1 : 1+len(back)]
 			for _, i := range back {
 				ro.restart(i, nil)
@@ -113,11 +113,11 @@
 				t.Error("the gate opens again at once")
 			}
 			ro.until(60*second, "the gate is open", func() bool { return ro.gateIs("open") })
-			ro.over()
+			ro.settleAndCheck()
 		})
 		t.Run(fmt.Sprintf("comes and goes, %d", len(back)), func(t *testing.T) {
 			ro := newRollout(t, 360, defaultTopology)
-			ro.opened()
+			ro.openGate()
 			back := ro.leaderAt(0)[1 : 1+len(back)]
 			for turn := range 20 {
 				for _, i := range back {
@@ -133,15 +133,15 @@
 				t.Errorf("the gate flaps: %v", ro.states)
 			}
 			ro.interrupts = len(back) == 2
-			ro.over()
+			ro.settleAndCheck()
 		})
 	}
 }
 
 // gateFault is what happens as a transaction of the gate or the journal leaves.
 type gateFault struct {
-	name string
-	do   func(ro *rollout, node int) deliveryFault
+	name   string
+	inject func(ro *rollout, node int) deliveryFault
 }
 
 const lateBy = 4 * second
@@ -163,7 +163,7 @@
 	{"its answer is lost", func(*rollout, int) deliveryFault { return deliveryFault{answerLost: true} }},
 	{"it is lost", func(*rollout, int) deliveryFault { return deliveryFault{lost: true} }},
 	{"its sender stands still", func(ro *rollout, node int) deliveryFault {
-		ro.at(0, func() { ro.standStill(node, 6*second) })
+		ro.at(0, func() { ro.pauseProcess(node, 6*second) })
 		return deliveryFault{hold: second}
 	}},
 	{"the state service refuses its sender alone", func(ro *rollout, node int) deliveryFault {
@@ -232,7 +232,7 @@
 						return deliveryFault{}
 					}
 					struck = true
-					return fault.do(ro, node)
+					return fault.inject(ro, node)
 				}
 				ro.roll(ro.leaderAt(0), newerOperator(""))
 				ro.until(120*second, "the gate is open", func() bool { return ro.gateIs("open") })
@@ -249,7 +249,7 @@
 				if !struck {
 					t.Fatal("the step did not come")
 				}
-				ro.over()
+				ro.settleAndCheck()
 			})
 		}
 	}
@@ -257,20 +257,20 @@
 
 // Zones part in the midst of an upgrade, while both reach the state service: before the last controller is
 // upgraded, as the gate opens, and while it closes.
-func TestUpgradeWhileZonesPart(t *testing.T) {
+func TestUpgradeDuringZonePartition(t *testing.T) {
 	for _, when := range []gateStep{noStep, opens, closes} {
 		t.Run(string(when), func(t *testing.T) {
 			ro := newRollout(t, 370, wideShape)
 			part := func() {
-				ro.partZones(when != opens, 25*second)
-				parted := ro.world.script
-				ro.world.script = func(node int, c Call) deliveryFault {
+				ro.partitionZones(when != opens, 25*second)
+				parted := ro.script
+				ro.script = func(node int, c Call) deliveryFault {
 					if f := parted(node, c); f != (deliveryFault{}) {
 						return f
 					}
-					return ro.fate(node, c)
+					return ro.fault(node, c)
 				}
-				ro.at(25*second, func() { ro.world.script, ro.reports, ro.off = ro.fate, nil, nil })
+				ro.at(25*second, func() { ro.script, ro.heartbeatFault, ro.unreachable = ro.fault, nil, nil })
 			}
 			struck := false
 			ro.onStep = func(step gateStep, _ int) deliveryFault {
@@ -291,7 +291,7 @@
 			ro.restart(ro.leaderAt(0)[3], newerOperator(holdOn))
 			ro.until(90*second, "the gate is closed", func() bool { return ro.gateIs("closed") && len(ro.journalKeys()) == 0 })
 			ro.interrupts = true // a zone's only controller may be restarted while the zone is apart
-			ro.over()
+			ro.settleAndCheck()
 		})
 	}
 }
@@ -303,7 +303,7 @@
 	for i := range ro.cfgs {
 		ro.announced[i] = true
 	}
-	ro.opened()
+	ro.openGate()
 	for i := range 30 {
 		ro.submit(fmt.Sprintf("j-%d", 5000+i), map[string]any{"shards": 4, "cores": 0.5, "owner": "blue"})
 	}
@@ -317,7 +317,7 @@
 	}
 	ro.restart(ro.leaderAt(0)[1], newerOperator(holdOn))
 	ro.until(60*second, "the gate is closed", func() bool { return ro.gateIs("closed") && len(ro.journalKeys()) == 0 })
-	ro.over()
+	ro.settleAndCheck()
 }
 
 // Transactions that are carried out when the gate has another state than when they were sent: an older
@@ -338,8 +338,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			ro := newRollout(t, 390, defaultTopology)
 			held, until := 0, ro.Now()+late
-			ro.world.script = func(node int, call Call) deliveryFault {
-				f := ro.fate(node, call)
+			ro.script = func(node int, call Call) deliveryFault {
+				f := ro.fault(node, call)
 				if call.Path == "/multi" && held < 3 && c.holds(ro, ro.stepOf(call.Body), node) {
 					held++
 					f.hold = until - ro.Now()
@@ -371,7 +371,7 @@
 			if ro.gateIs("open") != gate {
 				t.Error("what was late has changed the gate")
 			}
-			ro.over()
+			ro.settleAndCheck()
 		})
 	}
 }
--- a/internal/controller/fetch_warning_test.go
+++ b/internal/controller/fetch_warning_test.go
@@ -9,7 +9,7 @@
 
 // A class whose images take longer to fetch than its tasks may wait is told once, whatever the
 // number of its jobs and leaders; one whose images come in time is not.
-func TestFetchLongerThanTheAimIsTold(t *testing.T) {
+func TestFetchLongerThanTheObjectiveIsLogged(t *testing.T) {
 	w := newWorld(t, 65)
 	w.awaitLeader()
 	var out bytes.Buffer
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -12,7 +12,7 @@
 
 // The leader loses the workers while the other controllers do not: it hands over
 // before any lease runs out. A few machines that hear no answer are no reason to, also at once.
-func TestLeaderWithoutWorkersHandsOver(t *testing.T) {
+func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	for _, answersLost := range []bool{false, true} {
 		w := newWorld(t, 51)
 		w.awaitLeader()
@@ -32,7 +32,7 @@
 			return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
 		}
 		if !answersLost {
-			w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
+			w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
 		}
 		// Something to say to the machines, so that the loss can show.
 		w.submit("j-3", map[string]any{"shards": 4})
@@ -45,9 +45,9 @@
 		if (w.leader() == lead) != answersLost {
 			t.Errorf("machines that hear nothing %v: the leader is %d, was %d", answersLost, w.leader(), lead)
 		}
-		w.script, w.reports = nil, nil
-		w.awaitTold(200*second, "j-3", "done")
-		w.keptRules()
+		w.script, w.heartbeatFault = nil, nil
+		w.awaitStatus(200*second, "j-3", "done")
+		w.requireNoViolations()
 	}
 }
 
@@ -84,7 +84,7 @@
 // With a lease longer than the way round all controllers, a zone's workers find
 // their controller again when it has ended in a cut together with all others: its
 // machines are not given up (loss, credit checks' fleet: 158 machines were).
-func TestLongLeaseZoneIsNotGivenUp(t *testing.T) {
+func TestLongLeaseZoneIsNotDeclaredLost(t *testing.T) {
 	w := newWorld(t, 37)
 	for _, cfg := range w.cfgs {
 		cfg.Cluster.Workers.LeaseS = 31
@@ -97,7 +97,7 @@
 	if lead == 2 {
 		t.Fatal("the leader is in the zone")
 	}
-	w.cutZone()
+	w.partitionZoneB()
 	w.run(8 * second)
 	for i := range 3 {
 		w.crash(i)
@@ -116,9 +116,9 @@
 			t.Errorf("machine %s of the zone was returned", id)
 		}
 	}
-	w.script, w.reports = nil, nil
+	w.script, w.heartbeatFault = nil, nil
 	w.run(30 * second)
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // Many direct calls that hang at once, as when a zone is cut, are bounded, and
@@ -216,19 +216,19 @@
 			t.Fatal("the leader is in the zone to be cut")
 		}
 		w.cloud.Full = what == "no room"
-		w.off = map[string]bool{}
+		w.unreachable = map[string]bool{}
 		var victim *emulator.Worker
 		for _, k := range w.fleet() {
 			if what == "cut zone" && k.Zone == "b" {
-				w.off[k.Addr] = true
+				w.unreachable[k.Addr] = true
 			} else if what != "cut zone" && k.Zone == "a" && len(k.Tasks) > 0 && victim == nil {
 				victim = k
 				k.Cut = true
-				w.off[k.Addr] = what != "hanging"
+				w.unreachable[k.Addr] = what != "hanging"
 			}
 		}
 		if what == "cut zone" {
-			w.cutZone()
+			w.partitionZoneB()
 		}
 		w.cloud.Deleted = nil
 		w.run(28 * second)
@@ -238,7 +238,7 @@
 		if what == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
 			t.Errorf("28 s later %d of 12 replicas run, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
 		}
-		w.keptRules()
+		w.requireNoViolations()
 	}
 }
 
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -36,7 +36,7 @@
 		if left := w.running("j-0"); left < 16-6 {
 			t.Errorf("together %v: %d of 16 tasks are left, 6 had to go", together, left)
 		}
-		w.awaitTold(30*second, "j-1", protocol.Done)
+		w.awaitStatus(30*second, "j-1", protocol.Done)
 		w.cancel("j-0")
 		w.settle()
 	}
@@ -91,7 +91,7 @@
 	w.run(6 * second)
 	w.submit("j-1", group(2, 1, map[string]any{"rank": "high", "owner": "blue"}))
 	w.until(7500*time.Millisecond, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(30*second, "j-1", protocol.Done)
+	w.awaitStatus(30*second, "j-1", protocol.Done)
 	w.cancel("j-0")
 	w.settle()
 }
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -40,13 +40,13 @@
 		return second
 	}
 	w.submit("j-1", group(2, 2, map[string]any{"owner": "blue"}))
-	w.until(40*second, "the one without an image is told to stop", func() bool { return len(w.halts["j-1"]) > 0 })
+	w.until(40*second, "the one without an image is told to stop", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	if w.machines.Wholes["j-1"] != 0 {
 		t.Error("it began")
 	}
 	w.pulls = nil
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
@@ -60,7 +60,7 @@
 		w.run(2 * second)
 		w.holding("j-1")[0].Hang(hang)
 		w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		w.awaitTold(60*second, "j-1", protocol.Done)
+		w.awaitStatus(60*second, "j-1", protocol.Done)
 		w.settle()
 	}
 }
@@ -79,7 +79,7 @@
 		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 		w.run(3 * second)
 		w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
-		w.until(20*second, "it is told to stop", func() bool { return len(w.halts["j-1"]) > 0 })
+		w.until(20*second, "it is told to stop", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 		if after >= 0 {
 			w.run(after)
 			w.restart(w.awaitLeader(), 2*second)
@@ -90,7 +90,7 @@
 		}
 		w.cancel("j-2")
 		w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		w.awaitTold(90*second, "j-1", protocol.Done)
+		w.awaitStatus(90*second, "j-1", protocol.Done)
 		w.settle()
 	}
 }
@@ -119,14 +119,14 @@
 		if w.machines.Saves["j-1"] != tc.saves {
 			t.Errorf("notice of %v s: its progress was saved %d times, want %d", tc.notice, w.machines.Saves["j-1"], tc.saves)
 		}
-		w.awaitTold(90*second, "j-1", protocol.Done)
+		w.awaitStatus(90*second, "j-1", protocol.Done)
 		w.settle()
 	}
 }
 
 // All tasks of a gang complete at once; the leader hears of one of them alone. That one
 // is enough, and nothing of the gang is started again.
-func TestOneTaskTellsThatItsGangIsDone(t *testing.T) {
+func TestOneCompletionCompletesItsGang(t *testing.T) {
 	w := newWorld(t, 105)
 	w.runs = func(string) time.Duration { return 20 * second }
 	w.submit("j-1", group(4, 4, nil))
@@ -137,7 +137,7 @@
 		k.Cut = true
 		w.at(30*second, func() { k.Cut = false })
 	}
-	w.awaitTold(10*second, "j-1", protocol.Done)
+	w.awaitStatus(10*second, "j-1", protocol.Done)
 	w.run(40 * second)
 	if w.machines.Wholes["j-1"] != 1 {
 		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
@@ -150,7 +150,7 @@
 func TestGangIsCancelledInEachState(t *testing.T) {
 	pulling := func(w *world) bool { return len(w.holding("j-1")) > 0 }
 	running := func(w *world) bool { return w.machines.Wholes["j-1"] == 1 }
-	told := func(w *world) bool { return len(w.halts["j-1"]) > 0 }
+	told := func(w *world) bool { return len(w.stopCommands["j-1"]) > 0 }
 	for name, prepare := range map[string]func(*world){
 		"waiting": func(w *world) {
 			w.cloud.Down = true
@@ -188,7 +188,7 @@
 			w.replicasOnMachines(4, 3)
 			prepare(w)
 			w.cancel("j-1")
-			w.awaitTold(25*second, "j-1", protocol.Cancelled)
+			w.awaitStatus(25*second, "j-1", protocol.Cancelled)
 			w.settle()
 		})
 	}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	w.cancel("j-1")
-	w.awaitTold(90*second, "j-2", protocol.Done)
+	w.awaitStatus(90*second, "j-2", protocol.Done)
 	if w.machines.Wholes["j-2"] != 1 {
 		t.Errorf("the gang began %d times", w.machines.Wholes["j-2"])
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
@@ -74,9 +74,9 @@
 			break
 		}
 	}
-	w.until(20*second, "it is told to stop", func() bool { return len(w.halts["j-1"]) > 0 })
+	w.until(20*second, "it is told to stop", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	w.run(5 * second)
-	told := w.halts["j-1"]
+	told := w.stopCommands["j-1"]
 	if len(told) != 4 {
 		t.Fatalf("%d of 4 tasks were told to stop", len(told))
 	}
@@ -86,7 +86,7 @@
 		}
 	}
 	w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.settle()
 }
 
@@ -102,7 +102,7 @@
 		w.run(time.Duration(seed) * 3 * time.Millisecond)
 		w.crash(lead)
 		w.at(2*second, func() { w.boot(lead) })
-		w.awaitTold(120*second, "j-1", protocol.Done)
+		w.awaitStatus(120*second, "j-1", protocol.Done)
 		w.settle()
 	}
 }
@@ -121,13 +121,13 @@
 		w.submit(fmt.Sprintf("j-4%d", i), group(2, 1, nil))
 		w.run(5 * second)
 	}
-	w.awaitTold(60*second, "j-2", protocol.Done)
-	w.awaitTold(60*second, "j-3", protocol.Done)
+	w.awaitStatus(60*second, "j-2", protocol.Done)
+	w.awaitStatus(60*second, "j-3", protocol.Done)
 	w.settle()
 }
 
 // A gang is checked like other jobs, and its team's limit bounds all of it.
-func TestOddGangs(t *testing.T) {
+func TestGangValidation(t *testing.T) {
 	w := newWorld(t, 95)
 	w.awaitLeader()
 	w.run(5 * second)
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	w.state.Place(clusterstate.JobPrefix+"j-2", &emulator.Item{Version: 1, Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
-	w.noteAnswer("j-2")
+	w.startPolling("j-2")
 	try := uint64(1 << 20)
 	for i, k := range w.fleet() {
 		it := w.state.Item(clusterstate.MachinePrefix + k.ID)
@@ -182,7 +182,7 @@
 		k.Hold(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Try: try, State: protocol.WaitingForGang})
 	}
 	w.restart(w.awaitLeader(), second)
-	w.awaitTold(120*second, "j-2", protocol.Done)
+	w.awaitStatus(120*second, "j-2", protocol.Done)
 	w.settle()
 }
 
@@ -192,7 +192,7 @@
 	w := newWorld(t, 97)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-	w.pulls = func(task string) time.Duration { return 12 * second }
+	w.pulls = func(string) time.Duration { return 12 * second }
 	w.submit("j-1", group(2, 2, nil))
 	try := func() (out uint64) {
 		for _, k := range w.fleet() {
@@ -217,7 +217,7 @@
 	if try() != first {
 		t.Errorf("attempt %d, first %d", try(), first)
 	}
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
@@ -256,17 +256,17 @@
 		}
 	}
 	w.script = nil
-	w.awaitTold(120*second, "j-1", protocol.Done)
+	w.awaitStatus(120*second, "j-1", protocol.Done)
 	w.settle()
 }
 
 // A task of a gang that gathers is lost with the leader: what is left is cleared as
 // soon as that is known, not when the workers give it up.
-func TestGangIsClearedAfterATakeOver(t *testing.T) {
+func TestGangIsClearedAfterAFailover(t *testing.T) {
 	w := newWorld(t, 99)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-	w.pulls = func(task string) time.Duration { return 6 * second }
+	w.pulls = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", group(2, 2, nil))
 	at := func(k *emulator.Worker) bool {
 		for _, task := range k.Tasks {
@@ -294,13 +294,13 @@
 	w.crash(w.awaitLeader())
 	w.pulls = nil
 	w.until(32*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
 // A gang that was accepted is answered with its state when it is submitted again,
 // whatever the repeat holds: also one that would be refused as new.
-func TestRepeatedGangIsToldItsState(t *testing.T) {
+func TestRepeatedGangSubmissionReturnsItsState(t *testing.T) {
 	w := newWorld(t, 100)
 	w.submit("j-1", group(2, 1, nil))
 	w.until(30*second, "it is accepted", func() bool { return w.lastReplies["j-1"] != "" })
@@ -320,6 +320,6 @@
 		})
 		w.run(second)
 	}
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -53,7 +53,7 @@
 		w.at(8*second, func() { k.Cut = false })
 	}
 	w.cancel("j-1")
-	w.awaitTold(30*second, "j-1", protocol.Done)
+	w.awaitStatus(30*second, "j-1", protocol.Done)
 	w.settle()
 }
 
@@ -116,7 +116,7 @@
 	}
 	w.run(30 * second)
 	for i := range 10 {
-		w.awaitTold(200*second, fmt.Sprintf("j-%d", i), protocol.Done)
+		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i), protocol.Done)
 	}
 	w.settle()
 }
@@ -137,19 +137,19 @@
 	}
 	w.submit("j-1", nil)
 	w.submit("j-2", nil)
-	w.awaitTold(100*second, "j-2", protocol.Done)
+	w.awaitStatus(100*second, "j-2", protocol.Done)
 	if w.lastReplies["j-1"] != "" {
 		t.Errorf("j-1 is %q", w.lastReplies["j-1"])
 	}
 	w.state.Malformed = nil
 	w.submit("j-1", nil)
-	w.awaitTold(100*second, "j-1", protocol.Done)
+	w.awaitStatus(100*second, "j-1", protocol.Done)
 	w.settle()
 }
 
 // A task that no book knows ends on the only machine with room: the machine takes
 // work again.
-func TestUnknownTaskIsForgottenWhenGone(t *testing.T) {
+func TestUnknownTaskIsForgottenWhenAbsent(t *testing.T) {
 	w := newWorld(t, 75)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 2.0})
 	w.until(60*second, "the replica runs", func() bool { return w.running("j-1") == 1 })
@@ -159,15 +159,15 @@
 		k.Hold("j-9/0", &emulator.Task{UID: "j-9", Try: 7, State: protocol.Running})
 	}
 	w.run(5 * second)
-	w.calm = w.Now()
+	w.calmSince = w.Now()
 	w.submit("j-2", map[string]any{"cores": 2.0})
-	w.awaitTold(60*second, "j-2", protocol.Done)
+	w.awaitStatus(60*second, "j-2", protocol.Done)
 	w.settle()
 }
 
 // A machine reaches no controller any more while commands still reach it: what it
 // has goes on elsewhere before its lease ends, where there is room.
-func TestMachineWhoseReportsAreLostIsLeftInTime(t *testing.T) {
+func TestTasksLeaveMachineWhoseHeartbeatsAreLost(t *testing.T) {
 	w := newWorld(t, 76)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
@@ -212,7 +212,7 @@
 }
 
 // A job that keeps failing is tried again at least once a lease.
-func TestBackOffIsBounded(t *testing.T) {
+func TestBackoffIsBounded(t *testing.T) {
 	w := newWorld(t, 78)
 	c := w.nodes[w.awaitLeader()].controller
 	j := c.leadership.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: 1, Cores: 1}, c.env.wall)
@@ -282,7 +282,7 @@
 		})
 	}
 	w.run(second)
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.cancel("j-1") // called done for good
 	w.settle()
 }
@@ -310,8 +310,8 @@
 	}
 	w.submit("j-1", nil)
 	w.submit("j-2", nil)
-	w.awaitTold(60*second, "j-1", protocol.Done)
-	w.awaitTold(60*second, "j-2", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-2", protocol.Done)
 	if !lost || string(w.state.Item(keyCounter).Value) != token {
 		t.Errorf("lost %v, or another election was held", lost)
 	}
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -40,7 +40,7 @@
 	}
 	w.until(30*second, "they report to their zone's controller", there)
 	w.run(40 * second)
-	w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
+	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
 	started := map[string]int{}
 	for task, n := range w.starts {
 		started[task] = n
@@ -56,9 +56,9 @@
 			t.Errorf("%s was moved", task)
 		}
 	}
-	w.reports = nil
+	w.heartbeatFault = nil
 	w.until(120*second, "they report there again", there)
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // Workers are sent to a controller one at a time until reports come by it, ever more
@@ -95,13 +95,13 @@
 // The leader stands still and another controller has ended: the controller of a zone
 // keeps its workers meanwhile. Sent to the leader, they would wait for both of the others,
 // for longer than their lease.
-func TestLeaderStandsStill(t *testing.T) {
+func TestLeaderProcessPause(t *testing.T) {
 	for seed := range uint64(6) {
-		leaderStandsStill(t, 380+seed)
+		checkLeaderProcessPause(t, 380+seed)
 	}
 }
 
-func leaderStandsStill(t *testing.T, seed uint64) {
+func checkLeaderProcessPause(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	lead := w.awaitLeader()
 	if lead == 2 {
@@ -119,11 +119,11 @@
 		return true
 	})
 	w.crash(1 - lead)
-	w.run(5*second + w.ms(0, 1000))
+	w.run(5*second + w.randomMilliseconds(0, 1000))
 	w.script = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: node == lead || c.Target == ToPeer && c.Addr != w.cfgs[2].PeerListen}
 	}
-	w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
+	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
 	w.run(25 * second)
 	for _, k := range w.fleet() {
 		if k.Zone == "b" && k.Session > 1 {
@@ -133,7 +133,7 @@
 	if w.leader() != 2 {
 		t.Errorf("leader %d", w.leader())
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // Workers that look for a controller for less than a lease keep their tasks.
@@ -143,7 +143,7 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(5 * second)
 	k := w.fleet()[0]
-	w.reportWait = 2 * second
+	w.heartbeatTimeout = 2 * second
 	k.ReportsLost = true
 	w.run(6 * second)
 	k.ReportsLost = false
@@ -178,7 +178,7 @@
 
 // A worker that reports while a new leader still reads the ledger keeps its lease, and
 // nothing is started or proved by that.
-func TestReportBeforeTheLedgerIsRead(t *testing.T) {
+func TestHeartbeatBeforeClusterStateIsLoaded(t *testing.T) {
 	w := newWorld(t, 42)
 	lead := w.awaitLeader()
 	w.run(5 * second)
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -14,7 +14,7 @@
 	w := newWorld(t, 97)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
-	l := w.term()
+	l := w.leadership()
 	known := l.machines.sortedMachines()[0]
 	before := len(known.Attempts)
 	for _, listed := range []protocol.ListedMachine{
@@ -48,7 +48,7 @@
 		}
 	}
 	w.run(30 * second)
-	if w.term() != l {
+	if w.leadership() != l {
 		t.Error("the leader has ended")
 	}
 	for key := range known.UnknownTasks {
@@ -66,6 +66,6 @@
 	if len(ghosts) > 0 {
 		t.Errorf("machines of unknown types are used: %v", ghosts)
 	}
-	w.awaitTold(30*second, "j-1", protocol.Active)
-	w.keptRules()
+	w.awaitStatus(30*second, "j-1", protocol.Active)
+	w.requireNoViolations()
 }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -12,15 +12,15 @@
 	"claybarrow/internal/protocol"
 )
 
-// partZones parts the two zones: nothing gets from one to the other, while the state service and
+// partitionZones parts the two zones: nothing gets from one to the other, while the state service and
 // the cloud can be reached from both. Connections between them are refused, or held up: then what
 // controllers had said to each other comes when the cut is over.
-func (w *world) partZones(refused bool, lasts time.Duration) {
+func (w *world) partitionZones(refused bool, lasts time.Duration) {
 	end := w.Now() + lasts
 	nothing := deliveryFault{lost: !refused, refused: refused}
-	w.off = map[string]bool{} // a new connection that is held up is none in time
+	w.unreachable = map[string]bool{} // a new connection that is held up is none in time
 	for _, cfg := range w.cfgs {
-		w.off[cfg.PeerListen] = !refused
+		w.unreachable[cfg.PeerListen] = !refused
 	}
 	w.script = func(node int, c Call) deliveryFault {
 		switch c.Target {
@@ -36,10 +36,11 @@
 				return deliveryFault{hold: end - w.Now(), answerLost: true}
 			}
 			return nothing
+		case ToState, ToCloud: // reached from both zones
 		}
 		return deliveryFault{}
 	}
-	w.reports = func(k *emulator.Worker, node int) deliveryFault {
+	w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault {
 		if k.Zone != w.topology.controllers[node] {
 			return nothing
 		}
@@ -50,10 +51,10 @@
 // The two zones can't reach each other for four leases, with the state service in reach of both,
 // so that it goes on naming the leader to the controllers beyond: they keep their zone's workers.
 // Sent to the leader, all of them lost their tasks (clamping line, apart: 133 to 204 tasks).
-func TestZonesApart(t *testing.T) {
+func TestZonesPartitioned(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		for _, refused := range []bool{false, true} {
-			t.Run(fmt.Sprintf("leader in the single one's zone %v, refused %v", inside, refused), func(t *testing.T) { zonesApart(t, inside, refused) })
+			t.Run(fmt.Sprintf("leader in the single one's zone %v, refused %v", inside, refused), func(t *testing.T) { checkZonesPartitioned(t, inside, refused) })
 		}
 	}
 }
@@ -77,7 +78,7 @@
 	return n
 }
 
-func zonesApart(t *testing.T, inside, refused bool) {
+func checkZonesPartitioned(t *testing.T, inside, refused bool) {
 	w := replicasOverZones(t, 61, inside)
 	w.run(10 * second)
 	lead := w.leader()
@@ -94,7 +95,7 @@
 	for _, n := range w.nodes {
 		n.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
 	}
-	w.partZones(refused, 40*second)
+	w.partitionZones(refused, 40*second)
 	for range 40 {
 		w.run(second)
 		if w.running("j-1") != 4 || w.running("j-2") != 2 {
@@ -110,7 +111,7 @@
 	// The zones are together again, and what the leader asks of machines directly is answered
 	// before the first report comes by their zone's controller: no task is moved for that.
 	starts := w.allStarts()
-	w.script, w.reports, w.off = func(_ int, c Call) deliveryFault {
+	w.script, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
 			return deliveryFault{hold: 2 * second}
 		}
@@ -127,7 +128,7 @@
 			t.Errorf("the lease of %s ran out", k.ID)
 		}
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // Only the controllers refuse each other: the workers of a zone without the leader go to it, and
@@ -155,12 +156,12 @@
 			t.Errorf("the lease of %s ran out", k.ID)
 		}
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // Where the leader's controller does not answer, one worker at a time looks whether it reaches
 // the leader, and one with tasks only when the leader could no longer coast for long.
-func TestOneWorkerAtATimeIsSentToALeaderThatIsLost(t *testing.T) {
+func TestOneWorkerAtATimeIsRedirectedToALostLeader(t *testing.T) {
 	w := newWorld(t, 63)
 	w.awaitLeader()
 	w.run(5 * second)
@@ -194,7 +195,7 @@
 // A machine answers direct requests and none of its reports has come for long. A heartbeat of its
 // zone's controller that echoes an old reading of the leader's clock was held up: the controller
 // may have renewed the machine's lease since, and nothing is stopped there (rough, seed 23: 125 tasks).
-func TestHeldUpHeartbeatIsNoSignOfTouch(t *testing.T) {
+func TestDelayedHeartbeatIsNoProofOfContact(t *testing.T) {
 	w := newWorld(t, 64)
 	lead := w.awaitLeader()
 	w.run(20 * second)
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -38,10 +38,10 @@
 		}
 		w.submit("j-1", group(8, 0.5, nil))
 		w.at(2*second, func() { w.state.Limits = lowerLimits })
-		w.at(2*second+crash, func() { w.restart(w.aLeader(), second) })
-		w.awaitTold(200*second, "j-1", protocol.Done)
+		w.at(2*second+crash, func() { w.restart(w.leaderOrFirst(), second) })
+		w.awaitStatus(200*second, "j-1", protocol.Done)
 		for i := range 40 {
-			w.awaitTold(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
+			w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
 		}
 		if w.state.Over > 0 {
 			t.Errorf("leader ends %v after: %d transactions were over the limits", crash, w.state.Over)
@@ -80,7 +80,7 @@
 	}
 	w.state.Change(clusterstate.JobPrefix+"j-1", &emulator.Item{Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
 	w.state.Change(books.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(books.CompletionRecord(j, 0))})
-	w.noteAnswer("j-1")
+	w.startPolling("j-1")
 	w.state.Limits = lowerLimits
 	w.announceLimits()
 	w.until(60*second, "three of the last tasks are done", func() bool {
@@ -88,7 +88,7 @@
 	})
 	w.run(2 * second)
 	w.restart(w.awaitLeader(), second)
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	started := 0
 	for task, times := range w.starts {
 		started += times
@@ -110,7 +110,7 @@
 
 // A machine's record was stored under the limit that is no more, and the machine can't be
 // reached. It is returned all the same, and its tasks run elsewhere.
-func TestMachineWithAnOversizedRecordIsReturned(t *testing.T) {
+func TestMachineWithAnOversizedRecordIsReleased(t *testing.T) {
 	w := newWorld(t, 133)
 	w.runs = func(string) time.Duration { return 200 * second }
 	w.submit("j-1", map[string]any{"shards": 70, "cores": 0.1, "ramGb": 0.1})
@@ -124,7 +124,7 @@
 	w.announceLimits()
 	w.until(100*second, "it is deleted", func() bool { return k.Deleted })
 	w.runs = func(string) time.Duration { return second }
-	w.awaitTold(300*second, "j-1", protocol.Done)
+	w.awaitStatus(300*second, "j-1", protocol.Done)
 	w.settle()
 }
 
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -19,10 +19,10 @@
 	w.cloud.Addr = func(id string) string { return "10.1." + strings.TrimLeft(id[2:], "0") + ":9000" }
 	w.cloud.Lag = 5 * time.Second
 	w.cloud.BootTime = func(string) time.Duration { return 10 * time.Second }
-	w.cloud.Wrong = func(what string) { w.breaks("%s", what) }
+	w.cloud.Wrong = func(what string) { w.violated("%s", what) }
 	w.cloud.Launch = func(m *emulator.Machine) {
 		k := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
-		k.Reported = func(body []byte) { w.noteReport(k, body) }
+		k.Reported = func(body []byte) { w.recordHeartbeat(k, body) }
 		w.at(10*time.Second, k.Boot)
 	}
 	w.cloud.Remove = func(m *emulator.Machine) { w.machines.Workers[m.ID].Die() }
@@ -40,7 +40,7 @@
 		}
 		return n
 	}
-	f.Carrier = w.carryReport
+	f.Carrier = w.deliverHeartbeat
 	f.Jobs = w.jobOf
 	f.RunTime = func(task string) time.Duration { return w.runs(task) }
 	f.FetchTime = func(_ *emulator.Worker, task string, _ *emulator.Job) time.Duration {
@@ -65,9 +65,9 @@
 	}
 	f.Died = func(k *emulator.Worker) { w.cloud.Machine(k.ID).Deleted = true }
 	f.Halted = func(t *emulator.Task, graceS float64) {
-		w.halts[t.UID] = append(w.halts[t.UID], halted{w.Now(), graceS})
+		w.stopCommands[t.UID] = append(w.stopCommands[t.UID], stopCommand{w.Now(), graceS})
 	}
-	f.Wrong = func(what string) { w.breaks("%s", what) }
+	f.Wrong = func(what string) { w.violated("%s", what) }
 	w.machines = f
 }
 
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// noteReport keeps a report's body, and has a copy of it arrive late if the test wants so.
-func (w *world) noteReport(k *emulator.Worker, body []byte) {
+// recordHeartbeat keeps a report's body, and has a copy of it arrive late if the test wants so.
+func (w *world) recordHeartbeat(k *emulator.Worker, body []byte) {
 	w.copies[k.ID] = append(w.copies[k.ID], body)
 	if w.lateCopy == nil {
 		return
@@ -106,13 +106,13 @@
 	}
 }
 
-// carryReport takes a worker's report to a controller, as far as the test lets it.
-func (w *world) carryReport(k *emulator.Worker, node int, body []byte, answer emulator.Reply) {
+// deliverHeartbeat takes a worker's report to a controller, as far as the test lets it.
+func (w *world) deliverHeartbeat(k *emulator.Worker, node int, body []byte, answer emulator.Reply) {
 	var f deliveryFault
-	if w.reports != nil {
-		f = w.reports(k, node)
+	if w.heartbeatFault != nil {
+		f = w.heartbeatFault(k, node)
 	}
-	none := func() { w.at(w.reportWait, func() { answer(0, nil) }) }
+	none := func() { w.at(w.heartbeatTimeout, func() { answer(0, nil) }) }
 	if f.refused {
 		w.at(latency, func() { answer(0, nil) })
 		return
@@ -138,8 +138,8 @@
 	w.starts[task]++
 	// Stricter than the protocol's page, which allows cancel_s: "from then on no
 	// task of the job may be started".
-	if _, told := w.stopped[t.UID]; told {
-		w.breaks("ran_cancelled: %s starts", task)
+	if _, told := w.cancelledAt[t.UID]; told {
+		w.violated("ran_cancelled: %s starts", task)
 	}
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
 	for _, o := range w.machines.Workers {
@@ -149,7 +149,7 @@
 			}
 			other, _, _ := strings.Cut(name, "@")
 			if other == task && (o != k || x != t) {
-				w.breaks("ran_twice: %s on %s and %s", task, o.ID, k.ID)
+				w.violated("ran_twice: %s on %s and %s", task, o.ID, k.ID)
 			}
 			if x.UID == t.UID {
 				zones[o.Zone]++
@@ -159,14 +159,14 @@
 		}
 	}
 	if n := spec["shards"].(int); spec["apart"].(bool) && zones[k.Zone] > (n+1)/2 {
-		w.breaks("wrong_place: %d of %d tasks of %s in one zone", zones[k.Zone], n, t.UID)
+		w.violated("wrong_place: %d of %d tasks of %s in one zone", zones[k.Zone], n, t.UID)
 	}
 	if spec["together"].(bool) && total != zones[k.Zone] {
-		w.breaks("wrong_place: %s in two zones", t.UID)
+		w.violated("wrong_place: %s in two zones", t.UID)
 	}
 	for team, most := range map[string]float64{"red": 32, "blue": 16} {
 		if used[team] > most {
-			w.breaks("quota: %s uses %v", team, used[team])
+			w.violated("quota: %s uses %v", team, used[team])
 		}
 	}
 }
@@ -186,9 +186,9 @@
 
 // lateCancelled checks ran_cancelled for tasks that stay.
 func (w *world) lateCancelled() {
-	for uid, told := range w.stopped {
+	for uid, told := range w.cancelledAt {
 		if w.Now() > told+35*time.Second && w.running(uid) > 0 {
-			w.breaks("ran_cancelled: %s is still there", uid)
+			w.violated("ran_cancelled: %s is still there", uid)
 		}
 	}
 }
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// standStill has a controller handle nothing for a while; what comes meanwhile waits for it.
-func (w *world) standStill(i int, d time.Duration) {
+// pauseProcess has a controller handle nothing for a while; what comes meanwhile waits for it.
+func (w *world) pauseProcess(i int, d time.Duration) {
 	n := w.nodes[i]
-	n.still = true
+	n.paused = true
 	w.at(d, func() {
-		n.still = false
+		n.paused = false
 		w.feed(i, Tick{})
 		held := n.held
 		n.held = nil
@@ -22,14 +22,14 @@
 
 // A leader that stood still for longer than its lease, and wakes while another leads, sends
 // no command and takes no machine for lost before it has found out.
-func TestLeaderThatStoodStill(t *testing.T) {
+func TestPausedLeaderAfterFailover(t *testing.T) {
 	for _, d := range []time.Duration{8 * second, 30 * second, 2 * time.Minute} {
 		w := newWorld(t, 43)
 		lead := w.awaitLeader()
 		w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 		w.run(5 * second)
-		w.standStill(lead, d)
+		w.pauseProcess(lead, d)
 		w.run(d - time.Millisecond)
 		replaced := false
 		for i, n := range w.nodes {
@@ -64,18 +64,18 @@
 }
 
 // Nobody else could be elected meanwhile: it goes on where it was.
-func TestLeaderThatStoodStillAlone(t *testing.T) {
+func TestPausedLeaderWithoutFailover(t *testing.T) {
 	w := newWorld(t, 44)
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shards": 4})
 	w.until(90*second, "tasks run", func() bool { return w.running("j-1") == 4 })
 	w.state.Outage(8 * second)
 	w.run(second)
-	w.standStill(lead, 4*second)
+	w.pauseProcess(lead, 4*second)
 	w.run(15 * second)
 	if l := w.nodes[lead].controller.leadership; l == nil || l.lease.verifiesLease() {
 		t.Error("it does not lead any more")
 	}
-	w.awaitTold(90*second, "j-1", "done")
+	w.awaitStatus(90*second, "j-1", "done")
 	w.settle()
 }
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -7,30 +7,30 @@
 	"claybarrow/internal/protocol"
 )
 
-// notedOutcomes notes what a comparison finds.
-type notedOutcomes struct {
+// recordedOutcomes notes what a comparison finds.
+type recordedOutcomes struct {
 	gones, exits, runs, unknown []string
 }
 
-func (n *notedOutcomes) onExit(_ *clusterstate.Machine, key clusterstate.AttemptKey, _ protocol.TaskStatus) {
+func (n *recordedOutcomes) onExit(_ *clusterstate.Machine, key clusterstate.AttemptKey, _ protocol.TaskStatus) {
 	n.exits = append(n.exits, key.Task)
 }
 
-func (n *notedOutcomes) onRunning(_ *clusterstate.Machine, a *clusterstate.Attempt) {
+func (n *recordedOutcomes) onRunning(_ *clusterstate.Machine, a *clusterstate.Attempt) {
 	n.runs = append(n.runs, a.Key().Task)
 }
 
-func (n *notedOutcomes) adoptUnknownAttempt(_ *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
+func (n *recordedOutcomes) adoptUnknownAttempt(_ *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
 	n.unknown = append(n.unknown, key.Task)
 	return nil
 }
 
-func (n *notedOutcomes) onAbsent(a *clusterstate.Attempt, _ absenceProof) {
+func (n *recordedOutcomes) onAbsent(a *clusterstate.Attempt, _ absenceProof) {
 	n.gones = append(n.gones, a.Key().Task)
 }
 
 // Each proof of absence alone, and what is none.
-func TestWhatProvesAbsence(t *testing.T) {
+func TestAbsenceProofs(t *testing.T) {
 	for name, tc := range map[string]struct {
 		attempt clusterstate.Attempt
 		ours    bool
@@ -56,7 +56,7 @@
 			a := book.AddAttempt(m, j, 0, 1, 0)
 			a.Sent, a.Acknowledged, a.Loaded, a.StopRequested, a.RunLost = tc.attempt.Sent, tc.attempt.Acknowledged, tc.attempt.Loaded, tc.attempt.StopRequested, tc.attempt.RunLost
 			a.Epoch, a.RunSequence, a.RunsInFlight = tc.attempt.Epoch, tc.attempt.RunSequence, tc.attempt.RunsInFlight
-			var noted notedOutcomes
+			var noted recordedOutcomes
 			reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 2}, tc.ours, &noted)
 			if got := len(noted.gones) > 0; got != tc.proved {
 				t.Errorf("proved gone %v", got)
@@ -66,7 +66,7 @@
 }
 
 // What a message names is told as what it is, and none of it is taken for gone.
-func TestWhatAMessageNames(t *testing.T) {
+func TestReconciliationOfReportedTasks(t *testing.T) {
 	book := clusterstate.New(16<<10, 16<<10)
 	j := book.AddJob(&protocol.Spec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
 	m := book.AddMachine("i-1")
@@ -75,7 +75,7 @@
 		a := book.AddAttempt(m, j, i, 1, 0)
 		a.Sent, a.Acknowledged, a.Epoch = true, true, 1
 	}
-	var noted notedOutcomes
+	var noted recordedOutcomes
 	reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 1, Tasks: []protocol.TaskStatus{
 		{Task: "j-1/0", Attempt: 1, State: protocol.Running},
 		{Task: "j-1/1", Attempt: 1, State: protocol.Exited, Cause: protocol.CauseDone},
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -73,9 +73,9 @@
 	ro := &rollout{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
 		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, moved: map[string]int{}, announced: map[int]bool{}}
 	w := ro.world
-	w.runs = func(task string) time.Duration { return loadRuns }
+	w.runs = func(string) time.Duration { return loadRuns }
 	w.logged = ro.readLog
-	w.script = ro.fate
+	w.script = ro.fault
 	for i := range w.nodes {
 		ro.restart(i, nil)
 	}
@@ -83,7 +83,7 @@
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 2.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-	ro.feedArrays()
+	ro.submitArrays()
 	w.run(3 * loadEvery)
 	return ro
 }
@@ -91,7 +91,7 @@
 // readLog takes a line that a controller logs.
 func (ro *rollout) readLog(node int, line []byte) {
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
-		ro.breaks("n%d: %s", node, line)
+		ro.violated("n%d: %s", node, line)
 	}
 	planned := bytes.Contains(line, []byte("reason=consolidation")) || bytes.Contains(line, []byte("reason=preempted"))
 	if !planned || !bytes.Contains(line, []byte("msg=\"stop requested\"")) {
@@ -104,11 +104,11 @@
 	}
 }
 
-// feedArrays submits a small array every few seconds.
-func (ro *rollout) feedArrays() {
+// submitArrays submits a small array every few seconds.
+func (ro *rollout) submitArrays() {
 	var next func()
 	next = func() {
-		if ro.calm != 0 {
+		if ro.calmSince != 0 {
 			return
 		}
 		ro.jobs++
@@ -154,8 +154,8 @@
 	return slices.Insert(order, place, lead)
 }
 
-// fate looks at each transaction on its way to the state service.
-func (ro *rollout) fate(node int, c Call) deliveryFault {
+// fault looks at each transaction on its way to the state service.
+func (ro *rollout) fault(node int, c Call) deliveryFault {
 	if c.Target != ToState || c.Path != "/multi" {
 		return deliveryFault{}
 	}
@@ -167,7 +167,7 @@
 	if step == opens {
 		for i, since := range ro.newerSince {
 			if since == 0 || ro.Now() < since+ro.cfgs[i].LeaderTTL() {
-				ro.breaks("the gate opens while n%d is of the older version, or has just been upgraded", i)
+				ro.violated("the gate opens while n%d is of the older version, or has just been upgraded", i)
 			}
 		}
 	}
@@ -244,17 +244,17 @@
 	look = func() {
 		rec, lease := ro.stored()
 		if rec.StorageVersion == 0 && len(ro.journalKeys()) > 0 {
-			ro.breaks("the journal is stored while an older version may lead: %v", ro.journalKeys())
+			ro.violated("the journal is stored while an older version may lead: %v", ro.journalKeys())
 		}
 		if rec.Token != 0 && (rec.StorageVersion == 0) != (lease != 0) {
-			ro.breaks("form %d with the lease %d", rec.StorageVersion, lease)
+			ro.violated("form %d with the lease %d", rec.StorageVersion, lease)
 		}
 		if state := rec.gateState().String(); rec.Token != 0 && (len(ro.states) == 0 || ro.states[len(ro.states)-1] != state) {
 			ro.states = append(ro.states, state)
 		}
 		for i, n := range ro.nodes {
 			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.lease.holdsLease() && rec.StorageVersion != 0 {
-				ro.breaks("n%d of the older version leads with the gate %s", i, rec.gateState())
+				ro.violated("n%d of the older version leads with the gate %s", i, rec.gateState())
 			}
 		}
 		ro.at(tick, look)
@@ -262,13 +262,13 @@
 	look()
 }
 
-// over ends the troubles and looks at what has become of all that was submitted.
-func (ro *rollout) over() {
+// settleAndCheck ends the troubles and looks at what has become of all that was submitted.
+func (ro *rollout) settleAndCheck() {
 	ro.t.Helper()
 	ro.onStep = nil
-	restore := ro.world.script
+	restore := ro.script
 	ro.settle()
-	ro.world.script = restore
+	ro.script = restore
 	if ro.interrupts {
 		return
 	}
@@ -279,8 +279,8 @@
 	}
 }
 
-// opened has all controllers be of the newer version and the gate open.
-func (ro *rollout) opened() {
+// openGate has all controllers be of the newer version and the gate open.
+func (ro *rollout) openGate() {
 	ro.t.Helper()
 	ro.roll(ro.leaderAt(0), newerOperator(""))
 	ro.until(30*second, "the gate is open", func() bool { return ro.gateIs("open") })
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -12,14 +12,14 @@
 
 const second = time.Second
 
-func TestQuietDay(t *testing.T) {
+func TestSteadyState(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit("j-1", map[string]any{"shards": 5})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "apart": true})
 	w.until(60*second, "both run", func() bool { return w.running("j-1") > 0 && w.running("j-2") == 2 })
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.cancel("j-2")
-	w.awaitTold(5*second, "j-2", protocol.Cancelled)
+	w.awaitStatus(5*second, "j-2", protocol.Cancelled)
 	w.until(2*second, "replicas gone", func() bool { return w.running("j-2") == 0 })
 	w.submit("j-1", map[string]any{"shards": 5}) // a late repeat
 	w.run(120 * second)
@@ -32,7 +32,7 @@
 	if up > 2 {
 		t.Errorf("%d machines are still there with nothing to do", up)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // All controllers end together, at any moment of a job's way: nothing that was
@@ -51,9 +51,9 @@
 			}
 		}
 		for i := range 6 {
-			w.awaitTold(240*second, fmt.Sprintf("j-%d", i), protocol.Done)
+			w.awaitStatus(240*second, fmt.Sprintf("j-%d", i), protocol.Done)
 		}
-		w.keptRules()
+		w.requireNoViolations()
 	}
 }
 
@@ -82,8 +82,8 @@
 		t.Error("the old leader coasts without end")
 	}
 	w.script = nil
-	w.awaitTold(200*second, "j-1", protocol.Done)
-	w.keptRules()
+	w.awaitStatus(200*second, "j-1", protocol.Done)
+	w.requireNoViolations()
 }
 
 // Every fifth transaction applies but its answer is lost, and every seventh
@@ -111,10 +111,10 @@
 	w.cancel("j-7")
 	w.crash(w.awaitLeader())
 	for i := range 7 {
-		w.awaitTold(300*second, fmt.Sprintf("j-%d", i), protocol.Done)
+		w.awaitStatus(300*second, fmt.Sprintf("j-%d", i), protocol.Done)
 	}
-	w.awaitTold(10*second, "j-7", protocol.Cancelled)
-	w.keptRules()
+	w.awaitStatus(10*second, "j-7", protocol.Cancelled)
+	w.requireNoViolations()
 }
 
 // A direct run is held back for minutes and executed late: the task must not
@@ -139,13 +139,13 @@
 		w.run(second)
 		w.lateCancelled()
 	}
-	w.awaitTold(60*second, "j-1", protocol.Done)
-	w.keptRules()
+	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.requireNoViolations()
 }
 
 // Copies of old reports arrive right after a take-over, before the machine's
 // own: they prove neither that a task is gone nor that a machine is alive.
-func TestStaleCopiesAfterTakeOver(t *testing.T) {
+func TestStaleHeartbeatsAfterFailover(t *testing.T) {
 	w := newWorld(t, 6)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 4.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 4 })
@@ -160,7 +160,7 @@
 	for range 8 {
 		for _, k := range w.fleet() {
 			for _, body := range w.copies[k.ID] {
-				w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {})
+				w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 			}
 		}
 		w.run(second)
@@ -175,11 +175,11 @@
 	if n := w.running("j-1"); n != 4 {
 		t.Errorf("%d replicas of 4 run", n)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // A job is cancelled while the machine with its tasks is cut off.
-func TestCancelWhileCut(t *testing.T) {
+func TestCancelWhilePartitioned(t *testing.T) {
 	w := newWorld(t, 7)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
@@ -195,7 +195,7 @@
 	if w.lastReplies["j-1"] != protocol.Cancelled || w.running("j-1") != 0 {
 		t.Errorf("told %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // A team's limit and `apart` count tasks on machines that can't be reached.
@@ -215,7 +215,7 @@
 	if w.running("j-1") != 4 {
 		t.Errorf("%d of 4 replicas run after their machines were lost", w.running("j-1"))
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // An outage longer than a worker's lease: the leader coasts, so nothing is
@@ -239,11 +239,11 @@
 	}
 	w.run(10 * second)
 	w.submit("j-2", nil)
-	w.awaitTold(90*second, "j-2", protocol.Done)
+	w.awaitStatus(90*second, "j-2", protocol.Done)
 	if w.running("j-1") != 2 {
 		t.Error("the outage cost replicas in the end")
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 func (w *world) awaitNode() int {
@@ -267,14 +267,14 @@
 			answersLost = k
 		}
 	}
-	w.reports = func(k *emulator.Worker, _ int) deliveryFault { return deliveryFault{answerLost: k == answersLost} }
+	w.heartbeatFault = func(k *emulator.Worker, _ int) deliveryFault { return deliveryFault{answerLost: k == answersLost} }
 	w.script = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker && c.Addr == answersLost.Addr}
 	}
 	w.until(60*second, "the replica is back elsewhere", func() bool {
 		return w.running("j-1") == 2 && len(answersLost.Tasks) == 0
 	})
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // The state service refuses the leader alone: it must not tell anybody what it
@@ -298,8 +298,8 @@
 	})
 	w.run(20 * second)
 	w.state.Refuse[old] = false
-	w.awaitTold(120*second, "j-1", protocol.Done)
-	w.keptRules()
+	w.awaitStatus(120*second, "j-1", protocol.Done)
+	w.requireNoViolations()
 }
 
 // What a user must be told, also by a controller that does not lead.
@@ -331,7 +331,7 @@
 	w.run(second)
 	// A damaged repeat of an accepted job is no reason to refuse it.
 	check("damaged repeat", OpSubmit, "", protocol.Encode(w.spec("j-1", map[string]any{"rank": "top"})), 200)
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // A controller that finds its own label with another incarnation, in the middle
@@ -350,7 +350,7 @@
 		}
 		w.run(time.Duration(w.rng.IntN(400)) * time.Millisecond)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // The watch tells of our own key before the transaction's answer comes: a
@@ -363,22 +363,22 @@
 	w.run(20 * second)
 	w.script = nil
 	w.awaitLeader()
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // Random troubles in random order, each with a fixed seed.
 func TestManyRequestsAtOnce(t *testing.T) {
 	for seed := range uint64(12) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { burst(t, 100+seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRequestBurst(t, 100+seed) })
 	}
 }
 
-func burst(t *testing.T, seed uint64) {
+func checkRequestBurst(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	var jobs []string
 	cancelled := map[string]bool{}
 	lossy := false
-	w.script = func(_ int, c Call) deliveryFault {
+	w.script = func(_ int, _ Call) deliveryFault {
 		if !lossy {
 			return deliveryFault{}
 		}
@@ -388,7 +388,7 @@
 		}
 		return f
 	}
-	w.reports = func(*emulator.Worker, int) deliveryFault {
+	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault {
 		return deliveryFault{lost: lossy && w.rng.IntN(8) == 0, answerLost: lossy && w.rng.IntN(8) == 0}
 	}
 	w.runs = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
@@ -465,10 +465,10 @@
 	}
 	for _, uid := range jobs {
 		if !cancelled[uid] && w.specs[uid]["shape"] == "batch" {
-			w.awaitTold(400*second, uid, protocol.Done)
+			w.awaitStatus(400*second, uid, protocol.Done)
 		}
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // A copy of a report from before the task started reaches the new leader, while
@@ -508,7 +508,7 @@
 	if n := w.running("j-1"); n != 1 {
 		t.Errorf("%d replicas of 1 run", n)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // The first try of the transaction that accepts a job is held back, its repeat
@@ -529,7 +529,7 @@
 	w.submit("j-1", map[string]any{"shape": "service"})
 	w.until(8*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	w.cancel("j-1")
-	w.awaitTold(5*second, "j-1", protocol.Cancelled)
+	w.awaitStatus(5*second, "j-1", protocol.Cancelled)
 	w.run(15 * second)
 	w.crash(w.awaitLeader())
 	w.awaitLeader()
@@ -540,7 +540,7 @@
 	if !held || w.running("j-1") > 0 {
 		t.Errorf("held %v, %d replicas of a cancelled job run", held, w.running("j-1"))
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // A machine that hangs longer than its lease and comes back is not returned as
@@ -561,25 +561,26 @@
 		k.Cut = false
 	}
 	w.until(30*second, "the replica is back", func() bool { return w.running("j-1") == 1 })
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// cutZone cuts zone b, with the last controller, off from everything.
-func (w *world) cutZone() {
+// partitionZoneB cuts zone b, with the last controller, off from everything.
+func (w *world) partitionZoneB() {
 	outside := func(addr string) bool {
 		k := w.byAddr(addr)
 		return k == nil || k.Zone != "b"
 	}
 	w.script = func(node int, c Call) deliveryFault {
-		switch {
-		case c.Target == ToWorker:
+		switch c.Target {
+		case ToWorker:
 			return deliveryFault{lost: (node == 2) == outside(c.Addr)}
-		case c.Target == ToPeer:
+		case ToPeer:
 			return deliveryFault{lost: (node == 2) != (c.Addr == "10.0.0.2:1")}
+		case ToState, ToCloud: // cut off from the last controller
 		}
 		return deliveryFault{lost: node == 2}
 	}
-	w.reports = func(k *emulator.Worker, node int) deliveryFault {
+	w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault {
 		return deliveryFault{lost: (node == 2) != (k.Zone == "b")}
 	}
 }
@@ -616,7 +617,7 @@
 		if (w.leader() == 2) != inside {
 			t.Fatalf("leader %d", w.leader())
 		}
-		w.cutZone()
+		w.partitionZoneB()
 		w.run(12 * second)
 		w.cancel("j-2")
 		for range 60 {
@@ -629,16 +630,16 @@
 				t.Fatalf("%d replicas run in the cut", n)
 			}
 		}
-		w.script, w.reports = nil, nil
-		w.awaitTold(40*second, "j-2", protocol.Cancelled)
+		w.script, w.heartbeatFault = nil, nil
+		w.awaitStatus(40*second, "j-2", protocol.Cancelled)
 		w.until(40*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
-		w.keptRules()
+		w.requireNoViolations()
 	}
 }
 
 // The follower of a zone that is cut off ends. Nobody can know, so its tasks are
 // started elsewhere only when its leave has run out as well.
-func TestFollowerEndsInTheCut(t *testing.T) {
+func TestFollowerEndsDuringPartition(t *testing.T) {
 	w := newWorld(t, 32)
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
@@ -646,22 +647,22 @@
 	if w.leader() == 2 {
 		t.Fatal("the leader is in the zone")
 	}
-	w.cutZone()
+	w.partitionZoneB()
 	w.cloud.Down = true
 	w.run(30 * second)
 	w.crash(2)
 	w.run(200 * second)
 	w.cloud.Down = false
-	w.script, w.reports = nil, nil
+	w.script, w.heartbeatFault = nil, nil
 	w.boot(2)
 	w.until(60*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // Connections between controllers are refused while all reach the state
 // service: only the leader is fit for users, and the others say so. When they
 // reach it again they are fit too.
-func TestUnfitWithoutTheLeader(t *testing.T) {
+func TestNotReadyWithoutTheLeader(t *testing.T) {
 	w := newWorld(t, 33)
 	lead := w.awaitLeader()
 	w.run(5 * second)
@@ -692,13 +693,13 @@
 
 // The follower of a zone that is cut off ends and is back at once: it knows
 // nothing, but goes on answering the zone's workers with the token they show.
-func TestFollowerRestartsInTheCut(t *testing.T) {
+func TestFollowerRestartsDuringPartition(t *testing.T) {
 	w := newWorld(t, 34)
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.run(15 * second)
-	w.cutZone()
+	w.partitionZoneB()
 	w.run(20 * second)
 	w.crash(2)
 	w.boot(2)
@@ -717,18 +718,18 @@
 			t.Fatalf("%d of 4 replicas run", n)
 		}
 	}
-	w.script, w.reports = nil, nil
+	w.script, w.heartbeatFault = nil, nil
 	w.run(30 * second)
 	if n := w.running("j-1"); n != 4 {
 		t.Fatalf("%d of 4 replicas run after the cut", n)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // A zone with the leader and one more controller is cut off, another leads outside, and
 // the one that led ends and is back. It leads nobody, and must not pass for the leader
 // with what the other one tells it: that one would stop renewing the zone's leases.
-func TestFormerLeaderRestartsInTheCut(t *testing.T) {
+func TestFormerLeaderRestartsDuringPartition(t *testing.T) {
 	for _, back := range []time.Duration{500 * time.Millisecond, 3 * second} {
 		w := newWorld(t, 36)
 		w.crash(2)
@@ -738,7 +739,7 @@
 		w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "yard": "a"})
 		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 6 })
 		w.run(15 * second)
-		w.cutZone()
+		w.partitionZoneB()
 		cut := w.script
 		w.script = func(node int, c Call) deliveryFault { // from the rest, as it is the other zone's turn
 			if c.Target == ToState || c.Target == ToCloud {
@@ -759,7 +760,7 @@
 			w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
 				var answer protocol.PeerHeartbeatReply
 				if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
-					w.breaks("a follower calls itself the leader")
+					w.violated("a follower calls itself the leader")
 				}
 			})
 		}
@@ -820,7 +821,7 @@
 	if n := l.state.Machines[far.ID].FailedRedirects; n > 1 {
 		t.Errorf("the end of a controller was taken for one that can't be reached %d times", n)
 	}
-	w.reports = func(k *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: k == far && node == 2} }
+	w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: k == far && node == 2} }
 	w.run(90 * second)
 	away := 0
 	for range 40 {
@@ -832,13 +833,13 @@
 	if n := l.state.Machines[far.ID].FailedRedirects; n < 3 || away > 6 {
 		t.Errorf("it came back %d times and still spends %d of 40 s at a controller that it can't reach", n, away)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // All controllers end in a cut, and the zone's only one with them: its workers
 // look for longer than a lease, so their tasks go on elsewhere without waiting for
 // the cut to end. The end of a leader alone is no such sign.
-func TestZoneIsGivenUp(t *testing.T) {
+func TestZoneIsDeclaredLost(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		w := newWorld(t, 37)
 		lead := w.awaitLeader()
@@ -848,7 +849,7 @@
 		if lead == 2 {
 			t.Fatal("the leader is in the zone")
 		}
-		w.cutZone()
+		w.partitionZoneB()
 		w.run(8 * second)
 		ends := []int{lead}
 		if all {
@@ -875,8 +876,8 @@
 		if w.running("j-1") != 4 {
 			t.Errorf("all ended %v: %d of 4 replicas run 45 s later", all, w.running("j-1"))
 		}
-		w.script, w.reports = nil, nil
+		w.script, w.heartbeatFault = nil, nil
 		w.run(30 * second)
-		w.keptRules()
+		w.requireNoViolations()
 	}
 }
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -37,11 +37,11 @@
 
 // slopeFleet is a leader with a busy fleet, made without any messages.
 type slopeFleet struct {
-	core    *Controller
-	term    *leadership
-	tasks   []*clusterstate.Attempt
-	waiting []*clusterstate.Job
-	random  *rand.Rand
+	controller *Controller
+	leadership *leadership
+	tasks      []*clusterstate.Attempt
+	waiting    []*clusterstate.Job
+	random     *rand.Rand
 	// revision is that of the last transaction that applied.
 	revision uint64
 }
@@ -82,7 +82,7 @@
 	l := newLeadership(c, &leaderRecord{Token: 1, LeaseID: 1}, 1, c.env.now)
 	l.loader.ready = true
 	c.leadership = l
-	f := &slopeFleet{core: c, term: l, random: rand.New(rand.NewPCG(2, 2))}
+	f := &slopeFleet{controller: c, leadership: l, random: rand.New(rand.NewPCG(2, 2))}
 	f.freshPool()
 	return f
 }
@@ -90,20 +90,20 @@
 // freshPool has a machine pool that has rented nothing and read a list of the fleet.
 func (f *slopeFleet) freshPool() {
 	var list protocol.MachineList
-	for _, m := range f.term.machines.sortedMachines() {
+	for _, m := range f.leadership.machines.sortedMachines() {
 		list.Machines = append(list.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, State: "running"})
 	}
-	f.term.pool = f.term.newPool()
-	f.core.outbox.cloudRequests.Refill()
-	f.term.pool.Tick()
-	for _, e := range f.core.outbox.effects {
+	f.leadership.pool = f.leadership.newPool()
+	f.controller.outbox.cloudRequests.Refill()
+	f.leadership.pool.Tick()
+	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && strings.HasPrefix(call.Path, "/machines?") {
-			then := f.core.outbox.calls[call.ID]
-			delete(f.core.outbox.calls, call.ID)
+			then := f.controller.outbox.calls[call.ID]
+			delete(f.controller.outbox.calls, call.ID)
 			then(Result{ID: call.ID, Status: 200, Body: protocol.Encode(list)})
 		}
 	}
-	f.core.outbox.effects = f.core.outbox.effects[:0]
+	f.controller.outbox.effects = f.controller.outbox.effects[:0]
 }
 
 // newSlopeFleet is a leader whose fleet is busy: each machine has about ten tasks, every
@@ -111,7 +111,7 @@
 func newSlopeFleet(b *testing.B, workers int) *slopeFleet {
 	b.Helper()
 	f := newSlopeLeader(b, workers)
-	teams := len(f.core.env.cfg.Cluster.Teams)
+	teams := len(f.controller.env.cfg.Cluster.Teams)
 	for i := range workers {
 		f.addMachine(i)
 	}
@@ -121,7 +121,7 @@
 		if i%slopeTasksPerJob == 0 {
 			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Need{Cores: 1, Mem: 2})
 		}
-		f.run(job, i%slopeTasksPerJob, f.term.machines.sortedMachines()[i%workers])
+		f.run(job, i%slopeTasksPerJob, f.leadership.machines.sortedMachines()[i%workers])
 	}
 	f.fillUp()
 	for i := range int(float64(workers) * slopeWaitingPerWorker) {
@@ -135,28 +135,28 @@
 }
 
 func (f *slopeFleet) addMachine(i int) {
-	m := f.term.state.AddMachine(fmt.Sprintf("i-%06d", i))
+	m := f.leadership.state.AddMachine(fmt.Sprintf("i-%06d", i))
 	m.Type = []string{"m16", "g64"}[i%2]
 	m.Zone, m.Addr = string(rune('a'+i%3)), "10.1.0.1:1"
-	m.Size = f.term.machines.machineSize(m.Type)
+	m.Size = f.leadership.machines.machineSize(m.Type)
 	m.Seen, m.TokenAcknowledged, m.Up, m.Listed, m.Recorded, m.Epoch, m.Token = true, true, true, true, true, 1, 1
-	m.LastSeen, m.LastAnswered, m.TokenAcknowledgedAt, m.Probed = f.core.env.now, f.core.env.now, f.core.env.now, true
+	m.LastSeen, m.LastAnswered, m.TokenAcknowledgedAt, m.Probed = f.controller.env.now, f.controller.env.now, f.controller.env.now, true
 	m.UseImage(fmt.Sprintf("img-%02d", i%12), 5, 400)
 }
 
 func (f *slopeFleet) addJob(uid string, team int, service bool, need scheduler.Need) *clusterstate.Job {
-	i := len(f.term.state.Jobs)
+	i := len(f.leadership.state.Jobs)
 	spec := &protocol.Spec{UID: uid, Class: []string{"web", "scoring"}[i%2], Team: fmt.Sprintf("team-%d", team), Service: service, Priority: protocol.Normal,
 		Tasks: slopeTasksPerJob, Cores: need.Cores, Accelerators: need.Accel, MemoryGB: need.Mem, Image: fmt.Sprintf("img-%02d", i%12), ImageGB: 5,
 		Spread: service && need.Accel == 0, CheckpointS: 15, SaveS: 3, EstimateS: 90}
-	job := f.term.state.AddJob(spec, f.core.env.wall-int64(i%3600)*1000)
+	job := f.leadership.state.AddJob(spec, f.controller.env.wall-int64(i%3600)*1000)
 	job.Stored = true
 	return job
 }
 
 // run puts a task on a machine, as one that has run for a while.
 func (f *slopeFleet) run(job *clusterstate.Job, index int, m *clusterstate.Machine) {
-	a := f.term.state.AddAttempt(m, job, index, f.term.attemptNumbers.take(), f.core.env.now-time.Minute)
+	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.take(), f.controller.env.now-time.Minute)
 	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
 	a.SetState(protocol.Running)
 	f.tasks = append(f.tasks, a)
@@ -166,7 +166,7 @@
 // accelerators.
 func (f *slopeFleet) fillUp() {
 	big := f.addJob("j-big", 0, false, scheduler.Need{})
-	for i, m := range f.term.machines.sortedMachines() {
+	for i, m := range f.leadership.machines.sortedMachines() {
 		left := scheduler.Need{}
 		if i%3 == 0 {
 			left = scheduler.Need{Cores: 14, Accel: 2, Mem: 60}
@@ -174,13 +174,13 @@
 		free := m.Size.Minus(m.Used)
 		m.Used = m.Used.Plus(scheduler.Need{Cores: max(0, free.Cores-left.Cores), Accel: max(0, free.Accel-left.Accel)})
 	}
-	f.term.state.RemoveJob(big.Spec.UID)
+	f.leadership.state.RemoveJob(big.Spec.UID)
 }
 
 // end takes one running task out of the ledger and has another one of it wait.
 func (f *slopeFleet) end() {
 	i := f.random.IntN(len(f.tasks))
-	f.term.state.RemoveAttempt(f.tasks[i])
+	f.leadership.state.RemoveAttempt(f.tasks[i])
 	f.tasks[i] = f.tasks[len(f.tasks)-1]
 	f.tasks = f.tasks[:len(f.tasks)-1]
 }
@@ -189,24 +189,24 @@
 // the fleet as it would be.
 func (f *slopeFleet) settleStarts() {
 	for {
-		f.core.outbox.effects = f.core.outbox.effects[:0]
-		f.core.outbox.stateChanges.Refill()
-		f.core.outbox.stateRequests.Refill()
-		f.term.flush()
+		f.controller.outbox.effects = f.controller.outbox.effects[:0]
+		f.controller.outbox.stateChanges.Refill()
+		f.controller.outbox.stateRequests.Refill()
+		f.leadership.flush()
 		if !f.answerTransaction() {
 			break
 		}
 	}
-	f.core.outbox.effects = f.core.outbox.effects[:0]
-	clear(f.core.outbox.calls)
+	f.controller.outbox.effects = f.controller.outbox.effects[:0]
+	clear(f.controller.outbox.calls)
 }
 
 // answerTransaction has the transaction that just left apply; false: there is none.
 func (f *slopeFleet) answerTransaction() bool {
-	for _, e := range f.core.outbox.effects {
+	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
 			f.revision++
-			f.core.outbox.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TxnReply{Revision: f.revision})})
+			f.controller.outbox.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TxnReply{Revision: f.revision})})
 			return true
 		}
 	}
@@ -215,8 +215,8 @@
 
 // keepBusy has a transaction under way that is never answered, so that no fill begins.
 func (f *slopeFleet) keepBusy() {
-	f.term.store.Mark("x/busy", statestore.User, func() any { return 1 }, nil)
-	f.term.flush()
+	f.leadership.store.Mark("x/busy", statestore.User, func() any { return 1 }, nil)
+	f.leadership.flush()
 }
 
 func eachSlopeSize(b *testing.B, run func(b *testing.B, workers int)) {
@@ -232,7 +232,7 @@
 func BenchmarkSlopeFill(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.term.placement.runFill()
+		f.leadership.placement.runFill()
 		f.settleStarts()
 		var worst time.Duration
 		b.ResetTimer()
@@ -244,7 +244,7 @@
 			f.settleStarts()
 			b.StartTimer()
 			started := time.Now()
-			f.term.placement.runFill()
+			f.leadership.placement.runFill()
 			worst = max(worst, time.Since(started))
 		}
 		b.ReportMetric(float64(worst.Microseconds())/1000, "worst-ms")
@@ -259,10 +259,10 @@
 			b.StopTimer()
 			f := newSlopeFleet(b, workers)
 			runtime.GC()
-			before := f.term.attemptNumbers.used
+			before := f.leadership.attemptNumbers.used
 			b.StartTimer()
-			f.term.placement.runFill()
-			placed = int(f.term.attemptNumbers.used - before)
+			f.leadership.placement.runFill()
+			placed = int(f.leadership.attemptNumbers.used - before)
 		}
 		b.ReportMetric(float64(placed), "placed")
 	})
@@ -273,7 +273,7 @@
 		f := newSlopeFleet(b, workers)
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.cache.fullSnapshot()
+			f.leadership.cache.fullSnapshot()
 		}
 	})
 }
@@ -281,11 +281,11 @@
 func BenchmarkSlopeRound(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.term.placement.runFill()
+		f.leadership.placement.runFill()
 		f.settleStarts()
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.placement.runRound()
+			f.leadership.placement.runRound()
 		}
 	})
 }
@@ -301,11 +301,11 @@
 			for _, j := range f.waiting {
 				j.Spec.Priority, j.Spec.Service = protocol.Production, true
 			}
-			f.term.placement.runFill()
+			f.leadership.placement.runFill()
 			f.settleStarts()
 			runtime.GC()
 			b.StartTimer()
-			f.term.placement.runRound()
+			f.leadership.placement.runRound()
 			b.StopTimer()
 			stops = 0
 			for _, a := range f.tasks {
@@ -325,20 +325,20 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		for _, j := range f.waiting {
-			f.term.state.RemoveJob(j.Spec.UID)
+			f.leadership.state.RemoveJob(j.Spec.UID)
 		}
-		for _, j := range f.term.state.Jobs {
+		for _, j := range f.leadership.state.Jobs {
 			j.Spec.Service = true
 		}
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.consolidator.drainAt = 0
-			f.term.consolidator.consolidate()
+			f.leadership.consolidator.drainAt = 0
+			f.leadership.consolidator.consolidate()
 			b.StopTimer()
 			for _, a := range f.tasks {
 				a.StopRequested, a.Machine.DrainUntil = false, 0
 			}
-			f.core.outbox.effects = f.core.outbox.effects[:0]
+			f.controller.outbox.effects = f.controller.outbox.effects[:0]
 			b.StartTimer()
 		}
 	})
@@ -348,10 +348,10 @@
 func BenchmarkSlopeSweep(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.term.cache.fullSnapshot()
+		f.leadership.cache.fullSnapshot()
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.cache.syncFleet(f.term.cache.emptySnapshot())
+			f.leadership.cache.syncFleet(f.leadership.cache.emptySnapshot())
 		}
 	})
 }
@@ -359,13 +359,13 @@
 func BenchmarkSlopePlan(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.term.placement.runFill()
+		f.leadership.placement.runFill()
 		f.settleStarts()
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.scaler.planScaling()
+			f.leadership.scaler.planScaling()
 			b.StopTimer()
-			f.core.outbox.effects = f.core.outbox.effects[:0]
+			f.controller.outbox.effects = f.controller.outbox.effects[:0]
 			f.freshPool()
 			b.StartTimer()
 		}
@@ -375,7 +375,7 @@
 func BenchmarkSlopeTick(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		l := f.term
+		l := f.leadership
 		l.placement.fillAt, l.placement.roundAt, l.placement.planAt, l.placement.countersAt, l.placement.summaryAt, l.lease.renewLeaseAt = 1<<60, 1<<60, 1<<60, 1<<60, 1<<60, 1<<60
 		b.ResetTimer()
 		for b.Loop() {
@@ -384,8 +384,8 @@
 	})
 }
 
-// report is what a machine of the fleet says, all being as the ledger has it.
-func (f *slopeFleet) report(m *clusterstate.Machine) *protocol.WorkerHeartbeat {
+// heartbeat is what a machine of the fleet says, all being as the ledger has it.
+func (f *slopeFleet) heartbeat(m *clusterstate.Machine) *protocol.WorkerHeartbeat {
 	msg := &protocol.WorkerHeartbeat{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Epoch: 1, Sequence: m.Sequence + 1, Token: 1}
 	for _, a := range m.Sorted() {
 		msg.Tasks = append(msg.Tasks, protocol.TaskStatus{Task: a.Key().Task, Attempt: a.Number, State: protocol.Running})
@@ -393,22 +393,22 @@
 	return msg
 }
 
-// handleReports measures reports of the fleet's machines in turn, changed as asked.
-func handleReports(b *testing.B, change func(f *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat), forwarded bool) {
+// benchmarkHeartbeats measures reports of the fleet's machines in turn, changed as asked.
+func benchmarkHeartbeats(b *testing.B, change func(f *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat), forwarded bool) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		l := f.term
+		l := f.leadership
 		l.placement.fillAt, l.placement.roundAt, l.placement.planAt = 1<<60, 1<<60, 1<<60
 		f.keepBusy() // no fill: that is measured by itself
 		list := l.machines.sortedMachines()
-		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
+		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
 		n, bytes := 0, 0
 		b.ResetTimer()
 		for b.Loop() {
 			b.StopTimer()
 			m := list[n%len(list)]
 			n++
-			msg := f.report(m)
+			msg := f.heartbeat(m)
 			if change != nil {
 				change(f, m, msg)
 			}
@@ -419,26 +419,26 @@
 				request = Request{ID: uint64(n), Op: OpForwardedHeartbeat, Body: protocol.EncodePeer(protocol.Relay{Op: string(OpWorkerHeartbeat), Body: body, From: "n1"})}
 			}
 			b.StartTimer()
-			f.core.Handle(at, request)
+			f.controller.Handle(at, request)
 		}
 		b.ReportMetric(float64(bytes)/float64(n), "body-bytes")
 	})
 }
 
-func BenchmarkSlopeReportUnchanged(b *testing.B) { handleReports(b, nil, false) }
+func BenchmarkSlopeHeartbeatUnchanged(b *testing.B) { benchmarkHeartbeats(b, nil, false) }
 
-func BenchmarkSlopeReportForwarded(b *testing.B) { handleReports(b, nil, true) }
+func BenchmarkSlopeHeartbeatForwarded(b *testing.B) { benchmarkHeartbeats(b, nil, true) }
 
-func BenchmarkSlopeReportExit(b *testing.B) {
-	handleReports(b, func(_ *slopeFleet, _ *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
+func BenchmarkSlopeHeartbeatExit(b *testing.B) {
+	benchmarkHeartbeats(b, func(_ *slopeFleet, _ *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
 		if len(msg.Tasks) > 0 {
 			msg.Tasks[0].State, msg.Tasks[0].Cause = protocol.Exited, protocol.CauseDone
 		}
 	}, false)
 }
 
-func BenchmarkSlopeReportStart(b *testing.B) {
-	handleReports(b, func(_ *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
+func BenchmarkSlopeHeartbeatStart(b *testing.B) {
+	benchmarkHeartbeats(b, func(_ *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
 		if len(msg.Tasks) > 0 {
 			first := msg.Tasks[0]
 			m.Attempts[clusterstate.AttemptKey{Task: first.Task, Attempt: first.Attempt}].SetState(protocol.FetchingImage)
@@ -456,13 +456,13 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.keepBusy()
-		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
+		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
 			n++
-			clear(f.core.pending.pendingRequests)
-			f.core.Handle(at, Request{ID: uint64(n), Op: OpSubmit, Body: slopeSubmission(n)})
+			clear(f.controller.pending.pendingRequests)
+			f.controller.Handle(at, Request{ID: uint64(n), Op: OpSubmit, Body: slopeSubmission(n)})
 		}
 	})
 }
@@ -471,10 +471,10 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.keepBusy()
-		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
+		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
 		b.ResetTimer()
 		for b.Loop() {
-			f.core.Handle(at, Request{ID: 1, Op: OpPoll, UID: "j-00000001"})
+			f.controller.Handle(at, Request{ID: 1, Op: OpPoll, UID: "j-00000001"})
 		}
 	})
 }
@@ -484,13 +484,13 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.keepBusy()
-		at := Clock{Steady: f.core.env.now, Wall: f.core.env.wall}
+		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
-			f.core.Handle(at, Request{ID: uint64(n + 1), Op: OpCancel, UID: fmt.Sprintf("j-%08d", n)})
+			f.controller.Handle(at, Request{ID: uint64(n + 1), Op: OpCancel, UID: fmt.Sprintf("j-%08d", n)})
 			n++
-			clear(f.core.pending.pendingRequests)
+			clear(f.controller.pending.pendingRequests)
 		}
 	})
 }
@@ -500,15 +500,15 @@
 func BenchmarkSlopeTransaction(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		l := f.term
+		l := f.leadership
 		list := l.machines.sortedMachines()
 		n, changes, bytes := 0, 0, 0
 		b.ResetTimer()
 		for b.Loop() {
 			b.StopTimer()
 			f.settleStarts()
-			f.core.outbox.stateChanges.Refill()
-			for range f.core.env.cfg.Cluster.State.TxnOps {
+			f.controller.outbox.stateChanges.Refill()
+			for range f.controller.env.cfg.Cluster.State.TxnOps {
 				l.machines.storeMachine(list[n%len(list)], statestore.Start, nil)
 				n++
 			}
@@ -523,26 +523,26 @@
 	})
 }
 
-// BenchmarkSlopeTakeOver reads the records of the whole fleet, as a new leader does, with
+// BenchmarkSlopeFailover reads the records of the whole fleet, as a new leader does, with
 // ten jobs that are over for each worker.
-func BenchmarkSlopeTakeOver(b *testing.B) {
+func BenchmarkSlopeFailover(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		var items []protocol.Item
 		add := func(key string, value any) {
 			items = append(items, protocol.Item{Key: key, Value: protocol.Encode(value), Version: 1})
 		}
-		for _, j := range f.term.state.SortedJobs() {
+		for _, j := range f.leadership.state.SortedJobs() {
 			add(clusterstate.JobPrefix+j.Spec.UID, j.Record())
 		}
 		for i := range 10 * workers {
 			add(fmt.Sprintf("%sj-o%07d", clusterstate.JobPrefix, i), clusterstate.JobRecord{State: protocol.Done, Tasks: 12})
 		}
-		for _, m := range f.term.machines.sortedMachines() {
+		for _, m := range f.leadership.machines.sortedMachines() {
 			add(clusterstate.MachinePrefix+m.ID, m.Record())
 		}
 		for i, rows := range f.counters() {
-			add(counterKey(i), clusterstate.Counters{At: f.core.env.wall - 30_000, Jobs: rows})
+			add(counterKey(i), clusterstate.Counters{At: f.controller.env.wall - 30_000, Jobs: rows})
 		}
 		bytes := 0
 		for _, it := range items {
@@ -550,47 +550,47 @@
 		}
 		b.ResetTimer()
 		for b.Loop() {
-			l := newLeadership(f.core, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.core.env.now)
+			l := newLeadership(f.controller, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.controller.env.now)
 			for _, it := range items {
 				l.store.Loaded(it.Key, it.Version)
 				if err := l.loader.loadRecord(it); err != nil {
 					b.Fatal(err)
 				}
 			}
-			f.core.leadership = l
+			f.controller.leadership = l
 			l.loader.onStateLoaded()
-			f.core.outbox.effects = f.core.outbox.effects[:0]
+			f.controller.outbox.effects = f.controller.outbox.effects[:0]
 		}
 		b.ReportMetric(float64(len(items)), "records")
 		b.ReportMetric(float64(bytes), "record-bytes")
 	})
 }
 
-// BenchmarkSlopeTakeOverOldRecords begins a term whose records have an older attempt of every third task, as
+// BenchmarkSlopeFailoverOldRecords begins a term whose records have an older attempt of every third task, as
 // records of machines are written lazily when a task leaves.
-func BenchmarkSlopeTakeOverOldRecords(b *testing.B) {
+func BenchmarkSlopeFailoverOldRecords(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		list := f.term.machines.sortedMachines()
+		list := f.leadership.machines.sortedMachines()
 		for i, a := range slices.Clone(f.tasks) {
 			if i%3 == 0 {
-				old := f.term.state.AddAttempt(list[(i+7)%len(list)], a.Job, a.Index, 1, f.core.env.now)
+				old := f.leadership.state.AddAttempt(list[(i+7)%len(list)], a.Job, a.Index, 1, f.controller.env.now)
 				old.Durable, old.Loaded, old.Sent = true, true, true
 			}
 		}
 		b.ResetTimer()
 		for b.Loop() {
-			f.term.loader.onStateLoaded()
-			f.core.outbox.effects = f.core.outbox.effects[:0]
+			f.leadership.loader.onStateLoaded()
+			f.controller.outbox.effects = f.controller.outbox.effects[:0]
 		}
 	})
 }
 
 // counters are the stored counters of the fleet's batches.
 func (f *slopeFleet) counters() []map[string]clusterstate.CounterRow {
-	limit := f.core.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
+	limit := f.controller.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
 	batches := []map[string]clusterstate.CounterRow{{}}
-	for _, j := range f.term.state.SortedJobs() {
+	for _, j := range f.leadership.state.SortedJobs() {
 		if j.Spec.Service {
 			continue
 		}
@@ -629,7 +629,7 @@
 			}
 			return f
 		}) / float64(workers)
-		list := f.term.machines.sortedMachines()
+		list := f.leadership.machines.sortedMachines()
 		var jobs []*clusterstate.Job
 		perWaiting := heapOf(func() any {
 			for i := range workers {
@@ -648,8 +648,8 @@
 		perOver := heapOf(func() any {
 			for i := range 10 * workers {
 				uid := fmt.Sprintf("j-o%07d", i)
-				f.term.state.Terminal[uid] = clusterstate.TerminalState{Tasks: 12}
-				f.term.store.Loaded(clusterstate.JobPrefix+uid, 1)
+				f.leadership.state.Terminal[uid] = clusterstate.TerminalState{Tasks: 12}
+				f.leadership.store.Loaded(clusterstate.JobPrefix+uid, 1)
 			}
 			return f
 		}) / float64(10*workers)
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -26,24 +26,24 @@
 func (w *world) checkSchedulerCache(l *leadership) {
 	for _, e := range l.cache.machines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
-			w.breaks("the standing view of %s differs from the ledger", e.machine.ID)
+			w.violated("the standing view of %s differs from the ledger", e.machine.ID)
 		}
 	}
 	for _, j := range l.state.Jobs {
 		kept := l.cache.waiting[j]
 		if kept == nil {
 			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.OpenedJobs(), j) {
-				w.breaks("%s waits and is not in the standing view", j.Spec.UID)
+				w.violated("%s waits and is not in the standing view", j.Spec.UID)
 			}
 			continue
 		}
 		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.drawn && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finishing && !slices.Equal(fresh, kept.waiting) {
-			w.breaks("%s: waiting tasks %v, the standing view has %v", j.Spec.UID, fresh, kept.waiting)
+			w.violated("%s: waiting tasks %v, the standing view has %v", j.Spec.UID, fresh, kept.waiting)
 		}
 	}
 	if w.leaderEvents++; w.leaderEvents%compareEvery == 0 {
 		if d := differenceOfSnapshots(l); d != "" {
-			w.breaks("the standing snapshot differs from one drawn anew: %s", d)
+			w.violated("the standing snapshot differs from one drawn anew: %s", d)
 		}
 	}
 }
@@ -67,20 +67,20 @@
 		}
 	} else if got == nil {
 		return "there is something to decide"
-	} else if d := differ(want, got); d != "" {
+	} else if d := firstDifference(want, got); d != "" {
 		return "fill: " + d
 	}
-	if d := differ(want, l.cache.fullSnapshot()); d != "" {
+	if d := firstDifference(want, l.cache.fullSnapshot()); d != "" {
 		return "whole: " + d
 	}
 	got = l.cache.snapshotForPlan()
-	d := differ(l.snapshot(false, true), got)
+	d := firstDifference(l.snapshot(false, true), got)
 	l.cache.endPlan(got)
 	if d != "" {
 		return "plan: " + d
 	}
 	got = l.cache.snapshotForRound()
-	d = differ(l.snapshot(true, false), got)
+	d = firstDifference(l.snapshot(true, false), got)
 	l.cache.endRound()
 	if d != "" {
 		return "round: " + d
@@ -88,7 +88,7 @@
 	return ""
 }
 
-func differ(want, got *scheduler.Snapshot) string {
+func firstDifference(want, got *scheduler.Snapshot) string {
 	sorted := func(s scheduler.Snapshot) *scheduler.Snapshot {
 		s.Jobs, s.Machines = slices.Clone(s.Jobs), slices.Clone(s.Machines)
 		slices.SortFunc(s.Jobs, func(a, b *scheduler.Job) int { return strings.Compare(a.ID, b.ID) })
@@ -156,7 +156,7 @@
 
 // A change of the ledger that nobody told of is found by the check, logged once, and the next
 // fill decides by the ledger.
-func TestDriftIsFoundAndMended(t *testing.T) {
+func TestCacheDriftIsDetectedAndRepaired(t *testing.T) {
 	w := newWorld(t, 91)
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "apart": true})
@@ -171,7 +171,7 @@
 	if d := differenceOfSnapshots(l); d != "" {
 		t.Fatal(d)
 	}
-	m := w.term().machines.sortedMachines()[0]
+	m := w.leadership().machines.sortedMachines()[0]
 	m.Used = m.Used.Plus(scheduler.Need{Cores: 1})
 	for range 3 {
 		l.cache.verify()
@@ -186,11 +186,11 @@
 
 // A fill that nothing can be placed by leaves the standing view as it was: room that is kept for
 // what is expected, or held back for a gang, is nothing that outlives the fill.
-func TestWhatAFillKeepsBackDoesNotOutliveIt(t *testing.T) {
+func TestFillReservationsDoNotOutliveTheFill(t *testing.T) {
 	w := newWorld(t, 92)
 	w.awaitLeader()
 	w.run(20 * second)
-	l := w.term()
+	l := w.leadership()
 	c := l.controller
 	for i := range 4 {
 		m := l.state.AddMachine("i-90000" + string(rune('0'+i)))
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -24,7 +24,8 @@
 	hash := xxhash.New()
 	w.script = func(node int, c Call) deliveryFault {
 		if c.Target == ToState && c.Method != "GET" {
-			fmt.Fprintf(hash, "%v %d %s %s %s\n", w.Now(), node, c.Method, c.Path, hex.EncodeToString(c.Body))
+			// A hash never fails to take bytes.
+			_, _ = fmt.Fprintf(hash, "%v %d %s %s %s\n", w.Now(), node, c.Method, c.Path, hex.EncodeToString(c.Body))
 		}
 		return deliveryFault{}
 	}
@@ -46,7 +47,7 @@
 	}
 	w.cancel("j-1")
 	w.run(60 * time.Second)
-	w.keptRules()
+	w.requireNoViolations()
 	got, want := fmt.Sprintf("%016x", hash.Sum64()), storedByOlder[os.Getenv("CLAYBARROW_TEST_SITE")]
 	if got != want {
 		t.Errorf("what is stored has the hash %s, 0eeb63e's is %s", got, want)
--- a/internal/controller/takeover_idle_test.go
+++ b/internal/controller/takeover_idle_test.go
@@ -8,7 +8,7 @@
 
 // A new leader hears of idle machines late, as asking thousands takes a while. That they are not
 // heard yet is no sign that they did not come up.
-func TestIdleMachinesAreKeptAfterATakeOver(t *testing.T) {
+func TestIdleMachinesAreKeptAfterAFailover(t *testing.T) {
 	w := newWorld(t, 93)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 8.0, "owner": "red"})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-1") == 4 })
@@ -21,7 +21,7 @@
 	w.script = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker || c.Path == "/forward"}
 	}
-	w.reports = func(*emulator.Worker, int) deliveryFault { return deliveryFault{lost: true} }
+	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault { return deliveryFault{lost: true} }
 	w.crash(lead)
 	w.until(10*second, "another leads", func() bool { return w.leader() >= 0 && w.leader() != lead })
 	w.run(3 * second)
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -14,8 +14,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// shadow is what a leader elected now would find: a term that has read the store.
-func (ro *rollout) shadow() *leadership {
+// simulateFailover is what a leader elected now would find: a term that has read the store.
+func (ro *rollout) simulateFailover() *leadership {
 	core := New(ro.cfgs[0], ro.rng, ro.nodes[0].controller.env.log)
 	core.env.now = ro.Now()
 	rec, _ := ro.stored()
@@ -33,11 +33,11 @@
 	return l
 }
 
-// checkShadow compares what a take-over would find with what runs: each attempt that is on a machine
+// checkSimulatedFailover compares what a take-over would find with what runs: each attempt that is on a machine
 // is known there, and what was cleared from the workers' reports is done.
 // lost are tasks that were done on a machine that died with them: they may be unknown.
-func (ro *rollout) checkShadow(lost map[string]bool) {
-	l := ro.shadow()
+func (ro *rollout) checkSimulatedFailover(lost map[string]bool) {
+	l := ro.simulateFailover()
 	reported := maps.Clone(lost)
 	for _, k := range ro.fleet() {
 		for name, task := range k.Tasks {
@@ -52,24 +52,24 @@
 				continue
 			}
 			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Try}] == nil {
-				ro.breaks("a take-over does not know that %s, attempt %d, is on %s", id, task.Try, k.ID)
+				ro.violated("a take-over does not know that %s, attempt %d, is on %s", id, task.Try, k.ID)
 			}
 		}
 	}
 	for id := range ro.finished {
 		uid, index, _ := clusterstate.ParseTask(id)
 		if j := l.state.Jobs[uid]; j != nil && !reported[id] && !j.IsDone(index) && !j.Spec.Service {
-			ro.breaks("a take-over does not know that %s is done, and nobody reports it", id)
+			ro.violated("a take-over does not know that %s is done, and nobody reports it", id)
 		}
 	}
 }
 
 // At each moment of a history with the journal a take-over would find what it needs: while arrays end,
 // machines die, leaders end, transactions are late and their answers lost.
-func TestTakeOverAtEachMoment(t *testing.T) {
+func TestFailoverAtEachMoment(t *testing.T) {
 	for seed := range uint64(4) {
 		ro := newRollout(t, 500+seed, defaultTopology)
-		ro.opened()
+		ro.openGate()
 		ro.interrupts = true
 		turn, lost := 0, map[string]bool{}
 		ro.onStep = func(step gateStep, _ int) deliveryFault {
@@ -77,17 +77,17 @@
 			if step != journals || turn%3 != 0 {
 				return deliveryFault{}
 			}
-			return deliveryFault{hold: ro.ms(0, 2000), answerLost: turn%2 == 0}
+			return deliveryFault{hold: ro.randomMilliseconds(0, 2000), answerLost: turn%2 == 0}
 		}
 		for second := range 60 {
 			for range 10 {
 				ro.run(tick)
-				ro.checkShadow(lost)
+				ro.checkSimulatedFailover(lost)
 			}
-			switch {
-			case second%20 == 7:
+			switch second % 20 {
+			case 7:
 				ro.endSoon(ro.awaitLeader())
-			case second%20 == 17:
+			case 17:
 				for _, k := range ro.fleet() {
 					if !k.Deleted && k.Up && len(k.Tasks) > 0 {
 						for name := range k.Tasks {
@@ -103,7 +103,7 @@
 		if ro.steps[journals] < 10 {
 			t.Errorf("the journal was written %d times", ro.steps[journals])
 		}
-		ro.over()
+		ro.settleAndCheck()
 	}
 }
 
@@ -111,7 +111,7 @@
 // no use is folded away, and a machine's record that is newer than a value knows better.
 func TestDamagedJournal(t *testing.T) {
 	ro := newRollout(t, 510, defaultTopology)
-	ro.opened()
+	ro.openGate()
 	ro.run(10 * second)
 	var logged bytes.Buffer
 	ro.logged = func(_ int, line []byte) { logged.Write(line) }
@@ -167,7 +167,7 @@
 			t.Errorf("%s began %d times", task, ro.starts[task])
 		}
 	}
-	ro.keptRules()
+	ro.requireNoViolations()
 }
 
 // A leader record of a form that is not known, or that can't be read: nobody campaigns, users are told to come
@@ -180,7 +180,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ro := newRollout(t, 520, defaultTopology)
-			ro.opened()
+			ro.openGate()
 			ro.run(5 * second)
 			for i := range ro.nodes {
 				ro.crash(i)
@@ -188,7 +188,7 @@
 			ro.run(10 * second)
 			stored := protocol.Encode(value)
 			ro.logged = nil
-			ro.world.script = nil
+			ro.script = nil
 			ro.state.Change(keyLeader, &emulator.Item{Value: stored})
 			for i := range ro.nodes {
 				ro.boot(i)
@@ -221,7 +221,7 @@
 		ro := newRollout(t, 530, defaultTopology)
 		lead := ro.awaitLeader()
 		stating := (lead + 1) % 3
-		ro.world.script = func(node int, call Call) deliveryFault {
+		ro.script = func(node int, call Call) deliveryFault {
 			// It never leads, and the test heartbeats for it.
 			return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
 		}
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -8,7 +8,7 @@
 
 // Settings of unusual shapes are served as any other: replicas and batches run, a leader's end
 // loses nothing, and two zones that part keep what runs in them.
-func TestUnusualShapes(t *testing.T) {
+func TestUnusualTopologies(t *testing.T) {
 	for name, shape := range map[string]topology{
 		"one zone":                           {controllers: []string{"a", "a", "a"}, zones: []string{"a"}, teams: defaultTopology.teams},
 		"one controller":                     {controllers: []string{"a"}, zones: []string{"a"}, teams: defaultTopology.teams},
@@ -31,7 +31,7 @@
 	w.submit("j-2", map[string]any{"shards": 6, "cores": 2.0})
 	w.submit("j-3", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "owner": "blue", "rank": "production"})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
-	w.awaitTold(200*second, "j-2", protocol.Done)
+	w.awaitStatus(200*second, "j-2", protocol.Done)
 	lead := w.leader()
 	started := w.allStarts()
 	w.crash(lead)
@@ -46,7 +46,7 @@
 }
 
 // Two zones with one controller each part, whichever of them leads: both keep what runs there.
-func TestTwoControllersApart(t *testing.T) {
+func TestTwoControllersPartitioned(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		w := newWorldWithTopology(t, 67, testOperator, topology{controllers: []string{"a", "b"}, zones: defaultTopology.zones, teams: defaultTopology.teams})
 		w.awaitLeader()
@@ -54,9 +54,9 @@
 		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 		w.run(10 * second)
 		started := w.allStarts()
-		w.partZones(refused, 40*second)
+		w.partitionZones(refused, 40*second)
 		w.run(40 * second)
-		w.script, w.reports, w.off = nil, nil, nil
+		w.script, w.heartbeatFault, w.unreachable = nil, nil, nil
 		w.run(20 * second)
 		if w.running("j-1") != 4 || w.allStarts() != started {
 			t.Errorf("refused %v: %d replicas run, %d tasks were started", refused, w.running("j-1"), w.allStarts()-started)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -12,10 +12,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// gangless plays a leader of the version that knows no gangs (4297efa), by script: it
+// ganglessLeader plays a leader of the version that knows no gangs (4297efa), by script: it
 // holds the leader key as that version writes it, answers the workers with its token,
 // and does to records and tasks what that version would, which takes a gang for an array.
-type gangless struct {
+type ganglessLeader struct {
 	w     *world
 	node  int
 	token uint64
@@ -24,7 +24,7 @@
 
 // olderLeads ends all controllers and has the older version lead from one of them; the
 // others are back as they are now.
-func (w *world) olderLeads() *gangless {
+func (w *world) olderLeads() *ganglessLeader {
 	w.t.Helper()
 	for i := range w.nodes {
 		w.crash(i)
@@ -34,7 +34,7 @@
 	if err := protocol.Decode(w.state.Item(keyCounter).Value, &counter); err != nil {
 		w.t.Fatal(err)
 	}
-	o := &gangless{w: w, node: 2, token: counter.Token + 1}
+	o := &ganglessLeader{w: w, node: 2, token: counter.Token + 1}
 	w.state.Change(keyCounter, &emulator.Item{Value: protocol.Encode(counterRecord{Token: o.token})})
 	w.state.Change(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: o.token, LeaseID: 1 << 30})})
 	w.nodes[o.node].scripted = func(req Request) Reply {
@@ -50,7 +50,7 @@
 }
 
 // ends gives the lead up, and its process comes back as the newer version.
-func (o *gangless) ends() {
+func (o *ganglessLeader) ends() {
 	o.w.t.Helper()
 	o.w.state.Change(keyLeader, nil)
 	o.w.boot(o.node)
@@ -58,7 +58,7 @@
 }
 
 // command sends orders to a machine; false: they were refused.
-func (o *gangless) command(k *emulator.Worker, orders ...protocol.Command) bool {
+func (o *ganglessLeader) command(k *emulator.Worker, orders ...protocol.Command) bool {
 	body := protocol.Commands{Token: o.token, Epoch: k.Session, Commands: orders}
 	taken := false
 	k.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == 200 })
@@ -66,7 +66,7 @@
 }
 
 // starts has a single task run, under a number of its own: durable first, as ever.
-func (o *gangless) starts(k *emulator.Worker, uid string, index int) {
+func (o *ganglessLeader) starts(k *emulator.Worker, uid string, index int) {
 	o.w.t.Helper()
 	o.tries++
 	try := o.token<<24 | o.tries
@@ -79,13 +79,13 @@
 }
 
 // forgets takes all attempts of a job out of a machine's record.
-func (o *gangless) forgets(k *emulator.Worker, uid string) {
+func (o *ganglessLeader) forgets(k *emulator.Worker, uid string) {
 	o.amend(k, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == uid })
 	})
 }
 
-func (o *gangless) amend(k *emulator.Worker, change func(*clusterstate.MachineRecord)) {
+func (o *ganglessLeader) amend(k *emulator.Worker, change func(*clusterstate.MachineRecord)) {
 	o.w.t.Helper()
 	key := clusterstate.MachinePrefix + k.ID
 	var rec clusterstate.MachineRecord
@@ -118,13 +118,13 @@
 // A gang that the newer version accepted and started runs on under an older leader, and
 // under the next one, to its only end.
 func TestRunningGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 121)
+	w := newGateClosedWorld(t, 121)
 	w.gangOverTwo()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	o := w.olderLeads()
 	w.run(8 * second)
 	o.ends()
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	if w.machines.Wholes["j-1"] != 1 {
 		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
 	}
@@ -134,7 +134,7 @@
 // A gang that gathers loses a task; an older leader replaces it alone, under another
 // number. The next leader clears all of it and starts it whole.
 func TestHalfGatheredGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 122)
+	w := newGateClosedWorld(t, 122)
 	w.pulls = func(string) time.Duration { return 15 * second }
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 	w.until(120*second, "machines are up", func() bool { return w.running("j-9") == 3 })
@@ -156,14 +156,14 @@
 	}
 	o.ends()
 	w.until(40*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
 // An older leader stops a part of a running gang, as it would stop an array's tasks. The
 // gang falls back and begins again, whole, when the version of the leader changes.
 func TestHalfStoppedGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 123)
+	w := newGateClosedWorld(t, 123)
 	w.runs = func(string) time.Duration { return 40 * second }
 	w.gangOverTwo()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
@@ -175,7 +175,7 @@
 	w.run(time.Second)
 	o.ends()
 	w.until(40*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.settle()
 }
 
@@ -183,7 +183,7 @@
 // when it ends, and the machine with the others dies. One is done, so all are: nothing
 // is started again.
 func TestHalfDoneGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 124)
+	w := newGateClosedWorld(t, 124)
 	w.runs = func(string) time.Duration { return 12 * second }
 	w.gangOverTwo()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
@@ -215,7 +215,7 @@
 		t.Fatalf("%d of 4 completions are stored", stored)
 	}
 	o.ends()
-	w.awaitTold(5*second, "j-1", protocol.Done)
+	w.awaitStatus(5*second, "j-1", protocol.Done)
 	w.run(40 * second)
 	if w.machines.Wholes["j-1"] != 1 {
 		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
@@ -227,7 +227,7 @@
 // what it is, and ends. The next leader stops all of it, and its user is told.
 func TestCancelledGangUnderAnOlderLeader(t *testing.T) {
 	for _, state := range []string{"gathering", "running"} {
-		w := newHeldWorld(t, 125)
+		w := newGateClosedWorld(t, 125)
 		if state == "gathering" {
 			w.pulls = func(task string) time.Duration {
 				if strings.HasPrefix(task, "j-1/") {
@@ -250,7 +250,7 @@
 		w.cancelRequested["j-1"] = true
 		o.ends()
 		w.cancel("j-1")
-		w.awaitTold(20*second, "j-1", protocol.Cancelled)
+		w.awaitStatus(20*second, "j-1", protocol.Cancelled)
 		w.settle()
 	}
 }
@@ -260,7 +260,7 @@
 // refused, and the gang runs whole.
 func TestOldProcessComesBackAfterTheUpgrade(t *testing.T) {
 	for _, leads := range []time.Duration{2 * second, 33 * second} {
-		w := newHeldWorld(t, 126)
+		w := newGateClosedWorld(t, 126)
 		w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 		w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
 		w.cloud.Down = true
@@ -279,7 +279,7 @@
 		}
 		w.cloud.Down = false
 		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.awaitTold(60*second, "j-1", protocol.Done)
+		w.awaitStatus(60*second, "j-1", protocol.Done)
 		w.settle()
 	}
 }
@@ -287,7 +287,7 @@
 // Older and newer leaders take turns while gangs and arrays come and go, with machines
 // that die in between: at the end everything is done, and no rule was broken.
 func TestLeadersOfBothVersionsTakeTurns(t *testing.T) {
-	w := newHeldWorld(t, 127)
+	w := newGateClosedWorld(t, 127)
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 4.0, "apart": true})
 	w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
 	for turn := range 5 {
@@ -303,13 +303,13 @@
 		w.run(3 * second)
 	}
 	for turn := range 5 {
-		w.awaitTold(120*second, fmt.Sprintf("j-%d0", turn), protocol.Done)
-		w.awaitTold(120*second, fmt.Sprintf("j-%d1", turn), protocol.Done)
+		w.awaitStatus(120*second, fmt.Sprintf("j-%d0", turn), protocol.Done)
+		w.awaitStatus(120*second, fmt.Sprintf("j-%d1", turn), protocol.Done)
 	}
 	w.settle()
 }
 
-// newHeldWorld is a world whose operators hold the feature gate closed, as older versions are to lead.
-func newHeldWorld(t *testing.T, seed uint64) *world {
+// newGateClosedWorld is a world whose operators hold the feature gate closed, as older versions are to lead.
+func newGateClosedWorld(t *testing.T, seed uint64) *world {
 	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdOn)))
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -48,25 +48,25 @@
 	specs        map[string]map[string]any
 	lastReplies  map[string]protocol.JobState // what users were told last
 	lastReplyAt  map[string]time.Duration     // since when
-	stopped      map[string]time.Duration     // when users were told of a cancellation
-	broken       []string
+	cancelledAt  map[string]time.Duration     // when users were told of a cancellation
+	violations   []string
 	leaderEvents int // that leaders have handled
 	effects      *effectRecorder
 	checker
 	// script decides the fate of a call from a node; nil: all goes well.
 	script func(node int, c Call) deliveryFault
-	// reports decides whether a worker's report and its answer get through.
-	reports func(w *emulator.Worker, node int) deliveryFault
-	runs    func(task string) time.Duration
+	// heartbeatFault decides whether a worker's report and its answer get through.
+	heartbeatFault func(w *emulator.Worker, node int) deliveryFault
+	runs           func(task string) time.Duration
 	// pulls is how long a task waits for its image; nil: a moment.
 	pulls func(task string) time.Duration
 	// fails says whether a task fails as soon as it begins; failures counts those that did.
 	fails    func(k *emulator.Worker, uid string) bool
 	failures int
 	// heartbeatTimeout is how long a worker waits for the answer to a report.
-	reportWait time.Duration
-	// off are the addresses that take no connections.
-	off map[string]bool
+	heartbeatTimeout time.Duration
+	// unreachable are the addresses that take no connections.
+	unreachable map[string]bool
 	// logged is told of each line that a controller logs; nil: nobody is.
 	logged func(node int, line []byte)
 }
@@ -75,14 +75,14 @@
 	controller *Controller
 	alive      bool
 	life       int
-	born       time.Duration // the steady clock of a process starts with it
+	startedAt  time.Duration // the steady clock of a process starts with it
 	last       uint64
 	waiters    map[uint64]func(Reply)
 	// older: its version knows no probes, and withoutGate no feature gate either, see olderCall.
 	older, withoutGate bool
-	// still: the process handles nothing; held is what waits for it.
-	still bool
-	held  []func()
+	// paused: the process handles nothing; held is what waits for it.
+	paused bool
+	held   []func()
 	// drift is how much faster its steady clock runs.
 	drift    float64
 	observer *worldObserver
@@ -111,11 +111,11 @@
 func newWorldWithTopology(t testing.TB, seed uint64, operator []byte, shape topology) *world {
 	w := &world{topology: shape, t: t, effects: newEffectRecorder(t), queue: &emulator.EventQueue{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
 		copies: map[string][][]byte{}, finished: map[string]bool{},
-		lastReplies: map[string]protocol.JobState{}, lastReplyAt: map[string]time.Duration{}, stopped: map[string]time.Duration{}, checker: newChecker(), reportWait: 4 * time.Second,
+		lastReplies: map[string]protocol.JobState{}, lastReplyAt: map[string]time.Duration{}, cancelledAt: map[string]time.Duration{}, checker: newChecker(), heartbeatTimeout: 4 * time.Second,
 		runs: func(string) time.Duration { return 30 * time.Second }}
 	limits := testSite.state
 	w.state = emulator.NewStateService(w.queue, emulator.StateLimits{ValueBytes: limits.valueKB << 10, Changes: limits.changes})
-	w.state.MostChanges, w.state.Wrong = limits.changes, func(what string) { w.breaks("%s", what) }
+	w.state.MostChanges, w.state.Wrong = limits.changes, func(what string) { w.violated("%s", what) }
 	w.newCloud()
 	w.newMachines()
 	for i := range shape.controllers {
@@ -146,15 +146,15 @@
 	}
 }
 
-func (w *world) breaks(format string, args ...any) {
-	if len(w.broken) < 20 {
-		w.broken = append(w.broken, fmt.Sprintf("%v: ", w.Now())+fmt.Sprintf(format, args...))
+func (w *world) violated(format string, args ...any) {
+	if len(w.violations) < 20 {
+		w.violations = append(w.violations, fmt.Sprintf("%v: ", w.Now())+fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *world) keptRules() {
+func (w *world) requireNoViolations() {
 	w.t.Helper()
-	for _, b := range w.broken {
+	for _, b := range w.violations {
 		w.t.Error(b)
 	}
 }
@@ -163,8 +163,8 @@
 
 func (w *world) boot(i int) {
 	n := w.nodes[i]
-	n.alive, n.life, n.born, n.scripted = true, n.life+1, w.Now(), nil
-	n.still, n.held = false, nil
+	n.alive, n.life, n.startedAt, n.scripted = true, n.life+1, w.Now(), nil
+	n.paused, n.held = false, nil
 	life := n.life
 	n.waiters = map[uint64]func(Reply){}
 	sink := io.Discard
@@ -181,7 +181,7 @@
 	var beat func()
 	beat = func() {
 		if n.alive && n.life == life {
-			if !n.still {
+			if !n.paused {
 				w.feed(i, Tick{})
 			}
 			w.at(tick, beat)
@@ -194,7 +194,7 @@
 
 func (w *world) feed(i int, ev Event) {
 	n := w.nodes[i]
-	if n.still {
+	if n.paused {
 		life := n.life
 		n.held = append(n.held, func() {
 			if n.alive && n.life == life {
@@ -203,7 +203,7 @@
 		})
 		return
 	}
-	steady := time.Duration(float64(w.Now()-n.born) * (1 + n.drift))
+	steady := time.Duration(float64(w.Now()-n.startedAt) * (1 + n.drift))
 	effects := n.controller.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
 	w.effects.record(w, i, effects)
 	if l := n.controller.leadership; l != nil && l.loader.ready {
@@ -217,7 +217,7 @@
 				f(e)
 			}
 		case Call:
-			w.carry(i, e)
+			w.deliver(i, e)
 		}
 	}
 }
@@ -250,7 +250,7 @@
 	})
 }
 
-func (w *world) carry(i int, c Call) {
+func (w *world) deliver(i int, c Call) {
 	life, answered := w.nodes[i].life, false
 	result := func(status int, body []byte) {
 		if answered || w.nodes[i].life != life || !w.nodes[i].alive {
@@ -260,7 +260,7 @@
 		if w.nodes[i].withoutGate {
 			body = olderAnswer(c, body)
 		}
-		w.feed(i, Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: status == 0 && w.off[c.Addr]})
+		w.feed(i, Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: status == 0 && w.unreachable[c.Addr]})
 	}
 	if w.nodes[i].withoutGate {
 		c = olderCall(c)
@@ -331,8 +331,8 @@
 	return -1
 }
 
-// term is the leader's.
-func (w *world) term() *leadership { return w.nodes[w.awaitLeader()].controller.leadership }
+// leadership is the leader's.
+func (w *world) leadership() *leadership { return w.nodes[w.awaitLeader()].controller.leadership }
 
 func (w *world) awaitLeader() int {
 	w.t.Helper()
@@ -365,17 +365,17 @@
 		var s protocol.JobStatus
 		if r.Status == 200 || r.Status == 201 {
 			if err := protocol.Decode(r.Body, &s); err != nil {
-				w.breaks("an answer can't be read: %v", err)
+				w.violated("an answer can't be read: %v", err)
 			}
-			w.tell(uid, s, sent)
-			w.noteAnswer(uid)
+			w.recordStatus(uid, s, sent)
+			w.startPolling(uid)
 		}
 		w.checkAnswer(op, uid, r.Status)
 		if r.Status == 404 && w.lastReplies[uid] != "" {
-			w.breaks("forgotten: %s", uid)
+			w.violated("forgotten: %s", uid)
 		}
 		if (r.Status == 503 || r.Status == 429) && r.RetryAfter == 0 {
-			w.breaks("%d without Retry-After", r.Status)
+			w.violated("%d without Retry-After", r.Status)
 		}
 		if then != nil {
 			then(r.Status, s)
@@ -383,29 +383,29 @@
 	})
 }
 
-// tell takes what a user was told in answer to a request that was sent at a time. A question that
+// recordStatus takes what a user was told in answer to a request that was sent at a time. A question that
 // was under way while the user was told something may be answered with what held before: the
 // leader answered it first, and its answer went a longer way.
-func (w *world) tell(uid string, s protocol.JobStatus, sent time.Duration) {
+func (w *world) recordStatus(uid string, s protocol.JobStatus, sent time.Duration) {
 	before := w.lastReplies[uid]
 	if s.State != before && sent < w.lastReplyAt[uid] {
 		return
 	}
 	if (before == protocol.Done || before == protocol.Cancelled) && s.State != before {
-		w.breaks("went_back: %s was %s, now %s", uid, before, s.State)
+		w.violated("went_back: %s was %s, now %s", uid, before, s.State)
 	}
 	if s.State == protocol.Done {
 		n := w.specs[uid]["shards"].(int)
 		for k := range n {
 			if !w.finished[uid+"/"+strconv.Itoa(k)] {
-				w.breaks("not_done: %s/%d", uid, k)
+				w.violated("not_done: %s/%d", uid, k)
 			}
 		}
 	}
 	if s.State == protocol.Cancelled && before != s.State {
-		w.stopped[uid] = w.Now()
+		w.cancelledAt[uid] = w.Now()
 		if !w.cancelRequested[uid] {
-			w.breaks("went_back: %s is called cancelled, and nobody asked for it", uid)
+			w.violated("went_back: %s is called cancelled, and nobody asked for it", uid)
 		}
 	}
 	if s.State != before {
@@ -438,7 +438,7 @@
 	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == 200 })
 }
 
-func (w *world) awaitTold(limit time.Duration, uid string, state protocol.JobState) {
+func (w *world) awaitStatus(limit time.Duration, uid string, state protocol.JobState) {
 	w.t.Helper()
 	n := 0
 	w.until(limit, uid+" told "+string(state), func() bool {
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -12,7 +12,7 @@
 // machine that has one of these to be written.
 func TestReplicasStartBeforeAnArray(t *testing.T) {
 	w := newWorld(t, 96)
-	l := w.term()
+	l := w.leadership()
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
 		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, l.controller.env.wall)
 		j.Stored = true
