--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -8,9 +8,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// A new leader works the fleet's capacity out once for all counters that it reads. Going through the
-// fleet for each job kept one of 3,600 machines and 1,700 jobs from renewing its lease for longer than that
-// lasts, and each leader after it: eight in ten seconds.
+// A new leader computes the fleet's capacity once for all counters that it reads. Computing it for
+// each job kept a leader of 3,600 machines and 1,700 jobs from renewing its lease for longer than
+// the lease lasts, and each leader after it: eight leaders in ten seconds.
 func TestCapacityIsComputedOnceForAllCounters(t *testing.T) {
 	w := newWorld(t, 73)
 	c := w.nodes[w.awaitLeader()].controller
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -6,14 +6,15 @@
 	"claybarrow/internal/protocol"
 )
 
-// leaveAttemptNumbers leaves the leader as many numbers of its block.
+// leaveAttemptNumbers leaves the leader only so many unused attempt numbers of its block.
 func (w *world) leaveAttemptNumbers(left uint64) {
 	n := w.leadership().attemptNumbers
 	n.used = 1<<attemptBlockBits - 1 - left
 }
 
-// A term that starts more tasks than a block has numbers gave out those of the next leader's
-// block, so that two attempts of a task had one number, and a run was taken for an earlier one.
+// A leadership that started more tasks than a block has numbers used those of the next leader's
+// block, so that two attempts of a task had the same number and a run command was taken for an
+// earlier one.
 func TestAttemptNumbersBeyondABlock(t *testing.T) {
 	w := newWorld(t, 71)
 	w.awaitLeader()
@@ -44,7 +45,7 @@
 	if w.leadership().lease.token != token {
 		t.Error("the leader changed")
 	}
-	// The next leader's token is beyond the block.
+	// The next leader's fencing token is beyond the block.
 	w.crash(w.leader())
 	w.awaitLeader()
 	if next := w.leadership().lease.token; next <= counter.Token {
@@ -54,7 +55,7 @@
 	w.settle()
 }
 
-// Without the reservation being durable nothing is started from a block that is used up.
+// Nothing is started from a used-up block until the reservation of the next one is durable.
 func TestNoStartWithoutAttemptNumbers(t *testing.T) {
 	w := newWorld(t, 72)
 	lead := w.awaitLeader()
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/config"
 )
 
-// Direct calls are bounded by what a core can take in a moment, however many sockets there are;
-// with the sockets of today's deployments the bounds are as they were.
+// Direct calls are bounded by what a core can handle in a moment, however many sockets there are;
+// with the number of sockets of today's deployments the bounds are unchanged.
 func TestConcurrentCallsAreBoundedByTheCore(t *testing.T) {
 	for _, tc := range []struct {
 		sockets int
@@ -23,8 +23,8 @@
 	}
 }
 
-// A new leader asks all machines whether they are there. It does so at a rate that leaves the
-// processor to its lease, and goes on as time passes.
+// A new leader asks all machines for their state. It does so at a rate that leaves processor time
+// for renewing its lease, and continues as time passes.
 func TestManyCallsAreSpreadOverTime(t *testing.T) {
 	w := newWorld(t, 58)
 	c := w.nodes[w.awaitLeader()].controller
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -8,33 +8,33 @@
 	"claybarrow/internal/protocol"
 )
 
-// checker holds what the rules are counted from: what users asked and were told,
-// and what ran where. It is part of every world, so every test has it. Tests
-// assert on nothing else: neither on the ledger nor on who leads.
+// checker holds what the rules are checked against: what users requested and were answered, and
+// what ran where. It is part of every world, so every test has it. Tests assert on nothing else:
+// neither on the cluster state nor on who leads.
 type checker struct {
 	cancelRequested map[string]bool          // users asked to cancel these
 	invalid         map[string]bool          // must be refused
-	accepted        map[string]time.Duration // when the user was first told so
-	answered        map[string]time.Duration // when a question was last answered
-	waitingSince    map[string]time.Duration // since when it waits though there is room
+	accepted        map[string]time.Duration // when the user first got this answer
+	answered        map[string]time.Duration // when a poll was last answered
+	waitingSince    map[string]time.Duration // since when it has waited although there is room
 	turn            int
 	stopCommands    map[string][]stopCommand
 	starts          map[string]int // how often a task has begun to be on a machine
-	// calmSince is since when all troubles are over; 0: they are not.
+	// calmSince is the time at which all faults ended; 0: they have not ended.
 	calmSince time.Duration
-	// lateCopy tells how much later a copy of a report arrives; 0: none does.
+	// lateCopy returns how much later a copy of a heartbeat arrives; 0: there is no copy.
 	lateCopy func() time.Duration
-	// ended is told of each task's completion.
+	// ended is called at the completion of each task.
 	ended func(uid string)
 }
 
-// stopCommand is a task's first command to stop.
+// stopCommand is the first stop command that a task got.
 type stopCommand struct {
 	at    time.Duration
 	grace float64
 }
 
-// What the operators allow once all troubles are over.
+// The bounds that the operators set, counted from the end of all faults.
 const (
 	forgottenAfter = 75 * time.Second
 	waitsAtMost    = 90 * time.Second
@@ -48,8 +48,8 @@
 		starts: map[string]int{}}
 }
 
-// watch looks at the rules every second, and polls for every accepted job every
-// five, as its user does.
+// watch checks the rules every second and polls each accepted job every five seconds, as its user
+// does.
 func (w *world) watch() {
 	var look func()
 	look = func() {
@@ -71,7 +71,7 @@
 	return w.lastReplies[uid] == protocol.Done || w.lastReplies[uid] == protocol.Cancelled
 }
 
-// startPolling begins the polling of a job when its user is first told of it.
+// startPolling begins the polling of a job when its user first gets an answer about it.
 func (w *world) startPolling(uid string) {
 	w.answered[uid] = w.Now()
 	if _, known := w.accepted[uid]; known {
@@ -113,8 +113,8 @@
 	}
 }
 
-// checkWaiting counts how long a job has had no task anywhere though a machine
-// that fits has room and its team is under its limit.
+// checkWaiting measures how long a job has had no task on any machine although a machine that fits
+// has room and its team is below its quota.
 func (w *world) checkWaiting() {
 	if w.calmSince == 0 {
 		clear(w.waitingSince)
@@ -178,8 +178,8 @@
 	return all >= spec["shards"].(int) && !spec["apart"].(bool)
 }
 
-// settle ends all troubles, waits for as long as the operators' bounds reach, and
-// then ends what is left: services are cancelled, batches have to become done.
+// settle ends all faults, waits for as long as the operators' bounds reach, and then ends what is
+// left: services are cancelled, arrays have to complete.
 func (w *world) settle() {
 	w.t.Helper()
 	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
@@ -202,7 +202,7 @@
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
 		w.until(400*time.Second, uid+" is over", func() bool { return w.isOver(uid) })
 	}
-	// Until a told cancellation's bound is over everywhere.
+	// Wait until the bound of each confirmed cancellation has passed everywhere.
 	w.run(cancelWithin + 5*time.Second)
 	w.requireNoViolations()
 }
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -10,20 +10,20 @@
 	"claybarrow/internal/protocol"
 )
 
-// The meetings of troubles that the operators have named, one test for each, and
-// random ones of two or three. All are judged by the checker alone.
+// The combinations of faults that the operators have named, one test for each, and random
+// combinations of two or three. All are judged by the checker alone.
 
-// networkFaults is what the network does while a meeting lasts.
+// networkFaults are the network faults in force while a compound failure lasts.
 type networkFaults struct {
 	w *world
-	// isolated are controllers without state service and other controllers.
+	// isolated are the controllers that reach neither the state service nor other controllers.
 	isolated map[int]bool
-	// commandsLost are controllers whose direct commands reach nobody.
+	// commandsLost are the controllers whose direct commands are lost.
 	commandsLost map[int]bool
-	// Shares of calls: transactions carried out late and never answered, direct
-	// commands held up for seconds, direct commands whose answer is lost.
+	// Shares of calls: transactions that are applied late and never answered, direct commands that
+	// are delayed for seconds, direct commands whose answer is lost.
 	lateTransactions, delayedCommands, lostAnswers float64
-	// slowState and slowLinks delay each call by up to so much.
+	// slowState and slowLinks are the upper bounds of the delay of each call.
 	slowState, slowLinks time.Duration
 }
 
@@ -74,8 +74,9 @@
 	return f
 }
 
-// initialJobs submits work of all kinds: replicas of both teams, spread and not, and
-// arrays that take long or save slowly. It waits until most of it runs.
+// initialJobs submits jobs of all kinds: services of both teams, spread over machines and not, and
+// arrays whose tasks run for long or save their checkpoints slowly. It waits until most of them
+// run.
 func (w *world) initialJobs() {
 	w.t.Helper()
 	w.runs = func(task string) time.Duration { return time.Duration(20+len(task)*13%60) * second }
@@ -92,14 +93,15 @@
 	})
 }
 
-// cancelSome has users call off jobs, at once, each asking for as long as users do.
+// cancelSome has the users of the jobs request cancellation at once, each repeating the request as
+// users do.
 func (w *world) cancelSome(uids ...string) {
 	for _, uid := range uids {
 		w.cancel(uid)
 	}
 }
 
-// randomMachines picks a share of the machines that are up.
+// randomMachines returns a random share of the machines that are up.
 func (w *world) randomMachines(share float64) []*emulator.Worker {
 	var out []*emulator.Worker
 	for _, k := range w.fleet() {
@@ -110,7 +112,7 @@
 	return out
 }
 
-// bounce ends a controller and starts it again.
+// restart ends a controller and starts it again after a time.
 func (w *world) restart(i int, after time.Duration) {
 	w.crash(i)
 	w.at(after, func() {
@@ -120,10 +122,10 @@
 	})
 }
 
-// leaderOrFirst is whoever leads, or the first controller.
+// leaderOrFirst is the index of the leader or, without one, of the first controller.
 func (w *world) leaderOrFirst() int { return max(0, w.leader()) }
 
-// startCompoundFailure plays a test at several seeds.
+// startCompoundFailure runs a compound failure with several seeds.
 func startCompoundFailure(t *testing.T, seeds int, play func(w *world, m *networkFaults)) {
 	t.Helper()
 	for seed := range seeds {
@@ -141,14 +143,14 @@
 	return time.Duration(least+w.rng.IntN(most-least+1)) * time.Millisecond
 }
 
-// The gap: the state service refuses the leader alone, another controller
-// confirms cancellations, then the service is down for all for longer than
-// cancel_s, while the workers go on reporting to the old leader.
+// The state service refuses the leader alone and another controller confirms cancellations; then
+// the service is down for all for longer than cancel_s, while the workers go on sending heartbeats
+// to the old leader.
 func TestCompoundRefusalThenOutage(t *testing.T) {
 	startCompoundFailure(t, 12, func(w *world, m *networkFaults) {
 		old := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
-			// The others can't even reach the workers to tell them.
+			// The other controllers can't reach the workers with commands either.
 			for i := range 3 {
 				m.commandsLost[i] = i != old
 			}
@@ -185,7 +187,8 @@
 	})
 }
 
-// Controllers hand over and back, all end, and one returns, also within a second.
+// Several failovers in a row, then all controllers end, and one is started again, also within a
+// second.
 func TestCompoundFailoverAndBack(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for range 8 {
@@ -207,8 +210,8 @@
 	})
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't hear
-// the new leader's answer.
+// A leader ends while machines with long tasks can't be reached, or don't get the new leader's
+// answers.
 func TestCompoundLeaderEndsMachinesUnreachable(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for n, k := range w.randomMachines(0.6) {
@@ -227,8 +230,8 @@
 	})
 }
 
-// A machine hears no answer from before the take-over on: no message of it can prove
-// what is gone there, and a job that waits for it must not wait for ever.
+// A machine gets no answer from the failover on: no heartbeat of it can prove the absence of a
+// task, and a job that waits for this proof must not wait for ever.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
 	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
 		for _, k := range w.fleet() {
@@ -272,7 +275,7 @@
 	})
 }
 
-// There is more work than room, urgent and not, over slow links.
+// More work is submitted than there is room for, urgent and not, over slow links.
 func TestCompoundOverload(t *testing.T) {
 	startCompoundFailure(t, 4, func(w *world, m *networkFaults) {
 		m.slowLinks = 400 * time.Millisecond
@@ -292,7 +295,7 @@
 	})
 }
 
-// All controllers are away for longer than lease_s.
+// All controllers are down for longer than lease_s.
 func TestCompoundAllControllersDown(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.cancelSome("j-s1", "j-b1")
@@ -312,8 +315,8 @@
 	})
 }
 
-// A leader is cut from the state service and from the other controllers while
-// workers and users still reach it, and jobs are cancelled through the new one.
+// A leader is cut off from the state service and from the other controllers while workers and users
+// still reach it, and jobs are cancelled through the new leader.
 func TestCompoundLeaderPartitioned(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, m *networkFaults) {
 		old := w.awaitLeader()
@@ -332,7 +335,7 @@
 	})
 }
 
-// A report is held back until a new leader has acted, and then arrives there.
+// A heartbeat is delayed until a new leader has acted, and then arrives there.
 func TestCompoundDelayedHeartbeat(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		type copied struct {
@@ -383,8 +386,8 @@
 	})
 }
 
-// A cancellation, a question or a repeated submission meets the end of a job's
-// last task, with no other trouble.
+// A cancellation, a poll or a repeated submission coincides with the end of a job's last task,
+// without any other fault.
 func TestCompoundCancelAtJobCompletion(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.ended = func(uid string) {
@@ -432,8 +435,8 @@
 	})
 }
 
-// Workers can't open connections to any controller, while direct commands still
-// reach them: they must not be filled again and again.
+// Workers can't open connections to any controller, while direct commands still reach them: the
+// leader must not start tasks there again and again.
 func TestCompoundHeartbeatsLost(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		var reportsLost []*emulator.Worker
@@ -457,7 +460,7 @@
 				w.violated("a machine whose reports are lost was given %d tasks, all of which die with its lease", k.Lives-began[k])
 			}
 		}
-		// Their work runs elsewhere.
+		// Their tasks run elsewhere.
 		for _, uid := range []string{"j-s1", "j-s2", "j-s3"} {
 			n := 0
 			for _, k := range w.fleet() {
@@ -474,7 +477,7 @@
 	})
 }
 
-// An old report arrives after newer ones, also from an earlier session or attempt.
+// An old heartbeat arrives after newer ones, also one of an earlier epoch or attempt.
 func TestCompoundOldHeartbeats(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.lateCopy = func() time.Duration {
@@ -484,7 +487,7 @@
 			return 0
 		}
 		for _, k := range w.randomMachines(0.4) {
-			k.Cut = true // a new session, while copies of the earlier one are on their way
+			k.Cut = true // a new epoch, while copies of heartbeats of the earlier one are in flight
 			w.at(w.randomMilliseconds(9000, 16_000), func() { k.Cut = false })
 		}
 		w.run(w.randomMilliseconds(4000, 14_000))
@@ -496,8 +499,8 @@
 	})
 }
 
-// A team is at its limit when the leader changes, some of its machines can't be
-// asked, and a cancellation falls into that spell.
+// A team is at its quota when the leader changes, some of its machines can't be reached, and a
+// cancellation is requested in that interval.
 func TestCompoundTeamAtItsQuota(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for i := range 6 {
@@ -516,7 +519,7 @@
 	})
 }
 
-// A command or its answer is held up for seconds, and the machine then goes on.
+// A command or its answer is delayed for seconds, and the machine then goes on.
 func TestCompoundDelayedCommands(t *testing.T) {
 	startCompoundFailure(t, 10, func(w *world, m *networkFaults) {
 		m.delayedCommands, m.lostAnswers = 0.4, 0.2
@@ -538,7 +541,7 @@
 	})
 }
 
-// Leaders change ten times in two minutes, also inside an outage.
+// The leader changes ten times in two minutes, also during an outage of the state service.
 func TestCompoundTenLeaders(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for i := range 10 {
@@ -554,7 +557,7 @@
 	})
 }
 
-// Jobs bound to one zone, arrays too, lose machines.
+// Jobs that are bound to one zone, arrays among them, lose machines.
 func TestCompoundBoundToAZone(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
@@ -578,8 +581,7 @@
 	})
 }
 
-// Transactions without an answer are carried out late, after newer ones of the
-// same controller.
+// Transactions that got no answer are applied late, after newer ones of the same controller.
 func TestCompoundLateTransactions(t *testing.T) {
 	startCompoundFailure(t, 10, func(w *world, m *networkFaults) {
 		m.lateTransactions = 0.35
@@ -598,7 +600,7 @@
 	})
 }
 
-// Random meetings of two or three troubles, each with a fixed seed.
+// Random combinations of two or three faults, each with a fixed seed.
 func TestCompoundFailuresAtRandom(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -618,7 +620,7 @@
 	}
 }
 
-// injectRandomFault begins one of the listed troubles, for so long.
+// injectRandomFault begins one of the listed faults, which lasts for the given time.
 func (w *world) injectRandomFault(m *networkFaults, lasts time.Duration) {
 	node := w.leaderOrFirst()
 	if w.rng.IntN(3) == 0 {
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -9,7 +9,7 @@
 	"claybarrow/internal/scheduler"
 )
 
-// A state that lasts is logged when it begins and when it is over, not in between.
+// A condition is logged when it begins and when it ends, not in between.
 func TestConditionsAreLoggedOnce(t *testing.T) {
 	w := newWorld(t, 95)
 	l := w.leadership()
--- a/internal/controller/demand_forecast_test.go
+++ b/internal/controller/demand_forecast_test.go
@@ -11,8 +11,8 @@
 	return &clusterstate.Job{Spec: &protocol.Spec{UID: "j", Team: "red", Tasks: tasks, Image: "img", Service: true}, Submitted: second * 1000}
 }
 
-// Of more than 200 arrivals in four boots only the last 200 counted: a fleet of 4,000 machines
-// has 1,300 of one class, and kept a seventh of the room that its replicas need.
+// Of more than 200 arrivals within four boot times only the last 200 counted: a fleet of 4,000
+// machines has 1,300 of one class, and kept a seventh of the room that its replicas need.
 func TestArrivalsOfALargeFleet(t *testing.T) {
 	a := &arrivalHistory{}
 	for i := range 1300 {
@@ -26,7 +26,7 @@
 	}
 }
 
-// After a take-over jobs come in the order of their ids; the past is bounded.
+// After a failover jobs are read in the order of their ids; the history is bounded.
 func TestArrivalsInNoOrder(t *testing.T) {
 	a := &arrivalHistory{}
 	for i := range 2 * maxArrivalSeconds {
--- a/internal/controller/deployment_test.go
+++ b/internal/controller/deployment_test.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/config"
 )
 
-// site is what the tests' world has of a deployment: its limits and its controllers' size.
+// site describes the deployment of a simulated world: its limits and the size of its controllers.
 type site struct {
 	state              stateLimits
 	cloudRPS, listLagS int
@@ -19,13 +19,13 @@
 	fetch              time.Duration // of an image
 }
 
-// stateLimits are those of the state service.
+// stateLimits are the limits of the state service.
 type stateLimits struct {
 	requestsPerSecond, changesPerSecond, valueKB, changes int
 }
 
-// testSite is the site of all tests. They are run once more on one with few changes a second, small
-// transactions, little processor time, a slow cloud and large images.
+// testSite is the site of all tests. CI runs them once more on a site with few changes a second,
+// small transactions, little processor time, a slow cloud and large images.
 var testSite = func() site {
 	if os.Getenv("CLAYBARROW_TEST_SITE") == "scarce" {
 		return site{state: stateLimits{250, 25, 8, 12}, cloudRPS: 3, listLagS: 8, cores: 0.072, memoryMB: 70, sockets: 500,
@@ -35,8 +35,8 @@
 		fetch: 200 * time.Millisecond}
 }()
 
-// testOperator are the operators' settings of all tests that don't say otherwise: the tests are run
-// with failure detection and the journal of ends off, and once more with each of them on.
+// testOperator are the operators' settings of all tests that don't set their own: CI runs the tests
+// with failure detection and the completion journal off, and once more with each of them on.
 var testOperator = func() []byte {
 	var operator []byte
 	if os.Getenv("CLAYBARROW_TEST_MEMBERSHIP") != "" {
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -21,7 +21,7 @@
 	testLeaderLease = 1500 * time.Millisecond
 )
 
-// durations are times of several runs.
+// durations are the times measured in several runs.
 type durations []time.Duration
 
 func (s durations) report(b *testing.B, name string) {
@@ -39,7 +39,7 @@
 	b.Run("on", func(b *testing.B) { run(b, []byte(membershipOn)) })
 }
 
-// steadyLoad has a short task submitted twice a second.
+// steadyLoad submits a short task twice a second.
 func (w *world) steadyLoad() {
 	w.runs = func(string) time.Duration { return 2 * second }
 	n := 0
@@ -52,8 +52,9 @@
 	next()
 }
 
-// BenchmarkDetectionOfDeath kills the leader: times from its end to the first suspicion, to the last
-// of the others', to its death for all, to the next election and to the first task under it.
+// BenchmarkDetectionOfDeath kills the leader and measures the times from its end to the first
+// suspicion, to the last controller's suspicion, to its being declared dead by all, to the next
+// election and to the first task that the new leader starts.
 func BenchmarkDetectionOfDeath(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
@@ -102,10 +103,10 @@
 	})
 }
 
-// falseAlarms are what an hour of a trouble brought about though no controller died.
+// falseAlarms are the effects of an hour of a fault although no controller died.
 type falseAlarms struct{ suspicions, deaths, leaders, moves, lapses float64 }
 
-// countFalseAlarms plays a trouble for some minutes at several seeds.
+// countFalseAlarms runs a fault for some minutes with several seeds.
 func countFalseAlarms(b *testing.B, operator []byte, trouble func(w *world)) {
 	const lasts, seeds = 10 * time.Minute, 4
 	var sum falseAlarms
@@ -145,7 +146,7 @@
 	b.ReportMetric(sum.lapses/hours, "leases-run-out/h")
 }
 
-// stallsEvery has each controller in turn stand still, one every twenty seconds.
+// stallsEvery pauses each controller in turn, one every twenty seconds.
 func stallsEvery(d time.Duration) func(*world) {
 	return func(w *world) {
 		node := 0
@@ -159,8 +160,8 @@
 	}
 }
 
-// BenchmarkDetectionInStalls counts wrong suspicions and deaths while controllers stall, one each
-// twenty seconds: 180 stalls an hour.
+// BenchmarkDetectionInStalls counts false suspicions and deaths while controllers pause, one every
+// twenty seconds: 180 pauses an hour.
 func BenchmarkDetectionInStalls(b *testing.B) {
 	for _, d := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, second, 2 * second, 5 * second, 10 * second} {
 		b.Run(d.String(), func(b *testing.B) {
@@ -173,7 +174,8 @@
 	}
 }
 
-// BenchmarkDetectionInLoss counts them while a share of the peers' messages and answers is lost.
+// BenchmarkDetectionInLoss counts them while a share of the messages between controllers and of
+// their answers is lost.
 func BenchmarkDetectionInLoss(b *testing.B) {
 	for _, loss := range []float64{0.05, 0.1, 0.2} {
 		b.Run(fmt.Sprintf("%.0f%%", loss*100), func(b *testing.B) {
@@ -207,7 +209,8 @@
 	})
 }
 
-// BenchmarkDetectionCost counts a controller's messages to others and their bytes, in peace.
+// BenchmarkDetectionCost counts a controller's messages to the others and their bytes without any
+// fault.
 func BenchmarkDetectionCost(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// effectsFileVariable names a file to which each simulated world adds a line at the end of its test:
-// the test's name and a hash of every effect of its controllers. Two versions of the program whose
-// hashes are the same do the same, so a clean-up can be checked against the version before it.
-// Worlds of a few tests differ from run to run by themselves.
+// effectsFileVariable names a file to which each simulated world appends a line at the end of its
+// test: the test's name and a hash of every effect of its controllers. Two versions of the program
+// with the same hashes behave the same, so a clean-up can be checked against the version before it.
+// The worlds of a few tests differ from run to run by themselves.
 const effectsFileVariable = "CLAYBARROW_TEST_EFFECTS"
 
 // effectRecorder hashes the effects of a world's controllers: who, when, to whom, path, status and
@@ -23,7 +23,7 @@
 // newEffectRecorder returns nil unless effects are to be recorded.
 func newEffectRecorder(t testing.TB) *effectRecorder {
 	file := os.Getenv(effectsFileVariable)
-	test, isTest := t.(*testing.T) // benchmarks play as many rounds as they have time for
+	test, isTest := t.(*testing.T) // benchmarks run as many rounds as they have time for
 	if file == "" || !isTest {
 		return nil
 	}
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -11,13 +11,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// worldObserver keeps what a controller of the world told its operators.
+// worldObserver records the events that a controller of the world reports to its observer.
 type worldObserver struct {
 	noObserver
 	w          *world
 	node       int
 	changes    []memberChange
-	redirected map[string][]time.Duration // machines that were sent elsewhere, and when
+	redirected map[string][]time.Duration // machines that were redirected, and when
 	failovers  []Failover
 	reroutes   int
 	retries    int
@@ -43,7 +43,8 @@
 func (o *worldObserver) Rerouted()             { o.reroutes++ }
 func (o *worldObserver) Retried()              { o.retries++ }
 
-// became says when a controller's view of another one first came to be a state since a time; 0: never.
+// became returns when a controller's view of another one first changed to a state, at or after a
+// time; 0: never.
 func (o *worldObserver) became(label string, state membership.State, since time.Duration) time.Duration {
 	for _, c := range o.changes {
 		if c.at >= since && c.Label == label && c.To == state {
@@ -59,7 +60,7 @@
 
 func label(i int) string { return fmt.Sprintf("n%d", i) }
 
-// replicas has services running in both zones.
+// replicas starts services in both zones.
 func (w *world) replicas() {
 	w.t.Helper()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 4.0})
@@ -68,7 +69,7 @@
 	w.run(20 * second)
 }
 
-// With nothing wrong nobody is suspected, whatever the load of the start.
+// Without failures nobody is suspected, whatever the load at the start.
 func TestNobodySuspectedWithoutFailures(t *testing.T) {
 	w := newMembershipWorld(t, 901)
 	w.replicas()
@@ -80,10 +81,10 @@
 	w.settle()
 }
 
-// placingStep is a moment of placing a replica at which the leader ends.
+// placingStep is a step of placing a replica at which the leader ends.
 type placingStep struct {
 	name string
-	// matches says whether a call of the leader is the moment; carried whether the call still arrives.
+	// matches reports whether a call of the leader is the step; delivered: the call still arrives.
 	matches   func(c Call) bool
 	delivered bool
 }
@@ -101,7 +102,7 @@
 	return false
 }
 
-// writesUnder says whether a transaction puts a key with the prefix.
+// writesUnder reports whether a transaction puts a key with the prefix.
 func writesUnder(c Call, prefix string) bool {
 	var body struct {
 		Then []protocol.Change `msgpack:"apply"`
@@ -130,10 +131,10 @@
 	{"after the clear", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, true},
 }
 
-// placingFault is what else goes on while the leader ends.
+// placingFault is a further fault while the leader ends.
 type placingFault struct {
 	name string
-	// fault changes the fate of a call; second has the next leader end, too, while it reads.
+	// fault affects each call; second: the next leader ends too, while it reads the stored records.
 	fault  func(w *world, c Call) deliveryFault
 	second bool
 }
@@ -146,11 +147,11 @@
 		}
 		return deliveryFault{}
 	}},
-	{name: "a second death in the take-over", second: true},
+	{name: "a second death during the failover", second: true},
 }
 
-// A leader that dies at each single step of placing: nothing runs twice, no job is without an
-// owner, whatever else goes on.
+// A leader that dies at each single step of placing: nothing runs twice and no job is orphaned,
+// whichever other fault there is.
 func TestLeaderDiesAtEachStepOfPlacing(t *testing.T) {
 	for s, step := range placingSteps {
 		for k, trouble := range placingFaults {
@@ -222,8 +223,9 @@
 	}
 }
 
-// Stalls of half, one and several leases, as leader, as a zone's relay, and both at once: no task
-// on two machines, and nothing moves for less than the workers' leases.
+// Process pauses of half a lease, one and several leases, of the leader, of a zone's relay, and of
+// both at once: no task is on two machines, and nothing moves for a pause shorter than the workers'
+// leases.
 func TestStallsAndResumes(t *testing.T) {
 	lease := 1500 * time.Millisecond
 	for k, stall := range []time.Duration{lease / 2, lease, 3 * lease, 6 * lease} {
@@ -266,8 +268,8 @@
 	}
 }
 
-// A controller that resumes is refused nothing and refuses all before it has heard of somebody:
-// no answer, no command, no write comes of what it believed before.
+// A controller that resumes has nothing refused and refuses everything until it has had contact
+// with another one: no answer, command or write follows from what it believed before.
 func TestResumedLeaderDoesNothingFirst(t *testing.T) {
 	w := newMembershipWorld(t, 951)
 	w.replicas()
@@ -286,7 +288,7 @@
 		return deliveryFault{}
 	}
 	n.paused = false
-	w.feed(lead, Tick{}) // it goes on
+	w.feed(lead, Tick{}) // it resumes
 	if !n.controller.pause.isRecovering() {
 		t.Fatal("it does not notice that it stood still")
 	}
@@ -325,8 +327,8 @@
 	w.settle()
 }
 
-// A cut in one direction only, between a follower and the leader: its users' requests go round by
-// the third controller, and nobody is suspected.
+// An asymmetric partition between a follower and the leader: the requests of its users are relayed
+// by the third controller, and nobody is suspected.
 func TestRelayAroundAnAsymmetricPartition(t *testing.T) {
 	for _, toLeader := range []bool{true, false} {
 		w := newMembershipWorld(t, 952)
@@ -365,7 +367,7 @@
 	}
 }
 
-// A connection to the leader that is refused is tried once more, after a pause, and not again: a user is
+// A refused connection to the leader is tried once more, after a pause, and not again: a user is
 // answered by the second try, or told at once to come back.
 func TestRefusedConnectionIsTriedOnceMore(t *testing.T) {
 	for _, again := range []bool{true, false} {
@@ -399,8 +401,9 @@
 	}
 }
 
-// A link that flaps every few seconds, and a share of the peers' messages lost: nobody is dead, no
-// leader changes and no lease runs out; up to one in twenty, nothing moves.
+// A link that flaps every few seconds, and a share of the messages between controllers lost: no
+// controller is declared dead, the leader does not change and no lease expires; up to a loss of one
+// in twenty, nothing moves.
 func TestFlappingLinkAndLoss(t *testing.T) {
 	for k, loss := range []float64{0, 0.05, 0.10, 0.20} {
 		w := newMembershipWorld(t, uint64(960+k))
@@ -443,7 +446,7 @@
 	}
 }
 
-// Steady clocks that drift apart by the bound.
+// Monotonic clocks that drift apart by the bound.
 func TestDriftingClocks(t *testing.T) {
 	w := newMembershipWorld(t, 965)
 	w.nodes[0].drift, w.nodes[1].drift = 0.0005, 0.0002
@@ -453,7 +456,8 @@
 	w.settle()
 }
 
-// sameZone moves all controllers into the first zone, for machines to be divided between them.
+// sameZone moves all controllers into the first zone, so that its machines are divided between
+// them.
 func (w *world) sameZone() {
 	for i, cfg := range w.cfgs {
 		cfg.Zone = "a"
@@ -484,8 +488,9 @@
 	return nil
 }
 
-// Machines of a controller that died go to the others once each; nobody else's move; they come back
-// once it has been steady, and not all at once. Suspicion alone moves none.
+// The machines of a controller that died are redirected to the others once each, and no other
+// machine is; they are redirected back once it has been steady, and not all at once. Suspicion
+// alone moves none.
 func TestMachinesMoveOncePerDeath(t *testing.T) {
 	w := newMembershipWorld(t, 970)
 	w.sameZone()
@@ -514,7 +519,7 @@
 	if victim < 0 {
 		t.Fatalf("all machines report to the leader: %v", before)
 	}
-	// Suspicion alone, shorter than the timeout: its probes are lost, all else works.
+	// Suspicion alone, shorter than the timeout: the probes are lost, everything else works.
 	began := w.Now()
 	w.script = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Path == probePath && (node == victim || c.Addr == w.cfgs[victim].PeerListen)}
@@ -567,8 +572,8 @@
 	w.settle()
 }
 
-// An older version among them is judged by heartbeats, never suspected for its 404, and leads and
-// follows as before.
+// A controller of an older version is judged by its heartbeats, never suspected for its 404 to
+// probes, and leads and follows as before.
 func TestMixedVersions(t *testing.T) {
 	for older := range 3 {
 		w := newMembershipWorld(t, uint64(980+older))
@@ -608,7 +613,7 @@
 	})
 }
 
-// An orderly end of the leader hands over at once, and is no death.
+// A graceful shutdown of the leader causes a failover at once, and is not taken for a death.
 func TestGracefulShutdown(t *testing.T) {
 	w := newMembershipWorld(t, 986)
 	w.replicas()
@@ -633,15 +638,15 @@
 	w.settle()
 }
 
-// storeMany puts records of jobs that are over, so that a take-over reads pages of them.
+// storeMany stores records of completed jobs, so that a failover reads them in pages.
 func (w *world) storeMany(n int) {
 	for i := range n {
 		w.state.Change(fmt.Sprintf("j/j-9%06d", i), &emulator.Item{Value: protocol.Encode(map[string]any{"s": protocol.Done, "n": 1})})
 	}
 }
 
-// A successor reads ahead while the leader is suspected; what the leader wrote after that is known
-// all the same, and if too much has changed all is read anew.
+// A successor preloads the stored records while the leader is suspected; what the leader wrote
+// after that is known all the same, and if too much has changed everything is read anew.
 func TestSuccessorPreloadsClusterState(t *testing.T) {
 	for _, tooMuch := range []bool{false, true} {
 		w := newMembershipWorld(t, 990)
@@ -650,7 +655,7 @@
 		lead := w.awaitLeader()
 		w.submit("j-5", map[string]any{"shape": "service", "owner": "blue"})
 		w.until(60*second, "it runs", func() bool { return w.running("j-5") == 1 })
-		// The leader's peers don't reach it, so that they suspect it while it works on.
+		// The other controllers don't reach the leader, so that they suspect it while it works on.
 		w.script = func(node int, c Call) deliveryFault {
 			return deliveryFault{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
 		}
@@ -663,7 +668,7 @@
 			return false
 		}
 		w.until(10*second, "records are read ahead", ahead)
-		// The last that it does: a job that nobody has read of.
+		// Its last write: a job that no preload has read.
 		w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
 			if r.Status != 201 {
 				t.Errorf("the submission is answered %d", r.Status)
@@ -677,7 +682,7 @@
 		w.crash(lead)
 		w.script = func(_ int, c Call) deliveryFault {
 			if tooMuch && writesUnder(c, keyLeader) {
-				w.storeMany(25_000) // more than the state service keeps, just before the election
+				w.storeMany(25_000) // more changes than the state service keeps, just before the election
 			}
 			return deliveryFault{}
 		}
@@ -699,7 +704,7 @@
 	}
 }
 
-// Not all candidates campaign in the same instant.
+// Candidates do not all campaign in the same instant.
 func TestCandidatesDoNotCampaignAtOnce(t *testing.T) {
 	w := newMembershipWorld(t, 995)
 	w.replicas()
@@ -709,7 +714,7 @@
 		if c.Path == "/multi" && w.nodes[node].controller.leadership == nil && campaigns[node] == 0 {
 			campaigns[node] = w.Now()
 		}
-		return deliveryFault{lost: c.Path == "/multi"} // nobody wins, for them all to try
+		return deliveryFault{lost: c.Path == "/multi"} // nobody wins, so that all of them try
 	}
 	w.crash(lead)
 	w.run(4 * second)
@@ -729,7 +734,8 @@
 	w.settle()
 }
 
-// Random sequences of stalls, deaths, cuts, loss and outages, judged by the checker alone.
+// Random sequences of process pauses, deaths, partitions, loss and outages, judged by the checker
+// alone.
 func TestRandomFailuresOfControllers(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// failTasks has tasks of the named jobs fail as soon as they begin, on the given machines or
+// failTasks makes the tasks of the named jobs fail as soon as they begin, on the given machines or
 // on all.
 func (w *world) failTasks(jobs map[string]bool, machines map[string]bool) {
 	w.fails = func(k *emulator.Worker, uid string) bool {
@@ -18,8 +18,8 @@
 	}
 }
 
-// A job with a mistake fails on every machine: it is tried ever more seldom with one task at
-// a time, puts no machine aside, leaves the room to others, and can be cancelled at any time.
+// A faulty job fails on every machine: it is retried at growing intervals with one task at a time,
+// has no machine quarantined, leaves the room to others, and can be cancelled at any time.
 func TestJobThatFailsEverywhere(t *testing.T) {
 	w := newWorld(t, 91)
 	w.failTasks(map[string]bool{"j-9": true}, nil)
@@ -47,7 +47,8 @@
 	w.settle()
 }
 
-// A faulty machine is given no more work: its tasks complete elsewhere, which tells.
+// A faulty machine is given no more work: its tasks complete elsewhere, which shows that the fault
+// is the machine's.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	w := newWorld(t, 92)
 	w.runs = func(string) time.Duration { return 10 * second }
@@ -72,7 +73,7 @@
 	w.settle()
 }
 
-// Two jobs with mistakes on the same machines are not evidence enough against these.
+// Two faulty jobs on the same machines are not evidence enough against these machines.
 func TestEvidenceOfFailures(t *testing.T) {
 	var m clusterstate.MachineFaults
 	if m.Suspect("j-1") || m.Suspect("j-2") || len(m.Suspects) != 2 {
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Controllers go one at a time from the older version to the newer one, the leader first, in the middle
-// and last. The form is written only after the last one has stated it, and the gate opens then.
+// A rolling upgrade: controllers are upgraded one at a time, the leader as the first, in the middle
+// and as the last. The new storage format is written only after the last controller has announced
+// it, and the gate opens then.
 func TestRollingUpgrade(t *testing.T) {
 	for _, shape := range []topology{defaultTopology, wideShape} {
 		last := len(shape.controllers) - 1
@@ -63,9 +64,9 @@
 	}
 }
 
-// All controllers are rolled back at once while the gate is open, against the page's advice. No older
-// version leads, workers keep their leases, users are told to come back; one controller of the newer
-// version mends it, and has the gate closed.
+// All controllers are rolled back at once while the gate is open, against the advice of the
+// documentation. No older version leads, workers keep their leases, users are told to come back;
+// one controller of the newer version ends this state and has the gate closed.
 func TestAllRolledBackWithTheGateOpen(t *testing.T) {
 	ro := newRollout(t, 340, defaultTopology)
 	ro.openGate()
@@ -87,12 +88,12 @@
 	ro.until(10*second, "the newer version leads", func() bool { return ro.leader() == 1 })
 	ro.until(40*second, "the gate is closed", func() bool { return ro.gateIs("closed") })
 	ro.roll([]int{1}, nil)
-	ro.interrupts = true // some workers look for a leader for longer than their lease
+	ro.interrupts = true // some workers search for a leader for longer than their lease
 	ro.settleAndCheck()
 }
 
-// An older process comes back after the gate has opened. One that stays has the gate closed after a
-// workers' lease; one that comes and goes, and two that do, close it once at the most.
+// A process of the older version comes back after the gate has opened. One that stays has the gate
+// closed after a workers' lease; one that comes and goes, and two that do, close it at most once.
 func TestOlderProcessAfterTheOpening(t *testing.T) {
 	for _, back := range [][]int{{1}, {1, 2}} {
 		t.Run(fmt.Sprintf("stays, %d", len(back)), func(t *testing.T) {
@@ -138,7 +139,7 @@
 	}
 }
 
-// gateFault is what happens as a transaction of the gate or the journal leaves.
+// gateFault is a fault injected when a transaction of the gate or the journal is sent.
 type gateFault struct {
 	name   string
 	inject func(ro *rollout, node int) deliveryFault
@@ -162,7 +163,7 @@
 	{"it is carried out late and not answered", func(*rollout, int) deliveryFault { return deliveryFault{hold: lateBy, answerLost: true} }},
 	{"its answer is lost", func(*rollout, int) deliveryFault { return deliveryFault{answerLost: true} }},
 	{"it is lost", func(*rollout, int) deliveryFault { return deliveryFault{lost: true} }},
-	{"its sender stands still", func(ro *rollout, node int) deliveryFault {
+	{"its sender's process pauses", func(ro *rollout, node int) deliveryFault {
 		ro.at(0, func() { ro.pauseProcess(node, 6*second) })
 		return deliveryFault{hold: second}
 	}},
@@ -197,15 +198,15 @@
 	}},
 }
 
-// olderFor has an older process in a controller's place for a while, and then the newer one with the
-// settings that it had.
+// olderFor runs the older version in place of a controller for a while, and then the newer one with
+// the settings that it had.
 func (ro *rollout) olderFor(i int, lasts time.Duration) {
 	operator := ro.operators[i]
 	ro.at(0, func() { ro.restart(i, nil) })
 	ro.at(lasts, func() { ro.restart(i, operator) })
 }
 
-// endSoon ends a process at once, and starts it again after a while.
+// endSoon ends a process at the next event, and starts it again after a while.
 func (ro *rollout) endSoon(node int) {
 	ro.at(0, func() { ro.crash(node) })
 	ro.at(3*second, func() {
@@ -218,9 +219,10 @@
 	})
 }
 
-// A controller, or two, or the state service fail at each single step of the opening and of the closing:
-// the transaction that opens, the first that writes the journal, the one that begins to close, the first that
-// deletes from the journal, and the one that closes.
+// One controller, two controllers or the state service fail at each single step of the opening and
+// of the closing: the transaction that opens the gate, the first that writes the journal, the one
+// that begins to close the gate, the first that deletes from the journal, and the one that closes
+// the gate.
 func TestFailureAtEachStepOfTheGate(t *testing.T) {
 	for _, step := range []gateStep{opens, journals, closes, deletes, closed} {
 		for number, fault := range gateFaults {
@@ -255,8 +257,8 @@
 	}
 }
 
-// Zones part in the midst of an upgrade, while both reach the state service: before the last controller is
-// upgraded, as the gate opens, and while it closes.
+// The zones are partitioned during an upgrade, while both reach the state service: before the last
+// controller is upgraded, as the gate opens, and while it closes.
 func TestUpgradeDuringZonePartition(t *testing.T) {
 	for _, when := range []gateStep{noStep, opens, closes} {
 		t.Run(string(when), func(t *testing.T) {
@@ -290,14 +292,14 @@
 			ro.run(30 * second)
 			ro.restart(ro.leaderAt(0)[3], newerOperator(holdOn))
 			ro.until(90*second, "the gate is closed", func() bool { return ro.gateIs("closed") && len(ro.journalKeys()) == 0 })
-			ro.interrupts = true // a zone's only controller may be restarted while the zone is apart
+			ro.interrupts = true // a zone's only controller may be restarted while the zone is partitioned
 			ro.settleAndCheck()
 		})
 	}
 }
 
-// The state service's lower limits come in the midst: values of the journal that were written under the
-// higher ones are folded, and none is refused.
+// The state service's lower limits come into force during an upgrade: journal values that were
+// written under the higher limits are compacted, and none is refused.
 func TestUpgradeAcrossLowerLimits(t *testing.T) {
 	ro := newRollout(t, 380, defaultTopology)
 	for i := range ro.cfgs {
@@ -320,9 +322,9 @@
 	ro.settleAndCheck()
 }
 
-// Transactions that are carried out when the gate has another state than when they were sent: an older
-// leader's and an older candidate's after the opening, the journal's and the opening itself after the closing. All
-// fail by their conditions.
+// Transactions that are applied when the gate is in another state than when they were sent: those
+// of an older leader and an older candidate after the opening, those of the journal and the opening
+// itself after the closing. All fail because of their conditions.
 func TestTransactionsThatCrossTheGate(t *testing.T) {
 	const late = 70 * second
 	for _, c := range []struct {
--- a/internal/controller/fetch_warning_test.go
+++ b/internal/controller/fetch_warning_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// A class whose images take longer to fetch than its tasks may wait is told once, whatever the
-// number of its jobs and leaders; one whose images come in time is not.
+// A class whose images take longer to fetch than its service-level objective lets tasks wait is
+// logged once, whatever the number of its jobs and leaders; one whose images are fetched in time is
+// not.
 func TestFetchLongerThanTheObjectiveIsLogged(t *testing.T) {
 	w := newWorld(t, 65)
 	w.awaitLeader()
@@ -24,7 +25,7 @@
 	for _, uid := range []string{"j-2", "j-3"} {
 		w.submit(uid, map[string]any{"tier": "web", "sizeGb": 9.0})
 	}
-	w.submit("j-4", map[string]any{"tier": "jobs", "sizeGb": 90.0}) // no aim
+	w.submit("j-4", map[string]any{"tier": "jobs", "sizeGb": 90.0}) // no objective
 	w.run(10 * second)
 	if n := strings.Count(out.String(), "shorter than the image fetch"); n != 1 || !strings.Contains(out.String(), "class=web within_s=5 fetch_s=9") {
 		t.Errorf("told %d times of a fetch of 9 s: %s", n, out.String())
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -10,8 +10,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The leader loses the workers while the other controllers do not: it hands over
-// before any lease runs out. A few machines that hear no answer are no reason to, also at once.
+// The leader loses contact with the workers while the other controllers do not: it resigns before
+// any lease expires. A few machines that get no answer are no reason to, also if they lose it at
+// once.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	for _, answersLost := range []bool{false, true} {
 		w := newWorld(t, 51)
@@ -34,7 +35,7 @@
 		if !answersLost {
 			w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
 		}
-		// Something to say to the machines, so that the loss can show.
+		// There have to be commands for the machines, or the loss of contact would not be noticed.
 		w.submit("j-3", map[string]any{"shards": 4})
 		for range 30 {
 			w.run(second)
@@ -51,8 +52,8 @@
 	}
 }
 
-// Several machines that hear no answer are missed at once, while there was nothing to say to others,
-// give those others time for a sign of life first.
+// Several machines that get no answer become overdue at once, while there were no commands for
+// others: those others are given time for a sign of life first.
 func TestSuspicionWaitsForProbes(t *testing.T) {
 	w := newWorld(t, 57)
 	c := w.nodes[w.awaitLeader()].controller
@@ -81,9 +82,9 @@
 	}
 }
 
-// With a lease longer than the way round all controllers, a zone's workers find
-// their controller again when it has ended in a cut together with all others: its
-// machines are not given up (loss, credit checks' fleet: 158 machines were).
+// With a lease longer than a worker needs to try all controllers, the workers of a zone find their
+// controller again when it has ended during a partition together with all others: its machines are
+// not declared lost (in the fleet of the credit checks with loss, 158 machines were).
 func TestLongLeaseZoneIsNotDeclaredLost(t *testing.T) {
 	w := newWorld(t, 37)
 	for _, cfg := range w.cfgs {
@@ -121,8 +122,8 @@
 	w.requireNoViolations()
 }
 
-// Many direct calls that hang at once, as when a zone is cut, are bounded, and
-// leave room for calls to machines that answer.
+// Many direct calls that hang at once, as when a zone is cut off, are bounded, and leave room for
+// calls to machines that answer.
 func TestHangingCallsAreBounded(t *testing.T) {
 	w := newWorld(t, 52)
 	lead := w.awaitLeader()
@@ -149,8 +150,8 @@
 	}
 }
 
-// What a tick and a report cost for a machine with nothing to say does not grow
-// with the fleet: no lists are made or sorted, counted in allocations.
+// The cost of a tick and of a heartbeat for a machine without commands does not grow with the
+// fleet: no lists are made or sorted, measured in allocations.
 func TestTickOfAQuietFleet(t *testing.T) {
 	count := func(machines int) (tick, report float64) {
 		w := newWorld(t, 53)
@@ -191,12 +192,11 @@
 	}
 }
 
-// A machine that takes no connections while others of its zone are heard is
-// deleted long before its lease is over, and its tasks go on elsewhere; one that
-// takes them and does not answer hangs, and is left alone. In a zone that has just
-// been cut off nothing is heard, and nothing is deleted; nor is a machine whose
-// replicas would fetch for longer than a lease, or have no room elsewhere, as it may
-// come back.
+// A machine that refuses connections while others of its zone are heard is deleted long before its
+// lease expires, and its tasks go on elsewhere; one that accepts connections and does not answer
+// hangs, and is left alone. In a zone that has just been cut off nothing is heard, and nothing is
+// deleted; nor is a machine whose replicas would fetch images for longer than a lease, or have no
+// room elsewhere, as it may come back.
 func TestUnreachableMachineIsDeleted(t *testing.T) {
 	for _, what := range []string{"dead", "hanging", "cut zone", "long fetch", "no room"} {
 		w := newWorld(t, 54)
@@ -242,13 +242,13 @@
 	}
 }
 
-// A zone that was cut off a moment ago is not known to be partitioned yet: machines that
-// reported last well before the cut look overdue first. What tells is that nothing
+// A zone that was cut off a moment ago is not known to be partitioned yet: machines whose last
+// heartbeat came well before the partition become overdue first. The evidence is that nothing from
 // there was heard since the call failed.
 func TestNothingIsUnreachableInASilentZone(t *testing.T) {
 	w := newWorld(t, 55)
 	l := w.nodes[w.awaitLeader()].controller.leadership
-	w.run(20 * second) // the types are known
+	w.run(20 * second) // the machine types have been read
 	now := time.Minute
 	for i := range 40 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
@@ -272,13 +272,13 @@
 	}
 }
 
-// While machines do not answer, no others are emptied, and the room that there is
-// goes to the replicas that may be lost, not to batches.
+// While machines do not answer, no others are drained, and the free room goes to the replicas that
+// may be lost, not to arrays.
 func TestRoomIsKeptWhileMachinesAreLate(t *testing.T) {
 	w := newWorld(t, 56)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	w.run(20 * second) // the types are known and the list is read
+	w.run(20 * second) // the machine types and the list of machines have been read
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
 		j := l.state.AddJob(&protocol.Spec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// fullFleet fills so many machines with tasks of low priority that run for long, and
-// closes the cloud: nothing else can be rented.
+// fullFleet fills so many machines with tasks of low priority that run for long, and makes the
+// cloud unavailable, so that nothing else can be rented.
 func (w *world) fullFleet(machines int) {
 	w.t.Helper()
 	w.runs = func(task string) time.Duration {
@@ -25,8 +25,8 @@
 	w.cloud.Down = true
 }
 
-// In a fleet that is full of work of lower priority, a gang gets its whole room at a
-// round's boundary, together or not, and no more is stopped than it needs.
+// In a fleet that is full of work of lower priority, a gang gets all of its room at the boundary of
+// a scheduling round, on one machine or not, and no more is preempted than it needs.
 func TestGangGetsItsRoomAtARound(t *testing.T) {
 	for _, together := range []bool{false, true} {
 		w := newWorld(t, 111)
@@ -42,11 +42,11 @@
 	}
 }
 
-// A gang for which stops would free but a part of its room stops nothing.
+// A gang for which preemption would free only a part of its room preempts nothing.
 func TestNothingIsStoppedForAPartOfAGang(t *testing.T) {
 	w := newWorld(t, 112)
 	w.fullFleet(2)
-	w.submit("j-1", group(4, 5, map[string]any{"rank": "high"})) // one a machine
+	w.submit("j-1", group(4, 5, map[string]any{"rank": "high"})) // one task per machine
 	w.run(40 * second)
 	if n := w.running("j-0"); n != 8 {
 		t.Errorf("%d of 8 tasks run", n)
@@ -56,8 +56,8 @@
 	w.settle()
 }
 
-// Small urgent gangs keep coming to a full fleet; large and small ones of two teams, one
-// of them together, begin all the same, and none keeps another's room without use.
+// Small urgent gangs keep coming to a full fleet; large and small gangs of two teams, one of them
+// on one machine, start all the same, and none holds another's room without using it.
 func TestNoGangStarvesInAFullFleet(t *testing.T) {
 	w := newWorld(t, 113)
 	w.fullFleet(4)
@@ -76,8 +76,8 @@
 	w.settle()
 }
 
-// Room that is kept for expected replicas is not the gang's: a round stops for it what
-// gives way, instead of taking it to fit there and leaving it to wait for a boot.
+// Room that is kept for expected replicas is not the gang's: a round preempts for it what has lower
+// priority, instead of placing it in the kept room and leaving it to wait for a machine to boot.
 func TestRoomForExpectedReplicasIsNoRoomForAGang(t *testing.T) {
 	w := newWorld(t, 114)
 	w.fullFleet(3)
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -15,7 +15,7 @@
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == n })
 }
 
-// holding lists the machines with tasks of a job.
+// holding returns the machines with tasks of a job.
 func (w *world) holding(uid string) (out []*emulator.Worker) {
 	for _, k := range w.fleet() {
 		for _, t := range k.Tasks {
@@ -28,8 +28,8 @@
 	return out
 }
 
-// One task's image comes too late for the others, who give up: the attempt is cleared,
-// and the next one runs.
+// One task's image comes too late for the others, which time out: the attempt is cleared, and the
+// next one runs.
 func TestGangIncomplete(t *testing.T) {
 	w := newWorld(t, 101)
 	w.replicasOnMachines(3, 3)
@@ -40,7 +40,7 @@
 		return second
 	}
 	w.submit("j-1", group(2, 2, map[string]any{"owner": "blue"}))
-	w.until(40*second, "the one without an image is told to stop", func() bool { return len(w.stopCommands["j-1"]) > 0 })
+	w.until(40*second, "the one without an image gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	if w.machines.Wholes["j-1"] != 0 {
 		t.Error("it began")
 	}
@@ -50,8 +50,8 @@
 	w.settle()
 }
 
-// A machine with a task of a running gang hangs: the others end, and the gang does not
-// begin anew before the hanging task is proved gone, since it may go on at any time.
+// A machine with a task of a running gang hangs: the others end, and the gang does not start again
+// before the hanging task is proved absent, since it may resume at any time.
 func TestGangWithAHangingMachine(t *testing.T) {
 	for _, hang := range []time.Duration{7 * second, 60 * second} {
 		w := newWorld(t, 102)
@@ -65,10 +65,10 @@
 	}
 }
 
-// A round stops a gang over four machines, and the leader ends so long after the first
-// command: whatever the workers have been told by then, the gang begins again whole, and
-// nothing of it starts while a part of the attempt before is left. Where the leader
-// lives on, the progress is saved.
+// A round preempts a gang on four machines, and the leader ends so long after the first command:
+// whichever commands the workers have got by then, the gang starts again whole, and nothing of it
+// starts while a part of the previous attempt is left. Where the leader lives on, the progress is
+// saved.
 func TestGangIsStoppedOverMachinesAndLeaders(t *testing.T) {
 	for _, after := range []time.Duration{-1, 0, 3 * time.Millisecond, second, 4 * second} {
 		w := newWorld(t, 103)
@@ -79,7 +79,7 @@
 		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 		w.run(3 * second)
 		w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
-		w.until(20*second, "it is told to stop", func() bool { return len(w.stopCommands["j-1"]) > 0 })
+		w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 		if after >= 0 {
 			w.run(after)
 			w.restart(w.awaitLeader(), 2*second)
@@ -95,9 +95,9 @@
 	}
 }
 
-// A spot machine with one task of a gang of four is taken back. With notice enough the
-// gang stops in time and its progress is saved; with too little it falls back to its
-// last checkpoint. Either way it begins again, whole.
+// A spot machine with one task of a gang of four is reclaimed. With sufficient notice the gang
+// stops in time and its progress is saved; with too little it falls back to its last checkpoint.
+// Either way it starts again, whole.
 func TestGangLosesASpotMachine(t *testing.T) {
 	for _, tc := range []struct {
 		notice float64
@@ -124,8 +124,8 @@
 	}
 }
 
-// All tasks of a gang complete at once; the leader hears of one of them alone. That one
-// is enough, and nothing of the gang is started again.
+// All tasks of a gang complete at once; the leader gets the completion of only one of them. That
+// one is enough, and nothing of the gang is started again.
 func TestOneCompletionCompletesItsGang(t *testing.T) {
 	w := newWorld(t, 105)
 	w.runs = func(string) time.Duration { return 20 * second }
@@ -145,12 +145,12 @@
 	w.settle()
 }
 
-// A gang is cancelled in each state of its attempt: it is told soon, as nothing keeps its
-// tasks, and nothing of it starts afterwards (the checker sees to that).
+// A gang is cancelled in each state of its attempt: the cancellation is confirmed soon, as nothing
+// holds its tasks up, and nothing of it starts afterwards (the checker verifies that).
 func TestGangIsCancelledInEachState(t *testing.T) {
 	pulling := func(w *world) bool { return len(w.holding("j-1")) > 0 }
 	running := func(w *world) bool { return w.machines.Wholes["j-1"] == 1 }
-	told := func(w *world) bool { return len(w.stopCommands["j-1"]) > 0 }
+	stopSent := func(w *world) bool { return len(w.stopCommands["j-1"]) > 0 }
 	for name, prepare := range map[string]func(*world){
 		"waiting": func(w *world) {
 			w.cloud.Down = true
@@ -173,7 +173,7 @@
 			w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
 			w.until(30*second, "it runs", func() bool { return running(w) })
 			w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
-			w.until(20*second, "it is told to stop", func() bool { return told(w) })
+			w.until(20*second, "it gets a stop command", func() bool { return stopSent(w) })
 			w.run(500 * time.Millisecond)
 		},
 		"broken": func(w *world) {
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -19,8 +19,8 @@
 	return m
 }
 
-// A gang for which there is room in part only waits whole, and runs once there is
-// room for all of it.
+// A gang for which there is room only in part waits whole, and runs once there is room for all of
+// it.
 func TestGangRunsWholeOrNotAtAll(t *testing.T) {
 	w := newWorld(t, 90)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 4.0})
@@ -41,8 +41,8 @@
 	w.settle()
 }
 
-// A machine with a task of a running gang dies: what is left is cleared, and the
-// gang begins again, whole.
+// A machine with a task of a running gang dies: what is left is cleared, and the gang starts again,
+// whole.
 func TestGangBeginsAgainAfterALoss(t *testing.T) {
 	w := newWorld(t, 91)
 	w.submit("j-1", group(4, 4, nil)) // two machines
@@ -59,9 +59,9 @@
 	w.settle()
 }
 
-// A gang over two machines has to leave one of them: all its tasks are told within
-// gang_peer_s, with time enough to save (2 s) and to wait for the others (5 s): a
-// second command to stop, which ends a save, counts from there.
+// A gang on two machines has to leave one of them: all its tasks get the stop command within
+// gang_peer_s, with time enough to save (2 s) and to wait for the others (5 s): a second stop
+// command, which ends a save, counts from there.
 func TestGangStopsWhole(t *testing.T) {
 	w := newWorld(t, 92)
 	w.runs = func(string) time.Duration { return 60 * second }
@@ -74,15 +74,15 @@
 			break
 		}
 	}
-	w.until(20*second, "it is told to stop", func() bool { return len(w.stopCommands["j-1"]) > 0 })
+	w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	w.run(5 * second)
-	told := w.stopCommands["j-1"]
-	if len(told) != 4 {
-		t.Fatalf("%d of 4 tasks were told to stop", len(told))
+	commands := w.stopCommands["j-1"]
+	if len(commands) != 4 {
+		t.Fatalf("%d of 4 tasks got a stop command", len(commands))
 	}
-	for _, h := range told {
-		if h.at > told[0].at+5*second || h.grace < 2+5 {
-			t.Errorf("told %v after the first, with %v s", h.at-told[0].at, h.grace)
+	for _, h := range commands {
+		if h.at > commands[0].at+5*second || h.grace < 2+5 {
+			t.Errorf("a stop command came %v after the first, with a grace period of %v s", h.at-commands[0].at, h.grace)
 		}
 	}
 	w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
@@ -90,8 +90,8 @@
 	w.settle()
 }
 
-// Leaders end at any moment of a gang's start: it runs whole all the same, never in
-// parts under two attempts.
+// Leaders end at any moment of a gang's start: it runs whole all the same, never in parts under two
+// attempts.
 func TestGangStartsAcrossLeaders(t *testing.T) {
 	for seed := range uint64(16) {
 		w := newWorld(t, 93)
@@ -107,8 +107,8 @@
 	}
 }
 
-// Two gangs that each need more than half of what there is run one after the
-// other, and small ones that keep coming do not starve them.
+// Two gangs that each need more than half of the fleet run one after the other, and small ones that
+// keep coming do not starve them.
 func TestGangsTakeTurns(t *testing.T) {
 	w := newWorld(t, 94)
 	w.runs = func(string) time.Duration { return 8 * second }
@@ -126,7 +126,7 @@
 	w.settle()
 }
 
-// A gang is checked like other jobs, and its team's limit bounds all of it.
+// A gang is validated like other jobs, and its team's quota bounds all of it.
 func TestGangValidation(t *testing.T) {
 	w := newWorld(t, 95)
 	w.awaitLeader()
@@ -156,8 +156,8 @@
 	w.settle()
 }
 
-// An old version led for a while and started a gang's tasks as if they were an
-// array's, under numbers of their own: they are cleared, and it runs whole.
+// An old version led for a while and started a gang's tasks as if they were an array's, under
+// attempt numbers of their own: they are cleared, and the gang runs whole.
 func TestGangInPartsFromAnOldVersion(t *testing.T) {
 	w := newWorld(t, 96)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
@@ -186,8 +186,8 @@
 	w.settle()
 }
 
-// A task is lost while the others still wait for their images: it is replaced
-// under the same attempt, and the gang begins once.
+// A task is lost while the others still wait for their images: it is replaced under the same
+// attempt, and the gang starts once.
 func TestGangReplacesALostTask(t *testing.T) {
 	w := newWorld(t, 97)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
@@ -221,8 +221,8 @@
 	w.settle()
 }
 
-// A gang's places take several transactions, and the state service is down after
-// the first of them: no part of the gang is started.
+// Storing a gang's placement takes several transactions, and the state service is down after the
+// first of them: no part of the gang is started.
 func TestGangWaitsForAllItsPlaces(t *testing.T) {
 	w := newWorld(t, 98)
 	for _, cfg := range w.cfgs {
@@ -247,7 +247,7 @@
 		}
 		return deliveryFault{}
 	}
-	w.submit("j-1", group(4, 6, nil)) // a machine each
+	w.submit("j-1", group(4, 6, nil)) // one machine each
 	w.until(30*second, "a part of it is written", func() bool { return written })
 	for range 18 {
 		w.run(second)
@@ -260,8 +260,8 @@
 	w.settle()
 }
 
-// A task of a gang that gathers is lost with the leader: what is left is cleared as
-// soon as that is known, not when the workers give it up.
+// A task of a gang that is still gathering is lost together with the leader: what is left is
+// cleared as soon as that is known, not when the workers time out.
 func TestGangIsClearedAfterAFailover(t *testing.T) {
 	w := newWorld(t, 99)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
@@ -298,8 +298,8 @@
 	w.settle()
 }
 
-// A gang that was accepted is answered with its state when it is submitted again,
-// whatever the repeat holds: also one that would be refused as new.
+// A gang that was accepted is answered with its state when it is submitted again, whatever the
+// repeated request contains: also one that would be refused as new.
 func TestRepeatedGangSubmissionReturnsItsState(t *testing.T) {
 	w := newWorld(t, 100)
 	w.submit("j-1", group(2, 1, nil))
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -11,8 +11,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// A user asks once to cancel, is told to come back and never does; the leader
-// ends. The successor goes on with it all the same.
+// A user requests a cancellation once, is told to come back and never does; the leader ends. The
+// successor continues the cancellation all the same.
 func TestCancellationOutlivesTheLeader(t *testing.T) {
 	w := newWorld(t, 70)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -42,7 +42,8 @@
 	w.settle()
 }
 
-// All tasks of a job end while its cancellation waits for the proof: it is done.
+// All tasks of a job complete while its cancellation waits for the proof of absence: the job is
+// done.
 func TestEndedBeforeItWasCancelled(t *testing.T) {
 	w := newWorld(t, 71)
 	w.runs = func(string) time.Duration { return 6 * second }
@@ -57,9 +58,9 @@
 	w.settle()
 }
 
-// A transaction that created keys has no answer, its repeat applies, the keys are
-// deleted again, and then the first copy arrives: absent keys have the version
-// that it asks for, so only the leader key keeps it from applying.
+// A transaction that created keys has no answer, its repeat applies, the keys are deleted again,
+// and then the first copy arrives: absent keys have the version that it requires, so only the
+// condition on the leader key keeps it from applying.
 func TestLateCreationAfterDeletion(t *testing.T) {
 	w := newWorld(t, 72)
 	w.awaitLeader()
@@ -90,7 +91,7 @@
 		}
 		return len(held) > 0
 	}
-	w.until(100*second, "the machines are gone from the store", absent)
+	w.until(100*second, "the machines are deleted from the store", absent)
 	w.run(60 * second)
 	if !absent() {
 		t.Errorf("%v came back", held)
@@ -98,15 +99,15 @@
 	w.settle()
 }
 
-// The state service calls larger transactions malformed, from a moment that
-// nobody announced: nothing that users were told is lost, and work goes on.
+// The state service refuses larger transactions as malformed, from a moment that nobody announced:
+// nothing that was confirmed to users is lost, and work goes on.
 func TestMalformedTransactionsAreSplit(t *testing.T) {
 	w := newWorld(t, 73)
 	w.awaitLeader()
 	n := 0
 	w.script = func(_ int, c Call) deliveryFault {
 		n++
-		// Some tries have no answer: those may have applied before the 400.
+		// Some attempts have no answer: those may have applied before the 400.
 		return deliveryFault{answerLost: c.Path == "/multi" && n%7 == 0}
 	}
 	w.at(15*second, func() { w.state.Malformed = func(txn protocol.Txn) bool { return len(txn.Then) > 3 } })
@@ -121,8 +122,8 @@
 	w.settle()
 }
 
-// A record that is refused by itself is given up: its user is told to come back,
-// and the others' are not held up by it.
+// A record that is refused by itself is given up: its user is told to come back, and the records of
+// others are not blocked by it.
 func TestRefusedRecordHoldsUpNobody(t *testing.T) {
 	w := newWorld(t, 74)
 	w.awaitLeader()
@@ -147,8 +148,7 @@
 	w.settle()
 }
 
-// A task that no book knows ends on the only machine with room: the machine takes
-// work again.
+// A task that is in no record ends on the only machine with room: the machine takes work again.
 func TestUnknownTaskIsForgottenWhenAbsent(t *testing.T) {
 	w := newWorld(t, 75)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 2.0})
@@ -165,8 +165,8 @@
 	w.settle()
 }
 
-// A machine reaches no controller any more while commands still reach it: what it
-// has goes on elsewhere before its lease ends, where there is room.
+// A machine no longer reaches any controller while commands still reach it: its tasks go on
+// elsewhere before its lease expires, where there is room.
 func TestTasksLeaveMachineWhoseHeartbeatsAreLost(t *testing.T) {
 	w := newWorld(t, 76)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
@@ -177,15 +177,16 @@
 	w.run(8500 * time.Millisecond) // of a lease of 10 s
 	for name, task := range k.Tasks {
 		if task.State == protocol.Running {
-			t.Errorf("%s is still on a machine that is about to end its session", name)
+			t.Errorf("%s is still on a machine that is about to end its epoch", name)
 		}
 	}
 	w.until(15*second, "both run elsewhere", func() bool { return w.running("j-1") == 2 })
 	w.settle()
 }
 
-// A run left in a report's answer that was lost, and nothing else carried it: the
-// next report without the task proves that a cancelled task never ran there.
+// A run command was sent in the answer to a heartbeat, that answer was lost, and nothing else
+// carried the command: the next heartbeat without the task proves that a cancelled task never ran
+// there.
 func TestLostAnswerOfACancelledTask(t *testing.T) {
 	w := newWorld(t, 77)
 	c := w.nodes[w.awaitLeader()].controller
@@ -201,7 +202,7 @@
 	report := func(seq uint64, reported bool) {
 		l.heartbeats.applyHeartbeat(&protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Sequence: seq, Token: l.lease.token}, reported)
 	}
-	report(11, false) // an answer to a direct request: the run may still be in the other
+	report(11, false) // an answer to a direct request: the run command may still be in the other
 	if j.ActiveAttempts != 1 {
 		t.Fatal("an answer to a direct request was taken for a proof")
 	}
@@ -211,7 +212,7 @@
 	}
 }
 
-// A job that keeps failing is tried again at least once a lease.
+// A job that keeps failing is retried at least once per lease.
 func TestBackoffIsBounded(t *testing.T) {
 	w := newWorld(t, 78)
 	c := w.nodes[w.awaitLeader()].controller
@@ -224,8 +225,8 @@
 	}
 }
 
-// A leader that has just been elected has no proof by time yet, also where it has
-// no siblings: an earlier term of its own may have answered the worker.
+// A leader that has just been elected has no proof by time yet, also where it has no siblings: an
+// earlier leadership of its own may have answered the worker.
 func TestNoProofByTimeAtOnce(t *testing.T) {
 	w := newWorld(t, 79)
 	w.run(40 * second)
@@ -237,15 +238,15 @@
 	}
 }
 
-// What the protocol calls invalid is refused, whatever else goes on, and a repeat
-// of an accepted job gets its state whatever its body holds.
+// Requests that the protocol calls invalid are refused, whatever else goes on, and a repeated
+// submission of an accepted job gets its state whatever its body contains.
 func TestInvalidRequests(t *testing.T) {
 	w := newWorld(t, 80)
 	w.awaitLeader()
 	w.run(5 * second)
 	w.submit("j-1", map[string]any{"shards": 2})
 	w.until(30*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
-	odd := map[string]struct {
+	invalidSpecs := map[string]struct {
 		change map[string]any
 		status int
 	}{
@@ -261,7 +262,7 @@
 		"j-20": {map[string]any{"rank": nil}, 400},
 		"j-21": {map[string]any{"tier": nil}, 400},
 	}
-	for uid, tc := range odd {
+	for uid, tc := range invalidSpecs {
 		w.spec(uid, tc.change)
 		w.invalid[uid] = true
 		for node := range 3 {
@@ -283,13 +284,13 @@
 	}
 	w.run(second)
 	w.awaitStatus(60*second, "j-1", protocol.Done)
-	w.cancel("j-1") // called done for good
+	w.cancel("j-1") // it stays done
 	w.settle()
 }
 
-// A transaction applies, its answer is lost, and its repeat is called malformed as
-// a limit has been lowered meanwhile: it is known to have applied, and nobody
-// loses the leadership over it.
+// A transaction applies, its answer is lost, and its repeat is refused as malformed because a limit
+// has been lowered meanwhile: it is known to have applied, and no leader loses its leadership
+// because of it.
 func TestMalformedRepeatOfWhatApplied(t *testing.T) {
 	w := newWorld(t, 81)
 	w.awaitLeader()
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -10,9 +10,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The workers of a zone lose the way to their zone's controller, which stays in touch
-// with the leader: none is sent there again and again, so that no lease runs out and
-// nothing has to move. Once the way is back, they report there again.
+// The workers of a zone lose the route to their zone's controller, which stays in contact with the
+// leader: none is redirected there again and again, so that no lease expires and nothing has to
+// move. Once the route is restored, they send their heartbeats there again.
 func TestControllerThatWorkersCannotReach(t *testing.T) {
 	w := newWorld(t, 37)
 	lead := w.awaitLeader()
@@ -61,8 +61,8 @@
 	w.requireNoViolations()
 }
 
-// Workers are sent to a controller one at a time until reports come by it, ever more
-// seldom if they come back.
+// Workers are redirected to a controller one at a time until heartbeats arrive by it, at growing
+// intervals if they come back.
 func TestRouteIsTriedOneWorkerAtATime(t *testing.T) {
 	const report, lease = time.Second, 10 * time.Second
 	var rt heartbeatRoute
@@ -92,9 +92,9 @@
 	}
 }
 
-// The leader stands still and another controller has ended: the controller of a zone
-// keeps its workers meanwhile. Sent to the leader, they would wait for both of the others,
-// for longer than their lease.
+// The leader's process is paused and another controller has ended: the controller of a zone keeps
+// its workers meanwhile. Redirected to the leader, they would wait for both of the others, for
+// longer than their lease.
 func TestLeaderProcessPause(t *testing.T) {
 	for seed := range uint64(6) {
 		checkLeaderProcessPause(t, 380+seed)
@@ -136,7 +136,7 @@
 	w.requireNoViolations()
 }
 
-// Workers that look for a controller for less than a lease keep their tasks.
+// Workers that search for a controller for less than a lease keep their tasks.
 func TestWorkerFindsAControllerBeforeItsLeaseEnds(t *testing.T) {
 	w := newWorld(t, 39)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
@@ -156,8 +156,8 @@
 	w.settle()
 }
 
-// While the state service still names a leader that does not answer, a zone's controller
-// renews its workers' leases; if that leader goes on for longer, they are sent to it.
+// While the state service still names a leader that does not answer, a zone's controller renews its
+// workers' leases; if that state lasts, they are redirected to the leader.
 func TestLeaderDoesNotAnswerItsFollower(t *testing.T) {
 	w := newWorld(t, 40)
 	lead := w.awaitLeader()
@@ -176,8 +176,8 @@
 	}
 }
 
-// A worker that reports while a new leader still reads the ledger keeps its lease, and
-// nothing is started or proved by that.
+// A worker that sends a heartbeat while a new leader still loads the cluster state keeps its lease,
+// and nothing is started or proved by that.
 func TestHeartbeatBeforeClusterStateIsLoaded(t *testing.T) {
 	w := newWorld(t, 42)
 	lead := w.awaitLeader()
@@ -198,7 +198,7 @@
 	w.run(second)
 	l := w.nodes[next].controller.leadership
 	if l.loader.ready {
-		t.Fatal("the ledger is read")
+		t.Fatal("the cluster state is loaded")
 	}
 	var got Reply
 	report := func(token uint64) {
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -7,9 +7,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// A cloud list with machines of an unknown standing, out of order, named twice or without a
-// name, and reports of tasks that nobody knows, end nothing and put nothing where it may
-// not be.
+// A list from the cloud with machines of an unknown status, out of order, listed twice or without a
+// name, and heartbeats with tasks that nobody knows, end nothing and start nothing where it may not
+// run.
 func TestInvalidListsAndHeartbeats(t *testing.T) {
 	w := newWorld(t, 97)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
--- a/internal/controller/leader_keys_test.go
+++ b/internal/controller/leader_keys_test.go
@@ -9,8 +9,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The leader record of older versions (686f0af to 0eeb63e, which agree), byte by byte: read as it was
-// meant, and written the same with the gate closed. They read one of an open gate as their own.
+// The leader record of older versions (686f0af to 0eeb63e, which agree), byte by byte: it is
+// decoded with its meaning, and encoded the same while the gate is closed. They decode the record
+// of an open gate as one of their own.
 func TestLeaderRecordsOfBothVersions(t *testing.T) {
 	const wrote = "84a16ca26e31a169a26162a16e07a17409"
 	rec := leaderRecord{Label: "n1", Incarnation: "ab", Token: 7, LeaseID: 9}
@@ -40,7 +41,7 @@
 }
 
 // The conditions of an election: with the gate closed those of older versions; else that the leader
-// key is as it was read, and that the key of the lease is gone.
+// key is as it was read, and that the lease key is absent.
 func TestElectionConditions(t *testing.T) {
 	former := &leaderRecord{Label: "n9", Token: 4, StorageVersion: 1, Closing: true}
 	for _, c := range []struct {
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -12,13 +12,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// partitionZones parts the two zones: nothing gets from one to the other, while the state service and
-// the cloud can be reached from both. Connections between them are refused, or held up: then what
-// controllers had said to each other comes when the cut is over.
+// partitionZones partitions the two zones: nothing gets from one to the other, while the state
+// service and the cloud can be reached from both. Connections between them are refused, or delayed:
+// then what controllers had sent to each other arrives when the partition ends.
 func (w *world) partitionZones(refused bool, lasts time.Duration) {
 	end := w.Now() + lasts
 	nothing := deliveryFault{lost: !refused, refused: refused}
-	w.unreachable = map[string]bool{} // a new connection that is held up is none in time
+	w.unreachable = map[string]bool{} // a new connection that is delayed is not made in time
 	for _, cfg := range w.cfgs {
 		w.unreachable[cfg.PeerListen] = !refused
 	}
@@ -48,9 +48,10 @@
 	}
 }
 
-// The two zones can't reach each other for four leases, with the state service in reach of both,
-// so that it goes on naming the leader to the controllers beyond: they keep their zone's workers.
-// Sent to the leader, all of them lost their tasks (clamping line, apart: 133 to 204 tasks).
+// The two zones can't reach each other for four leases, while both reach the state service, so that
+// it goes on naming the leader to the controllers on the other side: they keep their zone's
+// workers. Redirected to the leader, all of the workers lost their tasks (clamping line with
+// partitioned zones: 133 to 204 tasks).
 func TestZonesPartitioned(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		for _, refused := range []bool{false, true} {
@@ -59,7 +60,7 @@
 	}
 }
 
-// zoneOfPeer is the zone of the controller with that address for others.
+// zoneOfPeer returns the zone of the controller with that address for other controllers.
 func (w *world) zoneOfPeer(addr string) string {
 	for i, cfg := range w.cfgs {
 		if cfg.PeerListen == addr {
@@ -69,7 +70,7 @@
 	return ""
 }
 
-// allStarts is how many tasks have begun so far.
+// allStarts returns how many tasks have begun so far.
 func (w *world) allStarts() int {
 	n := 0
 	for _, starts := range w.starts {
@@ -108,8 +109,8 @@
 	if n := strings.Count(out.String(), "leader observed"); n > 0 {
 		t.Errorf("the same leader is logged %d times", n)
 	}
-	// The zones are together again, and what the leader asks of machines directly is answered
-	// before the first report comes by their zone's controller: no task is moved for that.
+	// The partition has ended, and the leader's direct requests to machines are answered before the
+	// first heartbeat comes by their zone's controller: no task is moved because of that.
 	starts := w.allStarts()
 	w.script, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
@@ -131,8 +132,8 @@
 	w.requireNoViolations()
 }
 
-// Only the controllers refuse each other: the workers of a zone without the leader go to it, and
-// it goes on giving them work.
+// Only the controllers refuse each other's connections: the workers of a zone without the leader
+// are redirected to it, and it goes on giving them work.
 func TestControllersRefuseEachOther(t *testing.T) {
 	w := newWorld(t, 62)
 	lead := w.awaitLeader()
@@ -159,8 +160,8 @@
 	w.requireNoViolations()
 }
 
-// Where the leader's controller does not answer, one worker at a time looks whether it reaches
-// the leader, and one with tasks only when the leader could no longer coast for long.
+// Where the leader's controller does not answer, one worker at a time tries whether it reaches the
+// leader, and one with tasks only when the leader could no longer coast for long.
 func TestOneWorkerAtATimeIsRedirectedToALostLeader(t *testing.T) {
 	w := newWorld(t, 63)
 	w.awaitLeader()
@@ -192,9 +193,10 @@
 	}
 }
 
-// A machine answers direct requests and none of its reports has come for long. A heartbeat of its
-// zone's controller that echoes an old reading of the leader's clock was held up: the controller
-// may have renewed the machine's lease since, and nothing is stopped there (rough, seed 23: 125 tasks).
+// A machine answers direct requests and none of its heartbeats has come for long. A heartbeat of
+// its zone's controller that echoes an old reading of the leader's clock was delayed: the
+// controller may have renewed the machine's lease since, and nothing is stopped there (rough, seed
+// 23: 125 tasks).
 func TestDelayedHeartbeatIsNoProofOfContact(t *testing.T) {
 	w := newWorld(t, 64)
 	lead := w.awaitLeader()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -12,10 +12,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// lowerLimits are those that the settings announce in these tests.
+// lowerLimits are the future limits that the settings announce in these tests.
 var lowerLimits = emulator.StateLimits{ValueBytes: 2 << 10, Changes: 10}
 
-// announceLimits has the settings of all controllers name the limits to come.
+// announceLimits makes the settings of all controllers name the future limits.
 func (w *world) announceLimits() {
 	for i, cfg := range w.cfgs {
 		cfg.Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
@@ -25,8 +25,8 @@
 	w.awaitLeader()
 }
 
-// The lower limits come without notice, with a backlog of writes, before, in or after a
-// change of leader: nothing is refused for them, and nothing is lost.
+// The lower limits come into force without notice, with a backlog of writes, before, during or
+// after a failover: nothing is refused because of them, and nothing is lost.
 func TestLowerLimitsWithABacklog(t *testing.T) {
 	for _, crash := range []time.Duration{-second, 0, 20 * time.Millisecond, second} {
 		w := newWorld(t, 131)
@@ -50,9 +50,9 @@
 	}
 }
 
-// An array of 40,000 tasks, nearly done, was stored under the limit that is no more. Its
-// last tasks end under the lower one while leaders change: what was done is not started
-// again, what ends is stored, and the job becomes done.
+// An array of 40,000 tasks, nearly done, was stored under the former limit. Its last tasks end
+// under the lower one while leaders change: what was done is not started again, what ends is
+// stored, and the job becomes done.
 func TestLargeArrayAcrossLowerLimits(t *testing.T) {
 	const tasks = 40_000
 	open := []int{5, 20_000, 39_998, 39_999}
@@ -108,8 +108,8 @@
 	w.settle()
 }
 
-// A machine's record was stored under the limit that is no more, and the machine can't be
-// reached. It is returned all the same, and its tasks run elsewhere.
+// A machine's record was stored under the former limit, and the machine can't be reached. It is
+// released all the same, and its tasks run elsewhere.
 func TestMachineWithAnOversizedRecordIsReleased(t *testing.T) {
 	w := newWorld(t, 133)
 	w.runs = func(string) time.Duration { return 200 * second }
@@ -128,7 +128,8 @@
 	w.settle()
 }
 
-// Completions that an earlier leader left of a job that is over are deleted by the next.
+// Completions of a finished job that an earlier leader left in the store are deleted by the next
+// leader.
 func TestCompletionsOfJobsThatAreOverAreDeleted(t *testing.T) {
 	w := newWorld(t, 134)
 	lead := w.awaitLeader()
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// newCloud makes a cloud with one machine type.
+// newCloud creates a cloud with one machine type.
 func (w *world) newCloud() {
 	w.cloud = emulator.NewCloud(w.queue)
 	w.cloud.Types = []protocol.MachineType{{Name: "m8", Cores: 8, MemoryGB: 32, CacheGB: 50,
@@ -28,7 +28,7 @@
 	w.cloud.Remove = func(m *emulator.Machine) { w.machines.Workers[m.ID].Die() }
 }
 
-// newMachines makes a fleet whose workers report to the world's controllers.
+// newMachines creates a fleet whose workers send their heartbeats to the world's controllers.
 func (w *world) newMachines() {
 	f := emulator.NewFleet(w.queue, emulator.Timing{Report: time.Second, Lease: 10 * time.Second, NextController: time.Second,
 		SentAway: 100 * time.Millisecond, GangWait: 30 * time.Second, GangPeer: gangPeer, Look: tick})
@@ -71,7 +71,7 @@
 	w.machines = f
 }
 
-// jobOf is what a worker knows of a job.
+// jobOf returns what a worker knows of a job.
 func (w *world) jobOf(uid string) *emulator.Job {
 	spec := w.specs[uid]
 	if spec == nil {
@@ -81,7 +81,7 @@
 		SaveS: spec["saveTakesS"].(float64), Cores: spec["cores"].(float64)}
 }
 
-// fleet lists the workers in a fixed order, so runs repeat.
+// fleet returns the workers in a fixed order, so that runs repeat.
 func (w *world) fleet() []*emulator.Worker { return w.machines.Sorted() }
 
 func (w *world) byAddr(addr string) *emulator.Worker {
@@ -93,20 +93,21 @@
 	return nil
 }
 
-// recordHeartbeat keeps a report's body, and has a copy of it arrive late if the test wants so.
+// recordHeartbeat keeps a heartbeat's body, and has a copy of it arrive late if the test requires
+// it.
 func (w *world) recordHeartbeat(k *emulator.Worker, body []byte) {
 	w.copies[k.ID] = append(w.copies[k.ID], body)
 	if w.lateCopy == nil {
 		return
 	}
 	if late := w.lateCopy(); late > 0 {
-		// A copy goes to whichever controller; its answer reaches nobody.
+		// A copy goes to any one of the controllers; its answer is dropped.
 		to := w.rng.IntN(3)
 		w.at(late, func() { w.ask(to, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {}) })
 	}
 }
 
-// deliverHeartbeat takes a worker's report to a controller, as far as the test lets it.
+// deliverHeartbeat sends a worker's heartbeat to a controller, subject to the test's faults.
 func (w *world) deliverHeartbeat(k *emulator.Worker, node int, body []byte, answer emulator.Reply) {
 	var f deliveryFault
 	if w.heartbeatFault != nil {
@@ -132,13 +133,13 @@
 	})
 }
 
-// checkStart checks the rules of the moment a task begins to be on its machine.
+// checkStart checks the rules for the moment at which a task begins to be on its machine.
 func (w *world) checkStart(k *emulator.Worker, task string, t *emulator.Task) {
 	spec := w.specs[t.UID]
 	w.starts[task]++
-	// Stricter than the protocol's page, which allows cancel_s: "from then on no
-	// task of the job may be started".
-	if _, told := w.cancelledAt[t.UID]; told {
+	// Stricter than the protocol's page, which allows cancel_s: "from then on no task of the job
+	// may be started".
+	if _, confirmed := w.cancelledAt[t.UID]; confirmed {
 		w.violated("ran_cancelled: %s starts", task)
 	}
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
@@ -184,10 +185,10 @@
 	return n
 }
 
-// lateCancelled checks ran_cancelled for tasks that stay.
+// lateCancelled checks the rule ran_cancelled for tasks that stay.
 func (w *world) lateCancelled() {
-	for uid, told := range w.cancelledAt {
-		if w.Now() > told+35*time.Second && w.running(uid) > 0 {
+	for uid, confirmedAt := range w.cancelledAt {
+		if w.Now() > confirmedAt+35*time.Second && w.running(uid) > 0 {
 			w.violated("ran_cancelled: %s is still there", uid)
 		}
 	}
--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -6,22 +6,23 @@
 	"claybarrow/internal/protocol"
 )
 
-// A controller of a version without the feature gate is played by today's, with the feature off and
-// everything that such a version does not know taken out of what it sends and gets: the statement of forms in
-// heartbeats, the leader record's state of the gate, the key of the lease. To its decoder they are not
-// there: unknown fields are dropped, unknown keys ignored. Its own messages and transactions are
-// those of 0eeb63e, byte for byte (TestStoredBytesWithoutTheJournal, TestPeersBytes).
+// A controller of a version without the feature gate is simulated by the current version, with the
+// feature off and everything that such a version does not know removed from what it sends and
+// receives: the version statement in heartbeats, the gate's state in the leader record, the lease
+// key. To its decoder they do not exist: unknown fields are dropped, unknown keys ignored. Its own
+// messages and transactions are those of 0eeb63e, byte for byte (TestStoredBytesWithoutTheJournal,
+// TestPeersBytes).
 
-// logSink hands on what is logged.
+// logSink passes on what is logged.
 type logSink func(line []byte)
 
-// Write is part of io.Writer.
+// Write implements io.Writer.
 func (s logSink) Write(line []byte) (int, error) {
 	s(line)
 	return len(line), nil
 }
 
-// olderCall takes out of a call what an older version does not send.
+// olderCall removes from a call what an older version does not send.
 func olderCall(c Call) Call {
 	var ask protocol.PeerHeartbeat
 	if c.Path == "/heartbeat" && protocol.DecodePeer(c.Body, &ask) == nil {
@@ -31,7 +32,7 @@
 	return c
 }
 
-// olderReply takes out of an answer to a peer what an older version does not say.
+// olderReply removes from an answer to another controller what an older version does not send.
 func olderReply(c Call, body []byte) []byte {
 	var reply protocol.PeerHeartbeatReply
 	if c.Path == "/heartbeat" && protocol.DecodePeer(body, &reply) == nil {
@@ -41,7 +42,7 @@
 	return body
 }
 
-// olderAnswer takes out of the state service's answer what an older version does not read.
+// olderAnswer removes from the state service's answer what an older version does not read.
 func olderAnswer(c Call, body []byte) []byte {
 	if c.Target != ToState || len(body) == 0 {
 		return body
@@ -79,7 +80,7 @@
 	return body
 }
 
-// olderLeader is the leader record as an older version reads it.
+// olderLeader returns the leader record as an older version decodes it.
 func olderLeader(key string, value []byte) []byte {
 	var rec leaderRecord
 	if key != keyLeader || len(value) == 0 || protocol.Decode(value, &rec) != nil {
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// pauseProcess has a controller handle nothing for a while; what comes meanwhile waits for it.
+// pauseProcess makes a controller handle nothing for a while; events are queued meanwhile.
 func (w *world) pauseProcess(i int, d time.Duration) {
 	n := w.nodes[i]
 	n.paused = true
@@ -20,8 +20,8 @@
 	})
 }
 
-// A leader that stood still for longer than its lease, and wakes while another leads, sends
-// no command and takes no machine for lost before it has found out.
+// A leader whose process was paused for longer than its lease, and which resumes while another
+// leads, sends no command and declares no machine lost before it has found out.
 func TestPausedLeaderAfterFailover(t *testing.T) {
 	for _, d := range []time.Duration{8 * second, 30 * second, 2 * time.Minute} {
 		w := newWorld(t, 43)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Nobody else could be elected meanwhile: it goes on where it was.
+// Nobody else could be elected meanwhile: the leader goes on where it was.
 func TestPausedLeaderWithoutFailover(t *testing.T) {
 	w := newWorld(t, 44)
 	lead := w.awaitLeader()
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -7,7 +7,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// recordedOutcomes notes what a comparison finds.
+// recordedOutcomes records the outcomes of a comparison.
 type recordedOutcomes struct {
 	gones, exits, runs, unknown []string
 }
@@ -29,24 +29,24 @@
 	n.gones = append(n.gones, a.Key().Task)
 }
 
-// Each proof of absence alone, and what is none.
+// Each proof of absence alone, and the cases that prove nothing.
 func TestAbsenceProofs(t *testing.T) {
 	for name, tc := range map[string]struct {
 		attempt clusterstate.Attempt
 		ours    bool
 		proved  bool
 	}{
-		"our token, its run was answered":             {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2}, true, true},
-		"an older token":                              {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2}, false, false},
-		"our token, its run was not answered":         {clusterstate.Attempt{Sent: true, Epoch: 2}, true, false},
-		"our token, a direct run is under way":        {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2, RunsInFlight: 1}, true, false},
-		"a later session":                             {clusterstate.Attempt{Sent: true, Epoch: 1}, false, true},
-		"a later session, of an earlier leader":       {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, false, false},
-		"our token, of an earlier leader":             {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, true, true},
-		"its run was not sent":                        {clusterstate.Attempt{Acknowledged: true, Epoch: 1}, true, false},
-		"to be stopped, a report after the answer":    {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 6, Epoch: 2}, true, true},
-		"to be stopped, the report before the answer": {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 7, Epoch: 2}, true, false},
-		"to be stopped, a direct run had no answer":   {clusterstate.Attempt{Sent: true, StopRequested: true, RunLost: true, RunSequence: 6, Epoch: 2}, true, false},
+		"our token, its run was answered":                {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2}, true, true},
+		"an older token":                                 {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2}, false, false},
+		"our token, its run was not answered":            {clusterstate.Attempt{Sent: true, Epoch: 2}, true, false},
+		"our token, a direct run is under way":           {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2, RunsInFlight: 1}, true, false},
+		"a later epoch":                                  {clusterstate.Attempt{Sent: true, Epoch: 1}, false, true},
+		"a later epoch, of an earlier leader":            {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, false, false},
+		"our token, of an earlier leader":                {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, true, true},
+		"its run was not sent":                           {clusterstate.Attempt{Acknowledged: true, Epoch: 1}, true, false},
+		"to be stopped, a heartbeat after the answer":    {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 6, Epoch: 2}, true, true},
+		"to be stopped, the heartbeat before the answer": {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 7, Epoch: 2}, true, false},
+		"to be stopped, a direct run had no answer":      {clusterstate.Attempt{Sent: true, StopRequested: true, RunLost: true, RunSequence: 6, Epoch: 2}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			book := clusterstate.New(16<<10, 16<<10)
@@ -59,13 +59,14 @@
 			var noted recordedOutcomes
 			reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 2}, tc.ours, &noted)
 			if got := len(noted.gones) > 0; got != tc.proved {
-				t.Errorf("proved gone %v", got)
+				t.Errorf("proved absent %v", got)
 			}
 		})
 	}
 }
 
-// What a message names is told as what it is, and none of it is taken for gone.
+// Each task that a message names gets the outcome of its state, and none of them is taken for
+// absent.
 func TestReconciliationOfReportedTasks(t *testing.T) {
 	book := clusterstate.New(16<<10, 16<<10)
 	j := book.AddJob(&protocol.Spec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -17,31 +17,32 @@
 	"claybarrow/internal/protocol"
 )
 
-// rollout is a world whose controllers are upgraded one at a time under steady load, and what has to
-// hold of it at all times.
+// rollout is a world whose controllers are upgraded one at a time under steady load, together with
+// the invariants that hold at all times.
 type rollout struct {
 	*world
-	// newerSince is since when a controller runs the newer version; 0: it runs the older one.
+	// newerSince is the time since which each controller runs the newer version; 0: it runs the
+	// older one.
 	newerSince []time.Duration
-	// operators are the operators' settings of each; nil: it runs the older version.
+	// operators are the operators' settings of each controller; nil: it runs the older version.
 	operators [][]byte
-	// announced are the controllers whose settings name lower limits to come.
+	// announced are the controllers whose settings name future limits.
 	announced map[int]bool
-	// onStep decides what becomes of a transaction that changes the state of the gate, or the
-	// journal; nil: nothing is broken.
+	// onStep returns the fault for a transaction that changes the state of the gate, or the
+	// journal; nil: there are no faults.
 	onStep func(step gateStep, node int) deliveryFault
 	steps  map[gateStep]int // transactions sent so far
-	// states are those that the leader key has gone through.
+	// states are the states of the gate that the leader key has had, in their order.
 	states []string
 	jobs   int
-	// moved counts how often the scheduler stopped a task by its own plan, to empty its machine or for
-	// what ranks before it: that drops nothing.
+	// moved counts how often the scheduler stopped a task by its own plan, to drain its machine or
+	// to preempt it: that loses nothing.
 	moved map[string]int
-	// interrupts: tasks may be started again, as workers' leases run out.
+	// interrupts: tasks may be started again, as workers' leases expire.
 	interrupts bool
 }
 
-// gateStep is what a transaction does to the gate or the journal.
+// gateStep is the effect of a transaction on the gate or the journal.
 type gateStep string
 
 const (
@@ -58,7 +59,7 @@
 
 var wideShape = topology{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: defaultTopology.teams}
 
-// newerOperator are the operators' settings of the newer version.
+// newerOperator returns the operators' settings of the newer version.
 func newerOperator(more string) []byte {
 	if os.Getenv("CLAYBARROW_TEST_MEMBERSHIP") != "" {
 		more += membershipOn
@@ -68,7 +69,7 @@
 
 const holdOn = "[upgrade]\nhold = true\n"
 
-// newRollout is a world of older controllers, with replicas and arrays that come and go.
+// newRollout creates a world of older controllers, with replicas and a steady sequence of arrays.
 func newRollout(t *testing.T, seed uint64, shape topology) *rollout {
 	ro := &rollout{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
 		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, moved: map[string]int{}, announced: map[int]bool{}}
@@ -88,7 +89,7 @@
 	return ro
 }
 
-// readLog takes a line that a controller logs.
+// readLog handles a line that a controller logs.
 func (ro *rollout) readLog(node int, line []byte) {
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
 		ro.violated("n%d: %s", node, line)
@@ -118,8 +119,8 @@
 	next()
 }
 
-// restart ends a controller's process and starts the version with these operators' settings; nil: the
-// older one.
+// restart ends a controller's process and starts the version with these operators' settings; nil:
+// the older one.
 func (ro *rollout) restart(i int, operator []byte) {
 	ro.crash(i)
 	ro.newerSince[i], ro.operators[i] = 0, operator
@@ -142,7 +143,7 @@
 	}
 }
 
-// leaderAt orders the controllers so that the leader of now has a place among them.
+// leaderAt orders the controllers so that the current leader has the given place among them.
 func (ro *rollout) leaderAt(place int) []int {
 	lead := ro.awaitLeader()
 	var order []int
@@ -154,7 +155,7 @@
 	return slices.Insert(order, place, lead)
 }
 
-// fault looks at each transaction on its way to the state service.
+// fault inspects each transaction on its way to the state service and returns its fault.
 func (ro *rollout) fault(node int, c Call) deliveryFault {
 	if c.Target != ToState || c.Path != "/multi" {
 		return deliveryFault{}
@@ -177,7 +178,7 @@
 	return deliveryFault{}
 }
 
-// stepOf says what a transaction does.
+// stepOf returns the effect of a transaction on the gate or the journal.
 func (ro *rollout) stepOf(body []byte) gateStep {
 	var txn struct {
 		Then []struct {
@@ -210,7 +211,7 @@
 	return step
 }
 
-// stored is the leader record that is stored, and its lease.
+// stored returns the stored leader record and its lease.
 func (ro *rollout) stored() (rec leaderRecord, lease uint64) {
 	it := ro.state.Item(keyLeader)
 	if it == nil {
@@ -227,7 +228,7 @@
 	return rec.gateState().String() == state
 }
 
-// journalKeys are the values of the journal that are stored.
+// journalKeys returns the stored values of the journal.
 func (ro *rollout) journalKeys() (out []string) {
 	for _, key := range ro.state.Keys() {
 		if strings.HasPrefix(key, completionjournal.Prefix) {
@@ -237,8 +238,8 @@
 	return out
 }
 
-// watchStore looks at what is stored at each tick: the journal is only there while no older version can
-// lead, and no older version leads while it is.
+// watchStore checks the store at each tick: the journal exists only while no older version can
+// lead, and no older version leads while it exists.
 func (ro *rollout) watchStore() {
 	var look func()
 	look = func() {
@@ -262,7 +263,7 @@
 	look()
 }
 
-// settleAndCheck ends the troubles and looks at what has become of all that was submitted.
+// settleAndCheck ends the faults and checks the outcome of everything that was submitted.
 func (ro *rollout) settleAndCheck() {
 	ro.t.Helper()
 	ro.onStep = nil
@@ -279,7 +280,7 @@
 	}
 }
 
-// openGate has all controllers be of the newer version and the gate open.
+// openGate upgrades all controllers and waits until the gate is open.
 func (ro *rollout) openGate() {
 	ro.t.Helper()
 	ro.roll(ro.leaderAt(0), newerOperator(""))
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -20,7 +20,7 @@
 	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.cancel("j-2")
 	w.awaitStatus(5*second, "j-2", protocol.Cancelled)
-	w.until(2*second, "replicas gone", func() bool { return w.running("j-2") == 0 })
+	w.until(2*second, "replicas have ended", func() bool { return w.running("j-2") == 0 })
 	w.submit("j-1", map[string]any{"shards": 5}) // a late repeat
 	w.run(120 * second)
 	up := 0
@@ -35,8 +35,8 @@
 	w.requireNoViolations()
 }
 
-// All controllers end together, at any moment of a job's way: nothing that was
-// accepted is forgotten, nothing runs twice.
+// All controllers end together, at any moment of a job's life: nothing that was accepted is
+// forgotten, nothing runs twice.
 func TestAllControllersCrash(t *testing.T) {
 	for seed := range uint64(8) {
 		w := newWorld(t, seed)
@@ -57,15 +57,15 @@
 	}
 }
 
-// A leader that is cut off from the state service goes on answering its
-// workers while another is elected: two leaders, one fence.
+// A leader that is cut off from the state service goes on answering its workers while another is
+// elected: two leaders, one fencing token.
 func TestTwoLeaders(t *testing.T) {
 	w := newWorld(t, 3)
 	w.submit("j-1", map[string]any{"shards": 6, "cores": 4.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "they run", func() bool { return w.running("j-1") >= 4 && w.running("j-2") == 2 })
 	old := w.awaitLeader()
-	// The old leader keeps its workers, but loses state service and peers; the
+	// The old leader keeps its workers, but loses the state service and the other controllers; the
 	// workers can't be reached by the others' direct commands.
 	w.script = func(node int, c Call) deliveryFault {
 		lost := (node == old && (c.Target == ToState || c.Target == ToPeer)) ||
@@ -86,8 +86,8 @@
 	w.requireNoViolations()
 }
 
-// Every fifth transaction applies but its answer is lost, and every seventh
-// applies late, long after it was given up.
+// Every fifth transaction applies but its answer is lost, and every seventh applies late, long
+// after its sender gave it up.
 func TestLostTransactionAnswers(t *testing.T) {
 	w := newWorld(t, 4)
 	n := 0
@@ -117,8 +117,8 @@
 	w.requireNoViolations()
 }
 
-// A direct run is held back for minutes and executed late: the task must not
-// have been started elsewhere meanwhile, nor start after its cancellation.
+// A direct run command is delayed for minutes and executed late: the task must not have been
+// started elsewhere meanwhile, nor start after its cancellation.
 func TestLateRun(t *testing.T) {
 	w := newWorld(t, 5)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
@@ -143,15 +143,15 @@
 	w.requireNoViolations()
 }
 
-// Copies of old reports arrive right after a take-over, before the machine's
-// own: they prove neither that a task is gone nor that a machine is alive.
+// Copies of old heartbeats arrive right after a failover, before the machine's own: they prove
+// neither that a task is absent nor that a machine is alive.
 func TestStaleHeartbeatsAfterFailover(t *testing.T) {
 	w := newWorld(t, 6)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 4.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.run(5 * second)
 	old := w.awaitLeader()
-	// The workers are cut off with the leader's end, their tasks run on.
+	// The workers are cut off when the leader ends, and their tasks run on.
 	for _, k := range w.fleet() {
 		k.Cut = true
 	}
@@ -198,7 +198,7 @@
 	w.requireNoViolations()
 }
 
-// A team's limit and `apart` count tasks on machines that can't be reached.
+// A team's quota and `apart` count tasks on machines that can't be reached.
 func TestUnreachableTasksCount(t *testing.T) {
 	w := newWorld(t, 8)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 8.0, "apart": true}) // 32 of 32 cores
@@ -218,8 +218,8 @@
 	w.requireNoViolations()
 }
 
-// An outage longer than a worker's lease: the leader coasts, so nothing is
-// lost; the jobs go on and users are told at once to come back.
+// An outage longer than a worker's lease: the leader coasts, so nothing is lost; the jobs go on and
+// users are told at once to retry later.
 func TestOutageLongerThanLease(t *testing.T) {
 	w := newWorld(t, 9)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -255,8 +255,8 @@
 	return 0
 }
 
-// Reports arrive, answers and direct commands don't: the tasks die with the
-// worker's lease, and the machine is not filled again.
+// Heartbeats arrive, answers and direct commands don't: the tasks die with the worker's lease, and
+// the leader places no tasks on the machine again.
 func TestMachineThatHearsNoAnswer(t *testing.T) {
 	w := newWorld(t, 10)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 8.0})
@@ -277,8 +277,8 @@
 	w.requireNoViolations()
 }
 
-// The state service refuses the leader alone: it must not tell anybody what it
-// can't know, and another leads soon.
+// The state service refuses the leader alone: it must not confirm to anybody what it can't know,
+// and another leads soon.
 func TestRefusedByStateAlone(t *testing.T) {
 	w := newWorld(t, 11)
 	w.submit("j-1", map[string]any{"shards": 4})
@@ -302,7 +302,7 @@
 	w.requireNoViolations()
 }
 
-// What a user must be told, also by a controller that does not lead.
+// The answers that users must get, also from a controller that does not lead.
 func TestUsersAnswers(t *testing.T) {
 	w := newWorld(t, 12)
 	w.awaitLeader()
@@ -329,13 +329,13 @@
 	check("unknown cancel", OpCancel, "j-77", nil, 404)
 	w.submit("j-1", nil)
 	w.run(second)
-	// A damaged repeat of an accepted job is no reason to refuse it.
+	// A malformed repeat of an accepted job is no reason to refuse it.
 	check("damaged repeat", OpSubmit, "", protocol.Encode(w.spec("j-1", map[string]any{"rank": "top"})), 200)
 	w.requireNoViolations()
 }
 
-// A controller that finds its own label with another incarnation, in the middle
-// of an election, ends that lease and goes on.
+// A controller that finds its own label with another incarnation, during an election, ends that
+// lease and goes on.
 func TestQuickRestart(t *testing.T) {
 	w := newWorld(t, 13)
 	for range 12 {
@@ -353,8 +353,8 @@
 	w.requireNoViolations()
 }
 
-// The watch tells of our own key before the transaction's answer comes: a
-// process once ended by taking over twice.
+// The watch reports the controller's own key before the transaction's answer comes: a process once
+// ended because it began its leadership twice.
 func TestWatchOvertakesElection(t *testing.T) {
 	w := newWorld(t, 14)
 	w.script = func(_ int, c Call) deliveryFault {
@@ -366,7 +366,7 @@
 	w.requireNoViolations()
 }
 
-// Random troubles in random order, each with a fixed seed.
+// Random faults in random order, each with a fixed seed.
 func TestManyRequestsAtOnce(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRequestBurst(t, 100+seed) })
@@ -457,7 +457,7 @@
 		}
 	}
 	w.run(40 * second)
-	// Services may hold a team's whole limit: they end like any other.
+	// Services may use a team's whole quota: they end like any other job.
 	for _, uid := range jobs {
 		if w.specs[uid]["shape"] == "service" {
 			w.cancel(uid)
@@ -471,9 +471,9 @@
 	w.requireNoViolations()
 }
 
-// A copy of a report from before the task started reaches the new leader, while
-// the machine itself is cut off and there is room elsewhere: without the new
-// token it is no proof of absence.
+// A copy of a heartbeat from before the task started reaches the new leader, while the machine
+// itself is cut off and there is room elsewhere: without the new fencing token it is no proof of
+// absence.
 func TestOldCopyIsNoProof(t *testing.T) {
 	w := newWorld(t, 15)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
@@ -511,9 +511,8 @@
 	w.requireNoViolations()
 }
 
-// The first try of the transaction that accepts a job is held back, its repeat
-// applies, the job is cancelled, and then the first try arrives: it must not
-// bring the accepted job back.
+// The first attempt of the transaction that accepts a job is delayed, its repeat applies, the job
+// is cancelled, and then the first attempt arrives: it must not restore the accepted job.
 func TestLateTransactionChangesNothing(t *testing.T) {
 	w := newWorld(t, 16)
 	w.awaitLeader()
@@ -543,8 +542,8 @@
 	w.requireNoViolations()
 }
 
-// A machine that hangs longer than its lease and comes back is not returned as
-// idle meanwhile: its replicas go back to where their images are.
+// A machine that hangs longer than its lease and comes back is not released as idle meanwhile: its
+// replicas go back to where their images are.
 func TestSilentMachineIsNotIdle(t *testing.T) {
 	w := newWorld(t, 17)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 8.0})
@@ -585,8 +584,8 @@
 	}
 }
 
-// replicasOverZones is a world with two services that are spread over the zones, led from zone b if
-// it is to be inside.
+// replicasOverZones creates a world with two services that are spread over the zones, led from zone
+// b if inside is set.
 func replicasOverZones(t *testing.T, seed uint64, inside bool) *world {
 	t.Helper()
 	w := newWorld(t, seed)
@@ -606,10 +605,10 @@
 	return w
 }
 
-// A zone is cut off for much longer than a lease, once without and once with
-// the leader in it: its controller keeps the zone's workers, so that replicas
-// which must be spread, and have nowhere else to go, live on. A cancellation
-// meanwhile is not told before the task that nobody reaches is proved gone.
+// A zone is cut off for much longer than a lease, once without and once with the leader in it: its
+// controller keeps the zone's workers, so that replicas which must be spread, and have nowhere else
+// to go, live on. A cancellation meanwhile is not confirmed before the task that nobody reaches is
+// proved absent.
 func TestFollowerKeepsItsZone(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		w := replicasOverZones(t, 31, inside)
@@ -637,8 +636,8 @@
 	}
 }
 
-// The follower of a zone that is cut off ends. Nobody can know, so its tasks are
-// started elsewhere only when its leave has run out as well.
+// The follower of a zone that is cut off ends. Nobody can know, so its tasks are started elsewhere
+// only when its lease has expired as well.
 func TestFollowerEndsDuringPartition(t *testing.T) {
 	w := newWorld(t, 32)
 	w.awaitLeader()
@@ -659,9 +658,9 @@
 	w.requireNoViolations()
 }
 
-// Connections between controllers are refused while all reach the state
-// service: only the leader is fit for users, and the others say so. When they
-// reach it again they are fit too.
+// Connections between controllers are refused while all reach the state service: only the leader is
+// ready for users, and the others report that they are not. When they reach it again they are ready
+// too.
 func TestNotReadyWithoutTheLeader(t *testing.T) {
 	w := newWorld(t, 33)
 	lead := w.awaitLeader()
@@ -691,8 +690,8 @@
 	}
 }
 
-// The follower of a zone that is cut off ends and is back at once: it knows
-// nothing, but goes on answering the zone's workers with the token they show.
+// The follower of a zone that is cut off ends and restarts at once: it has no state, but goes on
+// answering the zone's workers with the token they present.
 func TestFollowerRestartsDuringPartition(t *testing.T) {
 	w := newWorld(t, 34)
 	w.awaitLeader()
@@ -726,9 +725,9 @@
 	w.requireNoViolations()
 }
 
-// A zone with the leader and one more controller is cut off, another leads outside, and
-// the one that led ends and is back. It leads nobody, and must not pass for the leader
-// with what the other one tells it: that one would stop renewing the zone's leases.
+// A zone with the leader and one more controller is cut off, another leads outside, and the former
+// leader ends and restarts. It leads nobody, and must not be taken for the leader because of what
+// the other controller tells it: that one would stop renewing the zone's leases.
 func TestFormerLeaderRestartsDuringPartition(t *testing.T) {
 	for _, back := range []time.Duration{500 * time.Millisecond, 3 * second} {
 		w := newWorld(t, 36)
@@ -768,8 +767,8 @@
 	}
 }
 
-// A process that ends forgets whom it served: to the leader a new incarnation
-// has served until it was heard.
+// A process that ends forgets whom it served: the leader has to assume that a new incarnation has
+// served until it was heard.
 func TestNewIncarnationMayHaveServed(t *testing.T) {
 	w := newWorld(t, 35)
 	lead := w.awaitLeader()
@@ -781,7 +780,7 @@
 	if lead == 2 {
 		t.Fatal("the leader is the peer")
 	}
-	w.crash(2) // the script speaks for it
+	w.crash(2) // the script answers in its place
 	touch("one", -1)
 	first := l.peers["n2"].lastServed
 	w.run(30 * second)
@@ -796,8 +795,8 @@
 	}
 }
 
-// A worker that comes back from its zone's controller can't reach it and reports
-// to the leader for a while; but not if that controller has only ended.
+// A worker that comes back because it can't reach its zone's controller sends its heartbeats to the
+// leader for a while; but not if that controller has only ended.
 func TestWorkerComesBack(t *testing.T) {
 	w := newWorld(t, 36)
 	lead := w.awaitLeader()
@@ -836,9 +835,9 @@
 	w.requireNoViolations()
 }
 
-// All controllers end in a cut, and the zone's only one with them: its workers
-// look for longer than a lease, so their tasks go on elsewhere without waiting for
-// the cut to end. The end of a leader alone is no such sign.
+// All controllers end during a partition, and the zone's only one with them: its workers search for
+// longer than a lease, so their tasks go on elsewhere without waiting for the partition to end. The
+// end of a leader alone is no such sign.
 func TestZoneIsDeclaredLost(t *testing.T) {
 	for _, all := range []bool{true, false} {
 		w := newWorld(t, 37)
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -23,11 +23,10 @@
 //
 //	go test -run '^$' -bench 'Slope' -benchtime 20x -cpu 1 ./internal/controller
 
-// slopeSizes are numbers of workers over a decade and more.
+// slopeSizes are numbers of workers, over more than a decade.
 var slopeSizes = []int{800, 1_600, 3_200, 5_500, 11_000, 22_000}
 
-// Ratios of the planned size: 230,000 tasks on 22,000 workers, 8,250 jobs that wait, and
-// 1,000 teams.
+// Ratios of the planned size: 230,000 tasks on 22,000 workers, 8,250 waiting jobs, and 1,000 teams.
 const (
 	slopeTasksPerWorker   = 230_000.0 / 22_000
 	slopeWaitingPerWorker = 8_250.0 / 22_000
@@ -35,14 +34,14 @@
 	slopeTasksPerJob      = 12
 )
 
-// slopeFleet is a leader with a busy fleet, made without any messages.
+// slopeFleet is a leader with a busy fleet, created without any messages.
 type slopeFleet struct {
 	controller *Controller
 	leadership *leadership
 	tasks      []*clusterstate.Attempt
 	waiting    []*clusterstate.Job
 	random     *rand.Rand
-	// revision is that of the last transaction that applied.
+	// revision is the store's revision after the last transaction that applied.
 	revision uint64
 }
 
@@ -65,7 +64,7 @@
 	return cfg
 }
 
-// newSlopeLeader is a leader with machine types and no machines.
+// newSlopeLeader creates a leader with machine types and no machines.
 func newSlopeLeader(b *testing.B, workers int) *slopeFleet {
 	b.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
@@ -87,7 +86,8 @@
 	return f
 }
 
-// freshPool has a machine pool that has rented nothing and read a list of the fleet.
+// freshPool replaces the machine pool by one that has rented nothing and has read a list of the
+// fleet.
 func (f *slopeFleet) freshPool() {
 	var list protocol.MachineList
 	for _, m := range f.leadership.machines.sortedMachines() {
@@ -106,8 +106,8 @@
 	f.controller.outbox.effects = f.controller.outbox.effects[:0]
 }
 
-// newSlopeFleet is a leader whose fleet is busy: each machine has about ten tasks, every
-// third has room for a few more, and jobs of twelve tasks wait.
+// newSlopeFleet creates a leader whose fleet is busy: each machine has about ten tasks, every third
+// has room for a few more, and jobs of twelve tasks wait.
 func newSlopeFleet(b *testing.B, workers int) *slopeFleet {
 	b.Helper()
 	f := newSlopeLeader(b, workers)
@@ -154,7 +154,7 @@
 	return job
 }
 
-// run puts a task on a machine, as one that has run for a while.
+// run places a task on a machine, as one that has run for a while.
 func (f *slopeFleet) run(job *clusterstate.Job, index int, m *clusterstate.Machine) {
 	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.take(), f.controller.env.now-time.Minute)
 	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
@@ -162,8 +162,7 @@
 	f.tasks = append(f.tasks, a)
 }
 
-// fillUp leaves room on every third machine alone: one task's worth of cores, and two
-// accelerators.
+// fillUp leaves room only on every third machine: one task's worth of cores, and two accelerators.
 func (f *slopeFleet) fillUp() {
 	big := f.addJob("j-big", 0, false, scheduler.Need{})
 	for i, m := range f.leadership.machines.sortedMachines() {
@@ -177,7 +176,7 @@
 	f.leadership.state.RemoveJob(big.Spec.UID)
 }
 
-// end takes one running task out of the ledger and has another one of it wait.
+// end removes one running task from the cluster state and makes another task of its job wait.
 func (f *slopeFleet) end() {
 	i := f.random.IntN(len(f.tasks))
 	f.leadership.state.RemoveAttempt(f.tasks[i])
@@ -185,8 +184,8 @@
 	f.tasks = f.tasks[:len(f.tasks)-1]
 }
 
-// settleStarts takes what the last fill started for running, so that the next one finds
-// the fleet as it would be.
+// settleStarts marks what the last fill started as running, so that the next one finds the fleet as
+// it would be.
 func (f *slopeFleet) settleStarts() {
 	for {
 		f.controller.outbox.effects = f.controller.outbox.effects[:0]
@@ -201,7 +200,8 @@
 	clear(f.controller.outbox.calls)
 }
 
-// answerTransaction has the transaction that just left apply; false: there is none.
+// answerTransaction makes the transaction that was just sent apply; it returns false if there is
+// none.
 func (f *slopeFleet) answerTransaction() bool {
 	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
@@ -213,7 +213,7 @@
 	return false
 }
 
-// keepBusy has a transaction under way that is never answered, so that no fill begins.
+// keepBusy keeps a transaction in flight that is never answered, so that no fill begins.
 func (f *slopeFleet) keepBusy() {
 	f.leadership.store.Mark("x/busy", statestore.User, func() any { return 1 }, nil)
 	f.leadership.flush()
@@ -228,7 +228,7 @@
 	}
 }
 
-// BenchmarkSlopeFill is a fill after a dozen tasks have ended, with all jobs waiting.
+// BenchmarkSlopeFill measures a fill after a dozen tasks have ended, with all jobs waiting.
 func BenchmarkSlopeFill(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -251,7 +251,7 @@
 	})
 }
 
-// BenchmarkSlopeFillBurst is a fill that finds all free room at once.
+// BenchmarkSlopeFillBurst measures a fill that finds all free room at once.
 func BenchmarkSlopeFillBurst(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		placed := 0
@@ -290,8 +290,8 @@
 	})
 }
 
-// BenchmarkSlopeRoundStops is a round in which all jobs that wait are of a higher priority than
-// what runs, so that it stops as much as a round may.
+// BenchmarkSlopeRoundStops measures a round in which all waiting jobs have a higher priority than
+// what runs, so that it preempts as much as a round may.
 func BenchmarkSlopeRoundStops(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		stops := 0
@@ -319,8 +319,8 @@
 	})
 }
 
-// BenchmarkSlopeConsolidation looks for machines to empty, where replicas run and a third of the
-// machines has room.
+// BenchmarkSlopeConsolidation measures the search for machines to drain, where replicas run and a
+// third of the machines has room.
 func BenchmarkSlopeConsolidation(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -344,7 +344,7 @@
 	})
 }
 
-// BenchmarkSlopeSweep is what a fill does for machines that have not changed.
+// BenchmarkSlopeSweep measures what a fill does for machines that have not changed.
 func BenchmarkSlopeSweep(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -384,7 +384,7 @@
 	})
 }
 
-// heartbeat is what a machine of the fleet says, all being as the ledger has it.
+// heartbeat returns the heartbeat of a machine of the fleet that agrees with the cluster state.
 func (f *slopeFleet) heartbeat(m *clusterstate.Machine) *protocol.WorkerHeartbeat {
 	msg := &protocol.WorkerHeartbeat{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Epoch: 1, Sequence: m.Sequence + 1, Token: 1}
 	for _, a := range m.Sorted() {
@@ -393,7 +393,7 @@
 	return msg
 }
 
-// benchmarkHeartbeats measures reports of the fleet's machines in turn, changed as asked.
+// benchmarkHeartbeats measures heartbeats of the fleet's machines in turn, modified by change.
 func benchmarkHeartbeats(b *testing.B, change func(f *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat), forwarded bool) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -479,7 +479,7 @@
 	})
 }
 
-// BenchmarkSlopeCancel is a user's cancellation of a job that runs.
+// BenchmarkSlopeCancel measures a user's cancellation of a running job.
 func BenchmarkSlopeCancel(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -495,8 +495,8 @@
 	})
 }
 
-// BenchmarkSlopeTransaction composes and encodes one transaction of starts, as many as the
-// state service takes in one.
+// BenchmarkSlopeTransaction measures composing and encoding one transaction of starts, as many as
+// the state service accepts in one.
 func BenchmarkSlopeTransaction(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -523,8 +523,8 @@
 	})
 }
 
-// BenchmarkSlopeFailover reads the records of the whole fleet, as a new leader does, with
-// ten jobs that are over for each worker.
+// BenchmarkSlopeFailover measures reading the records of the whole fleet, as a new leader does,
+// with ten completed jobs for each worker.
 func BenchmarkSlopeFailover(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -566,8 +566,8 @@
 	})
 }
 
-// BenchmarkSlopeFailoverOldRecords begins a term whose records have an older attempt of every third task, as
-// records of machines are written lazily when a task leaves.
+// BenchmarkSlopeFailoverOldRecords measures the begin of a leadership whose records have an older
+// attempt of every third task, as machines' records are written lazily when a task leaves.
 func BenchmarkSlopeFailoverOldRecords(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -586,7 +586,7 @@
 	})
 }
 
-// counters are the stored counters of the fleet's batches.
+// counters returns the stored counters of the fleet's arrays.
 func (f *slopeFleet) counters() []map[string]clusterstate.CounterRow {
 	limit := f.controller.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
 	batches := []map[string]clusterstate.CounterRow{{}}
@@ -604,7 +604,7 @@
 	return batches
 }
 
-// heapOf measures the memory that stays after build, which returns what holds it.
+// heapOf measures the memory that stays allocated after build, which returns what holds it.
 func heapOf(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -616,7 +616,8 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkSlopeMemory tells what one of each costs the leader in bytes that stay.
+// BenchmarkSlopeMemory reports the bytes that one of each kind costs the leader for as long as it
+// is kept.
 func BenchmarkSlopeMemory(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		for b.Loop() {
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -16,29 +16,29 @@
 	"claybarrow/internal/scheduler"
 )
 
-// compareEvery is how many events pass between two comparisons of whole snapshots: an odd
-// number, so that they fall on all kinds of events.
+// compareEvery is the number of events between two comparisons of whole snapshots: an odd number,
+// so that they coincide with all kinds of events.
 const compareEvery = 499
 
-// checkSchedulerCache compares a leader's standing view with the ledger: what nothing seems to have
-// changed after each event, and now and then a whole snapshot with one drawn anew. All worlds
-// are checked so.
+// checkSchedulerCache compares a leader's scheduler cache with the cluster state: after each event
+// the entries that nothing seems to have changed, and now and then a whole snapshot with one built
+// anew. All worlds are checked so.
 func (w *world) checkSchedulerCache(l *leadership) {
 	for _, e := range l.cache.machines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
-			w.violated("the standing view of %s differs from the ledger", e.machine.ID)
+			w.violated("the scheduler cache of %s differs from the cluster state", e.machine.ID)
 		}
 	}
 	for _, j := range l.state.Jobs {
 		kept := l.cache.waiting[j]
 		if kept == nil {
 			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.OpenedJobs(), j) {
-				w.violated("%s waits and is not in the standing view", j.Spec.UID)
+				w.violated("%s waits and is not in the scheduler cache", j.Spec.UID)
 			}
 			continue
 		}
 		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.drawn && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finishing && !slices.Equal(fresh, kept.waiting) {
-			w.violated("%s: waiting tasks %v, the standing view has %v", j.Spec.UID, fresh, kept.waiting)
+			w.violated("%s: waiting tasks %v, the scheduler cache has %v", j.Spec.UID, fresh, kept.waiting)
 		}
 	}
 	if w.leaderEvents++; w.leaderEvents%compareEvery == 0 {
@@ -48,8 +48,8 @@
 	}
 }
 
-// differenceOfSnapshots compares what fills, plans and rounds would decide from with snapshots
-// drawn anew.
+// differenceOfSnapshots compares the snapshots from which fills, plans and rounds would decide with
+// snapshots built anew.
 func differenceOfSnapshots(l *leadership) string {
 	since := map[*clusterstate.Job]time.Duration{}
 	for _, j := range l.state.Jobs {
@@ -99,8 +99,8 @@
 		cmpopts.IgnoreFields(scheduler.Snapshot{}, "Fleet"), cmpopts.IgnoreFields(scheduler.Machine{}, "Changed"), cmpopts.EquateEmpty())
 }
 
-// snapshot draws all machines and jobs anew, as each pass did before there was a standing view.
-// It is the oracle of that view.
+// snapshot builds a snapshot of all machines and jobs anew, as each pass did before there was a
+// scheduler cache. It is the oracle of that cache.
 func (l *leadership) snapshot(running, booting bool) *scheduler.Snapshot {
 	c := l.controller
 	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.views.readyCapacity()}
@@ -154,8 +154,8 @@
 	return s
 }
 
-// A change of the ledger that nobody told of is found by the check, logged once, and the next
-// fill decides by the ledger.
+// A change of the cluster state of which the cache was not notified is found by the check, logged
+// once, and the next fill decides by the cluster state.
 func TestCacheDriftIsDetectedAndRepaired(t *testing.T) {
 	w := newWorld(t, 91)
 	lead := w.awaitLeader()
@@ -166,7 +166,7 @@
 	c.env.log = slog.New(slog.NewTextHandler(&logged, nil))
 	l := c.leadership
 	j := l.state.AddJob(&protocol.Spec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
-	j.Stored = true // it waits for ever, so that fills have something to look at
+	j.Stored = true // it waits for ever, so that fills have a job to consider
 	l.placement.runFill()
 	if d := differenceOfSnapshots(l); d != "" {
 		t.Fatal(d)
@@ -184,8 +184,8 @@
 	}
 }
 
-// A fill that nothing can be placed by leaves the standing view as it was: room that is kept for
-// what is expected, or held back for a gang, is nothing that outlives the fill.
+// A fill that can't place anything leaves the scheduler cache as it was: room that is kept for what
+// is expected, or held back for a gang, does not outlive the fill.
 func TestFillReservationsDoNotOutliveTheFill(t *testing.T) {
 	w := newWorld(t, 92)
 	w.awaitLeader()
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -10,21 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// storedByOlder is the hash of all that 0eeb63e, the last version without a feature gate, sends to the
-// state service in play, with its times, by the tests' site.
+// storedByOlder is the hash of everything that 0eeb63e, the last version without a feature gate,
+// sends to the state service in this test, with its times, by the tests' site.
 var storedByOlder = map[string]string{
 	"":       "c8a6f7db8bba2b04",
 	"scarce": "e4f172e11ea81db6",
 }
 
-// With the journal of ends off, what is stored, and when, is byte for byte what the last version
-// without a feature gate stores: jobs, arrays, gangs, cancellations, machines that die, and two changes of leader.
+// With the completion journal off, what is stored, and when, is byte for byte what the last version
+// without a feature gate stores: jobs, arrays, gangs, cancellations, machines that die, and two
+// failovers.
 func TestStoredBytesWithoutTheJournal(t *testing.T) {
 	w := newWorldWith(t, 191, nil)
 	hash := xxhash.New()
 	w.script = func(node int, c Call) deliveryFault {
 		if c.Target == ToState && c.Method != "GET" {
-			// A hash never fails to take bytes.
+			// Writing to a hash never fails.
 			_, _ = fmt.Fprintf(hash, "%v %d %s %s %s\n", w.Now(), node, c.Method, c.Path, hex.EncodeToString(c.Body))
 		}
 		return deliveryFault{}
--- a/internal/controller/takeover_attempts_test.go
+++ b/internal/controller/takeover_attempts_test.go
@@ -9,8 +9,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// Of the attempts of a task that the records have, a new leader keeps the latest and has the others stopped,
-// in a time that grows with the fleet and not with its square: with a third of the tasks recorded twice
+// Of the recorded attempts of a task a new leader keeps the latest and has the others stopped, in a
+// time that grows with the fleet and not with its square: with a third of the tasks recorded twice,
 // 3,200 workers took 31 s, and each leader lost its lease meanwhile.
 func TestFailoverStopsOlderAttempts(t *testing.T) {
 	const machines = 5000
--- a/internal/controller/takeover_idle_test.go
+++ b/internal/controller/takeover_idle_test.go
@@ -6,8 +6,8 @@
 	"claybarrow/internal/emulator"
 )
 
-// A new leader hears of idle machines late, as asking thousands takes a while. That they are not
-// heard yet is no sign that they did not come up.
+// A new leader hears from idle machines late, as asking thousands takes a while. That they have not
+// been heard yet is no sign that they did not boot.
 func TestIdleMachinesAreKeptAfterAFailover(t *testing.T) {
 	w := newWorld(t, 93)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 8.0, "owner": "red"})
@@ -17,7 +17,7 @@
 	w.until(20*second, "they are idle", func() bool { return w.running("j-1") == 0 })
 	lead := w.leader()
 	w.cloud.Deleted = nil
-	// Nothing of the workers reaches the new leader for a while.
+	// Nothing from the workers reaches the new leader for a while.
 	w.script = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker || c.Path == "/forward"}
 	}
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -14,7 +14,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// simulateFailover is what a leader elected now would find: a term that has read the store.
+// simulateFailover returns what a leader elected now would find: a leadership that has read the
+// store.
 func (ro *rollout) simulateFailover() *leadership {
 	core := New(ro.cfgs[0], ro.rng, ro.nodes[0].controller.env.log)
 	core.env.now = ro.Now()
@@ -33,9 +34,9 @@
 	return l
 }
 
-// checkSimulatedFailover compares what a take-over would find with what runs: each attempt that is on a machine
-// is known there, and what was cleared from the workers' reports is done.
-// lost are tasks that were done on a machine that died with them: they may be unknown.
+// checkSimulatedFailover compares what a failover would find with what runs: each attempt that is
+// on a machine is known there, and what was cleared from the workers' heartbeats is done. lost are
+// tasks that were done on a machine that died with them: they may be unknown.
 func (ro *rollout) checkSimulatedFailover(lost map[string]bool) {
 	l := ro.simulateFailover()
 	reported := maps.Clone(lost)
@@ -64,8 +65,8 @@
 	}
 }
 
-// At each moment of a history with the journal a take-over would find what it needs: while arrays end,
-// machines die, leaders end, transactions are late and their answers lost.
+// At each moment of a history with the journal a failover would find what it needs: while arrays
+// end, machines die, leaders end, transactions are late and their answers lost.
 func TestFailoverAtEachMoment(t *testing.T) {
 	for seed := range uint64(4) {
 		ro := newRollout(t, 500+seed, defaultTopology)
@@ -107,8 +108,9 @@
 	}
 }
 
-// What can't be read of the journal is told and left where it is, and stops nothing else. What is of
-// no use is folded away, and a machine's record that is newer than a value knows better.
+// Journal entries that can't be decoded are logged and left where they are, and stop nothing else.
+// Entries of no use are compacted away, and a machine's record that is newer than an entry takes
+// precedence.
 func TestDamagedJournal(t *testing.T) {
 	ro := newRollout(t, 510, defaultTopology)
 	ro.openGate()
@@ -131,7 +133,8 @@
 	}
 	store(completionjournal.Key(1, 7), good(1, 7, completionjournal.Entry{Job: "j-999999"},
 		completionjournal.Entry{Job: "j-999999", Machine: "i-999999", Attempt: 3}, completionjournal.Entry{Job: "j-1", Index: 99_999}))
-	// A value that says that a replica has left, and the machine's record, which was written after it.
+	// A value that records that a replica has left, and the machine's record, which was written
+	// after it.
 	holder := ro.holding("j-1")[0]
 	var rec clusterstate.MachineRecord
 	key := clusterstate.MachinePrefix + holder.ID
@@ -170,8 +173,8 @@
 	ro.requireNoViolations()
 }
 
-// A leader record of a form that is not known, or that can't be read: nobody campaigns, users are told to come
-// back, and what is stored stays as it is.
+// A leader record in an unknown form, or one that can't be decoded: nobody campaigns, users are
+// told to retry later, and what is stored stays as it is.
 func TestLeaderRecordFromTheFuture(t *testing.T) {
 	for name, value := range map[string]any{
 		"a later form":      leaderRecord{Label: "n9", Token: 40, StorageVersion: uint64(newestStorageVersion) + 1},
@@ -204,7 +207,8 @@
 	}
 }
 
-// What controllers state keeps the gate closed or closes it; forms beyond the known do neither.
+// The version statements of controllers keep the gate closed or close it; forms beyond the known
+// ones do neither.
 func TestStatementsOfForms(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -222,7 +226,7 @@
 		lead := ro.awaitLeader()
 		stating := (lead + 1) % 3
 		ro.script = func(node int, call Call) deliveryFault {
-			// It never leads, and the test heartbeats for it.
+			// This controller never leads, and the test sends its heartbeats.
 			return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
 		}
 		ro.roll([]int{lead, stating, 3 - lead - stating}, newerOperator(""))
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -6,8 +6,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// Settings of unusual shapes are served as any other: replicas and batches run, a leader's end
-// loses nothing, and two zones that part keep what runs in them.
+// Unusual topologies are served like any other: replicas and arrays run, a leader's end loses
+// nothing, and two partitioned zones keep what runs in them.
 func TestUnusualTopologies(t *testing.T) {
 	for name, shape := range map[string]topology{
 		"one zone":                           {controllers: []string{"a", "a", "a"}, zones: []string{"a"}, teams: defaultTopology.teams},
@@ -45,7 +45,8 @@
 	w.settle()
 }
 
-// Two zones with one controller each part, whichever of them leads: both keep what runs there.
+// Two zones with one controller each are partitioned, whichever of them leads: both keep what runs
+// there.
 func TestTwoControllersPartitioned(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		w := newWorldWithTopology(t, 67, testOperator, topology{controllers: []string{"a", "b"}, zones: defaultTopology.zones, teams: defaultTopology.teams})
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -12,9 +12,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// ganglessLeader plays a leader of the version that knows no gangs (4297efa), by script: it
-// holds the leader key as that version writes it, answers the workers with its token,
-// and does to records and tasks what that version would, which takes a gang for an array.
+// ganglessLeader simulates, by script, a leader of the version that knows no gangs (4297efa): it
+// holds the leader key as that version writes it, answers the workers with its token, and does to
+// records and tasks what that version would, which takes a gang for an array.
 type ganglessLeader struct {
 	w     *world
 	node  int
@@ -22,8 +22,8 @@
 	tries uint64
 }
 
-// olderLeads ends all controllers and has the older version lead from one of them; the
-// others are back as they are now.
+// olderLeads ends all controllers and makes the older version lead from one of them; the others
+// restart as they are now.
 func (w *world) olderLeads() *ganglessLeader {
 	w.t.Helper()
 	for i := range w.nodes {
@@ -49,7 +49,7 @@
 	return o
 }
 
-// ends gives the lead up, and its process comes back as the newer version.
+// ends resigns the leadership, and its process restarts as the newer version.
 func (o *ganglessLeader) ends() {
 	o.w.t.Helper()
 	o.w.state.Change(keyLeader, nil)
@@ -57,7 +57,7 @@
 	o.w.awaitLeader()
 }
 
-// command sends orders to a machine; false: they were refused.
+// command sends commands to a machine; it returns false if they were refused.
 func (o *ganglessLeader) command(k *emulator.Worker, orders ...protocol.Command) bool {
 	body := protocol.Commands{Token: o.token, Epoch: k.Session, Commands: orders}
 	taken := false
@@ -65,7 +65,8 @@
 	return taken
 }
 
-// starts has a single task run, under a number of its own: durable first, as ever.
+// starts starts a single task, under an attempt number of its own, which is made durable first, as
+// always.
 func (o *ganglessLeader) starts(k *emulator.Worker, uid string, index int) {
 	o.w.t.Helper()
 	o.tries++
@@ -78,7 +79,7 @@
 	}
 }
 
-// forgets takes all attempts of a job out of a machine's record.
+// forgets removes all attempts of a job from a machine's record.
 func (o *ganglessLeader) forgets(k *emulator.Worker, uid string) {
 	o.amend(k, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == uid })
@@ -96,7 +97,7 @@
 	o.w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
 }
 
-// tasksOf lists the tasks of a job on a machine, by name and number.
+// tasksOf returns the tasks of a job on a machine, by name and attempt number.
 func tasksOf(k *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
 	for name, t := range k.Tasks {
 		if task, _, _ := strings.Cut(name, "@"); t.UID == uid {
@@ -115,8 +116,8 @@
 	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
 }
 
-// A gang that the newer version accepted and started runs on under an older leader, and
-// under the next one, to its only end.
+// A gang that the newer version accepted and started runs on under an older leader, and under the
+// next one, until its only end.
 func TestRunningGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 121)
 	w.gangOverTwo()
@@ -131,8 +132,8 @@
 	w.settle()
 }
 
-// A gang that gathers loses a task; an older leader replaces it alone, under another
-// number. The next leader clears all of it and starts it whole.
+// A gang that is gathering loses a task; an older leader replaces it alone, under another attempt
+// number. The next leader clears all of the gang and starts it whole.
 func TestHalfGatheredGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 122)
 	w.pulls = func(string) time.Duration { return 15 * second }
@@ -160,8 +161,8 @@
 	w.settle()
 }
 
-// An older leader stops a part of a running gang, as it would stop an array's tasks. The
-// gang falls back and begins again, whole, when the version of the leader changes.
+// An older leader stops a part of a running gang, as it would stop an array's tasks. The gang falls
+// back and starts again, whole, when the version of the leader changes.
 func TestHalfStoppedGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 123)
 	w.runs = func(string) time.Duration { return 40 * second }
@@ -179,9 +180,8 @@
 	w.settle()
 }
 
-// All tasks of a gang are done; an older leader has stored and cleared but some of them
-// when it ends, and the machine with the others dies. One is done, so all are: nothing
-// is started again.
+// All tasks of a gang are done; an older leader has stored and cleared only some of them when it
+// ends, and the machine with the others dies. One is done, so all are: nothing is started again.
 func TestHalfDoneGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 124)
 	w.runs = func(string) time.Duration { return 12 * second }
@@ -223,8 +223,8 @@
 	w.settle()
 }
 
-// An older leader stores the request to cancel a gang, in a record that no longer says
-// what it is, and ends. The next leader stops all of it, and its user is told.
+// An older leader stores the request to cancel a gang, in a record that no longer states that it is
+// a gang, and ends. The next leader stops all of it, and its user gets the confirmation.
 func TestCancelledGangUnderAnOlderLeader(t *testing.T) {
 	for _, state := range []string{"gathering", "running"} {
 		w := newGateClosedWorld(t, 125)
@@ -255,9 +255,9 @@
 	}
 }
 
-// An old process comes back after all were new, leads for longer than a gang waits, and
-// starts the tasks of a waiting gang one by one. What it still sends after its end is
-// refused, and the gang runs whole.
+// An older process comes back after all were upgraded, leads for longer than a gang waits, and
+// starts the tasks of a waiting gang one by one. What it still sends after its end is refused, and
+// the gang runs whole.
 func TestOldProcessComesBackAfterTheUpgrade(t *testing.T) {
 	for _, leads := range []time.Duration{2 * second, 33 * second} {
 		w := newGateClosedWorld(t, 126)
@@ -284,8 +284,8 @@
 	}
 }
 
-// Older and newer leaders take turns while gangs and arrays come and go, with machines
-// that die in between: at the end everything is done, and no rule was broken.
+// Older and newer leaders alternate while gangs and arrays come and go, with machines that die in
+// between: at the end everything is done, and no rule was violated.
 func TestLeadersOfBothVersionsTakeTurns(t *testing.T) {
 	w := newGateClosedWorld(t, 127)
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 4.0, "apart": true})
@@ -309,7 +309,8 @@
 	w.settle()
 }
 
-// newGateClosedWorld is a world whose operators hold the feature gate closed, as older versions are to lead.
+// newGateClosedWorld creates a world whose operators hold the feature gate closed, as older
+// versions are to lead.
 func newGateClosedWorld(t *testing.T, seed uint64) *world {
 	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdOn)))
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -16,20 +16,20 @@
 	"claybarrow/internal/protocol"
 )
 
-// A world is controllers with the emulator's state service, cloud and workers, and a network
-// between them, on a fake clock. A script breaks what it likes; the world checks the rules as
-// it goes.
+// A world consists of controllers with the emulator's state service, cloud and workers, and a
+// network between them, on a simulated clock. A script injects faults; the world checks the rules
+// all the time.
 
 const (
 	tick    = 100 * time.Millisecond
 	latency = 2 * time.Millisecond
 )
 
-// deliveryFault is what the script lets happen to one call: the request is held back
-// for a while or lost, and so is the response.
+// deliveryFault is the fault that the script injects into one call: the request is delayed or lost,
+// or its response is lost.
 type deliveryFault struct {
 	lost, answerLost bool
-	refused          bool // the connection, at once
+	refused          bool // the connection is refused at once
 	hold             time.Duration
 }
 
@@ -43,31 +43,31 @@
 	state        *emulator.StateService
 	cloud        *emulator.Cloud
 	machines     *emulator.Fleet
-	copies       map[string][][]byte // reports by machine, for late copies of them
+	copies       map[string][][]byte // heartbeats by machine, for late copies of them
 	finished     map[string]bool     // tasks that have completed
 	specs        map[string]map[string]any
-	lastReplies  map[string]protocol.JobState // what users were told last
+	lastReplies  map[string]protocol.JobState // the last state that users were told
 	lastReplyAt  map[string]time.Duration     // since when
-	cancelledAt  map[string]time.Duration     // when users were told of a cancellation
+	cancelledAt  map[string]time.Duration     // when a cancellation was confirmed to users
 	violations   []string
-	leaderEvents int // that leaders have handled
+	leaderEvents int // events that leaders have handled
 	effects      *effectRecorder
 	checker
-	// script decides the fate of a call from a node; nil: all goes well.
+	// script returns the fault of a call from a node; nil: there are no faults.
 	script func(node int, c Call) deliveryFault
-	// heartbeatFault decides whether a worker's report and its answer get through.
+	// heartbeatFault returns the fault of a worker's heartbeat to a node; nil: there are no faults.
 	heartbeatFault func(w *emulator.Worker, node int) deliveryFault
 	runs           func(task string) time.Duration
-	// pulls is how long a task waits for its image; nil: a moment.
+	// pulls returns how long a task waits for its image; nil: a moment.
 	pulls func(task string) time.Duration
-	// fails says whether a task fails as soon as it begins; failures counts those that did.
+	// fails reports whether a task fails as soon as it begins; failures counts those that did.
 	fails    func(k *emulator.Worker, uid string) bool
 	failures int
-	// heartbeatTimeout is how long a worker waits for the answer to a report.
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout time.Duration
-	// unreachable are the addresses that take no connections.
+	// unreachable are the addresses that accept no connections.
 	unreachable map[string]bool
-	// logged is told of each line that a controller logs; nil: nobody is.
+	// logged is called with each line that a controller logs; nil: it is dropped.
 	logged func(node int, line []byte)
 }
 
@@ -75,24 +75,25 @@
 	controller *Controller
 	alive      bool
 	life       int
-	startedAt  time.Duration // the steady clock of a process starts with it
+	startedAt  time.Duration // the monotonic clock of a process starts with it
 	last       uint64
 	waiters    map[uint64]func(Reply)
-	// older: its version knows no probes, and withoutGate no feature gate either, see olderCall.
+	// older: its version knows no probes; withoutGate: it knows no feature gate either, see
+	// olderCall.
 	older, withoutGate bool
-	// paused: the process handles nothing; held is what waits for it.
+	// paused: the process handles nothing; held are the events that wait for it.
 	paused bool
 	held   []func()
-	// drift is how much faster its steady clock runs.
+	// drift is how much faster its monotonic clock runs.
 	drift    float64
 	observer *worldObserver
-	// scripted answers in the place of a process that is not alive; nil: nobody does.
+	// scripted answers in place of a process that is not alive; nil: there is no answer.
 	scripted func(Request) Reply
 }
 
 func newWorld(t testing.TB, seed uint64) *world { return newWorldWith(t, seed, testOperator) }
 
-// newWorldWith is a world whose controllers have these operators' settings.
+// newWorldWith creates a world whose controllers have these operators' settings.
 func newWorldWith(t testing.TB, seed uint64, operator []byte) *world {
 	return newWorldWithTopology(t, seed, operator, defaultTopology)
 }
@@ -107,7 +108,7 @@
 var defaultTopology = topology{controllers: []string{"a", "a", "b"}, zones: []string{"a", "b"},
 	teams: `{"name":"red","cpus":16,"cpus_max":32},{"name":"blue","cpus":8,"cpus_max":16}`}
 
-// newWorldWithTopology is a world of another shape than usual.
+// newWorldWithTopology creates a world of another topology than the default one.
 func newWorldWithTopology(t testing.TB, seed uint64, operator []byte, shape topology) *world {
 	w := &world{topology: shape, t: t, effects: newEffectRecorder(t), queue: &emulator.EventQueue{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
 		copies: map[string][][]byte{}, finished: map[string]bool{},
@@ -127,14 +128,14 @@
 	return w
 }
 
-// Now is the world's time.
+// Now returns the world's time.
 func (w *world) Now() time.Duration { return w.queue.Now() }
 
 func (w *world) at(d time.Duration, do func()) { w.queue.After(d, do) }
 
 func (w *world) run(d time.Duration) { w.queue.RunUntil(w.Now() + d) }
 
-// until runs until something holds.
+// until runs the world until a condition holds, and fails the test after the limit.
 func (w *world) until(limit time.Duration, what string, holds func() bool) {
 	w.t.Helper()
 	end := w.Now() + limit
@@ -331,7 +332,7 @@
 	return -1
 }
 
-// leadership is the leader's.
+// leadership waits for a leader and returns its leadership.
 func (w *world) leadership() *leadership { return w.nodes[w.awaitLeader()].controller.leadership }
 
 func (w *world) awaitLeader() int {
@@ -351,7 +352,7 @@
 	return m
 }
 
-// user sends one request and notes what was told.
+// user sends one request and records the answer.
 func (w *world) user(node int, op Op, uid string, then func(int, protocol.JobStatus)) {
 	req := Request{Op: op, UID: uid}
 	if op == OpSubmit {
@@ -383,9 +384,9 @@
 	})
 }
 
-// recordStatus takes what a user was told in answer to a request that was sent at a time. A question that
-// was under way while the user was told something may be answered with what held before: the
-// leader answered it first, and its answer went a longer way.
+// recordStatus checks and records the status that a user got in answer to a request that was sent
+// at a time. A poll that was in flight while the user got another answer may be answered with the
+// earlier state: the leader answered it first, and its answer took longer.
 func (w *world) recordStatus(uid string, s protocol.JobStatus, sent time.Duration) {
 	before := w.lastReplies[uid]
 	if s.State != before && sent < w.lastReplyAt[uid] {
@@ -414,7 +415,7 @@
 	w.lastReplies[uid] = s.State
 }
 
-// persist repeats a request at the nodes in turn, as users do.
+// persist repeats a request at the nodes in turn until an answer satisfies ok, as users do.
 func (w *world) persist(op Op, uid string, ok func(int, protocol.JobStatus) bool) {
 	node := 0
 	var again func()
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -8,7 +8,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// The start of a replica is written before those of an array that wait already, also on a
+// The start of a replica is written before the starts of an array that waits already, also on a
 // machine that has one of these to be written.
 func TestReplicasStartBeforeAnArray(t *testing.T) {
 	w := newWorld(t, 96)
