--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -16,10 +16,12 @@
 		cores   float64
 		want    int
 	}{{600, 0.144, 75}, {1_938, 0.468, 242}, {2_061, 0.312, 257}, {16_488, 1, 1024}, {16_488, 4, 2061}} {
-		calls := newCallLimiter(config.Resources{FDs: tc.sockets, Cores: tc.cores})
-		if got := calls.most; got != tc.want {
-			t.Errorf("%d sockets, %v cores: %d calls at once, want %d", tc.sockets, tc.cores, got, tc.want)
-		}
+		t.Run(fmt.Sprintf("%d sockets, %v cores", tc.sockets, tc.cores), func(t *testing.T) {
+			calls := newCallLimiter(config.Resources{FDs: tc.sockets, Cores: tc.cores})
+			if got := calls.most; got != tc.want {
+				t.Errorf("%d concurrent calls, want %d", got, tc.want)
+			}
+		})
 	}
 }
 
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -53,7 +53,7 @@
 func (w *world) watch() {
 	var look func()
 	look = func() {
-		w.lateCancelled()
+		w.checkCancelledTasksEnded()
 		w.checkForgotten()
 		w.checkWaiting()
 		w.at(time.Second, look)
@@ -67,7 +67,7 @@
 	w.at(tick, step)
 }
 
-func (w *world) isOver(uid string) bool {
+func (w *world) jobEnded(uid string) bool {
 	return w.lastReplies[uid] == protocol.Done || w.lastReplies[uid] == protocol.Cancelled
 }
 
@@ -80,7 +80,7 @@
 	w.accepted[uid] = w.Now()
 	var poll func()
 	poll = func() {
-		if w.isOver(uid) {
+		if w.jobEnded(uid) {
 			return
 		}
 		w.turn++
@@ -106,7 +106,7 @@
 		return
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		if since := max(w.answered[uid], w.calmSince); !w.isOver(uid) && w.Now() > since+forgottenAfter {
+		if since := max(w.answered[uid], w.calmSince); !w.jobEnded(uid) && w.Now() > since+forgottenAfter {
 			w.violated("forgotten: no question about %s was answered since %v", uid, since)
 			w.answered[uid] = w.Now()
 		}
@@ -121,7 +121,7 @@
 		return
 	}
 	used, held := map[string]float64{}, map[string]int{}
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		for _, t := range k.Tasks {
 			if t.State != protocol.Exited && !k.Deleted {
 				used[w.specs[t.UID]["owner"].(string)] += w.specs[t.UID]["cores"].(float64)
@@ -136,7 +136,7 @@
 		if spec["shape"] == "group" {
 			need *= float64(spec["shards"].(int)) // it waits for room for all of it
 		}
-		if w.isOver(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
+		if w.jobEnded(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
 			delete(w.waitingSince, uid)
 			continue
 		}
@@ -153,7 +153,7 @@
 // hasRoom says whether a task of the job fits somewhere, or all of a gang.
 func (w *world) hasRoom(spec map[string]any) bool {
 	most, all, zones := 0, 0, map[string]int{}
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if !k.Up || k.Deleted || k.Cut || k.Hung || k.AnswersLost || k.ReportsLost || k.Spot && !spec["borrowed"].(bool) ||
 			spec["yard"] != nil && spec["yard"] != k.Zone {
 			continue
@@ -184,7 +184,7 @@
 	w.t.Helper()
 	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
 	w.state.Down, w.state.Refuse, w.cloud.Down = false, map[int]bool{}, false
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut, k.AnswersLost, k.ReportsLost = false, false, false
 	}
 	for i, n := range w.nodes {
@@ -195,12 +195,12 @@
 	w.calmSince = w.Now()
 	w.run(waitsAtMost + 30*time.Second)
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		if w.specs[uid]["shape"] == "service" && !w.isOver(uid) {
+		if w.specs[uid]["shape"] == "service" && !w.jobEnded(uid) {
 			w.cancel(uid)
 		}
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		w.until(400*time.Second, uid+" is over", func() bool { return w.isOver(uid) })
+		w.until(400*time.Second, uid+" is over", func() bool { return w.jobEnded(uid) })
 	}
 	// Wait until the bound of each confirmed cancellation has passed everywhere.
 	w.run(cancelWithin + 5*time.Second)
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -104,7 +104,7 @@
 // randomMachines returns a random share of the machines that are up.
 func (w *world) randomMachines(share float64) []*emulator.Worker {
 	var out []*emulator.Worker
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Up && !k.Deleted && w.rng.Float64() < share {
 			out = append(out, k)
 		}
@@ -234,7 +234,7 @@
 // task, and a job that waits for this proof must not wait for ever.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
 	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
-		for _, k := range w.fleet() {
+		for _, k := range w.workers() {
 			if k.Up && len(k.Tasks) > 0 {
 				k.AnswersLost = true
 			}
@@ -244,7 +244,7 @@
 		w.cancelSome("j-s2")
 		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.Cancelled })
 		w.until(60*second, "j-s3 runs elsewhere", func() bool {
-			for _, k := range w.fleet() {
+			for _, k := range w.workers() {
 				for _, task := range k.Tasks {
 					if task.UID == "j-s3" && task.State == protocol.Running && !k.AnswersLost && !k.Deleted {
 						return true
@@ -343,7 +343,7 @@
 			body []byte
 		}
 		var held []copied
-		for _, k := range w.fleet() {
+		for _, k := range w.workers() {
 			if k.Up && !k.Deleted {
 				held = append(held, copied{k, protocol.Encode(k.Message())})
 				if w.rng.IntN(2) == 0 {
@@ -439,10 +439,10 @@
 // leader must not start tasks there again and again.
 func TestCompoundHeartbeatsLost(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
-		var reportsLost []*emulator.Worker
+		var heartbeatsLost []*emulator.Worker
 		for _, k := range w.randomMachines(0.6) {
 			k.ReportsLost = true
-			reportsLost = append(reportsLost, k)
+			heartbeatsLost = append(heartbeatsLost, k)
 		}
 		w.cancelSome("j-b1")
 		w.run(w.randomMilliseconds(3000, 12_000))
@@ -451,19 +451,19 @@
 		}
 		w.run(25 * second)
 		began := map[*emulator.Worker]int{}
-		for _, k := range reportsLost {
+		for _, k := range heartbeatsLost {
 			began[k] = k.Lives
 		}
 		w.run(60 * second)
-		for _, k := range reportsLost {
+		for _, k := range heartbeatsLost {
 			if k.Lives > began[k]+2 {
-				w.violated("a machine whose reports are lost was given %d tasks, all of which die with its lease", k.Lives-began[k])
+				w.violated("a machine whose heartbeats are lost was given %d tasks, all of which die with its lease", k.Lives-began[k])
 			}
 		}
 		// Their tasks run elsewhere.
 		for _, uid := range []string{"j-s1", "j-s2", "j-s3"} {
 			n := 0
-			for _, k := range w.fleet() {
+			for _, k := range w.workers() {
 				for _, task := range k.Tasks {
 					if task.UID == uid && task.State == protocol.Running && !k.ReportsLost && !k.Deleted {
 						n++
@@ -471,7 +471,7 @@
 				}
 			}
 			if n == 0 {
-				w.violated("%s runs on machines whose reports are lost alone", uid)
+				w.violated("%s runs only on machines whose heartbeats are lost", uid)
 			}
 		}
 	})
@@ -563,7 +563,7 @@
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
 		w.submit("j-z2", map[string]any{"shards": 3, "cores": 2.0, "together": true})
 		w.run(w.randomMilliseconds(5000, 20_000))
-		for _, k := range w.fleet() {
+		for _, k := range w.workers() {
 			if !k.Deleted && k.Up && (k.Zone == "b" || w.rng.IntN(3) == 0) {
 				switch w.rng.IntN(3) {
 				case 0:
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -107,14 +107,14 @@
 type falseAlarms struct{ suspicions, deaths, leaders, moves, lapses float64 }
 
 // countFalseAlarms runs a fault for some minutes with several seeds.
-func countFalseAlarms(b *testing.B, operator []byte, trouble func(w *world)) {
+func countFalseAlarms(b *testing.B, operator []byte, inject func(w *world)) {
 	const lasts, seeds = 10 * time.Minute, 4
 	var sum falseAlarms
 	for seed := range uint64(seeds) {
 		w := newWorldWith(b, 3100+seed, operator)
 		w.replicas()
 		began, token := w.Now(), w.leadership().lease.token
-		trouble(w)
+		inject(w)
 		w.run(lasts)
 		sum.leaders += float64(w.leadership().lease.token - token)
 		for _, n := range w.nodes {
@@ -131,7 +131,7 @@
 		for _, starts := range w.starts {
 			sum.moves += float64(starts - 1)
 		}
-		for _, k := range w.fleet() {
+		for _, k := range w.workers() {
 			if k.Up && !k.Deleted {
 				sum.lapses += float64(k.Session - 1)
 			}
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -154,16 +154,16 @@
 // whichever other fault there is.
 func TestLeaderDiesAtEachStepOfPlacing(t *testing.T) {
 	for s, step := range placingSteps {
-		for k, trouble := range placingFaults {
-			t.Run(step.name+", "+trouble.name, func(t *testing.T) {
+		for k, fault := range placingFaults {
+			t.Run(step.name+", "+fault.name, func(t *testing.T) {
 				w := newMembershipWorld(t, uint64(910+100*s+k))
-				killLeaderWhilePlacing(w, step, trouble)
+				killLeaderWhilePlacing(w, step, fault)
 			})
 		}
 	}
 }
 
-func killLeaderWhilePlacing(w *world, step placingStep, trouble placingFault) {
+func killLeaderWhilePlacing(w *world, step placingStep, fault placingFault) {
 	w.runs = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 3})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 3 })
@@ -171,8 +171,8 @@
 	died, again := false, false
 	w.script = func(node int, c Call) deliveryFault {
 		f := deliveryFault{}
-		if trouble.fault != nil {
-			f = trouble.fault(w, c)
+		if fault.fault != nil {
+			f = fault.fault(w, c)
 		}
 		switch {
 		case !died && step.matches(c):
@@ -180,7 +180,7 @@
 			w.restart(node, 3*second)
 			w.crash(node)
 			f.lost, f.answerLost = !step.delivered, true
-		case died && trouble.second && !again && c.Target == ToState && strings.HasPrefix(c.Path, "/store?under=j/"):
+		case died && fault.second && !again && c.Target == ToState && strings.HasPrefix(c.Path, "/store?under=j/"):
 			again = true
 			w.restart(node, 3*second)
 			w.crash(node)
@@ -193,7 +193,7 @@
 	w.until(60*second, "the leader ends at "+step.name, func() bool { return died })
 	w.until(120*second, "all runs", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
 	w.awaitStatus(120*second, "j-2", protocol.Done)
-	if trouble.second && !again {
+	if fault.second && !again {
 		w.t.Error("the second leader did not end")
 	}
 	w.settle()
@@ -202,24 +202,26 @@
 // A late transaction of the former leader changes nothing, at whatever step it ended.
 func TestLateTransactionOfALeaderThatDied(t *testing.T) {
 	for _, prefix := range []string{"j/", "m/", "d/"} {
-		w := newMembershipWorld(t, 931)
-		w.runs = func(string) time.Duration { return 6 * second }
-		w.replicas()
-		died := false
-		w.script = func(node int, c Call) deliveryFault {
-			if !died && writesUnder(c, prefix) {
-				died = true
-				w.restart(node, 2*second)
-				w.crash(node)
-				return deliveryFault{hold: 15 * second, answerLost: true}
+		t.Run("a write under "+prefix, func(t *testing.T) {
+			w := newMembershipWorld(t, 931)
+			w.runs = func(string) time.Duration { return 6 * second }
+			w.replicas()
+			died := false
+			w.script = func(node int, c Call) deliveryFault {
+				if !died && writesUnder(c, prefix) {
+					died = true
+					w.restart(node, 2*second)
+					w.crash(node)
+					return deliveryFault{hold: 15 * second, answerLost: true}
+				}
+				return deliveryFault{}
 			}
-			return deliveryFault{}
-		}
-		w.submit("j-3", map[string]any{"shards": 2})
-		w.until(60*second, "the leader ends", func() bool { return died })
-		w.awaitStatus(120*second, "j-3", protocol.Done)
-		w.run(20 * second)
-		w.settle()
+			w.submit("j-3", map[string]any{"shards": 2})
+			w.until(60*second, "the leader ends", func() bool { return died })
+			w.awaitStatus(120*second, "j-3", protocol.Done)
+			w.run(20 * second)
+			w.settle()
+		})
 	}
 }
 
@@ -290,7 +292,7 @@
 	n.paused = false
 	w.feed(lead, Tick{}) // it resumes
 	if !n.controller.pause.isRecovering() {
-		t.Fatal("it does not notice that it stood still")
+		t.Fatal("it does not notice that its process was paused")
 	}
 	for _, op := range []Op{OpPoll, OpCancel} {
 		w.ask(lead, Request{Op: op, UID: "j-1"}, func(r Reply) {
@@ -299,13 +301,13 @@
 			}
 		})
 	}
-	var report []byte
-	for _, k := range w.fleet() {
+	var heartbeat []byte
+	for _, k := range w.workers() {
 		if k.Up && !k.Deleted {
-			report = protocol.Encode(k.Message())
+			heartbeat = protocol.Encode(k.Message())
 		}
 	}
-	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: report}, func(r Reply) {
+	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
 		if r.Status == 200 {
 			t.Error("a worker's lease is renewed")
 		}
@@ -331,39 +333,41 @@
 // by the third controller, and nobody is suspected.
 func TestRelayAroundAnAsymmetricPartition(t *testing.T) {
 	for _, toLeader := range []bool{true, false} {
-		w := newMembershipWorld(t, 952)
-		w.replicas()
-		lead := w.awaitLeader()
-		from := (lead + 1) % 3
-		began := w.Now()
-		w.script = func(node int, c Call) deliveryFault {
-			if node == from && c.Target == ToPeer && c.Addr == w.cfgs[lead].PeerListen {
-				return deliveryFault{lost: toLeader, answerLost: true}
+		t.Run(fmt.Sprintf("to the leader %v", toLeader), func(t *testing.T) {
+			w := newMembershipWorld(t, 952)
+			w.replicas()
+			lead := w.awaitLeader()
+			from := (lead + 1) % 3
+			began := w.Now()
+			w.script = func(node int, c Call) deliveryFault {
+				if node == from && c.Target == ToPeer && c.Addr == w.cfgs[lead].PeerListen {
+					return deliveryFault{lost: toLeader, answerLost: true}
+				}
+				return deliveryFault{}
 			}
-			return deliveryFault{}
-		}
-		w.run(5 * second)
-		answered := 0
-		for range 5 {
-			w.user(from, OpPoll, "j-1", func(status int, _ protocol.JobStatus) {
-				if status == 200 {
-					answered++
+			w.run(5 * second)
+			answered := 0
+			for range 5 {
+				w.user(from, OpPoll, "j-1", func(status int, _ protocol.JobStatus) {
+					if status == 200 {
+						answered++
+					}
+				})
+				w.run(second)
+			}
+			if answered < 5 {
+				t.Errorf("requests lost %v: %d of 5 questions are answered", toLeader, answered)
+			}
+			if w.nodes[from].observer.reroutes == 0 {
+				t.Error("no request went round")
+			}
+			for i, n := range w.nodes {
+				if at := n.observer.became(label(lead), membership.Suspect, began); at > 0 {
+					t.Errorf("n%d suspects the leader", i)
 				}
-			})
-			w.run(second)
-		}
-		if answered < 5 {
-			t.Errorf("requests lost %v: %d of 5 questions are answered", toLeader, answered)
-		}
-		if w.nodes[from].observer.reroutes == 0 {
-			t.Error("no request went round")
-		}
-		for i, n := range w.nodes {
-			if at := n.observer.became(label(lead), membership.Suspect, began); at > 0 {
-				t.Errorf("n%d suspects the leader", i)
 			}
-		}
-		w.settle()
+			w.settle()
+		})
 	}
 }
 
@@ -371,33 +375,35 @@
 // answered by the second try, or told at once to come back.
 func TestRefusedConnectionIsTriedOnceMore(t *testing.T) {
 	for _, again := range []bool{true, false} {
-		w := newMembershipWorld(t, 956)
-		w.replicas()
-		lead := w.awaitLeader()
-		from := (lead + 1) % 3
-		var tries []time.Duration
-		w.script = func(node int, c Call) deliveryFault {
-			if node != from || c.Path != "/relay" {
-				return deliveryFault{}
+		t.Run(fmt.Sprintf("refused again %v", again), func(t *testing.T) {
+			w := newMembershipWorld(t, 956)
+			w.replicas()
+			lead := w.awaitLeader()
+			from := (lead + 1) % 3
+			var tries []time.Duration
+			w.script = func(node int, c Call) deliveryFault {
+				if node != from || c.Path != "/relay" {
+					return deliveryFault{}
+				}
+				tries = append(tries, w.Now())
+				return deliveryFault{refused: again || len(tries) == 1}
 			}
-			tries = append(tries, w.Now())
-			return deliveryFault{refused: again || len(tries) == 1}
-		}
-		asked := w.Now()
-		status, answered := 0, time.Duration(0)
-		w.user(from, OpPoll, "j-1", func(got int, _ protocol.JobStatus) { status, answered = got, w.Now() })
-		w.run(2 * second)
-		want := 200
-		if again {
-			want = 503
-		}
-		if len(tries) != 2 || status != want || answered-asked > decisionTimeout {
-			t.Errorf("refused again %v: %d tries, %d after %v", again, len(tries), status, answered-asked)
-		}
-		if len(tries) == 2 && tries[1]-tries[0] < 50*time.Millisecond {
-			t.Errorf("tried again after %v", tries[1]-tries[0])
-		}
-		w.settle()
+			asked := w.Now()
+			status, answered := 0, time.Duration(0)
+			w.user(from, OpPoll, "j-1", func(got int, _ protocol.JobStatus) { status, answered = got, w.Now() })
+			w.run(2 * second)
+			want := 200
+			if again {
+				want = 503
+			}
+			if len(tries) != 2 || status != want || answered-asked > decisionTimeout {
+				t.Errorf("refused again %v: %d tries, %d after %v", again, len(tries), status, answered-asked)
+			}
+			if len(tries) == 2 && tries[1]-tries[0] < 50*time.Millisecond {
+				t.Errorf("tried again after %v", tries[1]-tries[0])
+			}
+			w.settle()
+		})
 	}
 }
 
@@ -406,43 +412,45 @@
 // in twenty, nothing moves.
 func TestFlappingLinkAndLoss(t *testing.T) {
 	for k, loss := range []float64{0, 0.05, 0.10, 0.20} {
-		w := newMembershipWorld(t, uint64(960+k))
-		w.replicas()
-		lead := w.awaitLeader()
-		token := w.leadership().lease.token
-		began := w.Now()
-		w.script = func(node int, c Call) deliveryFault {
-			if c.Target != ToPeer {
-				return deliveryFault{}
+		t.Run(fmt.Sprintf("loss %v", loss), func(t *testing.T) {
+			w := newMembershipWorld(t, uint64(960+k))
+			w.replicas()
+			lead := w.awaitLeader()
+			token := w.leadership().lease.token
+			began := w.Now()
+			w.script = func(node int, c Call) deliveryFault {
+				if c.Target != ToPeer {
+					return deliveryFault{}
+				}
+				if loss > 0 {
+					return deliveryFault{lost: w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
+				}
+				between := node == lead || c.Addr == w.cfgs[lead].PeerListen
+				return deliveryFault{lost: between && int(w.Now()/second)%5 < 2}
 			}
-			if loss > 0 {
-				return deliveryFault{lost: w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
+			w.run(60 * second)
+			if w.awaitLeader() != lead || w.leadership().lease.token != token {
+				t.Errorf("loss %v: the leader changed", loss)
 			}
-			between := node == lead || c.Addr == w.cfgs[lead].PeerListen
-			return deliveryFault{lost: between && int(w.Now()/second)%5 < 2}
-		}
-		w.run(60 * second)
-		if w.awaitLeader() != lead || w.leadership().lease.token != token {
-			t.Errorf("loss %v: the leader changed", loss)
-		}
-		for i, n := range w.nodes {
-			for _, c := range n.observer.changes {
-				if c.at >= began && c.To == membership.Dead {
-					t.Errorf("loss %v: n%d: %+v", loss, i, c)
+			for i, n := range w.nodes {
+				for _, c := range n.observer.changes {
+					if c.at >= began && c.To == membership.Dead {
+						t.Errorf("loss %v: n%d: %+v", loss, i, c)
+					}
 				}
 			}
-		}
-		for _, k := range w.fleet() {
-			if k.Up && !k.Deleted && k.Session > 1 {
-				t.Errorf("loss %v: the lease of %s ran out", loss, k.ID)
+			for _, k := range w.workers() {
+				if k.Up && !k.Deleted && k.Session > 1 {
+					t.Errorf("loss %v: the lease of %s ran out", loss, k.ID)
+				}
 			}
-		}
-		for task, n := range w.starts {
-			if n > 1 && loss <= 0.05 {
-				t.Errorf("loss %v: %s was moved", loss, task)
+			for task, n := range w.starts {
+				if n > 1 && loss <= 0.05 {
+					t.Errorf("loss %v: %s was moved", loss, task)
+				}
 			}
-		}
-		w.settle()
+			w.settle()
+		})
 	}
 }
 
@@ -471,7 +479,7 @@
 // controllersInFirstZone maps each running machine of the first zone to the index of its controller.
 func (w *world) controllersInFirstZone() map[string]int {
 	out := map[string]int{}
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Up && !k.Deleted && k.Zone == w.topology.zones[0] {
 			out[k.ID] = k.Controller
 		}
@@ -480,7 +488,7 @@
 }
 
 func (w *world) byID(id string) *emulator.Worker {
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.ID == id {
 			return k
 		}
@@ -507,7 +515,7 @@
 		}
 		return true
 	}
-	w.until(60*second, "each machine reports to its owner", settled)
+	w.until(60*second, "each machine sends heartbeats to its owner", settled)
 	lead := w.awaitLeader()
 	before := w.controllersInFirstZone()
 	victim := -1
@@ -517,7 +525,7 @@
 		}
 	}
 	if victim < 0 {
-		t.Fatalf("all machines report to the leader: %v", before)
+		t.Fatalf("all machines send heartbeats to the leader: %v", before)
 	}
 	// Suspicion alone, shorter than the timeout: the probes are lost, everything else works.
 	began := w.Now()
@@ -540,13 +548,13 @@
 			t.Errorf("%s moved from %d to %d at a suspicion", id, before[id], c)
 		}
 	}
-	w.until(60*second, "each machine reports to its owner", settled)
+	w.until(60*second, "each machine sends heartbeats to its owner", settled)
 	w.nodes[lead].observer.redirected = nil
 	before = w.controllersInFirstZone()
 	w.crash(victim)
 	w.run(30 * second)
 	if !settled() {
-		t.Errorf("not all machines report to their owners")
+		t.Errorf("not all machines send heartbeats to their owners")
 	}
 	for id, c := range w.controllersInFirstZone() {
 		if before[id] != victim && c != before[id] {
@@ -564,7 +572,7 @@
 		}
 	}
 	w.until(60*second, "each machine is back", settled)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Up && !k.Deleted && k.Session > 1 {
 			t.Errorf("the lease of %s ran out", k.ID)
 		}
@@ -576,29 +584,31 @@
 // probes, and leads and follows as before.
 func TestMixedVersions(t *testing.T) {
 	for older := range 3 {
-		w := newMembershipWorld(t, uint64(980+older))
-		w.cfgs[older].Operator.Membership.Enabled = false
-		w.nodes[older].older = true
-		w.boot(older)
-		w.replicas()
-		for i, n := range w.nodes {
-			for _, c := range n.observer.changes {
-				if c.Label == label(older) {
-					t.Errorf("n%d: %+v", i, c)
+		t.Run(fmt.Sprintf("older controller %v", older), func(t *testing.T) {
+			w := newMembershipWorld(t, uint64(980+older))
+			w.cfgs[older].Operator.Membership.Enabled = false
+			w.nodes[older].older = true
+			w.boot(older)
+			w.replicas()
+			for i, n := range w.nodes {
+				for _, c := range n.observer.changes {
+					if c.Label == label(older) {
+						t.Errorf("n%d: %+v", i, c)
+					}
 				}
 			}
-		}
-		began := w.Now()
-		w.crash(older)
-		w.run(20 * second)
-		for i, n := range w.nodes {
-			if i != older && n.observer.became(label(older), membership.Dead, began) == 0 {
-				t.Errorf("n%d does not hold n%d dead", i, older)
+			began := w.Now()
+			w.crash(older)
+			w.run(20 * second)
+			for i, n := range w.nodes {
+				if i != older && n.observer.became(label(older), membership.Dead, began) == 0 {
+					t.Errorf("n%d does not hold n%d dead", i, older)
+				}
 			}
-		}
-		w.boot(older)
-		w.run(20 * second)
-		w.settle()
+			w.boot(older)
+			w.run(20 * second)
+			w.settle()
+		})
 	}
 }
 
@@ -649,58 +659,60 @@
 // after that is known all the same, and if too much has changed everything is read anew.
 func TestSuccessorPreloadsClusterState(t *testing.T) {
 	for _, tooMuch := range []bool{false, true} {
-		w := newMembershipWorld(t, 990)
-		w.storeMany(3500)
-		w.replicas()
-		lead := w.awaitLeader()
-		w.submit("j-5", map[string]any{"shape": "service", "owner": "blue"})
-		w.until(60*second, "it runs", func() bool { return w.running("j-5") == 1 })
-		// The other controllers don't reach the leader, so that they suspect it while it works on.
-		w.script = func(node int, c Call) deliveryFault {
-			return deliveryFault{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
-		}
-		ahead := func() bool {
-			for i, n := range w.nodes {
-				if a := n.controller.preparer.preparation.preload; i != lead && a != nil && a.finished {
-					return true
+		t.Run(fmt.Sprintf("too many changes %v", tooMuch), func(t *testing.T) {
+			w := newMembershipWorld(t, 990)
+			w.storeMany(3500)
+			w.replicas()
+			lead := w.awaitLeader()
+			w.submit("j-5", map[string]any{"shape": "service", "owner": "blue"})
+			w.until(60*second, "it runs", func() bool { return w.running("j-5") == 1 })
+			// The other controllers don't reach the leader, so that they suspect it while it works on.
+			w.script = func(node int, c Call) deliveryFault {
+				return deliveryFault{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
+			}
+			ahead := func() bool {
+				for i, n := range w.nodes {
+					if a := n.controller.preparer.preparation.preload; i != lead && a != nil && a.finished {
+						return true
+					}
 				}
+				return false
 			}
-			return false
-		}
-		w.until(10*second, "records are read ahead", ahead)
-		// Its last write: a job that no preload has read.
-		w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
-			if r.Status != 201 {
-				t.Errorf("the submission is answered %d", r.Status)
+			w.until(10*second, "records are read ahead", ahead)
+			// Its last write: a job that no preload has read.
+			w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
+				if r.Status != 201 {
+					t.Errorf("the submission is answered %d", r.Status)
+				}
+				w.recordStatus("j-6", protocol.JobStatus{UID: "j-6", State: protocol.Pending}, w.Now())
+				w.startPolling("j-6")
+			})
+			w.cancelRequested["j-5"] = true
+			w.ask(lead, Request{Op: OpCancel, UID: "j-5"}, func(Reply) {})
+			w.run(300 * time.Millisecond)
+			w.crash(lead)
+			w.script = func(_ int, c Call) deliveryFault {
+				if tooMuch && writesUnder(c, keyLeader) {
+					w.storeMany(25_000) // more changes than the state service keeps, just before the election
+				}
+				return deliveryFault{}
 			}
-			w.recordStatus("j-6", protocol.JobStatus{UID: "j-6", State: protocol.Pending}, w.Now())
-			w.startPolling("j-6")
-		})
-		w.cancelRequested["j-5"] = true
-		w.ask(lead, Request{Op: OpCancel, UID: "j-5"}, func(Reply) {})
-		w.run(300 * time.Millisecond)
-		w.crash(lead)
-		w.script = func(_ int, c Call) deliveryFault {
-			if tooMuch && writesUnder(c, keyLeader) {
-				w.storeMany(25_000) // more changes than the state service keeps, just before the election
+			next := w.awaitLeader()
+			w.script = nil
+			w.run(15 * second)
+			h := w.nodes[next].observer.failovers
+			if len(h) == 0 {
+				t.Fatal("no failover is observed")
 			}
-			return deliveryFault{}
-		}
-		next := w.awaitLeader()
-		w.script = nil
-		w.run(15 * second)
-		h := w.nodes[next].observer.failovers
-		if len(h) == 0 {
-			t.Fatal("no handover is told")
-		}
-		if got := h[len(h)-1].Preloaded; (got >= 3500) == tooMuch {
-			t.Errorf("too much %v: %d records were read ahead", tooMuch, got)
-		}
-		w.until(60*second, "the last job runs", func() bool { return w.running("j-6") == 1 })
-		if w.running("j-5") > 0 {
-			t.Error("the cancelled job runs")
-		}
-		w.settle()
+			if got := h[len(h)-1].Preloaded; (got >= 3500) == tooMuch {
+				t.Errorf("too much %v: %d records were preloaded", tooMuch, got)
+			}
+			w.until(60*second, "the last job runs", func() bool { return w.running("j-6") == 1 })
+			if w.running("j-5") > 0 {
+				t.Error("the cancelled job runs")
+			}
+			w.settle()
+		})
 	}
 }
 
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -54,7 +54,7 @@
 	w.runs = func(string) time.Duration { return 10 * second }
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 2.0, "shards": 2, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-0") == 2 })
-	bad := w.fleet()[0].ID
+	bad := w.workers()[0].ID
 	w.failTasks(nil, map[string]bool{bad: true})
 	for i := range 2 {
 		w.submit(fmt.Sprintf("j-%d", i+1), map[string]any{"shards": 4, "cores": 1.0})
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -17,12 +17,12 @@
 			t.Run(fmt.Sprintf("%d controllers, the leader as number %d", last+1, place), func(t *testing.T) {
 				ro := newRollout(t, uint64(300+10*last+place), shape)
 				order := ro.leaderAt(place)
-				ro.roll(order[:last], newerOperator(""))
+				ro.restartAll(order[:last], newerOperator(""))
 				ro.run(40 * second)
 				if ro.steps[opens]+ro.steps[journals] > 0 || !ro.gateIs("closed") {
 					t.Fatalf("with an older controller: %v", ro.steps)
 				}
-				ro.roll(order[last:], newerOperator(""))
+				ro.restartAll(order[last:], newerOperator(""))
 				ro.until(10*second, "the gate is open", func() bool { return ro.gateIs("open") })
 				ro.run(60 * second)
 				if ro.steps[journals] == 0 {
@@ -52,9 +52,9 @@
 				}
 				order = append([]int{follower}, slices.DeleteFunc(order, func(i int) bool { return i == follower })...)
 			} else {
-				ro.roll(order[:2], newerOperator(""))
+				ro.restartAll(order[:2], newerOperator(""))
 			}
-			ro.roll(order, nil)
+			ro.restartAll(order, nil)
 			ro.run(20 * second)
 			if lead := ro.awaitLeader(); !ro.nodes[lead].withoutGate {
 				t.Error("no older version leads")
@@ -87,7 +87,7 @@
 	ro.restart(1, newerOperator(""))
 	ro.until(10*second, "the newer version leads", func() bool { return ro.leader() == 1 })
 	ro.until(40*second, "the gate is closed", func() bool { return ro.gateIs("closed") })
-	ro.roll([]int{1}, nil)
+	ro.restartAll([]int{1}, nil)
 	ro.interrupts = true // some workers search for a leader for longer than their lease
 	ro.settleAndCheck()
 }
@@ -108,7 +108,7 @@
 				t.Error("the gate closes before a workers' lease is over")
 			}
 			ro.until(20*second, "the gate is closed", func() bool { return ro.gateIs("closed") })
-			ro.roll(back, newerOperator(""))
+			ro.restartAll(back, newerOperator(""))
 			ro.run(20 * second)
 			if !ro.gateIs("closed") {
 				t.Error("the gate opens again at once")
@@ -236,7 +236,7 @@
 					struck = true
 					return fault.inject(ro, node)
 				}
-				ro.roll(ro.leaderAt(0), newerOperator(""))
+				ro.restartAll(ro.leaderAt(0), newerOperator(""))
 				ro.until(120*second, "the gate is open", func() bool { return ro.gateIs("open") })
 				ro.run(20 * second)
 				if step == closes || step == deletes || step == closed {
@@ -283,11 +283,11 @@
 				return deliveryFault{}
 			}
 			order := ro.leaderAt(2)
-			ro.roll(order[:4], newerOperator(""))
+			ro.restartAll(order[:4], newerOperator(""))
 			if when == noStep {
 				part()
 			}
-			ro.roll(order[4:], newerOperator(""))
+			ro.restartAll(order[4:], newerOperator(""))
 			ro.until(90*second, "the gate is open", func() bool { return ro.gateIs("open") })
 			ro.run(30 * second)
 			ro.restart(ro.leaderAt(0)[3], newerOperator(holdOn))
@@ -354,7 +354,7 @@
 				ro.endSoon(ro.awaitLeader())
 				ro.run(5 * second)
 			}
-			ro.roll(ro.leaderAt(0), newerOperator(""))
+			ro.restartAll(ro.leaderAt(0), newerOperator(""))
 			ro.until(30*second, "the gate is open", func() bool { return ro.gateIs("open") })
 			if c.closing {
 				ro.run(8 * second)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -15,40 +15,42 @@
 // once.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	for _, answersLost := range []bool{false, true} {
-		w := newWorld(t, 51)
-		w.awaitLeader()
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "apart": true})
-		w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "apart": true, "owner": "blue"})
-		all := func() bool { return w.running("j-1") == 6 && w.running("j-2") == 4 }
-		w.until(90*second, "replicas run", all)
-		w.run(15 * second)
-		lead := w.leader()
-		unhearing := map[string]bool{}
-		for _, k := range w.fleet() {
-			if len(unhearing) < minMissedMachines && len(k.Tasks) > 0 {
-				unhearing[k.Addr] = true
+		t.Run(fmt.Sprintf("answers lost %v", answersLost), func(t *testing.T) {
+			w := newWorld(t, 51)
+			w.awaitLeader()
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "apart": true})
+			w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "apart": true, "owner": "blue"})
+			all := func() bool { return w.running("j-1") == 6 && w.running("j-2") == 4 }
+			w.until(90*second, "replicas run", all)
+			w.run(15 * second)
+			lead := w.leader()
+			unhearing := map[string]bool{}
+			for _, k := range w.workers() {
+				if len(unhearing) < minMissedMachines && len(k.Tasks) > 0 {
+					unhearing[k.Addr] = true
+				}
 			}
-		}
-		w.script = func(node int, c Call) deliveryFault {
-			return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
-		}
-		if !answersLost {
-			w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
-		}
-		// There have to be commands for the machines, or the loss of contact would not be noticed.
-		w.submit("j-3", map[string]any{"shards": 4})
-		for range 30 {
-			w.run(second)
-			if !answersLost && !all() {
-				t.Fatal("a lease ran out")
+			w.script = func(node int, c Call) deliveryFault {
+				return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
 			}
-		}
-		if (w.leader() == lead) != answersLost {
-			t.Errorf("machines that hear nothing %v: the leader is %d, was %d", answersLost, w.leader(), lead)
-		}
-		w.script, w.heartbeatFault = nil, nil
-		w.awaitStatus(200*second, "j-3", "done")
-		w.requireNoViolations()
+			if !answersLost {
+				w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
+			}
+			// There have to be commands for the machines, or the loss of contact would not be noticed.
+			w.submit("j-3", map[string]any{"shards": 4})
+			for range 30 {
+				w.run(second)
+				if !answersLost && !all() {
+					t.Fatal("a lease ran out")
+				}
+			}
+			if (w.leader() == lead) != answersLost {
+				t.Errorf("machines that hear nothing %v: the leader is %d, was %d", answersLost, w.leader(), lead)
+			}
+			w.script, w.heartbeatFault = nil, nil
+			w.awaitStatus(200*second, "j-3", "done")
+			w.requireNoViolations()
+		})
 	}
 }
 
@@ -153,7 +155,7 @@
 // The cost of a tick and of a heartbeat for a machine without commands does not grow with the
 // fleet: no lists are made or sorted, measured in allocations.
 func TestTickOfAQuietFleet(t *testing.T) {
-	count := func(machines int) (tick, report float64) {
+	count := func(machines int) (tick, heartbeat float64) {
 		w := newWorld(t, 53)
 		c := w.nodes[w.awaitLeader()].controller
 		l := c.leadership
@@ -175,20 +177,20 @@
 		}
 		l.machines.sortedMachines()
 		tick = testing.AllocsPerRun(20, func() { l.health.watchMachines() })
-		report = testing.AllocsPerRun(20, func() {
+		heartbeat = testing.AllocsPerRun(20, func() {
 			body.Sequence++
 			l.heartbeats.applyHeartbeat(&body, true)
 			l.dispatcher.pendingCommands(m, true)
 		})
-		return tick, report
+		return tick, heartbeat
 	}
-	tick, report := count(1000)
-	tick2, report2 := count(2000)
+	tick, heartbeat := count(1000)
+	tick2, heartbeat2 := count(2000)
 	if tick != 0 || tick2 != 0 {
 		t.Errorf("a tick made %v lists for 1000 machines, %v for 2000", tick, tick2)
 	}
-	if report2 > report {
-		t.Errorf("a report took %v allocations among 1000 machines, %v among 2000", report, report2)
+	if heartbeat2 > heartbeat {
+		t.Errorf("a heartbeat took %v allocations among 1000 machines, %v among 2000", heartbeat, heartbeat2)
 	}
 }
 
@@ -199,46 +201,48 @@
 // room elsewhere, as it may come back.
 func TestUnreachableMachineIsDeleted(t *testing.T) {
 	for _, what := range []string{"dead", "hanging", "cut zone", "long fetch", "no room"} {
-		w := newWorld(t, 54)
-		for _, cfg := range w.cfgs {
-			cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS = 31, 2
-		}
-		w.awaitLeader()
-		size := 1.0
-		if what == "long fetch" {
-			size = 40
-		}
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "sizeGb": size})
-		w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "owner": "blue", "sizeGb": size})
-		w.until(120*second, "replicas run", func() bool { return w.running("j-1") == 8 && w.running("j-2") == 4 })
-		w.run(15 * second)
-		if w.leader() == 2 {
-			t.Fatal("the leader is in the zone to be cut")
-		}
-		w.cloud.Full = what == "no room"
-		w.unreachable = map[string]bool{}
-		var victim *emulator.Worker
-		for _, k := range w.fleet() {
-			if what == "cut zone" && k.Zone == "b" {
-				w.unreachable[k.Addr] = true
-			} else if what != "cut zone" && k.Zone == "a" && len(k.Tasks) > 0 && victim == nil {
-				victim = k
-				k.Cut = true
-				w.unreachable[k.Addr] = what != "hanging"
+		t.Run(what, func(t *testing.T) {
+			w := newWorld(t, 54)
+			for _, cfg := range w.cfgs {
+				cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS = 31, 2
 			}
-		}
-		if what == "cut zone" {
-			w.partitionZoneB()
-		}
-		w.cloud.Deleted = nil
-		w.run(28 * second)
-		if want := what == "dead"; (len(w.cloud.Deleted) > 0) != want {
-			t.Errorf("%s: deleted %v", what, w.cloud.Deleted)
-		}
-		if what == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
-			t.Errorf("28 s later %d of 12 replicas run, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
-		}
-		w.requireNoViolations()
+			w.awaitLeader()
+			size := 1.0
+			if what == "long fetch" {
+				size = 40
+			}
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "sizeGb": size})
+			w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "owner": "blue", "sizeGb": size})
+			w.until(120*second, "replicas run", func() bool { return w.running("j-1") == 8 && w.running("j-2") == 4 })
+			w.run(15 * second)
+			if w.leader() == 2 {
+				t.Fatal("the leader is in the zone to be cut")
+			}
+			w.cloud.Full = what == "no room"
+			w.unreachable = map[string]bool{}
+			var victim *emulator.Worker
+			for _, k := range w.workers() {
+				if what == "cut zone" && k.Zone == "b" {
+					w.unreachable[k.Addr] = true
+				} else if what != "cut zone" && k.Zone == "a" && len(k.Tasks) > 0 && victim == nil {
+					victim = k
+					k.Cut = true
+					w.unreachable[k.Addr] = what != "hanging"
+				}
+			}
+			if what == "cut zone" {
+				w.partitionZoneB()
+			}
+			w.cloud.Deleted = nil
+			w.run(28 * second)
+			if want := what == "dead"; (len(w.cloud.Deleted) > 0) != want {
+				t.Errorf("%s: deleted %v", what, w.cloud.Deleted)
+			}
+			if what == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
+				t.Errorf("28 s later %d of 12 replicas run, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
+			}
+			w.requireNoViolations()
+		})
 	}
 }
 
@@ -262,13 +266,13 @@
 	}{{now - 2*second, true}, {now + second, false}} {
 		m.LastFailedCallAt = tc.failed
 		if got := l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()); got != tc.want {
-			t.Errorf("call failed at %v, zone heard up to %v: powerless %v", tc.failed, now, got)
+			t.Errorf("call failed at %v, zone heard up to %v: unreachable %v", tc.failed, now, got)
 		}
 	}
 	m.LastFailedCallAt = now - 2*second
 	l.reach.noteMissed("i-900007", now)
 	if l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()) {
-		t.Error("powerless, though others hear what we can't reach")
+		t.Error("unreachable, though others hear what the leader can't reach")
 	}
 }
 
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -29,16 +29,18 @@
 // a scheduling round, on one machine or not, and no more is preempted than it needs.
 func TestGangGetsItsRoomAtARound(t *testing.T) {
 	for _, together := range []bool{false, true} {
-		w := newWorld(t, 111)
-		w.fullFleet(4)
-		w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
-		w.until(10*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		if left := w.running("j-0"); left < 16-6 {
-			t.Errorf("together %v: %d of 16 tasks are left, 6 had to go", together, left)
-		}
-		w.awaitStatus(30*second, "j-1", protocol.Done)
-		w.cancel("j-0")
-		w.settle()
+		t.Run(fmt.Sprintf("together %v", together), func(t *testing.T) {
+			w := newWorld(t, 111)
+			w.fullFleet(4)
+			w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
+			w.until(10*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			if left := w.running("j-0"); left < 16-6 {
+				t.Errorf("together %v: %d of 16 tasks are left, 6 had to go", together, left)
+			}
+			w.awaitStatus(30*second, "j-1", protocol.Done)
+			w.cancel("j-0")
+			w.settle()
+		})
 	}
 }
 
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -15,9 +16,9 @@
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == n })
 }
 
-// holding returns the machines with tasks of a job.
-func (w *world) holding(uid string) (out []*emulator.Worker) {
-	for _, k := range w.fleet() {
+// machinesWithTasksOf returns the machines with tasks of a job.
+func (w *world) machinesWithTasksOf(uid string) (out []*emulator.Worker) {
+	for _, k := range w.workers() {
 		for _, t := range k.Tasks {
 			if t.UID == uid && t.State != protocol.Exited && !k.Deleted {
 				out = append(out, k)
@@ -54,14 +55,16 @@
 // before the hanging task is proved absent, since it may resume at any time.
 func TestGangWithAHangingMachine(t *testing.T) {
 	for _, hang := range []time.Duration{7 * second, 60 * second} {
-		w := newWorld(t, 102)
-		w.submit("j-1", group(4, 4, map[string]any{"apart": true}))
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.run(2 * second)
-		w.holding("j-1")[0].Hang(hang)
-		w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		w.awaitStatus(60*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("hangs for %v", hang), func(t *testing.T) {
+			w := newWorld(t, 102)
+			w.submit("j-1", group(4, 4, map[string]any{"apart": true}))
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.run(2 * second)
+			w.machinesWithTasksOf("j-1")[0].Hang(hang)
+			w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
+			w.awaitStatus(60*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
@@ -71,27 +74,29 @@
 // saved.
 func TestGangIsStoppedOverMachinesAndLeaders(t *testing.T) {
 	for _, after := range []time.Duration{-1, 0, 3 * time.Millisecond, second, 4 * second} {
-		w := newWorld(t, 103)
-		w.runs = func(string) time.Duration { return 40 * second }
-		w.replicasOnMachines(4, 3)
-		w.cloud.Down = true
-		w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.run(3 * second)
-		w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
-		w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
-		if after >= 0 {
-			w.run(after)
-			w.restart(w.awaitLeader(), 2*second)
-		}
-		w.until(30*second, "the replica runs", func() bool { return w.running("j-2") == 1 })
-		if after < 0 && w.machines.Saves["j-1"] != 1 {
-			t.Errorf("its progress was saved %d times", w.machines.Saves["j-1"])
-		}
-		w.cancel("j-2")
-		w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		w.awaitStatus(90*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("leader ends after %v", after), func(t *testing.T) {
+			w := newWorld(t, 103)
+			w.runs = func(string) time.Duration { return 40 * second }
+			w.replicasOnMachines(4, 3)
+			w.cloud.Down = true
+			w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.run(3 * second)
+			w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
+			w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
+			if after >= 0 {
+				w.run(after)
+				w.restart(w.awaitLeader(), 2*second)
+			}
+			w.until(30*second, "the replica runs", func() bool { return w.running("j-2") == 1 })
+			if after < 0 && w.machines.Saves["j-1"] != 1 {
+				t.Errorf("its progress was saved %d times", w.machines.Saves["j-1"])
+			}
+			w.cancel("j-2")
+			w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
+			w.awaitStatus(90*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
@@ -103,24 +108,26 @@
 		notice float64
 		saves  int
 	}{{30, 1}, {1, 0}} {
-		w := newWorld(t, 104)
-		w.runs = func(string) time.Duration { return 40 * second }
-		w.submit("j-1", group(4, 4, map[string]any{"borrowed": true, "apart": true}))
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.run(2 * second)
-		k := w.holding("j-1")[0]
-		if !k.Spot {
-			t.Fatal("it is on an ordinary machine")
-		}
-		end := w.Now() + time.Duration(tc.notice*float64(second))
-		k.Taken = end
-		w.at(end-w.Now(), k.Die)
-		w.until(90*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		if w.machines.Saves["j-1"] != tc.saves {
-			t.Errorf("notice of %v s: its progress was saved %d times, want %d", tc.notice, w.machines.Saves["j-1"], tc.saves)
-		}
-		w.awaitStatus(90*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("notice of %v s", tc.notice), func(t *testing.T) {
+			w := newWorld(t, 104)
+			w.runs = func(string) time.Duration { return 40 * second }
+			w.submit("j-1", group(4, 4, map[string]any{"borrowed": true, "apart": true}))
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.run(2 * second)
+			k := w.machinesWithTasksOf("j-1")[0]
+			if !k.Spot {
+				t.Fatal("it is on an ordinary machine")
+			}
+			end := w.Now() + time.Duration(tc.notice*float64(second))
+			k.Taken = end
+			w.at(end-w.Now(), k.Die)
+			w.until(90*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
+			if w.machines.Saves["j-1"] != tc.saves {
+				t.Errorf("its progress was saved %d times, want %d", w.machines.Saves["j-1"], tc.saves)
+			}
+			w.awaitStatus(90*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
@@ -132,8 +139,7 @@
 	w.submit("j-1", group(4, 4, nil))
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(19 * second)
-	for _, k := range w.holding("j-1")[1:] {
-		k := k
+	for _, k := range w.machinesWithTasksOf("j-1")[1:] {
 		k.Cut = true
 		w.at(30*second, func() { k.Cut = false })
 	}
@@ -148,7 +154,7 @@
 // A gang is cancelled in each state of its attempt: the cancellation is confirmed soon, as nothing
 // holds its tasks up, and nothing of it starts afterwards (the checker verifies that).
 func TestGangIsCancelledInEachState(t *testing.T) {
-	pulling := func(w *world) bool { return len(w.holding("j-1")) > 0 }
+	pulling := func(w *world) bool { return len(w.machinesWithTasksOf("j-1")) > 0 }
 	running := func(w *world) bool { return w.machines.Wholes["j-1"] == 1 }
 	stopSent := func(w *world) bool { return len(w.stopCommands["j-1"]) > 0 }
 	for name, prepare := range map[string]func(*world){
@@ -179,7 +185,7 @@
 		"broken": func(w *world) {
 			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"}))
 			w.until(30*second, "it runs", func() bool { return running(w) })
-			w.holding("j-1")[0].Die()
+			w.machinesWithTasksOf("j-1")[0].Die()
 			w.run(5 * second)
 		},
 	} {
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -48,7 +48,7 @@
 	w.submit("j-1", group(4, 4, nil)) // two machines
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(3 * second)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if len(k.Tasks) > 0 {
 			k.Die()
 			break
@@ -68,7 +68,7 @@
 	w.submit("j-1", group(4, 4, nil))
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(2 * second)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if len(k.Tasks) > 0 {
 			k.ReportsLost = true
 			break
@@ -94,16 +94,18 @@
 // attempts.
 func TestGangStartsAcrossLeaders(t *testing.T) {
 	for seed := range uint64(16) {
-		w := newWorld(t, 93)
-		w.submit("j-0", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "apart": true})
-		w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 2 })
-		lead := w.awaitLeader()
-		w.submit("j-1", group(4, 2, nil))
-		w.run(time.Duration(seed) * 3 * time.Millisecond)
-		w.crash(lead)
-		w.at(2*second, func() { w.boot(lead) })
-		w.awaitStatus(120*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			w := newWorld(t, 93)
+			w.submit("j-0", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "apart": true})
+			w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 2 })
+			lead := w.awaitLeader()
+			w.submit("j-1", group(4, 2, nil))
+			w.run(time.Duration(seed) * 3 * time.Millisecond)
+			w.crash(lead)
+			w.at(2*second, func() { w.boot(lead) })
+			w.awaitStatus(120*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
@@ -170,7 +172,7 @@
 	w.state.Place(clusterstate.JobPrefix+"j-2", &emulator.Item{Version: 1, Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
 	w.startPolling("j-2")
 	try := uint64(1 << 20)
-	for i, k := range w.fleet() {
+	for i, k := range w.workers() {
 		it := w.state.Item(clusterstate.MachinePrefix + k.ID)
 		var rec clusterstate.MachineRecord
 		if it == nil || i > 1 || protocol.Decode(it.Value, &rec) != nil {
@@ -195,7 +197,7 @@
 	w.pulls = func(string) time.Duration { return 12 * second }
 	w.submit("j-1", group(2, 2, nil))
 	try := func() (out uint64) {
-		for _, k := range w.fleet() {
+		for _, k := range w.workers() {
 			for _, task := range k.Tasks {
 				if task.UID == "j-1" && !k.Deleted {
 					out = max(out, task.Try)
@@ -207,7 +209,7 @@
 	w.until(10*second, "it is pulling", func() bool { return try() > 0 })
 	w.run(second)
 	first := try()
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if _, here := k.Tasks[fmt.Sprintf("j-1/0@%d", first)]; here {
 			k.Die()
 		}
@@ -278,14 +280,14 @@
 	}
 	w.until(10*second, "it is pulling", func() bool {
 		n := 0
-		for _, k := range w.fleet() {
+		for _, k := range w.workers() {
 			if at(k) {
 				n++
 			}
 		}
 		return n == 2
 	})
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if at(k) {
 			k.Die()
 			break
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -18,21 +18,21 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	lead := w.awaitLeader()
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut = true
 	}
 	asked := 0
 	w.user(lead, OpCancel, "j-1", func(status int, _ protocol.JobStatus) {
 		if asked++; status != 503 {
-			t.Errorf("told %d before the proof", status)
+			t.Errorf("answered %d before the proof", status)
 		}
 	})
 	w.run(2 * second)
 	if w.lastReplies["j-1"] == protocol.Cancelled || asked != 1 {
-		t.Fatalf("told %q after %d answers", w.lastReplies["j-1"], asked)
+		t.Fatalf("state %q after %d answers", w.lastReplies["j-1"], asked)
 	}
 	w.crash(lead)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut = false
 	}
 	w.until(40*second, "the successor has called it off", func() bool { return w.lastReplies["j-1"] == protocol.Cancelled })
@@ -49,7 +49,7 @@
 	w.runs = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shards": 2, "cores": 4.0})
 	w.until(60*second, "it runs", func() bool { return w.running("j-1") == 2 })
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut = true
 		w.at(8*second, func() { k.Cut = false })
 	}
@@ -155,7 +155,7 @@
 	w.until(60*second, "the replica runs", func() bool { return w.running("j-1") == 1 })
 	w.cloud.Down = true // nothing else can be rented
 	w.spec("j-9", nil)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Hold("j-9/0", &emulator.Task{UID: "j-9", Try: 7, State: protocol.Running})
 	}
 	w.run(5 * second)
@@ -172,7 +172,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(5 * second)
-	k := w.fleet()[0]
+	k := w.workers()[0]
 	k.ReportsLost = true
 	w.run(8500 * time.Millisecond) // of a lease of 10 s
 	for name, task := range k.Tasks {
@@ -199,14 +199,14 @@
 	m.Epoch, m.Sequence, m.HeartbeatSequence, m.Token = 1, 10, 10, l.lease.token
 	a := l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
 	a.Durable, a.Sent, a.Epoch, a.RunSequence, a.StopRequested = true, true, 1, 10, true
-	report := func(seq uint64, reported bool) {
+	heartbeat := func(seq uint64, reported bool) {
 		l.heartbeats.applyHeartbeat(&protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Sequence: seq, Token: l.lease.token}, reported)
 	}
-	report(11, false) // an answer to a direct request: the run command may still be in the other
+	heartbeat(11, false) // an answer to a direct request: the run command may still be in the other
 	if j.ActiveAttempts != 1 {
 		t.Fatal("an answer to a direct request was taken for a proof")
 	}
-	report(12, true)
+	heartbeat(12, true)
 	if j.ActiveAttempts != 0 {
 		t.Error("a task that can't start any more is still waited for")
 	}
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -22,7 +22,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "apart": true, "cores": 4.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 8 })
 	var far []*emulator.Worker
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Zone == "b" && len(k.Tasks) > 0 {
 			far = append(far, k)
 		}
@@ -38,7 +38,7 @@
 		}
 		return true
 	}
-	w.until(30*second, "they report to their zone's controller", there)
+	w.until(30*second, "their heartbeats go to their zone's controller", there)
 	w.run(40 * second)
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
 	started := map[string]int{}
@@ -57,17 +57,17 @@
 		}
 	}
 	w.heartbeatFault = nil
-	w.until(120*second, "they report there again", there)
+	w.until(120*second, "their heartbeats go there again", there)
 	w.requireNoViolations()
 }
 
 // Workers are redirected to a controller one at a time until heartbeats arrive by it, at growing
 // intervals if they come back.
 func TestRouteIsTriedOneWorkerAtATime(t *testing.T) {
-	const report, lease = time.Second, 10 * time.Second
+	const interval, lease = time.Second, 10 * time.Second
 	var rt heartbeatRoute
 	now := time.Minute
-	if !rt.accepts(now, report) || rt.accepts(now, report) {
+	if !rt.accepts(now, interval) || rt.accepts(now, interval) {
 		t.Error("the first trial is not a single worker")
 	}
 	waits := []time.Duration{}
@@ -75,8 +75,8 @@
 		now += heartbeatTimeout + heartbeatRetryPause
 		rt.noteReturn(now, lease)
 		from := now
-		for !rt.accepts(now, report) {
-			now += report / 10
+		for !rt.accepts(now, interval) {
+			now += interval / 10
 		}
 		waits = append(waits, now-from)
 	}
@@ -84,10 +84,10 @@
 		t.Errorf("trials after %v", waits)
 	}
 	rt.noteForwarded(now)
-	if !rt.accepts(now, report) || !rt.accepts(now+report, report) {
-		t.Error("reports come by it, and workers are not sent there")
+	if !rt.accepts(now, interval) || !rt.accepts(now+interval, interval) {
+		t.Error("heartbeats arrive by it, and workers are not redirected there")
 	}
-	if rt.noteReturn(now+report, lease); rt.accepts(now+report, report) {
+	if rt.noteReturn(now+interval, lease); rt.accepts(now+interval, interval) {
 		t.Error("a worker that came back is no reason to wait")
 	}
 }
@@ -110,8 +110,8 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 8.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "apart": true, "cores": 8.0, "owner": "blue"})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 && w.running("j-2") == 2 })
-	w.until(30*second, "workers report to their zone's controller", func() bool {
-		for _, k := range w.fleet() {
+	w.until(30*second, "workers send heartbeats to their zone's controller", func() bool {
+		for _, k := range w.workers() {
 			if k.Zone == "b" && len(k.Tasks) > 0 && k.Controller != 2 {
 				return false
 			}
@@ -125,7 +125,7 @@
 	}
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
 	w.run(25 * second)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Zone == "b" && k.Session > 1 {
 			t.Errorf("the lease of %s ran out", k.ID)
 		}
@@ -142,7 +142,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(5 * second)
-	k := w.fleet()[0]
+	k := w.workers()[0]
 	w.heartbeatTimeout = 2 * second
 	k.ReportsLost = true
 	w.run(6 * second)
@@ -164,14 +164,14 @@
 	w.run(5 * second)
 	body := protocol.Encode(protocol.WorkerHeartbeat{Machine: "i-900000", Type: "m8", Zone: "b", Epoch: 1, Sequence: 1, Token: 1})
 	status := 0
-	report := func() { w.ask(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status }) }
+	sendHeartbeat := func() { w.ask(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status }) }
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(1500 * time.Millisecond)
-	if report(); status != 200 {
+	if sendHeartbeat(); status != 200 {
 		t.Errorf("the worker is answered %d", status)
 	}
 	w.run(6 * second)
-	if report(); status != 421 || w.leader() != lead {
+	if sendHeartbeat(); status != 421 || w.leader() != lead {
 		t.Errorf("the worker of a leader that goes on is answered %d", status)
 	}
 }
@@ -201,11 +201,11 @@
 		t.Fatal("the cluster state is loaded")
 	}
 	var got Reply
-	report := func(token uint64) {
+	sendHeartbeat := func(token uint64) {
 		body := protocol.Encode(protocol.WorkerHeartbeat{Machine: "i-900000", Type: "m8", Zone: "a", Epoch: 1, Sequence: 1, Token: token})
 		w.ask(next, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { got = r })
 	}
-	report(1)
+	sendHeartbeat(1)
 	var reply protocol.WorkerHeartbeatReply
 	if got.Status != 200 || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
 		t.Errorf("answered %d with %+v", got.Status, reply)
@@ -213,11 +213,11 @@
 	if l.heartbeats.leaseOnlyReplyAt != l.controller.env.now {
 		t.Error("the answer does not count against the proof by time")
 	}
-	report(0)
+	sendHeartbeat(0)
 	if got.Status != 503 {
 		t.Errorf("a worker without a leader yet is answered %d", got.Status)
 	}
-	report(l.lease.token + 1)
+	sendHeartbeat(l.lease.token + 1)
 	if got.Status != 503 || w.nodes[next].controller.leadership != nil {
 		t.Errorf("a worker with a higher token is answered %d", got.Status)
 	}
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -30,16 +30,16 @@
 	if known.Type != "m8" || len(known.Attempts) != before || known.Releasing {
 		t.Errorf("a listed machine changed: %+v", known)
 	}
-	report := w.machines.Workers[known.ID].Message()
-	report.Tasks = append(report.Tasks, []protocol.TaskStatus{
+	heartbeat := w.machines.Workers[known.ID].Message()
+	heartbeat.Tasks = append(heartbeat.Tasks, []protocol.TaskStatus{
 		{Task: "j-999999/0", Attempt: 7, State: protocol.Running}, {Task: "no task", Attempt: 1, State: protocol.Running},
 		{Task: "j-1/-1", State: protocol.Exited, Cause: "odd"}, {Task: "j-1/99", Attempt: 3, State: "dreaming"},
 		{Task: "", State: protocol.Exited, Cause: protocol.CauseError}}...)
-	body := protocol.Encode(report)
+	body := protocol.Encode(heartbeat)
 	status := 0
 	w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: body}, func(reply Reply) { status = reply.Status })
 	if status != 200 {
-		t.Errorf("the report is answered %d", status)
+		t.Errorf("the heartbeat is answered %d", status)
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, {0x81, 0xa4}, protocol.Encode(map[string]any{"host": 7}), protocol.Encode([]int{1}), protocol.Encode(map[string]any{})} {
 		w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: bad}, func(reply Reply) { status = reply.Status })
--- a/internal/controller/leader_keys_test.go
+++ b/internal/controller/leader_keys_test.go
@@ -58,14 +58,16 @@
 			[]protocol.Condition{{Key: keyLeader, Version: 31}, {Key: keyCounter, Version: 30}, {Key: keyLease, Version: 0}},
 			map[string]uint64{keyCounter: 0, keyLeader: 0, keyLease: 8}, leaderRecord{Label: "n1", Token: 5, LeaseID: 8, StorageVersion: 1, Closing: true}},
 	} {
-		rec := leaderRecord{Label: "n1", Token: 5, LeaseID: 8}
-		txn := c.view.electionTxn(&rec)
-		puts := map[string]uint64{}
-		for _, change := range txn.Then {
-			puts[change.Put] = change.Lease
-		}
-		if diff := cmp.Diff(c.want, txn.If) + cmp.Diff(c.puts, puts) + cmp.Diff(c.record, rec); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", c.name, diff)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			rec := leaderRecord{Label: "n1", Token: 5, LeaseID: 8}
+			txn := c.view.electionTxn(&rec)
+			puts := map[string]uint64{}
+			for _, change := range txn.Then {
+				puts[change.Put] = change.Lease
+			}
+			if diff := cmp.Diff(c.want, txn.If) + cmp.Diff(c.puts, puts) + cmp.Diff(c.record, rec); diff != "" {
+				t.Errorf("-want +got:\n%s", diff)
+			}
+		})
 	}
 }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -70,8 +70,8 @@
 	return ""
 }
 
-// allStarts returns how many tasks have begun so far.
-func (w *world) allStarts() int {
+// totalStarts returns how many tasks have begun so far.
+func (w *world) totalStarts() int {
 	n := 0
 	for _, starts := range w.starts {
 		n += starts
@@ -87,7 +87,7 @@
 		t.Fatalf("leader %d", lead)
 	}
 	sessions := map[string]uint64{}
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if len(k.Tasks) > 0 {
 			sessions[k.ID] = k.Session
 		}
@@ -111,7 +111,7 @@
 	}
 	// The partition has ended, and the leader's direct requests to machines are answered before the
 	// first heartbeat comes by their zone's controller: no task is moved because of that.
-	starts := w.allStarts()
+	starts := w.totalStarts()
 	w.script, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
 			return deliveryFault{hold: 2 * second}
@@ -121,10 +121,10 @@
 	w.run(4 * second)
 	w.script = nil
 	w.run(20 * second)
-	if n := w.allStarts(); n != starts {
+	if n := w.totalStarts(); n != starts {
 		t.Errorf("%d tasks were moved", n-starts)
 	}
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if s, had := sessions[k.ID]; had && s != k.Session {
 			t.Errorf("the lease of %s ran out", k.ID)
 		}
@@ -144,15 +144,15 @@
 		t.Fatal("the leader is in the second zone")
 	}
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{refused: c.Target == ToPeer} }
-	w.until(8*second, "the second zone's workers report to the leader", func() bool {
-		for _, k := range w.fleet() {
+	w.until(8*second, "the second zone's workers send heartbeats to the leader", func() bool {
+		for _, k := range w.workers() {
 			if k.Zone == "b" && len(k.Tasks) > 0 && k.Controller != lead {
 				return false
 			}
 		}
 		return true
 	})
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Session > 1 {
 			t.Errorf("the lease of %s ran out", k.ID)
 		}
@@ -209,11 +209,11 @@
 	p := l.peers[w.cfgs[2].Label]
 	p.lastHeard, p.servedKnownUntil, p.lastServed = c.env.now, c.env.now, 0
 	if !l.health.cannotReachControllers(m) {
-		t.Fatal("with the zone's controller in touch, its reports are not taken for lost")
+		t.Fatal("with the zone's controller in contact, its heartbeats are not taken for lost")
 	}
 	p.servedKnownUntil = c.env.now - c.env.cfg.Lease()
 	if l.health.cannotReachControllers(m) {
-		t.Error("a heartbeat that was held up passes for touch")
+		t.Error("a heartbeat that was delayed passes for contact")
 	}
 	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.Lease()/4
 	if l.health.cannotReachControllers(m) {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	books := clusterstate.New(16<<10, 16<<10)
-	j := books.AddJob(spec, 1)
+	state := clusterstate.New(16<<10, 16<<10)
+	j := state.AddJob(spec, 1)
 	for i := range tasks {
 		if i != open[0] && i != open[1] && i < open[2] {
 			j.MarkDone(i)
@@ -79,7 +79,7 @@
 		}
 	}
 	w.state.Change(clusterstate.JobPrefix+"j-1", &emulator.Item{Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
-	w.state.Change(books.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(books.CompletionRecord(j, 0))})
+	w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
 	w.startPolling("j-1")
 	w.state.Limits = lowerLimits
 	w.announceLimits()
@@ -115,7 +115,7 @@
 	w.runs = func(string) time.Duration { return 200 * second }
 	w.submit("j-1", map[string]any{"shards": 70, "cores": 0.1, "ramGb": 0.1})
 	w.until(90*second, "all run", func() bool { return w.running("j-1") == 70 })
-	k := w.holding("j-1")[0]
+	k := w.machinesWithTasksOf("j-1")[0]
 	w.state.Limits = lowerLimits
 	if len(k.Tasks) < 60 {
 		t.Fatalf("%d tasks on the machine", len(k.Tasks))
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -81,8 +81,8 @@
 		SaveS: spec["saveTakesS"].(float64), Cores: spec["cores"].(float64)}
 }
 
-// fleet returns the workers in a fixed order, so that runs repeat.
-func (w *world) fleet() []*emulator.Worker { return w.machines.Sorted() }
+// workers returns the workers in a fixed order, so that runs repeat.
+func (w *world) workers() []*emulator.Worker { return w.machines.Sorted() }
 
 func (w *world) byAddr(addr string) *emulator.Worker {
 	for _, k := range w.machines.Workers {
@@ -175,7 +175,7 @@
 // running counts a job's tasks on machines.
 func (w *world) running(uid string) int {
 	n := 0
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		for _, t := range k.Tasks {
 			if t.UID == uid && t.Here() && !k.Deleted {
 				n++
@@ -185,8 +185,8 @@
 	return n
 }
 
-// lateCancelled checks the rule ran_cancelled for tasks that stay.
-func (w *world) lateCancelled() {
+// checkCancelledTasksEnded checks the rule ran_cancelled for tasks that stay.
+func (w *world) checkCancelledTasksEnded() {
 	for uid, confirmedAt := range w.cancelledAt {
 		if w.Now() > confirmedAt+35*time.Second && w.running(uid) > 0 {
 			w.violated("ran_cancelled: %s is still there", uid)
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -24,42 +25,44 @@
 // leads, sends no command and declares no machine lost before it has found out.
 func TestPausedLeaderAfterFailover(t *testing.T) {
 	for _, d := range []time.Duration{8 * second, 30 * second, 2 * time.Minute} {
-		w := newWorld(t, 43)
-		lead := w.awaitLeader()
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
-		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-		w.run(5 * second)
-		w.pauseProcess(lead, d)
-		w.run(d - time.Millisecond)
-		replaced := false
-		for i, n := range w.nodes {
-			replaced = replaced || i != lead && n.controller.leadership != nil && n.controller.leadership.loader.ready
-		}
-		if !replaced {
-			t.Fatalf("after %v nobody else leads", d)
-		}
-		old := w.nodes[lead].controller
-		commands := 0
-		w.script = func(node int, c Call) deliveryFault {
-			if node == lead && c.Target == ToWorker && old.leadership != nil {
-				commands++
+		t.Run(fmt.Sprintf("paused for %v", d), func(t *testing.T) {
+			w := newWorld(t, 43)
+			lead := w.awaitLeader()
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
+			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
+			w.run(5 * second)
+			w.pauseProcess(lead, d)
+			w.run(d - time.Millisecond)
+			replaced := false
+			for i, n := range w.nodes {
+				replaced = replaced || i != lead && n.controller.leadership != nil && n.controller.leadership.loader.ready
 			}
-			return deliveryFault{}
-		}
-		w.run(3 * second)
-		if old.leadership != nil {
-			t.Errorf("after %v it still leads", d)
-		}
-		if commands > 0 {
-			t.Errorf("after %v it sent %d requests to workers first", d, commands)
-		}
-		for task, n := range w.starts {
-			if n > 1 {
-				t.Errorf("after %v %s was moved", d, task)
+			if !replaced {
+				t.Fatalf("after %v nobody else leads", d)
 			}
-		}
-		w.script = nil
-		w.settle()
+			old := w.nodes[lead].controller
+			commands := 0
+			w.script = func(node int, c Call) deliveryFault {
+				if node == lead && c.Target == ToWorker && old.leadership != nil {
+					commands++
+				}
+				return deliveryFault{}
+			}
+			w.run(3 * second)
+			if old.leadership != nil {
+				t.Errorf("after %v it still leads", d)
+			}
+			if commands > 0 {
+				t.Errorf("after %v it sent %d requests to workers first", d, commands)
+			}
+			for task, n := range w.starts {
+				if n > 1 {
+					t.Errorf("after %v %s was moved", d, task)
+				}
+			}
+			w.script = nil
+			w.settle()
+		})
 	}
 }
 
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -9,7 +9,7 @@
 
 // recordedOutcomes records the outcomes of a comparison.
 type recordedOutcomes struct {
-	gones, exits, runs, unknown []string
+	absent, exits, runs, unknown []string
 }
 
 func (n *recordedOutcomes) onExit(_ *clusterstate.Machine, key clusterstate.AttemptKey, _ protocol.TaskStatus) {
@@ -26,7 +26,7 @@
 }
 
 func (n *recordedOutcomes) onAbsent(a *clusterstate.Attempt, _ absenceProof) {
-	n.gones = append(n.gones, a.Key().Task)
+	n.absent = append(n.absent, a.Key().Task)
 }
 
 // Each proof of absence alone, and the cases that prove nothing.
@@ -49,16 +49,16 @@
 		"to be stopped, a direct run had no answer":      {clusterstate.Attempt{Sent: true, StopRequested: true, RunLost: true, RunSequence: 6, Epoch: 2}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			book := clusterstate.New(16<<10, 16<<10)
-			j := book.AddJob(&protocol.Spec{UID: "j-1", Tasks: 1, Cores: 1}, 0)
-			m := book.AddMachine("i-1")
+			state := clusterstate.New(16<<10, 16<<10)
+			j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 1, Cores: 1}, 0)
+			m := state.AddMachine("i-1")
 			m.Epoch, m.HeartbeatSequence = 2, 7
-			a := book.AddAttempt(m, j, 0, 1, 0)
+			a := state.AddAttempt(m, j, 0, 1, 0)
 			a.Sent, a.Acknowledged, a.Loaded, a.StopRequested, a.RunLost = tc.attempt.Sent, tc.attempt.Acknowledged, tc.attempt.Loaded, tc.attempt.StopRequested, tc.attempt.RunLost
 			a.Epoch, a.RunSequence, a.RunsInFlight = tc.attempt.Epoch, tc.attempt.RunSequence, tc.attempt.RunsInFlight
 			var noted recordedOutcomes
 			reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 2}, tc.ours, &noted)
-			if got := len(noted.gones) > 0; got != tc.proved {
+			if got := len(noted.absent) > 0; got != tc.proved {
 				t.Errorf("proved absent %v", got)
 			}
 		})
@@ -68,12 +68,12 @@
 // Each task that a message names gets the outcome of its state, and none of them is taken for
 // absent.
 func TestReconciliationOfReportedTasks(t *testing.T) {
-	book := clusterstate.New(16<<10, 16<<10)
-	j := book.AddJob(&protocol.Spec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
-	m := book.AddMachine("i-1")
+	state := clusterstate.New(16<<10, 16<<10)
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
+	m := state.AddMachine("i-1")
 	m.Epoch = 1
 	for i := range 2 {
-		a := book.AddAttempt(m, j, i, 1, 0)
+		a := state.AddAttempt(m, j, i, 1, 0)
 		a.Sent, a.Acknowledged, a.Epoch = true, true, 1
 	}
 	var noted recordedOutcomes
@@ -82,7 +82,7 @@
 		{Task: "j-1/1", Attempt: 1, State: protocol.Exited, Cause: protocol.CauseDone},
 		{Task: "j-9/0", Attempt: 1, State: protocol.Running},
 	}}, true, &noted)
-	if len(noted.gones) > 0 || len(noted.exits) != 1 || len(noted.runs) != 1 || len(noted.unknown) != 1 {
+	if len(noted.absent) > 0 || len(noted.exits) != 1 || len(noted.runs) != 1 || len(noted.unknown) != 1 {
 		t.Errorf("%+v", noted)
 	}
 }
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -135,8 +135,8 @@
 	ro.boot(i)
 }
 
-// roll restarts controllers one after the other.
-func (ro *rollout) roll(order []int, operator []byte) {
+// restartAll restarts controllers one after the other.
+func (ro *rollout) restartAll(order []int, operator []byte) {
 	for _, i := range order {
 		ro.restart(i, operator)
 		ro.run(4 * second)
@@ -283,6 +283,6 @@
 // openGate upgrades all controllers and waits until the gate is open.
 func (ro *rollout) openGate() {
 	ro.t.Helper()
-	ro.roll(ro.leaderAt(0), newerOperator(""))
+	ro.restartAll(ro.leaderAt(0), newerOperator(""))
 	ro.until(30*second, "the gate is open", func() bool { return ro.gateIs("open") })
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -24,7 +24,7 @@
 	w.submit("j-1", map[string]any{"shards": 5}) // a late repeat
 	w.run(120 * second)
 	up := 0
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if !k.Deleted {
 			up++
 		}
@@ -39,21 +39,23 @@
 // forgotten, nothing runs twice.
 func TestAllControllersCrash(t *testing.T) {
 	for seed := range uint64(8) {
-		w := newWorld(t, seed)
-		for i := range 6 {
-			w.submit(fmt.Sprintf("j-%d", i), map[string]any{"shards": 3, "cores": 2.0})
-		}
-		for round := range 4 {
-			w.run(time.Duration(3+5*int(seed)+round)*second + time.Duration(w.rng.IntN(1000))*time.Millisecond)
-			for i := range 3 {
-				w.crash(i)
-				w.at(time.Duration(100+w.rng.IntN(4000))*time.Millisecond, func() { w.boot(i) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			w := newWorld(t, seed)
+			for i := range 6 {
+				w.submit(fmt.Sprintf("j-%d", i), map[string]any{"shards": 3, "cores": 2.0})
 			}
-		}
-		for i := range 6 {
-			w.awaitStatus(240*second, fmt.Sprintf("j-%d", i), protocol.Done)
-		}
-		w.requireNoViolations()
+			for round := range 4 {
+				w.run(time.Duration(3+5*int(seed)+round)*second + time.Duration(w.rng.IntN(1000))*time.Millisecond)
+				for i := range 3 {
+					w.crash(i)
+					w.at(time.Duration(100+w.rng.IntN(4000))*time.Millisecond, func() { w.boot(i) })
+				}
+			}
+			for i := range 6 {
+				w.awaitStatus(240*second, fmt.Sprintf("j-%d", i), protocol.Done)
+			}
+			w.requireNoViolations()
+		})
 	}
 }
 
@@ -76,7 +78,7 @@
 	w.cancel("j-2")
 	for range 150 {
 		w.run(second)
-		w.lateCancelled()
+		w.checkCancelledTasksEnded()
 	}
 	if w.nodes[old].controller.leadership != nil {
 		t.Error("the old leader coasts without end")
@@ -137,7 +139,7 @@
 	w.cancel("j-2")
 	for range 120 {
 		w.run(second)
-		w.lateCancelled()
+		w.checkCancelledTasksEnded()
 	}
 	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.requireNoViolations()
@@ -152,13 +154,13 @@
 	w.run(5 * second)
 	old := w.awaitLeader()
 	// The workers are cut off when the leader ends, and their tasks run on.
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut = true
 	}
 	w.crash(old)
 	l := w.awaitLeader()
 	for range 8 {
-		for _, k := range w.fleet() {
+		for _, k := range w.workers() {
 			for _, body := range w.copies[k.ID] {
 				w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 			}
@@ -168,7 +170,7 @@
 	if w.running("j-1") > 4 {
 		t.Errorf("%d replicas of 4 run", w.running("j-1"))
 	}
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut = false
 	}
 	w.run(60 * second)
@@ -183,17 +185,17 @@
 	w := newWorld(t, 7)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut = true
 	}
 	w.cloud.Down = true // no deletion proves anything faster
 	w.cancel("j-1")
 	for range 60 {
 		w.run(second)
-		w.lateCancelled()
+		w.checkCancelledTasksEnded()
 	}
 	if w.lastReplies["j-1"] != protocol.Cancelled || w.running("j-1") != 0 {
-		t.Errorf("told %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
+		t.Errorf("state %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
 	}
 	w.requireNoViolations()
 }
@@ -205,7 +207,7 @@
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.submit("j-2", map[string]any{"shards": 2})
 	n := 0
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if len(k.Tasks) > 0 && n < 2 {
 			n++
 			k.Cut = true
@@ -262,7 +264,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 8.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	var answersLost *emulator.Worker
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if len(k.Tasks) > 0 && (answersLost == nil || k.ID < answersLost.ID) {
 			answersLost = k
 		}
@@ -288,12 +290,12 @@
 	w.until(10*second, "another leader", func() bool { l := w.leader(); return l >= 0 && l != old })
 	w.user(old, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
 		if s != 503 && s != 200 {
-			t.Errorf("the refused one answers %d", s)
+			t.Errorf("the refused leader answers %d", s)
 		}
 	})
 	w.user(old, OpPoll, "j-99", func(s int, _ protocol.JobStatus) {
 		if s != 503 && s != 404 {
-			t.Errorf("the refused one answers %d", s)
+			t.Errorf("the refused leader answers %d", s)
 		}
 	})
 	w.run(20 * second)
@@ -418,7 +420,7 @@
 		case 6:
 			w.state.Outage(time.Duration(1+w.rng.IntN(20)) * second)
 		case 7:
-			for _, k := range w.fleet() {
+			for _, k := range w.workers() {
 				if k.Up && w.rng.IntN(3) == 0 {
 					k.Cut = true
 					w.at(time.Duration(w.rng.IntN(30))*second, func() { k.Cut = false })
@@ -427,7 +429,7 @@
 		case 8:
 			lossy = !lossy
 		case 9:
-			for _, k := range w.fleet() {
+			for _, k := range w.workers() {
 				if len(w.copies[k.ID]) > 0 {
 					body := w.copies[k.ID][w.rng.IntN(len(w.copies[k.ID]))]
 					w.ask(w.rng.IntN(3), Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
@@ -438,7 +440,7 @@
 			w.state.Refuse[i] = true
 			w.at(time.Duration(w.rng.IntN(25))*second, func() { w.state.Refuse[i] = false })
 		case 11:
-			for _, k := range w.fleet() {
+			for _, k := range w.workers() {
 				if k.Up && w.rng.IntN(4) == 0 {
 					k.Die()
 				}
@@ -446,7 +448,7 @@
 		}
 		for range 5 {
 			w.run(second)
-			w.lateCancelled()
+			w.checkCancelledTasksEnded()
 		}
 	}
 	lossy = false
@@ -487,7 +489,7 @@
 	w.submit("j-3", map[string]any{"shape": "service", "cores": 6.5})
 	w.until(20*second, "room for one on the first machine", func() bool { return w.running("j-3") == 1 })
 	var machine *emulator.Worker
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		for _, task := range k.Tasks {
 			if task.UID == "j-1" {
 				machine = k
@@ -549,11 +551,11 @@
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "a replica runs", func() bool { return w.running("j-1") == 1 })
 	w.run(5 * second)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		k.Cut = true
 	}
 	w.run(20 * second)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Deleted && k.Lives > 0 {
 			t.Errorf("%s was returned while it could not be reached", k.ID)
 		}
@@ -611,28 +613,30 @@
 // proved absent.
 func TestFollowerKeepsItsZone(t *testing.T) {
 	for _, inside := range []bool{false, true} {
-		w := replicasOverZones(t, 31, inside)
-		w.run(5 * second)
-		if (w.leader() == 2) != inside {
-			t.Fatalf("leader %d", w.leader())
-		}
-		w.partitionZoneB()
-		w.run(12 * second)
-		w.cancel("j-2")
-		for range 60 {
-			w.run(second)
-			w.lateCancelled()
-			if w.lastReplies["j-2"] == protocol.Cancelled && w.running("j-2") > 0 {
-				t.Fatal("told of a cancellation with a task still there")
+		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
+			w := replicasOverZones(t, 31, inside)
+			w.run(5 * second)
+			if (w.leader() == 2) != inside {
+				t.Fatalf("leader %d", w.leader())
 			}
-			if n := w.running("j-1"); n < 3 {
-				t.Fatalf("%d replicas run in the cut", n)
+			w.partitionZoneB()
+			w.run(12 * second)
+			w.cancel("j-2")
+			for range 60 {
+				w.run(second)
+				w.checkCancelledTasksEnded()
+				if w.lastReplies["j-2"] == protocol.Cancelled && w.running("j-2") > 0 {
+					t.Fatal("a cancellation is confirmed with a task still there")
+				}
+				if n := w.running("j-1"); n < 3 {
+					t.Fatalf("%d replicas run during the partition", n)
+				}
 			}
-		}
-		w.script, w.heartbeatFault = nil, nil
-		w.awaitStatus(40*second, "j-2", protocol.Cancelled)
-		w.until(40*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
-		w.requireNoViolations()
+			w.script, w.heartbeatFault = nil, nil
+			w.awaitStatus(40*second, "j-2", protocol.Cancelled)
+			w.until(40*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
+			w.requireNoViolations()
+		})
 	}
 }
 
@@ -702,7 +706,7 @@
 	w.run(20 * second)
 	w.crash(2)
 	w.boot(2)
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Zone == "b" && k.Up {
 			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(k.Message())}, func(r Reply) {
 				if r.Status != 200 {
@@ -730,40 +734,42 @@
 // the other controller tells it: that one would stop renewing the zone's leases.
 func TestFormerLeaderRestartsDuringPartition(t *testing.T) {
 	for _, back := range []time.Duration{500 * time.Millisecond, 3 * second} {
-		w := newWorld(t, 36)
-		w.crash(2)
-		lead := w.awaitLeader()
-		w.run(3 * second)
-		w.boot(2)
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "yard": "a"})
-		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 6 })
-		w.run(15 * second)
-		w.partitionZoneB()
-		cut := w.script
-		w.script = func(node int, c Call) deliveryFault { // from the rest, as it is the other zone's turn
-			if c.Target == ToState || c.Target == ToCloud {
-				return deliveryFault{lost: node != 2}
-			}
-			return cut(node, c)
-		}
-		w.until(10*second, "another leads outside", func() bool { return w.nodes[2].controller.leadership != nil })
-		w.run(15 * second)
-		w.crash(lead)
-		w.at(back, func() { w.boot(lead) })
-		ask := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
-		for range 400 {
-			w.run(tick)
-			if n := w.running("j-1"); n != 6 {
-				t.Fatalf("back after %v: %d of 6 replicas run", back, n)
+		t.Run(fmt.Sprintf("restarts after %v", back), func(t *testing.T) {
+			w := newWorld(t, 36)
+			w.crash(2)
+			lead := w.awaitLeader()
+			w.run(3 * second)
+			w.boot(2)
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "yard": "a"})
+			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 6 })
+			w.run(15 * second)
+			w.partitionZoneB()
+			cut := w.script
+			w.script = func(node int, c Call) deliveryFault { // from the rest, as it is the other zone's turn
+				if c.Target == ToState || c.Target == ToCloud {
+					return deliveryFault{lost: node != 2}
+				}
+				return cut(node, c)
 			}
-			w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
-				var answer protocol.PeerHeartbeatReply
-				if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
-					w.violated("a follower calls itself the leader")
+			w.until(10*second, "another leads outside", func() bool { return w.nodes[2].controller.leadership != nil })
+			w.run(15 * second)
+			w.crash(lead)
+			w.at(back, func() { w.boot(lead) })
+			ask := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
+			for range 400 {
+				w.run(tick)
+				if n := w.running("j-1"); n != 6 {
+					t.Fatalf("back after %v: %d of 6 replicas run", back, n)
 				}
-			})
-		}
-		w.settle()
+				w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
+					var answer protocol.PeerHeartbeatReply
+					if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
+						w.violated("a follower calls itself the leader")
+					}
+				})
+			}
+			w.settle()
+		})
 	}
 }
 
@@ -786,7 +792,7 @@
 	w.run(30 * second)
 	touch("one", 12_000)
 	if got := l.peers["n2"].lastServed; got != w.Now()-12*second || got <= first {
-		t.Fatalf("served at %v, told 12 s ago at %v", got, w.Now())
+		t.Fatalf("served at %v, 12 s ago was reported at %v", got, w.Now())
 	}
 	w.run(5 * second)
 	touch("two", -1)
@@ -803,7 +809,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	var far *emulator.Worker
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		if k.Zone == "b" {
 			far = k
 		}
@@ -811,12 +817,12 @@
 	if far == nil || lead == 2 {
 		t.Fatal("no worker of the other zone, or the leader is there")
 	}
-	w.until(20*second, "it reports to its zone's controller", func() bool { return far.Controller == 2 })
+	w.until(20*second, "its heartbeats go to its zone's controller", func() bool { return far.Controller == 2 })
 	l := w.nodes[lead].controller.leadership
 	w.crash(2)
 	w.run(4 * second)
 	w.boot(2)
-	w.until(30*second, "it reports there again", func() bool { return far.Controller == 2 })
+	w.until(30*second, "its heartbeats go there again", func() bool { return far.Controller == 2 })
 	if n := l.state.Machines[far.ID].FailedRedirects; n > 1 {
 		t.Errorf("the end of a controller was taken for one that can't be reached %d times", n)
 	}
@@ -840,43 +846,45 @@
 // end of a leader alone is no such sign.
 func TestZoneIsDeclaredLost(t *testing.T) {
 	for _, all := range []bool{true, false} {
-		w := newWorld(t, 37)
-		lead := w.awaitLeader()
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 4})
-		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-		w.run(15 * second)
-		if lead == 2 {
-			t.Fatal("the leader is in the zone")
-		}
-		w.partitionZoneB()
-		w.run(8 * second)
-		ends := []int{lead}
-		if all {
-			ends = []int{0, 1, 2}
-		}
-		for _, i := range ends {
-			w.crash(i)
-		}
-		w.run(6 * second)
-		for _, i := range ends {
-			w.boot(i)
-		}
-		w.run(25 * second)
-		returned := 0
-		for _, id := range w.cloud.Deleted {
-			if w.machines.Workers[id].Zone == "b" {
-				returned++
+		t.Run(fmt.Sprintf("all controllers end %v", all), func(t *testing.T) {
+			w := newWorld(t, 37)
+			lead := w.awaitLeader()
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 4})
+			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
+			w.run(15 * second)
+			if lead == 2 {
+				t.Fatal("the leader is in the zone")
 			}
-		}
-		if all != (returned > 0) {
-			t.Errorf("all ended %v, but %d machines of the zone were returned", all, returned)
-		}
-		w.run(20 * second)
-		if w.running("j-1") != 4 {
-			t.Errorf("all ended %v: %d of 4 replicas run 45 s later", all, w.running("j-1"))
-		}
-		w.script, w.heartbeatFault = nil, nil
-		w.run(30 * second)
-		w.requireNoViolations()
+			w.partitionZoneB()
+			w.run(8 * second)
+			ends := []int{lead}
+			if all {
+				ends = []int{0, 1, 2}
+			}
+			for _, i := range ends {
+				w.crash(i)
+			}
+			w.run(6 * second)
+			for _, i := range ends {
+				w.boot(i)
+			}
+			w.run(25 * second)
+			returned := 0
+			for _, id := range w.cloud.Deleted {
+				if w.machines.Workers[id].Zone == "b" {
+					returned++
+				}
+			}
+			if all != (returned > 0) {
+				t.Errorf("all ended %v, but %d machines of the zone were returned", all, returned)
+			}
+			w.run(20 * second)
+			if w.running("j-1") != 4 {
+				t.Errorf("all ended %v: %d of 4 replicas run 45 s later", all, w.running("j-1"))
+			}
+			w.script, w.heartbeatFault = nil, nil
+			w.run(30 * second)
+			w.requireNoViolations()
+		})
 	}
 }
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -123,7 +123,7 @@
 		}
 		f.run(job, i%slopeTasksPerJob, f.leadership.machines.sortedMachines()[i%workers])
 	}
-	f.fillUp()
+	f.fillMachines()
 	for i := range int(float64(workers) * slopeWaitingPerWorker) {
 		need := scheduler.Need{Cores: 2, Mem: 2.8}
 		if i%2 == 0 {
@@ -162,8 +162,8 @@
 	f.tasks = append(f.tasks, a)
 }
 
-// fillUp leaves room only on every third machine: one task's worth of cores, and two accelerators.
-func (f *slopeFleet) fillUp() {
+// fillMachines leaves room only on every third machine: one task's worth of cores, and two accelerators.
+func (f *slopeFleet) fillMachines() {
 	big := f.addJob("j-big", 0, false, scheduler.Need{})
 	for i, m := range f.leadership.machines.sortedMachines() {
 		left := scheduler.Need{}
@@ -176,8 +176,8 @@
 	f.leadership.state.RemoveJob(big.Spec.UID)
 }
 
-// end removes one running task from the cluster state and makes another task of its job wait.
-func (f *slopeFleet) end() {
+// endOneTask removes one running task from the cluster state and makes another task of its job wait.
+func (f *slopeFleet) endOneTask() {
 	i := f.random.IntN(len(f.tasks))
 	f.leadership.state.RemoveAttempt(f.tasks[i])
 	f.tasks[i] = f.tasks[len(f.tasks)-1]
@@ -239,7 +239,7 @@
 		for b.Loop() {
 			b.StopTimer()
 			for range 12 {
-				f.end()
+				f.endOneTask()
 			}
 			f.settleStarts()
 			b.StartTimer()
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -40,7 +40,7 @@
 func (ro *rollout) checkSimulatedFailover(lost map[string]bool) {
 	l := ro.simulateFailover()
 	reported := maps.Clone(lost)
-	for _, k := range ro.fleet() {
+	for _, k := range ro.workers() {
 		for name, task := range k.Tasks {
 			id, _, _ := strings.Cut(name, "@")
 			if task.State == protocol.Exited {
@@ -53,14 +53,14 @@
 				continue
 			}
 			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Try}] == nil {
-				ro.violated("a take-over does not know that %s, attempt %d, is on %s", id, task.Try, k.ID)
+				ro.violated("a failover does not know that %s, attempt %d, is on %s", id, task.Try, k.ID)
 			}
 		}
 	}
 	for id := range ro.finished {
 		uid, index, _ := clusterstate.ParseTask(id)
 		if j := l.state.Jobs[uid]; j != nil && !reported[id] && !j.IsDone(index) && !j.Spec.Service {
-			ro.violated("a take-over does not know that %s is done, and nobody reports it", id)
+			ro.violated("a failover does not know that %s is done, and nobody reports it", id)
 		}
 	}
 }
@@ -69,42 +69,44 @@
 // end, machines die, leaders end, transactions are late and their answers lost.
 func TestFailoverAtEachMoment(t *testing.T) {
 	for seed := range uint64(4) {
-		ro := newRollout(t, 500+seed, defaultTopology)
-		ro.openGate()
-		ro.interrupts = true
-		turn, lost := 0, map[string]bool{}
-		ro.onStep = func(step gateStep, _ int) deliveryFault {
-			turn++
-			if step != journals || turn%3 != 0 {
-				return deliveryFault{}
-			}
-			return deliveryFault{hold: ro.randomMilliseconds(0, 2000), answerLost: turn%2 == 0}
-		}
-		for second := range 60 {
-			for range 10 {
-				ro.run(tick)
-				ro.checkSimulatedFailover(lost)
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			ro := newRollout(t, 500+seed, defaultTopology)
+			ro.openGate()
+			ro.interrupts = true
+			turn, lost := 0, map[string]bool{}
+			ro.onStep = func(step gateStep, _ int) deliveryFault {
+				turn++
+				if step != journals || turn%3 != 0 {
+					return deliveryFault{}
+				}
+				return deliveryFault{hold: ro.randomMilliseconds(0, 2000), answerLost: turn%2 == 0}
 			}
-			switch second % 20 {
-			case 7:
-				ro.endSoon(ro.awaitLeader())
-			case 17:
-				for _, k := range ro.fleet() {
-					if !k.Deleted && k.Up && len(k.Tasks) > 0 {
-						for name := range k.Tasks {
-							id, _, _ := strings.Cut(name, "@")
-							lost[id] = true
+			for second := range 60 {
+				for range 10 {
+					ro.run(tick)
+					ro.checkSimulatedFailover(lost)
+				}
+				switch second % 20 {
+				case 7:
+					ro.endSoon(ro.awaitLeader())
+				case 17:
+					for _, k := range ro.workers() {
+						if !k.Deleted && k.Up && len(k.Tasks) > 0 {
+							for name := range k.Tasks {
+								id, _, _ := strings.Cut(name, "@")
+								lost[id] = true
+							}
+							k.Die()
+							break
 						}
-						k.Die()
-						break
 					}
 				}
 			}
-		}
-		if ro.steps[journals] < 10 {
-			t.Errorf("the journal was written %d times", ro.steps[journals])
-		}
-		ro.settleAndCheck()
+			if ro.steps[journals] < 10 {
+				t.Errorf("the journal was written %d times", ro.steps[journals])
+			}
+			ro.settleAndCheck()
+		})
 	}
 }
 
@@ -135,7 +137,7 @@
 		completionjournal.Entry{Job: "j-999999", Machine: "i-999999", Attempt: 3}, completionjournal.Entry{Job: "j-1", Index: 99_999}))
 	// A value that records that a replica has left, and the machine's record, which was written
 	// after it.
-	holder := ro.holding("j-1")[0]
+	holder := ro.machinesWithTasksOf("j-1")[0]
 	var rec clusterstate.MachineRecord
 	key := clusterstate.MachinePrefix + holder.ID
 	if err := protocol.Decode(ro.state.Item(key).Value, &rec); err != nil {
@@ -151,10 +153,10 @@
 	ro.run(60 * second)
 	for _, key := range unreadable {
 		if ro.state.Item(key) == nil {
-			t.Errorf("%s, which can't be read, is gone", key)
+			t.Errorf("%s, which can't be decoded, is deleted", key)
 		}
 		if !strings.Contains(logged.String(), fmt.Sprintf("key=%s ", key)) {
-			t.Errorf("%s is not told of", key)
+			t.Errorf("%s is not logged", key)
 		}
 	}
 	for _, n := range []uint64{7, 8} {
@@ -163,7 +165,7 @@
 		}
 	}
 	if !strings.Contains(logged.String(), "unreadable=6") {
-		t.Error("the number of unreadable values is not told")
+		t.Error("the number of unreadable values is not logged")
 	}
 	for _, task := range []string{"j-1/0", "j-1/1", "j-1/2", "j-1/3"} {
 		if ro.starts[task] > 1+ro.moved[task] {
@@ -222,26 +224,28 @@
 		{"holds", &protocol.VersionStatement{Reads: 1, Writes: 1, Hold: true}, false},
 		{"nothing", nil, false},
 	} {
-		ro := newRollout(t, 530, defaultTopology)
-		lead := ro.awaitLeader()
-		stating := (lead + 1) % 3
-		ro.script = func(node int, call Call) deliveryFault {
-			// This controller never leads, and the test sends its heartbeats.
-			return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
-		}
-		ro.roll([]int{lead, stating, 3 - lead - stating}, newerOperator(""))
-		for range 60 {
-			ro.run(tick * 5)
-			if to := ro.leader(); to >= 0 && to != stating {
-				ask := protocol.PeerHeartbeat{From: label(stating), Incarnation: "x", Versions: c.statement}
-				ro.ask(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(ask)}, func(Reply) {})
+		t.Run(c.name, func(t *testing.T) {
+			ro := newRollout(t, 530, defaultTopology)
+			lead := ro.awaitLeader()
+			stating := (lead + 1) % 3
+			ro.script = func(node int, call Call) deliveryFault {
+				// This controller never leads, and the test sends its heartbeats.
+				return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
 			}
-		}
-		if lead := ro.awaitLeader(); lead == stating {
-			t.Fatalf("%s: the stating one leads", c.name)
-		}
-		if ro.gateIs("open") != c.open {
-			t.Errorf("%s: the gate is open %v", c.name, !c.open)
-		}
+			ro.restartAll([]int{lead, stating, 3 - lead - stating}, newerOperator(""))
+			for range 60 {
+				ro.run(tick * 5)
+				if to := ro.leader(); to >= 0 && to != stating {
+					ask := protocol.PeerHeartbeat{From: label(stating), Incarnation: "x", Versions: c.statement}
+					ro.ask(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(ask)}, func(Reply) {})
+				}
+			}
+			if lead := ro.awaitLeader(); lead == stating {
+				t.Fatal("the controller with the statement leads")
+			}
+			if ro.gateIs("open") != c.open {
+				t.Errorf("the gate is open %v", !c.open)
+			}
+		})
 	}
 }
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 
 	"claybarrow/internal/protocol"
@@ -17,13 +18,13 @@
 		"a team without a guarantee": {controllers: defaultTopology.controllers, zones: defaultTopology.zones,
 			teams: `{"name":"red","cpus":0,"cpus_max":32},{"name":"blue","cpus":8,"cpus_max":16}`},
 	} {
-		t.Run(name, func(t *testing.T) { servedAsAnyOther(t, shape) })
+		t.Run(name, func(t *testing.T) { checkTopologyIsServed(t, shape) })
 	}
 }
 
-func servedAsAnyOther(t *testing.T, shape topology) {
+func checkTopologyIsServed(t *testing.T, shape topology) {
 	w := newWorldWithTopology(t, 66, testOperator, shape)
-	if len(w.fleet()) > 0 {
+	if len(w.workers()) > 0 {
 		t.Fatal("there are machines at the start")
 	}
 	w.awaitLeader()
@@ -33,14 +34,14 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
 	w.awaitStatus(200*second, "j-2", protocol.Done)
 	lead := w.leader()
-	started := w.allStarts()
+	started := w.totalStarts()
 	w.crash(lead)
 	w.run(3 * second)
 	w.boot(lead)
 	w.awaitLeader()
 	w.run(30 * second)
-	if w.running("j-1") != 3 || w.running("j-3") != 2 || w.allStarts() != started {
-		t.Errorf("%d and %d replicas run after a leader's end, %d tasks were started", w.running("j-1"), w.running("j-3"), w.allStarts()-started)
+	if w.running("j-1") != 3 || w.running("j-3") != 2 || w.totalStarts() != started {
+		t.Errorf("%d and %d replicas run after a leader's end, %d tasks were started", w.running("j-1"), w.running("j-3"), w.totalStarts()-started)
 	}
 	w.settle()
 }
@@ -49,19 +50,21 @@
 // there.
 func TestTwoControllersPartitioned(t *testing.T) {
 	for _, refused := range []bool{false, true} {
-		w := newWorldWithTopology(t, 67, testOperator, topology{controllers: []string{"a", "b"}, zones: defaultTopology.zones, teams: defaultTopology.teams})
-		w.awaitLeader()
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
-		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-		w.run(10 * second)
-		started := w.allStarts()
-		w.partitionZones(refused, 40*second)
-		w.run(40 * second)
-		w.script, w.heartbeatFault, w.unreachable = nil, nil, nil
-		w.run(20 * second)
-		if w.running("j-1") != 4 || w.allStarts() != started {
-			t.Errorf("refused %v: %d replicas run, %d tasks were started", refused, w.running("j-1"), w.allStarts()-started)
-		}
-		w.settle()
+		t.Run(fmt.Sprintf("refused %v", refused), func(t *testing.T) {
+			w := newWorldWithTopology(t, 67, testOperator, topology{controllers: []string{"a", "b"}, zones: defaultTopology.zones, teams: defaultTopology.teams})
+			w.awaitLeader()
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
+			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
+			w.run(10 * second)
+			started := w.totalStarts()
+			w.partitionZones(refused, 40*second)
+			w.run(40 * second)
+			w.script, w.heartbeatFault, w.unreachable = nil, nil, nil
+			w.run(20 * second)
+			if w.running("j-1") != 4 || w.totalStarts() != started {
+				t.Errorf("refused %v: %d replicas run, %d tasks were started", refused, w.running("j-1"), w.totalStarts()-started)
+			}
+			w.settle()
+		})
 	}
 }
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -22,9 +22,9 @@
 	tries uint64
 }
 
-// olderLeads ends all controllers and makes the older version lead from one of them; the others
+// startOlderLeader ends all controllers and makes the older version lead from one of them; the others
 // restart as they are now.
-func (w *world) olderLeads() *ganglessLeader {
+func (w *world) startOlderLeader() *ganglessLeader {
 	w.t.Helper()
 	for i := range w.nodes {
 		w.crash(i)
@@ -49,8 +49,8 @@
 	return o
 }
 
-// ends resigns the leadership, and its process restarts as the newer version.
-func (o *ganglessLeader) ends() {
+// resign resigns the leadership, and its process restarts as the newer version.
+func (o *ganglessLeader) resign() {
 	o.w.t.Helper()
 	o.w.state.Change(keyLeader, nil)
 	o.w.boot(o.node)
@@ -65,13 +65,13 @@
 	return taken
 }
 
-// starts starts a single task, under an attempt number of its own, which is made durable first, as
+// startTask starts a single task, under an attempt number of its own, which is made durable first, as
 // always.
-func (o *ganglessLeader) starts(k *emulator.Worker, uid string, index int) {
+func (o *ganglessLeader) startTask(k *emulator.Worker, uid string, index int) {
 	o.w.t.Helper()
 	o.tries++
 	try := o.token<<24 | o.tries
-	o.amend(k, func(rec *clusterstate.MachineRecord) {
+	o.updateMachineRecord(k, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Number: try})
 	})
 	if !o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
@@ -79,14 +79,14 @@
 	}
 }
 
-// forgets removes all attempts of a job from a machine's record.
-func (o *ganglessLeader) forgets(k *emulator.Worker, uid string) {
-	o.amend(k, func(rec *clusterstate.MachineRecord) {
+// removeAttempts removes all attempts of a job from a machine's record.
+func (o *ganglessLeader) removeAttempts(k *emulator.Worker, uid string) {
+	o.updateMachineRecord(k, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == uid })
 	})
 }
 
-func (o *ganglessLeader) amend(k *emulator.Worker, change func(*clusterstate.MachineRecord)) {
+func (o *ganglessLeader) updateMachineRecord(k *emulator.Worker, change func(*clusterstate.MachineRecord)) {
 	o.w.t.Helper()
 	key := clusterstate.MachinePrefix + k.ID
 	var rec clusterstate.MachineRecord
@@ -108,8 +108,8 @@
 	return out
 }
 
-// gangOverTwo starts a gang of four on two machines beside replicas.
-func (w *world) gangOverTwo() {
+// startGangOnTwoMachines starts a gang of four on two machines beside replicas.
+func (w *world) startGangOnTwoMachines() {
 	w.t.Helper()
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 	w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
@@ -120,11 +120,11 @@
 // next one, until its only end.
 func TestRunningGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 121)
-	w.gangOverTwo()
+	w.startGangOnTwoMachines()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	o := w.olderLeads()
+	o := w.startOlderLeader()
 	w.run(8 * second)
-	o.ends()
+	o.resign()
 	w.awaitStatus(60*second, "j-1", protocol.Done)
 	if w.machines.Wholes["j-1"] != 1 {
 		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
@@ -140,22 +140,22 @@
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 	w.until(120*second, "machines are up", func() bool { return w.running("j-9") == 3 })
 	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
-	w.until(10*second, "it is pulling", func() bool { return len(w.holding("j-1")) > 1 })
-	lost := w.holding("j-1")[0]
+	w.until(10*second, "it is pulling", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
+	lost := w.machinesWithTasksOf("j-1")[0]
 	tasks := tasksOf(lost, "j-1")
 	lost.Die()
-	o := w.olderLeads()
+	o := w.startOlderLeader()
 	w.pulls = nil
-	other := w.holding("j-1")[0]
+	other := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasks {
 		_, index, _ := clusterstate.ParseTask(key.Task)
-		o.starts(other, "j-1", index)
+		o.startTask(other, "j-1", index)
 	}
 	w.run(5 * second)
 	if w.machines.Wholes["j-1"] != 0 {
 		t.Fatal("two numbers make a whole")
 	}
-	o.ends()
+	o.resign()
 	w.until(40*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
@@ -166,15 +166,15 @@
 func TestHalfStoppedGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 123)
 	w.runs = func(string) time.Duration { return 40 * second }
-	w.gangOverTwo()
+	w.startGangOnTwoMachines()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	o := w.olderLeads()
-	k := w.holding("j-1")[0]
+	o := w.startOlderLeader()
+	k := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasksOf(k, "j-1") {
 		o.command(k, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
 	}
 	w.run(time.Second)
-	o.ends()
+	o.resign()
 	w.until(40*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
 	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.settle()
@@ -185,15 +185,15 @@
 func TestHalfDoneGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 124)
 	w.runs = func(string) time.Duration { return 12 * second }
-	w.gangOverTwo()
+	w.startGangOnTwoMachines()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(8 * second)
-	o := w.olderLeads()
+	o := w.startOlderLeader()
 	w.until(10*second, "it is done", func() bool { return w.finished["j-1/0"] })
-	books := clusterstate.New(16<<10, 16<<10)
-	j := books.AddJob(&protocol.Spec{UID: "j-1", Tasks: 4}, 1)
+	state := clusterstate.New(16<<10, 16<<10)
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 4}, 1)
 	stored := 0
-	for _, k := range w.fleet() {
+	for _, k := range w.workers() {
 		keys := tasksOf(k, "j-1")
 		if len(keys) == 0 || k.Deleted {
 			continue
@@ -208,13 +208,13 @@
 			stored++
 			o.command(k, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
-		w.state.Change(books.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(books.CompletionRecord(j, 0))})
-		o.forgets(k, "j-1")
+		w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
+		o.removeAttempts(k, "j-1")
 	}
 	if stored == 0 || stored == 4 {
 		t.Fatalf("%d of 4 completions are stored", stored)
 	}
-	o.ends()
+	o.resign()
 	w.awaitStatus(5*second, "j-1", protocol.Done)
 	w.run(40 * second)
 	if w.machines.Wholes["j-1"] != 1 {
@@ -227,31 +227,33 @@
 // a gang, and ends. The next leader stops all of it, and its user gets the confirmation.
 func TestCancelledGangUnderAnOlderLeader(t *testing.T) {
 	for _, state := range []string{"gathering", "running"} {
-		w := newGateClosedWorld(t, 125)
-		if state == "gathering" {
-			w.pulls = func(task string) time.Duration {
-				if strings.HasPrefix(task, "j-1/") {
-					return 20 * second
+		t.Run(state, func(t *testing.T) {
+			w := newGateClosedWorld(t, 125)
+			if state == "gathering" {
+				w.pulls = func(task string) time.Duration {
+					if strings.HasPrefix(task, "j-1/") {
+						return 20 * second
+					}
+					return second
 				}
-				return second
 			}
-		}
-		w.gangOverTwo()
-		w.until(30*second, "it is on machines", func() bool { return len(w.holding("j-1")) > 1 })
-		w.run(3 * second)
-		o := w.olderLeads()
-		key := clusterstate.JobPrefix + "j-1"
-		var rec clusterstate.JobRecord
-		if err := protocol.Decode(w.state.Item(key).Value, &rec); err != nil {
-			t.Fatal(err)
-		}
-		rec.State, rec.Spec.Gang = clusterstate.Cancelling, false
-		w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
-		w.cancelRequested["j-1"] = true
-		o.ends()
-		w.cancel("j-1")
-		w.awaitStatus(20*second, "j-1", protocol.Cancelled)
-		w.settle()
+			w.startGangOnTwoMachines()
+			w.until(30*second, "it is on machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
+			w.run(3 * second)
+			o := w.startOlderLeader()
+			key := clusterstate.JobPrefix + "j-1"
+			var rec clusterstate.JobRecord
+			if err := protocol.Decode(w.state.Item(key).Value, &rec); err != nil {
+				t.Fatal(err)
+			}
+			rec.State, rec.Spec.Gang = clusterstate.Cancelling, false
+			w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
+			w.cancelRequested["j-1"] = true
+			o.resign()
+			w.cancel("j-1")
+			w.awaitStatus(20*second, "j-1", protocol.Cancelled)
+			w.settle()
+		})
 	}
 }
 
@@ -260,27 +262,29 @@
 // the gang runs whole.
 func TestOldProcessComesBackAfterTheUpgrade(t *testing.T) {
 	for _, leads := range []time.Duration{2 * second, 33 * second} {
-		w := newGateClosedWorld(t, 126)
-		w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
-		w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
-		w.cloud.Down = true
-		w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // room for three
-		w.run(3 * second)
-		o := w.olderLeads()
-		for i, k := range w.holding("j-9") {
-			o.starts(k, "j-1", i)
-		}
-		w.run(leads)
-		o.ends()
-		w.run(5 * second)
-		k := w.holding("j-9")[0]
-		if o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
-			t.Error("a command of the old process was taken")
-		}
-		w.cloud.Down = false
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.awaitStatus(60*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("leads for %v", leads), func(t *testing.T) {
+			w := newGateClosedWorld(t, 126)
+			w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
+			w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
+			w.cloud.Down = true
+			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // room for three
+			w.run(3 * second)
+			o := w.startOlderLeader()
+			for i, k := range w.machinesWithTasksOf("j-9") {
+				o.startTask(k, "j-1", i)
+			}
+			w.run(leads)
+			o.resign()
+			w.run(5 * second)
+			k := w.machinesWithTasksOf("j-9")[0]
+			if o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
+				t.Error("a command of the old process was taken")
+			}
+			w.cloud.Down = false
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.awaitStatus(60*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
@@ -294,12 +298,12 @@
 		w.submit(fmt.Sprintf("j-%d0", turn), group(3, 1, map[string]any{"owner": "blue"}))
 		w.submit(fmt.Sprintf("j-%d1", turn), map[string]any{"shards": 3, "cores": 1.0})
 		w.run(time.Duration(turn) * 1300 * time.Millisecond)
-		o := w.olderLeads()
-		if held := w.holding(fmt.Sprintf("j-%d0", turn)); len(held) > 0 && turn%2 == 1 {
+		o := w.startOlderLeader()
+		if held := w.machinesWithTasksOf(fmt.Sprintf("j-%d0", turn)); len(held) > 0 && turn%2 == 1 {
 			held[0].Die()
 		}
 		w.run(time.Duration(turn*2) * second)
-		o.ends()
+		o.resign()
 		w.run(3 * second)
 	}
 	for turn := range 5 {
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -442,7 +442,7 @@
 func (w *world) awaitStatus(limit time.Duration, uid string, state protocol.JobState) {
 	w.t.Helper()
 	n := 0
-	w.until(limit, uid+" told "+string(state), func() bool {
+	w.until(limit, uid+" is answered "+string(state), func() bool {
 		if n++; n%20 == 1 {
 			w.user(n/20%len(w.nodes), OpPoll, uid, nil)
 		}
