--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
 	"time"
 
@@ -92,11 +93,11 @@
 
 func (w *world) checkAnswer(op Op, uid string, status int) {
 	switch {
-	case w.invalid[uid] && (status == 200 || status == 201):
+	case w.invalid[uid] && (status == http.StatusOK || status == http.StatusCreated):
 		w.violated("an invalid submission was accepted: %s", uid)
-	case w.specs[uid] == nil && status == 200:
+	case w.specs[uid] == nil && status == http.StatusOK:
 		w.violated("invented: %s", uid)
-	case w.lastReplies[uid] != "" && (status == 400 || status == 422):
+	case w.lastReplies[uid] != "" && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
 		w.violated("forgotten: %s answered %d to %s", uid, status, op)
 	}
 }
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -25,6 +25,7 @@
 type durations []time.Duration
 
 func (s durations) report(b *testing.B, name string) {
+	b.Helper()
 	if len(s) == 0 {
 		return
 	}
@@ -35,6 +36,7 @@
 }
 
 func eachDetection(b *testing.B, run func(b *testing.B, operator []byte)) {
+	b.Helper()
 	b.Run("off", func(b *testing.B) { run(b, nil) })
 	b.Run("on", func(b *testing.B) { run(b, []byte(membershipOn)) })
 }
@@ -108,6 +110,7 @@
 
 // countFalseAlarms runs a fault for some minutes with several seeds.
 func countFalseAlarms(b *testing.B, operator []byte, inject func(w *world)) {
+	b.Helper()
 	const lasts, seeds = 10 * time.Minute, 4
 	var sum falseAlarms
 	for seed := range uint64(seeds) {
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -22,6 +22,7 @@
 
 // newEffectRecorder returns nil unless effects are to be recorded.
 func newEffectRecorder(t testing.TB) *effectRecorder {
+	t.Helper()
 	file := os.Getenv(effectsFileVariable)
 	test, isTest := t.(*testing.T) // benchmarks run as many rounds as they have time for
 	if file == "" || !isTest {
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -55,6 +56,7 @@
 }
 
 func newMembershipWorld(t *testing.T, seed uint64) *world {
+	t.Helper()
 	return newWorldWith(t, seed, []byte(membershipOn))
 }
 
@@ -202,7 +204,7 @@
 // A late transaction of the former leader changes nothing, at whatever step it ended.
 func TestLateTransactionOfALeaderThatDied(t *testing.T) {
 	for _, prefix := range []string{"j/", "m/", "d/"} {
-		t.Run("a write under "+prefix, func(t *testing.T) {
+		t.Run("a write under "+strings.TrimSuffix(prefix, "/"), func(t *testing.T) {
 			w := newMembershipWorld(t, 931)
 			w.runs = func(string) time.Duration { return 6 * second }
 			w.replicas()
@@ -296,7 +298,7 @@
 	}
 	for _, op := range []Op{OpPoll, OpCancel} {
 		w.ask(lead, Request{Op: op, UID: "j-1"}, func(r Reply) {
-			if r.Status != 503 || r.RetryAfter == 0 {
+			if r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 				t.Errorf("%s is answered %d, come back in %d", op, r.Status, r.RetryAfter)
 			}
 		})
@@ -308,7 +310,7 @@
 		}
 	}
 	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
-		if r.Status == 200 {
+		if r.Status == http.StatusOK {
 			t.Error("a worker's lease is renewed")
 		}
 	})
@@ -349,7 +351,7 @@
 			answered := 0
 			for range 5 {
 				w.user(from, OpPoll, "j-1", func(status int, _ protocol.JobStatus) {
-					if status == 200 {
+					if status == http.StatusOK {
 						answered++
 					}
 				})
@@ -617,7 +619,7 @@
 	w := newWorldWith(t, 985, nil)
 	w.awaitLeader()
 	w.ask(0, Request{Op: OpProbe, Body: []byte{0xa0}}, func(r Reply) {
-		if r.Status != 404 {
+		if r.Status != http.StatusNotFound {
 			t.Errorf("a probe is answered %d", r.Status)
 		}
 	})
@@ -681,7 +683,7 @@
 			w.until(10*second, "records are read ahead", ahead)
 			// Its last write: a job that no preload has read.
 			w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
-				if r.Status != 201 {
+				if r.Status != http.StatusCreated {
 					t.Errorf("the submission is answered %d", r.Status)
 				}
 				w.recordStatus("j-6", protocol.JobStatus{UID: "j-6", State: protocol.Pending}, w.Now())
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"testing"
 	"time"
 
@@ -147,7 +148,7 @@
 		"j-5": {group(2, 1, map[string]any{"owner": "green"}), 422},
 	} {
 		w.spec(uid, tc.change)
-		w.invalid[uid] = tc.status >= 400
+		w.invalid[uid] = tc.status >= http.StatusBadRequest
 		w.user(w.awaitLeader(), OpSubmit, uid, func(status int, _ protocol.JobStatus) {
 			if status != tc.status {
 				t.Errorf("%v: %d, want %d", tc.change, status, tc.status)
@@ -316,7 +317,7 @@
 		lead := w.awaitLeader()
 		w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(repeat)}, func(r Reply) {
 			var s protocol.JobStatus
-			if r.Status != 200 || protocol.Decode(r.Body, &s) != nil || s.UID != "j-1" || s.State == "" {
+			if r.Status != http.StatusOK || protocol.Decode(r.Body, &s) != nil || s.UID != "j-1" || s.State == "" {
 				t.Errorf("%s: %d, %+v", name, r.Status, s)
 			}
 		})
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -23,7 +24,7 @@
 	}
 	asked := 0
 	w.user(lead, OpCancel, "j-1", func(status int, _ protocol.JobStatus) {
-		if asked++; status != 503 {
+		if asked++; status != http.StatusServiceUnavailable {
 			t.Errorf("answered %d before the proof", status)
 		}
 	})
@@ -277,7 +278,7 @@
 	w.specs["j-1"]["rank"] = "top" // a damaged repeat
 	for node := range 3 {
 		w.user(node, OpSubmit, "j-1", func(status int, _ protocol.JobStatus) {
-			if status != 200 {
+			if status != http.StatusOK {
 				t.Errorf("a repeat got %d", status)
 			}
 		})
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -167,11 +168,11 @@
 	sendHeartbeat := func() { w.ask(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status }) }
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(1500 * time.Millisecond)
-	if sendHeartbeat(); status != 200 {
+	if sendHeartbeat(); status != http.StatusOK {
 		t.Errorf("the worker is answered %d", status)
 	}
 	w.run(6 * second)
-	if sendHeartbeat(); status != 421 || w.leader() != lead {
+	if sendHeartbeat(); status != http.StatusMisdirectedRequest || w.leader() != lead {
 		t.Errorf("the worker of a leader that goes on is answered %d", status)
 	}
 }
@@ -207,18 +208,18 @@
 	}
 	sendHeartbeat(1)
 	var reply protocol.WorkerHeartbeatReply
-	if got.Status != 200 || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
+	if got.Status != http.StatusOK || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
 		t.Errorf("answered %d with %+v", got.Status, reply)
 	}
 	if l.heartbeats.leaseOnlyReplyAt != l.controller.env.now {
 		t.Error("the answer does not count against the proof by time")
 	}
 	sendHeartbeat(0)
-	if got.Status != 503 {
+	if got.Status != http.StatusServiceUnavailable {
 		t.Errorf("a worker without a leader yet is answered %d", got.Status)
 	}
 	sendHeartbeat(l.lease.token + 1)
-	if got.Status != 503 || w.nodes[next].controller.leadership != nil {
+	if got.Status != http.StatusServiceUnavailable || w.nodes[next].controller.leadership != nil {
 		t.Errorf("a worker with a higher token is answered %d", got.Status)
 	}
 }
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"testing"
 
 	"claybarrow/internal/clusterstate"
@@ -38,12 +39,12 @@
 	body := protocol.Encode(heartbeat)
 	status := 0
 	w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: body}, func(reply Reply) { status = reply.Status })
-	if status != 200 {
+	if status != http.StatusOK {
 		t.Errorf("the heartbeat is answered %d", status)
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, {0x81, 0xa4}, protocol.Encode(map[string]any{"host": 7}), protocol.Encode([]int{1}), protocol.Encode(map[string]any{})} {
 		w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: bad}, func(reply Reply) { status = reply.Status })
-		if status != 400 {
+		if status != http.StatusBadRequest {
 			t.Errorf("the body %x is answered %d", bad, status)
 		}
 	}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -29,24 +29,26 @@
 // after a failover: nothing is refused because of them, and nothing is lost.
 func TestLowerLimitsWithABacklog(t *testing.T) {
 	for _, crash := range []time.Duration{-second, 0, 20 * time.Millisecond, second} {
-		w := newWorld(t, 131)
-		w.announceLimits()
-		w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 2.0})
-		w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-		for i := range 40 {
-			w.submit(fmt.Sprintf("j-%d", 100+i), map[string]any{"cores": 0.5, "shards": 2})
-		}
-		w.submit("j-1", group(8, 0.5, nil))
-		w.at(2*second, func() { w.state.Limits = lowerLimits })
-		w.at(2*second+crash, func() { w.restart(w.leaderOrFirst(), second) })
-		w.awaitStatus(200*second, "j-1", protocol.Done)
-		for i := range 40 {
-			w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
-		}
-		if w.state.Over > 0 {
-			t.Errorf("leader ends %v after: %d transactions were over the limits", crash, w.state.Over)
-		}
-		w.settle()
+		t.Run(fmt.Sprintf("leader ends %v after the limits", crash), func(t *testing.T) {
+			w := newWorld(t, 131)
+			w.announceLimits()
+			w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 2.0})
+			w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
+			for i := range 40 {
+				w.submit(fmt.Sprintf("j-%d", 100+i), map[string]any{"cores": 0.5, "shards": 2})
+			}
+			w.submit("j-1", group(8, 0.5, nil))
+			w.at(2*second, func() { w.state.Limits = lowerLimits })
+			w.at(2*second+crash, func() { w.restart(w.leaderOrFirst(), second) })
+			w.awaitStatus(200*second, "j-1", protocol.Done)
+			for i := range 40 {
+				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
+			}
+			if w.state.Over > 0 {
+				t.Errorf("leader ends %v after: %d transactions were over the limits", crash, w.state.Over)
+			}
+			w.settle()
+		})
 	}
 }
 
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -71,6 +71,7 @@
 
 // newRollout creates a world of older controllers, with replicas and a steady sequence of arrays.
 func newRollout(t *testing.T, seed uint64, shape topology) *rollout {
+	t.Helper()
 	ro := &rollout{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
 		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, moved: map[string]int{}, announced: map[int]bool{}}
 	w := ro.world
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -233,7 +234,7 @@
 	w.spec("j-2", nil)
 	w.user(w.awaitNode(), OpSubmit, "j-2", func(s int, _ protocol.JobStatus) { status = s })
 	w.run(tick)
-	if status != 503 {
+	if status != http.StatusServiceUnavailable {
 		t.Errorf("a submission in the outage got %d, not 503 at once", status)
 	}
 	if w.running("j-1") != 2 {
@@ -289,12 +290,12 @@
 	w.state.Refuse[old] = true
 	w.until(10*second, "another leader", func() bool { l := w.leader(); return l >= 0 && l != old })
 	w.user(old, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
-		if s != 503 && s != 200 {
+		if s != http.StatusServiceUnavailable && s != http.StatusOK {
 			t.Errorf("the refused leader answers %d", s)
 		}
 	})
 	w.user(old, OpPoll, "j-99", func(s int, _ protocol.JobStatus) {
-		if s != 503 && s != 404 {
+		if s != http.StatusServiceUnavailable && s != http.StatusNotFound {
 			t.Errorf("the refused leader answers %d", s)
 		}
 	})
@@ -672,7 +673,7 @@
 	fit := func() (n int) {
 		for i := range 3 {
 			w.ask(i, Request{Op: OpReady}, func(r Reply) {
-				if r.Status == 200 {
+				if r.Status == http.StatusOK {
 					n++
 				}
 			})
@@ -709,7 +710,7 @@
 	for _, k := range w.workers() {
 		if k.Zone == "b" && k.Up {
 			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(k.Message())}, func(r Reply) {
-				if r.Status != 200 {
+				if r.Status != http.StatusOK {
 					t.Errorf("a worker of the zone got %d", r.Status)
 				}
 			})
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -220,6 +220,7 @@
 }
 
 func eachSlopeSize(b *testing.B, run func(b *testing.B, workers int)) {
+	b.Helper()
 	for _, workers := range slopeSizes {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			b.ReportAllocs()
@@ -395,6 +396,7 @@
 
 // benchmarkHeartbeats measures heartbeats of the fleet's machines in turn, modified by change.
 func benchmarkHeartbeats(b *testing.B, change func(f *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat), forwarded bool) {
+	b.Helper()
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		l := f.leadership
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 	"strings"
 	"testing"
@@ -202,7 +203,7 @@
 			status := 0
 			ro.user(0, OpPoll, "j-1", func(s int, _ protocol.JobStatus) { status = s })
 			ro.run(3 * second)
-			if ro.leader() >= 0 || status != 503 || !bytes.Equal(ro.state.Item(keyLeader).Value, stored) {
+			if ro.leader() >= 0 || status != http.StatusServiceUnavailable || !bytes.Equal(ro.state.Item(keyLeader).Value, stored) {
 				t.Errorf("leader %d, answer %d", ro.leader(), status)
 			}
 		})
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"testing"
@@ -61,7 +62,7 @@
 func (o *ganglessLeader) command(k *emulator.Worker, orders ...protocol.Command) bool {
 	body := protocol.Commands{Token: o.token, Epoch: k.Session, Commands: orders}
 	taken := false
-	k.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == 200 })
+	k.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == http.StatusOK })
 	return taken
 }
 
@@ -316,5 +317,6 @@
 // newGateClosedWorld creates a world whose operators hold the feature gate closed, as older
 // versions are to lead.
 func newGateClosedWorld(t *testing.T, seed uint64) *world {
+	t.Helper()
 	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdOn)))
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"maps"
 	"math/rand/v2"
+	"net/http"
 	"os"
 	"strconv"
 	"testing"
@@ -91,10 +92,14 @@
 	scripted func(Request) Reply
 }
 
-func newWorld(t testing.TB, seed uint64) *world { return newWorldWith(t, seed, testOperator) }
+func newWorld(t testing.TB, seed uint64) *world {
+	t.Helper()
+	return newWorldWith(t, seed, testOperator)
+}
 
 // newWorldWith creates a world whose controllers have these operators' settings.
 func newWorldWith(t testing.TB, seed uint64, operator []byte) *world {
+	t.Helper()
 	return newWorldWithTopology(t, seed, operator, defaultTopology)
 }
 
@@ -110,6 +115,7 @@
 
 // newWorldWithTopology creates a world of another topology than the default one.
 func newWorldWithTopology(t testing.TB, seed uint64, operator []byte, shape topology) *world {
+	t.Helper()
 	w := &world{topology: shape, t: t, effects: newEffectRecorder(t), queue: &emulator.EventQueue{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
 		copies: map[string][][]byte{}, finished: map[string]bool{},
 		lastReplies: map[string]protocol.JobState{}, lastReplyAt: map[string]time.Duration{}, cancelledAt: map[string]time.Duration{}, checker: newChecker(), heartbeatTimeout: 4 * time.Second,
@@ -364,7 +370,7 @@
 	sent := w.Now()
 	w.ask(node, req, func(r Reply) {
 		var s protocol.JobStatus
-		if r.Status == 200 || r.Status == 201 {
+		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
 			if err := protocol.Decode(r.Body, &s); err != nil {
 				w.violated("an answer can't be read: %v", err)
 			}
@@ -372,10 +378,10 @@
 			w.startPolling(uid)
 		}
 		w.checkAnswer(op, uid, r.Status)
-		if r.Status == 404 && w.lastReplies[uid] != "" {
+		if r.Status == http.StatusNotFound && w.lastReplies[uid] != "" {
 			w.violated("forgotten: %s", uid)
 		}
-		if (r.Status == 503 || r.Status == 429) && r.RetryAfter == 0 {
+		if (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests) && r.RetryAfter == 0 {
 			w.violated("%d without Retry-After", r.Status)
 		}
 		if then != nil {
@@ -432,11 +438,11 @@
 
 func (w *world) submit(uid string, change map[string]any) {
 	w.spec(uid, change)
-	w.persist(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == 200 || s == 201 })
+	w.persist(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK || s == http.StatusCreated })
 }
 
 func (w *world) cancel(uid string) {
-	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == 200 })
+	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK })
 }
 
 func (w *world) awaitStatus(limit time.Duration, uid string, state protocol.JobState) {
