--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -122,9 +122,9 @@
 		return
 	}
 	used, held := map[string]float64{}, map[string]int{}
-	for _, k := range w.workers() {
-		for _, t := range k.Tasks {
-			if t.State != protocol.Exited && !k.Deleted {
+	for _, worker := range w.workers() {
+		for _, t := range worker.Tasks {
+			if t.State != protocol.Exited && !worker.Deleted {
 				used[w.specs[t.UID]["owner"].(string)] += w.specs[t.UID]["cores"].(float64)
 				held[t.UID]++
 			}
@@ -154,21 +154,21 @@
 // hasRoom says whether a task of the job fits somewhere, or all of a gang.
 func (w *world) hasRoom(spec map[string]any) bool {
 	most, all, zones := 0, 0, map[string]int{}
-	for _, k := range w.workers() {
-		if !k.Up || k.Deleted || k.Cut || k.Hung || k.AnswersLost || k.ReportsLost || k.Spot && !spec["borrowed"].(bool) ||
-			spec["yard"] != nil && spec["yard"] != k.Zone {
+	for _, worker := range w.workers() {
+		if !worker.Up || worker.Deleted || worker.Cut || worker.Hung || worker.AnswersLost || worker.ReportsLost || worker.Spot && !spec["borrowed"].(bool) ||
+			spec["yard"] != nil && spec["yard"] != worker.Zone {
 			continue
 		}
 		free := machineCores
-		for _, t := range k.Tasks {
+		for _, t := range worker.Tasks {
 			if t.State != protocol.Exited {
 				free -= w.specs[t.UID]["cores"].(float64)
 			}
 		}
 		n := int(free / spec["cores"].(float64))
-		zones[k.Zone] += n
+		zones[worker.Zone] += n
 		all += n
-		most = max(most, zones[k.Zone])
+		most = max(most, zones[worker.Zone])
 	}
 	switch {
 	case spec["shape"] != "group":
@@ -185,8 +185,8 @@
 	w.t.Helper()
 	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
 	w.state.Down, w.state.Refuse, w.cloud.Down = false, map[int]bool{}, false
-	for _, k := range w.workers() {
-		k.Cut, k.AnswersLost, k.ReportsLost = false, false, false
+	for _, worker := range w.workers() {
+		worker.Cut, worker.AnswersLost, worker.ReportsLost = false, false, false
 	}
 	for i, n := range w.nodes {
 		if !n.alive {
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -28,47 +28,49 @@
 }
 
 func (w *world) injectNetworkFaults() *networkFaults {
-	m := &networkFaults{w: w, isolated: map[int]bool{}, commandsLost: map[int]bool{}}
-	w.script = m.fault
-	return m
+	faults := &networkFaults{w: w, isolated: map[int]bool{}, commandsLost: map[int]bool{}}
+	w.script = faults.fault
+	return faults
 }
 
-func (m *networkFaults) chance(share float64) bool { return share > 0 && m.w.rng.Float64() < share }
+func (faults *networkFaults) chance(share float64) bool {
+	return share > 0 && faults.w.rng.Float64() < share
+}
 
-func (m *networkFaults) randomUpTo(d time.Duration) time.Duration {
+func (faults *networkFaults) randomUpTo(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	return time.Duration(m.w.rng.Int64N(int64(d)))
+	return time.Duration(faults.w.rng.Int64N(int64(d)))
 }
 
-func (m *networkFaults) fault(node int, c Call) deliveryFault {
-	f := deliveryFault{hold: m.randomUpTo(m.slowLinks)}
+func (faults *networkFaults) fault(node int, c Call) deliveryFault {
+	f := deliveryFault{hold: faults.randomUpTo(faults.slowLinks)}
 	switch c.Target {
 	case ToState:
-		if m.isolated[node] {
+		if faults.isolated[node] {
 			return deliveryFault{lost: true}
 		}
-		f.hold += m.randomUpTo(m.slowState)
-		if c.Path == "/multi" && m.chance(m.lateTransactions) {
-			return deliveryFault{answerLost: true, hold: 2*second + m.randomUpTo(10*second)}
+		f.hold += faults.randomUpTo(faults.slowState)
+		if c.Path == "/multi" && faults.chance(faults.lateTransactions) {
+			return deliveryFault{answerLost: true, hold: 2*second + faults.randomUpTo(10*second)}
 		}
 	case ToPeer:
 		to := -1
 		if _, err := fmt.Sscanf(c.Addr, "10.0.0.%d:", &to); err != nil {
-			m.w.t.Errorf("the address of a peer %q: %v", c.Addr, err)
+			faults.w.t.Errorf("the address of a peer %q: %v", c.Addr, err)
 		}
-		if m.isolated[node] || m.isolated[to] {
+		if faults.isolated[node] || faults.isolated[to] {
 			return deliveryFault{lost: true}
 		}
 	case ToWorker:
-		if m.commandsLost[node] {
+		if faults.commandsLost[node] {
 			return deliveryFault{lost: true}
 		}
-		if m.chance(m.delayedCommands) {
-			return deliveryFault{hold: 2*second + m.randomUpTo(25*second), answerLost: m.chance(0.5)}
+		if faults.chance(faults.delayedCommands) {
+			return deliveryFault{hold: 2*second + faults.randomUpTo(25*second), answerLost: faults.chance(0.5)}
 		}
-		f.answerLost = m.chance(m.lostAnswers)
+		f.answerLost = faults.chance(faults.lostAnswers)
 	case ToCloud: // delayed at the most
 	}
 	return f
@@ -104,9 +106,9 @@
 // randomMachines returns a random share of the machines that are up.
 func (w *world) randomMachines(share float64) []*emulator.Worker {
 	var out []*emulator.Worker
-	for _, k := range w.workers() {
-		if k.Up && !k.Deleted && w.rng.Float64() < share {
-			out = append(out, k)
+	for _, worker := range w.workers() {
+		if worker.Up && !worker.Deleted && w.rng.Float64() < share {
+			out = append(out, worker)
 		}
 	}
 	return out
@@ -126,14 +128,14 @@
 func (w *world) leaderOrFirst() int { return max(0, w.leader()) }
 
 // startCompoundFailure runs a compound failure with several seeds.
-func startCompoundFailure(t *testing.T, seeds int, play func(w *world, m *networkFaults)) {
+func startCompoundFailure(t *testing.T, seeds int, play func(w *world, faults *networkFaults)) {
 	t.Helper()
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, uint64(1000+seed))
-			m := w.injectNetworkFaults()
+			faults := w.injectNetworkFaults()
 			w.initialJobs()
-			play(w, m)
+			play(w, faults)
 			w.settle()
 		})
 	}
@@ -147,20 +149,20 @@
 // the service is down for all for longer than cancel_s, while the workers go on sending heartbeats
 // to the old leader.
 func TestCompoundRefusalThenOutage(t *testing.T) {
-	startCompoundFailure(t, 12, func(w *world, m *networkFaults) {
+	startCompoundFailure(t, 12, func(w *world, faults *networkFaults) {
 		old := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
 			// The other controllers can't reach the workers with commands either.
 			for i := range 3 {
-				m.commandsLost[i] = i != old
+				faults.commandsLost[i] = i != old
 			}
 		}
-		for _, k := range w.randomMachines(0.3) {
+		for _, worker := range w.randomMachines(0.3) {
 			switch w.rng.IntN(3) {
 			case 0:
-				k.Hang(w.randomMilliseconds(2000, 30_000))
+				worker.Hang(w.randomMilliseconds(2000, 30_000))
 			case 1:
-				k.AnswersLost = true
+				worker.AnswersLost = true
 			}
 		}
 		w.state.Refuse[old] = true
@@ -214,13 +216,13 @@
 // answers.
 func TestCompoundLeaderEndsMachinesUnreachable(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
-		for n, k := range w.randomMachines(0.6) {
+		for n, worker := range w.randomMachines(0.6) {
 			if n%2 == 0 {
-				k.Cut = true
-				w.at(w.randomMilliseconds(3000, 40_000), func() { k.Cut = false })
+				worker.Cut = true
+				w.at(w.randomMilliseconds(3000, 40_000), func() { worker.Cut = false })
 			} else {
-				k.AnswersLost = true
-				w.at(w.randomMilliseconds(3000, 60_000), func() { k.AnswersLost = false })
+				worker.AnswersLost = true
+				w.at(w.randomMilliseconds(3000, 60_000), func() { worker.AnswersLost = false })
 			}
 		}
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 8000))
@@ -234,9 +236,9 @@
 // task, and a job that waits for this proof must not wait for ever.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
 	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
-		for _, k := range w.workers() {
-			if k.Up && len(k.Tasks) > 0 {
-				k.AnswersLost = true
+		for _, worker := range w.workers() {
+			if worker.Up && len(worker.Tasks) > 0 {
+				worker.AnswersLost = true
 			}
 		}
 		w.restart(w.leaderOrFirst(), 2*second)
@@ -244,9 +246,9 @@
 		w.cancelSome("j-s2")
 		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.Cancelled })
 		w.until(60*second, "j-s3 runs elsewhere", func() bool {
-			for _, k := range w.workers() {
-				for _, task := range k.Tasks {
-					if task.UID == "j-s3" && task.State == protocol.Running && !k.AnswersLost && !k.Deleted {
+			for _, worker := range w.workers() {
+				for _, task := range worker.Tasks {
+					if task.UID == "j-s3" && task.State == protocol.Running && !worker.AnswersLost && !worker.Deleted {
 						return true
 					}
 				}
@@ -259,8 +261,8 @@
 // The state service answers slowly, or refuses the leader alone and then
 // everybody for longer than cancel_s, while users cancel and ask.
 func TestCompoundSlowThenRefused(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *networkFaults) {
-		m.slowState = w.randomMilliseconds(300, 900)
+	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
+		faults.slowState = w.randomMilliseconds(300, 900)
 		w.cancelSome("j-s1")
 		w.run(10 * second)
 		old := w.leaderOrFirst()
@@ -271,14 +273,14 @@
 		w.cancelSome("j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 1.0})
 		w.run(50 * second)
-		m.slowState = 0
+		faults.slowState = 0
 	})
 }
 
 // More work is submitted than there is room for, urgent and not, over slow links.
 func TestCompoundOverload(t *testing.T) {
-	startCompoundFailure(t, 4, func(w *world, m *networkFaults) {
-		m.slowLinks = 400 * time.Millisecond
+	startCompoundFailure(t, 4, func(w *world, faults *networkFaults) {
+		faults.slowLinks = 400 * time.Millisecond
 		for i := range 12 {
 			rank := []string{"idle", "normal", "high", "production"}[i%4]
 			shape, shards := "batch", 1+w.rng.IntN(5)
@@ -318,19 +320,19 @@
 // A leader is cut off from the state service and from the other controllers while workers and users
 // still reach it, and jobs are cancelled through the new leader.
 func TestCompoundLeaderPartitioned(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *networkFaults) {
+	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		old := w.awaitLeader()
-		m.isolated[old] = true
+		faults.isolated[old] = true
 		if w.rng.IntN(2) == 0 {
 			for i := range 3 {
-				m.commandsLost[i] = i != old
+				faults.commandsLost[i] = i != old
 			}
 		}
 		w.run(w.randomMilliseconds(1500, 8000))
 		w.cancelSome("j-s1", "j-b1", "j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
 		w.run(w.randomMilliseconds(20_000, 80_000))
-		m.isolated[old] = false
+		faults.isolated[old] = false
 		w.run(20 * second)
 	})
 }
@@ -343,12 +345,12 @@
 			body []byte
 		}
 		var held []copied
-		for _, k := range w.workers() {
-			if k.Up && !k.Deleted {
-				held = append(held, copied{k, protocol.Encode(k.Message())})
+		for _, worker := range w.workers() {
+			if worker.Up && !worker.Deleted {
+				held = append(held, copied{worker, protocol.Encode(worker.Message())})
 				if w.rng.IntN(2) == 0 {
-					k.Cut = true
-					w.at(w.randomMilliseconds(2000, 25_000), func() { k.Cut = false })
+					worker.Cut = true
+					w.at(w.randomMilliseconds(2000, 25_000), func() { worker.Cut = false })
 				}
 			}
 		}
@@ -370,7 +372,7 @@
 
 // Jobs of two or three tasks end far apart across a change of leader.
 func TestCompoundTasksEndFarApart(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *networkFaults) {
+	startCompoundFailure(t, 6, func(w *world, faults *networkFaults) {
 		w.runs = func(task string) time.Duration {
 			return time.Duration(5+35*int(task[len(task)-1]-'0')) * second
 		}
@@ -378,7 +380,7 @@
 			w.submit(fmt.Sprintf("j-f%d", i), map[string]any{"shards": 2 + i%2, "cores": 1.0})
 		}
 		w.run(w.randomMilliseconds(8000, 14_000))
-		m.lateTransactions = 0.2
+		faults.lateTransactions = 0.2
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 5000))
 		w.run(w.randomMilliseconds(10_000, 25_000))
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 5000))
@@ -410,27 +412,27 @@
 
 // A zone with workers and a controller is cut off for longer than lease_s.
 func TestCompoundZonePartitioned(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *networkFaults) {
+	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		inB := func(addr string) bool {
 			if strings.HasPrefix(addr, "10.0.0.") {
 				return strings.HasPrefix(addr, "10.0.0.2:")
 			}
-			k := w.byAddr(addr)
-			return k != nil && k.Zone == "b"
+			worker := w.byAddr(addr)
+			return worker != nil && worker.Zone == "b"
 		}
 		w.script = func(node int, c Call) deliveryFault {
 			there := c.Target == ToPeer || c.Target == ToWorker
 			return deliveryFault{lost: node == 2 && !there || there && inB(c.Addr) != (node == 2)}
 		}
-		w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault {
-			return deliveryFault{lost: (k.Zone == "b") != (node == 2)}
+		w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+			return deliveryFault{lost: (worker.Zone == "b") != (node == 2)}
 		}
 		w.cancelSome("j-s1", "j-s3")
 		if w.rng.IntN(2) == 0 {
 			w.restart(w.rng.IntN(3), w.randomMilliseconds(200, 4000))
 		}
 		w.run(w.randomMilliseconds(12_000, 60_000))
-		w.script, w.heartbeatFault = m.fault, nil
+		w.script, w.heartbeatFault = faults.fault, nil
 		w.run(20 * second)
 	})
 }
@@ -440,9 +442,9 @@
 func TestCompoundHeartbeatsLost(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		var heartbeatsLost []*emulator.Worker
-		for _, k := range w.randomMachines(0.6) {
-			k.ReportsLost = true
-			heartbeatsLost = append(heartbeatsLost, k)
+		for _, worker := range w.randomMachines(0.6) {
+			worker.ReportsLost = true
+			heartbeatsLost = append(heartbeatsLost, worker)
 		}
 		w.cancelSome("j-b1")
 		w.run(w.randomMilliseconds(3000, 12_000))
@@ -451,21 +453,21 @@
 		}
 		w.run(25 * second)
 		began := map[*emulator.Worker]int{}
-		for _, k := range heartbeatsLost {
-			began[k] = k.Lives
+		for _, worker := range heartbeatsLost {
+			began[worker] = worker.Lives
 		}
 		w.run(60 * second)
-		for _, k := range heartbeatsLost {
-			if k.Lives > began[k]+2 {
-				w.violated("a machine whose heartbeats are lost was given %d tasks, all of which die with its lease", k.Lives-began[k])
+		for _, worker := range heartbeatsLost {
+			if worker.Lives > began[worker]+2 {
+				w.violated("a machine whose heartbeats are lost was given %d tasks, all of which die with its lease", worker.Lives-began[worker])
 			}
 		}
 		// Their tasks run elsewhere.
 		for _, uid := range []string{"j-s1", "j-s2", "j-s3"} {
 			n := 0
-			for _, k := range w.workers() {
-				for _, task := range k.Tasks {
-					if task.UID == uid && task.State == protocol.Running && !k.ReportsLost && !k.Deleted {
+			for _, worker := range w.workers() {
+				for _, task := range worker.Tasks {
+					if task.UID == uid && task.State == protocol.Running && !worker.ReportsLost && !worker.Deleted {
 						n++
 					}
 				}
@@ -486,9 +488,9 @@
 			}
 			return 0
 		}
-		for _, k := range w.randomMachines(0.4) {
-			k.Cut = true // a new epoch, while copies of heartbeats of the earlier one are in flight
-			w.at(w.randomMilliseconds(9000, 16_000), func() { k.Cut = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Cut = true // a new epoch, while copies of heartbeats of the earlier one are in flight
+			w.at(w.randomMilliseconds(9000, 16_000), func() { worker.Cut = false })
 		}
 		w.run(w.randomMilliseconds(4000, 14_000))
 		w.cancelSome("j-s1")
@@ -507,9 +509,9 @@
 			w.submit(fmt.Sprintf("j-l%d", i), map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue"})
 		}
 		w.run(40 * second)
-		for _, k := range w.randomMachines(0.5) {
-			k.Cut = true
-			w.at(w.randomMilliseconds(5000, 30_000), func() { k.Cut = false })
+		for _, worker := range w.randomMachines(0.5) {
+			worker.Cut = true
+			w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Cut = false })
 		}
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 5000))
 		w.run(w.randomMilliseconds(500, 5000))
@@ -521,13 +523,13 @@
 
 // A command or its answer is delayed for seconds, and the machine then goes on.
 func TestCompoundDelayedCommands(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, m *networkFaults) {
-		m.delayedCommands, m.lostAnswers = 0.4, 0.2
+	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
+		faults.delayedCommands, faults.lostAnswers = 0.4, 0.2
 		for i := range 4 {
 			w.submit(fmt.Sprintf("j-h%d", i), map[string]any{"shards": 2, "cores": 1.0})
 			w.run(w.randomMilliseconds(500, 3000))
-			for _, k := range w.randomMachines(0.3) {
-				k.Hang(w.randomMilliseconds(1000, 14_000))
+			for _, worker := range w.randomMachines(0.3) {
+				worker.Hang(w.randomMilliseconds(1000, 14_000))
 			}
 			if i == 1 {
 				w.cancelSome("j-s1", "j-h0")
@@ -563,16 +565,16 @@
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
 		w.submit("j-z2", map[string]any{"shards": 3, "cores": 2.0, "together": true})
 		w.run(w.randomMilliseconds(5000, 20_000))
-		for _, k := range w.workers() {
-			if !k.Deleted && k.Up && (k.Zone == "b" || w.rng.IntN(3) == 0) {
+		for _, worker := range w.workers() {
+			if !worker.Deleted && worker.Up && (worker.Zone == "b" || w.rng.IntN(3) == 0) {
 				switch w.rng.IntN(3) {
 				case 0:
-					k.Die()
+					worker.Die()
 				case 1:
-					k.Cut = true
-					w.at(w.randomMilliseconds(5000, 30_000), func() { k.Cut = false })
+					worker.Cut = true
+					w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Cut = false })
 				case 2:
-					k.Hang(w.randomMilliseconds(3000, 20_000))
+					worker.Hang(w.randomMilliseconds(3000, 20_000))
 				}
 			}
 		}
@@ -583,8 +585,8 @@
 
 // Transactions that got no answer are applied late, after newer ones of the same controller.
 func TestCompoundLateTransactions(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, m *networkFaults) {
-		m.lateTransactions = 0.35
+	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
+		faults.lateTransactions = 0.35
 		for i := range 5 {
 			w.submit(fmt.Sprintf("j-t%d", i), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0, "shape": []string{"batch", "service"}[i%2]})
 			w.run(w.randomMilliseconds(500, 6000))
@@ -605,10 +607,10 @@
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, 5000+seed)
-			m := w.injectNetworkFaults()
+			faults := w.injectNetworkFaults()
 			w.initialJobs()
 			for range 2 + w.rng.IntN(2) {
-				w.injectRandomFault(m, w.randomMilliseconds(8000, 60_000))
+				w.injectRandomFault(faults, w.randomMilliseconds(8000, 60_000))
 				w.run(w.randomMilliseconds(0, 6000))
 			}
 			w.cancelSome([]string{"j-s1", "j-s2", "j-b1", "j-b22"}[w.rng.IntN(4)])
@@ -621,7 +623,7 @@
 }
 
 // injectRandomFault begins one of the listed faults, which lasts for the given time.
-func (w *world) injectRandomFault(m *networkFaults, lasts time.Duration) {
+func (w *world) injectRandomFault(faults *networkFaults, lasts time.Duration) {
 	node := w.leaderOrFirst()
 	if w.rng.IntN(3) == 0 {
 		node = w.rng.IntN(3)
@@ -633,8 +635,8 @@
 		w.state.Refuse[node] = true
 		w.at(lasts, func() { w.state.Refuse[node] = false })
 	case 2:
-		m.isolated[node] = true
-		w.at(lasts, func() { m.isolated[node] = false })
+		faults.isolated[node] = true
+		w.at(lasts, func() { faults.isolated[node] = false })
 	case 3:
 		w.restart(node, min(lasts, w.randomMilliseconds(50, 12_000)))
 	case 4:
@@ -642,32 +644,32 @@
 			w.restart(i, w.randomMilliseconds(50, 12_000))
 		}
 	case 5:
-		for _, k := range w.randomMachines(0.4) {
-			k.AnswersLost = true
-			w.at(lasts, func() { k.AnswersLost = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.AnswersLost = true
+			w.at(lasts, func() { worker.AnswersLost = false })
 		}
 	case 6:
-		for _, k := range w.randomMachines(0.4) {
-			k.ReportsLost = true
-			w.at(lasts, func() { k.ReportsLost = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.ReportsLost = true
+			w.at(lasts, func() { worker.ReportsLost = false })
 		}
 	case 7:
-		for _, k := range w.randomMachines(0.4) {
-			k.Cut = true
-			w.at(lasts, func() { k.Cut = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Cut = true
+			w.at(lasts, func() { worker.Cut = false })
 		}
 	case 8:
-		for _, k := range w.randomMachines(0.4) {
-			k.Hang(min(lasts, w.randomMilliseconds(1000, 15_000)))
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Hang(min(lasts, w.randomMilliseconds(1000, 15_000)))
 		}
 	case 9:
-		m.lateTransactions = 0.3
-		w.at(lasts, func() { m.lateTransactions = 0 })
+		faults.lateTransactions = 0.3
+		w.at(lasts, func() { faults.lateTransactions = 0 })
 	case 10:
 		w.lateCopy = func() time.Duration { return w.randomMilliseconds(2000, 40_000) }
 	case 11:
-		m.delayedCommands, m.lostAnswers = 0.3, 0.2
-		w.at(lasts, func() { m.delayedCommands, m.lostAnswers = 0, 0 })
+		faults.delayedCommands, faults.lostAnswers = 0.3, 0.2
+		w.at(lasts, func() { faults.delayedCommands, faults.lostAnswers = 0, 0 })
 	case 12:
 		w.ended = func(uid string) { w.at(w.randomMilliseconds(0, 500), func() { w.cancel(uid) }) }
 	}
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -69,8 +69,8 @@
 				token := w.leadership().lease.token
 				var first time.Duration
 				begins := w.machines.Begins
-				w.machines.Begins = func(k *emulator.Worker, task string, t *emulator.Task) {
-					begins(k, task, t)
+				w.machines.Begins = func(worker *emulator.Worker, task string, t *emulator.Task) {
+					begins(worker, task, t)
 					if first == 0 && t.Try>>attemptBlockBits > token {
 						first = w.Now()
 					}
@@ -134,9 +134,9 @@
 		for _, starts := range w.starts {
 			sum.moves += float64(starts - 1)
 		}
-		for _, k := range w.workers() {
-			if k.Up && !k.Deleted {
-				sum.lapses += float64(k.Session - 1)
+		for _, worker := range w.workers() {
+			if worker.Up && !worker.Deleted {
+				sum.lapses += float64(worker.Session - 1)
 			}
 		}
 		w.requireNoViolations()
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -304,9 +304,9 @@
 		})
 	}
 	var heartbeat []byte
-	for _, k := range w.workers() {
-		if k.Up && !k.Deleted {
-			heartbeat = protocol.Encode(k.Message())
+	for _, worker := range w.workers() {
+		if worker.Up && !worker.Deleted {
+			heartbeat = protocol.Encode(worker.Message())
 		}
 	}
 	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
@@ -441,9 +441,9 @@
 					}
 				}
 			}
-			for _, k := range w.workers() {
-				if k.Up && !k.Deleted && k.Session > 1 {
-					t.Errorf("loss %v: the lease of %s ran out", loss, k.ID)
+			for _, worker := range w.workers() {
+				if worker.Up && !worker.Deleted && worker.Session > 1 {
+					t.Errorf("loss %v: the lease of %s ran out", loss, worker.ID)
 				}
 			}
 			for task, n := range w.starts {
@@ -481,18 +481,18 @@
 // controllersInFirstZone maps each running machine of the first zone to the index of its controller.
 func (w *world) controllersInFirstZone() map[string]int {
 	out := map[string]int{}
-	for _, k := range w.workers() {
-		if k.Up && !k.Deleted && k.Zone == w.topology.zones[0] {
-			out[k.ID] = k.Controller
+	for _, worker := range w.workers() {
+		if worker.Up && !worker.Deleted && worker.Zone == w.topology.zones[0] {
+			out[worker.ID] = worker.Controller
 		}
 	}
 	return out
 }
 
 func (w *world) byID(id string) *emulator.Worker {
-	for _, k := range w.workers() {
-		if k.ID == id {
-			return k
+	for _, worker := range w.workers() {
+		if worker.ID == id {
+			return worker
 		}
 	}
 	return nil
@@ -510,8 +510,8 @@
 	settled := func() bool {
 		l := w.leadership()
 		for _, m := range l.state.Machines {
-			k := w.byID(m.ID)
-			if k != nil && k.Up && !k.Deleted && m.Zone == "a" && label(k.Controller) != l.router.ownerOf(m) {
+			worker := w.byID(m.ID)
+			if worker != nil && worker.Up && !worker.Deleted && m.Zone == "a" && label(worker.Controller) != l.router.ownerOf(m) {
 				return false
 			}
 		}
@@ -574,9 +574,9 @@
 		}
 	}
 	w.until(60*second, "each machine is back", settled)
-	for _, k := range w.workers() {
-		if k.Up && !k.Deleted && k.Session > 1 {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range w.workers() {
+		if worker.Up && !worker.Deleted && worker.Session > 1 {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
 	w.settle()
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -13,8 +13,8 @@
 // failTasks makes the tasks of the named jobs fail as soon as they begin, on the given machines or
 // on all.
 func (w *world) failTasks(jobs map[string]bool, machines map[string]bool) {
-	w.fails = func(k *emulator.Worker, uid string) bool {
-		return (jobs == nil || jobs[uid]) && (machines == nil || machines[k.ID])
+	w.fails = func(worker *emulator.Worker, uid string) bool {
+		return (jobs == nil || jobs[uid]) && (machines == nil || machines[worker.ID])
 	}
 }
 
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -25,9 +25,9 @@
 			w.run(15 * second)
 			lead := w.leader()
 			unhearing := map[string]bool{}
-			for _, k := range w.workers() {
-				if len(unhearing) < minMissedMachines && len(k.Tasks) > 0 {
-					unhearing[k.Addr] = true
+			for _, worker := range w.workers() {
+				if len(unhearing) < minMissedMachines && len(worker.Tasks) > 0 {
+					unhearing[worker.Addr] = true
 				}
 			}
 			w.script = func(node int, c Call) deliveryFault {
@@ -115,7 +115,7 @@
 		t.Fatal("the zone is not dark: the test shows nothing")
 	}
 	for _, id := range w.cloud.Deleted {
-		if k := w.machines.Workers[id]; k.Zone == "b" && k.Seq > 0 {
+		if worker := w.machines.Workers[id]; worker.Zone == "b" && worker.Seq > 0 {
 			t.Errorf("machine %s of the zone was returned", id)
 		}
 	}
@@ -221,13 +221,13 @@
 			w.cloud.Full = what == "no room"
 			w.unreachable = map[string]bool{}
 			var victim *emulator.Worker
-			for _, k := range w.workers() {
-				if what == "cut zone" && k.Zone == "b" {
-					w.unreachable[k.Addr] = true
-				} else if what != "cut zone" && k.Zone == "a" && len(k.Tasks) > 0 && victim == nil {
-					victim = k
-					k.Cut = true
-					w.unreachable[k.Addr] = what != "hanging"
+			for _, worker := range w.workers() {
+				if what == "cut zone" && worker.Zone == "b" {
+					w.unreachable[worker.Addr] = true
+				} else if what != "cut zone" && worker.Zone == "a" && len(worker.Tasks) > 0 && victim == nil {
+					victim = worker
+					worker.Cut = true
+					w.unreachable[worker.Addr] = what != "hanging"
 				}
 			}
 			if what == "cut zone" {
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -18,10 +18,10 @@
 
 // machinesWithTasksOf returns the machines with tasks of a job.
 func (w *world) machinesWithTasksOf(uid string) (out []*emulator.Worker) {
-	for _, k := range w.workers() {
-		for _, t := range k.Tasks {
-			if t.UID == uid && t.State != protocol.Exited && !k.Deleted {
-				out = append(out, k)
+	for _, worker := range w.workers() {
+		for _, t := range worker.Tasks {
+			if t.UID == uid && t.State != protocol.Exited && !worker.Deleted {
+				out = append(out, worker)
 				break
 			}
 		}
@@ -114,13 +114,13 @@
 			w.submit("j-1", group(4, 4, map[string]any{"borrowed": true, "apart": true}))
 			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 			w.run(2 * second)
-			k := w.machinesWithTasksOf("j-1")[0]
-			if !k.Spot {
+			worker := w.machinesWithTasksOf("j-1")[0]
+			if !worker.Spot {
 				t.Fatal("it is on an ordinary machine")
 			}
 			end := w.Now() + time.Duration(tc.notice*float64(second))
-			k.Taken = end
-			w.at(end-w.Now(), k.Die)
+			worker.Taken = end
+			w.at(end-w.Now(), worker.Die)
 			w.until(90*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
 			if w.machines.Saves["j-1"] != tc.saves {
 				t.Errorf("its progress was saved %d times, want %d", w.machines.Saves["j-1"], tc.saves)
@@ -139,9 +139,9 @@
 	w.submit("j-1", group(4, 4, nil))
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(19 * second)
-	for _, k := range w.machinesWithTasksOf("j-1")[1:] {
-		k.Cut = true
-		w.at(30*second, func() { k.Cut = false })
+	for _, worker := range w.machinesWithTasksOf("j-1")[1:] {
+		worker.Cut = true
+		w.at(30*second, func() { worker.Cut = false })
 	}
 	w.awaitStatus(10*second, "j-1", protocol.Done)
 	w.run(40 * second)
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -49,9 +49,9 @@
 	w.submit("j-1", group(4, 4, nil)) // two machines
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(3 * second)
-	for _, k := range w.workers() {
-		if len(k.Tasks) > 0 {
-			k.Die()
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 {
+			worker.Die()
 			break
 		}
 	}
@@ -69,9 +69,9 @@
 	w.submit("j-1", group(4, 4, nil))
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(2 * second)
-	for _, k := range w.workers() {
-		if len(k.Tasks) > 0 {
-			k.ReportsLost = true
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 {
+			worker.ReportsLost = true
 			break
 		}
 	}
@@ -173,8 +173,8 @@
 	w.state.Place(clusterstate.JobPrefix+"j-2", &emulator.Item{Version: 1, Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
 	w.startPolling("j-2")
 	try := uint64(1 << 20)
-	for i, k := range w.workers() {
-		it := w.state.Item(clusterstate.MachinePrefix + k.ID)
+	for i, worker := range w.workers() {
+		it := w.state.Item(clusterstate.MachinePrefix + worker.ID)
 		var rec clusterstate.MachineRecord
 		if it == nil || i > 1 || protocol.Decode(it.Value, &rec) != nil {
 			continue
@@ -182,7 +182,7 @@
 		try++
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Number: try})
 		it.Value = protocol.Encode(rec)
-		k.Hold(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Try: try, State: protocol.WaitingForGang})
+		worker.Hold(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Try: try, State: protocol.WaitingForGang})
 	}
 	w.restart(w.awaitLeader(), second)
 	w.awaitStatus(120*second, "j-2", protocol.Done)
@@ -198,9 +198,9 @@
 	w.pulls = func(string) time.Duration { return 12 * second }
 	w.submit("j-1", group(2, 2, nil))
 	try := func() (out uint64) {
-		for _, k := range w.workers() {
-			for _, task := range k.Tasks {
-				if task.UID == "j-1" && !k.Deleted {
+		for _, worker := range w.workers() {
+			for _, task := range worker.Tasks {
+				if task.UID == "j-1" && !worker.Deleted {
 					out = max(out, task.Try)
 				}
 			}
@@ -210,9 +210,9 @@
 	w.until(10*second, "it is pulling", func() bool { return try() > 0 })
 	w.run(second)
 	first := try()
-	for _, k := range w.workers() {
-		if _, here := k.Tasks[fmt.Sprintf("j-1/0@%d", first)]; here {
-			k.Die()
+	for _, worker := range w.workers() {
+		if _, here := worker.Tasks[fmt.Sprintf("j-1/0@%d", first)]; here {
+			worker.Die()
 		}
 	}
 	w.pulls = nil
@@ -271,8 +271,8 @@
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
 	w.pulls = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", group(2, 2, nil))
-	at := func(k *emulator.Worker) bool {
-		for _, task := range k.Tasks {
+	at := func(worker *emulator.Worker) bool {
+		for _, task := range worker.Tasks {
 			if task.UID == "j-1" {
 				return true
 			}
@@ -281,16 +281,16 @@
 	}
 	w.until(10*second, "it is pulling", func() bool {
 		n := 0
-		for _, k := range w.workers() {
-			if at(k) {
+		for _, worker := range w.workers() {
+			if at(worker) {
 				n++
 			}
 		}
 		return n == 2
 	})
-	for _, k := range w.workers() {
-		if at(k) {
-			k.Die()
+	for _, worker := range w.workers() {
+		if at(worker) {
+			worker.Die()
 			break
 		}
 	}
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -19,8 +19,8 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	lead := w.awaitLeader()
-	for _, k := range w.workers() {
-		k.Cut = true
+	for _, worker := range w.workers() {
+		worker.Cut = true
 	}
 	asked := 0
 	w.user(lead, OpCancel, "j-1", func(status int, _ protocol.JobStatus) {
@@ -33,8 +33,8 @@
 		t.Fatalf("state %q after %d answers", w.lastReplies["j-1"], asked)
 	}
 	w.crash(lead)
-	for _, k := range w.workers() {
-		k.Cut = false
+	for _, worker := range w.workers() {
+		worker.Cut = false
 	}
 	w.until(40*second, "the successor has called it off", func() bool { return w.lastReplies["j-1"] == protocol.Cancelled })
 	if w.running("j-1") != 0 {
@@ -50,9 +50,9 @@
 	w.runs = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shards": 2, "cores": 4.0})
 	w.until(60*second, "it runs", func() bool { return w.running("j-1") == 2 })
-	for _, k := range w.workers() {
-		k.Cut = true
-		w.at(8*second, func() { k.Cut = false })
+	for _, worker := range w.workers() {
+		worker.Cut = true
+		w.at(8*second, func() { worker.Cut = false })
 	}
 	w.cancel("j-1")
 	w.awaitStatus(30*second, "j-1", protocol.Done)
@@ -156,8 +156,8 @@
 	w.until(60*second, "the replica runs", func() bool { return w.running("j-1") == 1 })
 	w.cloud.Down = true // nothing else can be rented
 	w.spec("j-9", nil)
-	for _, k := range w.workers() {
-		k.Hold("j-9/0", &emulator.Task{UID: "j-9", Try: 7, State: protocol.Running})
+	for _, worker := range w.workers() {
+		worker.Hold("j-9/0", &emulator.Task{UID: "j-9", Try: 7, State: protocol.Running})
 	}
 	w.run(5 * second)
 	w.calmSince = w.Now()
@@ -173,10 +173,10 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(5 * second)
-	k := w.workers()[0]
-	k.ReportsLost = true
+	worker := w.workers()[0]
+	worker.ReportsLost = true
 	w.run(8500 * time.Millisecond) // of a lease of 10 s
-	for name, task := range k.Tasks {
+	for name, task := range worker.Tasks {
 		if task.State == protocol.Running {
 			t.Errorf("%s is still on a machine that is about to end its epoch", name)
 		}
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -23,17 +23,17 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "apart": true, "cores": 4.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 8 })
 	var far []*emulator.Worker
-	for _, k := range w.workers() {
-		if k.Zone == "b" && len(k.Tasks) > 0 {
-			far = append(far, k)
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" && len(worker.Tasks) > 0 {
+			far = append(far, worker)
 		}
 	}
 	if len(far) < 2 {
 		t.Fatalf("%d workers in the second zone", len(far))
 	}
 	there := func() bool {
-		for _, k := range far {
-			if k.Controller != 2 {
+		for _, worker := range far {
+			if worker.Controller != 2 {
 				return false
 			}
 		}
@@ -47,9 +47,9 @@
 		started[task] = n
 	}
 	w.run(60 * second)
-	for _, k := range far {
-		if k.Session > 1 {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range far {
+		if worker.Session > 1 {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
 	for task, n := range w.starts {
@@ -112,8 +112,8 @@
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "apart": true, "cores": 8.0, "owner": "blue"})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 && w.running("j-2") == 2 })
 	w.until(30*second, "workers send heartbeats to their zone's controller", func() bool {
-		for _, k := range w.workers() {
-			if k.Zone == "b" && len(k.Tasks) > 0 && k.Controller != 2 {
+		for _, worker := range w.workers() {
+			if worker.Zone == "b" && len(worker.Tasks) > 0 && worker.Controller != 2 {
 				return false
 			}
 		}
@@ -126,9 +126,9 @@
 	}
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
 	w.run(25 * second)
-	for _, k := range w.workers() {
-		if k.Zone == "b" && k.Session > 1 {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" && worker.Session > 1 {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
 	if w.leader() != 2 {
@@ -143,11 +143,11 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(5 * second)
-	k := w.workers()[0]
+	worker := w.workers()[0]
 	w.heartbeatTimeout = 2 * second
-	k.ReportsLost = true
+	worker.ReportsLost = true
 	w.run(6 * second)
-	k.ReportsLost = false
+	worker.ReportsLost = false
 	w.run(10 * second)
 	for task, n := range w.starts {
 		if n > 1 {
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -25,7 +25,7 @@
 	w.script = func(node int, c Call) deliveryFault {
 		switch c.Target {
 		case ToWorker:
-			if k := w.byAddr(c.Addr); k != nil && k.Zone != w.topology.controllers[node] {
+			if worker := w.byAddr(c.Addr); worker != nil && worker.Zone != w.topology.controllers[node] {
 				return nothing
 			}
 		case ToPeer:
@@ -40,8 +40,8 @@
 		}
 		return deliveryFault{}
 	}
-	w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault {
-		if k.Zone != w.topology.controllers[node] {
+	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+		if worker.Zone != w.topology.controllers[node] {
 			return nothing
 		}
 		return deliveryFault{}
@@ -87,9 +87,9 @@
 		t.Fatalf("leader %d", lead)
 	}
 	sessions := map[string]uint64{}
-	for _, k := range w.workers() {
-		if len(k.Tasks) > 0 {
-			sessions[k.ID] = k.Session
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 {
+			sessions[worker.ID] = worker.Session
 		}
 	}
 	var out bytes.Buffer
@@ -124,9 +124,9 @@
 	if n := w.totalStarts(); n != starts {
 		t.Errorf("%d tasks were moved", n-starts)
 	}
-	for _, k := range w.workers() {
-		if s, had := sessions[k.ID]; had && s != k.Session {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range w.workers() {
+		if s, had := sessions[worker.ID]; had && s != worker.Session {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
 	w.requireNoViolations()
@@ -145,16 +145,16 @@
 	}
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{refused: c.Target == ToPeer} }
 	w.until(8*second, "the second zone's workers send heartbeats to the leader", func() bool {
-		for _, k := range w.workers() {
-			if k.Zone == "b" && len(k.Tasks) > 0 && k.Controller != lead {
+		for _, worker := range w.workers() {
+			if worker.Zone == "b" && len(worker.Tasks) > 0 && worker.Controller != lead {
 				return false
 			}
 		}
 		return true
 	})
-	for _, k := range w.workers() {
-		if k.Session > 1 {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range w.workers() {
+		if worker.Session > 1 {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
 	w.requireNoViolations()
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -117,14 +117,14 @@
 	w.runs = func(string) time.Duration { return 200 * second }
 	w.submit("j-1", map[string]any{"shards": 70, "cores": 0.1, "ramGb": 0.1})
 	w.until(90*second, "all run", func() bool { return w.running("j-1") == 70 })
-	k := w.machinesWithTasksOf("j-1")[0]
+	worker := w.machinesWithTasksOf("j-1")[0]
 	w.state.Limits = lowerLimits
-	if len(k.Tasks) < 60 {
-		t.Fatalf("%d tasks on the machine", len(k.Tasks))
+	if len(worker.Tasks) < 60 {
+		t.Fatalf("%d tasks on the machine", len(worker.Tasks))
 	}
-	k.Cut = true
+	worker.Cut = true
 	w.announceLimits()
-	w.until(100*second, "it is deleted", func() bool { return k.Deleted })
+	w.until(100*second, "it is deleted", func() bool { return worker.Deleted })
 	w.runs = func(string) time.Duration { return second }
 	w.awaitStatus(300*second, "j-1", protocol.Done)
 	w.settle()
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -21,9 +21,9 @@
 	w.cloud.BootTime = func(string) time.Duration { return 10 * time.Second }
 	w.cloud.Wrong = func(what string) { w.violated("%s", what) }
 	w.cloud.Launch = func(m *emulator.Machine) {
-		k := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
-		k.Reported = func(body []byte) { w.recordHeartbeat(k, body) }
-		w.at(10*time.Second, k.Boot)
+		worker := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
+		worker.Reported = func(body []byte) { w.recordHeartbeat(worker, body) }
+		w.at(10*time.Second, worker.Boot)
 	}
 	w.cloud.Remove = func(m *emulator.Machine) { w.machines.Workers[m.ID].Die() }
 }
@@ -49,8 +49,8 @@
 		}
 		return testSite.fetch
 	}
-	f.Fails = func(k *emulator.Worker, t *emulator.Task) bool {
-		if w.fails == nil || !w.fails(k, t.UID) {
+	f.Fails = func(worker *emulator.Worker, t *emulator.Task) bool {
+		if w.fails == nil || !w.fails(worker, t.UID) {
 			return false
 		}
 		w.failures++
@@ -63,7 +63,7 @@
 			w.ended(t.UID)
 		}
 	}
-	f.Died = func(k *emulator.Worker) { w.cloud.Machine(k.ID).Deleted = true }
+	f.Died = func(worker *emulator.Worker) { w.cloud.Machine(worker.ID).Deleted = true }
 	f.Halted = func(t *emulator.Task, graceS float64) {
 		w.stopCommands[t.UID] = append(w.stopCommands[t.UID], stopCommand{w.Now(), graceS})
 	}
@@ -85,9 +85,9 @@
 func (w *world) workers() []*emulator.Worker { return w.machines.Sorted() }
 
 func (w *world) byAddr(addr string) *emulator.Worker {
-	for _, k := range w.machines.Workers {
-		if k.Addr == addr {
-			return k
+	for _, worker := range w.machines.Workers {
+		if worker.Addr == addr {
+			return worker
 		}
 	}
 	return nil
@@ -95,8 +95,8 @@
 
 // recordHeartbeat keeps a heartbeat's body, and has a copy of it arrive late if the test requires
 // it.
-func (w *world) recordHeartbeat(k *emulator.Worker, body []byte) {
-	w.copies[k.ID] = append(w.copies[k.ID], body)
+func (w *world) recordHeartbeat(worker *emulator.Worker, body []byte) {
+	w.copies[worker.ID] = append(w.copies[worker.ID], body)
 	if w.lateCopy == nil {
 		return
 	}
@@ -108,23 +108,23 @@
 }
 
 // deliverHeartbeat sends a worker's heartbeat to a controller, subject to the test's faults.
-func (w *world) deliverHeartbeat(k *emulator.Worker, node int, body []byte, answer emulator.Reply) {
+func (w *world) deliverHeartbeat(worker *emulator.Worker, node int, body []byte, answer emulator.Reply) {
 	var f deliveryFault
 	if w.heartbeatFault != nil {
-		f = w.heartbeatFault(k, node)
+		f = w.heartbeatFault(worker, node)
 	}
 	none := func() { w.at(w.heartbeatTimeout, func() { answer(0, nil) }) }
 	if f.refused {
 		w.at(latency, func() { answer(0, nil) })
 		return
 	}
-	if f.lost || k.ReportsLost {
+	if f.lost || worker.ReportsLost {
 		none()
 		return
 	}
 	w.at(latency, func() {
 		w.ask(node, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {
-			if f.answerLost || k.Hung || k.AnswersLost {
+			if f.answerLost || worker.Hung || worker.AnswersLost {
 				none()
 				return
 			}
@@ -134,7 +134,7 @@
 }
 
 // checkStart checks the rules for the moment at which a task begins to be on its machine.
-func (w *world) checkStart(k *emulator.Worker, task string, t *emulator.Task) {
+func (w *world) checkStart(worker *emulator.Worker, task string, t *emulator.Task) {
 	spec := w.specs[t.UID]
 	w.starts[task]++
 	// Stricter than the protocol's page, which allows cancel_s: "from then on no task of the job
@@ -149,8 +149,8 @@
 				continue
 			}
 			other, _, _ := strings.Cut(name, "@")
-			if other == task && (o != k || x != t) {
-				w.violated("ran_twice: %s on %s and %s", task, o.ID, k.ID)
+			if other == task && (o != worker || x != t) {
+				w.violated("ran_twice: %s on %s and %s", task, o.ID, worker.ID)
 			}
 			if x.UID == t.UID {
 				zones[o.Zone]++
@@ -159,10 +159,10 @@
 			used[w.specs[x.UID]["owner"].(string)] += w.specs[x.UID]["cores"].(float64)
 		}
 	}
-	if n := spec["shards"].(int); spec["apart"].(bool) && zones[k.Zone] > (n+1)/2 {
-		w.violated("wrong_place: %d of %d tasks of %s in one zone", zones[k.Zone], n, t.UID)
+	if n := spec["shards"].(int); spec["apart"].(bool) && zones[worker.Zone] > (n+1)/2 {
+		w.violated("wrong_place: %d of %d tasks of %s in one zone", zones[worker.Zone], n, t.UID)
 	}
-	if spec["together"].(bool) && total != zones[k.Zone] {
+	if spec["together"].(bool) && total != zones[worker.Zone] {
 		w.violated("wrong_place: %s in two zones", t.UID)
 	}
 	for team, most := range map[string]float64{"red": 32, "blue": 16} {
@@ -175,9 +175,9 @@
 // running counts a job's tasks on machines.
 func (w *world) running(uid string) int {
 	n := 0
-	for _, k := range w.workers() {
-		for _, t := range k.Tasks {
-			if t.UID == uid && t.Here() && !k.Deleted {
+	for _, worker := range w.workers() {
+		for _, t := range worker.Tasks {
+			if t.UID == uid && t.Here() && !worker.Deleted {
 				n++
 			}
 		}
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -12,21 +12,21 @@
 	absent, exits, runs, unknown []string
 }
 
-func (n *recordedOutcomes) onExit(_ *clusterstate.Machine, key clusterstate.AttemptKey, _ protocol.TaskStatus) {
-	n.exits = append(n.exits, key.Task)
+func (r *recordedOutcomes) onExit(_ *clusterstate.Machine, key clusterstate.AttemptKey, _ protocol.TaskStatus) {
+	r.exits = append(r.exits, key.Task)
 }
 
-func (n *recordedOutcomes) onRunning(_ *clusterstate.Machine, a *clusterstate.Attempt) {
-	n.runs = append(n.runs, a.Key().Task)
+func (r *recordedOutcomes) onRunning(_ *clusterstate.Machine, a *clusterstate.Attempt) {
+	r.runs = append(r.runs, a.Key().Task)
 }
 
-func (n *recordedOutcomes) adoptUnknownAttempt(_ *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
-	n.unknown = append(n.unknown, key.Task)
+func (r *recordedOutcomes) adoptUnknownAttempt(_ *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
+	r.unknown = append(r.unknown, key.Task)
 	return nil
 }
 
-func (n *recordedOutcomes) onAbsent(a *clusterstate.Attempt, _ absenceProof) {
-	n.absent = append(n.absent, a.Key().Task)
+func (r *recordedOutcomes) onAbsent(a *clusterstate.Attempt, _ absenceProof) {
+	r.absent = append(r.absent, a.Key().Task)
 }
 
 // Each proof of absence alone, and the cases that prove nothing.
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -17,9 +17,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// rollout is a world whose controllers are upgraded one at a time under steady load, together with
+// upgradeWorld is a world whose controllers are upgraded one at a time under steady load, together with
 // the invariants that hold at all times.
-type rollout struct {
+type upgradeWorld struct {
 	*world
 	// newerSince is the time since which each controller runs the newer version; 0: it runs the
 	// older one.
@@ -69,31 +69,31 @@
 
 const holdOn = "[upgrade]\nhold = true\n"
 
-// newRollout creates a world of older controllers, with replicas and a steady sequence of arrays.
-func newRollout(t *testing.T, seed uint64, shape topology) *rollout {
+// newUpgradeWorld creates a world of older controllers, with replicas and a steady sequence of arrays.
+func newUpgradeWorld(t *testing.T, seed uint64, shape topology) *upgradeWorld {
 	t.Helper()
-	ro := &rollout{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
+	u := &upgradeWorld{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
 		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, moved: map[string]int{}, announced: map[int]bool{}}
-	w := ro.world
+	w := u.world
 	w.runs = func(string) time.Duration { return loadRuns }
-	w.logged = ro.readLog
-	w.script = ro.fault
+	w.logged = u.readLog
+	w.script = u.fault
 	for i := range w.nodes {
-		ro.restart(i, nil)
+		u.restart(i, nil)
 	}
-	ro.watchStore()
+	u.watchStore()
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 2.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-	ro.submitArrays()
+	u.submitArrays()
 	w.run(3 * loadEvery)
-	return ro
+	return u
 }
 
 // readLog handles a line that a controller logs.
-func (ro *rollout) readLog(node int, line []byte) {
+func (u *upgradeWorld) readLog(node int, line []byte) {
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
-		ro.violated("n%d: %s", node, line)
+		u.violated("n%d: %s", node, line)
 	}
 	planned := bytes.Contains(line, []byte("reason=consolidation")) || bytes.Contains(line, []byte("reason=preempted"))
 	if !planned || !bytes.Contains(line, []byte("msg=\"stop requested\"")) {
@@ -101,54 +101,54 @@
 	}
 	for field := range strings.FieldsSeq(string(line)) {
 		if task, is := strings.CutPrefix(field, "task="); is {
-			ro.moved[task]++
+			u.moved[task]++
 		}
 	}
 }
 
 // submitArrays submits a small array every few seconds.
-func (ro *rollout) submitArrays() {
+func (u *upgradeWorld) submitArrays() {
 	var next func()
 	next = func() {
-		if ro.calmSince != 0 {
+		if u.calmSince != 0 {
 			return
 		}
-		ro.jobs++
-		ro.submit(fmt.Sprintf("j-%d", 1000+ro.jobs), map[string]any{"shards": 3, "cores": 1.0, "owner": []string{"red", "blue"}[ro.jobs%2]})
-		ro.at(loadEvery, next)
+		u.jobs++
+		u.submit(fmt.Sprintf("j-%d", 1000+u.jobs), map[string]any{"shards": 3, "cores": 1.0, "owner": []string{"red", "blue"}[u.jobs%2]})
+		u.at(loadEvery, next)
 	}
 	next()
 }
 
 // restart ends a controller's process and starts the version with these operators' settings; nil:
 // the older one.
-func (ro *rollout) restart(i int, operator []byte) {
-	ro.crash(i)
-	ro.newerSince[i], ro.operators[i] = 0, operator
+func (u *upgradeWorld) restart(i int, operator []byte) {
+	u.crash(i)
+	u.newerSince[i], u.operators[i] = 0, operator
 	if operator != nil {
-		ro.newerSince[i] = ro.Now()
+		u.newerSince[i] = u.Now()
 	}
-	ro.cfgs[i] = testConfig(ro.t, ro.topology, i, operator)
-	if ro.announced[i] {
-		ro.cfgs[i].Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
+	u.cfgs[i] = testConfig(u.t, u.topology, i, operator)
+	if u.announced[i] {
+		u.cfgs[i].Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
 	}
-	ro.nodes[i].older, ro.nodes[i].withoutGate = operator == nil, operator == nil
-	ro.boot(i)
+	u.nodes[i].older, u.nodes[i].withoutGate = operator == nil, operator == nil
+	u.boot(i)
 }
 
 // restartAll restarts controllers one after the other.
-func (ro *rollout) restartAll(order []int, operator []byte) {
+func (u *upgradeWorld) restartAll(order []int, operator []byte) {
 	for _, i := range order {
-		ro.restart(i, operator)
-		ro.run(4 * second)
+		u.restart(i, operator)
+		u.run(4 * second)
 	}
 }
 
 // leaderAt orders the controllers so that the current leader has the given place among them.
-func (ro *rollout) leaderAt(place int) []int {
-	lead := ro.awaitLeader()
+func (u *upgradeWorld) leaderAt(place int) []int {
+	lead := u.awaitLeader()
 	var order []int
-	for i := range ro.nodes {
+	for i := range u.nodes {
 		if i != lead {
 			order = append(order, i)
 		}
@@ -157,30 +157,30 @@
 }
 
 // fault inspects each transaction on its way to the state service and returns its fault.
-func (ro *rollout) fault(node int, c Call) deliveryFault {
+func (u *upgradeWorld) fault(node int, c Call) deliveryFault {
 	if c.Target != ToState || c.Path != "/multi" {
 		return deliveryFault{}
 	}
-	step := ro.stepOf(c.Body)
+	step := u.stepOf(c.Body)
 	if step == noStep {
 		return deliveryFault{}
 	}
-	ro.steps[step]++
+	u.steps[step]++
 	if step == opens {
-		for i, since := range ro.newerSince {
-			if since == 0 || ro.Now() < since+ro.cfgs[i].LeaderTTL() {
-				ro.violated("the gate opens while n%d is of the older version, or has just been upgraded", i)
+		for i, since := range u.newerSince {
+			if since == 0 || u.Now() < since+u.cfgs[i].LeaderTTL() {
+				u.violated("the gate opens while n%d is of the older version, or has just been upgraded", i)
 			}
 		}
 	}
-	if ro.onStep != nil {
-		return ro.onStep(step, node)
+	if u.onStep != nil {
+		return u.onStep(step, node)
 	}
 	return deliveryFault{}
 }
 
 // stepOf returns the effect of a transaction on the gate or the journal.
-func (ro *rollout) stepOf(body []byte) gateStep {
+func (u *upgradeWorld) stepOf(body []byte) gateStep {
 	var txn struct {
 		Then []struct {
 			Put    string             `msgpack:"put"`
@@ -189,7 +189,7 @@
 		} `msgpack:"apply"`
 	}
 	if err := protocol.Decode(body, &txn); err != nil {
-		ro.t.Fatal(err)
+		u.t.Fatal(err)
 	}
 	step := noStep
 	for _, change := range txn.Then {
@@ -213,8 +213,8 @@
 }
 
 // stored returns the stored leader record and its lease.
-func (ro *rollout) stored() (rec leaderRecord, lease uint64) {
-	it := ro.state.Item(keyLeader)
+func (u *upgradeWorld) stored() (rec leaderRecord, lease uint64) {
+	it := u.state.Item(keyLeader)
 	if it == nil {
 		return rec, 0
 	}
@@ -224,14 +224,14 @@
 	return rec, it.Lease
 }
 
-func (ro *rollout) gateIs(state string) bool {
-	rec, _ := ro.stored()
+func (u *upgradeWorld) gateIs(state string) bool {
+	rec, _ := u.stored()
 	return rec.gateState().String() == state
 }
 
 // journalKeys returns the stored values of the journal.
-func (ro *rollout) journalKeys() (out []string) {
-	for _, key := range ro.state.Keys() {
+func (u *upgradeWorld) journalKeys() (out []string) {
+	for _, key := range u.state.Keys() {
 		if strings.HasPrefix(key, completionjournal.Prefix) {
 			out = append(out, key)
 		}
@@ -241,49 +241,49 @@
 
 // watchStore checks the store at each tick: the journal exists only while no older version can
 // lead, and no older version leads while it exists.
-func (ro *rollout) watchStore() {
+func (u *upgradeWorld) watchStore() {
 	var look func()
 	look = func() {
-		rec, lease := ro.stored()
-		if rec.StorageVersion == 0 && len(ro.journalKeys()) > 0 {
-			ro.violated("the journal is stored while an older version may lead: %v", ro.journalKeys())
+		rec, lease := u.stored()
+		if rec.StorageVersion == 0 && len(u.journalKeys()) > 0 {
+			u.violated("the journal is stored while an older version may lead: %v", u.journalKeys())
 		}
 		if rec.Token != 0 && (rec.StorageVersion == 0) != (lease != 0) {
-			ro.violated("form %d with the lease %d", rec.StorageVersion, lease)
+			u.violated("form %d with the lease %d", rec.StorageVersion, lease)
 		}
-		if state := rec.gateState().String(); rec.Token != 0 && (len(ro.states) == 0 || ro.states[len(ro.states)-1] != state) {
-			ro.states = append(ro.states, state)
+		if state := rec.gateState().String(); rec.Token != 0 && (len(u.states) == 0 || u.states[len(u.states)-1] != state) {
+			u.states = append(u.states, state)
 		}
-		for i, n := range ro.nodes {
+		for i, n := range u.nodes {
 			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.lease.holdsLease() && rec.StorageVersion != 0 {
-				ro.violated("n%d of the older version leads with the gate %s", i, rec.gateState())
+				u.violated("n%d of the older version leads with the gate %s", i, rec.gateState())
 			}
 		}
-		ro.at(tick, look)
+		u.at(tick, look)
 	}
 	look()
 }
 
 // settleAndCheck ends the faults and checks the outcome of everything that was submitted.
-func (ro *rollout) settleAndCheck() {
-	ro.t.Helper()
-	ro.onStep = nil
-	restore := ro.script
-	ro.settle()
-	ro.script = restore
-	if ro.interrupts {
+func (u *upgradeWorld) settleAndCheck() {
+	u.t.Helper()
+	u.onStep = nil
+	restore := u.script
+	u.settle()
+	u.script = restore
+	if u.interrupts {
 		return
 	}
-	for _, task := range slices.Sorted(maps.Keys(ro.starts)) {
-		if n := ro.starts[task]; n > 1+ro.moved[task] {
-			ro.t.Errorf("%s began %d times", task, n)
+	for _, task := range slices.Sorted(maps.Keys(u.starts)) {
+		if n := u.starts[task]; n > 1+u.moved[task] {
+			u.t.Errorf("%s began %d times", task, n)
 		}
 	}
 }
 
 // openGate upgrades all controllers and waits until the gate is open.
-func (ro *rollout) openGate() {
-	ro.t.Helper()
-	ro.restartAll(ro.leaderAt(0), newerOperator(""))
-	ro.until(30*second, "the gate is open", func() bool { return ro.gateIs("open") })
+func (u *upgradeWorld) openGate() {
+	u.t.Helper()
+	u.restartAll(u.leaderAt(0), newerOperator(""))
+	u.until(30*second, "the gate is open", func() bool { return u.gateIs("open") })
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -25,8 +25,8 @@
 	w.submit("j-1", map[string]any{"shards": 5}) // a late repeat
 	w.run(120 * second)
 	up := 0
-	for _, k := range w.workers() {
-		if !k.Deleted {
+	for _, worker := range w.workers() {
+		if !worker.Deleted {
 			up++
 		}
 	}
@@ -155,14 +155,14 @@
 	w.run(5 * second)
 	old := w.awaitLeader()
 	// The workers are cut off when the leader ends, and their tasks run on.
-	for _, k := range w.workers() {
-		k.Cut = true
+	for _, worker := range w.workers() {
+		worker.Cut = true
 	}
 	w.crash(old)
 	l := w.awaitLeader()
 	for range 8 {
-		for _, k := range w.workers() {
-			for _, body := range w.copies[k.ID] {
+		for _, worker := range w.workers() {
+			for _, body := range w.copies[worker.ID] {
 				w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 			}
 		}
@@ -171,8 +171,8 @@
 	if w.running("j-1") > 4 {
 		t.Errorf("%d replicas of 4 run", w.running("j-1"))
 	}
-	for _, k := range w.workers() {
-		k.Cut = false
+	for _, worker := range w.workers() {
+		worker.Cut = false
 	}
 	w.run(60 * second)
 	if n := w.running("j-1"); n != 4 {
@@ -186,8 +186,8 @@
 	w := newWorld(t, 7)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
-	for _, k := range w.workers() {
-		k.Cut = true
+	for _, worker := range w.workers() {
+		worker.Cut = true
 	}
 	w.cloud.Down = true // no deletion proves anything faster
 	w.cancel("j-1")
@@ -208,10 +208,10 @@
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.submit("j-2", map[string]any{"shards": 2})
 	n := 0
-	for _, k := range w.workers() {
-		if len(k.Tasks) > 0 && n < 2 {
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 && n < 2 {
 			n++
-			k.Cut = true
+			worker.Cut = true
 		}
 	}
 	w.run(90 * second)
@@ -265,12 +265,14 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 8.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	var answersLost *emulator.Worker
-	for _, k := range w.workers() {
-		if len(k.Tasks) > 0 && (answersLost == nil || k.ID < answersLost.ID) {
-			answersLost = k
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 && (answersLost == nil || worker.ID < answersLost.ID) {
+			answersLost = worker
 		}
 	}
-	w.heartbeatFault = func(k *emulator.Worker, _ int) deliveryFault { return deliveryFault{answerLost: k == answersLost} }
+	w.heartbeatFault = func(worker *emulator.Worker, _ int) deliveryFault {
+		return deliveryFault{answerLost: worker == answersLost}
+	}
 	w.script = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker && c.Addr == answersLost.Addr}
 	}
@@ -421,18 +423,18 @@
 		case 6:
 			w.state.Outage(time.Duration(1+w.rng.IntN(20)) * second)
 		case 7:
-			for _, k := range w.workers() {
-				if k.Up && w.rng.IntN(3) == 0 {
-					k.Cut = true
-					w.at(time.Duration(w.rng.IntN(30))*second, func() { k.Cut = false })
+			for _, worker := range w.workers() {
+				if worker.Up && w.rng.IntN(3) == 0 {
+					worker.Cut = true
+					w.at(time.Duration(w.rng.IntN(30))*second, func() { worker.Cut = false })
 				}
 			}
 		case 8:
 			lossy = !lossy
 		case 9:
-			for _, k := range w.workers() {
-				if len(w.copies[k.ID]) > 0 {
-					body := w.copies[k.ID][w.rng.IntN(len(w.copies[k.ID]))]
+			for _, worker := range w.workers() {
+				if len(w.copies[worker.ID]) > 0 {
+					body := w.copies[worker.ID][w.rng.IntN(len(w.copies[worker.ID]))]
 					w.ask(w.rng.IntN(3), Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 				}
 			}
@@ -441,9 +443,9 @@
 			w.state.Refuse[i] = true
 			w.at(time.Duration(w.rng.IntN(25))*second, func() { w.state.Refuse[i] = false })
 		case 11:
-			for _, k := range w.workers() {
-				if k.Up && w.rng.IntN(4) == 0 {
-					k.Die()
+			for _, worker := range w.workers() {
+				if worker.Up && w.rng.IntN(4) == 0 {
+					worker.Die()
 				}
 			}
 		}
@@ -490,10 +492,10 @@
 	w.submit("j-3", map[string]any{"shape": "service", "cores": 6.5})
 	w.until(20*second, "room for one on the first machine", func() bool { return w.running("j-3") == 1 })
 	var machine *emulator.Worker
-	for _, k := range w.workers() {
-		for _, task := range k.Tasks {
+	for _, worker := range w.workers() {
+		for _, task := range worker.Tasks {
 			if task.UID == "j-1" {
-				machine = k
+				machine = worker
 			}
 		}
 	}
@@ -552,15 +554,15 @@
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "a replica runs", func() bool { return w.running("j-1") == 1 })
 	w.run(5 * second)
-	for _, k := range w.workers() {
-		k.Cut = true
+	for _, worker := range w.workers() {
+		worker.Cut = true
 	}
 	w.run(20 * second)
-	for _, k := range w.workers() {
-		if k.Deleted && k.Lives > 0 {
-			t.Errorf("%s was returned while it could not be reached", k.ID)
+	for _, worker := range w.workers() {
+		if worker.Deleted && worker.Lives > 0 {
+			t.Errorf("%s was returned while it could not be reached", worker.ID)
 		}
-		k.Cut = false
+		worker.Cut = false
 	}
 	w.until(30*second, "the replica is back", func() bool { return w.running("j-1") == 1 })
 	w.requireNoViolations()
@@ -569,8 +571,8 @@
 // partitionZoneB cuts zone b, with the last controller, off from everything.
 func (w *world) partitionZoneB() {
 	outside := func(addr string) bool {
-		k := w.byAddr(addr)
-		return k == nil || k.Zone != "b"
+		worker := w.byAddr(addr)
+		return worker == nil || worker.Zone != "b"
 	}
 	w.script = func(node int, c Call) deliveryFault {
 		switch c.Target {
@@ -582,8 +584,8 @@
 		}
 		return deliveryFault{lost: node == 2}
 	}
-	w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault {
-		return deliveryFault{lost: (node == 2) != (k.Zone == "b")}
+	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+		return deliveryFault{lost: (node == 2) != (worker.Zone == "b")}
 	}
 }
 
@@ -707,9 +709,9 @@
 	w.run(20 * second)
 	w.crash(2)
 	w.boot(2)
-	for _, k := range w.workers() {
-		if k.Zone == "b" && k.Up {
-			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(k.Message())}, func(r Reply) {
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" && worker.Up {
+			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(worker.Message())}, func(r Reply) {
 				if r.Status != http.StatusOK {
 					t.Errorf("a worker of the zone got %d", r.Status)
 				}
@@ -810,9 +812,9 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	var far *emulator.Worker
-	for _, k := range w.workers() {
-		if k.Zone == "b" {
-			far = k
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" {
+			far = worker
 		}
 	}
 	if far == nil || lead == 2 {
@@ -827,7 +829,9 @@
 	if n := l.state.Machines[far.ID].FailedRedirects; n > 1 {
 		t.Errorf("the end of a controller was taken for one that can't be reached %d times", n)
 	}
-	w.heartbeatFault = func(k *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: k == far && node == 2} }
+	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+		return deliveryFault{lost: worker == far && node == 2}
+	}
 	w.run(90 * second)
 	away := 0
 	for range 40 {
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -17,16 +17,16 @@
 
 // simulateFailover returns what a leader elected now would find: a leadership that has read the
 // store.
-func (ro *rollout) simulateFailover() *leadership {
-	core := New(ro.cfgs[0], ro.rng, ro.nodes[0].controller.env.log)
-	core.env.now = ro.Now()
-	rec, _ := ro.stored()
+func (u *upgradeWorld) simulateFailover() *leadership {
+	core := New(u.cfgs[0], u.rng, u.nodes[0].controller.env.log)
+	core.env.now = u.Now()
+	rec, _ := u.stored()
 	l := newLeadership(core, &rec, 1, 0)
 	for _, prefix := range loadOrder(rec.storageVersion()) {
 		var items []protocol.Item
-		for _, key := range ro.state.Keys() {
+		for _, key := range u.state.Keys() {
 			if strings.HasPrefix(key, prefix) {
-				it := ro.state.Item(key)
+				it := u.state.Item(key)
 				items = append(items, protocol.Item{Key: key, Value: it.Value, Version: it.Version})
 			}
 		}
@@ -38,30 +38,30 @@
 // checkSimulatedFailover compares what a failover would find with what runs: each attempt that is
 // on a machine is known there, and what was cleared from the workers' heartbeats is done. lost are
 // tasks that were done on a machine that died with them: they may be unknown.
-func (ro *rollout) checkSimulatedFailover(lost map[string]bool) {
-	l := ro.simulateFailover()
+func (u *upgradeWorld) checkSimulatedFailover(lost map[string]bool) {
+	l := u.simulateFailover()
 	reported := maps.Clone(lost)
-	for _, k := range ro.workers() {
-		for name, task := range k.Tasks {
+	for _, worker := range u.workers() {
+		for name, task := range worker.Tasks {
 			id, _, _ := strings.Cut(name, "@")
 			if task.State == protocol.Exited {
 				reported[id] = true
 				continue
 			}
 			uid, index, _ := clusterstate.ParseTask(id)
-			j, m := l.state.Jobs[uid], l.state.Machines[k.ID]
-			if j == nil || k.Deleted {
+			j, m := l.state.Jobs[uid], l.state.Machines[worker.ID]
+			if j == nil || worker.Deleted {
 				continue
 			}
 			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Try}] == nil {
-				ro.violated("a failover does not know that %s, attempt %d, is on %s", id, task.Try, k.ID)
+				u.violated("a failover does not know that %s, attempt %d, is on %s", id, task.Try, worker.ID)
 			}
 		}
 	}
-	for id := range ro.finished {
+	for id := range u.finished {
 		uid, index, _ := clusterstate.ParseTask(id)
 		if j := l.state.Jobs[uid]; j != nil && !reported[id] && !j.IsDone(index) && !j.Spec.Service {
-			ro.violated("a failover does not know that %s is done, and nobody reports it", id)
+			u.violated("a failover does not know that %s is done, and nobody reports it", id)
 		}
 	}
 }
@@ -71,42 +71,42 @@
 func TestFailoverAtEachMoment(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			ro := newRollout(t, 500+seed, defaultTopology)
-			ro.openGate()
-			ro.interrupts = true
+			u := newUpgradeWorld(t, 500+seed, defaultTopology)
+			u.openGate()
+			u.interrupts = true
 			turn, lost := 0, map[string]bool{}
-			ro.onStep = func(step gateStep, _ int) deliveryFault {
+			u.onStep = func(step gateStep, _ int) deliveryFault {
 				turn++
 				if step != journals || turn%3 != 0 {
 					return deliveryFault{}
 				}
-				return deliveryFault{hold: ro.randomMilliseconds(0, 2000), answerLost: turn%2 == 0}
+				return deliveryFault{hold: u.randomMilliseconds(0, 2000), answerLost: turn%2 == 0}
 			}
 			for second := range 60 {
 				for range 10 {
-					ro.run(tick)
-					ro.checkSimulatedFailover(lost)
+					u.run(tick)
+					u.checkSimulatedFailover(lost)
 				}
 				switch second % 20 {
 				case 7:
-					ro.endSoon(ro.awaitLeader())
+					u.endSoon(u.awaitLeader())
 				case 17:
-					for _, k := range ro.workers() {
-						if !k.Deleted && k.Up && len(k.Tasks) > 0 {
-							for name := range k.Tasks {
+					for _, worker := range u.workers() {
+						if !worker.Deleted && worker.Up && len(worker.Tasks) > 0 {
+							for name := range worker.Tasks {
 								id, _, _ := strings.Cut(name, "@")
 								lost[id] = true
 							}
-							k.Die()
+							worker.Die()
 							break
 						}
 					}
 				}
 			}
-			if ro.steps[journals] < 10 {
-				t.Errorf("the journal was written %d times", ro.steps[journals])
+			if u.steps[journals] < 10 {
+				t.Errorf("the journal was written %d times", u.steps[journals])
 			}
-			ro.settleAndCheck()
+			u.settleAndCheck()
 		})
 	}
 }
@@ -115,16 +115,16 @@
 // Entries of no use are compacted away, and a machine's record that is newer than an entry takes
 // precedence.
 func TestDamagedJournal(t *testing.T) {
-	ro := newRollout(t, 510, defaultTopology)
-	ro.openGate()
-	ro.run(10 * second)
+	u := newUpgradeWorld(t, 510, defaultTopology)
+	u.openGate()
+	u.run(10 * second)
 	var logged bytes.Buffer
-	ro.logged = func(_ int, line []byte) { logged.Write(line) }
-	for i := range ro.nodes {
-		ro.crash(i)
+	u.logged = func(_ int, line []byte) { logged.Write(line) }
+	for i := range u.nodes {
+		u.crash(i)
 	}
-	ro.run(second)
-	store := func(key string, v any) { ro.state.Change(key, &emulator.Item{Value: protocol.Encode(v)}) }
+	u.run(second)
+	store := func(key string, v any) { u.state.Change(key, &emulator.Item{Value: protocol.Encode(v)}) }
 	good := func(token, number uint64, ends ...completionjournal.Entry) completionjournal.Value {
 		return completionjournal.Encode(token, number, ends)
 	}
@@ -138,22 +138,22 @@
 		completionjournal.Entry{Job: "j-999999", Machine: "i-999999", Attempt: 3}, completionjournal.Entry{Job: "j-1", Index: 99_999}))
 	// A value that records that a replica has left, and the machine's record, which was written
 	// after it.
-	holder := ro.machinesWithTasksOf("j-1")[0]
+	holder := u.machinesWithTasksOf("j-1")[0]
 	var rec clusterstate.MachineRecord
 	key := clusterstate.MachinePrefix + holder.ID
-	if err := protocol.Decode(ro.state.Item(key).Value, &rec); err != nil {
+	if err := protocol.Decode(u.state.Item(key).Value, &rec); err != nil {
 		t.Fatal(err)
 	}
 	at := slices.IndexFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == "j-1" })
 	store(completionjournal.Key(1, 8), good(1, 8, completionjournal.Entry{Job: "j-1", Index: rec.Attempts[at].Index, Machine: holder.ID, Attempt: rec.Attempts[at].Number}))
 	store(key, rec)
-	for i := range ro.nodes {
-		ro.boot(i)
+	for i := range u.nodes {
+		u.boot(i)
 	}
-	ro.awaitLeader()
-	ro.run(60 * second)
+	u.awaitLeader()
+	u.run(60 * second)
 	for _, key := range unreadable {
-		if ro.state.Item(key) == nil {
+		if u.state.Item(key) == nil {
 			t.Errorf("%s, which can't be decoded, is deleted", key)
 		}
 		if !strings.Contains(logged.String(), fmt.Sprintf("key=%s ", key)) {
@@ -161,7 +161,7 @@
 		}
 	}
 	for _, n := range []uint64{7, 8} {
-		if ro.state.Item(completionjournal.Key(1, n)) != nil {
+		if u.state.Item(completionjournal.Key(1, n)) != nil {
 			t.Errorf("%s is still there", completionjournal.Key(1, n))
 		}
 	}
@@ -169,11 +169,11 @@
 		t.Error("the number of unreadable values is not logged")
 	}
 	for _, task := range []string{"j-1/0", "j-1/1", "j-1/2", "j-1/3"} {
-		if ro.starts[task] > 1+ro.moved[task] {
-			t.Errorf("%s began %d times", task, ro.starts[task])
+		if u.starts[task] > 1+u.moved[task] {
+			t.Errorf("%s began %d times", task, u.starts[task])
 		}
 	}
-	ro.requireNoViolations()
+	u.requireNoViolations()
 }
 
 // A leader record in an unknown form, or one that can't be decoded: nobody campaigns, users are
@@ -185,26 +185,26 @@
 		"fields of another": map[string]any{"l": 7, "n": "token"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ro := newRollout(t, 520, defaultTopology)
-			ro.openGate()
-			ro.run(5 * second)
-			for i := range ro.nodes {
-				ro.crash(i)
+			u := newUpgradeWorld(t, 520, defaultTopology)
+			u.openGate()
+			u.run(5 * second)
+			for i := range u.nodes {
+				u.crash(i)
 			}
-			ro.run(10 * second)
+			u.run(10 * second)
 			stored := protocol.Encode(value)
-			ro.logged = nil
-			ro.script = nil
-			ro.state.Change(keyLeader, &emulator.Item{Value: stored})
-			for i := range ro.nodes {
-				ro.boot(i)
+			u.logged = nil
+			u.script = nil
+			u.state.Change(keyLeader, &emulator.Item{Value: stored})
+			for i := range u.nodes {
+				u.boot(i)
 			}
-			ro.run(5 * second)
+			u.run(5 * second)
 			status := 0
-			ro.user(0, OpPoll, "j-1", func(s int, _ protocol.JobStatus) { status = s })
-			ro.run(3 * second)
-			if ro.leader() >= 0 || status != http.StatusServiceUnavailable || !bytes.Equal(ro.state.Item(keyLeader).Value, stored) {
-				t.Errorf("leader %d, answer %d", ro.leader(), status)
+			u.user(0, OpPoll, "j-1", func(s int, _ protocol.JobStatus) { status = s })
+			u.run(3 * second)
+			if u.leader() >= 0 || status != http.StatusServiceUnavailable || !bytes.Equal(u.state.Item(keyLeader).Value, stored) {
+				t.Errorf("leader %d, answer %d", u.leader(), status)
 			}
 		})
 	}
@@ -226,25 +226,25 @@
 		{"nothing", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ro := newRollout(t, 530, defaultTopology)
-			lead := ro.awaitLeader()
+			u := newUpgradeWorld(t, 530, defaultTopology)
+			lead := u.awaitLeader()
 			stating := (lead + 1) % 3
-			ro.script = func(node int, call Call) deliveryFault {
+			u.script = func(node int, call Call) deliveryFault {
 				// This controller never leads, and the test sends its heartbeats.
 				return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
 			}
-			ro.restartAll([]int{lead, stating, 3 - lead - stating}, newerOperator(""))
+			u.restartAll([]int{lead, stating, 3 - lead - stating}, newerOperator(""))
 			for range 60 {
-				ro.run(tick * 5)
-				if to := ro.leader(); to >= 0 && to != stating {
+				u.run(tick * 5)
+				if to := u.leader(); to >= 0 && to != stating {
 					ask := protocol.PeerHeartbeat{From: label(stating), Incarnation: "x", Versions: c.statement}
-					ro.ask(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(ask)}, func(Reply) {})
+					u.ask(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(ask)}, func(Reply) {})
 				}
 			}
-			if lead := ro.awaitLeader(); lead == stating {
+			if lead := u.awaitLeader(); lead == stating {
 				t.Fatal("the controller with the statement leads")
 			}
-			if ro.gateIs("open") != c.open {
+			if u.gateIs("open") != c.open {
 				t.Errorf("the gate is open %v", !c.open)
 			}
 		})
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -51,56 +51,56 @@
 }
 
 // resign resigns the leadership, and its process restarts as the newer version.
-func (o *ganglessLeader) resign() {
-	o.w.t.Helper()
-	o.w.state.Change(keyLeader, nil)
-	o.w.boot(o.node)
-	o.w.awaitLeader()
+func (l *ganglessLeader) resign() {
+	l.w.t.Helper()
+	l.w.state.Change(keyLeader, nil)
+	l.w.boot(l.node)
+	l.w.awaitLeader()
 }
 
 // command sends commands to a machine; it returns false if they were refused.
-func (o *ganglessLeader) command(k *emulator.Worker, orders ...protocol.Command) bool {
-	body := protocol.Commands{Token: o.token, Epoch: k.Session, Commands: orders}
+func (l *ganglessLeader) command(worker *emulator.Worker, orders ...protocol.Command) bool {
+	body := protocol.Commands{Token: l.token, Epoch: worker.Session, Commands: orders}
 	taken := false
-	k.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == http.StatusOK })
+	worker.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == http.StatusOK })
 	return taken
 }
 
 // startTask starts a single task, under an attempt number of its own, which is made durable first, as
 // always.
-func (o *ganglessLeader) startTask(k *emulator.Worker, uid string, index int) {
-	o.w.t.Helper()
-	o.tries++
-	try := o.token<<24 | o.tries
-	o.updateMachineRecord(k, func(rec *clusterstate.MachineRecord) {
+func (l *ganglessLeader) startTask(worker *emulator.Worker, uid string, index int) {
+	l.w.t.Helper()
+	l.tries++
+	try := l.token<<24 | l.tries
+	l.updateMachineRecord(worker, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Number: try})
 	})
-	if !o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
-		o.w.t.Fatal("a run was refused")
+	if !l.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
+		l.w.t.Fatal("a run was refused")
 	}
 }
 
 // removeAttempts removes all attempts of a job from a machine's record.
-func (o *ganglessLeader) removeAttempts(k *emulator.Worker, uid string) {
-	o.updateMachineRecord(k, func(rec *clusterstate.MachineRecord) {
+func (l *ganglessLeader) removeAttempts(worker *emulator.Worker, uid string) {
+	l.updateMachineRecord(worker, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == uid })
 	})
 }
 
-func (o *ganglessLeader) updateMachineRecord(k *emulator.Worker, change func(*clusterstate.MachineRecord)) {
-	o.w.t.Helper()
-	key := clusterstate.MachinePrefix + k.ID
+func (l *ganglessLeader) updateMachineRecord(worker *emulator.Worker, change func(*clusterstate.MachineRecord)) {
+	l.w.t.Helper()
+	key := clusterstate.MachinePrefix + worker.ID
 	var rec clusterstate.MachineRecord
-	if it := o.w.state.Item(key); it == nil || protocol.Decode(it.Value, &rec) != nil {
-		o.w.t.Fatalf("no record of %s", k.ID)
+	if it := l.w.state.Item(key); it == nil || protocol.Decode(it.Value, &rec) != nil {
+		l.w.t.Fatalf("no record of %s", worker.ID)
 	}
 	change(&rec)
-	o.w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
+	l.w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
 }
 
 // tasksOf returns the tasks of a job on a machine, by name and attempt number.
-func tasksOf(k *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
-	for name, t := range k.Tasks {
+func tasksOf(worker *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
+	for name, t := range worker.Tasks {
 		if task, _, _ := strings.Cut(name, "@"); t.UID == uid {
 			out = append(out, clusterstate.AttemptKey{Task: task, Attempt: t.Try})
 		}
@@ -170,9 +170,9 @@
 	w.startGangOnTwoMachines()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	o := w.startOlderLeader()
-	k := w.machinesWithTasksOf("j-1")[0]
-	for _, key := range tasksOf(k, "j-1") {
-		o.command(k, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
+	worker := w.machinesWithTasksOf("j-1")[0]
+	for _, key := range tasksOf(worker, "j-1") {
+		o.command(worker, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
 	}
 	w.run(time.Second)
 	o.resign()
@@ -194,23 +194,23 @@
 	state := clusterstate.New(16<<10, 16<<10)
 	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 4}, 1)
 	stored := 0
-	for _, k := range w.workers() {
-		keys := tasksOf(k, "j-1")
-		if len(keys) == 0 || k.Deleted {
+	for _, worker := range w.workers() {
+		keys := tasksOf(worker, "j-1")
+		if len(keys) == 0 || worker.Deleted {
 			continue
 		}
 		if stored > 0 {
-			k.Die()
+			worker.Die()
 			continue
 		}
 		for _, key := range keys {
 			_, index, _ := clusterstate.ParseTask(key.Task)
 			j.MarkDone(index)
 			stored++
-			o.command(k, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
+			o.command(worker, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
 		w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
-		o.removeAttempts(k, "j-1")
+		o.removeAttempts(worker, "j-1")
 	}
 	if stored == 0 || stored == 4 {
 		t.Fatalf("%d of 4 completions are stored", stored)
@@ -271,14 +271,14 @@
 			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // room for three
 			w.run(3 * second)
 			o := w.startOlderLeader()
-			for i, k := range w.machinesWithTasksOf("j-9") {
-				o.startTask(k, "j-1", i)
+			for i, worker := range w.machinesWithTasksOf("j-9") {
+				o.startTask(worker, "j-1", i)
 			}
 			w.run(leads)
 			o.resign()
 			w.run(5 * second)
-			k := w.machinesWithTasksOf("j-9")[0]
-			if o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
+			worker := w.machinesWithTasksOf("j-9")[0]
+			if o.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
 				t.Error("a command of the old process was taken")
 			}
 			w.cloud.Down = false
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -62,7 +62,7 @@
 	// pulls returns how long a task waits for its image; nil: a moment.
 	pulls func(task string) time.Duration
 	// fails reports whether a task fails as soon as it begins; failures counts those that did.
-	fails    func(k *emulator.Worker, uid string) bool
+	fails    func(worker *emulator.Worker, uid string) bool
 	failures int
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout time.Duration
@@ -73,12 +73,12 @@
 }
 
 type simNode struct {
-	controller *Controller
-	alive      bool
-	life       int
-	startedAt  time.Duration // the monotonic clock of a process starts with it
-	last       uint64
-	waiters    map[uint64]func(Reply)
+	controller  *Controller
+	alive       bool
+	incarnation int
+	startedAt   time.Duration // the monotonic clock of a process starts with it
+	last        uint64
+	waiters     map[uint64]func(Reply)
 	// older: its version knows no probes; withoutGate: it knows no feature gate either, see
 	// olderCall.
 	older, withoutGate bool
@@ -170,9 +170,9 @@
 
 func (w *world) boot(i int) {
 	n := w.nodes[i]
-	n.alive, n.life, n.startedAt, n.scripted = true, n.life+1, w.Now(), nil
+	n.alive, n.incarnation, n.startedAt, n.scripted = true, n.incarnation+1, w.Now(), nil
 	n.paused, n.held = false, nil
-	life := n.life
+	life := n.incarnation
 	n.waiters = map[uint64]func(Reply){}
 	sink := io.Discard
 	if os.Getenv("CLAYBARROW_TEST_LOG") != "" {
@@ -187,7 +187,7 @@
 	n.controller.Observe(n.observer)
 	var beat func()
 	beat = func() {
-		if n.alive && n.life == life {
+		if n.alive && n.incarnation == life {
 			if !n.paused {
 				w.feed(i, Tick{})
 			}
@@ -202,9 +202,9 @@
 func (w *world) feed(i int, ev Event) {
 	n := w.nodes[i]
 	if n.paused {
-		life := n.life
+		life := n.incarnation
 		n.held = append(n.held, func() {
-			if n.alive && n.life == life {
+			if n.alive && n.incarnation == life {
 				w.feed(i, ev)
 			}
 		})
@@ -243,11 +243,11 @@
 	}
 	n.last++
 	req.ID = n.last
-	life, done := n.life, false
+	life, done := n.incarnation, false
 	n.waiters[req.ID] = func(r Reply) { done = true; then(r) }
 	w.feed(i, req)
 	w.at(5*time.Second, func() {
-		if !done && n.life == life {
+		if !done && n.incarnation == life {
 			delete(n.waiters, req.ID)
 		}
 		if !done {
@@ -258,9 +258,9 @@
 }
 
 func (w *world) deliver(i int, c Call) {
-	life, answered := w.nodes[i].life, false
+	life, answered := w.nodes[i].incarnation, false
 	result := func(status int, body []byte) {
-		if answered || w.nodes[i].life != life || !w.nodes[i].alive {
+		if answered || w.nodes[i].incarnation != life || !w.nodes[i].alive {
 			return
 		}
 		answered = true
@@ -279,7 +279,7 @@
 	w.at(c.Timeout, func() { result(0, nil) })
 	if f.refused {
 		w.at(latency, func() {
-			if !answered && w.nodes[i].life == life && w.nodes[i].alive {
+			if !answered && w.nodes[i].incarnation == life && w.nodes[i].alive {
 				answered = true
 				w.feed(i, Result{ID: c.ID, ConnectionFailed: true})
 			}
@@ -301,8 +301,8 @@
 		case ToCloud:
 			reply(w.cloud.Serve(c.Method, c.Path, c.Body))
 		case ToWorker:
-			if k := w.byAddr(c.Addr); k != nil && k.Reachable() {
-				k.Serve(c.Path, c.Body, reply)
+			if worker := w.byAddr(c.Addr); worker != nil && worker.Reachable() {
+				worker.Serve(c.Path, c.Body, reply)
 			}
 		case ToPeer:
 			for k := range w.nodes {
