--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -95,48 +95,54 @@
 // A process of the older version comes back after the gate has opened. One that stays has the gate
 // closed after a workers' lease; one that comes and goes, and two that do, close it at most once.
 func TestOlderProcessAfterTheOpening(t *testing.T) {
-	for _, back := range [][]int{{1}, {1, 2}} {
-		t.Run(fmt.Sprintf("stays, %d", len(back)), func(t *testing.T) {
-			u := newUpgradeWorld(t, 350, defaultTopology)
-			u.openGate()
-			back := u.leaderAt(0)[1 : 1+len(back)]
-			for _, i := range back {
+	for _, count := range []int{1, 2} {
+		t.Run(fmt.Sprintf("stays, %d", count), func(t *testing.T) { checkOlderProcessesStay(t, count) })
+		t.Run(fmt.Sprintf("comes and goes, %d", count), func(t *testing.T) { checkOlderProcessesComeAndGo(t, count) })
+	}
+}
+
+// checkOlderProcessesStay has so many controllers run the older version until the gate has closed.
+func checkOlderProcessesStay(t *testing.T, count int) {
+	u := newUpgradeWorld(t, 350, defaultTopology)
+	u.openGate()
+	back := u.leaderAt(0)[1 : 1+count]
+	for _, i := range back {
+		u.restart(i, nil)
+	}
+	u.run(u.cfgs[0].Lease() - 2*second)
+	if !u.gateIs("open") {
+		t.Error("the gate closes before a workers' lease is over")
+	}
+	u.until(20*second, "the gate is closed", func() bool { return u.gateIs("closed") })
+	u.restartAll(back, newerOperator(""))
+	u.run(20 * second)
+	if !u.gateIs("closed") {
+		t.Error("the gate opens again at once")
+	}
+	u.until(60*second, "the gate is open", func() bool { return u.gateIs("open") })
+	u.settleAndCheck()
+}
+
+// checkOlderProcessesComeAndGo has so many controllers alternate between the versions.
+func checkOlderProcessesComeAndGo(t *testing.T, count int) {
+	u := newUpgradeWorld(t, 360, defaultTopology)
+	u.openGate()
+	back := u.leaderAt(0)[1 : 1+count]
+	for turn := range 20 {
+		for _, i := range back {
+			if turn%2 == 0 {
 				u.restart(i, nil)
+			} else {
+				u.restart(i, newerOperator(""))
 			}
-			u.run(u.cfgs[0].Lease() - 2*second)
-			if !u.gateIs("open") {
-				t.Error("the gate closes before a workers' lease is over")
-			}
-			u.until(20*second, "the gate is closed", func() bool { return u.gateIs("closed") })
-			u.restartAll(back, newerOperator(""))
-			u.run(20 * second)
-			if !u.gateIs("closed") {
-				t.Error("the gate opens again at once")
-			}
-			u.until(60*second, "the gate is open", func() bool { return u.gateIs("open") })
-			u.settleAndCheck()
-		})
-		t.Run(fmt.Sprintf("comes and goes, %d", len(back)), func(t *testing.T) {
-			u := newUpgradeWorld(t, 360, defaultTopology)
-			u.openGate()
-			back := u.leaderAt(0)[1 : 1+len(back)]
-			for turn := range 20 {
-				for _, i := range back {
-					if turn%2 == 0 {
-						u.restart(i, nil)
-					} else {
-						u.restart(i, newerOperator(""))
-					}
-				}
-				u.run(3 * second)
-			}
-			if n := len(u.states); n > 4 { // closed, open, closing, closed
-				t.Errorf("the gate flaps: %v", u.states)
-			}
-			u.interrupts = len(back) == 2
-			u.settleAndCheck()
-		})
+		}
+		u.run(3 * second)
+	}
+	if n := len(u.states); n > 4 { // closed, open, closing, closed
+		t.Errorf("the gate flaps: %v", u.states)
 	}
+	u.interrupts = count == 2
+	u.settleAndCheck()
 }
 
 // gateFault is a fault injected when a transaction of the gate or the journal is sent.
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -86,10 +86,10 @@
 	if (lead == 2) != inside {
 		t.Fatalf("leader %d", lead)
 	}
-	sessions := map[string]uint64{}
+	epochs := map[string]uint64{}
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 {
-			sessions[worker.ID] = worker.Session
+			epochs[worker.ID] = worker.Session
 		}
 	}
 	var out bytes.Buffer
@@ -125,7 +125,7 @@
 		t.Errorf("%d tasks were moved", n-starts)
 	}
 	for _, worker := range w.workers() {
-		if s, had := sessions[worker.ID]; had && s != worker.Session {
+		if epoch, had := epochs[worker.ID]; had && epoch != worker.Session {
 			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -143,20 +143,20 @@
 		w.violated("ran_cancelled: %s starts", task)
 	}
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
-	for _, o := range w.machines.Workers {
-		for name, x := range o.Tasks {
-			if !x.Here() || o.Deleted {
+	for _, holder := range w.machines.Workers {
+		for name, otherTask := range holder.Tasks {
+			if !otherTask.Here() || holder.Deleted {
 				continue
 			}
 			other, _, _ := strings.Cut(name, "@")
-			if other == task && (o != worker || x != t) {
-				w.violated("ran_twice: %s on %s and %s", task, o.ID, worker.ID)
+			if other == task && (holder != worker || otherTask != t) {
+				w.violated("ran_twice: %s on %s and %s", task, holder.ID, worker.ID)
 			}
-			if x.UID == t.UID {
-				zones[o.Zone]++
+			if otherTask.UID == t.UID {
+				zones[holder.Zone]++
 				total++
 			}
-			used[w.specs[x.UID]["owner"].(string)] += w.specs[x.UID]["cores"].(float64)
+			used[w.specs[otherTask.UID]["owner"].(string)] += w.specs[otherTask.UID]["cores"].(float64)
 		}
 	}
 	if n := spec["shards"].(int); spec["apart"].(bool) && zones[worker.Zone] > (n+1)/2 {
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -43,7 +43,7 @@
 	}
 	if w.leaderEvents++; w.leaderEvents%compareEvery == 0 {
 		if d := differenceOfSnapshots(l); d != "" {
-			w.violated("the standing snapshot differs from one drawn anew: %s", d)
+			w.violated("the cached snapshot differs from one built anew: %s", d)
 		}
 	}
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -172,7 +172,7 @@
 	n := w.nodes[i]
 	n.alive, n.incarnation, n.startedAt, n.scripted = true, n.incarnation+1, w.Now(), nil
 	n.paused, n.held = false, nil
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.waiters = map[uint64]func(Reply){}
 	sink := io.Discard
 	if os.Getenv("CLAYBARROW_TEST_LOG") != "" {
@@ -187,7 +187,7 @@
 	n.controller.Observe(n.observer)
 	var beat func()
 	beat = func() {
-		if n.alive && n.incarnation == life {
+		if n.alive && n.incarnation == incarnation {
 			if !n.paused {
 				w.feed(i, Tick{})
 			}
@@ -202,9 +202,9 @@
 func (w *world) feed(i int, ev Event) {
 	n := w.nodes[i]
 	if n.paused {
-		life := n.incarnation
+		incarnation := n.incarnation
 		n.held = append(n.held, func() {
-			if n.alive && n.incarnation == life {
+			if n.alive && n.incarnation == incarnation {
 				w.feed(i, ev)
 			}
 		})
@@ -225,6 +225,8 @@
 			}
 		case Call:
 			w.deliver(i, e)
+		default:
+			w.t.Errorf("an effect of an unknown type: %T", e)
 		}
 	}
 }
@@ -243,11 +245,11 @@
 	}
 	n.last++
 	req.ID = n.last
-	life, done := n.incarnation, false
+	incarnation, done := n.incarnation, false
 	n.waiters[req.ID] = func(r Reply) { done = true; then(r) }
 	w.feed(i, req)
 	w.at(5*time.Second, func() {
-		if !done && n.incarnation == life {
+		if !done && n.incarnation == incarnation {
 			delete(n.waiters, req.ID)
 		}
 		if !done {
@@ -258,9 +260,9 @@
 }
 
 func (w *world) deliver(i int, c Call) {
-	life, answered := w.nodes[i].incarnation, false
+	incarnation, answered := w.nodes[i].incarnation, false
 	result := func(status int, body []byte) {
-		if answered || w.nodes[i].incarnation != life || !w.nodes[i].alive {
+		if answered || w.nodes[i].incarnation != incarnation || !w.nodes[i].alive {
 			return
 		}
 		answered = true
@@ -279,7 +281,7 @@
 	w.at(c.Timeout, func() { result(0, nil) })
 	if f.refused {
 		w.at(latency, func() {
-			if !answered && w.nodes[i].incarnation == life && w.nodes[i].alive {
+			if !answered && w.nodes[i].incarnation == incarnation && w.nodes[i].alive {
 				answered = true
 				w.feed(i, Result{ID: c.ID, ConnectionFailed: true})
 			}
@@ -295,37 +297,48 @@
 				w.at(latency, func() { result(status, body) })
 			}
 		}
-		switch c.Target {
-		case ToState:
-			w.state.Serve(i, c.Method, c.Path, c.Body, reply)
-		case ToCloud:
-			reply(w.cloud.Serve(c.Method, c.Path, c.Body))
-		case ToWorker:
-			if worker := w.byAddr(c.Addr); worker != nil && worker.Reachable() {
-				worker.Serve(c.Path, c.Body, reply)
-			}
-		case ToPeer:
-			for k := range w.nodes {
-				if c.Addr == fmt.Sprintf("10.0.0.%d:1", k) {
-					if c.Path == probePath && w.nodes[k].older {
-						if w.nodes[k].alive {
-							reply(404, nil)
-						}
-						continue
-					}
-					op := map[string]Op{"/relay": OpRelay, "/heartbeat": OpPeerHeartbeat, "/forward": OpForwardedHeartbeat, probePath: OpProbe}[c.Path]
-					w.ask(k, Request{Op: op, Body: c.Body}, func(r Reply) {
-						if r.Status == 0 {
-							return
-						}
-						if w.nodes[k].withoutGate {
-							r.Body = olderReply(c, r.Body)
-						}
-						reply(r.Status, r.Body)
-					})
-				}
+		w.serve(i, c, reply)
+	})
+}
+
+// serve has the target of a node's call answer it.
+func (w *world) serve(i int, c Call, reply func(status int, body []byte)) {
+	switch c.Target {
+	case ToState:
+		w.state.Serve(i, c.Method, c.Path, c.Body, reply)
+	case ToCloud:
+		reply(w.cloud.Serve(c.Method, c.Path, c.Body))
+	case ToWorker:
+		if worker := w.byAddr(c.Addr); worker != nil && worker.Reachable() {
+			worker.Serve(c.Path, c.Body, reply)
+		}
+	case ToPeer:
+		for k := range w.nodes {
+			if c.Addr == fmt.Sprintf("10.0.0.%d:1", k) {
+				w.serveAsPeer(k, c, reply)
 			}
 		}
+	}
+}
+
+// serveAsPeer has a node answer a call of another controller.
+func (w *world) serveAsPeer(k int, c Call, reply func(status int, body []byte)) {
+	n := w.nodes[k]
+	if c.Path == probePath && n.older {
+		if n.alive {
+			reply(http.StatusNotFound, nil)
+		}
+		return
+	}
+	op := map[string]Op{"/relay": OpRelay, "/heartbeat": OpPeerHeartbeat, "/forward": OpForwardedHeartbeat, probePath: OpProbe}[c.Path]
+	w.ask(k, Request{Op: op, Body: c.Body}, func(r Reply) {
+		if r.Status == 0 {
+			return
+		}
+		if n.withoutGate {
+			r.Body = olderReply(c, r.Body)
+		}
+		reply(r.Status, r.Body)
 	})
 }
 
