--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -45,7 +45,7 @@
 				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
 			}
 			if w.state.Over > 0 {
-				t.Errorf("leader ends %v after: %d transactions were over the limits", crash, w.state.Over)
+				t.Errorf("%d transactions were over the limits", w.state.Over)
 			}
 			w.settle()
 		})
