--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -8,23 +8,25 @@
 	"claybarrow/internal/config"
 )
 
-// Direct calls are bounded by what a core can take in a moment, however many sockets there are;
-// with the sockets of today's deployments the bounds are as they were.
-func TestCallsAtOnceAreBoundedByTheCore(t *testing.T) {
+// Direct calls are bounded by what a core can handle in a moment, however many sockets there are;
+// with the number of sockets of today's deployments the bounds are unchanged.
+func TestConcurrentCallsAreBoundedByTheCore(t *testing.T) {
 	for _, tc := range []struct {
 		sockets int
 		cores   float64
 		want    int
 	}{{600, 0.144, 75}, {1_938, 0.468, 242}, {2_061, 0.312, 257}, {16_488, 1, 1024}, {16_488, 4, 2061}} {
-		calls := newCallLimiter(config.Resources{FDs: tc.sockets, Cores: tc.cores})
-		if got := calls.maxInFlight; got != tc.want {
-			t.Errorf("%d sockets, %v cores: %d calls at once, want %d", tc.sockets, tc.cores, got, tc.want)
-		}
+		t.Run(fmt.Sprintf("%d sockets, %v cores", tc.sockets, tc.cores), func(t *testing.T) {
+			calls := newCallLimiter(config.Resources{FDs: tc.sockets, Cores: tc.cores})
+			if got := calls.maxInFlight; got != tc.want {
+				t.Errorf("%d concurrent calls, want %d", got, tc.want)
+			}
+		})
 	}
 }
 
-// A new leader asks all machines whether they are there. It does so at a rate that leaves the
-// processor to its lease, and goes on as time passes.
+// A new leader asks all machines for their state. It does so at a rate that leaves processor time
+// for renewing its lease, and continues as time passes.
 func TestManyCallsAreSpreadOverTime(t *testing.T) {
 	w := newWorld(t, 58)
 	c := w.nodes[w.awaitLeader()].controller
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -2,39 +2,40 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
 	"time"
 
 	"claybarrow/internal/protocol"
 )
 
-// checker holds what the rules are counted from: what users asked and were told,
-// and what ran where. It is part of every world, so every test has it. Tests
-// assert on nothing else: neither on the ledger nor on who leads.
+// checker holds what the rules are checked against: what users requested and were answered, and
+// what ran where. It is part of every world, so every test has it. Tests assert on nothing else:
+// neither on the cluster state nor on who leads.
 type checker struct {
 	cancelRequested map[string]bool          // users asked to cancel these
 	invalid         map[string]bool          // must be refused
-	accepted        map[string]time.Duration // when the user was first told so
-	answered        map[string]time.Duration // when a question was last answered
-	waitingSince    map[string]time.Duration // since when it waits though there is room
+	accepted        map[string]time.Duration // when the user first got this answer
+	answered        map[string]time.Duration // when a poll was last answered
+	waitingSince    map[string]time.Duration // since when it has waited although there is room
 	turn            int
-	halts           map[string][]halted
+	stopCommands    map[string][]stopCommand
 	starts          map[string]int // how often a task has begun to be on a machine
-	// calm is since when all troubles are over; 0: they are not.
-	calm time.Duration
-	// lateCopy tells how much later a copy of a report arrives; 0: none does.
+	// calmSince is the time at which all faults ended; 0: they have not ended.
+	calmSince time.Duration
+	// lateCopy returns how much later a copy of a heartbeat arrives; 0: there is no copy.
 	lateCopy func() time.Duration
-	// ended is told of each task's completion.
+	// ended is called at the completion of each task.
 	ended func(uid string)
 }
 
-// halted is a task's first command to stop.
-type halted struct {
+// stopCommand is the first stop command that a task got.
+type stopCommand struct {
 	at    time.Duration
 	grace float64
 }
 
-// What the operators allow once all troubles are over.
+// The bounds that the operators set, counted from the end of all faults.
 const (
 	forgottenAfter = 75 * time.Second
 	waitsAtMost    = 90 * time.Second
@@ -44,18 +45,18 @@
 
 func newChecker() checker {
 	return checker{cancelRequested: map[string]bool{}, invalid: map[string]bool{}, accepted: map[string]time.Duration{},
-		answered: map[string]time.Duration{}, waitingSince: map[string]time.Duration{}, halts: map[string][]halted{},
+		answered: map[string]time.Duration{}, waitingSince: map[string]time.Duration{}, stopCommands: map[string][]stopCommand{},
 		starts: map[string]int{}}
 }
 
-// watch looks at the rules every second, and polls for every accepted job every
-// five, as its user does.
+// watch checks the rules every second and polls each accepted job every five seconds, as its user
+// does.
 func (w *world) watch() {
 	var look func()
 	look = func() {
-		w.lateCancelled()
-		w.lookForForgotten()
-		w.lookForWaiting()
+		w.checkCancelledTasksEnded()
+		w.checkForgotten()
+		w.checkWaiting()
 		w.at(time.Second, look)
 	}
 	w.at(time.Second, look)
@@ -67,12 +68,12 @@
 	w.at(tick, step)
 }
 
-func (w *world) over(uid string) bool {
+func (w *world) jobEnded(uid string) bool {
 	return w.lastReplies[uid] == protocol.Done || w.lastReplies[uid] == protocol.Cancelled
 }
 
-// noteAnswer begins the polling of a job when its user is first told of it.
-func (w *world) noteAnswer(uid string) {
+// startPolling begins the polling of a job when its user first gets an answer about it.
+func (w *world) startPolling(uid string) {
 	w.answered[uid] = w.Now()
 	if _, known := w.accepted[uid]; known {
 		return
@@ -80,7 +81,7 @@
 	w.accepted[uid] = w.Now()
 	var poll func()
 	poll = func() {
-		if w.over(uid) {
+		if w.jobEnded(uid) {
 			return
 		}
 		w.turn++
@@ -92,38 +93,38 @@
 
 func (w *world) checkAnswer(op Op, uid string, status int) {
 	switch {
-	case w.invalid[uid] && (status == 200 || status == 201):
-		w.breaks("an invalid submission was accepted: %s", uid)
-	case w.specs[uid] == nil && status == 200:
-		w.breaks("invented: %s", uid)
-	case w.lastReplies[uid] != "" && (status == 400 || status == 422):
-		w.breaks("forgotten: %s answered %d to %s", uid, status, op)
+	case w.invalid[uid] && (status == http.StatusOK || status == http.StatusCreated):
+		w.violated("an invalid submission was accepted: %s", uid)
+	case w.specs[uid] == nil && status == http.StatusOK:
+		w.violated("invented: %s", uid)
+	case w.lastReplies[uid] != "" && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
+		w.violated("forgotten: %s answered %d to %s", uid, status, op)
 	}
 }
 
-func (w *world) lookForForgotten() {
-	if w.calm == 0 {
+func (w *world) checkForgotten() {
+	if w.calmSince == 0 {
 		return
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		if since := max(w.answered[uid], w.calm); !w.over(uid) && w.Now() > since+forgottenAfter {
-			w.breaks("forgotten: no question about %s was answered since %v", uid, since)
+		if since := max(w.answered[uid], w.calmSince); !w.jobEnded(uid) && w.Now() > since+forgottenAfter {
+			w.violated("forgotten: no question about %s was answered since %v", uid, since)
 			w.answered[uid] = w.Now()
 		}
 	}
 }
 
-// lookForWaiting counts how long a job has had no task anywhere though a machine
-// that fits has room and its team is under its limit.
-func (w *world) lookForWaiting() {
-	if w.calm == 0 {
+// checkWaiting measures how long a job has had no task on any machine although a machine that fits
+// has room and its team is below its quota.
+func (w *world) checkWaiting() {
+	if w.calmSince == 0 {
 		clear(w.waitingSince)
 		return
 	}
 	used, held := map[string]float64{}, map[string]int{}
-	for _, k := range w.fleet() {
-		for _, t := range k.Tasks {
-			if t.State != protocol.Exited && !k.Deleted {
+	for _, worker := range w.workers() {
+		for _, t := range worker.Tasks {
+			if t.State != protocol.Exited && !worker.Deleted {
 				used[w.specs[t.UID]["owner"].(string)] += w.specs[t.UID]["cores"].(float64)
 				held[t.UID]++
 			}
@@ -136,7 +137,7 @@
 		if spec["shape"] == "group" {
 			need *= float64(spec["shards"].(int)) // it waits for room for all of it
 		}
-		if w.over(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
+		if w.jobEnded(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
 			delete(w.waitingSince, uid)
 			continue
 		}
@@ -144,7 +145,7 @@
 			w.waitingSince[uid] = w.Now()
 		}
 		if w.Now() > w.waitingSince[uid]+waitsAtMost {
-			w.breaks("waiting: %s has waited since %v though there is room", uid, w.waitingSince[uid])
+			w.violated("waiting: %s has waited since %v though there is room", uid, w.waitingSince[uid])
 			w.waitingSince[uid] = w.Now()
 		}
 	}
@@ -153,21 +154,21 @@
 // hasRoom says whether a task of the job fits somewhere, or all of a gang.
 func (w *world) hasRoom(spec map[string]any) bool {
 	most, all, zones := 0, 0, map[string]int{}
-	for _, k := range w.fleet() {
-		if !k.Up || k.Deleted || k.Cut || k.Hung || k.AnswersLost || k.ReportsLost || k.Spot && !spec["borrowed"].(bool) ||
-			spec["yard"] != nil && spec["yard"] != k.Zone {
+	for _, worker := range w.workers() {
+		if !worker.Up || worker.Deleted || worker.Cut || worker.Hung || worker.AnswersLost || worker.ReportsLost || worker.Spot && !spec["borrowed"].(bool) ||
+			spec["yard"] != nil && spec["yard"] != worker.Zone {
 			continue
 		}
 		free := machineCores
-		for _, t := range k.Tasks {
+		for _, t := range worker.Tasks {
 			if t.State != protocol.Exited {
 				free -= w.specs[t.UID]["cores"].(float64)
 			}
 		}
 		n := int(free / spec["cores"].(float64))
-		zones[k.Zone] += n
+		zones[worker.Zone] += n
 		all += n
-		most = max(most, zones[k.Zone])
+		most = max(most, zones[worker.Zone])
 	}
 	switch {
 	case spec["shape"] != "group":
@@ -178,31 +179,31 @@
 	return all >= spec["shards"].(int) && !spec["apart"].(bool)
 }
 
-// settle ends all troubles, waits for as long as the operators' bounds reach, and
-// then ends what is left: services are cancelled, batches have to become done.
+// settle ends all faults, waits for as long as the operators' bounds reach, and then ends what is
+// left: services are cancelled, arrays have to complete.
 func (w *world) settle() {
 	w.t.Helper()
-	w.script, w.reports, w.lateCopy, w.ended = nil, nil, nil, nil
+	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
 	w.state.Down, w.state.Refuse, w.cloud.Down = false, map[int]bool{}, false
-	for _, k := range w.fleet() {
-		k.Cut, k.AnswersLost, k.ReportsLost = false, false, false
+	for _, worker := range w.workers() {
+		worker.Cut, worker.AnswersLost, worker.ReportsLost = false, false, false
 	}
 	for i, n := range w.nodes {
 		if !n.alive {
 			w.boot(i)
 		}
 	}
-	w.calm = w.Now()
+	w.calmSince = w.Now()
 	w.run(waitsAtMost + 30*time.Second)
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		if w.specs[uid]["shape"] == "service" && !w.over(uid) {
+		if w.specs[uid]["shape"] == "service" && !w.jobEnded(uid) {
 			w.cancel(uid)
 		}
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		w.until(400*time.Second, uid+" is over", func() bool { return w.over(uid) })
+		w.until(400*time.Second, uid+" is over", func() bool { return w.jobEnded(uid) })
 	}
-	// Until a told cancellation's bound is over everywhere.
+	// Wait until the bound of each confirmed cancellation has passed everywhere.
 	w.run(cancelWithin + 5*time.Second)
-	w.keptRules()
+	w.requireNoViolations()
 }
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -10,69 +10,75 @@
 	"claybarrow/internal/protocol"
 )
 
-// The meetings of troubles that the operators have named, one test for each, and
-// random ones of two or three. All are judged by the checker alone.
+// The combinations of faults that the operators have named, one test for each, and random
+// combinations of two or three. All are judged by the checker alone.
 
-// mess is what the network does while a meeting lasts.
-type mess struct {
+// networkFaults are the network faults in force while a compound failure lasts.
+type networkFaults struct {
 	w *world
-	// apart are controllers without state service and other controllers.
-	apart map[int]bool
-	// noOrders are controllers whose direct commands reach nobody.
-	noOrders map[int]bool
-	// Shares of calls: transactions carried out late and never answered, direct
-	// commands held up for seconds, direct commands whose answer is lost.
-	lateWrites, heldOrders, lostAnswers float64
-	// slowState and slowLinks delay each call by up to so much.
+	// isolated are the controllers that reach neither the state service nor other controllers.
+	isolated map[int]bool
+	// commandsLost are the controllers whose direct commands are lost.
+	commandsLost map[int]bool
+	// Shares of calls: transactions that are applied late and never answered, direct commands that
+	// are delayed for seconds, direct commands whose answer is lost.
+	lateTransactions, delayedCommands, lostAnswers float64
+	// slowState and slowLinks are the upper bounds of the delay of each call.
 	slowState, slowLinks time.Duration
 }
 
-func (w *world) mess() *mess {
-	m := &mess{w: w, apart: map[int]bool{}, noOrders: map[int]bool{}}
-	w.script = m.fate
-	return m
+func (w *world) injectNetworkFaults() *networkFaults {
+	faults := &networkFaults{w: w, isolated: map[int]bool{}, commandsLost: map[int]bool{}}
+	w.script = faults.fault
+	return faults
 }
 
-func (m *mess) chance(share float64) bool { return share > 0 && m.w.rng.Float64() < share }
+func (faults *networkFaults) chance(share float64) bool {
+	return share > 0 && faults.w.rng.Float64() < share
+}
 
-func (m *mess) upTo(d time.Duration) time.Duration {
+func (faults *networkFaults) randomUpTo(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
 	}
-	return time.Duration(m.w.rng.Int64N(int64(d)))
+	return time.Duration(faults.w.rng.Int64N(int64(d)))
 }
 
-func (m *mess) fate(node int, c Call) deliveryFault {
-	f := deliveryFault{hold: m.upTo(m.slowLinks)}
+func (faults *networkFaults) fault(node int, c Call) deliveryFault {
+	f := deliveryFault{hold: faults.randomUpTo(faults.slowLinks)}
 	switch c.Target {
 	case ToState:
-		if m.apart[node] {
+		if faults.isolated[node] {
 			return deliveryFault{lost: true}
 		}
-		f.hold += m.upTo(m.slowState)
-		if c.Path == "/multi" && m.chance(m.lateWrites) {
-			return deliveryFault{answerLost: true, hold: 2*second + m.upTo(10*second)}
+		f.hold += faults.randomUpTo(faults.slowState)
+		if c.Path == "/multi" && faults.chance(faults.lateTransactions) {
+			return deliveryFault{answerLost: true, hold: 2*second + faults.randomUpTo(10*second)}
 		}
 	case ToPeer:
 		to := -1
-		fmt.Sscanf(c.Addr, "10.0.0.%d:", &to)
-		if m.apart[node] || m.apart[to] {
+		if _, err := fmt.Sscanf(c.Addr, "10.0.0.%d:", &to); err != nil {
+			faults.w.t.Errorf("the address of a peer %q: %v", c.Addr, err)
+		}
+		if faults.isolated[node] || faults.isolated[to] {
 			return deliveryFault{lost: true}
 		}
 	case ToWorker:
-		if m.noOrders[node] {
+		if faults.commandsLost[node] {
 			return deliveryFault{lost: true}
 		}
-		if m.chance(m.heldOrders) {
-			return deliveryFault{hold: 2*second + m.upTo(25*second), answerLost: m.chance(0.5)}
+		if faults.chance(faults.delayedCommands) {
+			return deliveryFault{hold: 2*second + faults.randomUpTo(25*second), answerLost: faults.chance(0.5)}
 		}
-		f.answerLost = m.chance(m.lostAnswers)
+		f.answerLost = faults.chance(faults.lostAnswers)
+	case ToCloud: // delayed at the most
 	}
 	return f
 }
 
-// initialJobs submits work of all kinds: replicas of both teams, spread and not, and
-// arrays that take long or save slowly. It waits until most of it runs.
+// initialJobs submits jobs of all kinds: services of both teams, spread over machines and not, and
+// arrays whose tasks run for long or save their checkpoints slowly. It waits until most of them
+// run.
 func (w *world) initialJobs() {
 	w.t.Helper()
 	w.runs = func(task string) time.Duration { return time.Duration(20+len(task)*13%60) * second }
@@ -89,25 +95,26 @@
 	})
 }
 
-// cancelSome has users call off jobs, at once, each asking for as long as users do.
+// cancelSome has the users of the jobs request cancellation at once, each repeating the request as
+// users do.
 func (w *world) cancelSome(uids ...string) {
 	for _, uid := range uids {
 		w.cancel(uid)
 	}
 }
 
-// some picks a share of the machines that are up.
-func (w *world) some(share float64) []*emulator.Worker {
+// randomMachines returns a random share of the machines that are up.
+func (w *world) randomMachines(share float64) []*emulator.Worker {
 	var out []*emulator.Worker
-	for _, k := range w.fleet() {
-		if k.Up && !k.Deleted && w.rng.Float64() < share {
-			out = append(out, k)
+	for _, worker := range w.workers() {
+		if worker.Up && !worker.Deleted && w.rng.Float64() < share {
+			out = append(out, worker)
 		}
 	}
 	return out
 }
 
-// bounce ends a controller and starts it again.
+// restart ends a controller and starts it again after a time.
 func (w *world) restart(i int, after time.Duration) {
 	w.crash(i)
 	w.at(after, func() {
@@ -117,52 +124,52 @@
 	})
 }
 
-// aLeader is whoever leads, or the first controller.
-func (w *world) aLeader() int { return max(0, w.leader()) }
+// leaderOrFirst is the index of the leader or, without one, of the first controller.
+func (w *world) leaderOrFirst() int { return max(0, w.leader()) }
 
-// startCompoundFailure plays a test at several seeds.
-func startCompoundFailure(t *testing.T, seeds int, play func(w *world, m *mess)) {
+// startCompoundFailure runs a compound failure with several seeds.
+func startCompoundFailure(t *testing.T, seeds int, play func(w *world, faults *networkFaults)) {
 	t.Helper()
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, uint64(1000+seed))
-			m := w.mess()
+			faults := w.injectNetworkFaults()
 			w.initialJobs()
-			play(w, m)
+			play(w, faults)
 			w.settle()
 		})
 	}
 }
 
-func (w *world) ms(least, most int) time.Duration {
+func (w *world) randomMilliseconds(least, most int) time.Duration {
 	return time.Duration(least+w.rng.IntN(most-least+1)) * time.Millisecond
 }
 
-// The gap: the state service refuses the leader alone, another controller
-// confirms cancellations, then the service is down for all for longer than
-// cancel_s, while the workers go on reporting to the old leader.
-func TestCompoundGap(t *testing.T) {
-	startCompoundFailure(t, 12, func(w *world, m *mess) {
+// The state service refuses the leader alone and another controller confirms cancellations; then
+// the service is down for all for longer than cancel_s, while the workers go on sending heartbeats
+// to the old leader.
+func TestCompoundRefusalThenOutage(t *testing.T) {
+	startCompoundFailure(t, 12, func(w *world, faults *networkFaults) {
 		old := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
-			// The others can't even reach the workers to tell them.
+			// The other controllers can't reach the workers with commands either.
 			for i := range 3 {
-				m.noOrders[i] = i != old
+				faults.commandsLost[i] = i != old
 			}
 		}
-		for _, k := range w.some(0.3) {
+		for _, worker := range w.randomMachines(0.3) {
 			switch w.rng.IntN(3) {
 			case 0:
-				k.Hang(w.ms(2000, 30_000))
+				worker.Hang(w.randomMilliseconds(2000, 30_000))
 			case 1:
-				k.AnswersLost = true
+				worker.AnswersLost = true
 			}
 		}
 		w.state.Refuse[old] = true
-		w.at(w.ms(0, 2500), func() { w.cancelSome("j-s1", "j-b1", "j-s2") })
-		w.run(w.ms(1500, 12_000))
+		w.at(w.randomMilliseconds(0, 2500), func() { w.cancelSome("j-s1", "j-b1", "j-s2") })
+		w.run(w.randomMilliseconds(1500, 12_000))
 		w.state.Outage(time.Duration(40+w.rng.IntN(40)) * second)
-		w.run(w.ms(0, 12_000))
+		w.run(w.randomMilliseconds(0, 12_000))
 		w.state.Refuse[old] = false
 		w.run(90 * second)
 	})
@@ -171,76 +178,77 @@
 // Jobs are cancelled at the very moment at which the state service refuses the
 // leader alone, and a second later it is out for longer than cancel_s.
 func TestCompoundCancelAtRefusal(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		old := w.awaitLeader()
 		w.cancelSome("j-s1", "j-s3")
 		w.state.Refuse[old] = true
 		w.cancelSome("j-b1", "j-s2")
-		w.run(w.ms(500, 1500))
+		w.run(w.randomMilliseconds(500, 1500))
 		w.state.Outage(45 * second)
 		w.run(60 * second)
 	})
 }
 
-// Controllers hand over and back, all end, and one returns, also within a second.
+// Several failovers in a row, then all controllers end, and one is started again, also within a
+// second.
 func TestCompoundFailoverAndBack(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for range 8 {
-			w.restart(w.aLeader(), w.ms(50, 900))
-			w.run(w.ms(300, 4000))
+			w.restart(w.leaderOrFirst(), w.randomMilliseconds(50, 900))
+			w.run(w.randomMilliseconds(300, 4000))
 		}
 		w.cancelSome("j-s1")
 		for i := range 3 {
 			w.crash(i)
 		}
-		w.run(w.ms(50, 900))
+		w.run(w.randomMilliseconds(50, 900))
 		w.boot(w.rng.IntN(3))
-		w.run(w.ms(200, 5000))
+		w.run(w.randomMilliseconds(200, 5000))
 		w.cancelSome("j-b1")
 		for i := range 3 {
-			w.restart(i, w.ms(50, 6000))
+			w.restart(i, w.randomMilliseconds(50, 6000))
 		}
 		w.run(30 * second)
 	})
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't hear
-// the new leader's answer.
-func TestCompoundLeaderEndsMachinesGone(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
-		for n, k := range w.some(0.6) {
+// A leader ends while machines with long tasks can't be reached, or don't get the new leader's
+// answers.
+func TestCompoundLeaderEndsMachinesUnreachable(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
+		for n, worker := range w.randomMachines(0.6) {
 			if n%2 == 0 {
-				k.Cut = true
-				w.at(w.ms(3000, 40_000), func() { k.Cut = false })
+				worker.Cut = true
+				w.at(w.randomMilliseconds(3000, 40_000), func() { worker.Cut = false })
 			} else {
-				k.AnswersLost = true
-				w.at(w.ms(3000, 60_000), func() { k.AnswersLost = false })
+				worker.AnswersLost = true
+				w.at(w.randomMilliseconds(3000, 60_000), func() { worker.AnswersLost = false })
 			}
 		}
-		w.restart(w.aLeader(), w.ms(500, 8000))
-		w.run(w.ms(0, 6000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 8000))
+		w.run(w.randomMilliseconds(0, 6000))
 		w.cancelSome("j-s1", "j-b1")
 		w.run(70 * second)
 	})
 }
 
-// A machine hears no answer from before the take-over on: no message of it can prove
-// what is gone there, and a job that waits for it must not wait for ever.
+// A machine gets no answer from the failover on: no heartbeat of it can prove the absence of a
+// task, and a job that waits for this proof must not wait for ever.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
-	startCompoundFailure(t, 4, func(w *world, m *mess) {
-		for _, k := range w.fleet() {
-			if k.Up && len(k.Tasks) > 0 {
-				k.AnswersLost = true
+	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
+		for _, worker := range w.workers() {
+			if worker.Up && len(worker.Tasks) > 0 {
+				worker.AnswersLost = true
 			}
 		}
-		w.restart(w.aLeader(), 2*second)
+		w.restart(w.leaderOrFirst(), 2*second)
 		w.run(second)
 		w.cancelSome("j-s2")
 		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.Cancelled })
 		w.until(60*second, "j-s3 runs elsewhere", func() bool {
-			for _, k := range w.fleet() {
-				for _, task := range k.Tasks {
-					if task.UID == "j-s3" && task.State == protocol.Running && !k.AnswersLost && !k.Deleted {
+			for _, worker := range w.workers() {
+				for _, task := range worker.Tasks {
+					if task.UID == "j-s3" && task.State == protocol.Running && !worker.AnswersLost && !worker.Deleted {
 						return true
 					}
 				}
@@ -253,26 +261,26 @@
 // The state service answers slowly, or refuses the leader alone and then
 // everybody for longer than cancel_s, while users cancel and ask.
 func TestCompoundSlowThenRefused(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
-		m.slowState = w.ms(300, 900)
+	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
+		faults.slowState = w.randomMilliseconds(300, 900)
 		w.cancelSome("j-s1")
 		w.run(10 * second)
-		old := w.aLeader()
+		old := w.leaderOrFirst()
 		w.state.Refuse[old] = true
 		w.cancelSome("j-b1")
-		w.run(w.ms(1000, 6000))
+		w.run(w.randomMilliseconds(1000, 6000))
 		w.state.Outage(40 * second)
 		w.cancelSome("j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 1.0})
 		w.run(50 * second)
-		m.slowState = 0
+		faults.slowState = 0
 	})
 }
 
-// There is more work than room, urgent and not, over slow links.
+// More work is submitted than there is room for, urgent and not, over slow links.
 func TestCompoundOverload(t *testing.T) {
-	startCompoundFailure(t, 4, func(w *world, m *mess) {
-		m.slowLinks = 400 * time.Millisecond
+	startCompoundFailure(t, 4, func(w *world, faults *networkFaults) {
+		faults.slowLinks = 400 * time.Millisecond
 		for i := range 12 {
 			rank := []string{"idle", "normal", "high", "production"}[i%4]
 			shape, shards := "batch", 1+w.rng.IntN(5)
@@ -281,25 +289,25 @@
 			}
 			w.submit(fmt.Sprintf("j-o%d", i), map[string]any{"shape": shape, "shards": shards, "cores": float64(1 + w.rng.IntN(4)),
 				"owner": []string{"red", "blue"}[i%2], "rank": rank, "saveEveryS": 5.0, "saveTakesS": 2.0})
-			w.run(w.ms(100, 3000))
+			w.run(w.randomMilliseconds(100, 3000))
 		}
-		w.restart(w.aLeader(), w.ms(200, 3000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 3000))
 		w.cancelSome("j-o3", "j-o5", "j-s1")
 		w.run(60 * second)
 	})
 }
 
-// All controllers are away for longer than lease_s.
+// All controllers are down for longer than lease_s.
 func TestCompoundAllControllersDown(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.cancelSome("j-s1", "j-b1")
-		w.run(w.ms(0, 400))
+		w.run(w.randomMilliseconds(0, 400))
 		for i := range 3 {
 			w.crash(i)
 		}
-		w.run(w.ms(11_000, 40_000))
+		w.run(w.randomMilliseconds(11_000, 40_000))
 		for i := range 3 {
-			w.at(w.ms(0, 4000), func() {
+			w.at(w.randomMilliseconds(0, 4000), func() {
 				if !w.nodes[i].alive {
 					w.boot(i)
 				}
@@ -309,46 +317,46 @@
 	})
 }
 
-// A leader is cut from the state service and from the other controllers while
-// workers and users still reach it, and jobs are cancelled through the new one.
+// A leader is cut off from the state service and from the other controllers while workers and users
+// still reach it, and jobs are cancelled through the new leader.
 func TestCompoundLeaderPartitioned(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		old := w.awaitLeader()
-		m.apart[old] = true
+		faults.isolated[old] = true
 		if w.rng.IntN(2) == 0 {
 			for i := range 3 {
-				m.noOrders[i] = i != old
+				faults.commandsLost[i] = i != old
 			}
 		}
-		w.run(w.ms(1500, 8000))
+		w.run(w.randomMilliseconds(1500, 8000))
 		w.cancelSome("j-s1", "j-b1", "j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
-		w.run(w.ms(20_000, 80_000))
-		m.apart[old] = false
+		w.run(w.randomMilliseconds(20_000, 80_000))
+		faults.isolated[old] = false
 		w.run(20 * second)
 	})
 }
 
-// A report is held back until a new leader has acted, and then arrives there.
+// A heartbeat is delayed until a new leader has acted, and then arrives there.
 func TestCompoundDelayedHeartbeat(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		type copied struct {
 			k    *emulator.Worker
 			body []byte
 		}
 		var held []copied
-		for _, k := range w.fleet() {
-			if k.Up && !k.Deleted {
-				held = append(held, copied{k, protocol.Encode(k.Message())})
+		for _, worker := range w.workers() {
+			if worker.Up && !worker.Deleted {
+				held = append(held, copied{worker, protocol.Encode(worker.Message())})
 				if w.rng.IntN(2) == 0 {
-					k.Cut = true
-					w.at(w.ms(2000, 25_000), func() { k.Cut = false })
+					worker.Cut = true
+					w.at(w.randomMilliseconds(2000, 25_000), func() { worker.Cut = false })
 				}
 			}
 		}
 		w.cancelSome("j-s1")
-		w.restart(w.aLeader(), w.ms(500, 4000))
-		w.run(w.ms(2500, 15_000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 4000))
+		w.run(w.randomMilliseconds(2500, 15_000))
 		w.cancelSome("j-b1")
 		for range 3 {
 			for _, h := range held {
@@ -356,7 +364,7 @@
 					w.ask(i, Request{Op: OpWorkerHeartbeat, Body: h.body}, func(Reply) {})
 				}
 			}
-			w.run(w.ms(1000, 20_000))
+			w.run(w.randomMilliseconds(1000, 20_000))
 		}
 		w.run(20 * second)
 	})
@@ -364,170 +372,170 @@
 
 // Jobs of two or three tasks end far apart across a change of leader.
 func TestCompoundTasksEndFarApart(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, faults *networkFaults) {
 		w.runs = func(task string) time.Duration {
 			return time.Duration(5+35*int(task[len(task)-1]-'0')) * second
 		}
 		for i := range 3 {
 			w.submit(fmt.Sprintf("j-f%d", i), map[string]any{"shards": 2 + i%2, "cores": 1.0})
 		}
-		w.run(w.ms(8000, 14_000))
-		m.lateWrites = 0.2
-		w.restart(w.aLeader(), w.ms(200, 5000))
-		w.run(w.ms(10_000, 25_000))
-		w.restart(w.aLeader(), w.ms(200, 5000))
+		w.run(w.randomMilliseconds(8000, 14_000))
+		faults.lateTransactions = 0.2
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 5000))
+		w.run(w.randomMilliseconds(10_000, 25_000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 5000))
 		w.run(30 * second)
 	})
 }
 
-// A cancellation, a question or a repeated submission meets the end of a job's
-// last task, with no other trouble.
-func TestCompoundAtTheEnd(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+// A cancellation, a poll or a repeated submission coincides with the end of a job's last task,
+// without any other fault.
+func TestCompoundCancelAtJobCompletion(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.ended = func(uid string) {
 			switch w.rng.IntN(3) {
 			case 0:
-				w.at(w.ms(0, 1200), func() { w.cancel(uid) })
+				w.at(w.randomMilliseconds(0, 1200), func() { w.cancel(uid) })
 			case 1:
-				w.at(w.ms(0, 1200), func() { w.user(w.rng.IntN(3), OpPoll, uid, nil) })
+				w.at(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpPoll, uid, nil) })
 			case 2:
-				w.at(w.ms(0, 1200), func() { w.user(w.rng.IntN(3), OpSubmit, uid, nil) })
+				w.at(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpSubmit, uid, nil) })
 			}
 		}
 		for i := range 6 {
 			w.submit(fmt.Sprintf("j-e%d", i), map[string]any{"shards": 1 + i%3, "cores": 1.0})
-			w.run(w.ms(0, 3000))
+			w.run(w.randomMilliseconds(0, 3000))
 		}
 		w.run(90 * second)
 	})
 }
 
 // A zone with workers and a controller is cut off for longer than lease_s.
-func TestCompoundZoneCut(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+func TestCompoundZonePartitioned(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		inB := func(addr string) bool {
 			if strings.HasPrefix(addr, "10.0.0.") {
 				return strings.HasPrefix(addr, "10.0.0.2:")
 			}
-			k := w.byAddr(addr)
-			return k != nil && k.Zone == "b"
+			worker := w.byAddr(addr)
+			return worker != nil && worker.Zone == "b"
 		}
 		w.script = func(node int, c Call) deliveryFault {
 			there := c.Target == ToPeer || c.Target == ToWorker
 			return deliveryFault{lost: node == 2 && !there || there && inB(c.Addr) != (node == 2)}
 		}
-		w.reports = func(k *emulator.Worker, node int) deliveryFault {
-			return deliveryFault{lost: (k.Zone == "b") != (node == 2)}
+		w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+			return deliveryFault{lost: (worker.Zone == "b") != (node == 2)}
 		}
 		w.cancelSome("j-s1", "j-s3")
 		if w.rng.IntN(2) == 0 {
-			w.restart(w.rng.IntN(3), w.ms(200, 4000))
+			w.restart(w.rng.IntN(3), w.randomMilliseconds(200, 4000))
 		}
-		w.run(w.ms(12_000, 60_000))
-		w.script, w.reports = m.fate, nil
+		w.run(w.randomMilliseconds(12_000, 60_000))
+		w.script, w.heartbeatFault = faults.fault, nil
 		w.run(20 * second)
 	})
 }
 
-// Workers can't open connections to any controller, while direct commands still
-// reach them: they must not be filled again and again.
+// Workers can't open connections to any controller, while direct commands still reach them: the
+// leader must not start tasks there again and again.
 func TestCompoundHeartbeatsLost(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
-		var reportsLost []*emulator.Worker
-		for _, k := range w.some(0.6) {
-			k.ReportsLost = true
-			reportsLost = append(reportsLost, k)
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
+		var heartbeatsLost []*emulator.Worker
+		for _, worker := range w.randomMachines(0.6) {
+			worker.ReportsLost = true
+			heartbeatsLost = append(heartbeatsLost, worker)
 		}
 		w.cancelSome("j-b1")
-		w.run(w.ms(3000, 12_000))
+		w.run(w.randomMilliseconds(3000, 12_000))
 		if w.rng.IntN(2) == 0 {
-			w.restart(w.aLeader(), w.ms(200, 4000))
+			w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 		}
 		w.run(25 * second)
 		began := map[*emulator.Worker]int{}
-		for _, k := range reportsLost {
-			began[k] = k.Lives
+		for _, worker := range heartbeatsLost {
+			began[worker] = worker.Lives
 		}
 		w.run(60 * second)
-		for _, k := range reportsLost {
-			if k.Lives > began[k]+2 {
-				w.breaks("a machine whose reports are lost was given %d tasks, all of which die with its lease", k.Lives-began[k])
+		for _, worker := range heartbeatsLost {
+			if worker.Lives > began[worker]+2 {
+				w.violated("a machine whose heartbeats are lost was given %d tasks, all of which die with its lease", worker.Lives-began[worker])
 			}
 		}
-		// Their work runs elsewhere.
+		// Their tasks run elsewhere.
 		for _, uid := range []string{"j-s1", "j-s2", "j-s3"} {
 			n := 0
-			for _, k := range w.fleet() {
-				for _, task := range k.Tasks {
-					if task.UID == uid && task.State == protocol.Running && !k.ReportsLost && !k.Deleted {
+			for _, worker := range w.workers() {
+				for _, task := range worker.Tasks {
+					if task.UID == uid && task.State == protocol.Running && !worker.ReportsLost && !worker.Deleted {
 						n++
 					}
 				}
 			}
 			if n == 0 {
-				w.breaks("%s runs on machines whose reports are lost alone", uid)
+				w.violated("%s runs only on machines whose heartbeats are lost", uid)
 			}
 		}
 	})
 }
 
-// An old report arrives after newer ones, also from an earlier session or attempt.
+// An old heartbeat arrives after newer ones, also one of an earlier epoch or attempt.
 func TestCompoundOldHeartbeats(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.lateCopy = func() time.Duration {
 			if w.rng.IntN(3) == 0 {
-				return w.ms(2000, 45_000)
+				return w.randomMilliseconds(2000, 45_000)
 			}
 			return 0
 		}
-		for _, k := range w.some(0.4) {
-			k.Cut = true // a new session, while copies of the earlier one are on their way
-			w.at(w.ms(9000, 16_000), func() { k.Cut = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Cut = true // a new epoch, while copies of heartbeats of the earlier one are in flight
+			w.at(w.randomMilliseconds(9000, 16_000), func() { worker.Cut = false })
 		}
-		w.run(w.ms(4000, 14_000))
+		w.run(w.randomMilliseconds(4000, 14_000))
 		w.cancelSome("j-s1")
-		w.restart(w.aLeader(), w.ms(200, 4000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 		w.run(25 * second)
 		w.cancelSome("j-b1", "j-s2")
 		w.run(40 * second)
 	})
 }
 
-// A team is at its limit when the leader changes, some of its machines can't be
-// asked, and a cancellation falls into that spell.
-func TestCompoundTeamAtItsLimit(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, m *mess) {
+// A team is at its quota when the leader changes, some of its machines can't be reached, and a
+// cancellation is requested in that interval.
+func TestCompoundTeamAtItsQuota(t *testing.T) {
+	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for i := range 6 {
 			w.submit(fmt.Sprintf("j-l%d", i), map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue"})
 		}
 		w.run(40 * second)
-		for _, k := range w.some(0.5) {
-			k.Cut = true
-			w.at(w.ms(5000, 30_000), func() { k.Cut = false })
+		for _, worker := range w.randomMachines(0.5) {
+			worker.Cut = true
+			w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Cut = false })
 		}
-		w.restart(w.aLeader(), w.ms(500, 5000))
-		w.run(w.ms(500, 5000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 5000))
+		w.run(w.randomMilliseconds(500, 5000))
 		w.cancelSome("j-l0", "j-l1", "j-s2")
 		w.submit("j-n1", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue", "rank": "high"})
 		w.run(60 * second)
 	})
 }
 
-// A command or its answer is held up for seconds, and the machine then goes on.
+// A command or its answer is delayed for seconds, and the machine then goes on.
 func TestCompoundDelayedCommands(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, m *mess) {
-		m.heldOrders, m.lostAnswers = 0.4, 0.2
+	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
+		faults.delayedCommands, faults.lostAnswers = 0.4, 0.2
 		for i := range 4 {
 			w.submit(fmt.Sprintf("j-h%d", i), map[string]any{"shards": 2, "cores": 1.0})
-			w.run(w.ms(500, 3000))
-			for _, k := range w.some(0.3) {
-				k.Hang(w.ms(1000, 14_000))
+			w.run(w.randomMilliseconds(500, 3000))
+			for _, worker := range w.randomMachines(0.3) {
+				worker.Hang(w.randomMilliseconds(1000, 14_000))
 			}
 			if i == 1 {
 				w.cancelSome("j-s1", "j-h0")
 			}
 			if i == 2 {
-				w.restart(w.aLeader(), w.ms(200, 4000))
+				w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 				w.cancelSome("j-b1", "j-h1")
 			}
 		}
@@ -535,59 +543,58 @@
 	})
 }
 
-// Leaders change ten times in two minutes, also inside an outage.
+// The leader changes ten times in two minutes, also during an outage of the state service.
 func TestCompoundTenLeaders(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for i := range 10 {
 			if i == 4 {
-				w.state.Outage(w.ms(5000, 30_000))
+				w.state.Outage(w.randomMilliseconds(5000, 30_000))
 			}
-			w.restart(w.aLeader(), w.ms(100, 9000))
+			w.restart(w.leaderOrFirst(), w.randomMilliseconds(100, 9000))
 			if i%3 == 0 {
 				w.cancelSome([]string{"j-s1", "j-b1", "j-s2", "j-b22"}[i/3])
 			}
-			w.run(w.ms(9000, 13_000))
+			w.run(w.randomMilliseconds(9000, 13_000))
 		}
 	})
 }
 
-// Jobs bound to one zone, arrays too, lose machines.
+// Jobs that are bound to one zone, arrays among them, lose machines.
 func TestCompoundBoundToAZone(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, m *mess) {
+	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
 		w.submit("j-z2", map[string]any{"shards": 3, "cores": 2.0, "together": true})
-		w.run(w.ms(5000, 20_000))
-		for _, k := range w.fleet() {
-			if !k.Deleted && k.Up && (k.Zone == "b" || w.rng.IntN(3) == 0) {
+		w.run(w.randomMilliseconds(5000, 20_000))
+		for _, worker := range w.workers() {
+			if !worker.Deleted && worker.Up && (worker.Zone == "b" || w.rng.IntN(3) == 0) {
 				switch w.rng.IntN(3) {
 				case 0:
-					k.Die()
+					worker.Die()
 				case 1:
-					k.Cut = true
-					w.at(w.ms(5000, 30_000), func() { k.Cut = false })
+					worker.Cut = true
+					w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Cut = false })
 				case 2:
-					k.Hang(w.ms(3000, 20_000))
+					worker.Hang(w.randomMilliseconds(3000, 20_000))
 				}
 			}
 		}
-		w.restart(w.aLeader(), w.ms(300, 6000))
+		w.restart(w.leaderOrFirst(), w.randomMilliseconds(300, 6000))
 		w.run(50 * second)
 	})
 }
 
-// Transactions without an answer are carried out late, after newer ones of the
-// same controller.
+// Transactions that got no answer are applied late, after newer ones of the same controller.
 func TestCompoundLateTransactions(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, m *mess) {
-		m.lateWrites = 0.35
+	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
+		faults.lateTransactions = 0.35
 		for i := range 5 {
 			w.submit(fmt.Sprintf("j-t%d", i), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0, "shape": []string{"batch", "service"}[i%2]})
-			w.run(w.ms(500, 6000))
+			w.run(w.randomMilliseconds(500, 6000))
 			if i == 1 {
 				w.cancelSome("j-t0", "j-s1")
 			}
 			if i == 3 {
-				w.restart(w.aLeader(), w.ms(300, 4000))
+				w.restart(w.leaderOrFirst(), w.randomMilliseconds(300, 4000))
 				w.cancelSome("j-t1", "j-b1")
 			}
 		}
@@ -595,29 +602,29 @@
 	})
 }
 
-// Random meetings of two or three troubles, each with a fixed seed.
+// Random combinations of two or three faults, each with a fixed seed.
 func TestCompoundFailuresAtRandom(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, 5000+seed)
-			m := w.mess()
+			faults := w.injectNetworkFaults()
 			w.initialJobs()
 			for range 2 + w.rng.IntN(2) {
-				w.trouble(m, w.ms(8000, 60_000))
-				w.run(w.ms(0, 6000))
+				w.injectRandomFault(faults, w.randomMilliseconds(8000, 60_000))
+				w.run(w.randomMilliseconds(0, 6000))
 			}
 			w.cancelSome([]string{"j-s1", "j-s2", "j-b1", "j-b22"}[w.rng.IntN(4)])
 			w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
 			w.submit("j-n2", map[string]any{"shape": "group", "shards": 3, "cores": 1.0, "apart": w.rng.IntN(2) == 0})
-			w.run(w.ms(5000, 60_000))
+			w.run(w.randomMilliseconds(5000, 60_000))
 			w.settle()
 		})
 	}
 }
 
-// trouble begins one of the listed troubles, for so long.
-func (w *world) trouble(m *mess, lasts time.Duration) {
-	node := w.aLeader()
+// injectRandomFault begins one of the listed faults, which lasts for the given time.
+func (w *world) injectRandomFault(faults *networkFaults, lasts time.Duration) {
+	node := w.leaderOrFirst()
 	if w.rng.IntN(3) == 0 {
 		node = w.rng.IntN(3)
 	}
@@ -628,42 +635,42 @@
 		w.state.Refuse[node] = true
 		w.at(lasts, func() { w.state.Refuse[node] = false })
 	case 2:
-		m.apart[node] = true
-		w.at(lasts, func() { m.apart[node] = false })
+		faults.isolated[node] = true
+		w.at(lasts, func() { faults.isolated[node] = false })
 	case 3:
-		w.restart(node, min(lasts, w.ms(50, 12_000)))
+		w.restart(node, min(lasts, w.randomMilliseconds(50, 12_000)))
 	case 4:
 		for i := range 3 {
-			w.restart(i, w.ms(50, 12_000))
+			w.restart(i, w.randomMilliseconds(50, 12_000))
 		}
 	case 5:
-		for _, k := range w.some(0.4) {
-			k.AnswersLost = true
-			w.at(lasts, func() { k.AnswersLost = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.AnswersLost = true
+			w.at(lasts, func() { worker.AnswersLost = false })
 		}
 	case 6:
-		for _, k := range w.some(0.4) {
-			k.ReportsLost = true
-			w.at(lasts, func() { k.ReportsLost = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.ReportsLost = true
+			w.at(lasts, func() { worker.ReportsLost = false })
 		}
 	case 7:
-		for _, k := range w.some(0.4) {
-			k.Cut = true
-			w.at(lasts, func() { k.Cut = false })
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Cut = true
+			w.at(lasts, func() { worker.Cut = false })
 		}
 	case 8:
-		for _, k := range w.some(0.4) {
-			k.Hang(min(lasts, w.ms(1000, 15_000)))
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Hang(min(lasts, w.randomMilliseconds(1000, 15_000)))
 		}
 	case 9:
-		m.lateWrites = 0.3
-		w.at(lasts, func() { m.lateWrites = 0 })
+		faults.lateTransactions = 0.3
+		w.at(lasts, func() { faults.lateTransactions = 0 })
 	case 10:
-		w.lateCopy = func() time.Duration { return w.ms(2000, 40_000) }
+		w.lateCopy = func() time.Duration { return w.randomMilliseconds(2000, 40_000) }
 	case 11:
-		m.heldOrders, m.lostAnswers = 0.3, 0.2
-		w.at(lasts, func() { m.heldOrders, m.lostAnswers = 0, 0 })
+		faults.delayedCommands, faults.lostAnswers = 0.3, 0.2
+		w.at(lasts, func() { faults.delayedCommands, faults.lostAnswers = 0, 0 })
 	case 12:
-		w.ended = func(uid string) { w.at(w.ms(0, 500), func() { w.cancel(uid) }) }
+		w.ended = func(uid string) { w.at(w.randomMilliseconds(0, 500), func() { w.cancel(uid) }) }
 	}
 }
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -21,10 +21,11 @@
 	testLeaderLease = 1500 * time.Millisecond
 )
 
-// spread are times of several runs.
-type spread []time.Duration
+// durations are the times measured in several runs.
+type durations []time.Duration
 
-func (s spread) report(b *testing.B, name string) {
+func (s durations) report(b *testing.B, name string) {
+	b.Helper()
 	if len(s) == 0 {
 		return
 	}
@@ -35,11 +36,12 @@
 }
 
 func eachDetection(b *testing.B, run func(b *testing.B, operator []byte)) {
+	b.Helper()
 	b.Run("off", func(b *testing.B) { run(b, nil) })
 	b.Run("on", func(b *testing.B) { run(b, []byte(membershipOn)) })
 }
 
-// steadyLoad has a short task submitted twice a second.
+// steadyLoad submits a short task twice a second.
 func (w *world) steadyLoad() {
 	w.runs = func(string) time.Duration { return 2 * second }
 	n := 0
@@ -52,22 +54,23 @@
 	next()
 }
 
-// BenchmarkDetectionOfDeath kills the leader: times from its end to the first suspicion, to the last
-// of the others', to its death for all, to the next election and to the first task under it.
+// BenchmarkDetectionOfDeath kills the leader and measures the times from its end to the first
+// suspicion, to the last controller's suspicion, to its being declared dead by all, to the next
+// election and to the first task that the new leader starts.
 func BenchmarkDetectionOfDeath(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			var suspect, all, dead, elected, placed spread
+			var suspect, all, dead, elected, placed durations
 			for seed := range uint64(measuredSeeds) {
 				w := newWorldWith(b, 3000+seed, operator)
 				w.steadyLoad()
 				w.run(70*second + time.Duration(seed)*testLeaderLease/measuredSeeds)
 				lead := w.awaitLeader()
-				token := w.term().lease.token
+				token := w.leadership().lease.token
 				var first time.Duration
 				begins := w.machines.Begins
-				w.machines.Begins = func(k *emulator.Worker, task string, t *emulator.Task) {
-					begins(k, task, t)
+				w.machines.Begins = func(worker *emulator.Worker, task string, t *emulator.Task) {
+					begins(worker, task, t)
 					if first == 0 && t.Try>>attemptBlockBits > token {
 						first = w.Now()
 					}
@@ -80,7 +83,7 @@
 				if first > 0 {
 					placed = append(placed, first-died)
 				}
-				var seen spread
+				var seen durations
 				for i, n := range w.nodes {
 					if at := n.observer.became(label(lead), membership.Suspect, died); i != lead && at > 0 {
 						seen = append(seen, at-died)
@@ -102,20 +105,21 @@
 	})
 }
 
-// wrongs are what an hour of a trouble brought about though no controller died.
-type wrongs struct{ suspicions, deaths, leaders, moves, lapses float64 }
+// falseAlarms are the effects of an hour of a fault although no controller died.
+type falseAlarms struct{ suspicions, deaths, leaders, moves, lapses float64 }
 
-// countWrongs plays a trouble for some minutes at several seeds.
-func countWrongs(b *testing.B, operator []byte, trouble func(w *world)) {
+// countFalseAlarms runs a fault for some minutes with several seeds.
+func countFalseAlarms(b *testing.B, operator []byte, inject func(w *world)) {
+	b.Helper()
 	const lasts, seeds = 10 * time.Minute, 4
-	var sum wrongs
+	var sum falseAlarms
 	for seed := range uint64(seeds) {
 		w := newWorldWith(b, 3100+seed, operator)
 		w.replicas()
-		began, token := w.Now(), w.term().lease.token
-		trouble(w)
+		began, token := w.Now(), w.leadership().lease.token
+		inject(w)
 		w.run(lasts)
-		sum.leaders += float64(w.term().lease.token - token)
+		sum.leaders += float64(w.leadership().lease.token - token)
 		for _, n := range w.nodes {
 			for _, c := range n.observer.changes {
 				switch {
@@ -130,12 +134,12 @@
 		for _, starts := range w.starts {
 			sum.moves += float64(starts - 1)
 		}
-		for _, k := range w.fleet() {
-			if k.Up && !k.Deleted {
-				sum.lapses += float64(k.Session - 1)
+		for _, worker := range w.workers() {
+			if worker.Up && !worker.Deleted {
+				sum.lapses += float64(worker.Session - 1)
 			}
 		}
-		w.keptRules()
+		w.requireNoViolations()
 	}
 	hours := (seeds * lasts).Hours()
 	b.ReportMetric(sum.suspicions/hours, "suspicions/h")
@@ -145,13 +149,13 @@
 	b.ReportMetric(sum.lapses/hours, "leases-run-out/h")
 }
 
-// stallsEvery has each controller in turn stand still, one every twenty seconds.
+// stallsEvery pauses each controller in turn, one every twenty seconds.
 func stallsEvery(d time.Duration) func(*world) {
 	return func(w *world) {
 		node := 0
 		var next func()
 		next = func() {
-			w.standStill(node, d)
+			w.pauseProcess(node, d)
 			node = (node + 1) % 3
 			w.at(20*second, next)
 		}
@@ -159,27 +163,28 @@
 	}
 }
 
-// BenchmarkDetectionInStalls counts wrong suspicions and deaths while controllers stall, one each
-// twenty seconds: 180 stalls an hour.
+// BenchmarkDetectionInStalls counts false suspicions and deaths while controllers pause, one every
+// twenty seconds: 180 pauses an hour.
 func BenchmarkDetectionInStalls(b *testing.B) {
 	for _, d := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, second, 2 * second, 5 * second, 10 * second} {
 		b.Run(d.String(), func(b *testing.B) {
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
-					countWrongs(b, operator, stallsEvery(d))
+					countFalseAlarms(b, operator, stallsEvery(d))
 				}
 			})
 		})
 	}
 }
 
-// BenchmarkDetectionInLoss counts them while a share of the peers' messages and answers is lost.
+// BenchmarkDetectionInLoss counts them while a share of the messages between controllers and of
+// their answers is lost.
 func BenchmarkDetectionInLoss(b *testing.B) {
 	for _, loss := range []float64{0.05, 0.1, 0.2} {
 		b.Run(fmt.Sprintf("%.0f%%", loss*100), func(b *testing.B) {
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
-					countWrongs(b, operator, func(w *world) {
+					countFalseAlarms(b, operator, func(w *world) {
 						w.script = func(_ int, c Call) deliveryFault {
 							return deliveryFault{lost: c.Target == ToPeer && w.rng.Float64() < loss, answerLost: c.Target == ToPeer && w.rng.Float64() < loss}
 						}
@@ -195,10 +200,10 @@
 func BenchmarkDetectionWhileStarved(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			countWrongs(b, operator, func(w *world) {
+			countFalseAlarms(b, operator, func(w *world) {
 				var next func()
 				next = func() {
-					w.standStill(1, 700*time.Millisecond)
+					w.pauseProcess(1, 700*time.Millisecond)
 					w.at(second, next)
 				}
 				next()
@@ -207,7 +212,8 @@
 	})
 }
 
-// BenchmarkDetectionCost counts a controller's messages to others and their bytes, in peace.
+// BenchmarkDetectionCost counts a controller's messages to the others and their bytes without any
+// fault.
 func BenchmarkDetectionCost(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -10,49 +10,52 @@
 	"claybarrow/internal/protocol"
 )
 
-// The leader loses the workers while the other controllers do not: it hands over
-// before any lease runs out. A few machines that hear no answer are no reason to, also at once.
-func TestLeaderWithoutWorkersHandsOver(t *testing.T) {
+// The leader loses contact with the workers while the other controllers do not: it resigns before
+// any lease expires. A few machines that get no answer are no reason to, also if they lose it at
+// once.
+func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	for _, answersLost := range []bool{false, true} {
-		w := newWorld(t, 51)
-		w.awaitLeader()
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "apart": true})
-		w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "apart": true, "owner": "blue"})
-		all := func() bool { return w.running("j-1") == 6 && w.running("j-2") == 4 }
-		w.until(90*second, "replicas run", all)
-		w.run(15 * second)
-		lead := w.leader()
-		unhearing := map[string]bool{}
-		for _, k := range w.fleet() {
-			if len(unhearing) < minMissedMachines && len(k.Tasks) > 0 {
-				unhearing[k.Addr] = true
+		t.Run(fmt.Sprintf("answers lost %v", answersLost), func(t *testing.T) {
+			w := newWorld(t, 51)
+			w.awaitLeader()
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "apart": true})
+			w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "apart": true, "owner": "blue"})
+			all := func() bool { return w.running("j-1") == 6 && w.running("j-2") == 4 }
+			w.until(90*second, "replicas run", all)
+			w.run(15 * second)
+			lead := w.leader()
+			unhearing := map[string]bool{}
+			for _, worker := range w.workers() {
+				if len(unhearing) < minMissedMachines && len(worker.Tasks) > 0 {
+					unhearing[worker.Addr] = true
+				}
 			}
-		}
-		w.script = func(node int, c Call) deliveryFault {
-			return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
-		}
-		if !answersLost {
-			w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
-		}
-		// Something to say to the machines, so that the loss can show.
-		w.submit("j-3", map[string]any{"shards": 4})
-		for range 30 {
-			w.run(second)
-			if !answersLost && !all() {
-				t.Fatal("a lease ran out")
+			w.script = func(node int, c Call) deliveryFault {
+				return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
 			}
-		}
-		if (w.leader() == lead) != answersLost {
-			t.Errorf("machines that hear nothing %v: the leader is %d, was %d", answersLost, w.leader(), lead)
-		}
-		w.script, w.reports = nil, nil
-		w.awaitTold(200*second, "j-3", "done")
-		w.keptRules()
+			if !answersLost {
+				w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
+			}
+			// There have to be commands for the machines, or the loss of contact would not be noticed.
+			w.submit("j-3", map[string]any{"shards": 4})
+			for range 30 {
+				w.run(second)
+				if !answersLost && !all() {
+					t.Fatal("a lease ran out")
+				}
+			}
+			if (w.leader() == lead) != answersLost {
+				t.Errorf("machines that hear nothing %v: the leader is %d, was %d", answersLost, w.leader(), lead)
+			}
+			w.script, w.heartbeatFault = nil, nil
+			w.awaitStatus(200*second, "j-3", "done")
+			w.requireNoViolations()
+		})
 	}
 }
 
-// Several machines that hear no answer are missed at once, while there was nothing to say to others,
-// give those others time for a sign of life first.
+// Several machines that get no answer become overdue at once, while there were no commands for
+// others: those others are given time for a sign of life first.
 func TestSuspicionWaitsForProbes(t *testing.T) {
 	w := newWorld(t, 57)
 	c := w.nodes[w.awaitLeader()].controller
@@ -81,10 +84,10 @@
 	}
 }
 
-// With a lease longer than the way round all controllers, a zone's workers find
-// their controller again when it has ended in a cut together with all others: its
-// machines are not given up (loss, credit checks' fleet: 158 machines were).
-func TestLongLeaseZoneIsNotGivenUp(t *testing.T) {
+// With a lease longer than a worker needs to try all controllers, the workers of a zone find their
+// controller again when it has ended during a partition together with all others: its machines are
+// not declared lost (in the fleet of the credit checks with loss, 158 machines were).
+func TestLongLeaseZoneIsNotDeclaredLost(t *testing.T) {
 	w := newWorld(t, 37)
 	for _, cfg := range w.cfgs {
 		cfg.Cluster.Workers.LeaseS = 31
@@ -97,7 +100,7 @@
 	if lead == 2 {
 		t.Fatal("the leader is in the zone")
 	}
-	w.cutZone()
+	w.partitionZoneB()
 	w.run(8 * second)
 	for i := range 3 {
 		w.crash(i)
@@ -112,17 +115,17 @@
 		t.Fatal("the zone is not dark: the test shows nothing")
 	}
 	for _, id := range w.cloud.Deleted {
-		if k := w.machines.Workers[id]; k.Zone == "b" && k.Seq > 0 {
+		if worker := w.machines.Workers[id]; worker.Zone == "b" && worker.Seq > 0 {
 			t.Errorf("machine %s of the zone was returned", id)
 		}
 	}
-	w.script, w.reports = nil, nil
+	w.script, w.heartbeatFault = nil, nil
 	w.run(30 * second)
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// Many direct calls that hang at once, as when a zone is cut, are bounded, and
-// leave room for calls to machines that answer.
+// Many direct calls that hang at once, as when a zone is cut off, are bounded, and leave room for
+// calls to machines that answer.
 func TestHangingCallsAreBounded(t *testing.T) {
 	w := newWorld(t, 52)
 	lead := w.awaitLeader()
@@ -149,10 +152,10 @@
 	}
 }
 
-// What a tick and a report cost for a machine with nothing to say does not grow
-// with the fleet: no lists are made or sorted, counted in allocations.
+// The cost of a tick and of a heartbeat for a machine without commands does not grow with the
+// fleet: no lists are made or sorted, measured in allocations.
 func TestTickOfAQuietFleet(t *testing.T) {
-	count := func(machines int) (tick, report float64) {
+	count := func(machines int) (tick, heartbeat float64) {
 		w := newWorld(t, 53)
 		c := w.nodes[w.awaitLeader()].controller
 		l := c.leadership
@@ -174,81 +177,82 @@
 		}
 		l.machines.sortedMachines()
 		tick = testing.AllocsPerRun(20, func() { l.health.watchMachines() })
-		report = testing.AllocsPerRun(20, func() {
+		heartbeat = testing.AllocsPerRun(20, func() {
 			body.Sequence++
 			l.heartbeats.applyHeartbeat(&body, true)
 			l.dispatcher.pendingCommands(m, true)
 		})
-		return tick, report
+		return tick, heartbeat
 	}
-	tick, report := count(1000)
-	tick2, report2 := count(2000)
+	tick, heartbeat := count(1000)
+	tick2, heartbeat2 := count(2000)
 	if tick != 0 || tick2 != 0 {
 		t.Errorf("a tick made %v lists for 1000 machines, %v for 2000", tick, tick2)
 	}
-	if report2 > report {
-		t.Errorf("a report took %v allocations among 1000 machines, %v among 2000", report, report2)
+	if heartbeat2 > heartbeat {
+		t.Errorf("a heartbeat took %v allocations among 1000 machines, %v among 2000", heartbeat, heartbeat2)
 	}
 }
 
-// A machine that takes no connections while others of its zone are heard is
-// deleted long before its lease is over, and its tasks go on elsewhere; one that
-// takes them and does not answer hangs, and is left alone. In a zone that has just
-// been cut off nothing is heard, and nothing is deleted; nor is a machine whose
-// replicas would fetch for longer than a lease, or have no room elsewhere, as it may
-// come back.
+// A machine that refuses connections while others of its zone are heard is deleted long before its
+// lease expires, and its tasks go on elsewhere; one that accepts connections and does not answer
+// hangs, and is left alone. In a zone that has just been cut off nothing is heard, and nothing is
+// deleted; nor is a machine whose replicas would fetch images for longer than a lease, or have no
+// room elsewhere, as it may come back.
 func TestUnreachableMachineIsDeleted(t *testing.T) {
 	for _, what := range []string{"dead", "hanging", "cut zone", "long fetch", "no room"} {
-		w := newWorld(t, 54)
-		for _, cfg := range w.cfgs {
-			cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS = 31, 2
-		}
-		w.awaitLeader()
-		size := 1.0
-		if what == "long fetch" {
-			size = 40
-		}
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "sizeGb": size})
-		w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "owner": "blue", "sizeGb": size})
-		w.until(120*second, "replicas run", func() bool { return w.running("j-1") == 8 && w.running("j-2") == 4 })
-		w.run(15 * second)
-		if w.leader() == 2 {
-			t.Fatal("the leader is in the zone to be cut")
-		}
-		w.cloud.Full = what == "no room"
-		w.off = map[string]bool{}
-		var victim *emulator.Worker
-		for _, k := range w.fleet() {
-			if what == "cut zone" && k.Zone == "b" {
-				w.off[k.Addr] = true
-			} else if what != "cut zone" && k.Zone == "a" && len(k.Tasks) > 0 && victim == nil {
-				victim = k
-				k.Cut = true
-				w.off[k.Addr] = what != "hanging"
+		t.Run(what, func(t *testing.T) {
+			w := newWorld(t, 54)
+			for _, cfg := range w.cfgs {
+				cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS = 31, 2
 			}
-		}
-		if what == "cut zone" {
-			w.cutZone()
-		}
-		w.cloud.Deleted = nil
-		w.run(28 * second)
-		if want := what == "dead"; (len(w.cloud.Deleted) > 0) != want {
-			t.Errorf("%s: deleted %v", what, w.cloud.Deleted)
-		}
-		if what == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
-			t.Errorf("28 s later %d of 12 replicas run, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
-		}
-		w.keptRules()
+			w.awaitLeader()
+			size := 1.0
+			if what == "long fetch" {
+				size = 40
+			}
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "sizeGb": size})
+			w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "owner": "blue", "sizeGb": size})
+			w.until(120*second, "replicas run", func() bool { return w.running("j-1") == 8 && w.running("j-2") == 4 })
+			w.run(15 * second)
+			if w.leader() == 2 {
+				t.Fatal("the leader is in the zone to be cut")
+			}
+			w.cloud.Full = what == "no room"
+			w.unreachable = map[string]bool{}
+			var victim *emulator.Worker
+			for _, worker := range w.workers() {
+				if what == "cut zone" && worker.Zone == "b" {
+					w.unreachable[worker.Addr] = true
+				} else if what != "cut zone" && worker.Zone == "a" && len(worker.Tasks) > 0 && victim == nil {
+					victim = worker
+					worker.Cut = true
+					w.unreachable[worker.Addr] = what != "hanging"
+				}
+			}
+			if what == "cut zone" {
+				w.partitionZoneB()
+			}
+			w.cloud.Deleted = nil
+			w.run(28 * second)
+			if want := what == "dead"; (len(w.cloud.Deleted) > 0) != want {
+				t.Errorf("%s: deleted %v", what, w.cloud.Deleted)
+			}
+			if what == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
+				t.Errorf("28 s later %d of 12 replicas run, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
+			}
+			w.requireNoViolations()
+		})
 	}
 }
 
-// A zone that was cut off a moment ago is not known to be partitioned yet: machines that
-// reported last well before the cut look overdue first. What tells is that nothing
+// A zone that was cut off a moment ago is not known to be partitioned yet: machines whose last
+// heartbeat came well before the partition become overdue first. The evidence is that nothing from
 // there was heard since the call failed.
 func TestNothingIsUnreachableInASilentZone(t *testing.T) {
 	w := newWorld(t, 55)
 	l := w.nodes[w.awaitLeader()].controller.leadership
-	w.run(20 * second) // the types are known
+	w.run(20 * second) // the machine types have been read
 	now := time.Minute
 	for i := range 40 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
@@ -262,23 +266,23 @@
 	}{{now - 2*second, true}, {now + second, false}} {
 		m.LastFailedCallAt = tc.failed
 		if got := l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()); got != tc.want {
-			t.Errorf("call failed at %v, zone heard up to %v: powerless %v", tc.failed, now, got)
+			t.Errorf("call failed at %v, zone heard up to %v: unreachable %v", tc.failed, now, got)
 		}
 	}
 	m.LastFailedCallAt = now - 2*second
 	l.reach.noteMissed("i-900007", now)
 	if l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()) {
-		t.Error("powerless, though others hear what we can't reach")
+		t.Error("unreachable, though others hear what the leader can't reach")
 	}
 }
 
-// While machines do not answer, no others are emptied, and the room that there is
-// goes to the replicas that may be lost, not to batches.
+// While machines do not answer, no others are drained, and the free room goes to the replicas that
+// may be lost, not to arrays.
 func TestRoomIsKeptWhileMachinesAreLate(t *testing.T) {
 	w := newWorld(t, 56)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	w.run(20 * second) // the types are known and the list is read
+	w.run(20 * second) // the machine types and the list of machines have been read
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
 		j := l.state.AddJob(&protocol.Spec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// fullFleet fills so many machines with tasks of low priority that run for long, and
-// closes the cloud: nothing else can be rented.
+// fullFleet fills so many machines with tasks of low priority that run for long, and makes the
+// cloud unavailable, so that nothing else can be rented.
 func (w *world) fullFleet(machines int) {
 	w.t.Helper()
 	w.runs = func(task string) time.Duration {
@@ -25,28 +25,30 @@
 	w.cloud.Down = true
 }
 
-// In a fleet that is full of work of lower priority, a gang gets its whole room at a
-// round's boundary, together or not, and no more is stopped than it needs.
+// In a fleet that is full of work of lower priority, a gang gets all of its room at the boundary of
+// a scheduling round, on one machine or not, and no more is preempted than it needs.
 func TestGangGetsItsRoomAtARound(t *testing.T) {
 	for _, together := range []bool{false, true} {
-		w := newWorld(t, 111)
-		w.fullFleet(4)
-		w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
-		w.until(10*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		if left := w.running("j-0"); left < 16-6 {
-			t.Errorf("together %v: %d of 16 tasks are left, 6 had to go", together, left)
-		}
-		w.awaitTold(30*second, "j-1", protocol.Done)
-		w.cancel("j-0")
-		w.settle()
+		t.Run(fmt.Sprintf("together %v", together), func(t *testing.T) {
+			w := newWorld(t, 111)
+			w.fullFleet(4)
+			w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
+			w.until(10*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			if left := w.running("j-0"); left < 16-6 {
+				t.Errorf("together %v: %d of 16 tasks are left, 6 had to go", together, left)
+			}
+			w.awaitStatus(30*second, "j-1", protocol.Done)
+			w.cancel("j-0")
+			w.settle()
+		})
 	}
 }
 
-// A gang for which stops would free but a part of its room stops nothing.
+// A gang for which preemption would free only a part of its room preempts nothing.
 func TestNothingIsStoppedForAPartOfAGang(t *testing.T) {
 	w := newWorld(t, 112)
 	w.fullFleet(2)
-	w.submit("j-1", group(4, 5, map[string]any{"rank": "high"})) // one a machine
+	w.submit("j-1", group(4, 5, map[string]any{"rank": "high"})) // one task per machine
 	w.run(40 * second)
 	if n := w.running("j-0"); n != 8 {
 		t.Errorf("%d of 8 tasks run", n)
@@ -56,8 +58,8 @@
 	w.settle()
 }
 
-// Small urgent gangs keep coming to a full fleet; large and small ones of two teams, one
-// of them together, begin all the same, and none keeps another's room without use.
+// Small urgent gangs keep coming to a full fleet; large and small gangs of two teams, one of them
+// on one machine, start all the same, and none holds another's room without using it.
 func TestNoGangStarvesInAFullFleet(t *testing.T) {
 	w := newWorld(t, 113)
 	w.fullFleet(4)
@@ -76,8 +78,8 @@
 	w.settle()
 }
 
-// Room that is kept for expected replicas is not the gang's: a round stops for it what
-// gives way, instead of taking it to fit there and leaving it to wait for a boot.
+// Room that is kept for expected replicas is not the gang's: a round preempts for it what has lower
+// priority, instead of placing it in the kept room and leaving it to wait for a machine to boot.
 func TestRoomForExpectedReplicasIsNoRoomForAGang(t *testing.T) {
 	w := newWorld(t, 114)
 	w.fullFleet(3)
@@ -91,7 +93,7 @@
 	w.run(6 * second)
 	w.submit("j-1", group(2, 1, map[string]any{"rank": "high", "owner": "blue"}))
 	w.until(7500*time.Millisecond, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(30*second, "j-1", protocol.Done)
+	w.awaitStatus(30*second, "j-1", protocol.Done)
 	w.cancel("j-0")
 	w.settle()
 }
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -15,12 +16,12 @@
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == n })
 }
 
-// holding lists the machines with tasks of a job.
-func (w *world) holding(uid string) (out []*emulator.Worker) {
-	for _, k := range w.fleet() {
-		for _, t := range k.Tasks {
-			if t.UID == uid && t.State != protocol.Exited && !k.Deleted {
-				out = append(out, k)
+// machinesWithTasksOf returns the machines with tasks of a job.
+func (w *world) machinesWithTasksOf(uid string) (out []*emulator.Worker) {
+	for _, worker := range w.workers() {
+		for _, t := range worker.Tasks {
+			if t.UID == uid && t.State != protocol.Exited && !worker.Deleted {
+				out = append(out, worker)
 				break
 			}
 		}
@@ -28,8 +29,8 @@
 	return out
 }
 
-// One task's image comes too late for the others, who give up: the attempt is cleared,
-// and the next one runs.
+// One task's image comes too late for the others, which time out: the attempt is cleared, and the
+// next one runs.
 func TestGangIncomplete(t *testing.T) {
 	w := newWorld(t, 101)
 	w.replicasOnMachines(3, 3)
@@ -40,104 +41,109 @@
 		return second
 	}
 	w.submit("j-1", group(2, 2, map[string]any{"owner": "blue"}))
-	w.until(40*second, "the one without an image is told to stop", func() bool { return len(w.halts["j-1"]) > 0 })
+	w.until(40*second, "the one without an image gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	if w.machines.Wholes["j-1"] != 0 {
 		t.Error("it began")
 	}
 	w.pulls = nil
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// A machine with a task of a running gang hangs: the others end, and the gang does not
-// begin anew before the hanging task is proved gone, since it may go on at any time.
+// A machine with a task of a running gang hangs: the others end, and the gang does not start again
+// before the hanging task is proved absent, since it may resume at any time.
 func TestGangWithAHangingMachine(t *testing.T) {
 	for _, hang := range []time.Duration{7 * second, 60 * second} {
-		w := newWorld(t, 102)
-		w.submit("j-1", group(4, 4, map[string]any{"apart": true}))
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.run(2 * second)
-		w.holding("j-1")[0].Hang(hang)
-		w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		w.awaitTold(60*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("hangs for %v", hang), func(t *testing.T) {
+			w := newWorld(t, 102)
+			w.submit("j-1", group(4, 4, map[string]any{"apart": true}))
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.run(2 * second)
+			w.machinesWithTasksOf("j-1")[0].Hang(hang)
+			w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
+			w.awaitStatus(60*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
-// A round stops a gang over four machines, and the leader ends so long after the first
-// command: whatever the workers have been told by then, the gang begins again whole, and
-// nothing of it starts while a part of the attempt before is left. Where the leader
-// lives on, the progress is saved.
+// A round preempts a gang on four machines, and the leader ends so long after the first command:
+// whichever commands the workers have got by then, the gang starts again whole, and nothing of it
+// starts while a part of the previous attempt is left. Where the leader lives on, the progress is
+// saved.
 func TestGangIsStoppedOverMachinesAndLeaders(t *testing.T) {
 	for _, after := range []time.Duration{-1, 0, 3 * time.Millisecond, second, 4 * second} {
-		w := newWorld(t, 103)
-		w.runs = func(string) time.Duration { return 40 * second }
-		w.replicasOnMachines(4, 3)
-		w.cloud.Down = true
-		w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.run(3 * second)
-		w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
-		w.until(20*second, "it is told to stop", func() bool { return len(w.halts["j-1"]) > 0 })
-		if after >= 0 {
-			w.run(after)
-			w.restart(w.awaitLeader(), 2*second)
-		}
-		w.until(30*second, "the replica runs", func() bool { return w.running("j-2") == 1 })
-		if after < 0 && w.machines.Saves["j-1"] != 1 {
-			t.Errorf("its progress was saved %d times", w.machines.Saves["j-1"])
-		}
-		w.cancel("j-2")
-		w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		w.awaitTold(90*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("leader ends after %v", after), func(t *testing.T) {
+			w := newWorld(t, 103)
+			w.runs = func(string) time.Duration { return 40 * second }
+			w.replicasOnMachines(4, 3)
+			w.cloud.Down = true
+			w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.run(3 * second)
+			w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
+			w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
+			if after >= 0 {
+				w.run(after)
+				w.restart(w.awaitLeader(), 2*second)
+			}
+			w.until(30*second, "the replica runs", func() bool { return w.running("j-2") == 1 })
+			if after < 0 && w.machines.Saves["j-1"] != 1 {
+				t.Errorf("its progress was saved %d times", w.machines.Saves["j-1"])
+			}
+			w.cancel("j-2")
+			w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
+			w.awaitStatus(90*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
-// A spot machine with one task of a gang of four is taken back. With notice enough the
-// gang stops in time and its progress is saved; with too little it falls back to its
-// last checkpoint. Either way it begins again, whole.
+// A spot machine with one task of a gang of four is reclaimed. With sufficient notice the gang
+// stops in time and its progress is saved; with too little it falls back to its last checkpoint.
+// Either way it starts again, whole.
 func TestGangLosesASpotMachine(t *testing.T) {
 	for _, tc := range []struct {
 		notice float64
 		saves  int
 	}{{30, 1}, {1, 0}} {
-		w := newWorld(t, 104)
-		w.runs = func(string) time.Duration { return 40 * second }
-		w.submit("j-1", group(4, 4, map[string]any{"borrowed": true, "apart": true}))
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.run(2 * second)
-		k := w.holding("j-1")[0]
-		if !k.Spot {
-			t.Fatal("it is on an ordinary machine")
-		}
-		end := w.Now() + time.Duration(tc.notice*float64(second))
-		k.Taken = end
-		w.at(end-w.Now(), k.Die)
-		w.until(90*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-		if w.machines.Saves["j-1"] != tc.saves {
-			t.Errorf("notice of %v s: its progress was saved %d times, want %d", tc.notice, w.machines.Saves["j-1"], tc.saves)
-		}
-		w.awaitTold(90*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("notice of %v s", tc.notice), func(t *testing.T) {
+			w := newWorld(t, 104)
+			w.runs = func(string) time.Duration { return 40 * second }
+			w.submit("j-1", group(4, 4, map[string]any{"borrowed": true, "apart": true}))
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.run(2 * second)
+			worker := w.machinesWithTasksOf("j-1")[0]
+			if !worker.Spot {
+				t.Fatal("it is on an ordinary machine")
+			}
+			end := w.Now() + time.Duration(tc.notice*float64(second))
+			worker.Taken = end
+			w.at(end-w.Now(), worker.Die)
+			w.until(90*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
+			if w.machines.Saves["j-1"] != tc.saves {
+				t.Errorf("its progress was saved %d times, want %d", w.machines.Saves["j-1"], tc.saves)
+			}
+			w.awaitStatus(90*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
-// All tasks of a gang complete at once; the leader hears of one of them alone. That one
-// is enough, and nothing of the gang is started again.
-func TestOneTaskTellsThatItsGangIsDone(t *testing.T) {
+// All tasks of a gang complete at once; the leader gets the completion of only one of them. That
+// one is enough, and nothing of the gang is started again.
+func TestOneCompletionCompletesItsGang(t *testing.T) {
 	w := newWorld(t, 105)
 	w.runs = func(string) time.Duration { return 20 * second }
 	w.submit("j-1", group(4, 4, nil))
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(19 * second)
-	for _, k := range w.holding("j-1")[1:] {
-		k := k
-		k.Cut = true
-		w.at(30*second, func() { k.Cut = false })
+	for _, worker := range w.machinesWithTasksOf("j-1")[1:] {
+		worker.Cut = true
+		w.at(30*second, func() { worker.Cut = false })
 	}
-	w.awaitTold(10*second, "j-1", protocol.Done)
+	w.awaitStatus(10*second, "j-1", protocol.Done)
 	w.run(40 * second)
 	if w.machines.Wholes["j-1"] != 1 {
 		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
@@ -145,12 +151,12 @@
 	w.settle()
 }
 
-// A gang is cancelled in each state of its attempt: it is told soon, as nothing keeps its
-// tasks, and nothing of it starts afterwards (the checker sees to that).
+// A gang is cancelled in each state of its attempt: the cancellation is confirmed soon, as nothing
+// holds its tasks up, and nothing of it starts afterwards (the checker verifies that).
 func TestGangIsCancelledInEachState(t *testing.T) {
-	pulling := func(w *world) bool { return len(w.holding("j-1")) > 0 }
+	pulling := func(w *world) bool { return len(w.machinesWithTasksOf("j-1")) > 0 }
 	running := func(w *world) bool { return w.machines.Wholes["j-1"] == 1 }
-	told := func(w *world) bool { return len(w.halts["j-1"]) > 0 }
+	stopSent := func(w *world) bool { return len(w.stopCommands["j-1"]) > 0 }
 	for name, prepare := range map[string]func(*world){
 		"waiting": func(w *world) {
 			w.cloud.Down = true
@@ -173,13 +179,13 @@
 			w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
 			w.until(30*second, "it runs", func() bool { return running(w) })
 			w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
-			w.until(20*second, "it is told to stop", func() bool { return told(w) })
+			w.until(20*second, "it gets a stop command", func() bool { return stopSent(w) })
 			w.run(500 * time.Millisecond)
 		},
 		"broken": func(w *world) {
 			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"}))
 			w.until(30*second, "it runs", func() bool { return running(w) })
-			w.holding("j-1")[0].Die()
+			w.machinesWithTasksOf("j-1")[0].Die()
 			w.run(5 * second)
 		},
 	} {
@@ -188,7 +194,7 @@
 			w.replicasOnMachines(4, 3)
 			prepare(w)
 			w.cancel("j-1")
-			w.awaitTold(25*second, "j-1", protocol.Cancelled)
+			w.awaitStatus(25*second, "j-1", protocol.Cancelled)
 			w.settle()
 		})
 	}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"testing"
 	"time"
 
@@ -19,8 +20,8 @@
 	return m
 }
 
-// A gang for which there is room in part only waits whole, and runs once there is
-// room for all of it.
+// A gang for which there is room only in part waits whole, and runs once there is room for all of
+// it.
 func TestGangRunsWholeOrNotAtAll(t *testing.T) {
 	w := newWorld(t, 90)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 4.0})
@@ -34,81 +35,83 @@
 		}
 	}
 	w.cancel("j-1")
-	w.awaitTold(90*second, "j-2", protocol.Done)
+	w.awaitStatus(90*second, "j-2", protocol.Done)
 	if w.machines.Wholes["j-2"] != 1 {
 		t.Errorf("the gang began %d times", w.machines.Wholes["j-2"])
 	}
 	w.settle()
 }
 
-// A machine with a task of a running gang dies: what is left is cleared, and the
-// gang begins again, whole.
+// A machine with a task of a running gang dies: what is left is cleared, and the gang starts again,
+// whole.
 func TestGangBeginsAgainAfterALoss(t *testing.T) {
 	w := newWorld(t, 91)
 	w.submit("j-1", group(4, 4, nil)) // two machines
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(3 * second)
-	for _, k := range w.fleet() {
-		if len(k.Tasks) > 0 {
-			k.Die()
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 {
+			worker.Die()
 			break
 		}
 	}
 	w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// A gang over two machines has to leave one of them: all its tasks are told within
-// gang_peer_s, with time enough to save (2 s) and to wait for the others (5 s): a
-// second command to stop, which ends a save, counts from there.
+// A gang on two machines has to leave one of them: all its tasks get the stop command within
+// gang_peer_s, with time enough to save (2 s) and to wait for the others (5 s): a second stop
+// command, which ends a save, counts from there.
 func TestGangStopsWhole(t *testing.T) {
 	w := newWorld(t, 92)
 	w.runs = func(string) time.Duration { return 60 * second }
 	w.submit("j-1", group(4, 4, nil))
 	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(2 * second)
-	for _, k := range w.fleet() {
-		if len(k.Tasks) > 0 {
-			k.ReportsLost = true
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 {
+			worker.ReportsLost = true
 			break
 		}
 	}
-	w.until(20*second, "it is told to stop", func() bool { return len(w.halts["j-1"]) > 0 })
+	w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	w.run(5 * second)
-	told := w.halts["j-1"]
-	if len(told) != 4 {
-		t.Fatalf("%d of 4 tasks were told to stop", len(told))
+	commands := w.stopCommands["j-1"]
+	if len(commands) != 4 {
+		t.Fatalf("%d of 4 tasks got a stop command", len(commands))
 	}
-	for _, h := range told {
-		if h.at > told[0].at+5*second || h.grace < 2+5 {
-			t.Errorf("told %v after the first, with %v s", h.at-told[0].at, h.grace)
+	for _, h := range commands {
+		if h.at > commands[0].at+5*second || h.grace < 2+5 {
+			t.Errorf("a stop command came %v after the first, with a grace period of %v s", h.at-commands[0].at, h.grace)
 		}
 	}
 	w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// Leaders end at any moment of a gang's start: it runs whole all the same, never in
-// parts under two attempts.
+// Leaders end at any moment of a gang's start: it runs whole all the same, never in parts under two
+// attempts.
 func TestGangStartsAcrossLeaders(t *testing.T) {
 	for seed := range uint64(16) {
-		w := newWorld(t, 93)
-		w.submit("j-0", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "apart": true})
-		w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 2 })
-		lead := w.awaitLeader()
-		w.submit("j-1", group(4, 2, nil))
-		w.run(time.Duration(seed) * 3 * time.Millisecond)
-		w.crash(lead)
-		w.at(2*second, func() { w.boot(lead) })
-		w.awaitTold(120*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			w := newWorld(t, 93)
+			w.submit("j-0", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "apart": true})
+			w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 2 })
+			lead := w.awaitLeader()
+			w.submit("j-1", group(4, 2, nil))
+			w.run(time.Duration(seed) * 3 * time.Millisecond)
+			w.crash(lead)
+			w.at(2*second, func() { w.boot(lead) })
+			w.awaitStatus(120*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
-// Two gangs that each need more than half of what there is run one after the
-// other, and small ones that keep coming do not starve them.
+// Two gangs that each need more than half of the fleet run one after the other, and small ones that
+// keep coming do not starve them.
 func TestGangsTakeTurns(t *testing.T) {
 	w := newWorld(t, 94)
 	w.runs = func(string) time.Duration { return 8 * second }
@@ -121,13 +124,13 @@
 		w.submit(fmt.Sprintf("j-4%d", i), group(2, 1, nil))
 		w.run(5 * second)
 	}
-	w.awaitTold(60*second, "j-2", protocol.Done)
-	w.awaitTold(60*second, "j-3", protocol.Done)
+	w.awaitStatus(60*second, "j-2", protocol.Done)
+	w.awaitStatus(60*second, "j-3", protocol.Done)
 	w.settle()
 }
 
-// A gang is checked like other jobs, and its team's limit bounds all of it.
-func TestOddGangs(t *testing.T) {
+// A gang is validated like other jobs, and its team's quota bounds all of it.
+func TestGangValidation(t *testing.T) {
 	w := newWorld(t, 95)
 	w.awaitLeader()
 	w.run(5 * second)
@@ -145,7 +148,7 @@
 		"j-5": {group(2, 1, map[string]any{"owner": "green"}), 422},
 	} {
 		w.spec(uid, tc.change)
-		w.invalid[uid] = tc.status >= 400
+		w.invalid[uid] = tc.status >= http.StatusBadRequest
 		w.user(w.awaitLeader(), OpSubmit, uid, func(status int, _ protocol.JobStatus) {
 			if status != tc.status {
 				t.Errorf("%v: %d, want %d", tc.change, status, tc.status)
@@ -156,8 +159,8 @@
 	w.settle()
 }
 
-// An old version led for a while and started a gang's tasks as if they were an
-// array's, under numbers of their own: they are cleared, and it runs whole.
+// An old version led for a while and started a gang's tasks as if they were an array's, under
+// attempt numbers of their own: they are cleared, and the gang runs whole.
 func TestGangInPartsFromAnOldVersion(t *testing.T) {
 	w := newWorld(t, 96)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
@@ -168,10 +171,10 @@
 		t.Fatal(err)
 	}
 	w.state.Place(clusterstate.JobPrefix+"j-2", &emulator.Item{Version: 1, Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
-	w.noteAnswer("j-2")
+	w.startPolling("j-2")
 	try := uint64(1 << 20)
-	for i, k := range w.fleet() {
-		it := w.state.Item(clusterstate.MachinePrefix + k.ID)
+	for i, worker := range w.workers() {
+		it := w.state.Item(clusterstate.MachinePrefix + worker.ID)
 		var rec clusterstate.MachineRecord
 		if it == nil || i > 1 || protocol.Decode(it.Value, &rec) != nil {
 			continue
@@ -179,25 +182,25 @@
 		try++
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Try: try})
 		it.Value = protocol.Encode(rec)
-		k.Hold(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Try: try, State: protocol.WaitingForGang})
+		worker.Hold(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Try: try, State: protocol.WaitingForGang})
 	}
 	w.restart(w.awaitLeader(), second)
-	w.awaitTold(120*second, "j-2", protocol.Done)
+	w.awaitStatus(120*second, "j-2", protocol.Done)
 	w.settle()
 }
 
-// A task is lost while the others still wait for their images: it is replaced
-// under the same attempt, and the gang begins once.
+// A task is lost while the others still wait for their images: it is replaced under the same
+// attempt, and the gang starts once.
 func TestGangReplacesALostTask(t *testing.T) {
 	w := newWorld(t, 97)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-	w.pulls = func(task string) time.Duration { return 12 * second }
+	w.pulls = func(string) time.Duration { return 12 * second }
 	w.submit("j-1", group(2, 2, nil))
 	try := func() (out uint64) {
-		for _, k := range w.fleet() {
-			for _, task := range k.Tasks {
-				if task.UID == "j-1" && !k.Deleted {
+		for _, worker := range w.workers() {
+			for _, task := range worker.Tasks {
+				if task.UID == "j-1" && !worker.Deleted {
 					out = max(out, task.Try)
 				}
 			}
@@ -207,9 +210,9 @@
 	w.until(10*second, "it is pulling", func() bool { return try() > 0 })
 	w.run(second)
 	first := try()
-	for _, k := range w.fleet() {
-		if _, here := k.Tasks[fmt.Sprintf("j-1/0@%d", first)]; here {
-			k.Die()
+	for _, worker := range w.workers() {
+		if _, here := worker.Tasks[fmt.Sprintf("j-1/0@%d", first)]; here {
+			worker.Die()
 		}
 	}
 	w.pulls = nil
@@ -217,12 +220,12 @@
 	if try() != first {
 		t.Errorf("attempt %d, first %d", try(), first)
 	}
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// A gang's places take several transactions, and the state service is down after
-// the first of them: no part of the gang is started.
+// Storing a gang's placement takes several transactions, and the state service is down after the
+// first of them: no part of the gang is started.
 func TestGangWaitsForAllItsPlaces(t *testing.T) {
 	w := newWorld(t, 98)
 	for _, cfg := range w.cfgs {
@@ -247,7 +250,7 @@
 		}
 		return deliveryFault{}
 	}
-	w.submit("j-1", group(4, 6, nil)) // a machine each
+	w.submit("j-1", group(4, 6, nil)) // one machine each
 	w.until(30*second, "a part of it is written", func() bool { return written })
 	for range 18 {
 		w.run(second)
@@ -256,20 +259,20 @@
 		}
 	}
 	w.script = nil
-	w.awaitTold(120*second, "j-1", protocol.Done)
+	w.awaitStatus(120*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// A task of a gang that gathers is lost with the leader: what is left is cleared as
-// soon as that is known, not when the workers give it up.
-func TestGangIsClearedAfterATakeOver(t *testing.T) {
+// A task of a gang that is still gathering is lost together with the leader: what is left is
+// cleared as soon as that is known, not when the workers time out.
+func TestGangIsClearedAfterAFailover(t *testing.T) {
 	w := newWorld(t, 99)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-	w.pulls = func(task string) time.Duration { return 6 * second }
+	w.pulls = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", group(2, 2, nil))
-	at := func(k *emulator.Worker) bool {
-		for _, task := range k.Tasks {
+	at := func(worker *emulator.Worker) bool {
+		for _, task := range worker.Tasks {
 			if task.UID == "j-1" {
 				return true
 			}
@@ -278,29 +281,29 @@
 	}
 	w.until(10*second, "it is pulling", func() bool {
 		n := 0
-		for _, k := range w.fleet() {
-			if at(k) {
+		for _, worker := range w.workers() {
+			if at(worker) {
 				n++
 			}
 		}
 		return n == 2
 	})
-	for _, k := range w.fleet() {
-		if at(k) {
-			k.Die()
+	for _, worker := range w.workers() {
+		if at(worker) {
+			worker.Die()
 			break
 		}
 	}
 	w.crash(w.awaitLeader())
 	w.pulls = nil
 	w.until(32*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// A gang that was accepted is answered with its state when it is submitted again,
-// whatever the repeat holds: also one that would be refused as new.
-func TestRepeatedGangIsToldItsState(t *testing.T) {
+// A gang that was accepted is answered with its state when it is submitted again, whatever the
+// repeated request contains: also one that would be refused as new.
+func TestRepeatedGangSubmissionReturnsItsState(t *testing.T) {
 	w := newWorld(t, 100)
 	w.submit("j-1", group(2, 1, nil))
 	w.until(30*second, "it is accepted", func() bool { return w.lastReplies["j-1"] != "" })
@@ -314,12 +317,12 @@
 		lead := w.awaitLeader()
 		w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(repeat)}, func(r Reply) {
 			var s protocol.JobStatus
-			if r.Status != 200 || protocol.Decode(r.Body, &s) != nil || s.UID != "j-1" || s.State == "" {
+			if r.Status != http.StatusOK || protocol.Decode(r.Body, &s) != nil || s.UID != "j-1" || s.State == "" {
 				t.Errorf("%s: %d, %+v", name, r.Status, s)
 			}
 		})
 		w.run(second)
 	}
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -10,9 +11,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The workers of a zone lose the way to their zone's controller, which stays in touch
-// with the leader: none is sent there again and again, so that no lease runs out and
-// nothing has to move. Once the way is back, they report there again.
+// The workers of a zone lose the route to their zone's controller, which stays in contact with the
+// leader: none is redirected there again and again, so that no lease expires and nothing has to
+// move. Once the route is restored, they send their heartbeats there again.
 func TestControllerThatWorkersCannotReach(t *testing.T) {
 	w := newWorld(t, 37)
 	lead := w.awaitLeader()
@@ -22,33 +23,33 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "apart": true, "cores": 4.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 8 })
 	var far []*emulator.Worker
-	for _, k := range w.fleet() {
-		if k.Zone == "b" && len(k.Tasks) > 0 {
-			far = append(far, k)
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" && len(worker.Tasks) > 0 {
+			far = append(far, worker)
 		}
 	}
 	if len(far) < 2 {
 		t.Fatalf("%d workers in the second zone", len(far))
 	}
 	there := func() bool {
-		for _, k := range far {
-			if k.Controller != 2 {
+		for _, worker := range far {
+			if worker.Controller != 2 {
 				return false
 			}
 		}
 		return true
 	}
-	w.until(30*second, "they report to their zone's controller", there)
+	w.until(30*second, "their heartbeats go to their zone's controller", there)
 	w.run(40 * second)
-	w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
+	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
 	started := map[string]int{}
 	for task, n := range w.starts {
 		started[task] = n
 	}
 	w.run(60 * second)
-	for _, k := range far {
-		if k.Session > 1 {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range far {
+		if worker.Session > 1 {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
 	for task, n := range w.starts {
@@ -56,18 +57,18 @@
 			t.Errorf("%s was moved", task)
 		}
 	}
-	w.reports = nil
-	w.until(120*second, "they report there again", there)
-	w.keptRules()
+	w.heartbeatFault = nil
+	w.until(120*second, "their heartbeats go there again", there)
+	w.requireNoViolations()
 }
 
-// Workers are sent to a controller one at a time until reports come by it, ever more
-// seldom if they come back.
+// Workers are redirected to a controller one at a time until heartbeats arrive by it, at growing
+// intervals if they come back.
 func TestRouteIsTriedOneWorkerAtATime(t *testing.T) {
-	const report, lease = time.Second, 10 * time.Second
+	const interval, lease = time.Second, 10 * time.Second
 	var rt heartbeatRoute
 	now := time.Minute
-	if !rt.accepts(now, report) || rt.accepts(now, report) {
+	if !rt.accepts(now, interval) || rt.accepts(now, interval) {
 		t.Error("the first trial is not a single worker")
 	}
 	waits := []time.Duration{}
@@ -75,8 +76,8 @@
 		now += heartbeatTimeout + heartbeatRetryPause
 		rt.noteReturn(now, lease)
 		from := now
-		for !rt.accepts(now, report) {
-			now += report / 10
+		for !rt.accepts(now, interval) {
+			now += interval / 10
 		}
 		waits = append(waits, now-from)
 	}
@@ -84,24 +85,24 @@
 		t.Errorf("trials after %v", waits)
 	}
 	rt.noteForwarded(now)
-	if !rt.accepts(now, report) || !rt.accepts(now+report, report) {
-		t.Error("reports come by it, and workers are not sent there")
+	if !rt.accepts(now, interval) || !rt.accepts(now+interval, interval) {
+		t.Error("heartbeats arrive by it, and workers are not redirected there")
 	}
-	if rt.noteReturn(now+report, lease); rt.accepts(now+report, report) {
+	if rt.noteReturn(now+interval, lease); rt.accepts(now+interval, interval) {
 		t.Error("a worker that came back is no reason to wait")
 	}
 }
 
-// The leader stands still and another controller has ended: the controller of a zone
-// keeps its workers meanwhile. Sent to the leader, they would wait for both of the others,
-// for longer than their lease.
-func TestLeaderStandsStill(t *testing.T) {
+// The leader's process is paused and another controller has ended: the controller of a zone keeps
+// its workers meanwhile. Redirected to the leader, they would wait for both of the others, for
+// longer than their lease.
+func TestLeaderProcessPause(t *testing.T) {
 	for seed := range uint64(6) {
-		leaderStandsStill(t, 380+seed)
+		checkLeaderProcessPause(t, 380+seed)
 	}
 }
 
-func leaderStandsStill(t *testing.T, seed uint64) {
+func checkLeaderProcessPause(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	lead := w.awaitLeader()
 	if lead == 2 {
@@ -110,43 +111,43 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 8.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "apart": true, "cores": 8.0, "owner": "blue"})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 && w.running("j-2") == 2 })
-	w.until(30*second, "workers report to their zone's controller", func() bool {
-		for _, k := range w.fleet() {
-			if k.Zone == "b" && len(k.Tasks) > 0 && k.Controller != 2 {
+	w.until(30*second, "workers send heartbeats to their zone's controller", func() bool {
+		for _, worker := range w.workers() {
+			if worker.Zone == "b" && len(worker.Tasks) > 0 && worker.Controller != 2 {
 				return false
 			}
 		}
 		return true
 	})
 	w.crash(1 - lead)
-	w.run(5*second + w.ms(0, 1000))
+	w.run(5*second + w.randomMilliseconds(0, 1000))
 	w.script = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: node == lead || c.Target == ToPeer && c.Addr != w.cfgs[2].PeerListen}
 	}
-	w.reports = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
+	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
 	w.run(25 * second)
-	for _, k := range w.fleet() {
-		if k.Zone == "b" && k.Session > 1 {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" && worker.Session > 1 {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
 	if w.leader() != 2 {
 		t.Errorf("leader %d", w.leader())
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// Workers that look for a controller for less than a lease keep their tasks.
+// Workers that search for a controller for less than a lease keep their tasks.
 func TestWorkerFindsAControllerBeforeItsLeaseEnds(t *testing.T) {
 	w := newWorld(t, 39)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(5 * second)
-	k := w.fleet()[0]
-	w.reportWait = 2 * second
-	k.ReportsLost = true
+	worker := w.workers()[0]
+	w.heartbeatTimeout = 2 * second
+	worker.ReportsLost = true
 	w.run(6 * second)
-	k.ReportsLost = false
+	worker.ReportsLost = false
 	w.run(10 * second)
 	for task, n := range w.starts {
 		if n > 1 {
@@ -156,29 +157,29 @@
 	w.settle()
 }
 
-// While the state service still names a leader that does not answer, a zone's controller
-// renews its workers' leases; if that leader goes on for longer, they are sent to it.
+// While the state service still names a leader that does not answer, a zone's controller renews its
+// workers' leases; if that state lasts, they are redirected to the leader.
 func TestLeaderDoesNotAnswerItsFollower(t *testing.T) {
 	w := newWorld(t, 40)
 	lead := w.awaitLeader()
 	w.run(5 * second)
 	body := protocol.Encode(protocol.WorkerHeartbeat{Machine: "i-900000", Type: "m8", Zone: "b", Epoch: 1, Sequence: 1, Token: 1})
 	status := 0
-	report := func() { w.ask(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status }) }
+	sendHeartbeat := func() { w.ask(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status }) }
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(1500 * time.Millisecond)
-	if report(); status != 200 {
+	if sendHeartbeat(); status != http.StatusOK {
 		t.Errorf("the worker is answered %d", status)
 	}
 	w.run(6 * second)
-	if report(); status != 421 || w.leader() != lead {
+	if sendHeartbeat(); status != http.StatusMisdirectedRequest || w.leader() != lead {
 		t.Errorf("the worker of a leader that goes on is answered %d", status)
 	}
 }
 
-// A worker that reports while a new leader still reads the ledger keeps its lease, and
-// nothing is started or proved by that.
-func TestReportBeforeTheLedgerIsRead(t *testing.T) {
+// A worker that sends a heartbeat while a new leader still loads the cluster state keeps its lease,
+// and nothing is started or proved by that.
+func TestHeartbeatBeforeClusterStateIsLoaded(t *testing.T) {
 	w := newWorld(t, 42)
 	lead := w.awaitLeader()
 	w.run(5 * second)
@@ -198,27 +199,27 @@
 	w.run(second)
 	l := w.nodes[next].controller.leadership
 	if l.loader.ready {
-		t.Fatal("the ledger is read")
+		t.Fatal("the cluster state is loaded")
 	}
 	var got Reply
-	report := func(token uint64) {
+	sendHeartbeat := func(token uint64) {
 		body := protocol.Encode(protocol.WorkerHeartbeat{Machine: "i-900000", Type: "m8", Zone: "a", Epoch: 1, Sequence: 1, Token: token})
 		w.ask(next, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { got = r })
 	}
-	report(1)
+	sendHeartbeat(1)
 	var reply protocol.WorkerHeartbeatReply
-	if got.Status != 200 || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
+	if got.Status != http.StatusOK || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
 		t.Errorf("answered %d with %+v", got.Status, reply)
 	}
 	if l.heartbeats.leaseOnlyReplyAt != l.controller.env.now {
 		t.Error("the answer does not count against the proof by time")
 	}
-	report(0)
-	if got.Status != 503 {
+	sendHeartbeat(0)
+	if got.Status != http.StatusServiceUnavailable {
 		t.Errorf("a worker without a leader yet is answered %d", got.Status)
 	}
-	report(l.lease.token + 1)
-	if got.Status != 503 || w.nodes[next].controller.leadership != nil {
+	sendHeartbeat(l.lease.token + 1)
+	if got.Status != http.StatusServiceUnavailable || w.nodes[next].controller.leadership != nil {
 		t.Errorf("a worker with a higher token is answered %d", got.Status)
 	}
 }
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -1,20 +1,21 @@
 package controller
 
 import (
+	"net/http"
 	"testing"
 
 	"claybarrow/internal/clusterstate"
 	"claybarrow/internal/protocol"
 )
 
-// A cloud list with machines of an unknown standing, out of order, named twice or without a
-// name, and reports of tasks that nobody knows, end nothing and put nothing where it may
-// not be.
+// A list from the cloud with machines of an unknown status, out of order, listed twice or without a
+// name, and heartbeats with tasks that nobody knows, end nothing and start nothing where it may not
+// run.
 func TestInvalidListsAndHeartbeats(t *testing.T) {
 	w := newWorld(t, 97)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
-	l := w.term()
+	l := w.leadership()
 	known := l.machines.sortedMachines()[0]
 	before := len(known.Attempts)
 	for _, listed := range []protocol.ListedMachine{
@@ -30,25 +31,25 @@
 	if known.Type != "m8" || len(known.Attempts) != before || known.Releasing {
 		t.Errorf("a listed machine changed: %+v", known)
 	}
-	report := w.machines.Workers[known.ID].Message()
-	report.Tasks = append(report.Tasks, []protocol.TaskStatus{
+	heartbeat := w.machines.Workers[known.ID].Message()
+	heartbeat.Tasks = append(heartbeat.Tasks, []protocol.TaskStatus{
 		{Task: "j-999999/0", Attempt: 7, State: protocol.Running}, {Task: "no task", Attempt: 1, State: protocol.Running},
 		{Task: "j-1/-1", State: protocol.Exited, Cause: "odd"}, {Task: "j-1/99", Attempt: 3, State: "dreaming"},
 		{Task: "", State: protocol.Exited, Cause: protocol.CauseError}}...)
-	body := protocol.Encode(report)
+	body := protocol.Encode(heartbeat)
 	status := 0
 	w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: body}, func(reply Reply) { status = reply.Status })
-	if status != 200 {
-		t.Errorf("the report is answered %d", status)
+	if status != http.StatusOK {
+		t.Errorf("the heartbeat is answered %d", status)
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, {0x81, 0xa4}, protocol.Encode(map[string]any{"host": 7}), protocol.Encode([]int{1}), protocol.Encode(map[string]any{})} {
 		w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: bad}, func(reply Reply) { status = reply.Status })
-		if status != 400 {
+		if status != http.StatusBadRequest {
 			t.Errorf("the body %x is answered %d", bad, status)
 		}
 	}
 	w.run(30 * second)
-	if w.term() != l {
+	if w.leadership() != l {
 		t.Error("the leader has ended")
 	}
 	for key := range known.UnknownTasks {
@@ -66,6 +67,6 @@
 	if len(ghosts) > 0 {
 		t.Errorf("machines of unknown types are used: %v", ghosts)
 	}
-	w.awaitTold(30*second, "j-1", protocol.Active)
-	w.keptRules()
+	w.awaitStatus(30*second, "j-1", protocol.Active)
+	w.requireNoViolations()
 }
--- a/internal/controller/leader_keys_test.go
+++ b/internal/controller/leader_keys_test.go
@@ -9,8 +9,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The leader record of older versions (686f0af to 0eeb63e, which agree), byte by byte: read as it was
-// meant, and written the same with the gate closed. They read one of an open gate as their own.
+// The leader record of older versions (686f0af to 0eeb63e, which agree), byte by byte: it is
+// decoded with its meaning, and encoded the same while the gate is closed. They decode the record
+// of an open gate as one of their own.
 func TestLeaderRecordsOfBothVersions(t *testing.T) {
 	const wrote = "84a16ca26e31a169a26162a16e07a17409"
 	rec := leaderRecord{Label: "n1", Incarnation: "ab", Token: 7, LeaseID: 9}
@@ -40,7 +41,7 @@
 }
 
 // The conditions of an election: with the gate closed those of older versions; else that the leader
-// key is as it was read, and that the key of the lease is gone.
+// key is as it was read, and that the lease key is absent.
 func TestElectionConditions(t *testing.T) {
 	former := &leaderRecord{Label: "n9", Token: 4, StorageVersion: 1, Closing: true}
 	for _, c := range []struct {
@@ -57,14 +58,16 @@
 			[]protocol.Condition{{Key: keyLeader, Version: 31}, {Key: keyCounter, Version: 30}, {Key: keyLease, Version: 0}},
 			map[string]uint64{keyCounter: 0, keyLeader: 0, keyLease: 8}, leaderRecord{Label: "n1", Token: 5, LeaseID: 8, StorageVersion: 1, Closing: true}},
 	} {
-		rec := leaderRecord{Label: "n1", Token: 5, LeaseID: 8}
-		txn := c.view.electionTxn(&rec)
-		puts := map[string]uint64{}
-		for _, change := range txn.Then {
-			puts[change.Put] = change.Lease
-		}
-		if diff := cmp.Diff(c.want, txn.If) + cmp.Diff(c.puts, puts) + cmp.Diff(c.record, rec); diff != "" {
-			t.Errorf("%s (-want +got):\n%s", c.name, diff)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			rec := leaderRecord{Label: "n1", Token: 5, LeaseID: 8}
+			txn := c.view.electionTxn(&rec)
+			puts := map[string]uint64{}
+			for _, change := range txn.Then {
+				puts[change.Put] = change.Lease
+			}
+			if diff := cmp.Diff(c.want, txn.If) + cmp.Diff(c.puts, puts) + cmp.Diff(c.record, rec); diff != "" {
+				t.Errorf("-want +got:\n%s", diff)
+			}
+		})
 	}
 }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -12,20 +12,20 @@
 	"claybarrow/internal/protocol"
 )
 
-// partZones parts the two zones: nothing gets from one to the other, while the state service and
-// the cloud can be reached from both. Connections between them are refused, or held up: then what
-// controllers had said to each other comes when the cut is over.
-func (w *world) partZones(refused bool, lasts time.Duration) {
+// partitionZones partitions the two zones: nothing gets from one to the other, while the state
+// service and the cloud can be reached from both. Connections between them are refused, or delayed:
+// then what controllers had sent to each other arrives when the partition ends.
+func (w *world) partitionZones(refused bool, lasts time.Duration) {
 	end := w.Now() + lasts
 	nothing := deliveryFault{lost: !refused, refused: refused}
-	w.off = map[string]bool{} // a new connection that is held up is none in time
+	w.unreachable = map[string]bool{} // a new connection that is delayed is not made in time
 	for _, cfg := range w.cfgs {
-		w.off[cfg.PeerListen] = !refused
+		w.unreachable[cfg.PeerListen] = !refused
 	}
 	w.script = func(node int, c Call) deliveryFault {
 		switch c.Target {
 		case ToWorker:
-			if k := w.byAddr(c.Addr); k != nil && k.Zone != w.topology.controllers[node] {
+			if worker := w.byAddr(c.Addr); worker != nil && worker.Zone != w.topology.controllers[node] {
 				return nothing
 			}
 		case ToPeer:
@@ -36,29 +36,31 @@
 				return deliveryFault{hold: end - w.Now(), answerLost: true}
 			}
 			return nothing
+		case ToState, ToCloud: // reached from both zones
 		}
 		return deliveryFault{}
 	}
-	w.reports = func(k *emulator.Worker, node int) deliveryFault {
-		if k.Zone != w.topology.controllers[node] {
+	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+		if worker.Zone != w.topology.controllers[node] {
 			return nothing
 		}
 		return deliveryFault{}
 	}
 }
 
-// The two zones can't reach each other for four leases, with the state service in reach of both,
-// so that it goes on naming the leader to the controllers beyond: they keep their zone's workers.
-// Sent to the leader, all of them lost their tasks (clamping line, apart: 133 to 204 tasks).
-func TestZonesApart(t *testing.T) {
+// The two zones can't reach each other for four leases, while both reach the state service, so that
+// it goes on naming the leader to the controllers on the other side: they keep their zone's
+// workers. Redirected to the leader, all of the workers lost their tasks (clamping line with
+// partitioned zones: 133 to 204 tasks).
+func TestZonesPartitioned(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		for _, refused := range []bool{false, true} {
-			t.Run(fmt.Sprintf("leader in the single one's zone %v, refused %v", inside, refused), func(t *testing.T) { zonesApart(t, inside, refused) })
+			t.Run(fmt.Sprintf("leader in the single one's zone %v, refused %v", inside, refused), func(t *testing.T) { checkZonesPartitioned(t, inside, refused) })
 		}
 	}
 }
 
-// zoneOfPeer is the zone of the controller with that address for others.
+// zoneOfPeer returns the zone of the controller with that address for other controllers.
 func (w *world) zoneOfPeer(addr string) string {
 	for i, cfg := range w.cfgs {
 		if cfg.PeerListen == addr {
@@ -68,8 +70,8 @@
 	return ""
 }
 
-// allStarts is how many tasks have begun so far.
-func (w *world) allStarts() int {
+// totalStarts returns how many tasks have begun so far.
+func (w *world) totalStarts() int {
 	n := 0
 	for _, starts := range w.starts {
 		n += starts
@@ -77,24 +79,24 @@
 	return n
 }
 
-func zonesApart(t *testing.T, inside, refused bool) {
+func checkZonesPartitioned(t *testing.T, inside, refused bool) {
 	w := replicasOverZones(t, 61, inside)
 	w.run(10 * second)
 	lead := w.leader()
 	if (lead == 2) != inside {
 		t.Fatalf("leader %d", lead)
 	}
-	sessions := map[string]uint64{}
-	for _, k := range w.fleet() {
-		if len(k.Tasks) > 0 {
-			sessions[k.ID] = k.Session
+	epochs := map[string]uint64{}
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 {
+			epochs[worker.ID] = worker.Session
 		}
 	}
 	var out bytes.Buffer
 	for _, n := range w.nodes {
 		n.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
 	}
-	w.partZones(refused, 40*second)
+	w.partitionZones(refused, 40*second)
 	for range 40 {
 		w.run(second)
 		if w.running("j-1") != 4 || w.running("j-2") != 2 {
@@ -107,10 +109,10 @@
 	if n := strings.Count(out.String(), "leader observed"); n > 0 {
 		t.Errorf("the same leader is logged %d times", n)
 	}
-	// The zones are together again, and what the leader asks of machines directly is answered
-	// before the first report comes by their zone's controller: no task is moved for that.
-	starts := w.allStarts()
-	w.script, w.reports, w.off = func(_ int, c Call) deliveryFault {
+	// The partition has ended, and the leader's direct requests to machines are answered before the
+	// first heartbeat comes by their zone's controller: no task is moved because of that.
+	starts := w.totalStarts()
+	w.script, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
 			return deliveryFault{hold: 2 * second}
 		}
@@ -119,19 +121,19 @@
 	w.run(4 * second)
 	w.script = nil
 	w.run(20 * second)
-	if n := w.allStarts(); n != starts {
+	if n := w.totalStarts(); n != starts {
 		t.Errorf("%d tasks were moved", n-starts)
 	}
-	for _, k := range w.fleet() {
-		if s, had := sessions[k.ID]; had && s != k.Session {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range w.workers() {
+		if epoch, had := epochs[worker.ID]; had && epoch != worker.Session {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// Only the controllers refuse each other: the workers of a zone without the leader go to it, and
-// it goes on giving them work.
+// Only the controllers refuse each other's connections: the workers of a zone without the leader
+// are redirected to it, and it goes on giving them work.
 func TestControllersRefuseEachOther(t *testing.T) {
 	w := newWorld(t, 62)
 	lead := w.awaitLeader()
@@ -142,25 +144,25 @@
 		t.Fatal("the leader is in the second zone")
 	}
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{refused: c.Target == ToPeer} }
-	w.until(8*second, "the second zone's workers report to the leader", func() bool {
-		for _, k := range w.fleet() {
-			if k.Zone == "b" && len(k.Tasks) > 0 && k.Controller != lead {
+	w.until(8*second, "the second zone's workers send heartbeats to the leader", func() bool {
+		for _, worker := range w.workers() {
+			if worker.Zone == "b" && len(worker.Tasks) > 0 && worker.Controller != lead {
 				return false
 			}
 		}
 		return true
 	})
-	for _, k := range w.fleet() {
-		if k.Session > 1 {
-			t.Errorf("the lease of %s ran out", k.ID)
+	for _, worker := range w.workers() {
+		if worker.Session > 1 {
+			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// Where the leader's controller does not answer, one worker at a time looks whether it reaches
-// the leader, and one with tasks only when the leader could no longer coast for long.
-func TestOneWorkerAtATimeIsSentToALeaderThatIsLost(t *testing.T) {
+// Where the leader's controller does not answer, one worker at a time tries whether it reaches the
+// leader, and one with tasks only when the leader could no longer coast for long.
+func TestOneWorkerAtATimeIsRedirectedToALostLeader(t *testing.T) {
 	w := newWorld(t, 63)
 	w.awaitLeader()
 	w.run(5 * second)
@@ -191,10 +193,11 @@
 	}
 }
 
-// A machine answers direct requests and none of its reports has come for long. A heartbeat of its
-// zone's controller that echoes an old reading of the leader's clock was held up: the controller
-// may have renewed the machine's lease since, and nothing is stopped there (rough, seed 23: 125 tasks).
-func TestHeldUpHeartbeatIsNoSignOfTouch(t *testing.T) {
+// A machine answers direct requests and none of its heartbeats has come for long. A heartbeat of
+// its zone's controller that echoes an old reading of the leader's clock was delayed: the
+// controller may have renewed the machine's lease since, and nothing is stopped there (rough, seed
+// 23: 125 tasks).
+func TestDelayedHeartbeatIsNoProofOfContact(t *testing.T) {
 	w := newWorld(t, 64)
 	lead := w.awaitLeader()
 	w.run(20 * second)
@@ -206,11 +209,11 @@
 	p := l.peers[w.cfgs[2].Label]
 	p.lastHeard, p.servedKnownUntil, p.lastServed = c.env.now, c.env.now, 0
 	if !l.health.cannotReachControllers(m) {
-		t.Fatal("with the zone's controller in touch, its reports are not taken for lost")
+		t.Fatal("with the zone's controller in contact, its heartbeats are not taken for lost")
 	}
 	p.servedKnownUntil = c.env.now - c.env.cfg.Lease()
 	if l.health.cannotReachControllers(m) {
-		t.Error("a heartbeat that was held up passes for touch")
+		t.Error("a heartbeat that was delayed passes for contact")
 	}
 	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.Lease()/4
 	if l.health.cannotReachControllers(m) {
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -12,10 +12,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// lowerLimits are those that the settings announce in these tests.
+// lowerLimits are the future limits that the settings announce in these tests.
 var lowerLimits = emulator.StateLimits{ValueBytes: 2 << 10, Changes: 10}
 
-// announceLimits has the settings of all controllers name the limits to come.
+// announceLimits makes the settings of all controllers name the future limits.
 func (w *world) announceLimits() {
 	for i, cfg := range w.cfgs {
 		cfg.Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
@@ -25,34 +25,36 @@
 	w.awaitLeader()
 }
 
-// The lower limits come without notice, with a backlog of writes, before, in or after a
-// change of leader: nothing is refused for them, and nothing is lost.
+// The lower limits come into force without notice, with a backlog of writes, before, during or
+// after a failover: nothing is refused because of them, and nothing is lost.
 func TestLowerLimitsWithABacklog(t *testing.T) {
 	for _, crash := range []time.Duration{-second, 0, 20 * time.Millisecond, second} {
-		w := newWorld(t, 131)
-		w.announceLimits()
-		w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 2.0})
-		w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-		for i := range 40 {
-			w.submit(fmt.Sprintf("j-%d", 100+i), map[string]any{"cores": 0.5, "shards": 2})
-		}
-		w.submit("j-1", group(8, 0.5, nil))
-		w.at(2*second, func() { w.state.Limits = lowerLimits })
-		w.at(2*second+crash, func() { w.restart(w.aLeader(), second) })
-		w.awaitTold(200*second, "j-1", protocol.Done)
-		for i := range 40 {
-			w.awaitTold(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
-		}
-		if w.state.Over > 0 {
-			t.Errorf("leader ends %v after: %d transactions were over the limits", crash, w.state.Over)
-		}
-		w.settle()
+		t.Run(fmt.Sprintf("leader ends %v after the limits", crash), func(t *testing.T) {
+			w := newWorld(t, 131)
+			w.announceLimits()
+			w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 2.0})
+			w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
+			for i := range 40 {
+				w.submit(fmt.Sprintf("j-%d", 100+i), map[string]any{"cores": 0.5, "shards": 2})
+			}
+			w.submit("j-1", group(8, 0.5, nil))
+			w.at(2*second, func() { w.state.Limits = lowerLimits })
+			w.at(2*second+crash, func() { w.restart(w.leaderOrFirst(), second) })
+			w.awaitStatus(200*second, "j-1", protocol.Done)
+			for i := range 40 {
+				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
+			}
+			if w.state.Over > 0 {
+				t.Errorf("%d transactions were over the limits", w.state.Over)
+			}
+			w.settle()
+		})
 	}
 }
 
-// An array of 40,000 tasks, nearly done, was stored under the limit that is no more. Its
-// last tasks end under the lower one while leaders change: what was done is not started
-// again, what ends is stored, and the job becomes done.
+// An array of 40,000 tasks, nearly done, was stored under the former limit. Its last tasks end
+// under the lower one while leaders change: what was done is not started again, what ends is
+// stored, and the job becomes done.
 func TestLargeArrayAcrossLowerLimits(t *testing.T) {
 	const tasks = 40_000
 	open := []int{5, 20_000, 39_998, 39_999}
@@ -70,8 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	books := clusterstate.New(16<<10, 16<<10)
-	j := books.AddJob(spec, 1)
+	state := clusterstate.New(16<<10, 16<<10)
+	j := state.AddJob(spec, 1)
 	for i := range tasks {
 		if i != open[0] && i != open[1] && i < open[2] {
 			j.MarkDone(i)
@@ -79,8 +81,8 @@
 		}
 	}
 	w.state.Change(clusterstate.JobPrefix+"j-1", &emulator.Item{Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
-	w.state.Change(books.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(books.CompletionRecord(j, 0))})
-	w.noteAnswer("j-1")
+	w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
+	w.startPolling("j-1")
 	w.state.Limits = lowerLimits
 	w.announceLimits()
 	w.until(60*second, "three of the last tasks are done", func() bool {
@@ -88,7 +90,7 @@
 	})
 	w.run(2 * second)
 	w.restart(w.awaitLeader(), second)
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	started := 0
 	for task, times := range w.starts {
 		started += times
@@ -108,27 +110,28 @@
 	w.settle()
 }
 
-// A machine's record was stored under the limit that is no more, and the machine can't be
-// reached. It is returned all the same, and its tasks run elsewhere.
-func TestMachineWithAnOversizedRecordIsReturned(t *testing.T) {
+// A machine's record was stored under the former limit, and the machine can't be reached. It is
+// released all the same, and its tasks run elsewhere.
+func TestMachineWithAnOversizedRecordIsReleased(t *testing.T) {
 	w := newWorld(t, 133)
 	w.runs = func(string) time.Duration { return 200 * second }
 	w.submit("j-1", map[string]any{"shards": 70, "cores": 0.1, "ramGb": 0.1})
 	w.until(90*second, "all run", func() bool { return w.running("j-1") == 70 })
-	k := w.holding("j-1")[0]
+	worker := w.machinesWithTasksOf("j-1")[0]
 	w.state.Limits = lowerLimits
-	if len(k.Tasks) < 60 {
-		t.Fatalf("%d tasks on the machine", len(k.Tasks))
+	if len(worker.Tasks) < 60 {
+		t.Fatalf("%d tasks on the machine", len(worker.Tasks))
 	}
-	k.Cut = true
+	worker.Cut = true
 	w.announceLimits()
-	w.until(100*second, "it is deleted", func() bool { return k.Deleted })
+	w.until(100*second, "it is deleted", func() bool { return worker.Deleted })
 	w.runs = func(string) time.Duration { return second }
-	w.awaitTold(300*second, "j-1", protocol.Done)
+	w.awaitStatus(300*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// Completions that an earlier leader left of a job that is over are deleted by the next.
+// Completions of a finished job that an earlier leader left in the store are deleted by the next
+// leader.
 func TestCompletionsOfJobsThatAreOverAreDeleted(t *testing.T) {
 	w := newWorld(t, 134)
 	lead := w.awaitLeader()
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// newCloud makes a cloud with one machine type.
+// newCloud creates a cloud with one machine type.
 func (w *world) newCloud() {
 	w.cloud = emulator.NewCloud(w.queue)
 	w.cloud.Types = []protocol.MachineType{{Name: "m8", Cores: 8, MemoryGB: 32, CacheGB: 50,
@@ -19,16 +19,16 @@
 	w.cloud.Addr = func(id string) string { return "10.1." + strings.TrimLeft(id[2:], "0") + ":9000" }
 	w.cloud.Lag = 5 * time.Second
 	w.cloud.BootTime = func(string) time.Duration { return 10 * time.Second }
-	w.cloud.Wrong = func(what string) { w.breaks("%s", what) }
+	w.cloud.Wrong = func(what string) { w.violated("%s", what) }
 	w.cloud.Launch = func(m *emulator.Machine) {
-		k := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
-		k.Reported = func(body []byte) { w.noteReport(k, body) }
-		w.at(10*time.Second, k.Boot)
+		worker := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
+		worker.Reported = func(body []byte) { w.recordHeartbeat(worker, body) }
+		w.at(10*time.Second, worker.Boot)
 	}
 	w.cloud.Remove = func(m *emulator.Machine) { w.machines.Workers[m.ID].Die() }
 }
 
-// newMachines makes a fleet whose workers report to the world's controllers.
+// newMachines creates a fleet whose workers send their heartbeats to the world's controllers.
 func (w *world) newMachines() {
 	f := emulator.NewFleet(w.queue, emulator.Timing{Report: time.Second, Lease: 10 * time.Second, NextController: time.Second,
 		SentAway: 100 * time.Millisecond, GangWait: 30 * time.Second, GangPeer: gangPeer, Look: tick})
@@ -40,7 +40,7 @@
 		}
 		return n
 	}
-	f.Carrier = w.carryReport
+	f.Carrier = w.deliverHeartbeat
 	f.Jobs = w.jobOf
 	f.RunTime = func(task string) time.Duration { return w.runs(task) }
 	f.FetchTime = func(_ *emulator.Worker, task string, _ *emulator.Job) time.Duration {
@@ -49,8 +49,8 @@
 		}
 		return testSite.fetch
 	}
-	f.Fails = func(k *emulator.Worker, t *emulator.Task) bool {
-		if w.fails == nil || !w.fails(k, t.UID) {
+	f.Fails = func(worker *emulator.Worker, t *emulator.Task) bool {
+		if w.fails == nil || !w.fails(worker, t.UID) {
 			return false
 		}
 		w.failures++
@@ -63,15 +63,15 @@
 			w.ended(t.UID)
 		}
 	}
-	f.Died = func(k *emulator.Worker) { w.cloud.Machine(k.ID).Deleted = true }
+	f.Died = func(worker *emulator.Worker) { w.cloud.Machine(worker.ID).Deleted = true }
 	f.Halted = func(t *emulator.Task, graceS float64) {
-		w.halts[t.UID] = append(w.halts[t.UID], halted{w.Now(), graceS})
+		w.stopCommands[t.UID] = append(w.stopCommands[t.UID], stopCommand{w.Now(), graceS})
 	}
-	f.Wrong = func(what string) { w.breaks("%s", what) }
+	f.Wrong = func(what string) { w.violated("%s", what) }
 	w.machines = f
 }
 
-// jobOf is what a worker knows of a job.
+// jobOf returns what a worker knows of a job.
 func (w *world) jobOf(uid string) *emulator.Job {
 	spec := w.specs[uid]
 	if spec == nil {
@@ -81,49 +81,50 @@
 		SaveS: spec["saveTakesS"].(float64), Cores: spec["cores"].(float64)}
 }
 
-// fleet lists the workers in a fixed order, so runs repeat.
-func (w *world) fleet() []*emulator.Worker { return w.machines.Sorted() }
+// workers returns the workers in a fixed order, so that runs repeat.
+func (w *world) workers() []*emulator.Worker { return w.machines.Sorted() }
 
 func (w *world) byAddr(addr string) *emulator.Worker {
-	for _, k := range w.machines.Workers {
-		if k.Addr == addr {
-			return k
+	for _, worker := range w.machines.Workers {
+		if worker.Addr == addr {
+			return worker
 		}
 	}
 	return nil
 }
 
-// noteReport keeps a report's body, and has a copy of it arrive late if the test wants so.
-func (w *world) noteReport(k *emulator.Worker, body []byte) {
-	w.copies[k.ID] = append(w.copies[k.ID], body)
+// recordHeartbeat keeps a heartbeat's body, and has a copy of it arrive late if the test requires
+// it.
+func (w *world) recordHeartbeat(worker *emulator.Worker, body []byte) {
+	w.copies[worker.ID] = append(w.copies[worker.ID], body)
 	if w.lateCopy == nil {
 		return
 	}
 	if late := w.lateCopy(); late > 0 {
-		// A copy goes to whichever controller; its answer reaches nobody.
+		// A copy goes to any one of the controllers; its answer is dropped.
 		to := w.rng.IntN(3)
 		w.at(late, func() { w.ask(to, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {}) })
 	}
 }
 
-// carryReport takes a worker's report to a controller, as far as the test lets it.
-func (w *world) carryReport(k *emulator.Worker, node int, body []byte, answer emulator.Reply) {
+// deliverHeartbeat sends a worker's heartbeat to a controller, subject to the test's faults.
+func (w *world) deliverHeartbeat(worker *emulator.Worker, node int, body []byte, answer emulator.Reply) {
 	var f deliveryFault
-	if w.reports != nil {
-		f = w.reports(k, node)
+	if w.heartbeatFault != nil {
+		f = w.heartbeatFault(worker, node)
 	}
-	none := func() { w.at(w.reportWait, func() { answer(0, nil) }) }
+	none := func() { w.at(w.heartbeatTimeout, func() { answer(0, nil) }) }
 	if f.refused {
 		w.at(latency, func() { answer(0, nil) })
 		return
 	}
-	if f.lost || k.ReportsLost {
+	if f.lost || worker.ReportsLost {
 		none()
 		return
 	}
 	w.at(latency, func() {
 		w.ask(node, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {
-			if f.answerLost || k.Hung || k.AnswersLost {
+			if f.answerLost || worker.Hung || worker.AnswersLost {
 				none()
 				return
 			}
@@ -132,41 +133,41 @@
 	})
 }
 
-// checkStart checks the rules of the moment a task begins to be on its machine.
-func (w *world) checkStart(k *emulator.Worker, task string, t *emulator.Task) {
+// checkStart checks the rules for the moment at which a task begins to be on its machine.
+func (w *world) checkStart(worker *emulator.Worker, task string, t *emulator.Task) {
 	spec := w.specs[t.UID]
 	w.starts[task]++
-	// Stricter than the protocol's page, which allows cancel_s: "from then on no
-	// task of the job may be started".
-	if _, told := w.stopped[t.UID]; told {
-		w.breaks("ran_cancelled: %s starts", task)
+	// Stricter than the protocol's page, which allows cancel_s: "from then on no task of the job
+	// may be started".
+	if _, confirmed := w.cancelledAt[t.UID]; confirmed {
+		w.violated("ran_cancelled: %s starts", task)
 	}
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
-	for _, o := range w.machines.Workers {
-		for name, x := range o.Tasks {
-			if !x.Here() || o.Deleted {
+	for _, holder := range w.machines.Workers {
+		for name, otherTask := range holder.Tasks {
+			if !otherTask.Here() || holder.Deleted {
 				continue
 			}
 			other, _, _ := strings.Cut(name, "@")
-			if other == task && (o != k || x != t) {
-				w.breaks("ran_twice: %s on %s and %s", task, o.ID, k.ID)
+			if other == task && (holder != worker || otherTask != t) {
+				w.violated("ran_twice: %s on %s and %s", task, holder.ID, worker.ID)
 			}
-			if x.UID == t.UID {
-				zones[o.Zone]++
+			if otherTask.UID == t.UID {
+				zones[holder.Zone]++
 				total++
 			}
-			used[w.specs[x.UID]["owner"].(string)] += w.specs[x.UID]["cores"].(float64)
+			used[w.specs[otherTask.UID]["owner"].(string)] += w.specs[otherTask.UID]["cores"].(float64)
 		}
 	}
-	if n := spec["shards"].(int); spec["apart"].(bool) && zones[k.Zone] > (n+1)/2 {
-		w.breaks("wrong_place: %d of %d tasks of %s in one zone", zones[k.Zone], n, t.UID)
+	if n := spec["shards"].(int); spec["apart"].(bool) && zones[worker.Zone] > (n+1)/2 {
+		w.violated("wrong_place: %d of %d tasks of %s in one zone", zones[worker.Zone], n, t.UID)
 	}
-	if spec["together"].(bool) && total != zones[k.Zone] {
-		w.breaks("wrong_place: %s in two zones", t.UID)
+	if spec["together"].(bool) && total != zones[worker.Zone] {
+		w.violated("wrong_place: %s in two zones", t.UID)
 	}
 	for team, most := range map[string]float64{"red": 32, "blue": 16} {
 		if used[team] > most {
-			w.breaks("quota: %s uses %v", team, used[team])
+			w.violated("quota: %s uses %v", team, used[team])
 		}
 	}
 }
@@ -174,9 +175,9 @@
 // running counts a job's tasks on machines.
 func (w *world) running(uid string) int {
 	n := 0
-	for _, k := range w.fleet() {
-		for _, t := range k.Tasks {
-			if t.UID == uid && t.Here() && !k.Deleted {
+	for _, worker := range w.workers() {
+		for _, t := range worker.Tasks {
+			if t.UID == uid && t.Here() && !worker.Deleted {
 				n++
 			}
 		}
@@ -184,11 +185,11 @@
 	return n
 }
 
-// lateCancelled checks ran_cancelled for tasks that stay.
-func (w *world) lateCancelled() {
-	for uid, told := range w.stopped {
-		if w.Now() > told+35*time.Second && w.running(uid) > 0 {
-			w.breaks("ran_cancelled: %s is still there", uid)
+// checkCancelledTasksEnded checks the rule ran_cancelled for tasks that stay.
+func (w *world) checkCancelledTasksEnded() {
+	for uid, confirmedAt := range w.cancelledAt {
+		if w.Now() > confirmedAt+35*time.Second && w.running(uid) > 0 {
+			w.violated("ran_cancelled: %s is still there", uid)
 		}
 	}
 }
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -17,31 +17,32 @@
 	"claybarrow/internal/protocol"
 )
 
-// rollout is a world whose controllers are upgraded one at a time under steady load, and what has to
-// hold of it at all times.
-type rollout struct {
+// upgradeWorld is a world whose controllers are upgraded one at a time under steady load, together with
+// the invariants that hold at all times.
+type upgradeWorld struct {
 	*world
-	// newerSince is since when a controller runs the newer version; 0: it runs the older one.
+	// newerSince is the time since which each controller runs the newer version; 0: it runs the
+	// older one.
 	newerSince []time.Duration
-	// operators are the operators' settings of each; nil: it runs the older version.
+	// operators are the operators' settings of each controller; nil: it runs the older version.
 	operators [][]byte
-	// announced are the controllers whose settings name lower limits to come.
+	// announced are the controllers whose settings name future limits.
 	announced map[int]bool
-	// onStep decides what becomes of a transaction that changes the state of the gate, or the
-	// journal; nil: nothing is broken.
+	// onStep returns the fault for a transaction that changes the state of the gate, or the
+	// journal; nil: there are no faults.
 	onStep func(step gateStep, node int) deliveryFault
 	steps  map[gateStep]int // transactions sent so far
-	// states are those that the leader key has gone through.
+	// states are the states of the gate that the leader key has had, in their order.
 	states []string
 	jobs   int
-	// moved counts how often the scheduler stopped a task by its own plan, to empty its machine or for
-	// what ranks before it: that drops nothing.
+	// moved counts how often the scheduler stopped a task by its own plan, to drain its machine or
+	// to preempt it: that loses nothing.
 	moved map[string]int
-	// interrupts: tasks may be started again, as workers' leases run out.
+	// interrupts: tasks may be started again, as workers' leases expire.
 	interrupts bool
 }
 
-// gateStep is what a transaction does to the gate or the journal.
+// gateStep is the effect of a transaction on the gate or the journal.
 type gateStep string
 
 const (
@@ -58,7 +59,7 @@
 
 var wideShape = topology{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: defaultTopology.teams}
 
-// newerOperator are the operators' settings of the newer version.
+// newerOperator returns the operators' settings of the newer version.
 func newerOperator(more string) []byte {
 	if os.Getenv("CLAYBARROW_TEST_MEMBERSHIP") != "" {
 		more += membershipOn
@@ -68,30 +69,31 @@
 
 const holdOn = "[upgrade]\nhold = true\n"
 
-// newRollout is a world of older controllers, with replicas and arrays that come and go.
-func newRollout(t *testing.T, seed uint64, shape topology) *rollout {
-	ro := &rollout{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
+// newUpgradeWorld creates a world of older controllers, with replicas and a steady sequence of arrays.
+func newUpgradeWorld(t *testing.T, seed uint64, shape topology) *upgradeWorld {
+	t.Helper()
+	u := &upgradeWorld{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
 		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, moved: map[string]int{}, announced: map[int]bool{}}
-	w := ro.world
-	w.runs = func(task string) time.Duration { return loadRuns }
-	w.logged = ro.readLog
-	w.script = ro.fate
+	w := u.world
+	w.runs = func(string) time.Duration { return loadRuns }
+	w.logged = u.readLog
+	w.script = u.fault
 	for i := range w.nodes {
-		ro.restart(i, nil)
+		u.restart(i, nil)
 	}
-	ro.watchStore()
+	u.watchStore()
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 2.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-	ro.feedArrays()
+	u.submitArrays()
 	w.run(3 * loadEvery)
-	return ro
+	return u
 }
 
-// readLog takes a line that a controller logs.
-func (ro *rollout) readLog(node int, line []byte) {
+// readLog handles a line that a controller logs.
+func (u *upgradeWorld) readLog(node int, line []byte) {
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
-		ro.breaks("n%d: %s", node, line)
+		u.violated("n%d: %s", node, line)
 	}
 	planned := bytes.Contains(line, []byte("reason=consolidation")) || bytes.Contains(line, []byte("reason=preempted"))
 	if !planned || !bytes.Contains(line, []byte("msg=\"stop requested\"")) {
@@ -99,54 +101,54 @@
 	}
 	for field := range strings.FieldsSeq(string(line)) {
 		if task, is := strings.CutPrefix(field, "task="); is {
-			ro.moved[task]++
+			u.moved[task]++
 		}
 	}
 }
 
-// feedArrays submits a small array every few seconds.
-func (ro *rollout) feedArrays() {
+// submitArrays submits a small array every few seconds.
+func (u *upgradeWorld) submitArrays() {
 	var next func()
 	next = func() {
-		if ro.calm != 0 {
+		if u.calmSince != 0 {
 			return
 		}
-		ro.jobs++
-		ro.submit(fmt.Sprintf("j-%d", 1000+ro.jobs), map[string]any{"shards": 3, "cores": 1.0, "owner": []string{"red", "blue"}[ro.jobs%2]})
-		ro.at(loadEvery, next)
+		u.jobs++
+		u.submit(fmt.Sprintf("j-%d", 1000+u.jobs), map[string]any{"shards": 3, "cores": 1.0, "owner": []string{"red", "blue"}[u.jobs%2]})
+		u.at(loadEvery, next)
 	}
 	next()
 }
 
-// restart ends a controller's process and starts the version with these operators' settings; nil: the
-// older one.
-func (ro *rollout) restart(i int, operator []byte) {
-	ro.crash(i)
-	ro.newerSince[i], ro.operators[i] = 0, operator
+// restart ends a controller's process and starts the version with these operators' settings; nil:
+// the older one.
+func (u *upgradeWorld) restart(i int, operator []byte) {
+	u.crash(i)
+	u.newerSince[i], u.operators[i] = 0, operator
 	if operator != nil {
-		ro.newerSince[i] = ro.Now()
+		u.newerSince[i] = u.Now()
 	}
-	ro.cfgs[i] = testConfig(ro.t, ro.topology, i, operator)
-	if ro.announced[i] {
-		ro.cfgs[i].Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
+	u.cfgs[i] = testConfig(u.t, u.topology, i, operator)
+	if u.announced[i] {
+		u.cfgs[i].Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
 	}
-	ro.nodes[i].older, ro.nodes[i].withoutGate = operator == nil, operator == nil
-	ro.boot(i)
+	u.nodes[i].older, u.nodes[i].withoutGate = operator == nil, operator == nil
+	u.boot(i)
 }
 
-// roll restarts controllers one after the other.
-func (ro *rollout) roll(order []int, operator []byte) {
+// restartAll restarts controllers one after the other.
+func (u *upgradeWorld) restartAll(order []int, operator []byte) {
 	for _, i := range order {
-		ro.restart(i, operator)
-		ro.run(4 * second)
+		u.restart(i, operator)
+		u.run(4 * second)
 	}
 }
 
-// leaderAt orders the controllers so that the leader of now has a place among them.
-func (ro *rollout) leaderAt(place int) []int {
-	lead := ro.awaitLeader()
+// leaderAt orders the controllers so that the current leader has the given place among them.
+func (u *upgradeWorld) leaderAt(place int) []int {
+	lead := u.awaitLeader()
 	var order []int
-	for i := range ro.nodes {
+	for i := range u.nodes {
 		if i != lead {
 			order = append(order, i)
 		}
@@ -154,31 +156,31 @@
 	return slices.Insert(order, place, lead)
 }
 
-// fate looks at each transaction on its way to the state service.
-func (ro *rollout) fate(node int, c Call) deliveryFault {
+// fault inspects each transaction on its way to the state service and returns its fault.
+func (u *upgradeWorld) fault(node int, c Call) deliveryFault {
 	if c.Target != ToState || c.Path != "/multi" {
 		return deliveryFault{}
 	}
-	step := ro.stepOf(c.Body)
+	step := u.stepOf(c.Body)
 	if step == noStep {
 		return deliveryFault{}
 	}
-	ro.steps[step]++
+	u.steps[step]++
 	if step == opens {
-		for i, since := range ro.newerSince {
-			if since == 0 || ro.Now() < since+ro.cfgs[i].LeaderTTL() {
-				ro.breaks("the gate opens while n%d is of the older version, or has just been upgraded", i)
+		for i, since := range u.newerSince {
+			if since == 0 || u.Now() < since+u.cfgs[i].LeaderTTL() {
+				u.violated("the gate opens while n%d is of the older version, or has just been upgraded", i)
 			}
 		}
 	}
-	if ro.onStep != nil {
-		return ro.onStep(step, node)
+	if u.onStep != nil {
+		return u.onStep(step, node)
 	}
 	return deliveryFault{}
 }
 
-// stepOf says what a transaction does.
-func (ro *rollout) stepOf(body []byte) gateStep {
+// stepOf returns the effect of a transaction on the gate or the journal.
+func (u *upgradeWorld) stepOf(body []byte) gateStep {
 	var txn struct {
 		Then []struct {
 			Put    string             `msgpack:"put"`
@@ -187,7 +189,7 @@
 		} `msgpack:"apply"`
 	}
 	if err := protocol.Decode(body, &txn); err != nil {
-		ro.t.Fatal(err)
+		u.t.Fatal(err)
 	}
 	step := noStep
 	for _, change := range txn.Then {
@@ -210,9 +212,9 @@
 	return step
 }
 
-// stored is the leader record that is stored, and its lease.
-func (ro *rollout) stored() (rec leaderRecord, lease uint64) {
-	it := ro.state.Item(keyLeader)
+// stored returns the stored leader record and its lease.
+func (u *upgradeWorld) stored() (rec leaderRecord, lease uint64) {
+	it := u.state.Item(keyLeader)
 	if it == nil {
 		return rec, 0
 	}
@@ -222,14 +224,14 @@
 	return rec, it.Lease
 }
 
-func (ro *rollout) gateIs(state string) bool {
-	rec, _ := ro.stored()
+func (u *upgradeWorld) gateIs(state string) bool {
+	rec, _ := u.stored()
 	return rec.gateState().String() == state
 }
 
-// journalKeys are the values of the journal that are stored.
-func (ro *rollout) journalKeys() (out []string) {
-	for _, key := range ro.state.Keys() {
+// journalKeys returns the stored values of the journal.
+func (u *upgradeWorld) journalKeys() (out []string) {
+	for _, key := range u.state.Keys() {
 		if strings.HasPrefix(key, completionjournal.Prefix) {
 			out = append(out, key)
 		}
@@ -237,51 +239,51 @@
 	return out
 }
 
-// watchStore looks at what is stored at each tick: the journal is only there while no older version can
-// lead, and no older version leads while it is.
-func (ro *rollout) watchStore() {
+// watchStore checks the store at each tick: the journal exists only while no older version can
+// lead, and no older version leads while it exists.
+func (u *upgradeWorld) watchStore() {
 	var look func()
 	look = func() {
-		rec, lease := ro.stored()
-		if rec.StorageVersion == 0 && len(ro.journalKeys()) > 0 {
-			ro.breaks("the journal is stored while an older version may lead: %v", ro.journalKeys())
+		rec, lease := u.stored()
+		if rec.StorageVersion == 0 && len(u.journalKeys()) > 0 {
+			u.violated("the journal is stored while an older version may lead: %v", u.journalKeys())
 		}
 		if rec.Token != 0 && (rec.StorageVersion == 0) != (lease != 0) {
-			ro.breaks("form %d with the lease %d", rec.StorageVersion, lease)
+			u.violated("form %d with the lease %d", rec.StorageVersion, lease)
 		}
-		if state := rec.gateState().String(); rec.Token != 0 && (len(ro.states) == 0 || ro.states[len(ro.states)-1] != state) {
-			ro.states = append(ro.states, state)
+		if state := rec.gateState().String(); rec.Token != 0 && (len(u.states) == 0 || u.states[len(u.states)-1] != state) {
+			u.states = append(u.states, state)
 		}
-		for i, n := range ro.nodes {
+		for i, n := range u.nodes {
 			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.lease.holdsLease() && rec.StorageVersion != 0 {
-				ro.breaks("n%d of the older version leads with the gate %s", i, rec.gateState())
+				u.violated("n%d of the older version leads with the gate %s", i, rec.gateState())
 			}
 		}
-		ro.at(tick, look)
+		u.at(tick, look)
 	}
 	look()
 }
 
-// over ends the troubles and looks at what has become of all that was submitted.
-func (ro *rollout) over() {
-	ro.t.Helper()
-	ro.onStep = nil
-	restore := ro.world.script
-	ro.settle()
-	ro.world.script = restore
-	if ro.interrupts {
+// settleAndCheck ends the faults and checks the outcome of everything that was submitted.
+func (u *upgradeWorld) settleAndCheck() {
+	u.t.Helper()
+	u.onStep = nil
+	restore := u.script
+	u.settle()
+	u.script = restore
+	if u.interrupts {
 		return
 	}
-	for _, task := range slices.Sorted(maps.Keys(ro.starts)) {
-		if n := ro.starts[task]; n > 1+ro.moved[task] {
-			ro.t.Errorf("%s began %d times", task, n)
+	for _, task := range slices.Sorted(maps.Keys(u.starts)) {
+		if n := u.starts[task]; n > 1+u.moved[task] {
+			u.t.Errorf("%s began %d times", task, n)
 		}
 	}
 }
 
-// opened has all controllers be of the newer version and the gate open.
-func (ro *rollout) opened() {
-	ro.t.Helper()
-	ro.roll(ro.leaderAt(0), newerOperator(""))
-	ro.until(30*second, "the gate is open", func() bool { return ro.gateIs("open") })
+// openGate upgrades all controllers and waits until the gate is open.
+func (u *upgradeWorld) openGate() {
+	u.t.Helper()
+	u.restartAll(u.leaderAt(0), newerOperator(""))
+	u.until(30*second, "the gate is open", func() bool { return u.gateIs("open") })
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -12,60 +13,62 @@
 
 const second = time.Second
 
-func TestQuietDay(t *testing.T) {
+func TestSteadyState(t *testing.T) {
 	w := newWorld(t, 1)
 	w.submit("j-1", map[string]any{"shards": 5})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "apart": true})
 	w.until(60*second, "both run", func() bool { return w.running("j-1") > 0 && w.running("j-2") == 2 })
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.cancel("j-2")
-	w.awaitTold(5*second, "j-2", protocol.Cancelled)
-	w.until(2*second, "replicas gone", func() bool { return w.running("j-2") == 0 })
+	w.awaitStatus(5*second, "j-2", protocol.Cancelled)
+	w.until(2*second, "replicas have ended", func() bool { return w.running("j-2") == 0 })
 	w.submit("j-1", map[string]any{"shards": 5}) // a late repeat
 	w.run(120 * second)
 	up := 0
-	for _, k := range w.fleet() {
-		if !k.Deleted {
+	for _, worker := range w.workers() {
+		if !worker.Deleted {
 			up++
 		}
 	}
 	if up > 2 {
 		t.Errorf("%d machines are still there with nothing to do", up)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// All controllers end together, at any moment of a job's way: nothing that was
-// accepted is forgotten, nothing runs twice.
+// All controllers end together, at any moment of a job's life: nothing that was accepted is
+// forgotten, nothing runs twice.
 func TestAllControllersCrash(t *testing.T) {
 	for seed := range uint64(8) {
-		w := newWorld(t, seed)
-		for i := range 6 {
-			w.submit(fmt.Sprintf("j-%d", i), map[string]any{"shards": 3, "cores": 2.0})
-		}
-		for round := range 4 {
-			w.run(time.Duration(3+5*int(seed)+round)*second + time.Duration(w.rng.IntN(1000))*time.Millisecond)
-			for i := range 3 {
-				w.crash(i)
-				w.at(time.Duration(100+w.rng.IntN(4000))*time.Millisecond, func() { w.boot(i) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			w := newWorld(t, seed)
+			for i := range 6 {
+				w.submit(fmt.Sprintf("j-%d", i), map[string]any{"shards": 3, "cores": 2.0})
 			}
-		}
-		for i := range 6 {
-			w.awaitTold(240*second, fmt.Sprintf("j-%d", i), protocol.Done)
-		}
-		w.keptRules()
+			for round := range 4 {
+				w.run(time.Duration(3+5*int(seed)+round)*second + time.Duration(w.rng.IntN(1000))*time.Millisecond)
+				for i := range 3 {
+					w.crash(i)
+					w.at(time.Duration(100+w.rng.IntN(4000))*time.Millisecond, func() { w.boot(i) })
+				}
+			}
+			for i := range 6 {
+				w.awaitStatus(240*second, fmt.Sprintf("j-%d", i), protocol.Done)
+			}
+			w.requireNoViolations()
+		})
 	}
 }
 
-// A leader that is cut off from the state service goes on answering its
-// workers while another is elected: two leaders, one fence.
+// A leader that is cut off from the state service goes on answering its workers while another is
+// elected: two leaders, one fencing token.
 func TestTwoLeaders(t *testing.T) {
 	w := newWorld(t, 3)
 	w.submit("j-1", map[string]any{"shards": 6, "cores": 4.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "they run", func() bool { return w.running("j-1") >= 4 && w.running("j-2") == 2 })
 	old := w.awaitLeader()
-	// The old leader keeps its workers, but loses state service and peers; the
+	// The old leader keeps its workers, but loses the state service and the other controllers; the
 	// workers can't be reached by the others' direct commands.
 	w.script = func(node int, c Call) deliveryFault {
 		lost := (node == old && (c.Target == ToState || c.Target == ToPeer)) ||
@@ -76,18 +79,18 @@
 	w.cancel("j-2")
 	for range 150 {
 		w.run(second)
-		w.lateCancelled()
+		w.checkCancelledTasksEnded()
 	}
 	if w.nodes[old].controller.leadership != nil {
 		t.Error("the old leader coasts without end")
 	}
 	w.script = nil
-	w.awaitTold(200*second, "j-1", protocol.Done)
-	w.keptRules()
+	w.awaitStatus(200*second, "j-1", protocol.Done)
+	w.requireNoViolations()
 }
 
-// Every fifth transaction applies but its answer is lost, and every seventh
-// applies late, long after it was given up.
+// Every fifth transaction applies but its answer is lost, and every seventh applies late, long
+// after its sender gave it up.
 func TestLostTransactionAnswers(t *testing.T) {
 	w := newWorld(t, 4)
 	n := 0
@@ -111,14 +114,14 @@
 	w.cancel("j-7")
 	w.crash(w.awaitLeader())
 	for i := range 7 {
-		w.awaitTold(300*second, fmt.Sprintf("j-%d", i), protocol.Done)
+		w.awaitStatus(300*second, fmt.Sprintf("j-%d", i), protocol.Done)
 	}
-	w.awaitTold(10*second, "j-7", protocol.Cancelled)
-	w.keptRules()
+	w.awaitStatus(10*second, "j-7", protocol.Cancelled)
+	w.requireNoViolations()
 }
 
-// A direct run is held back for minutes and executed late: the task must not
-// have been started elsewhere meanwhile, nor start after its cancellation.
+// A direct run command is delayed for minutes and executed late: the task must not have been
+// started elsewhere meanwhile, nor start after its cancellation.
 func TestLateRun(t *testing.T) {
 	w := newWorld(t, 5)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
@@ -137,30 +140,30 @@
 	w.cancel("j-2")
 	for range 120 {
 		w.run(second)
-		w.lateCancelled()
+		w.checkCancelledTasksEnded()
 	}
-	w.awaitTold(60*second, "j-1", protocol.Done)
-	w.keptRules()
+	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.requireNoViolations()
 }
 
-// Copies of old reports arrive right after a take-over, before the machine's
-// own: they prove neither that a task is gone nor that a machine is alive.
-func TestStaleCopiesAfterTakeOver(t *testing.T) {
+// Copies of old heartbeats arrive right after a failover, before the machine's own: they prove
+// neither that a task is absent nor that a machine is alive.
+func TestStaleHeartbeatsAfterFailover(t *testing.T) {
 	w := newWorld(t, 6)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 4.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.run(5 * second)
 	old := w.awaitLeader()
-	// The workers are cut off with the leader's end, their tasks run on.
-	for _, k := range w.fleet() {
-		k.Cut = true
+	// The workers are cut off when the leader ends, and their tasks run on.
+	for _, worker := range w.workers() {
+		worker.Cut = true
 	}
 	w.crash(old)
 	l := w.awaitLeader()
 	for range 8 {
-		for _, k := range w.fleet() {
-			for _, body := range w.copies[k.ID] {
-				w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {})
+		for _, worker := range w.workers() {
+			for _, body := range w.copies[worker.ID] {
+				w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 			}
 		}
 		w.run(second)
@@ -168,58 +171,58 @@
 	if w.running("j-1") > 4 {
 		t.Errorf("%d replicas of 4 run", w.running("j-1"))
 	}
-	for _, k := range w.fleet() {
-		k.Cut = false
+	for _, worker := range w.workers() {
+		worker.Cut = false
 	}
 	w.run(60 * second)
 	if n := w.running("j-1"); n != 4 {
 		t.Errorf("%d replicas of 4 run", n)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 // A job is cancelled while the machine with its tasks is cut off.
-func TestCancelWhileCut(t *testing.T) {
+func TestCancelWhilePartitioned(t *testing.T) {
 	w := newWorld(t, 7)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
-	for _, k := range w.fleet() {
-		k.Cut = true
+	for _, worker := range w.workers() {
+		worker.Cut = true
 	}
 	w.cloud.Down = true // no deletion proves anything faster
 	w.cancel("j-1")
 	for range 60 {
 		w.run(second)
-		w.lateCancelled()
+		w.checkCancelledTasksEnded()
 	}
 	if w.lastReplies["j-1"] != protocol.Cancelled || w.running("j-1") != 0 {
-		t.Errorf("told %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
+		t.Errorf("state %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// A team's limit and `apart` count tasks on machines that can't be reached.
+// A team's quota and `apart` count tasks on machines that can't be reached.
 func TestUnreachableTasksCount(t *testing.T) {
 	w := newWorld(t, 8)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 8.0, "apart": true}) // 32 of 32 cores
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.submit("j-2", map[string]any{"shards": 2})
 	n := 0
-	for _, k := range w.fleet() {
-		if len(k.Tasks) > 0 && n < 2 {
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 && n < 2 {
 			n++
-			k.Cut = true
+			worker.Cut = true
 		}
 	}
 	w.run(90 * second)
 	if w.running("j-1") != 4 {
 		t.Errorf("%d of 4 replicas run after their machines were lost", w.running("j-1"))
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// An outage longer than a worker's lease: the leader coasts, so nothing is
-// lost; the jobs go on and users are told at once to come back.
+// An outage longer than a worker's lease: the leader coasts, so nothing is lost; the jobs go on and
+// users are told at once to retry later.
 func TestOutageLongerThanLease(t *testing.T) {
 	w := newWorld(t, 9)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -231,7 +234,7 @@
 	w.spec("j-2", nil)
 	w.user(w.awaitNode(), OpSubmit, "j-2", func(s int, _ protocol.JobStatus) { status = s })
 	w.run(tick)
-	if status != 503 {
+	if status != http.StatusServiceUnavailable {
 		t.Errorf("a submission in the outage got %d, not 503 at once", status)
 	}
 	if w.running("j-1") != 2 {
@@ -239,11 +242,11 @@
 	}
 	w.run(10 * second)
 	w.submit("j-2", nil)
-	w.awaitTold(90*second, "j-2", protocol.Done)
+	w.awaitStatus(90*second, "j-2", protocol.Done)
 	if w.running("j-1") != 2 {
 		t.Error("the outage cost replicas in the end")
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
 func (w *world) awaitNode() int {
@@ -255,30 +258,32 @@
 	return 0
 }
 
-// Reports arrive, answers and direct commands don't: the tasks die with the
-// worker's lease, and the machine is not filled again.
+// Heartbeats arrive, answers and direct commands don't: the tasks die with the worker's lease, and
+// the leader places no tasks on the machine again.
 func TestMachineThatHearsNoAnswer(t *testing.T) {
 	w := newWorld(t, 10)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 8.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	var answersLost *emulator.Worker
-	for _, k := range w.fleet() {
-		if len(k.Tasks) > 0 && (answersLost == nil || k.ID < answersLost.ID) {
-			answersLost = k
+	for _, worker := range w.workers() {
+		if len(worker.Tasks) > 0 && (answersLost == nil || worker.ID < answersLost.ID) {
+			answersLost = worker
 		}
 	}
-	w.reports = func(k *emulator.Worker, _ int) deliveryFault { return deliveryFault{answerLost: k == answersLost} }
+	w.heartbeatFault = func(worker *emulator.Worker, _ int) deliveryFault {
+		return deliveryFault{answerLost: worker == answersLost}
+	}
 	w.script = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker && c.Addr == answersLost.Addr}
 	}
 	w.until(60*second, "the replica is back elsewhere", func() bool {
 		return w.running("j-1") == 2 && len(answersLost.Tasks) == 0
 	})
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// The state service refuses the leader alone: it must not tell anybody what it
-// can't know, and another leads soon.
+// The state service refuses the leader alone: it must not confirm to anybody what it can't know,
+// and another leads soon.
 func TestRefusedByStateAlone(t *testing.T) {
 	w := newWorld(t, 11)
 	w.submit("j-1", map[string]any{"shards": 4})
@@ -287,22 +292,22 @@
 	w.state.Refuse[old] = true
 	w.until(10*second, "another leader", func() bool { l := w.leader(); return l >= 0 && l != old })
 	w.user(old, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
-		if s != 503 && s != 200 {
-			t.Errorf("the refused one answers %d", s)
+		if s != http.StatusServiceUnavailable && s != http.StatusOK {
+			t.Errorf("the refused leader answers %d", s)
 		}
 	})
 	w.user(old, OpPoll, "j-99", func(s int, _ protocol.JobStatus) {
-		if s != 503 && s != 404 {
-			t.Errorf("the refused one answers %d", s)
+		if s != http.StatusServiceUnavailable && s != http.StatusNotFound {
+			t.Errorf("the refused leader answers %d", s)
 		}
 	})
 	w.run(20 * second)
 	w.state.Refuse[old] = false
-	w.awaitTold(120*second, "j-1", protocol.Done)
-	w.keptRules()
+	w.awaitStatus(120*second, "j-1", protocol.Done)
+	w.requireNoViolations()
 }
 
-// What a user must be told, also by a controller that does not lead.
+// The answers that users must get, also from a controller that does not lead.
 func TestUsersAnswers(t *testing.T) {
 	w := newWorld(t, 12)
 	w.awaitLeader()
@@ -329,13 +334,13 @@
 	check("unknown cancel", OpCancel, "j-77", nil, 404)
 	w.submit("j-1", nil)
 	w.run(second)
-	// A damaged repeat of an accepted job is no reason to refuse it.
+	// A malformed repeat of an accepted job is no reason to refuse it.
 	check("damaged repeat", OpSubmit, "", protocol.Encode(w.spec("j-1", map[string]any{"rank": "top"})), 200)
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// A controller that finds its own label with another incarnation, in the middle
-// of an election, ends that lease and goes on.
+// A controller that finds its own label with another incarnation, during an election, ends that
+// lease and goes on.
 func TestQuickRestart(t *testing.T) {
 	w := newWorld(t, 13)
 	for range 12 {
@@ -350,11 +355,11 @@
 		}
 		w.run(time.Duration(w.rng.IntN(400)) * time.Millisecond)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// The watch tells of our own key before the transaction's answer comes: a
-// process once ended by taking over twice.
+// The watch reports the controller's own key before the transaction's answer comes: a process once
+// ended because it began its leadership twice.
 func TestWatchOvertakesElection(t *testing.T) {
 	w := newWorld(t, 14)
 	w.script = func(_ int, c Call) deliveryFault {
@@ -363,22 +368,22 @@
 	w.run(20 * second)
 	w.script = nil
 	w.awaitLeader()
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// Random troubles in random order, each with a fixed seed.
+// Random faults in random order, each with a fixed seed.
 func TestManyRequestsAtOnce(t *testing.T) {
 	for seed := range uint64(12) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { burst(t, 100+seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRequestBurst(t, 100+seed) })
 	}
 }
 
-func burst(t *testing.T, seed uint64) {
+func checkRequestBurst(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	var jobs []string
 	cancelled := map[string]bool{}
 	lossy := false
-	w.script = func(_ int, c Call) deliveryFault {
+	w.script = func(_ int, _ Call) deliveryFault {
 		if !lossy {
 			return deliveryFault{}
 		}
@@ -388,7 +393,7 @@
 		}
 		return f
 	}
-	w.reports = func(*emulator.Worker, int) deliveryFault {
+	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault {
 		return deliveryFault{lost: lossy && w.rng.IntN(8) == 0, answerLost: lossy && w.rng.IntN(8) == 0}
 	}
 	w.runs = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
@@ -418,18 +423,18 @@
 		case 6:
 			w.state.Outage(time.Duration(1+w.rng.IntN(20)) * second)
 		case 7:
-			for _, k := range w.fleet() {
-				if k.Up && w.rng.IntN(3) == 0 {
-					k.Cut = true
-					w.at(time.Duration(w.rng.IntN(30))*second, func() { k.Cut = false })
+			for _, worker := range w.workers() {
+				if worker.Up && w.rng.IntN(3) == 0 {
+					worker.Cut = true
+					w.at(time.Duration(w.rng.IntN(30))*second, func() { worker.Cut = false })
 				}
 			}
 		case 8:
 			lossy = !lossy
 		case 9:
-			for _, k := range w.fleet() {
-				if len(w.copies[k.ID]) > 0 {
-					body := w.copies[k.ID][w.rng.IntN(len(w.copies[k.ID]))]
+			for _, worker := range w.workers() {
+				if len(w.copies[worker.ID]) > 0 {
+					body := w.copies[worker.ID][w.rng.IntN(len(w.copies[worker.ID]))]
 					w.ask(w.rng.IntN(3), Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 				}
 			}
@@ -438,15 +443,15 @@
 			w.state.Refuse[i] = true
 			w.at(time.Duration(w.rng.IntN(25))*second, func() { w.state.Refuse[i] = false })
 		case 11:
-			for _, k := range w.fleet() {
-				if k.Up && w.rng.IntN(4) == 0 {
-					k.Die()
+			for _, worker := range w.workers() {
+				if worker.Up && w.rng.IntN(4) == 0 {
+					worker.Die()
 				}
 			}
 		}
 		for range 5 {
 			w.run(second)
-			w.lateCancelled()
+			w.checkCancelledTasksEnded()
 		}
 	}
 	lossy = false
@@ -457,7 +462,7 @@
 		}
 	}
 	w.run(40 * second)
-	// Services may hold a team's whole limit: they end like any other.
+	// Services may use a team's whole quota: they end like any other job.
 	for _, uid := range jobs {
 		if w.specs[uid]["shape"] == "service" {
 			w.cancel(uid)
@@ -465,15 +470,15 @@
 	}
 	for _, uid := range jobs {
 		if !cancelled[uid] && w.specs[uid]["shape"] == "batch" {
-			w.awaitTold(400*second, uid, protocol.Done)
+			w.awaitStatus(400*second, uid, protocol.Done)
 		}
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// A copy of a report from before the task started reaches the new leader, while
-// the machine itself is cut off and there is room elsewhere: without the new
-// token it is no proof of absence.
+// A copy of a heartbeat from before the task started reaches the new leader, while the machine
+// itself is cut off and there is room elsewhere: without the new fencing token it is no proof of
+// absence.
 func TestOldCopyIsNoProof(t *testing.T) {
 	w := newWorld(t, 15)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
@@ -487,10 +492,10 @@
 	w.submit("j-3", map[string]any{"shape": "service", "cores": 6.5})
 	w.until(20*second, "room for one on the first machine", func() bool { return w.running("j-3") == 1 })
 	var machine *emulator.Worker
-	for _, k := range w.fleet() {
-		for _, task := range k.Tasks {
+	for _, worker := range w.workers() {
+		for _, task := range worker.Tasks {
 			if task.UID == "j-1" {
-				machine = k
+				machine = worker
 			}
 		}
 	}
@@ -508,12 +513,11 @@
 	if n := w.running("j-1"); n != 1 {
 		t.Errorf("%d replicas of 1 run", n)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// The first try of the transaction that accepts a job is held back, its repeat
-// applies, the job is cancelled, and then the first try arrives: it must not
-// bring the accepted job back.
+// The first attempt of the transaction that accepts a job is delayed, its repeat applies, the job
+// is cancelled, and then the first attempt arrives: it must not restore the accepted job.
 func TestLateTransactionChangesNothing(t *testing.T) {
 	w := newWorld(t, 16)
 	w.awaitLeader()
@@ -529,7 +533,7 @@
 	w.submit("j-1", map[string]any{"shape": "service"})
 	w.until(8*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	w.cancel("j-1")
-	w.awaitTold(5*second, "j-1", protocol.Cancelled)
+	w.awaitStatus(5*second, "j-1", protocol.Cancelled)
 	w.run(15 * second)
 	w.crash(w.awaitLeader())
 	w.awaitLeader()
@@ -540,52 +544,53 @@
 	if !held || w.running("j-1") > 0 {
 		t.Errorf("held %v, %d replicas of a cancelled job run", held, w.running("j-1"))
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// A machine that hangs longer than its lease and comes back is not returned as
-// idle meanwhile: its replicas go back to where their images are.
+// A machine that hangs longer than its lease and comes back is not released as idle meanwhile: its
+// replicas go back to where their images are.
 func TestSilentMachineIsNotIdle(t *testing.T) {
 	w := newWorld(t, 17)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "a replica runs", func() bool { return w.running("j-1") == 1 })
 	w.run(5 * second)
-	for _, k := range w.fleet() {
-		k.Cut = true
+	for _, worker := range w.workers() {
+		worker.Cut = true
 	}
 	w.run(20 * second)
-	for _, k := range w.fleet() {
-		if k.Deleted && k.Lives > 0 {
-			t.Errorf("%s was returned while it could not be reached", k.ID)
+	for _, worker := range w.workers() {
+		if worker.Deleted && worker.Lives > 0 {
+			t.Errorf("%s was returned while it could not be reached", worker.ID)
 		}
-		k.Cut = false
+		worker.Cut = false
 	}
 	w.until(30*second, "the replica is back", func() bool { return w.running("j-1") == 1 })
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// cutZone cuts zone b, with the last controller, off from everything.
-func (w *world) cutZone() {
+// partitionZoneB cuts zone b, with the last controller, off from everything.
+func (w *world) partitionZoneB() {
 	outside := func(addr string) bool {
-		k := w.byAddr(addr)
-		return k == nil || k.Zone != "b"
+		worker := w.byAddr(addr)
+		return worker == nil || worker.Zone != "b"
 	}
 	w.script = func(node int, c Call) deliveryFault {
-		switch {
-		case c.Target == ToWorker:
+		switch c.Target {
+		case ToWorker:
 			return deliveryFault{lost: (node == 2) == outside(c.Addr)}
-		case c.Target == ToPeer:
+		case ToPeer:
 			return deliveryFault{lost: (node == 2) != (c.Addr == "10.0.0.2:1")}
+		case ToState, ToCloud: // cut off from the last controller
 		}
 		return deliveryFault{lost: node == 2}
 	}
-	w.reports = func(k *emulator.Worker, node int) deliveryFault {
-		return deliveryFault{lost: (node == 2) != (k.Zone == "b")}
+	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+		return deliveryFault{lost: (node == 2) != (worker.Zone == "b")}
 	}
 }
 
-// replicasOverZones is a world with two services that are spread over the zones, led from zone b if
-// it is to be inside.
+// replicasOverZones creates a world with two services that are spread over the zones, led from zone
+// b if inside is set.
 func replicasOverZones(t *testing.T, seed uint64, inside bool) *world {
 	t.Helper()
 	w := newWorld(t, seed)
@@ -605,40 +610,42 @@
 	return w
 }
 
-// A zone is cut off for much longer than a lease, once without and once with
-// the leader in it: its controller keeps the zone's workers, so that replicas
-// which must be spread, and have nowhere else to go, live on. A cancellation
-// meanwhile is not told before the task that nobody reaches is proved gone.
+// A zone is cut off for much longer than a lease, once without and once with the leader in it: its
+// controller keeps the zone's workers, so that replicas which must be spread, and have nowhere else
+// to go, live on. A cancellation meanwhile is not confirmed before the task that nobody reaches is
+// proved absent.
 func TestFollowerKeepsItsZone(t *testing.T) {
 	for _, inside := range []bool{false, true} {
-		w := replicasOverZones(t, 31, inside)
-		w.run(5 * second)
-		if (w.leader() == 2) != inside {
-			t.Fatalf("leader %d", w.leader())
-		}
-		w.cutZone()
-		w.run(12 * second)
-		w.cancel("j-2")
-		for range 60 {
-			w.run(second)
-			w.lateCancelled()
-			if w.lastReplies["j-2"] == protocol.Cancelled && w.running("j-2") > 0 {
-				t.Fatal("told of a cancellation with a task still there")
+		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
+			w := replicasOverZones(t, 31, inside)
+			w.run(5 * second)
+			if (w.leader() == 2) != inside {
+				t.Fatalf("leader %d", w.leader())
 			}
-			if n := w.running("j-1"); n < 3 {
-				t.Fatalf("%d replicas run in the cut", n)
+			w.partitionZoneB()
+			w.run(12 * second)
+			w.cancel("j-2")
+			for range 60 {
+				w.run(second)
+				w.checkCancelledTasksEnded()
+				if w.lastReplies["j-2"] == protocol.Cancelled && w.running("j-2") > 0 {
+					t.Fatal("a cancellation is confirmed with a task still there")
+				}
+				if n := w.running("j-1"); n < 3 {
+					t.Fatalf("%d replicas run during the partition", n)
+				}
 			}
-		}
-		w.script, w.reports = nil, nil
-		w.awaitTold(40*second, "j-2", protocol.Cancelled)
-		w.until(40*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
-		w.keptRules()
+			w.script, w.heartbeatFault = nil, nil
+			w.awaitStatus(40*second, "j-2", protocol.Cancelled)
+			w.until(40*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
+			w.requireNoViolations()
+		})
 	}
 }
 
-// The follower of a zone that is cut off ends. Nobody can know, so its tasks are
-// started elsewhere only when its leave has run out as well.
-func TestFollowerEndsInTheCut(t *testing.T) {
+// The follower of a zone that is cut off ends. Nobody can know, so its tasks are started elsewhere
+// only when its lease has expired as well.
+func TestFollowerEndsDuringPartition(t *testing.T) {
 	w := newWorld(t, 32)
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
@@ -646,29 +653,29 @@
 	if w.leader() == 2 {
 		t.Fatal("the leader is in the zone")
 	}
-	w.cutZone()
+	w.partitionZoneB()
 	w.cloud.Down = true
 	w.run(30 * second)
 	w.crash(2)
 	w.run(200 * second)
 	w.cloud.Down = false
-	w.script, w.reports = nil, nil
+	w.script, w.heartbeatFault = nil, nil
 	w.boot(2)
 	w.until(60*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// Connections between controllers are refused while all reach the state
-// service: only the leader is fit for users, and the others say so. When they
-// reach it again they are fit too.
-func TestUnfitWithoutTheLeader(t *testing.T) {
+// Connections between controllers are refused while all reach the state service: only the leader is
+// ready for users, and the others report that they are not. When they reach it again they are ready
+// too.
+func TestNotReadyWithoutTheLeader(t *testing.T) {
 	w := newWorld(t, 33)
 	lead := w.awaitLeader()
 	w.run(5 * second)
 	fit := func() (n int) {
 		for i := range 3 {
 			w.ask(i, Request{Op: OpReady}, func(r Reply) {
-				if r.Status == 200 {
+				if r.Status == http.StatusOK {
 					n++
 				}
 			})
@@ -690,22 +697,22 @@
 	}
 }
 
-// The follower of a zone that is cut off ends and is back at once: it knows
-// nothing, but goes on answering the zone's workers with the token they show.
-func TestFollowerRestartsInTheCut(t *testing.T) {
+// The follower of a zone that is cut off ends and restarts at once: it has no state, but goes on
+// answering the zone's workers with the token they present.
+func TestFollowerRestartsDuringPartition(t *testing.T) {
 	w := newWorld(t, 34)
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.run(15 * second)
-	w.cutZone()
+	w.partitionZoneB()
 	w.run(20 * second)
 	w.crash(2)
 	w.boot(2)
-	for _, k := range w.fleet() {
-		if k.Zone == "b" && k.Up {
-			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(k.Message())}, func(r Reply) {
-				if r.Status != 200 {
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" && worker.Up {
+			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(worker.Message())}, func(r Reply) {
+				if r.Status != http.StatusOK {
 					t.Errorf("a worker of the zone got %d", r.Status)
 				}
 			})
@@ -717,58 +724,60 @@
 			t.Fatalf("%d of 4 replicas run", n)
 		}
 	}
-	w.script, w.reports = nil, nil
+	w.script, w.heartbeatFault = nil, nil
 	w.run(30 * second)
 	if n := w.running("j-1"); n != 4 {
 		t.Fatalf("%d of 4 replicas run after the cut", n)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// A zone with the leader and one more controller is cut off, another leads outside, and
-// the one that led ends and is back. It leads nobody, and must not pass for the leader
-// with what the other one tells it: that one would stop renewing the zone's leases.
-func TestFormerLeaderRestartsInTheCut(t *testing.T) {
+// A zone with the leader and one more controller is cut off, another leads outside, and the former
+// leader ends and restarts. It leads nobody, and must not be taken for the leader because of what
+// the other controller tells it: that one would stop renewing the zone's leases.
+func TestFormerLeaderRestartsDuringPartition(t *testing.T) {
 	for _, back := range []time.Duration{500 * time.Millisecond, 3 * second} {
-		w := newWorld(t, 36)
-		w.crash(2)
-		lead := w.awaitLeader()
-		w.run(3 * second)
-		w.boot(2)
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "yard": "a"})
-		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 6 })
-		w.run(15 * second)
-		w.cutZone()
-		cut := w.script
-		w.script = func(node int, c Call) deliveryFault { // from the rest, as it is the other zone's turn
-			if c.Target == ToState || c.Target == ToCloud {
-				return deliveryFault{lost: node != 2}
-			}
-			return cut(node, c)
-		}
-		w.until(10*second, "another leads outside", func() bool { return w.nodes[2].controller.leadership != nil })
-		w.run(15 * second)
-		w.crash(lead)
-		w.at(back, func() { w.boot(lead) })
-		ask := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
-		for range 400 {
-			w.run(tick)
-			if n := w.running("j-1"); n != 6 {
-				t.Fatalf("back after %v: %d of 6 replicas run", back, n)
+		t.Run(fmt.Sprintf("restarts after %v", back), func(t *testing.T) {
+			w := newWorld(t, 36)
+			w.crash(2)
+			lead := w.awaitLeader()
+			w.run(3 * second)
+			w.boot(2)
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "yard": "a"})
+			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 6 })
+			w.run(15 * second)
+			w.partitionZoneB()
+			cut := w.script
+			w.script = func(node int, c Call) deliveryFault { // from the rest, as it is the other zone's turn
+				if c.Target == ToState || c.Target == ToCloud {
+					return deliveryFault{lost: node != 2}
+				}
+				return cut(node, c)
 			}
-			w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
-				var answer protocol.PeerHeartbeatReply
-				if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
-					w.breaks("a follower calls itself the leader")
+			w.until(10*second, "another leads outside", func() bool { return w.nodes[2].controller.leadership != nil })
+			w.run(15 * second)
+			w.crash(lead)
+			w.at(back, func() { w.boot(lead) })
+			ask := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
+			for range 400 {
+				w.run(tick)
+				if n := w.running("j-1"); n != 6 {
+					t.Fatalf("back after %v: %d of 6 replicas run", back, n)
 				}
-			})
-		}
-		w.settle()
+				w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
+					var answer protocol.PeerHeartbeatReply
+					if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
+						w.violated("a follower calls itself the leader")
+					}
+				})
+			}
+			w.settle()
+		})
 	}
 }
 
-// A process that ends forgets whom it served: to the leader a new incarnation
-// has served until it was heard.
+// A process that ends forgets whom it served: the leader has to assume that a new incarnation has
+// served until it was heard.
 func TestNewIncarnationMayHaveServed(t *testing.T) {
 	w := newWorld(t, 35)
 	lead := w.awaitLeader()
@@ -780,13 +789,13 @@
 	if lead == 2 {
 		t.Fatal("the leader is the peer")
 	}
-	w.crash(2) // the script speaks for it
+	w.crash(2) // the script answers in its place
 	touch("one", -1)
 	first := l.peers["n2"].lastServed
 	w.run(30 * second)
 	touch("one", 12_000)
 	if got := l.peers["n2"].lastServed; got != w.Now()-12*second || got <= first {
-		t.Fatalf("served at %v, told 12 s ago at %v", got, w.Now())
+		t.Fatalf("served at %v, 12 s ago was reported at %v", got, w.Now())
 	}
 	w.run(5 * second)
 	touch("two", -1)
@@ -795,32 +804,34 @@
 	}
 }
 
-// A worker that comes back from its zone's controller can't reach it and reports
-// to the leader for a while; but not if that controller has only ended.
+// A worker that comes back because it can't reach its zone's controller sends its heartbeats to the
+// leader for a while; but not if that controller has only ended.
 func TestWorkerComesBack(t *testing.T) {
 	w := newWorld(t, 36)
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	var far *emulator.Worker
-	for _, k := range w.fleet() {
-		if k.Zone == "b" {
-			far = k
+	for _, worker := range w.workers() {
+		if worker.Zone == "b" {
+			far = worker
 		}
 	}
 	if far == nil || lead == 2 {
 		t.Fatal("no worker of the other zone, or the leader is there")
 	}
-	w.until(20*second, "it reports to its zone's controller", func() bool { return far.Controller == 2 })
+	w.until(20*second, "its heartbeats go to its zone's controller", func() bool { return far.Controller == 2 })
 	l := w.nodes[lead].controller.leadership
 	w.crash(2)
 	w.run(4 * second)
 	w.boot(2)
-	w.until(30*second, "it reports there again", func() bool { return far.Controller == 2 })
+	w.until(30*second, "its heartbeats go there again", func() bool { return far.Controller == 2 })
 	if n := l.state.Machines[far.ID].FailedRedirects; n > 1 {
 		t.Errorf("the end of a controller was taken for one that can't be reached %d times", n)
 	}
-	w.reports = func(k *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: k == far && node == 2} }
+	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
+		return deliveryFault{lost: worker == far && node == 2}
+	}
 	w.run(90 * second)
 	away := 0
 	for range 40 {
@@ -832,51 +843,53 @@
 	if n := l.state.Machines[far.ID].FailedRedirects; n < 3 || away > 6 {
 		t.Errorf("it came back %d times and still spends %d of 40 s at a controller that it can't reach", n, away)
 	}
-	w.keptRules()
+	w.requireNoViolations()
 }
 
-// All controllers end in a cut, and the zone's only one with them: its workers
-// look for longer than a lease, so their tasks go on elsewhere without waiting for
-// the cut to end. The end of a leader alone is no such sign.
-func TestZoneIsGivenUp(t *testing.T) {
+// All controllers end during a partition, and the zone's only one with them: its workers search for
+// longer than a lease, so their tasks go on elsewhere without waiting for the partition to end. The
+// end of a leader alone is no such sign.
+func TestZoneIsDeclaredLost(t *testing.T) {
 	for _, all := range []bool{true, false} {
-		w := newWorld(t, 37)
-		lead := w.awaitLeader()
-		w.submit("j-1", map[string]any{"shape": "service", "shards": 4})
-		w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-		w.run(15 * second)
-		if lead == 2 {
-			t.Fatal("the leader is in the zone")
-		}
-		w.cutZone()
-		w.run(8 * second)
-		ends := []int{lead}
-		if all {
-			ends = []int{0, 1, 2}
-		}
-		for _, i := range ends {
-			w.crash(i)
-		}
-		w.run(6 * second)
-		for _, i := range ends {
-			w.boot(i)
-		}
-		w.run(25 * second)
-		returned := 0
-		for _, id := range w.cloud.Deleted {
-			if w.machines.Workers[id].Zone == "b" {
-				returned++
+		t.Run(fmt.Sprintf("all controllers end %v", all), func(t *testing.T) {
+			w := newWorld(t, 37)
+			lead := w.awaitLeader()
+			w.submit("j-1", map[string]any{"shape": "service", "shards": 4})
+			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
+			w.run(15 * second)
+			if lead == 2 {
+				t.Fatal("the leader is in the zone")
 			}
-		}
-		if all != (returned > 0) {
-			t.Errorf("all ended %v, but %d machines of the zone were returned", all, returned)
-		}
-		w.run(20 * second)
-		if w.running("j-1") != 4 {
-			t.Errorf("all ended %v: %d of 4 replicas run 45 s later", all, w.running("j-1"))
-		}
-		w.script, w.reports = nil, nil
-		w.run(30 * second)
-		w.keptRules()
+			w.partitionZoneB()
+			w.run(8 * second)
+			ends := []int{lead}
+			if all {
+				ends = []int{0, 1, 2}
+			}
+			for _, i := range ends {
+				w.crash(i)
+			}
+			w.run(6 * second)
+			for _, i := range ends {
+				w.boot(i)
+			}
+			w.run(25 * second)
+			returned := 0
+			for _, id := range w.cloud.Deleted {
+				if w.machines.Workers[id].Zone == "b" {
+					returned++
+				}
+			}
+			if all != (returned > 0) {
+				t.Errorf("all ended %v, but %d machines of the zone were returned", all, returned)
+			}
+			w.run(20 * second)
+			if w.running("j-1") != 4 {
+				t.Errorf("all ended %v: %d of 4 replicas run 45 s later", all, w.running("j-1"))
+			}
+			w.script, w.heartbeatFault = nil, nil
+			w.run(30 * second)
+			w.requireNoViolations()
+		})
 	}
 }
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -16,40 +16,40 @@
 	"claybarrow/internal/scheduler"
 )
 
-// compareEvery is how many events pass between two comparisons of whole snapshots: an odd
-// number, so that they fall on all kinds of events.
+// compareEvery is the number of events between two comparisons of whole snapshots: an odd number,
+// so that they coincide with all kinds of events.
 const compareEvery = 499
 
-// checkSchedulerCache compares a leader's standing view with the ledger: what nothing seems to have
-// changed after each event, and now and then a whole snapshot with one drawn anew. All worlds
-// are checked so.
+// checkSchedulerCache compares a leader's scheduler cache with the cluster state: after each event
+// the entries that nothing seems to have changed, and now and then a whole snapshot with one built
+// anew. All worlds are checked so.
 func (w *world) checkSchedulerCache(l *leadership) {
 	for _, e := range l.cache.cachedMachines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
-			w.breaks("the standing view of %s differs from the ledger", e.machine.ID)
+			w.violated("the scheduler cache of %s differs from the cluster state", e.machine.ID)
 		}
 	}
 	for _, j := range l.state.Jobs {
 		kept := l.cache.cachedJobs[j]
 		if kept == nil {
 			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.OpenedJobs(), j) {
-				w.breaks("%s waits and is not in the standing view", j.Spec.UID)
+				w.violated("%s waits and is not in the scheduler cache", j.Spec.UID)
 			}
 			continue
 		}
 		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.filled && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finishing && !slices.Equal(fresh, kept.waiting) {
-			w.breaks("%s: waiting tasks %v, the standing view has %v", j.Spec.UID, fresh, kept.waiting)
+			w.violated("%s: waiting tasks %v, the scheduler cache has %v", j.Spec.UID, fresh, kept.waiting)
 		}
 	}
 	if w.leaderEvents++; w.leaderEvents%compareEvery == 0 {
 		if d := differenceOfSnapshots(l); d != "" {
-			w.breaks("the standing snapshot differs from one drawn anew: %s", d)
+			w.violated("the cached snapshot differs from one built anew: %s", d)
 		}
 	}
 }
 
-// differenceOfSnapshots compares what fills, plans and rounds would decide from with snapshots
-// drawn anew.
+// differenceOfSnapshots compares the snapshots from which fills, plans and rounds would decide with
+// snapshots built anew.
 func differenceOfSnapshots(l *leadership) string {
 	since := map[*clusterstate.Job]time.Duration{}
 	for _, j := range l.state.Jobs {
@@ -67,20 +67,20 @@
 		}
 	} else if got == nil {
 		return "there is something to decide"
-	} else if d := differ(want, got); d != "" {
+	} else if d := firstDifference(want, got); d != "" {
 		return "fill: " + d
 	}
-	if d := differ(want, l.cache.fullSnapshot()); d != "" {
+	if d := firstDifference(want, l.cache.fullSnapshot()); d != "" {
 		return "whole: " + d
 	}
 	got = l.cache.snapshotForPlan()
-	d := differ(l.snapshot(false, true), got)
+	d := firstDifference(l.snapshot(false, true), got)
 	l.cache.endPlan(got)
 	if d != "" {
 		return "plan: " + d
 	}
 	got = l.cache.snapshotForRound()
-	d = differ(l.snapshot(true, false), got)
+	d = firstDifference(l.snapshot(true, false), got)
 	l.cache.endRound()
 	if d != "" {
 		return "round: " + d
@@ -88,7 +88,7 @@
 	return ""
 }
 
-func differ(want, got *scheduler.Snapshot) string {
+func firstDifference(want, got *scheduler.Snapshot) string {
 	sorted := func(s scheduler.Snapshot) *scheduler.Snapshot {
 		s.Jobs, s.Machines = slices.Clone(s.Jobs), slices.Clone(s.Machines)
 		slices.SortFunc(s.Jobs, func(a, b *scheduler.Job) int { return strings.Compare(a.ID, b.ID) })
@@ -99,8 +99,8 @@
 		cmpopts.IgnoreFields(scheduler.Snapshot{}, "Fleet"), cmpopts.IgnoreFields(scheduler.Machine{}, "Changed"), cmpopts.EquateEmpty())
 }
 
-// snapshot draws all machines and jobs anew, as each pass did before there was a standing view.
-// It is the oracle of that view.
+// snapshot builds a snapshot of all machines and jobs anew, as each pass did before there was a
+// scheduler cache. It is the oracle of that cache.
 func (l *leadership) snapshot(running, booting bool) *scheduler.Snapshot {
 	c := l.controller
 	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.views.readyCapacity()}
@@ -154,9 +154,9 @@
 	return s
 }
 
-// A change of the ledger that nobody told of is found by the check, logged once, and the next
-// fill decides by the ledger.
-func TestDriftIsFoundAndMended(t *testing.T) {
+// A change of the cluster state of which the cache was not notified is found by the check, logged
+// once, and the next fill decides by the cluster state.
+func TestCacheDriftIsDetectedAndRepaired(t *testing.T) {
 	w := newWorld(t, 91)
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "apart": true})
@@ -166,12 +166,12 @@
 	c.env.log = slog.New(slog.NewTextHandler(&logged, nil))
 	l := c.leadership
 	j := l.state.AddJob(&protocol.Spec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
-	j.Stored = true // it waits for ever, so that fills have something to look at
+	j.Stored = true // it waits for ever, so that fills have a job to consider
 	l.placement.runFill()
 	if d := differenceOfSnapshots(l); d != "" {
 		t.Fatal(d)
 	}
-	m := w.term().machines.sortedMachines()[0]
+	m := w.leadership().machines.sortedMachines()[0]
 	m.Used = m.Used.Plus(scheduler.Need{Cores: 1})
 	for range 3 {
 		l.cache.verify()
@@ -184,13 +184,13 @@
 	}
 }
 
-// A fill that nothing can be placed by leaves the standing view as it was: room that is kept for
-// what is expected, or held back for a gang, is nothing that outlives the fill.
-func TestWhatAFillKeepsBackDoesNotOutliveIt(t *testing.T) {
+// A fill that can't place anything leaves the scheduler cache as it was: room that is kept for what
+// is expected, or held back for a gang, does not outlive the fill.
+func TestFillReservationsDoNotOutliveTheFill(t *testing.T) {
 	w := newWorld(t, 92)
 	w.awaitLeader()
 	w.run(20 * second)
-	l := w.term()
+	l := w.leadership()
 	c := l.controller
 	for i := range 4 {
 		m := l.state.AddMachine("i-90000" + string(rune('0'+i)))
