--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"testing"
@@ -12,19 +13,19 @@
 	"claybarrow/internal/protocol"
 )
 
-// gangless plays a leader of the version that knows no gangs (4297efa), by script: it
-// holds the leader key as that version writes it, answers the workers with its token,
-// and does to records and tasks what that version would, which takes a gang for an array.
-type gangless struct {
+// ganglessLeader simulates, by script, a leader of the version that knows no gangs (4297efa): it
+// holds the leader key as that version writes it, answers the workers with its token, and does to
+// records and tasks what that version would, which takes a gang for an array.
+type ganglessLeader struct {
 	w     *world
 	node  int
 	token uint64
 	tries uint64
 }
 
-// olderLeads ends all controllers and has the older version lead from one of them; the
-// others are back as they are now.
-func (w *world) olderLeads() *gangless {
+// startOlderLeader ends all controllers and makes the older version lead from one of them; the others
+// restart as they are now.
+func (w *world) startOlderLeader() *ganglessLeader {
 	w.t.Helper()
 	for i := range w.nodes {
 		w.crash(i)
@@ -34,7 +35,7 @@
 	if err := protocol.Decode(w.state.Item(keyCounter).Value, &counter); err != nil {
 		w.t.Fatal(err)
 	}
-	o := &gangless{w: w, node: 2, token: counter.Token + 1}
+	o := &ganglessLeader{w: w, node: 2, token: counter.Token + 1}
 	w.state.Change(keyCounter, &emulator.Item{Value: protocol.Encode(counterRecord{Token: o.token})})
 	w.state.Change(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: o.token, LeaseID: 1 << 30})})
 	w.nodes[o.node].scripted = func(req Request) Reply {
@@ -49,56 +50,57 @@
 	return o
 }
 
-// ends gives the lead up, and its process comes back as the newer version.
-func (o *gangless) ends() {
-	o.w.t.Helper()
-	o.w.state.Change(keyLeader, nil)
-	o.w.boot(o.node)
-	o.w.awaitLeader()
+// resign resigns the leadership, and its process restarts as the newer version.
+func (l *ganglessLeader) resign() {
+	l.w.t.Helper()
+	l.w.state.Change(keyLeader, nil)
+	l.w.boot(l.node)
+	l.w.awaitLeader()
 }
 
-// command sends orders to a machine; false: they were refused.
-func (o *gangless) command(k *emulator.Worker, orders ...protocol.Command) bool {
-	body := protocol.Commands{Token: o.token, Epoch: k.Session, Commands: orders}
+// command sends commands to a machine; it returns false if they were refused.
+func (l *ganglessLeader) command(worker *emulator.Worker, orders ...protocol.Command) bool {
+	body := protocol.Commands{Token: l.token, Epoch: worker.Session, Commands: orders}
 	taken := false
-	k.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == 200 })
+	worker.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == http.StatusOK })
 	return taken
 }
 
-// starts has a single task run, under a number of its own: durable first, as ever.
-func (o *gangless) starts(k *emulator.Worker, uid string, index int) {
-	o.w.t.Helper()
-	o.tries++
-	try := o.token<<24 | o.tries
-	o.amend(k, func(rec *clusterstate.MachineRecord) {
+// startTask starts a single task, under an attempt number of its own, which is made durable first, as
+// always.
+func (l *ganglessLeader) startTask(worker *emulator.Worker, uid string, index int) {
+	l.w.t.Helper()
+	l.tries++
+	try := l.token<<24 | l.tries
+	l.updateMachineRecord(worker, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Try: try})
 	})
-	if !o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
-		o.w.t.Fatal("a run was refused")
+	if !l.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
+		l.w.t.Fatal("a run was refused")
 	}
 }
 
-// forgets takes all attempts of a job out of a machine's record.
-func (o *gangless) forgets(k *emulator.Worker, uid string) {
-	o.amend(k, func(rec *clusterstate.MachineRecord) {
+// removeAttempts removes all attempts of a job from a machine's record.
+func (l *ganglessLeader) removeAttempts(worker *emulator.Worker, uid string) {
+	l.updateMachineRecord(worker, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = slices.DeleteFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == uid })
 	})
 }
 
-func (o *gangless) amend(k *emulator.Worker, change func(*clusterstate.MachineRecord)) {
-	o.w.t.Helper()
-	key := clusterstate.MachinePrefix + k.ID
+func (l *ganglessLeader) updateMachineRecord(worker *emulator.Worker, change func(*clusterstate.MachineRecord)) {
+	l.w.t.Helper()
+	key := clusterstate.MachinePrefix + worker.ID
 	var rec clusterstate.MachineRecord
-	if it := o.w.state.Item(key); it == nil || protocol.Decode(it.Value, &rec) != nil {
-		o.w.t.Fatalf("no record of %s", k.ID)
+	if it := l.w.state.Item(key); it == nil || protocol.Decode(it.Value, &rec) != nil {
+		l.w.t.Fatalf("no record of %s", worker.ID)
 	}
 	change(&rec)
-	o.w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
+	l.w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
 }
 
-// tasksOf lists the tasks of a job on a machine, by name and number.
-func tasksOf(k *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
-	for name, t := range k.Tasks {
+// tasksOf returns the tasks of a job on a machine, by name and attempt number.
+func tasksOf(worker *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
+	for name, t := range worker.Tasks {
 		if task, _, _ := strings.Cut(name, "@"); t.UID == uid {
 			out = append(out, clusterstate.AttemptKey{Task: task, Attempt: t.Try})
 		}
@@ -107,115 +109,114 @@
 	return out
 }
 
-// gangOverTwo starts a gang of four on two machines beside replicas.
-func (w *world) gangOverTwo() {
+// startGangOnTwoMachines starts a gang of four on two machines beside replicas.
+func (w *world) startGangOnTwoMachines() {
 	w.t.Helper()
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 	w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
 	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
 }
 
-// A gang that the newer version accepted and started runs on under an older leader, and
-// under the next one, to its only end.
+// A gang that the newer version accepted and started runs on under an older leader, and under the
+// next one, until its only end.
 func TestRunningGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 121)
-	w.gangOverTwo()
+	w := newGateClosedWorld(t, 121)
+	w.startGangOnTwoMachines()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	o := w.olderLeads()
+	o := w.startOlderLeader()
 	w.run(8 * second)
-	o.ends()
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	o.resign()
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	if w.machines.Wholes["j-1"] != 1 {
 		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
 	}
 	w.settle()
 }
 
-// A gang that gathers loses a task; an older leader replaces it alone, under another
-// number. The next leader clears all of it and starts it whole.
+// A gang that is gathering loses a task; an older leader replaces it alone, under another attempt
+// number. The next leader clears all of the gang and starts it whole.
 func TestHalfGatheredGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 122)
+	w := newGateClosedWorld(t, 122)
 	w.pulls = func(string) time.Duration { return 15 * second }
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 	w.until(120*second, "machines are up", func() bool { return w.running("j-9") == 3 })
 	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
-	w.until(10*second, "it is pulling", func() bool { return len(w.holding("j-1")) > 1 })
-	lost := w.holding("j-1")[0]
+	w.until(10*second, "it is pulling", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
+	lost := w.machinesWithTasksOf("j-1")[0]
 	tasks := tasksOf(lost, "j-1")
 	lost.Die()
-	o := w.olderLeads()
+	o := w.startOlderLeader()
 	w.pulls = nil
-	other := w.holding("j-1")[0]
+	other := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasks {
 		_, index, _ := clusterstate.ParseTask(key.Task)
-		o.starts(other, "j-1", index)
+		o.startTask(other, "j-1", index)
 	}
 	w.run(5 * second)
 	if w.machines.Wholes["j-1"] != 0 {
 		t.Fatal("two numbers make a whole")
 	}
-	o.ends()
+	o.resign()
 	w.until(40*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitTold(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// An older leader stops a part of a running gang, as it would stop an array's tasks. The
-// gang falls back and begins again, whole, when the version of the leader changes.
+// An older leader stops a part of a running gang, as it would stop an array's tasks. The gang falls
+// back and starts again, whole, when the version of the leader changes.
 func TestHalfStoppedGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 123)
+	w := newGateClosedWorld(t, 123)
 	w.runs = func(string) time.Duration { return 40 * second }
-	w.gangOverTwo()
+	w.startGangOnTwoMachines()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	o := w.olderLeads()
-	k := w.holding("j-1")[0]
-	for _, key := range tasksOf(k, "j-1") {
-		o.command(k, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
+	o := w.startOlderLeader()
+	worker := w.machinesWithTasksOf("j-1")[0]
+	for _, key := range tasksOf(worker, "j-1") {
+		o.command(worker, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
 	}
 	w.run(time.Second)
-	o.ends()
+	o.resign()
 	w.until(40*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitTold(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.Done)
 	w.settle()
 }
 
-// All tasks of a gang are done; an older leader has stored and cleared but some of them
-// when it ends, and the machine with the others dies. One is done, so all are: nothing
-// is started again.
+// All tasks of a gang are done; an older leader has stored and cleared only some of them when it
+// ends, and the machine with the others dies. One is done, so all are: nothing is started again.
 func TestHalfDoneGangUnderAnOlderLeader(t *testing.T) {
-	w := newHeldWorld(t, 124)
+	w := newGateClosedWorld(t, 124)
 	w.runs = func(string) time.Duration { return 12 * second }
-	w.gangOverTwo()
+	w.startGangOnTwoMachines()
 	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
 	w.run(8 * second)
-	o := w.olderLeads()
+	o := w.startOlderLeader()
 	w.until(10*second, "it is done", func() bool { return w.finished["j-1/0"] })
-	books := clusterstate.New(16<<10, 16<<10)
-	j := books.AddJob(&protocol.Spec{UID: "j-1", Tasks: 4}, 1)
+	state := clusterstate.New(16<<10, 16<<10)
+	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 4}, 1)
 	stored := 0
-	for _, k := range w.fleet() {
-		keys := tasksOf(k, "j-1")
-		if len(keys) == 0 || k.Deleted {
+	for _, worker := range w.workers() {
+		keys := tasksOf(worker, "j-1")
+		if len(keys) == 0 || worker.Deleted {
 			continue
 		}
 		if stored > 0 {
-			k.Die()
+			worker.Die()
 			continue
 		}
 		for _, key := range keys {
 			_, index, _ := clusterstate.ParseTask(key.Task)
 			j.MarkDone(index)
 			stored++
-			o.command(k, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
+			o.command(worker, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
-		w.state.Change(books.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(books.CompletionRecord(j, 0))})
-		o.forgets(k, "j-1")
+		w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
+		o.removeAttempts(worker, "j-1")
 	}
 	if stored == 0 || stored == 4 {
 		t.Fatalf("%d of 4 completions are stored", stored)
 	}
-	o.ends()
-	w.awaitTold(5*second, "j-1", protocol.Done)
+	o.resign()
+	w.awaitStatus(5*second, "j-1", protocol.Done)
 	w.run(40 * second)
 	if w.machines.Wholes["j-1"] != 1 {
 		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
@@ -223,93 +224,99 @@
 	w.settle()
 }
 
-// An older leader stores the request to cancel a gang, in a record that no longer says
-// what it is, and ends. The next leader stops all of it, and its user is told.
+// An older leader stores the request to cancel a gang, in a record that no longer states that it is
+// a gang, and ends. The next leader stops all of it, and its user gets the confirmation.
 func TestCancelledGangUnderAnOlderLeader(t *testing.T) {
 	for _, state := range []string{"gathering", "running"} {
-		w := newHeldWorld(t, 125)
-		if state == "gathering" {
-			w.pulls = func(task string) time.Duration {
-				if strings.HasPrefix(task, "j-1/") {
-					return 20 * second
+		t.Run(state, func(t *testing.T) {
+			w := newGateClosedWorld(t, 125)
+			if state == "gathering" {
+				w.pulls = func(task string) time.Duration {
+					if strings.HasPrefix(task, "j-1/") {
+						return 20 * second
+					}
+					return second
 				}
-				return second
 			}
-		}
-		w.gangOverTwo()
-		w.until(30*second, "it is on machines", func() bool { return len(w.holding("j-1")) > 1 })
-		w.run(3 * second)
-		o := w.olderLeads()
-		key := clusterstate.JobPrefix + "j-1"
-		var rec clusterstate.JobRecord
-		if err := protocol.Decode(w.state.Item(key).Value, &rec); err != nil {
-			t.Fatal(err)
-		}
-		rec.State, rec.Spec.Gang = clusterstate.Cancelling, false
-		w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
-		w.cancelRequested["j-1"] = true
-		o.ends()
-		w.cancel("j-1")
-		w.awaitTold(20*second, "j-1", protocol.Cancelled)
-		w.settle()
+			w.startGangOnTwoMachines()
+			w.until(30*second, "it is on machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
+			w.run(3 * second)
+			o := w.startOlderLeader()
+			key := clusterstate.JobPrefix + "j-1"
+			var rec clusterstate.JobRecord
+			if err := protocol.Decode(w.state.Item(key).Value, &rec); err != nil {
+				t.Fatal(err)
+			}
+			rec.State, rec.Spec.Gang = clusterstate.Cancelling, false
+			w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
+			w.cancelRequested["j-1"] = true
+			o.resign()
+			w.cancel("j-1")
+			w.awaitStatus(20*second, "j-1", protocol.Cancelled)
+			w.settle()
+		})
 	}
 }
 
-// An old process comes back after all were new, leads for longer than a gang waits, and
-// starts the tasks of a waiting gang one by one. What it still sends after its end is
-// refused, and the gang runs whole.
+// An older process comes back after all were upgraded, leads for longer than a gang waits, and
+// starts the tasks of a waiting gang one by one. What it still sends after its end is refused, and
+// the gang runs whole.
 func TestOldProcessComesBackAfterTheUpgrade(t *testing.T) {
 	for _, leads := range []time.Duration{2 * second, 33 * second} {
-		w := newHeldWorld(t, 126)
-		w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
-		w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
-		w.cloud.Down = true
-		w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // room for three
-		w.run(3 * second)
-		o := w.olderLeads()
-		for i, k := range w.holding("j-9") {
-			o.starts(k, "j-1", i)
-		}
-		w.run(leads)
-		o.ends()
-		w.run(5 * second)
-		k := w.holding("j-9")[0]
-		if o.command(k, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
-			t.Error("a command of the old process was taken")
-		}
-		w.cloud.Down = false
-		w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-		w.awaitTold(60*second, "j-1", protocol.Done)
-		w.settle()
+		t.Run(fmt.Sprintf("leads for %v", leads), func(t *testing.T) {
+			w := newGateClosedWorld(t, 126)
+			w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
+			w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
+			w.cloud.Down = true
+			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // room for three
+			w.run(3 * second)
+			o := w.startOlderLeader()
+			for i, worker := range w.machinesWithTasksOf("j-9") {
+				o.startTask(worker, "j-1", i)
+			}
+			w.run(leads)
+			o.resign()
+			w.run(5 * second)
+			worker := w.machinesWithTasksOf("j-9")[0]
+			if o.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
+				t.Error("a command of the old process was taken")
+			}
+			w.cloud.Down = false
+			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.awaitStatus(60*second, "j-1", protocol.Done)
+			w.settle()
+		})
 	}
 }
 
-// Older and newer leaders take turns while gangs and arrays come and go, with machines
-// that die in between: at the end everything is done, and no rule was broken.
+// Older and newer leaders alternate while gangs and arrays come and go, with machines that die in
+// between: at the end everything is done, and no rule was violated.
 func TestLeadersOfBothVersionsTakeTurns(t *testing.T) {
-	w := newHeldWorld(t, 127)
+	w := newGateClosedWorld(t, 127)
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 4.0, "apart": true})
 	w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
 	for turn := range 5 {
 		w.submit(fmt.Sprintf("j-%d0", turn), group(3, 1, map[string]any{"owner": "blue"}))
 		w.submit(fmt.Sprintf("j-%d1", turn), map[string]any{"shards": 3, "cores": 1.0})
 		w.run(time.Duration(turn) * 1300 * time.Millisecond)
-		o := w.olderLeads()
-		if held := w.holding(fmt.Sprintf("j-%d0", turn)); len(held) > 0 && turn%2 == 1 {
+		o := w.startOlderLeader()
+		if held := w.machinesWithTasksOf(fmt.Sprintf("j-%d0", turn)); len(held) > 0 && turn%2 == 1 {
 			held[0].Die()
 		}
 		w.run(time.Duration(turn*2) * second)
-		o.ends()
+		o.resign()
 		w.run(3 * second)
 	}
 	for turn := range 5 {
-		w.awaitTold(120*second, fmt.Sprintf("j-%d0", turn), protocol.Done)
-		w.awaitTold(120*second, fmt.Sprintf("j-%d1", turn), protocol.Done)
+		w.awaitStatus(120*second, fmt.Sprintf("j-%d0", turn), protocol.Done)
+		w.awaitStatus(120*second, fmt.Sprintf("j-%d1", turn), protocol.Done)
 	}
 	w.settle()
 }
 
-// newHeldWorld is a world whose operators hold the feature gate closed, as older versions are to lead.
-func newHeldWorld(t *testing.T, seed uint64) *world {
+// newGateClosedWorld creates a world whose operators hold the feature gate closed, as older
+// versions are to lead.
+func newGateClosedWorld(t *testing.T, seed uint64) *world {
+	t.Helper()
 	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdOn)))
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -6,6 +6,7 @@
 	"log/slog"
 	"maps"
 	"math/rand/v2"
+	"net/http"
 	"os"
 	"strconv"
 	"testing"
@@ -16,20 +17,20 @@
 	"claybarrow/internal/protocol"
 )
 
-// A world is controllers with the emulator's state service, cloud and workers, and a network
-// between them, on a fake clock. A script breaks what it likes; the world checks the rules as
-// it goes.
+// A world consists of controllers with the emulator's state service, cloud and workers, and a
+// network between them, on a simulated clock. A script injects faults; the world checks the rules
+// all the time.
 
 const (
 	tick    = 100 * time.Millisecond
 	latency = 2 * time.Millisecond
 )
 
-// deliveryFault is what the script lets happen to one call: the request is held back
-// for a while or lost, and so is the response.
+// deliveryFault is the fault that the script injects into one call: the request is delayed or lost,
+// or its response is lost.
 type deliveryFault struct {
 	lost, answerLost bool
-	refused          bool // the connection, at once
+	refused          bool // the connection is refused at once
 	hold             time.Duration
 }
 
@@ -43,57 +44,62 @@
 	state        *emulator.StateService
 	cloud        *emulator.Cloud
 	machines     *emulator.Fleet
-	copies       map[string][][]byte // reports by machine, for late copies of them
+	copies       map[string][][]byte // heartbeats by machine, for late copies of them
 	finished     map[string]bool     // tasks that have completed
 	specs        map[string]map[string]any
-	lastReplies  map[string]protocol.JobState // what users were told last
+	lastReplies  map[string]protocol.JobState // the last state that users were told
 	lastReplyAt  map[string]time.Duration     // since when
-	stopped      map[string]time.Duration     // when users were told of a cancellation
-	broken       []string
-	leaderEvents int // that leaders have handled
+	cancelledAt  map[string]time.Duration     // when a cancellation was confirmed to users
+	violations   []string
+	leaderEvents int // events that leaders have handled
 	effects      *effectRecorder
 	checker
-	// script decides the fate of a call from a node; nil: all goes well.
+	// script returns the fault of a call from a node; nil: there are no faults.
 	script func(node int, c Call) deliveryFault
-	// reports decides whether a worker's report and its answer get through.
-	reports func(w *emulator.Worker, node int) deliveryFault
-	runs    func(task string) time.Duration
-	// pulls is how long a task waits for its image; nil: a moment.
+	// heartbeatFault returns the fault of a worker's heartbeat to a node; nil: there are no faults.
+	heartbeatFault func(w *emulator.Worker, node int) deliveryFault
+	runs           func(task string) time.Duration
+	// pulls returns how long a task waits for its image; nil: a moment.
 	pulls func(task string) time.Duration
-	// fails says whether a task fails as soon as it begins; failures counts those that did.
-	fails    func(k *emulator.Worker, uid string) bool
+	// fails reports whether a task fails as soon as it begins; failures counts those that did.
+	fails    func(worker *emulator.Worker, uid string) bool
 	failures int
-	// heartbeatTimeout is how long a worker waits for the answer to a report.
-	reportWait time.Duration
-	// off are the addresses that take no connections.
-	off map[string]bool
-	// logged is told of each line that a controller logs; nil: nobody is.
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout time.Duration
+	// unreachable are the addresses that accept no connections.
+	unreachable map[string]bool
+	// logged is called with each line that a controller logs; nil: it is dropped.
 	logged func(node int, line []byte)
 }
 
 type simNode struct {
-	controller *Controller
-	alive      bool
-	life       int
-	born       time.Duration // the steady clock of a process starts with it
-	last       uint64
-	waiters    map[uint64]func(Reply)
-	// older: its version knows no probes, and withoutGate no feature gate either, see olderCall.
+	controller  *Controller
+	alive       bool
+	incarnation int
+	startedAt   time.Duration // the monotonic clock of a process starts with it
+	last        uint64
+	waiters     map[uint64]func(Reply)
+	// older: its version knows no probes; withoutGate: it knows no feature gate either, see
+	// olderCall.
 	older, withoutGate bool
-	// still: the process handles nothing; held is what waits for it.
-	still bool
-	held  []func()
-	// drift is how much faster its steady clock runs.
+	// paused: the process handles nothing; held are the events that wait for it.
+	paused bool
+	held   []func()
+	// drift is how much faster its monotonic clock runs.
 	drift    float64
 	observer *worldObserver
-	// scripted answers in the place of a process that is not alive; nil: nobody does.
+	// scripted answers in place of a process that is not alive; nil: there is no answer.
 	scripted func(Request) Reply
 }
 
-func newWorld(t testing.TB, seed uint64) *world { return newWorldWith(t, seed, testOperator) }
+func newWorld(t testing.TB, seed uint64) *world {
+	t.Helper()
+	return newWorldWith(t, seed, testOperator)
+}
 
-// newWorldWith is a world whose controllers have these operators' settings.
+// newWorldWith creates a world whose controllers have these operators' settings.
 func newWorldWith(t testing.TB, seed uint64, operator []byte) *world {
+	t.Helper()
 	return newWorldWithTopology(t, seed, operator, defaultTopology)
 }
 
@@ -107,15 +113,16 @@
 var defaultTopology = topology{controllers: []string{"a", "a", "b"}, zones: []string{"a", "b"},
 	teams: `{"name":"red","cpus":16,"cpus_max":32},{"name":"blue","cpus":8,"cpus_max":16}`}
 
-// newWorldWithTopology is a world of another shape than usual.
+// newWorldWithTopology creates a world of another topology than the default one.
 func newWorldWithTopology(t testing.TB, seed uint64, operator []byte, shape topology) *world {
+	t.Helper()
 	w := &world{topology: shape, t: t, effects: newEffectRecorder(t), queue: &emulator.EventQueue{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
 		copies: map[string][][]byte{}, finished: map[string]bool{},
-		lastReplies: map[string]protocol.JobState{}, lastReplyAt: map[string]time.Duration{}, stopped: map[string]time.Duration{}, checker: newChecker(), reportWait: 4 * time.Second,
+		lastReplies: map[string]protocol.JobState{}, lastReplyAt: map[string]time.Duration{}, cancelledAt: map[string]time.Duration{}, checker: newChecker(), heartbeatTimeout: 4 * time.Second,
 		runs: func(string) time.Duration { return 30 * time.Second }}
 	limits := testSite.state
 	w.state = emulator.NewStateService(w.queue, emulator.StateLimits{ValueBytes: limits.valueKB << 10, Changes: limits.changes})
-	w.state.MostChanges, w.state.Wrong = limits.changes, func(what string) { w.breaks("%s", what) }
+	w.state.MostChanges, w.state.Wrong = limits.changes, func(what string) { w.violated("%s", what) }
 	w.newCloud()
 	w.newMachines()
 	for i := range shape.controllers {
@@ -127,14 +134,14 @@
 	return w
 }
 
-// Now is the world's time.
+// Now returns the world's time.
 func (w *world) Now() time.Duration { return w.queue.Now() }
 
 func (w *world) at(d time.Duration, do func()) { w.queue.After(d, do) }
 
 func (w *world) run(d time.Duration) { w.queue.RunUntil(w.Now() + d) }
 
-// until runs until something holds.
+// until runs the world until a condition holds, and fails the test after the limit.
 func (w *world) until(limit time.Duration, what string, holds func() bool) {
 	w.t.Helper()
 	end := w.Now() + limit
@@ -146,15 +153,15 @@
 	}
 }
 
-func (w *world) breaks(format string, args ...any) {
-	if len(w.broken) < 20 {
-		w.broken = append(w.broken, fmt.Sprintf("%v: ", w.Now())+fmt.Sprintf(format, args...))
+func (w *world) violated(format string, args ...any) {
+	if len(w.violations) < 20 {
+		w.violations = append(w.violations, fmt.Sprintf("%v: ", w.Now())+fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *world) keptRules() {
+func (w *world) requireNoViolations() {
 	w.t.Helper()
-	for _, b := range w.broken {
+	for _, b := range w.violations {
 		w.t.Error(b)
 	}
 }
@@ -163,9 +170,9 @@
 
 func (w *world) boot(i int) {
 	n := w.nodes[i]
-	n.alive, n.life, n.born, n.scripted = true, n.life+1, w.Now(), nil
-	n.still, n.held = false, nil
-	life := n.life
+	n.alive, n.incarnation, n.startedAt, n.scripted = true, n.incarnation+1, w.Now(), nil
+	n.paused, n.held = false, nil
+	incarnation := n.incarnation
 	n.waiters = map[uint64]func(Reply){}
 	sink := io.Discard
 	if os.Getenv("CLAYBARROW_TEST_LOG") != "" {
@@ -180,8 +187,8 @@
 	n.controller.Observe(n.observer)
 	var beat func()
 	beat = func() {
-		if n.alive && n.life == life {
-			if !n.still {
+		if n.alive && n.incarnation == incarnation {
+			if !n.paused {
 				w.feed(i, Tick{})
 			}
 			w.at(tick, beat)
@@ -194,16 +201,16 @@
 
 func (w *world) feed(i int, ev Event) {
 	n := w.nodes[i]
-	if n.still {
-		life := n.life
+	if n.paused {
+		incarnation := n.incarnation
 		n.held = append(n.held, func() {
-			if n.alive && n.life == life {
+			if n.alive && n.incarnation == incarnation {
 				w.feed(i, ev)
 			}
 		})
 		return
 	}
-	steady := time.Duration(float64(w.Now()-n.born) * (1 + n.drift))
+	steady := time.Duration(float64(w.Now()-n.startedAt) * (1 + n.drift))
 	effects := n.controller.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
 	w.effects.record(w, i, effects)
 	if l := n.controller.leadership; l != nil && l.loader.ready {
@@ -217,7 +224,9 @@
 				f(e)
 			}
 		case Call:
-			w.carry(i, e)
+			w.deliver(i, e)
+		default:
+			w.t.Errorf("an effect of an unknown type: %T", e)
 		}
 	}
 }
@@ -236,11 +245,11 @@
 	}
 	n.last++
 	req.ID = n.last
-	life, done := n.life, false
+	incarnation, done := n.incarnation, false
 	n.waiters[req.ID] = func(r Reply) { done = true; then(r) }
 	w.feed(i, req)
 	w.at(5*time.Second, func() {
-		if !done && n.life == life {
+		if !done && n.incarnation == incarnation {
 			delete(n.waiters, req.ID)
 		}
 		if !done {
@@ -250,17 +259,17 @@
 	})
 }
 
-func (w *world) carry(i int, c Call) {
-	life, answered := w.nodes[i].life, false
+func (w *world) deliver(i int, c Call) {
+	incarnation, answered := w.nodes[i].incarnation, false
 	result := func(status int, body []byte) {
-		if answered || w.nodes[i].life != life || !w.nodes[i].alive {
+		if answered || w.nodes[i].incarnation != incarnation || !w.nodes[i].alive {
 			return
 		}
 		answered = true
 		if w.nodes[i].withoutGate {
 			body = olderAnswer(c, body)
 		}
-		w.feed(i, Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: status == 0 && w.off[c.Addr]})
+		w.feed(i, Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: status == 0 && w.unreachable[c.Addr]})
 	}
 	if w.nodes[i].withoutGate {
 		c = olderCall(c)
@@ -272,7 +281,7 @@
 	w.at(c.Timeout, func() { result(0, nil) })
 	if f.refused {
 		w.at(latency, func() {
-			if !answered && w.nodes[i].life == life && w.nodes[i].alive {
+			if !answered && w.nodes[i].incarnation == incarnation && w.nodes[i].alive {
 				answered = true
 				w.feed(i, Result{ID: c.ID, ConnectionFailed: true})
 			}
@@ -288,37 +297,48 @@
 				w.at(latency, func() { result(status, body) })
 			}
 		}
-		switch c.Target {
-		case ToState:
-			w.state.Serve(i, c.Method, c.Path, c.Body, reply)
-		case ToCloud:
-			reply(w.cloud.Serve(c.Method, c.Path, c.Body))
-		case ToWorker:
-			if k := w.byAddr(c.Addr); k != nil && k.Reachable() {
-				k.Serve(c.Path, c.Body, reply)
-			}
-		case ToPeer:
-			for k := range w.nodes {
-				if c.Addr == fmt.Sprintf("10.0.0.%d:1", k) {
-					if c.Path == probePath && w.nodes[k].older {
-						if w.nodes[k].alive {
-							reply(404, nil)
-						}
-						continue
-					}
-					op := map[string]Op{"/relay": OpRelay, "/heartbeat": OpPeerHeartbeat, "/forward": OpForwardedHeartbeat, probePath: OpProbe}[c.Path]
-					w.ask(k, Request{Op: op, Body: c.Body}, func(r Reply) {
-						if r.Status == 0 {
-							return
-						}
-						if w.nodes[k].withoutGate {
-							r.Body = olderReply(c, r.Body)
-						}
-						reply(r.Status, r.Body)
-					})
-				}
+		w.serve(i, c, reply)
+	})
+}
+
+// serve has the target of a node's call answer it.
+func (w *world) serve(i int, c Call, reply func(status int, body []byte)) {
+	switch c.Target {
+	case ToState:
+		w.state.Serve(i, c.Method, c.Path, c.Body, reply)
+	case ToCloud:
+		reply(w.cloud.Serve(c.Method, c.Path, c.Body))
+	case ToWorker:
+		if worker := w.byAddr(c.Addr); worker != nil && worker.Reachable() {
+			worker.Serve(c.Path, c.Body, reply)
+		}
+	case ToPeer:
+		for k := range w.nodes {
+			if c.Addr == fmt.Sprintf("10.0.0.%d:1", k) {
+				w.serveAsPeer(k, c, reply)
 			}
 		}
+	}
+}
+
+// serveAsPeer has a node answer a call of another controller.
+func (w *world) serveAsPeer(k int, c Call, reply func(status int, body []byte)) {
+	n := w.nodes[k]
+	if c.Path == probePath && n.older {
+		if n.alive {
+			reply(http.StatusNotFound, nil)
+		}
+		return
+	}
+	op := map[string]Op{"/relay": OpRelay, "/heartbeat": OpPeerHeartbeat, "/forward": OpForwardedHeartbeat, probePath: OpProbe}[c.Path]
+	w.ask(k, Request{Op: op, Body: c.Body}, func(r Reply) {
+		if r.Status == 0 {
+			return
+		}
+		if n.withoutGate {
+			r.Body = olderReply(c, r.Body)
+		}
+		reply(r.Status, r.Body)
 	})
 }
 
@@ -331,8 +351,8 @@
 	return -1
 }
 
-// term is the leader's.
-func (w *world) term() *leadership { return w.nodes[w.awaitLeader()].controller.leadership }
+// leadership waits for a leader and returns its leadership.
+func (w *world) leadership() *leadership { return w.nodes[w.awaitLeader()].controller.leadership }
 
 func (w *world) awaitLeader() int {
 	w.t.Helper()
@@ -351,7 +371,7 @@
 	return m
 }
 
-// user sends one request and notes what was told.
+// user sends one request and records the answer.
 func (w *world) user(node int, op Op, uid string, then func(int, protocol.JobStatus)) {
 	req := Request{Op: op, UID: uid}
 	if op == OpSubmit {
@@ -363,19 +383,19 @@
 	sent := w.Now()
 	w.ask(node, req, func(r Reply) {
 		var s protocol.JobStatus
-		if r.Status == 200 || r.Status == 201 {
+		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
 			if err := protocol.Decode(r.Body, &s); err != nil {
-				w.breaks("an answer can't be read: %v", err)
+				w.violated("an answer can't be read: %v", err)
 			}
-			w.tell(uid, s, sent)
-			w.noteAnswer(uid)
+			w.recordStatus(uid, s, sent)
+			w.startPolling(uid)
 		}
 		w.checkAnswer(op, uid, r.Status)
-		if r.Status == 404 && w.lastReplies[uid] != "" {
-			w.breaks("forgotten: %s", uid)
+		if r.Status == http.StatusNotFound && w.lastReplies[uid] != "" {
+			w.violated("forgotten: %s", uid)
 		}
-		if (r.Status == 503 || r.Status == 429) && r.RetryAfter == 0 {
-			w.breaks("%d without Retry-After", r.Status)
+		if (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests) && r.RetryAfter == 0 {
+			w.violated("%d without Retry-After", r.Status)
 		}
 		if then != nil {
 			then(r.Status, s)
@@ -383,29 +403,29 @@
 	})
 }
 
-// tell takes what a user was told in answer to a request that was sent at a time. A question that
-// was under way while the user was told something may be answered with what held before: the
-// leader answered it first, and its answer went a longer way.
-func (w *world) tell(uid string, s protocol.JobStatus, sent time.Duration) {
+// recordStatus checks and records the status that a user got in answer to a request that was sent
+// at a time. A poll that was in flight while the user got another answer may be answered with the
+// earlier state: the leader answered it first, and its answer took longer.
+func (w *world) recordStatus(uid string, s protocol.JobStatus, sent time.Duration) {
 	before := w.lastReplies[uid]
 	if s.State != before && sent < w.lastReplyAt[uid] {
 		return
 	}
 	if (before == protocol.Done || before == protocol.Cancelled) && s.State != before {
-		w.breaks("went_back: %s was %s, now %s", uid, before, s.State)
+		w.violated("went_back: %s was %s, now %s", uid, before, s.State)
 	}
 	if s.State == protocol.Done {
 		n := w.specs[uid]["shards"].(int)
 		for k := range n {
 			if !w.finished[uid+"/"+strconv.Itoa(k)] {
-				w.breaks("not_done: %s/%d", uid, k)
+				w.violated("not_done: %s/%d", uid, k)
 			}
 		}
 	}
 	if s.State == protocol.Cancelled && before != s.State {
-		w.stopped[uid] = w.Now()
+		w.cancelledAt[uid] = w.Now()
 		if !w.cancelRequested[uid] {
-			w.breaks("went_back: %s is called cancelled, and nobody asked for it", uid)
+			w.violated("went_back: %s is called cancelled, and nobody asked for it", uid)
 		}
 	}
 	if s.State != before {
@@ -414,7 +434,7 @@
 	w.lastReplies[uid] = s.State
 }
 
-// persist repeats a request at the nodes in turn, as users do.
+// persist repeats a request at the nodes in turn until an answer satisfies ok, as users do.
 func (w *world) persist(op Op, uid string, ok func(int, protocol.JobStatus) bool) {
 	node := 0
 	var again func()
@@ -431,17 +451,17 @@
 
 func (w *world) submit(uid string, change map[string]any) {
 	w.spec(uid, change)
-	w.persist(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == 200 || s == 201 })
+	w.persist(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK || s == http.StatusCreated })
 }
 
 func (w *world) cancel(uid string) {
-	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == 200 })
+	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK })
 }
 
-func (w *world) awaitTold(limit time.Duration, uid string, state protocol.JobState) {
+func (w *world) awaitStatus(limit time.Duration, uid string, state protocol.JobState) {
 	w.t.Helper()
 	n := 0
-	w.until(limit, uid+" told "+string(state), func() bool {
+	w.until(limit, uid+" is answered "+string(state), func() bool {
 		if n++; n%20 == 1 {
 			w.user(n/20%len(w.nodes), OpPoll, uid, nil)
 		}
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -8,11 +8,11 @@
 	"claybarrow/internal/protocol"
 )
 
-// The start of a replica is written before those of an array that wait already, also on a
+// The start of a replica is written before the starts of an array that waits already, also on a
 // machine that has one of these to be written.
 func TestReplicasStartBeforeAnArray(t *testing.T) {
 	w := newWorld(t, 96)
-	l := w.term()
+	l := w.leadership()
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
 		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, l.controller.env.wall)
 		j.Stored = true
