--- /dev/null
+++ b/internal/controller/failover_bench_test.go
@@ -0,0 +1,179 @@
+package controller
+
+import (
+	"fmt"
+	"runtime"
+	"slices"
+	"testing"
+
+	"claybarrow/internal/clusterstate"
+	"claybarrow/internal/protocol"
+	"claybarrow/internal/scheduler"
+	"claybarrow/internal/statestore"
+)
+
+// BenchmarkSlopeTransaction measures composing and encoding one transaction of starts, as many as
+// the state service accepts in one.
+func BenchmarkSlopeTransaction(b *testing.B) {
+	eachSlopeSize(b, func(b *testing.B, workers int) {
+		f := newSlopeFleet(b, workers)
+		l := f.leadership
+		list := l.machines.sortedMachines()
+		n, changes, bytes := 0, 0, 0
+		b.ResetTimer()
+		for b.Loop() {
+			b.StopTimer()
+			f.settleStarts()
+			f.controller.outbox.stateChanges.Refill()
+			for range f.controller.env.cfg.Cluster.State.TxnOps {
+				l.machines.storeMachine(list[n%len(list)], statestore.Start, nil)
+				n++
+			}
+			b.StartTimer()
+			t := l.store.Compose()
+			body := protocol.Encode(t.Body)
+			changes += t.Writes()
+			bytes += len(body)
+		}
+		b.ReportMetric(float64(changes)/float64(b.N), "changes")
+		b.ReportMetric(float64(bytes)/float64(b.N), "body-bytes")
+	})
+}
+
+// BenchmarkSlopeFailover measures reading the records of the whole fleet, as a new leader does,
+// with ten completed jobs for each worker.
+func BenchmarkSlopeFailover(b *testing.B) {
+	eachSlopeSize(b, func(b *testing.B, workers int) {
+		f := newSlopeFleet(b, workers)
+		var items []protocol.Item
+		add := func(key string, value any) {
+			items = append(items, protocol.Item{Key: key, Value: protocol.Encode(value), Version: 1})
+		}
+		for _, j := range f.leadership.state.SortedJobs() {
+			add(clusterstate.JobPrefix+j.Spec.UID, j.Record())
+		}
+		for i := range 10 * workers {
+			add(fmt.Sprintf("%sj-o%07d", clusterstate.JobPrefix, i), clusterstate.JobRecord{State: protocol.Done, Tasks: 12})
+		}
+		for _, m := range f.leadership.machines.sortedMachines() {
+			add(clusterstate.MachinePrefix+m.ID, m.Record())
+		}
+		for i, rows := range f.counters() {
+			add(counterKey(i), clusterstate.Counters{At: f.controller.env.wall - 30_000, Jobs: rows})
+		}
+		bytes := 0
+		for _, it := range items {
+			bytes += len(it.Key) + len(it.Value) + 16
+		}
+		b.ResetTimer()
+		for b.Loop() {
+			l := newLeadership(f.controller, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.controller.env.now)
+			for _, it := range items {
+				l.store.Loaded(it.Key, it.Version)
+				if err := l.loader.loadRecord(it); err != nil {
+					b.Fatal(err)
+				}
+			}
+			f.controller.leadership = l
+			l.loader.onStateLoaded()
+			f.controller.outbox.effects = f.controller.outbox.effects[:0]
+		}
+		b.ReportMetric(float64(len(items)), "records")
+		b.ReportMetric(float64(bytes), "record-bytes")
+	})
+}
+
+// BenchmarkSlopeFailoverOldRecords measures the begin of a leadership whose records have an older
+// attempt of every third task, as machines' records are written lazily when a task leaves.
+func BenchmarkSlopeFailoverOldRecords(b *testing.B) {
+	eachSlopeSize(b, func(b *testing.B, workers int) {
+		f := newSlopeFleet(b, workers)
+		list := f.leadership.machines.sortedMachines()
+		for i, a := range slices.Clone(f.tasks) {
+			if i%3 == 0 {
+				old := f.leadership.state.AddAttempt(list[(i+7)%len(list)], a.Job, a.Index, 1, f.controller.env.now)
+				old.Durable, old.Loaded, old.Sent = true, true, true
+			}
+		}
+		b.ResetTimer()
+		for b.Loop() {
+			f.leadership.loader.onStateLoaded()
+			f.controller.outbox.effects = f.controller.outbox.effects[:0]
+		}
+	})
+}
+
+// counters returns the stored counters of the fleet's arrays.
+func (f *slopeFleet) counters() []map[string]clusterstate.CounterRow {
+	limit := f.controller.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
+	batches := []map[string]clusterstate.CounterRow{{}}
+	for _, j := range f.leadership.state.SortedJobs() {
+		if j.Spec.Service {
+			continue
+		}
+		last := batches[len(batches)-1]
+		if len(last) >= limit {
+			last = map[string]clusterstate.CounterRow{}
+			batches = append(batches, last)
+		}
+		last[j.Spec.UID] = clusterstate.CounterRow{Attained: 1, Slots: 1, Degr: 1}
+	}
+	return batches
+}
+
+// heapOf measures the memory that stays allocated after build, which returns what holds it.
+func heapOf(build func() any) float64 {
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	kept := build()
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	runtime.KeepAlive(kept)
+	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
+}
+
+// BenchmarkSlopeMemory reports the bytes that one of each kind costs the leader for as long as it
+// is kept.
+func BenchmarkSlopeMemory(b *testing.B) {
+	eachSlopeSize(b, func(b *testing.B, workers int) {
+		for b.Loop() {
+		}
+		var f *slopeFleet
+		perWorker := heapOf(func() any {
+			f = newSlopeLeader(b, workers)
+			for i := range workers {
+				f.addMachine(i)
+			}
+			return f
+		}) / float64(workers)
+		list := f.leadership.machines.sortedMachines()
+		var jobs []*clusterstate.Job
+		perWaiting := heapOf(func() any {
+			for i := range workers {
+				jobs = append(jobs, f.addJob(fmt.Sprintf("j-%08d", i), 0, i%3 == 0, scheduler.Need{Cores: 1, Mem: 1}))
+			}
+			return f
+		}) / float64(workers)
+		perTask := heapOf(func() any {
+			for i, job := range jobs {
+				for index := range slopeTasksPerJob {
+					f.run(job, index, list[(i+index)%workers])
+				}
+			}
+			return f
+		}) / float64(workers*slopeTasksPerJob)
+		perOver := heapOf(func() any {
+			for i := range 10 * workers {
+				uid := fmt.Sprintf("j-o%07d", i)
+				f.leadership.state.Terminal[uid] = clusterstate.TerminalState{Tasks: 12}
+				f.leadership.store.Loaded(clusterstate.JobPrefix+uid, 1)
+			}
+			return f
+		}) / float64(10*workers)
+		b.ReportMetric(perWorker, "B/worker")
+		b.ReportMetric(perWaiting, "B/job-alive")
+		b.ReportMetric(perTask, "B/running-task")
+		b.ReportMetric(perOver, "B/job-over")
+	})
+}
--- /dev/null
+++ b/internal/controller/heartbeat_bench_test.go
@@ -0,0 +1,71 @@
+package controller
+
+import (
+	"testing"
+
+	"claybarrow/internal/clusterstate"
+	"claybarrow/internal/protocol"
+)
+
+// heartbeat returns the heartbeat of a machine of the fleet that agrees with the cluster state.
+func (f *slopeFleet) heartbeat(m *clusterstate.Machine) *protocol.WorkerHeartbeat {
+	msg := &protocol.WorkerHeartbeat{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Epoch: 1, Sequence: m.Sequence + 1, Token: 1}
+	for _, a := range m.Sorted() {
+		msg.Tasks = append(msg.Tasks, protocol.TaskStatus{Task: a.Key().Task, Attempt: a.Number, State: protocol.Running})
+	}
+	return msg
+}
+
+// benchmarkHeartbeats measures heartbeats of the fleet's machines in turn, modified by change.
+func benchmarkHeartbeats(b *testing.B, change func(f *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat), forwarded bool) {
+	b.Helper()
+	eachSlopeSize(b, func(b *testing.B, workers int) {
+		f := newSlopeFleet(b, workers)
+		l := f.leadership
+		l.placement.fillAt, l.placement.roundAt, l.placement.planAt = 1<<60, 1<<60, 1<<60
+		f.keepBusy() // no fill: that is measured by itself
+		list := l.machines.sortedMachines()
+		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
+		n, bytes := 0, 0
+		b.ResetTimer()
+		for b.Loop() {
+			b.StopTimer()
+			m := list[n%len(list)]
+			n++
+			msg := f.heartbeat(m)
+			if change != nil {
+				change(f, m, msg)
+			}
+			body := protocol.Encode(msg)
+			bytes += len(body)
+			request := Request{ID: uint64(n), Op: OpWorkerHeartbeat, Body: body}
+			if forwarded {
+				request = Request{ID: uint64(n), Op: OpForwardedHeartbeat, Body: protocol.EncodePeer(protocol.Relay{Op: string(OpWorkerHeartbeat), Body: body, From: "n1"})}
+			}
+			b.StartTimer()
+			f.controller.Handle(at, request)
+		}
+		b.ReportMetric(float64(bytes)/float64(n), "body-bytes")
+	})
+}
+
+func BenchmarkSlopeHeartbeatUnchanged(b *testing.B) { benchmarkHeartbeats(b, nil, false) }
+
+func BenchmarkSlopeHeartbeatForwarded(b *testing.B) { benchmarkHeartbeats(b, nil, true) }
+
+func BenchmarkSlopeHeartbeatExit(b *testing.B) {
+	benchmarkHeartbeats(b, func(_ *slopeFleet, _ *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
+		if len(msg.Tasks) > 0 {
+			msg.Tasks[0].State, msg.Tasks[0].Cause = protocol.Exited, protocol.CauseDone
+		}
+	}, false)
+}
+
+func BenchmarkSlopeHeartbeatStart(b *testing.B) {
+	benchmarkHeartbeats(b, func(_ *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
+		if len(msg.Tasks) > 0 {
+			first := msg.Tasks[0]
+			m.Attempts[clusterstate.AttemptKey{Task: first.Task, Attempt: first.Attempt}].SetState(protocol.FetchingImage)
+		}
+	}, false)
+}
--- /dev/null
+++ b/internal/controller/network_faults_test.go
@@ -0,0 +1,69 @@
+package controller
+
+import (
+	"fmt"
+	"time"
+)
+
+// networkFaults are the network faults in force while a compound failure lasts.
+type networkFaults struct {
+	w *world
+	// isolated are the controllers that reach neither the state service nor other controllers.
+	isolated map[int]bool
+	// commandsLost are the controllers whose direct commands are lost.
+	commandsLost map[int]bool
+	// Shares of calls: transactions that are applied late and never answered, direct commands that
+	// are delayed for seconds, direct commands whose answer is lost.
+	lateTransactions, delayedCommands, lostAnswers float64
+	// slowState and slowLinks are the upper bounds of the delay of each call.
+	slowState, slowLinks time.Duration
+}
+
+func (w *world) injectNetworkFaults() *networkFaults {
+	faults := &networkFaults{w: w, isolated: map[int]bool{}, commandsLost: map[int]bool{}}
+	w.script = faults.fault
+	return faults
+}
+
+func (faults *networkFaults) chance(share float64) bool {
+	return share > 0 && faults.w.rng.Float64() < share
+}
+
+func (faults *networkFaults) randomUpTo(d time.Duration) time.Duration {
+	if d <= 0 {
+		return 0
+	}
+	return time.Duration(faults.w.rng.Int64N(int64(d)))
+}
+
+func (faults *networkFaults) fault(node int, c Call) deliveryFault {
+	f := deliveryFault{hold: faults.randomUpTo(faults.slowLinks)}
+	switch c.Target {
+	case ToState:
+		if faults.isolated[node] {
+			return deliveryFault{lost: true}
+		}
+		f.hold += faults.randomUpTo(faults.slowState)
+		if c.Path == "/multi" && faults.chance(faults.lateTransactions) {
+			return deliveryFault{answerLost: true, hold: 2*second + faults.randomUpTo(10*second)}
+		}
+	case ToPeer:
+		to := -1
+		if _, err := fmt.Sscanf(c.Addr, "10.0.0.%d:", &to); err != nil {
+			faults.w.t.Errorf("the address of a peer %q: %v", c.Addr, err)
+		}
+		if faults.isolated[node] || faults.isolated[to] {
+			return deliveryFault{lost: true}
+		}
+	case ToWorker:
+		if faults.commandsLost[node] {
+			return deliveryFault{lost: true}
+		}
+		if faults.chance(faults.delayedCommands) {
+			return deliveryFault{hold: 2*second + faults.randomUpTo(25*second), answerLost: faults.chance(0.5)}
+		}
+		f.answerLost = faults.chance(faults.lostAnswers)
+	case ToCloud: // delayed at the most
+	}
+	return f
+}
--- /dev/null
+++ b/internal/controller/observer_test.go
@@ -0,0 +1,52 @@
+package controller
+
+import (
+	"time"
+
+	"claybarrow/internal/membership"
+)
+
+// worldObserver records the events that a controller of the world reports to its observer.
+type worldObserver struct {
+	noObserver
+	w          *world
+	node       int
+	changes    []memberChange
+	redirected map[string][]time.Duration // machines that were redirected, and when
+	failovers  []Failover
+	reroutes   int
+	retries    int
+}
+
+type memberChange struct {
+	at time.Duration
+	membership.Change
+}
+
+func (o *worldObserver) MemberChanged(c membership.Change) {
+	o.changes = append(o.changes, memberChange{o.w.Now(), c})
+}
+
+func (o *worldObserver) MachineRedirected(machine, _ string) {
+	if o.redirected == nil {
+		o.redirected = map[string][]time.Duration{}
+	}
+	o.redirected[machine] = append(o.redirected[machine], o.w.Now())
+}
+
+func (o *worldObserver) FailedOver(h Failover) { o.failovers = append(o.failovers, h) }
+
+func (o *worldObserver) Rerouted() { o.reroutes++ }
+
+func (o *worldObserver) Retried() { o.retries++ }
+
+// became returns when a controller's view of another one first changed to a state, at or after a
+// time; 0: never.
+func (o *worldObserver) became(label string, state membership.State, since time.Duration) time.Duration {
+	for _, c := range o.changes {
+		if c.at >= since && c.Label == label && c.To == state {
+			return c.at
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/controller/placing_steps_test.go
@@ -0,0 +1,153 @@
+package controller
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"claybarrow/internal/protocol"
+)
+
+// placingStep is a step of placing a replica at which the leader ends.
+type placingStep struct {
+	name string
+	// matches reports whether a call of the leader is the step; delivered: the call still arrives.
+	matches   func(c Call) bool
+	delivered bool
+}
+
+func carriesVerb(c Call, verb string) bool {
+	var body protocol.Commands
+	if c.Target != ToWorker || protocol.Decode(c.Body, &body) != nil {
+		return false
+	}
+	for _, command := range body.Commands {
+		if command.Verb == verb {
+			return true
+		}
+	}
+	return false
+}
+
+// writesUnder reports whether a transaction puts a key with the prefix.
+func writesUnder(c Call, prefix string) bool {
+	var body struct {
+		Then []protocol.Change `msgpack:"apply"`
+	}
+	if c.Target != ToState || c.Path != "/multi" || protocol.Decode(c.Body, &body) != nil {
+		return false
+	}
+	for _, change := range body.Then {
+		if strings.HasPrefix(change.Put, prefix) {
+			return true
+		}
+	}
+	return false
+}
+
+var placingSteps = []placingStep{
+	{"before the job's write", func(c Call) bool { return writesUnder(c, "j/") }, false},
+	{"after the job's write without its answer", func(c Call) bool { return writesUnder(c, "j/") }, true},
+	{"before the write of the place", func(c Call) bool { return writesUnder(c, "m/") }, false},
+	{"after the write without its answer", func(c Call) bool { return writesUnder(c, "m/") }, true},
+	{"before the run", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, false},
+	{"after the run without its answer", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, true},
+	{"before the completion's write", func(c Call) bool { return writesUnder(c, "d/") }, false},
+	{"after the completion's write", func(c Call) bool { return writesUnder(c, "d/") }, true},
+	{"before the clear", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, false},
+	{"after the clear", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, true},
+}
+
+// placingFault is a further fault while the leader ends.
+type placingFault struct {
+	name string
+	// fault affects each call; second: the next leader ends too, while it reads the stored records.
+	fault  func(w *world, c Call) deliveryFault
+	second bool
+}
+
+var placingFaults = []placingFault{
+	{name: "alone"},
+	{name: "the state service slow", fault: func(w *world, c Call) deliveryFault {
+		if c.Target == ToState {
+			return deliveryFault{hold: time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))}
+		}
+		return deliveryFault{}
+	}},
+	{name: "a second death during the failover", second: true},
+}
+
+// A leader that dies at each single step of placing: nothing runs twice and no job is orphaned,
+// whichever other fault there is.
+func TestLeaderDiesAtEachStepOfPlacing(t *testing.T) {
+	for s, step := range placingSteps {
+		for k, fault := range placingFaults {
+			t.Run(step.name+", "+fault.name, func(t *testing.T) {
+				w := newMembershipWorld(t, uint64(910+100*s+k))
+				killLeaderWhilePlacing(w, step, fault)
+			})
+		}
+	}
+}
+
+func killLeaderWhilePlacing(w *world, step placingStep, fault placingFault) {
+	w.runs = func(string) time.Duration { return 6 * second }
+	w.submit("j-1", map[string]any{"shape": "service", "shards": 3})
+	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 3 })
+	w.run(10 * second)
+	died, again := false, false
+	w.script = func(node int, c Call) deliveryFault {
+		f := deliveryFault{}
+		if fault.fault != nil {
+			f = fault.fault(w, c)
+		}
+		switch {
+		case !died && step.matches(c):
+			died = true
+			w.restart(node, 3*second)
+			w.crash(node)
+			f.lost, f.answerLost = !step.delivered, true
+		case died && fault.second && !again && c.Target == ToState && strings.HasPrefix(c.Path, "/store?under=j/"):
+			again = true
+			w.restart(node, 3*second)
+			w.crash(node)
+			f.lost = true
+		}
+		return f
+	}
+	w.submit("j-2", map[string]any{"shards": 2})
+	w.submit("j-3", map[string]any{"shape": "service", "shards": 2, "owner": "blue"})
+	w.until(60*second, "the leader ends at "+step.name, func() bool { return died })
+	w.until(120*second, "all runs", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
+	w.awaitStatus(120*second, "j-2", protocol.Done)
+	if fault.second && !again {
+		w.t.Error("the second leader did not end")
+	}
+	w.settle()
+}
+
+// A late transaction of the former leader changes nothing, at whatever step it ended.
+func TestLateTransactionOfALeaderThatDied(t *testing.T) {
+	for _, prefix := range []string{"j/", "m/", "d/"} {
+		t.Run("a write under "+strings.TrimSuffix(prefix, "/"), func(t *testing.T) {
+			w := newMembershipWorld(t, 931)
+			w.runs = func(string) time.Duration { return 6 * second }
+			w.replicas()
+			died := false
+			w.script = func(node int, c Call) deliveryFault {
+				if !died && writesUnder(c, prefix) {
+					died = true
+					w.restart(node, 2*second)
+					w.crash(node)
+					return deliveryFault{hold: 15 * second, answerLost: true}
+				}
+				return deliveryFault{}
+			}
+			w.submit("j-3", map[string]any{"shards": 2})
+			w.until(60*second, "the leader ends", func() bool { return died })
+			w.awaitStatus(120*second, "j-3", protocol.Done)
+			w.run(20 * second)
+			w.settle()
+		})
+	}
+}
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -2,8 +2,12 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"time"
+
+	"claybarrow/internal/membership"
+	"claybarrow/internal/protocol"
 )
 
 // pauseProcess makes a controller handle nothing for a while; events are queued meanwhile.
@@ -82,3 +86,107 @@
 	w.awaitStatus(90*second, "j-1", "done")
 	w.settle()
 }
+
+// Process pauses of half a lease, one and several leases, of the leader, of a zone's relay, and of
+// both at once: no task is on two machines, and nothing moves for a pause shorter than the workers'
+// leases.
+func TestStallsAndResumes(t *testing.T) {
+	lease := 1500 * time.Millisecond
+	for k, stall := range []time.Duration{lease / 2, lease, 3 * lease, 6 * lease} {
+		for _, who := range []string{"leader", "relay", "both"} {
+			t.Run(fmt.Sprintf("%s for %v", who, stall), func(t *testing.T) {
+				w := newMembershipWorld(t, uint64(940+k))
+				w.replicas()
+				lead := w.awaitLeader()
+				relay := 2
+				if lead == 2 {
+					relay = 0
+				}
+				began := w.Now()
+				if who != "relay" {
+					w.pauseProcess(lead, stall)
+				}
+				if who != "leader" {
+					w.pauseProcess(relay, stall)
+				}
+				w.run(stall + 30*second)
+				if stall < lease {
+					for i, n := range w.nodes {
+						for _, c := range n.observer.changes {
+							if c.at >= began && c.To == membership.Dead {
+								t.Errorf("n%d: %+v", i, c)
+							}
+						}
+					}
+				}
+				if stall <= 6*lease {
+					for task, n := range w.starts {
+						if n > 1 && who != "both" {
+							t.Errorf("%s was moved", task)
+						}
+					}
+				}
+				w.settle()
+			})
+		}
+	}
+}
+
+// A controller that resumes has nothing refused and refuses everything until it has had contact
+// with another one: no answer, command or write follows from what it believed before.
+func TestResumedLeaderDoesNothingFirst(t *testing.T) {
+	w := newMembershipWorld(t, 951)
+	w.replicas()
+	lead := w.awaitLeader()
+	n := w.nodes[lead]
+	w.pauseProcess(lead, 8*second)
+	w.run(8*second - time.Millisecond)
+	early := []string{}
+	w.script = func(node int, c Call) deliveryFault {
+		if node == lead && n.controller.pause.isRecovering() {
+			switch {
+			case c.Target == ToWorker, c.Path == "/multi", c.Path == "/relay", c.Path == "/forward":
+				early = append(early, c.Path)
+			}
+		}
+		return deliveryFault{}
+	}
+	n.paused = false
+	w.feed(lead, Tick{}) // it resumes
+	if !n.controller.pause.isRecovering() {
+		t.Fatal("it does not notice that its process was paused")
+	}
+	for _, op := range []Op{OpPoll, OpCancel} {
+		w.ask(lead, Request{Op: op, UID: "j-1"}, func(r Reply) {
+			if r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
+				t.Errorf("%s is answered %d, come back in %d", op, r.Status, r.RetryAfter)
+			}
+		})
+	}
+	var heartbeat []byte
+	for _, worker := range w.workers() {
+		if worker.Up && !worker.Deleted {
+			heartbeat = protocol.Encode(worker.Message())
+		}
+	}
+	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
+		if r.Status == http.StatusOK {
+			t.Error("a worker's lease is renewed")
+		}
+	})
+	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.lease.token}
+	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(beat)}, func(r Reply) {
+		var reply protocol.PeerHeartbeatReply
+		if err := protocol.DecodePeer(r.Body, &reply); err != nil || reply.Leader != "" || reply.LeaderClock != 0 {
+			t.Errorf("it says that it leads: %+v, %v", reply, err)
+		}
+	})
+	w.run(5 * second)
+	if len(early) > 0 {
+		t.Errorf("it sent %v first", early)
+	}
+	if n.controller.pause.isRecovering() {
+		t.Error("it has heard of nobody")
+	}
+	w.settle()
+}
--- /dev/null
+++ b/internal/controller/random_failures_test.go
@@ -0,0 +1,80 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// Random combinations of two or three faults, each with a fixed seed.
+func TestCompoundFailuresAtRandom(t *testing.T) {
+	for seed := range uint64(24) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			w := newWorld(t, 5000+seed)
+			faults := w.injectNetworkFaults()
+			w.initialJobs()
+			for range 2 + w.rng.IntN(2) {
+				w.injectRandomFault(faults, w.randomMilliseconds(8000, 60_000))
+				w.run(w.randomMilliseconds(0, 6000))
+			}
+			w.cancelSome([]string{"j-s1", "j-s2", "j-b1", "j-b22"}[w.rng.IntN(4)])
+			w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
+			w.submit("j-n2", map[string]any{"shape": "group", "shards": 3, "cores": 1.0, "apart": w.rng.IntN(2) == 0})
+			w.run(w.randomMilliseconds(5000, 60_000))
+			w.settle()
+		})
+	}
+}
+
+// injectRandomFault begins one of the listed faults, which lasts for the given time.
+func (w *world) injectRandomFault(faults *networkFaults, lasts time.Duration) {
+	node := w.leaderOrFirst()
+	if w.rng.IntN(3) == 0 {
+		node = w.rng.IntN(3)
+	}
+	switch w.rng.IntN(13) {
+	case 0:
+		w.state.Outage(lasts)
+	case 1:
+		w.state.Refuse[node] = true
+		w.at(lasts, func() { w.state.Refuse[node] = false })
+	case 2:
+		faults.isolated[node] = true
+		w.at(lasts, func() { faults.isolated[node] = false })
+	case 3:
+		w.restart(node, min(lasts, w.randomMilliseconds(50, 12_000)))
+	case 4:
+		for i := range 3 {
+			w.restart(i, w.randomMilliseconds(50, 12_000))
+		}
+	case 5:
+		for _, worker := range w.randomMachines(0.4) {
+			worker.AnswersLost = true
+			w.at(lasts, func() { worker.AnswersLost = false })
+		}
+	case 6:
+		for _, worker := range w.randomMachines(0.4) {
+			worker.ReportsLost = true
+			w.at(lasts, func() { worker.ReportsLost = false })
+		}
+	case 7:
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Cut = true
+			w.at(lasts, func() { worker.Cut = false })
+		}
+	case 8:
+		for _, worker := range w.randomMachines(0.4) {
+			worker.Hang(min(lasts, w.randomMilliseconds(1000, 15_000)))
+		}
+	case 9:
+		faults.lateTransactions = 0.3
+		w.at(lasts, func() { faults.lateTransactions = 0 })
+	case 10:
+		w.lateCopy = func() time.Duration { return w.randomMilliseconds(2000, 40_000) }
+	case 11:
+		faults.delayedCommands, faults.lostAnswers = 0.3, 0.2
+		w.at(lasts, func() { faults.delayedCommands, faults.lostAnswers = 0, 0 })
+	case 12:
+		w.ended = func(uid string) { w.at(w.randomMilliseconds(0, 500), func() { w.cancel(uid) }) }
+	}
+}
--- /dev/null
+++ b/internal/controller/relay_test.go
@@ -0,0 +1,89 @@
+package controller
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"claybarrow/internal/membership"
+	"claybarrow/internal/protocol"
+)
+
+// An asymmetric partition between a follower and the leader: the requests of its users are relayed
+// by the third controller, and nobody is suspected.
+func TestRelayAroundAnAsymmetricPartition(t *testing.T) {
+	for _, toLeader := range []bool{true, false} {
+		t.Run(fmt.Sprintf("to the leader %v", toLeader), func(t *testing.T) {
+			w := newMembershipWorld(t, 952)
+			w.replicas()
+			lead := w.awaitLeader()
+			from := (lead + 1) % 3
+			began := w.Now()
+			w.script = func(node int, c Call) deliveryFault {
+				if node == from && c.Target == ToPeer && c.Addr == w.cfgs[lead].PeerListen {
+					return deliveryFault{lost: toLeader, answerLost: true}
+				}
+				return deliveryFault{}
+			}
+			w.run(5 * second)
+			answered := 0
+			for range 5 {
+				w.user(from, OpPoll, "j-1", func(status int, _ protocol.JobStatus) {
+					if status == http.StatusOK {
+						answered++
+					}
+				})
+				w.run(second)
+			}
+			if answered < 5 {
+				t.Errorf("requests lost %v: %d of 5 questions are answered", toLeader, answered)
+			}
+			if w.nodes[from].observer.reroutes == 0 {
+				t.Error("no request went round")
+			}
+			for i, n := range w.nodes {
+				if at := n.observer.became(label(lead), membership.Suspect, began); at > 0 {
+					t.Errorf("n%d suspects the leader", i)
+				}
+			}
+			w.settle()
+		})
+	}
+}
+
+// A refused connection to the leader is tried once more, after a pause, and not again: a user is
+// answered by the second try, or told at once to come back.
+func TestRefusedConnectionIsTriedOnceMore(t *testing.T) {
+	for _, again := range []bool{true, false} {
+		t.Run(fmt.Sprintf("refused again %v", again), func(t *testing.T) {
+			w := newMembershipWorld(t, 956)
+			w.replicas()
+			lead := w.awaitLeader()
+			from := (lead + 1) % 3
+			var tries []time.Duration
+			w.script = func(node int, c Call) deliveryFault {
+				if node != from || c.Path != "/relay" {
+					return deliveryFault{}
+				}
+				tries = append(tries, w.Now())
+				return deliveryFault{refused: again || len(tries) == 1}
+			}
+			asked := w.Now()
+			status, answered := 0, time.Duration(0)
+			w.user(from, OpPoll, "j-1", func(got int, _ protocol.JobStatus) { status, answered = got, w.Now() })
+			w.run(2 * second)
+			want := 200
+			if again {
+				want = 503
+			}
+			if len(tries) != 2 || status != want || answered-asked > decisionTimeout {
+				t.Errorf("refused again %v: %d tries, %d after %v", again, len(tries), status, answered-asked)
+			}
+			if len(tries) == 2 && tries[1]-tries[0] < 50*time.Millisecond {
+				t.Errorf("tried again after %v", tries[1]-tries[0])
+			}
+			w.settle()
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/request_burst_test.go
@@ -0,0 +1,115 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"claybarrow/internal/emulator"
+	"claybarrow/internal/protocol"
+)
+
+// Random faults in random order, each with a fixed seed.
+func TestManyRequestsAtOnce(t *testing.T) {
+	for seed := range uint64(12) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRequestBurst(t, 100+seed) })
+	}
+}
+
+func checkRequestBurst(t *testing.T, seed uint64) {
+	w := newWorld(t, seed)
+	var jobs []string
+	cancelled := map[string]bool{}
+	lossy := false
+	w.script = func(_ int, _ Call) deliveryFault {
+		if !lossy {
+			return deliveryFault{}
+		}
+		f := deliveryFault{lost: w.rng.IntN(12) == 0, answerLost: w.rng.IntN(12) == 0}
+		if w.rng.IntN(10) == 0 {
+			f.hold = time.Duration(w.rng.IntN(40_000)) * time.Millisecond
+		}
+		return f
+	}
+	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault {
+		return deliveryFault{lost: lossy && w.rng.IntN(8) == 0, answerLost: lossy && w.rng.IntN(8) == 0}
+	}
+	w.runs = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
+	for step := range 50 {
+		switch w.rng.IntN(12) {
+		case 0, 1, 2:
+			uid := fmt.Sprintf("j-%d", step)
+			jobs = append(jobs, uid)
+			shape := []string{"batch", "service"}[w.rng.IntN(2)]
+			w.submit(uid, map[string]any{"shards": 1 + w.rng.IntN(4), "cores": float64(1 + w.rng.IntN(4)), "shape": shape,
+				"owner": []string{"red", "blue"}[w.rng.IntN(2)], "apart": w.rng.IntN(2) == 0, "rank": []string{"idle", "normal", "high"}[w.rng.IntN(3)],
+				"borrowed": w.rng.IntN(2) == 0})
+		case 3:
+			if len(jobs) > 0 {
+				uid := jobs[w.rng.IntN(len(jobs))]
+				cancelled[uid] = true
+				w.cancel(uid)
+			}
+		case 4, 5:
+			i := w.rng.IntN(3)
+			w.crash(i)
+			w.at(time.Duration(50+w.rng.IntN(6000))*time.Millisecond, func() {
+				if !w.nodes[i].alive {
+					w.boot(i)
+				}
+			})
+		case 6:
+			w.state.Outage(time.Duration(1+w.rng.IntN(20)) * second)
+		case 7:
+			for _, worker := range w.workers() {
+				if worker.Up && w.rng.IntN(3) == 0 {
+					worker.Cut = true
+					w.at(time.Duration(w.rng.IntN(30))*second, func() { worker.Cut = false })
+				}
+			}
+		case 8:
+			lossy = !lossy
+		case 9:
+			for _, worker := range w.workers() {
+				if len(w.copies[worker.ID]) > 0 {
+					body := w.copies[worker.ID][w.rng.IntN(len(w.copies[worker.ID]))]
+					w.ask(w.rng.IntN(3), Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
+				}
+			}
+		case 10:
+			i := w.rng.IntN(3)
+			w.state.Refuse[i] = true
+			w.at(time.Duration(w.rng.IntN(25))*second, func() { w.state.Refuse[i] = false })
+		case 11:
+			for _, worker := range w.workers() {
+				if worker.Up && w.rng.IntN(4) == 0 {
+					worker.Die()
+				}
+			}
+		}
+		for range 5 {
+			w.run(second)
+			w.checkCancelledTasksEnded()
+		}
+	}
+	lossy = false
+	w.state.Refuse = map[int]bool{}
+	for i := range 3 {
+		if !w.nodes[i].alive {
+			w.boot(i)
+		}
+	}
+	w.run(40 * second)
+	// Services may use a team's whole quota: they end like any other job.
+	for _, uid := range jobs {
+		if w.specs[uid]["shape"] == "service" {
+			w.cancel(uid)
+		}
+	}
+	for _, uid := range jobs {
+		if !cancelled[uid] && w.specs[uid]["shape"] == "batch" {
+			w.awaitStatus(400*second, uid, protocol.Done)
+		}
+	}
+	w.requireNoViolations()
+}
--- /dev/null
+++ b/internal/controller/slope_fleet_test.go
@@ -0,0 +1,223 @@
+package controller
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"claybarrow/internal/clusterstate"
+	"claybarrow/internal/config"
+	"claybarrow/internal/protocol"
+	"claybarrow/internal/scheduler"
+	"claybarrow/internal/statestore"
+)
+
+// slopeSizes are numbers of workers, over more than a decade.
+var slopeSizes = []int{800, 1_600, 3_200, 5_500, 11_000, 22_000}
+
+// Ratios of the planned size: 230,000 tasks on 22,000 workers, 8,250 waiting jobs, and 1,000 teams.
+const (
+	slopeTasksPerWorker   = 230_000.0 / 22_000
+	slopeWaitingPerWorker = 8_250.0 / 22_000
+	slopeTeamsPerWorker   = 1_000.0 / 22_000
+	slopeTasksPerJob      = 12
+)
+
+// slopeFleet is a leader with a busy fleet, created without any messages.
+type slopeFleet struct {
+	controller *Controller
+	leadership *leadership
+	tasks      []*clusterstate.Attempt
+	waiting    []*clusterstate.Job
+	random     *rand.Rand
+	// revision is the store's revision after the last transaction that applied.
+	revision uint64
+}
+
+func slopeConfig(b *testing.B, workers int) *config.Config {
+	b.Helper()
+	var teams []string
+	for i := range max(6, int(float64(workers)*slopeTeamsPerWorker)) {
+		teams = append(teams, fmt.Sprintf(`{"name":"team-%d","cpus":%d,"cpus_max":1e6,"gpus":16,"gpus_max":1e6}`, i, 64))
+	}
+	cfg, err := config.Parse([]byte(fmt.Sprintf(`{"label":"n0","zone":"a","client_listen":"10.0.0.1:2","peer_listen":"10.0.0.1:1",
+	"siblings":[{"label":"n1","zone":"b","peer_addr":"10.0.0.2:1"},{"label":"n2","zone":"c","peer_addr":"10.0.0.3:1"}],
+	"services":{"cloud":"10.9.0.1:1","state":"10.9.0.2:1"},
+	"cluster":{"teams":[%s],"objectives":[{"kind":"wait","class":"web","within_s":5,"share":0.9}],
+	"workers":{"report_s":6,"lease_s":31,"cancel_s":61,"gang_wait_s":30,"gang_peer_s":5},
+	"state":{"rps":3500,"write_rps":1200,"value_kb":8,"txn_ops":24},
+	"cloud":{"rps":12,"list_lag_s":5},"resources":{"cores":1,"mem_mb":2200,"fd_limit":65536}}}`, strings.Join(teams, ","))), nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	return cfg
+}
+
+// newSlopeLeader creates a leader with machine types and no machines.
+func newSlopeLeader(b *testing.B, workers int) *slopeFleet {
+	b.Helper()
+	log := slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError}))
+	c := New(slopeConfig(b, workers), rand.New(rand.NewPCG(1, 1)), log)
+	c.env.now, c.env.wall = time.Hour, 1_700_000_000_000
+	for _, t := range []protocol.MachineType{
+		{Name: "m16", Cores: 16, MemoryGB: 64, CacheGB: 400, FetchGBPerS: 2, Price: 1, SpotPrice: 0.4, BootS: 35, Zones: []string{"a", "b", "c"}},
+		{Name: "g64", Cores: 64, Accelerators: 8, MemoryGB: 384, CacheGB: 400, FetchGBPerS: 2, Price: 20, SpotPrice: 8, BootS: 45, Zones: []string{"a", "b", "c"}},
+	} {
+		c.catalog.typeInfo[t.Name] = t
+		c.catalog.types = append(c.catalog.types, &scheduler.Type{Name: t.Name, Size: scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
+			Price: t.Price, SpotPrice: t.SpotPrice, Zones: t.Zones, BootS: t.BootS, FetchGBPerS: t.FetchGBPerS})
+	}
+	l := newLeadership(c, &leaderRecord{Token: 1, LeaseID: 1}, 1, c.env.now)
+	l.loader.ready = true
+	c.leadership = l
+	f := &slopeFleet{controller: c, leadership: l, random: rand.New(rand.NewPCG(2, 2))}
+	f.freshPool()
+	return f
+}
+
+// freshPool replaces the machine pool by one that has rented nothing and has read a list of the
+// fleet.
+func (f *slopeFleet) freshPool() {
+	var list protocol.MachineList
+	for _, m := range f.leadership.machines.sortedMachines() {
+		list.Machines = append(list.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, State: "running"})
+	}
+	f.leadership.pool = f.leadership.newPool()
+	f.controller.outbox.cloudRequests.Refill()
+	f.leadership.pool.Tick()
+	for _, e := range f.controller.outbox.effects {
+		if call, isCall := e.(Call); isCall && strings.HasPrefix(call.Path, "/machines?") {
+			then := f.controller.outbox.calls[call.ID]
+			delete(f.controller.outbox.calls, call.ID)
+			then(Result{ID: call.ID, Status: 200, Body: protocol.Encode(list)})
+		}
+	}
+	f.controller.outbox.effects = f.controller.outbox.effects[:0]
+}
+
+// newSlopeFleet creates a leader whose fleet is busy: each machine has about ten tasks, every third
+// has room for a few more, and jobs of twelve tasks wait.
+func newSlopeFleet(b *testing.B, workers int) *slopeFleet {
+	b.Helper()
+	f := newSlopeLeader(b, workers)
+	teams := len(f.controller.env.cfg.Cluster.Teams)
+	for i := range workers {
+		f.addMachine(i)
+	}
+	tasks := int(float64(workers) * slopeTasksPerWorker)
+	var job *clusterstate.Job
+	for i := range tasks {
+		if i%slopeTasksPerJob == 0 {
+			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Need{Cores: 1, Mem: 2})
+		}
+		f.run(job, i%slopeTasksPerJob, f.leadership.machines.sortedMachines()[i%workers])
+	}
+	f.fillMachines()
+	for i := range int(float64(workers) * slopeWaitingPerWorker) {
+		need := scheduler.Need{Cores: 2, Mem: 2.8}
+		if i%2 == 0 {
+			need = scheduler.Need{Cores: 11, Accel: 2, Mem: 50}
+		}
+		f.waiting = append(f.waiting, f.addJob(fmt.Sprintf("j-w%07d", i), i%teams, i%3 == 0, need))
+	}
+	return f
+}
+
+func (f *slopeFleet) addMachine(i int) {
+	m := f.leadership.state.AddMachine(fmt.Sprintf("i-%06d", i))
+	m.Type = []string{"m16", "g64"}[i%2]
+	m.Zone, m.Addr = string(rune('a'+i%3)), "10.1.0.1:1"
+	m.Size = f.leadership.machines.machineSize(m.Type)
+	m.Seen, m.TokenAcknowledged, m.Up, m.Listed, m.Recorded, m.Epoch, m.Token = true, true, true, true, true, 1, 1
+	m.LastSeen, m.LastAnswered, m.TokenAcknowledgedAt, m.Probed = f.controller.env.now, f.controller.env.now, f.controller.env.now, true
+	m.UseImage(fmt.Sprintf("img-%02d", i%12), 5, 400)
+}
+
+func (f *slopeFleet) addJob(uid string, team int, service bool, need scheduler.Need) *clusterstate.Job {
+	i := len(f.leadership.state.Jobs)
+	spec := &protocol.Spec{UID: uid, Class: []string{"web", "scoring"}[i%2], Team: fmt.Sprintf("team-%d", team), Service: service, Priority: protocol.Normal,
+		Tasks: slopeTasksPerJob, Cores: need.Cores, Accelerators: need.Accel, MemoryGB: need.Mem, Image: fmt.Sprintf("img-%02d", i%12), ImageGB: 5,
+		Spread: service && need.Accel == 0, CheckpointS: 15, SaveS: 3, EstimateS: 90}
+	job := f.leadership.state.AddJob(spec, f.controller.env.wall-int64(i%3600)*1000)
+	job.Stored = true
+	return job
+}
+
+// run places a task on a machine, as one that has run for a while.
+func (f *slopeFleet) run(job *clusterstate.Job, index int, m *clusterstate.Machine) {
+	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.take(), f.controller.env.now-time.Minute)
+	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
+	a.SetState(protocol.Running)
+	f.tasks = append(f.tasks, a)
+}
+
+// fillMachines leaves room only on every third machine: one task's worth of cores, and two accelerators.
+func (f *slopeFleet) fillMachines() {
+	big := f.addJob("j-big", 0, false, scheduler.Need{})
+	for i, m := range f.leadership.machines.sortedMachines() {
+		left := scheduler.Need{}
+		if i%3 == 0 {
+			left = scheduler.Need{Cores: 14, Accel: 2, Mem: 60}
+		}
+		free := m.Size.Minus(m.Used)
+		m.Used = m.Used.Plus(scheduler.Need{Cores: max(0, free.Cores-left.Cores), Accel: max(0, free.Accel-left.Accel)})
+	}
+	f.leadership.state.RemoveJob(big.Spec.UID)
+}
+
+// endOneTask removes one running task from the cluster state and makes another task of its job wait.
+func (f *slopeFleet) endOneTask() {
+	i := f.random.IntN(len(f.tasks))
+	f.leadership.state.RemoveAttempt(f.tasks[i])
+	f.tasks[i] = f.tasks[len(f.tasks)-1]
+	f.tasks = f.tasks[:len(f.tasks)-1]
+}
+
+// settleStarts marks what the last fill started as running, so that the next one finds the fleet as
+// it would be.
+func (f *slopeFleet) settleStarts() {
+	for {
+		f.controller.outbox.effects = f.controller.outbox.effects[:0]
+		f.controller.outbox.stateChanges.Refill()
+		f.controller.outbox.stateRequests.Refill()
+		f.leadership.flush()
+		if !f.answerTransaction() {
+			break
+		}
+	}
+	f.controller.outbox.effects = f.controller.outbox.effects[:0]
+	clear(f.controller.outbox.calls)
+}
+
+// answerTransaction makes the transaction that was just sent apply; it returns false if there is
+// none.
+func (f *slopeFleet) answerTransaction() bool {
+	for _, e := range f.controller.outbox.effects {
+		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
+			f.revision++
+			f.controller.outbox.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TxnReply{Revision: f.revision})})
+			return true
+		}
+	}
+	return false
+}
+
+// keepBusy keeps a transaction in flight that is never answered, so that no fill begins.
+func (f *slopeFleet) keepBusy() {
+	f.leadership.store.Mark("x/busy", statestore.User, func() any { return 1 }, nil)
+	f.leadership.flush()
+}
+
+func eachSlopeSize(b *testing.B, run func(b *testing.B, workers int)) {
+	b.Helper()
+	for _, workers := range slopeSizes {
+		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
+			b.ReportAllocs()
+			run(b, workers)
+		})
+	}
+}
--- /dev/null
+++ b/internal/controller/user_answers_test.go
@@ -0,0 +1,97 @@
+package controller
+
+import (
+	"net/http"
+	"testing"
+
+	"claybarrow/internal/protocol"
+)
+
+// The state service refuses the leader alone: it must not confirm to anybody what it can't know,
+// and another leads soon.
+func TestRefusedByStateAlone(t *testing.T) {
+	w := newWorld(t, 11)
+	w.submit("j-1", map[string]any{"shards": 4})
+	w.until(60*second, "tasks run", func() bool { return w.running("j-1") > 0 })
+	old := w.awaitLeader()
+	w.state.Refuse[old] = true
+	w.until(10*second, "another leader", func() bool { l := w.leader(); return l >= 0 && l != old })
+	w.user(old, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
+		if s != http.StatusServiceUnavailable && s != http.StatusOK {
+			t.Errorf("the refused leader answers %d", s)
+		}
+	})
+	w.user(old, OpPoll, "j-99", func(s int, _ protocol.JobStatus) {
+		if s != http.StatusServiceUnavailable && s != http.StatusNotFound {
+			t.Errorf("the refused leader answers %d", s)
+		}
+	})
+	w.run(20 * second)
+	w.state.Refuse[old] = false
+	w.awaitStatus(120*second, "j-1", protocol.Done)
+	w.requireNoViolations()
+}
+
+// The answers that users must get, also from a controller that does not lead.
+func TestUsersAnswers(t *testing.T) {
+	w := newWorld(t, 12)
+	w.awaitLeader()
+	w.run(2 * second)
+	check := func(name string, op Op, uid string, body []byte, want int) {
+		t.Helper()
+		for i := range 3 {
+			got := -1
+			w.ask(i, Request{Op: op, UID: uid, Body: body}, func(r Reply) { got = r.Status })
+			w.run(second)
+			if got != want {
+				t.Errorf("%s at node %d: %d, want %d", name, i, got, want)
+			}
+		}
+	}
+	sub := func(change map[string]any) []byte { return protocol.Encode(w.spec("j-50", change)) }
+	check("malformed", OpSubmit, "", []byte("x"), 400)
+	check("wrong field", OpSubmit, "", sub(map[string]any{"rank": "top"}), 400)
+	check("unknown team", OpSubmit, "", sub(map[string]any{"owner": "green"}), 422)
+	check("too large", OpSubmit, "", sub(map[string]any{"cores": 9.0}), 422)
+	check("over the limit", OpSubmit, "", sub(map[string]any{"shape": "service", "shards": 9}), 422)
+	check("no type", OpSubmit, "", sub(map[string]any{"flavours": []string{}}), 422)
+	check("unknown", OpPoll, "j-77", nil, 404)
+	check("unknown cancel", OpCancel, "j-77", nil, 404)
+	w.submit("j-1", nil)
+	w.run(second)
+	// A malformed repeat of an accepted job is no reason to refuse it.
+	check("damaged repeat", OpSubmit, "", protocol.Encode(w.spec("j-1", map[string]any{"rank": "top"})), 200)
+	w.requireNoViolations()
+}
+
+// Connections between controllers are refused while all reach the state service: only the leader is
+// ready for users, and the others report that they are not. When they reach it again they are ready
+// too.
+func TestNotReadyWithoutTheLeader(t *testing.T) {
+	w := newWorld(t, 33)
+	lead := w.awaitLeader()
+	w.run(5 * second)
+	fit := func() (n int) {
+		for i := range 3 {
+			w.ask(i, Request{Op: OpReady}, func(r Reply) {
+				if r.Status == http.StatusOK {
+					n++
+				}
+			})
+		}
+		return n
+	}
+	if n := fit(); n != 3 {
+		t.Fatalf("%d of 3 controllers are fit", n)
+	}
+	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
+	w.run(6 * second)
+	if n := fit(); n != 1 || w.leader() != lead {
+		t.Fatalf("%d controllers are fit, the leader is %d, was %d", n, w.leader(), lead)
+	}
+	w.script = nil
+	w.run(2 * second)
+	if n := fit(); n != 3 {
+		t.Fatalf("%d of 3 controllers are fit again", n)
+	}
+}
