--- a/internal/apicall/apicall_test.go
+++ b/internal/apicall/apicall_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestReadAnswer(t *testing.T) {
-	names := protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}})
+	names := protocol.Encode(protocol.MachineIDs{Machines: []string{"i-1"}})
 	for _, c := range []struct {
 		name           string
 		status         int
@@ -31,7 +31,7 @@
 		{name: "unavailable", status: 503, reason: ErrUnavailable, retryable: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var answer protocol.MachineNames
+			var answer protocol.MachineIDs
 			err := ReadAnswer("test", c.status, c.body, &answer)
 			if (err == nil) != c.success {
 				t.Fatalf("error %v", err)
@@ -55,7 +55,7 @@
 }
 
 func TestDecoded(t *testing.T) {
-	names := protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}})
+	names := protocol.Encode(protocol.MachineIDs{Machines: []string{"i-1"}})
 	for _, c := range []struct {
 		name     string
 		status   int
@@ -69,7 +69,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			calls := 0
-			Decoded("test", func(answer protocol.MachineNames, err error) {
+			Decoded("test", func(answer protocol.MachineIDs, err error) {
 				calls++
 				if !errors.Is(err, c.err) || len(answer.Machines) != c.machines {
 					t.Errorf("%+v, %v", answer, err)
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -64,7 +64,7 @@
 // asked for. It is idempotent: the same request name launches nothing twice. Reasons of its own:
 // ErrNoCapacity.
 func (c *Client) Launch(request protocol.LaunchRequest, timeout time.Duration, done func(names []string, err error)) {
-	takeAnswer := func(launched protocol.MachineNames, err error) { done(launched.Machines, err) }
+	takeAnswer := func(launched protocol.MachineIDs, err error) { done(launched.Machines, err) }
 	c.transport.Call(http.MethodPost, machinesPath, request, timeout, func(status int, body []byte) {
 		if status == http.StatusServiceUnavailable && isNoCapacity(body) {
 			done(nil, &apicall.StatusError{Operation: operationLaunch, Status: status, Reason: ErrNoCapacity})
@@ -76,7 +76,7 @@
 
 // Delete deletes machines. After success all of them are gone.
 func (c *Client) Delete(names []string, timeout time.Duration, done func(error)) {
-	request := protocol.MachineNames{Machines: names}
+	request := protocol.MachineIDs{Machines: names}
 	c.transport.Call(http.MethodPost, deletePath, request, timeout, func(status int, _ []byte) {
 		done(apicall.ReadAnswer(operationDelete, status, nil, nil))
 	})
--- a/internal/cloudclient/client_test.go
+++ b/internal/cloudclient/client_test.go
@@ -62,7 +62,7 @@
 		{"list", "GET", "/machines?limit=500", nil},
 		{"list on", "GET", "/machines?limit=500&after=i-2", nil},
 		{"launch", "POST", "/machines", launch},
-		{"delete", "POST", "/machines/delete", protocol.MachineNames{Machines: []string{"i-1"}}},
+		{"delete", "POST", "/machines/delete", protocol.MachineIDs{Machines: []string{"i-1"}}},
 	} {
 		t.Run(c.operation, func(t *testing.T) {
 			var sent recorder
@@ -91,7 +91,7 @@
 	}{
 		{name: "types", operation: "types", status: 200, body: protocol.Encode(protocol.MachineTypes{Types: types}), result: types},
 		{name: "list", operation: "list", status: 200, body: protocol.Encode(list), result: list},
-		{name: "launched", operation: "launch", status: 200, body: protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}}), result: []string{"i-1"}},
+		{name: "launched", operation: "launch", status: 200, body: protocol.Encode(protocol.MachineIDs{Machines: []string{"i-1"}}), result: []string{"i-1"}},
 		{name: "deleted, whatever the body", operation: "delete", status: 200, body: undecodable},
 		{name: "undecodable types", operation: "types", status: 200, body: undecodable, failed: true, reason: apicall.ErrMalformedAnswer},
 		{name: "undecodable list", operation: "list", status: 200, body: undecodable, failed: true, reason: apicall.ErrMalformedAnswer},
--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -56,16 +56,16 @@
 type Observation struct {
 	// LeaseExpired: the agent's lease expired since the message before.
 	LeaseExpired bool
-	// AnswersLost: it expired although the leader had answered less than half a lease ago.
+	// RepliesLost: it expired although the leader had answered less than half a lease ago.
 	AnswersLost bool
-	// ShowsToken: the agent has this leader's token. FirstToken: for the first time in this term.
-	ShowsToken, FirstToken bool
+	// HasLeaderToken: the agent has this leader's token. FirstLeaderToken: for the first time in this term.
+	HasLeaderToken, FirstLeaderToken bool
 }
 
-// Apply records a message for which IsNewest holds. token is the leader's own, lease the length of an
+// RecordMessage records a message for which IsNewest holds. token is the leader's own, lease the length of an
 // agent's lease.
-func (a *AgentState) Apply(msg HeartbeatHeader, token uint64, now, lease time.Duration) Observation {
-	observation := Observation{LeaseExpired: a.Seen && msg.Epoch > a.Epoch, ShowsToken: msg.Token == token}
+func (a *AgentState) RecordMessage(msg HeartbeatHeader, token uint64, now, lease time.Duration) Observation {
+	observation := Observation{LeaseExpired: a.Seen && msg.Epoch > a.Epoch, HasLeaderToken: msg.Token == token}
 	// The answers are lost if the lease expired although the leader answered all the while, or if
 	// several answered heartbeats in a row still show an older token.
 	switch {
@@ -75,7 +75,7 @@
 		a.QuarantinedUntil = now + quarantineLeases*lease
 	case msg.Heartbeat && a.LastAnswered > 0 && msg.Token < token:
 		a.UnseenAnswers++
-	case observation.ShowsToken && !observation.LeaseExpired && now > a.QuarantinedUntil:
+	case observation.HasLeaderToken && !observation.LeaseExpired && now > a.QuarantinedUntil:
 		a.UnseenAnswers = 0
 	}
 	a.Epoch, a.Sequence, a.Token = msg.Epoch, msg.Sequence, msg.Token
@@ -83,8 +83,8 @@
 		a.HeartbeatSequence = msg.Sequence
 	}
 	a.LastSeen, a.Seen = now, true
-	if observation.ShowsToken && !a.TokenAcknowledged {
-		a.TokenAcknowledged, a.TokenAcknowledgedAt, observation.FirstToken = true, now, true
+	if observation.HasLeaderToken && !a.TokenAcknowledged {
+		a.TokenAcknowledged, a.TokenAcknowledgedAt, observation.FirstLeaderToken = true, now, true
 	}
 	return observation
 }
--- a/internal/clusterstate/agent_state_test.go
+++ b/internal/clusterstate/agent_state_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			agent := &AgentState{}
-			agent.Apply(newest, 5, time.Second, 10*time.Second)
+			agent.RecordMessage(newest, 5, time.Second, 10*time.Second)
 			agent.ExpiredEpoch = tc.expiredEpoch
 			if got := agent.IsNewest(HeartbeatHeader{Epoch: tc.epoch, Sequence: tc.sequence}); got != tc.want {
 				t.Errorf("newest: %v", got)
@@ -41,20 +41,20 @@
 	const lease, token, olderToken = 10 * time.Second, 5, 4
 	agent := &AgentState{}
 	heartbeat := func(epoch, sequence, shown uint64, now time.Duration) Observation {
-		return agent.Apply(HeartbeatHeader{Epoch: epoch, Sequence: sequence, Token: shown, Heartbeat: true}, token, now, lease)
+		return agent.RecordMessage(HeartbeatHeader{Epoch: epoch, Sequence: sequence, Token: shown, Heartbeat: true}, token, now, lease)
 	}
 	first := heartbeat(1, 1, olderToken, time.Second)
-	if first.FirstToken || first.ShowsToken || agent.UnseenAnswers != 0 {
+	if first.FirstLeaderToken || first.HasLeaderToken || agent.UnseenAnswers != 0 {
 		t.Errorf("the first heartbeat: %+v, %d unseen", first, agent.UnseenAnswers)
 	}
 	agent.LastAnswered = time.Second
 	heartbeat(1, 2, olderToken, 2*time.Second)
 	answer := HeartbeatHeader{Epoch: 1, Sequence: 3, Token: olderToken} // to a direct call
-	agent.Apply(answer, token, 2*time.Second, lease)
+	agent.RecordMessage(answer, token, 2*time.Second, lease)
 	if agent.UnseenAnswers != 1 || agent.HeartbeatSequence != 2 {
 		t.Errorf("%d unseen, last heartbeat %d", agent.UnseenAnswers, agent.HeartbeatSequence)
 	}
-	if got := heartbeat(1, 4, token, 3*time.Second); !got.FirstToken || agent.UnseenAnswers != 0 || agent.TokenAcknowledgedAt != 3*time.Second {
+	if got := heartbeat(1, 4, token, 3*time.Second); !got.FirstLeaderToken || agent.UnseenAnswers != 0 || agent.TokenAcknowledgedAt != 3*time.Second {
 		t.Errorf("with the leader's token: %+v, %d unseen", got, agent.UnseenAnswers)
 	}
 	agent.LastAnswered = 3 * time.Second
--- a/internal/clusterstate/attempt.go
+++ b/internal/clusterstate/attempt.go
@@ -40,19 +40,19 @@
 	// State is the newest one that the agent reported; empty before its first report. Change it with
 	// SetState.
 	State protocol.TaskState
-	// Since is when the attempt was added, by the leader's clock.
-	Since time.Duration
+	// AddedAt is when the attempt was added, by the leader's clock.
+	AddedAt time.Duration
 
 	// StopRequested: the attempt is to be stopped.
 	StopRequested bool
 	// Preempted: it is stopped for work of a higher priority.
 	Preempted bool
-	// Exit is the cause of its end as the agent reported it.
-	Exit protocol.ExitCause
+	// ExitCause is the cause of its end as the agent reported it.
+	ExitCause protocol.ExitCause
 	// StopSentAt is when the last stop command was sent, by the leader's clock.
 	StopSentAt time.Duration
-	// Grace is the time in seconds that the task has to save a checkpoint before it is killed.
-	Grace float64
+	// GraceSeconds is the time in seconds that the task has to save a checkpoint before it is killed.
+	GraceSeconds float64
 }
 
 // AttemptKey identifies an attempt on a machine.
@@ -65,8 +65,8 @@
 // TaskName is the name of a task in messages to and from agents: the job's UID, a slash and the index.
 func TaskName(uid string, index int) string { return uid + "/" + strconv.Itoa(index) }
 
-// ParseTask reads a name that TaskName has made.
-func ParseTask(name string) (uid string, index int, ok bool) {
+// ParseTaskName reads a name that TaskName has made.
+func ParseTaskName(name string) (uid string, index int, ok bool) {
 	uid, digits, found := strings.Cut(name, "/")
 	index, err := strconv.Atoi(digits)
 	return uid, index, found && err == nil && index >= 0
@@ -76,16 +76,16 @@
 func (a *Attempt) Key() AttemptKey { return AttemptKey{TaskName(a.Job.Spec.UID, a.Index), a.Number} }
 
 // mayNeedImage reports whether the agent may still have to fetch the image.
-func (a *Attempt) mayNeedImage() bool { return a.State == "" || a.State == protocol.FetchingImage }
+func (a *Attempt) mayNeedImage() bool { return a.State == "" || a.State == protocol.TaskFetchingImage }
 
 // SetState records the state that the agent reported, and keeps the counts of the job, the machine
 // and the gang in step with it.
 func (a *Attempt) SetState(state protocol.TaskState) {
-	if a.State == protocol.Running {
-		a.Job.Running--
+	if a.State == protocol.TaskRunning {
+		a.Job.RunningTasks--
 	}
-	if state == protocol.Running {
-		a.Job.Running++
+	if state == protocol.TaskRunning {
+		a.Job.RunningTasks++
 	}
 	if a.mayNeedImage() {
 		a.Machine.startingAttempts--
@@ -105,8 +105,8 @@
 type ExitedTask struct {
 	// Attempt is nil if the cluster state does not have it.
 	Attempt *Attempt
-	// Ready: all that follows from the exit is stored, so the clear command may be sent.
-	Ready bool
-	// Sent is when the last clear command was sent, by the leader's clock.
-	Sent time.Duration
+	// Clearable: all that follows from the exit is stored, so the clear command may be sent.
+	Clearable bool
+	// ClearSentAt is when the last clear command was sent, by the leader's clock.
+	ClearSentAt time.Duration
 }
--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -76,7 +76,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d tasks, layout of %d bytes, limit %d", tc.tasks, tc.layout, tc.limit), func(t *testing.T) {
 			state := New(tc.layout, tc.limit)
-			j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: tc.tasks}, 1)
+			j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tc.tasks}, 1)
 			for i := range tc.tasks {
 				if rng.IntN(3) > 0 || i == tc.tasks-1 {
 					j.MarkDone(i)
@@ -84,7 +84,7 @@
 			}
 			records := renderRecords(t, state, j, tc.limit)
 			again := New(tc.layout, tc.limit)
-			read := again.AddJob(&protocol.Spec{UID: "j-1", Tasks: tc.tasks}, 1)
+			read := again.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tc.tasks}, 1)
 			for key, rec := range records {
 				if known, err := again.LoadCompletions(key, rec); err != nil || !known {
 					t.Fatalf("%s: %v", key, err)
@@ -108,20 +108,20 @@
 func TestOversizedCompletionsStay(t *testing.T) {
 	const tasks = 40000
 	before := New(16<<10, 16<<10)
-	j := before.AddJob(&protocol.Spec{UID: "j-1", Tasks: tasks}, 1)
+	j := before.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tasks}, 1)
 	for i := range tasks - 2 {
 		j.MarkDone(i)
 	}
 	records := renderRecords(t, before, j, 16<<10)
 	after := New(16<<10, 2<<10)
-	read := after.AddJob(&protocol.Spec{UID: "j-1", Tasks: tasks}, 1)
+	read := after.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tasks}, 1)
 	for key, rec := range records {
 		if _, err := after.LoadCompletions(key, rec); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if read.Done != tasks-2 {
-		t.Fatalf("%d of %d tasks are read as done", read.Done, tasks-2)
+	if read.CompletedTasks != tasks-2 {
+		t.Fatalf("%d of %d tasks are read as done", read.CompletedTasks, tasks-2)
 	}
 	read.MarkDone(tasks - 1)
 	for _, i := range []int{0, tasks - 1} {
@@ -131,14 +131,14 @@
 	}
 	records[after.CompletionKey(read, tasks-1)] = after.CompletionRecord(read, tasks-1)
 	last := New(16<<10, 2<<10)
-	read = last.AddJob(&protocol.Spec{UID: "j-1", Tasks: tasks}, 1)
+	read = last.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tasks}, 1)
 	for key, rec := range records {
 		if _, err := last.LoadCompletions(key, rec); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if read.Done != tasks-1 || read.IsDone(tasks-2) {
-		t.Errorf("%d tasks are read as done", read.Done)
+	if read.CompletedTasks != tasks-1 || read.IsDone(tasks-2) {
+		t.Errorf("%d tasks are read as done", read.CompletedTasks)
 	}
 }
 
@@ -146,14 +146,14 @@
 // wrote.
 func TestCompletionsOfOlderVersions(t *testing.T) {
 	state := New(16<<10, 16<<10)
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 100000}, 1)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 100000}, 1)
 	for index, key := range map[int]string{0: "d/j-1/0", 49151: "d/j-1/0", 49152: "d/j-1/1", 99999: "d/j-1/2"} {
 		if got := state.CompletionKey(j, index); got != key {
 			t.Errorf("task %d is stored in %s, want %s", index, got, key)
 		}
 	}
 	state = New(8<<10, 2<<10)
-	j = state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 20}, 1)
+	j = state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 20}, 1)
 	for _, i := range []int{0, 9, 19} {
 		j.MarkDone(i)
 	}
@@ -166,7 +166,7 @@
 // Damaged keys are refused.
 func TestKeysOfCompletions(t *testing.T) {
 	state := New(16<<10, 2<<10)
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 100000}, 1)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 100000}, 1)
 	keys := map[string]bool{}
 	for _, key := range state.CompletionKeys(j) {
 		keys[key] = true
@@ -193,7 +193,7 @@
 // A lower limit on new values does not change the meaning of stored keys, and all new records are within it.
 func TestLowerLimitsKeepTheLayout(t *testing.T) {
 	state := New(8<<10, 2<<10)
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3000}, 1)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 3000}, 1)
 	j.MarkDone(2999)
 	if key := state.CompletionKey(j, 2999); key != "d/j-1/0" {
 		t.Errorf("key %s", key)
--- a/internal/clusterstate/failures.go
+++ b/internal/clusterstate/failures.go
@@ -5,15 +5,15 @@
 // JobFailures is what is known of a job's failures since one of its tasks last completed. It is kept
 // in memory only: a new leader begins with none.
 type JobFailures struct {
-	// Waves counts failures for the job's back-off. Failures of tasks that had all started before the
+	// Backoffs counts failures for the job's back-off. Failures of tasks that had all started before the
 	// first of them failed count as one.
-	Waves int
-	// LastWave is when the last of these began, by the leader's clock.
-	LastWave time.Duration
+	Backoffs int
+	// LastBackoffAt is when the last of these began, by the leader's clock.
+	LastBackoffAt time.Duration
 	// Machines are those where tasks have failed, with the time of the last failure there.
 	Machines map[string]time.Duration
-	// Everywhere: the failures are the job's own fault, as its tasks have failed on several machines.
-	Everywhere bool
+	// IsJobFault: the failures are the job's own fault, as its tasks have failed on several machines.
+	IsJobFault bool
 }
 
 // Numbers of machines with failures of a job.
@@ -24,27 +24,27 @@
 	jobFaultMachines = 3
 )
 
-// Note records a failure on a machine. It returns true if that is the one which shows that the
+// RecordFailure records a failure on a machine. It returns true if that is the one which shows that the
 // failures are the job's own fault.
-func (f *JobFailures) Note(machine string, now time.Duration) bool {
-	if f.Everywhere {
+func (f *JobFailures) RecordFailure(machine string, now time.Duration) bool {
+	if f.IsJobFault {
 		return false
 	}
 	if f.Machines == nil {
 		f.Machines = map[string]time.Duration{}
 	}
 	f.Machines[machine] = now
-	f.Everywhere = len(f.Machines) >= jobFaultMachines
-	return f.Everywhere
+	f.IsJobFault = len(f.Machines) >= jobFaultMachines
+	return f.IsJobFault
 }
 
-// Probing reports whether only one task of the job may be started at a time.
-func (f *JobFailures) Probing() bool { return f.Everywhere || len(f.Machines) >= probingMachines }
+// IsProbing reports whether only one task of the job may be started at a time.
+func (f *JobFailures) IsProbing() bool { return f.IsJobFault || len(f.Machines) >= probingMachines }
 
-// Avoid returns the machines that the job must not be placed on: those where it failed within the
+// AvoidedMachines returns the machines that the job must not be placed on: those where it failed within the
 // given time, unless the failures are its own fault.
-func (f *JobFailures) Avoid(now, within time.Duration) map[string]bool {
-	if f.Everywhere || len(f.Machines) == 0 {
+func (f *JobFailures) AvoidedMachines(now, within time.Duration) map[string]bool {
+	if f.IsJobFault || len(f.Machines) == 0 {
 		return nil
 	}
 	avoided := map[string]bool{}
@@ -59,10 +59,10 @@
 // MachineFaults is the evidence that a machine is faulty, since a task last completed on it. It is kept
 // in memory only: a new leader begins with none.
 type MachineFaults struct {
-	// Suspects are the jobs with a failed task there, which may be the job's own fault.
-	Suspects map[string]bool
-	// Confirmed counts the jobs that failed there and completed tasks elsewhere.
-	Confirmed int
+	// SuspectJobs are the jobs with a failed task there, which may be the job's own fault.
+	SuspectJobs map[string]bool
+	// ConfirmedJobs counts the jobs that failed there and completed tasks elsewhere.
+	ConfirmedJobs int
 	// Faulty: the evidence is enough, and the machine is given no more work. It stays set.
 	Faulty bool
 }
@@ -74,32 +74,32 @@
 	faultyThreshold = 3
 )
 
-// Suspect records that a task of the job failed on the machine. It returns true if that makes the
+// AddSuspect records that a task of the job failed on the machine. It returns true if that makes the
 // machine faulty.
-func (f *MachineFaults) Suspect(job string) bool {
+func (f *MachineFaults) AddSuspect(job string) bool {
 	if f.Faulty {
 		return false
 	}
-	if f.Suspects == nil {
-		f.Suspects = map[string]bool{}
+	if f.SuspectJobs == nil {
+		f.SuspectJobs = map[string]bool{}
 	}
-	f.Suspects[job] = true
+	f.SuspectJobs[job] = true
 	return f.updateFaulty()
 }
 
-// Confirm records that a suspected job has completed a task elsewhere. It returns true if that makes
+// ConfirmSuspect records that a suspected job has completed a task elsewhere. It returns true if that makes
 // the machine faulty.
-func (f *MachineFaults) Confirm(job string) bool {
-	if f.Faulty || !f.Suspects[job] {
+func (f *MachineFaults) ConfirmSuspect(job string) bool {
+	if f.Faulty || !f.SuspectJobs[job] {
 		return false
 	}
-	delete(f.Suspects, job)
-	f.Confirmed++
+	delete(f.SuspectJobs, job)
+	f.ConfirmedJobs++
 	return f.updateFaulty()
 }
 
-// Withdraw drops the job's failures from the evidence, as they are its own fault.
-func (f *MachineFaults) Withdraw(job string) { delete(f.Suspects, job) }
+// RemoveSuspect drops the job's failures from the evidence, as they are its own fault.
+func (f *MachineFaults) RemoveSuspect(job string) { delete(f.SuspectJobs, job) }
 
 // Clear drops the evidence, as a task has completed on the machine. A faulty machine stays faulty.
 func (f *MachineFaults) Clear() {
@@ -109,6 +109,6 @@
 }
 
 func (f *MachineFaults) updateFaulty() bool {
-	f.Faulty = suspectWeight*len(f.Suspects)+confirmedWeight*f.Confirmed >= faultyThreshold
+	f.Faulty = suspectWeight*len(f.SuspectJobs)+confirmedWeight*f.ConfirmedJobs >= faultyThreshold
 	return f.Faulty
 }
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -119,9 +119,9 @@
 	return len(placed) == g.tasks && len(g.attempts) == g.tasks
 }
 
-// Replaces reports whether lost tasks may start again under the attempt's number: none of its tasks
+// MayReplaceTasks reports whether lost tasks may start again under the attempt's number: none of its tasks
 // has begun to run, and all that are left were started by this leader and are not to be stopped.
-func (g *Gang) Replaces() bool {
+func (g *Gang) MayReplaceTasks() bool {
 	for _, a := range g.attempts {
 		if a.Number != g.Number || !a.Durable || a.Loaded || a.StopRequested {
 			return false
@@ -148,7 +148,7 @@
 // applyTaskState applies the event that follows from a task's reported state. Tasks under another
 // number belong to an earlier attempt and change nothing.
 func (g *Gang) applyTaskState(a *Attempt) {
-	begun := a.State == protocol.Running || a.State == protocol.Saving
+	begun := a.State == protocol.TaskRunning || a.State == protocol.TaskSavingCheckpoint
 	if begun && a.Number == g.Number {
 		g.Apply(TaskRunning)
 	}
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -44,7 +44,7 @@
 func placedGang(t *testing.T) (*State, *Job, []*Attempt) {
 	t.Helper()
 	state := New(16<<10, 16<<10)
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Gang: true}, 1)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 3, Gang: true}, 1)
 	var attempts []*Attempt
 	for i, id := range []string{"i-1", "i-2", "i-3"} {
 		a := state.AddAttempt(state.AddMachine(id), j, i, 7, 0)
@@ -116,12 +116,12 @@
 func TestGangRunsWhenATaskDoes(t *testing.T) {
 	state, j, all := placedGang(t)
 	unanswered := state.AddAttempt(state.AddMachine("i-4"), j, 0, 6, 0)
-	unanswered.SetState(protocol.Running)
-	all[0].SetState(protocol.WaitingForGang)
+	unanswered.SetState(protocol.TaskRunning)
+	all[0].SetState(protocol.TaskWaitingForGang)
 	if j.Gang.State != GangGathering {
 		t.Errorf("it is %v", j.Gang.State)
 	}
-	all[0].SetState(protocol.Running)
+	all[0].SetState(protocol.TaskRunning)
 	if j.Gang.State != GangRunning {
 		t.Errorf("it is %v", j.Gang.State)
 	}
--- a/internal/clusterstate/images_test.go
+++ b/internal/clusterstate/images_test.go
@@ -11,7 +11,7 @@
 func TestLeastRecentlyUsedImagesAreDropped(t *testing.T) {
 	state := New(1024, 1024)
 	m := state.AddMachine("i-1")
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 1, Image: "needed"}, 0)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 1, Image: "needed"}, 0)
 	state.AddAttempt(m, j, 0, 1, 0)
 	for _, name := range []string{"needed", "old", "recent", "old-but-used"} {
 		m.UseImage(name, 30, 0)
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -14,7 +14,7 @@
 // Job is a job that is not over. Its spec, its submission time and its cancellation are stored in a JobRecord and the
 // completions of its tasks in CompletionRecords; the rest is rebuilt or starts afresh at a failover.
 type Job struct {
-	Spec *protocol.Spec
+	Spec *protocol.JobSpec
 	// Submitted is when the job was submitted, in ms since the epoch by the wall clock of the controller
 	// that accepted it.
 	Submitted int64
@@ -23,22 +23,22 @@
 	// Cancelling: no task may be started any more, and all that run are to be stopped. The request is
 	// stored, so a later leader goes on with it.
 	Cancelling bool
-	// Finishing: all tasks are done, or cancelled and proved gone, and the final record is being
+	// Finalizing: all tasks are done, or cancelled and proved gone, and the final record is being
 	// written.
-	Finishing bool
+	Finalizing bool
 	// Scale is the job's attained service and its number of slots.
-	Scale scheduler.Scale
+	Scale scheduler.ScaleUp
 	// Need is what one task needs.
-	Need scheduler.Need
+	Need scheduler.Resources
 	// Types are the machine types that the tasks may run on; nil: any.
 	Types map[string]bool
 
-	// Done counts the tasks that have completed.
-	Done int
+	// CompletedTasks counts the tasks that have completed.
+	CompletedTasks int
 	// ActiveAttempts counts the attempts that may be on machines, Running those that were last reported
 	// running.
 	ActiveAttempts int
-	Running        int
+	RunningTasks   int
 	// Gang is the current attempt of a gang; nil if the job is no gang.
 	Gang *Gang
 
@@ -70,12 +70,12 @@
 }
 
 // AddJob adds a job. submitted is in ms since the epoch.
-func (s *State) AddJob(spec *protocol.Spec, submitted int64) *Job {
+func (s *State) AddJob(spec *protocol.JobSpec, submitted int64) *Job {
 	j := &Job{
 		Spec:           spec,
 		Submitted:      submitted,
-		Scale:          scheduler.NewScale(),
-		Need:           scheduler.Need{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB},
+		Scale:          scheduler.NewScaleUp(),
+		Need:           scheduler.Resources{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB},
 		doneTasks:      newTaskSet(spec.Tasks),
 		placedTasks:    newTaskSet(spec.Tasks),
 		attemptsByTask: map[int]int{},
@@ -122,16 +122,16 @@
 		return false
 	}
 	j.doneTasks.add(index)
-	j.Done++
+	j.CompletedTasks++
 	j.revision++
 	return true
 }
 
-// AttemptsOf is the number of the task's attempts that may be on machines.
-func (j *Job) AttemptsOf(index int) int { return j.attemptsByTask[index] }
+// AttemptCount is the number of the task's attempts that may be on machines.
+func (j *Job) AttemptCount(index int) int { return j.attemptsByTask[index] }
 
-// InZone returns the number of attempts in each zone. The map is a copy.
-func (j *Job) InZone() map[string]int { return maps.Clone(j.attemptsByZone) }
+// AttemptsByZone returns the number of attempts in each zone. The map is a copy.
+func (j *Job) AttemptsByZone() map[string]int { return maps.Clone(j.attemptsByZone) }
 
 // addAttempt keeps the job's counts in step with an attempt that State.AddAttempt adds.
 func (j *Job) addAttempt(a *Attempt) {
@@ -180,7 +180,7 @@
 // AppendWaitingTasks is WaitingTasks with a slice to append to, which must be empty. It saves an
 // allocation for each job in each scheduling pass.
 func (j *Job) AppendWaitingTasks(tasks []int, limit int) (_ []int, interrupted int) {
-	if j.Cancelling || j.Finishing {
+	if j.Cancelling || j.Finalizing {
 		return tasks, 0
 	}
 	if j.Gang != nil {
@@ -211,7 +211,7 @@
 // before is proved gone, or those that were lost while the others gather. Lost tasks of a broken
 // attempt are not replaced while any of it is left.
 func (j *Job) appendWaitingGangTasks(tasks []int) []int {
-	if j.ActiveAttempts > 0 && !j.Gang.Replaces() {
+	if j.ActiveAttempts > 0 && !j.Gang.MayReplaceTasks() {
 		return tasks
 	}
 	for index := range j.Spec.Tasks {
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -18,7 +18,7 @@
 	// Spot: the cloud may reclaim the machine.
 	Spot bool
 	// Size is the machine's resources, Used what the attempts on it need.
-	Size, Used scheduler.Need
+	Size, Used scheduler.Resources
 	// Attempts are those that may be there. Add and remove them with State.AddAttempt and
 	// State.RemoveAttempt.
 	Attempts map[AttemptKey]*Attempt
@@ -56,8 +56,8 @@
 	ConnectionFailed bool
 	// LastFailedCallAt is when that call was sent.
 	LastFailedCallAt time.Duration
-	// NextCall is the earliest time for the next call.
-	NextCall time.Duration
+	// NextCallAt is the earliest time for the next call.
+	NextCallAt time.Duration
 	// Probed: a call was sent, and has neither failed nor found another epoch than expected since.
 	Probed bool
 }
@@ -79,29 +79,29 @@
 
 // RentalState is the state of the machine's rental in the cloud.
 type RentalState struct {
-	// ExistedAt is the latest time at which the machine is known to have existed. A listing that is
+	// KnownToExistAt is the latest time at which the machine is known to have existed. A listing that is
 	// surely younger and does not have the machine proves that it is gone.
-	ExistedAt time.Duration
+	KnownToExistAt time.Duration
 	// LaunchedAt is when the rental was requested, as far as that is known.
 	LaunchedAt time.Duration
-	// Up: the agent has sent a heartbeat at some time, to this leader or an earlier one.
-	Up bool
-	// Listed: the cloud lists the machine as running.
-	Listed bool
+	// EverReported: the agent has sent a heartbeat at some time, to this leader or an earlier one.
+	EverReported bool
+	// ListedRunning: the cloud lists the machine as running.
+	ListedRunning bool
 	// Releasing: the machine is to be deleted.
 	Releasing bool
 	// ReleaseStored: Releasing is stored, so the deletion may be sent.
 	ReleaseStored bool
 	// IdleSince is since when the machine counts as idle; 0: not known yet.
 	IdleSince time.Duration
-	// Recorded: the machine has a record in the state service, or one was rendered for it.
-	Recorded bool
+	// HasRecord: the machine has a record in the state service, or one was rendered for it.
+	HasRecord bool
 }
 
 // SpotReclaim is the cloud's notice that it reclaims a spot machine.
 type SpotReclaim struct {
-	// SpotNotice: the notice was given.
-	SpotNotice bool
+	// ReclaimNotice: the notice was given.
+	ReclaimNotice bool
 	// ReclaimedBy is when the machine will be gone at the latest.
 	ReclaimedBy time.Duration
 }
@@ -162,13 +162,13 @@
 // added or dropped. A cache of the machine is current while the revision is the same.
 func (m *Machine) Revision() uint64 { return m.revision }
 
-// Starting reports whether an attempt on the machine may still need its image.
-func (m *Machine) Starting() bool { return m.startingAttempts > 0 }
+// HasStartingAttempts reports whether an attempt on the machine may still need its image.
+func (m *Machine) HasStartingAttempts() bool { return m.startingAttempts > 0 }
 
-// Sorted lists the machine's attempts in a fixed order, so that runs replay. The list is kept until an
+// SortedAttempts lists the machine's attempts in a fixed order, so that runs replay. The list is kept until an
 // attempt is added or removed, and is never changed in place: the caller may remove attempts while it
 // iterates.
-func (m *Machine) Sorted() []*Attempt {
+func (m *Machine) SortedAttempts() []*Attempt {
 	if m.sortedAttempts == nil && len(m.Attempts) > 0 {
 		m.sortedAttempts = slices.SortedFunc(maps.Values(m.Attempts), func(x, y *Attempt) int {
 			// A gang's tasks have the same number.
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -33,7 +33,7 @@
 	// Submitted is in ms since the epoch, by the wall clock of the controller that accepted the job.
 	Submitted int64 `msgpack:"t,omitempty"`
 	// Spec is nil once the job is over.
-	Spec *protocol.Spec `msgpack:"j,omitempty"`
+	Spec *protocol.JobSpec `msgpack:"j,omitempty"`
 }
 
 // MachineRecord is the stored form of a machine and of the attempts that may be on it.
@@ -57,9 +57,9 @@
 	Try      uint64
 }
 
-// EntryBytes bounds what an AttemptEntry takes of a MachineRecord, in bytes as the writer measures it. Twice
+// MaxEntryBytes bounds what an AttemptEntry takes of a MachineRecord, in bytes as the writer measures it. Twice
 // as much bounds a CounterRow.
-const EntryBytes = 96
+const MaxEntryBytes = 96
 
 // Counters is a batch of the jobs' attained service. It is written now and then, for the next leader.
 type Counters struct {
@@ -87,10 +87,10 @@
 // Record renders the job's record as the job is now.
 func (j *Job) Record() JobRecord {
 	switch {
-	case j.Finishing && j.Cancelling:
-		return JobRecord{State: protocol.Cancelled}
-	case j.Finishing:
-		return JobRecord{State: protocol.Done, Tasks: j.Spec.Tasks}
+	case j.Finalizing && j.Cancelling:
+		return JobRecord{State: protocol.JobCancelled}
+	case j.Finalizing:
+		return JobRecord{State: protocol.JobDone, Tasks: j.Spec.Tasks}
 	case j.Cancelling:
 		return JobRecord{State: Cancelling, Submitted: j.Submitted, Spec: j.Spec}
 	}
@@ -100,7 +100,7 @@
 // Record renders the machine's record with all attempts that may be on it.
 func (m *Machine) Record() MachineRecord {
 	record := MachineRecord{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Return: m.Releasing}
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		record.Attempts = append(record.Attempts, AttemptEntry{Job: a.Job.Spec.UID, Index: a.Index, Try: a.Number})
 	}
 	return record
--- a/internal/clusterstate/records_test.go
+++ b/internal/clusterstate/records_test.go
@@ -14,11 +14,11 @@
 // gangs) wrote. Both wrote each record alike, but for the gang, which only the later one has. They are read
 // back, and the same records are written as the same bytes, so each version reads what the others write.
 func TestRecordsOfOlderVersions(t *testing.T) {
-	service := &protocol.Spec{UID: "j-000413", Class: "web", Team: "search", Service: true, Priority: protocol.Production, Tasks: 2,
+	service := &protocol.JobSpec{UID: "j-000413", Class: "web", Team: "search", Service: true, Priority: protocol.PriorityProduction, Tasks: 2,
 		Cores: 2, MemoryGB: 2.8, Image: "img-1", ImageGB: 0.6, Spread: true}
-	gang := &protocol.Spec{UID: "j-000414", Class: "pair", Team: "search", Gang: true, Priority: protocol.Normal, Tasks: 4,
+	gang := &protocol.JobSpec{UID: "j-000414", Class: "pair", Team: "search", Gang: true, Priority: protocol.PriorityNormal, Tasks: 4,
 		Cores: 2, MemoryGB: 3.2, Image: "img-2", ImageGB: 1, OneZone: true, EstimateS: 30, CheckpointS: 20, SaveS: 2}
-	spec := &protocol.Spec{UID: "j-000412", Class: "train", Team: "vision", Priority: protocol.High, Tasks: 16, Cores: 8, Accelerators: 1, MemoryGB: 64,
+	spec := &protocol.JobSpec{UID: "j-000412", Class: "train", Team: "vision", Priority: protocol.PriorityHigh, Tasks: 16, Cores: 8, Accelerators: 1, MemoryGB: 64,
 		Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true, EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
 	for name, tc := range map[string]struct {
 		wrote string
@@ -33,8 +33,8 @@
 			&JobRecord{Submitted: 1700000000123, Spec: gang}, &JobRecord{}},
 		"cancelling": {"83a173aa63616e63656c6c696e67a174cf0000018bcfe5687ba16ade0012a175a86a2d303030343132a163a5747261696ea16fa6766973696f6ea17002a16e10a26363cb4020000000000000a26361cb3ff0000000000000a2636dcb4050000000000000a169a6696d672d3037a26967cb4018cccccccccccda2747991a26738a17aa161a2747ac3a2626fc3a165cb406e000000000000a26370cb403e000000000000a27376cb4010000000000000a164cb408c200000000000",
 			&JobRecord{State: Cancelling, Submitted: 1700000000123, Spec: spec}, &JobRecord{}},
-		"done":      {"82a173a4646f6e65a16e10", &JobRecord{State: protocol.Done, Tasks: 16}, &JobRecord{}},
-		"cancelled": {"81a173a761626f72746564", &JobRecord{State: protocol.Cancelled}, &JobRecord{}},
+		"done":      {"82a173a4646f6e65a16e10", &JobRecord{State: protocol.JobDone, Tasks: 16}, &JobRecord{}},
+		"cancelled": {"81a173a761626f72746564", &JobRecord{State: protocol.JobCancelled}, &JobRecord{}},
 		"machine": {"86a179a26738a17aa161a162c3a161ad31302e312e302e313a39303030a172c3a1749193a86a2d30303034313203ce07000005",
 			&MachineRecord{Type: "g8", Zone: "a", Spot: true, Addr: "10.1.0.1:9000", Return: true,
 				Attempts: []AttemptEntry{{Job: "j-000412", Index: 3, Try: 7<<24 | 5}}}, &MachineRecord{}},
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -29,8 +29,8 @@
 type State struct {
 	// Jobs are the jobs that are not over, by UID.
 	Jobs map[string]*Job
-	// Terminal are those that are over, by UID.
-	Terminal map[string]TerminalState
+	// TerminalJobs are those that are over, by UID.
+	TerminalJobs map[string]TerminalState
 	// Machines are all machines that may exist, by ID.
 	Machines map[string]*Machine
 	// Quotas are the teams' quotas with what the teams use, by the team's name.
@@ -39,7 +39,7 @@
 	layout         completionLayout
 	sortedMachines []*Machine // see SortedMachines
 	sortedJobs     []*Job     // see SortedJobs
-	toSchedule     []*Job     // see TakeOpenedJobs
+	toSchedule     []*Job     // see TakeJobsToSchedule
 	// imageSets are the numbers of the machines' sets of images, by the images' sorted names.
 	imageSets    map[string]int
 	lastImageSet int
@@ -50,18 +50,18 @@
 // their meaning. valueBytes is the limit that newly written values keep within.
 func New(layoutBytes, valueBytes int) *State {
 	return &State{
-		Jobs:      map[string]*Job{},
-		Terminal:  map[string]TerminalState{},
-		Machines:  map[string]*Machine{},
-		Quotas:    map[string]*scheduler.Quota{},
-		imageSets: map[string]int{},
-		layout:    newCompletionLayout(layoutBytes, valueBytes),
+		Jobs:         map[string]*Job{},
+		TerminalJobs: map[string]TerminalState{},
+		Machines:     map[string]*Machine{},
+		Quotas:       map[string]*scheduler.Quota{},
+		imageSets:    map[string]int{},
+		layout:       newCompletionLayout(layoutBytes, valueBytes),
 	}
 }
 
 // AddAttempt adds an attempt that may be on the machine from now on.
 func (s *State) AddAttempt(m *Machine, j *Job, index int, number uint64, now time.Duration) *Attempt {
-	a := &Attempt{Job: j, Index: index, Number: number, Machine: m, Since: now}
+	a := &Attempt{Job: j, Index: index, Number: number, Machine: m, AddedAt: now}
 	m.addAttempt(a)
 	j.addAttempt(a)
 	if j.Gang != nil {
@@ -99,12 +99,12 @@
 	}
 }
 
-// OpenedJobs is the list that TakeOpenedJobs would return. It leaves the list as it is.
-func (s *State) OpenedJobs() []*Job { return s.toSchedule }
+// JobsToSchedule is the list that TakeJobsToSchedule would return. It leaves the list as it is.
+func (s *State) JobsToSchedule() []*Job { return s.toSchedule }
 
-// TakeOpenedJobs returns the jobs that may have got waiting tasks since the last call: new ones, and those
+// TakeJobsToSchedule returns the jobs that may have got waiting tasks since the last call: new ones, and those
 // that an attempt was removed from. No other change makes a task wait.
-func (s *State) TakeOpenedJobs() []*Job {
+func (s *State) TakeJobsToSchedule() []*Job {
 	jobs := s.toSchedule
 	s.toSchedule = nil
 	for _, j := range jobs {
--- a/internal/clusterstate/views_test.go
+++ b/internal/clusterstate/views_test.go
@@ -13,8 +13,8 @@
 func TestRevisionsFollowChanges(t *testing.T) {
 	state := New(16<<10, 16<<10)
 	m := state.AddMachine("i-1")
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Image: "x"}, 0)
-	if !slices.Equal(state.TakeOpenedJobs(), []*Job{j}) || len(state.TakeOpenedJobs()) != 0 {
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 3, Image: "x"}, 0)
+	if !slices.Equal(state.TakeJobsToSchedule(), []*Job{j}) || len(state.TakeJobsToSchedule()) != 0 {
 		t.Error("a new job is opened once")
 	}
 	changes := func(what string, wantMachine, wantJob bool, do func()) {
@@ -27,16 +27,16 @@
 	}
 	var a *Attempt
 	changes("a start", true, true, func() { a = state.AddAttempt(m, j, 1, 7, 0) })
-	if j.OpenTasks() != 2 || len(state.TakeOpenedJobs()) != 0 {
+	if j.OpenTasks() != 2 || len(state.TakeJobsToSchedule()) != 0 {
 		t.Errorf("%d tasks are open", j.OpenTasks())
 	}
-	changes("a state", true, false, func() { a.SetState(protocol.Running) })
+	changes("a state", true, false, func() { a.SetState(protocol.TaskRunning) })
 	changes("an image", true, false, func() { m.UseImage("x", 1, 10) })
 	changes("the same image", false, false, func() { m.UseImage("x", 1, 10) })
 	changes("a completion", false, true, func() { j.MarkDone(1) })
 	changes("the same completion", false, false, func() { j.MarkDone(1) })
 	changes("an end", true, true, func() { state.RemoveAttempt(a) })
-	if !slices.Equal(state.TakeOpenedJobs(), []*Job{j}) {
+	if !slices.Equal(state.TakeJobsToSchedule(), []*Job{j}) {
 		t.Error("a job that has lost a task is not opened")
 	}
 	changes("an interruption", false, true, func() { j.MarkInterrupted(2) })
@@ -49,21 +49,21 @@
 func TestSortedAttemptsAreKept(t *testing.T) {
 	state := New(16<<10, 16<<10)
 	m := state.AddMachine("i-1")
-	gang := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 3, Gang: true}, 0)
+	gang := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 3, Gang: true}, 0)
 	for _, i := range []int{2, 0, 1} {
 		state.AddAttempt(m, gang, i, 5, 0)
 	}
-	list := m.Sorted()
+	list := m.SortedAttempts()
 	if list[0].Index != 0 || list[1].Index != 1 || list[2].Index != 2 {
 		t.Error("tasks of a gang are not in order")
 	}
-	if &list[0] != &m.Sorted()[0] {
+	if &list[0] != &m.SortedAttempts()[0] {
 		t.Error("the list is made again although nothing has changed")
 	}
 	for _, a := range list {
 		state.RemoveAttempt(a)
 	}
-	if len(m.Sorted()) != 0 || list[2].Index != 2 {
+	if len(m.SortedAttempts()) != 0 || list[2].Index != 2 {
 		t.Error("a list was changed in place, or attempts are left")
 	}
 }
@@ -97,7 +97,7 @@
 func TestStartingAttempts(t *testing.T) {
 	state := New(16<<10, 16<<10)
 	m := state.AddMachine("i-1")
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 2}, 0)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 2}, 0)
 	first, second := state.AddAttempt(m, j, 0, 1, 0), state.AddAttempt(m, j, 1, 2, 0)
 	for _, step := range []struct {
 		name string
@@ -105,18 +105,18 @@
 		want bool
 	}{
 		{"both placed", func() {}, true},
-		{"one running", func() { first.SetState(protocol.Running) }, true},
-		{"the other fetching its image", func() { second.SetState(protocol.FetchingImage) }, true},
+		{"one running", func() { first.SetState(protocol.TaskRunning) }, true},
+		{"the other fetching its image", func() { second.SetState(protocol.TaskFetchingImage) }, true},
 		{"the other gone", func() { state.RemoveAttempt(second) }, false},
 		{"the first one gone", func() { state.RemoveAttempt(first) }, false},
 		{"the first one removed again", func() { state.RemoveAttempt(first) }, false},
 	} {
 		step.do()
-		if m.Starting() != step.want {
-			t.Errorf("%s: starting %v, want %v", step.name, m.Starting(), step.want)
+		if m.HasStartingAttempts() != step.want {
+			t.Errorf("%s: starting %v, want %v", step.name, m.HasStartingAttempts(), step.want)
 		}
 	}
-	if j.Running != 0 || j.ActiveAttempts != 0 {
-		t.Errorf("%d attempts, %d running, when all are gone", j.ActiveAttempts, j.Running)
+	if j.RunningTasks != 0 || j.ActiveAttempts != 0 {
+		t.Errorf("%d attempts, %d running, when all are gone", j.ActiveAttempts, j.RunningTasks)
 	}
 }
--- a/internal/completionjournal/compaction.go
+++ b/internal/completionjournal/compaction.go
@@ -9,15 +9,15 @@
 // compactionsPerTick bounds the values whose compaction begins in one call of Tick.
 const compactionsPerTick = 4
 
-// Rendered records that a record was rendered as it is now, with all entries added until now.
-func (j *Journal) Rendered(record string) {
+// RecordRendered records that a record was rendered as it is now, with all entries added until now.
+func (j *Journal) RecordRendered(record string) {
 	for _, e := range j.byRecord[record] {
 		e.rendered = true
 	}
 }
 
-// Stored records that a record is durable as it was last rendered.
-func (j *Journal) Stored(record string) {
+// RecordStored records that a record is durable as it was last rendered.
+func (j *Journal) RecordStored(record string) {
 	entries := j.byRecord[record]
 	if len(entries) == 0 {
 		return
@@ -89,9 +89,9 @@
 		if e.compacted {
 			continue
 		}
-		priority := statestore.Lazy
+		priority := statestore.PriorityBackground
 		if e.onDurable != nil {
-			priority = statestore.Done
+			priority = statestore.PriorityCompletion
 		}
 		j.requestCompaction(e, priority)
 	}
@@ -125,9 +125,9 @@
 // starved by other writes.
 func (j *Journal) compactionPriority() statestore.Priority {
 	if j.isHalfFull() {
-		return statestore.Done
+		return statestore.PriorityCompletion
 	}
-	return statestore.Lazy
+	return statestore.PriorityBackground
 }
 
 // isHalfFull reports whether more than half of the values that may be stored are.
@@ -142,5 +142,5 @@
 	if j.tail == v {
 		j.tail = nil
 	}
-	j.store.Mark(v.key, j.compactionPriority(), func() any { return nil }, func() { j.forget(v) })
+	j.store.QueueWrite(v.key, j.compactionPriority(), func() any { return nil }, func() { j.forget(v) })
 }
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -22,11 +22,11 @@
 
 // Store writes the journal's values; a statestore.Writer is one.
 type Store interface {
-	// Mark has the key written with what render returns when the transaction is made (nil: deleted),
+	// QueueWrite has the key written with what render returns when the transaction is made (nil: deleted),
 	// and then called once that is durable.
-	Mark(key string, priority statestore.Priority, render func() any, then func())
-	// Unmark takes a Mark back; false if it was not waiting.
-	Unmark(key string) bool
+	QueueWrite(key string, priority statestore.Priority, render func() any, then func())
+	// CancelWrite takes a Mark back; false if it was not waiting.
+	CancelWrite(key string) bool
 	// IsPending reports whether a Mark waits for its transaction.
 	IsPending(key string) bool
 }
@@ -40,7 +40,7 @@
 
 // Limits bound the journal.
 type Limits struct {
-	// ValueBytes is the most that a value may take as JSON.
+	// MaxValueBytes is the most that a value may take as JSON.
 	ValueBytes int
 	// Values is how many values may be stored at a time. Beyond it entries go to their records.
 	Values int
@@ -155,7 +155,7 @@
 		return
 	}
 	j.enabled = false
-	if j.writePending && j.store.Unmark(j.tail.key) {
+	if j.writePending && j.store.CancelWrite(j.tail.key) {
 		j.writePending, j.renderedEntries = false, nil
 		if !j.tail.stored {
 			j.forget(j.tail)
@@ -172,8 +172,8 @@
 	}
 }
 
-// Takes reports whether entries may be added. If not, they have to be written to their records.
-func (j *Journal) Takes() bool { return j.enabled && len(j.values) < j.limits.Values }
+// Accepts reports whether entries may be added. If not, they have to be written to their records.
+func (j *Journal) Accepts() bool { return j.enabled && len(j.values) < j.limits.Values }
 
 // Size returns the number of values, of entries in them that are not compacted, and of entries that wait
 // to be written.
@@ -189,8 +189,8 @@
 	return len(j.values), uncompacted, pending
 }
 
-// Empty reports whether no value of the journal is stored and none is going to be.
-func (j *Journal) Empty() bool {
+// IsEmpty reports whether no value of the journal is stored and none is going to be.
+func (j *Journal) IsEmpty() bool {
 	_, _, pending := j.Size()
 	return len(j.values) == 0 && pending == 0 && !j.writePending
 }
--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -48,7 +48,7 @@
 	return s
 }
 
-func (s *fakeStore) Mark(key string, priority statestore.Priority, render func() any, then func()) {
+func (s *fakeStore) QueueWrite(key string, priority statestore.Priority, render func() any, then func()) {
 	w := s.waiting[key]
 	if w == nil {
 		w = &fakeWrite{priority: priority}
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *fakeStore) Unmark(key string) bool {
+func (s *fakeStore) CancelWrite(key string) bool {
 	was := s.waiting[key] != nil
 	delete(s.waiting, key)
 	s.order = slices.DeleteFunc(s.order, func(k string) bool { return k == key })
@@ -72,7 +72,7 @@
 
 // Compact is part of Compactor.
 func (s *fakeStore) Compact(_ Entry, record string, priority statestore.Priority) {
-	s.Mark(record, priority, func() any { return maps.Clone(s.current[record]) }, nil)
+	s.QueueWrite(record, priority, func() any { return maps.Clone(s.current[record]) }, nil)
 }
 
 // add adds an entry as a controller does: its record's owner knows it from then on, and it is written to the
@@ -83,11 +83,11 @@
 		s.current[record] = map[Entry]bool{}
 	}
 	s.current[record][e] = true
-	if s.journal.Takes() {
+	if s.journal.Accepts() {
 		s.journal.Add(e, record, then)
 		return
 	}
-	s.Mark(record, statestore.Done, func() any { return maps.Clone(s.current[record]) }, then)
+	s.QueueWrite(record, statestore.PriorityCompletion, func() any { return maps.Clone(s.current[record]) }, then)
 }
 
 func recordOf(e Entry) string {
@@ -110,12 +110,12 @@
 	for len(s.order) > 0 && len(t.keys) < n {
 		key := s.order[0]
 		w := s.waiting[key]
-		s.Unmark(key)
+		s.CancelWrite(key)
 		t.keys = append(t.keys, key)
 		t.values = append(t.values, w.render())
 		t.onStored = append(t.onStored, w.onStored)
 		if strings.HasPrefix(key, "m/") || strings.HasPrefix(key, "d/") {
-			s.journal.Rendered(key)
+			s.journal.RecordRendered(key)
 		}
 	}
 	return t
@@ -132,7 +132,7 @@
 			s.stored[key] = value
 		case map[Entry]bool:
 			s.records[key] = value
-			s.journal.Stored(key)
+			s.journal.RecordStored(key)
 		case nil:
 			delete(s.stored, key)
 			s.deletions++
@@ -261,7 +261,7 @@
 		h.flush()
 		h.check()
 	}
-	if !h.journal.Empty() || len(h.stored) > 0 {
+	if !h.journal.IsEmpty() || len(h.stored) > 0 {
 		h.t.Fatalf("left: %v", slices.Collect(maps.Keys(h.stored)))
 	}
 	for e := range h.happened {
@@ -311,9 +311,9 @@
 	s := newFakeStore(t, usualLimits)
 	told := 0
 	s.add(completionOf(1), func() { told++ })
-	s.Compact(completionOf(1), recordOf(completionOf(1)), statestore.Start)
-	s.Unmark(Key(leaderToken, 1)) // have the journal's write wait behind the record's
-	s.Mark(Key(leaderToken, 1), statestore.Done, s.journal.renderTail, s.journal.tailStored)
+	s.Compact(completionOf(1), recordOf(completionOf(1)), statestore.PriorityBatch)
+	s.CancelWrite(Key(leaderToken, 1)) // have the journal's write wait behind the record's
+	s.QueueWrite(Key(leaderToken, 1), statestore.PriorityCompletion, s.journal.renderTail, s.journal.tailStored)
 	inFlight := s.compose(1)
 	if inFlight.keys[0] != recordOf(completionOf(1)) {
 		t.Fatal(inFlight.keys)
@@ -344,14 +344,14 @@
 			t.Fatalf("%d values", n)
 		}
 	}
-	if s.journal.Takes() || s.journal.compactionPriority() != statestore.Done {
+	if s.journal.Accepts() || s.journal.compactionPriority() != statestore.PriorityCompletion {
 		t.Error("a full journal takes entries, or compacts them lazily")
 	}
 	for range 20 {
 		s.journal.Tick()
 		s.flush()
 	}
-	if !s.journal.Takes() {
+	if !s.journal.Accepts() {
 		t.Error("a compacted journal takes no entries")
 	}
 }
@@ -361,11 +361,11 @@
 	s := newFakeStore(t, usualLimits)
 	told := false
 	s.add(completionOf(1), func() { told = true })
-	s.Unmark(Key(leaderToken, 1))
+	s.CancelWrite(Key(leaderToken, 1))
 	s.journal.Abandon()
 	s.journal.Tick()
 	s.flush()
-	if !told || !s.records[recordOf(completionOf(1))][completionOf(1)] || !s.journal.Empty() || s.journal.Takes() {
+	if !told || !s.records[recordOf(completionOf(1))][completionOf(1)] || !s.journal.IsEmpty() || s.journal.Accepts() {
 		t.Errorf("told %v, records %v", told, s.records)
 	}
 }
@@ -386,7 +386,7 @@
 		s.journal.Tick()
 		s.flush()
 	}
-	if len(s.stored) > 0 || !s.records[recordOf(e)][e] || !s.journal.Empty() {
+	if len(s.stored) > 0 || !s.records[recordOf(e)][e] || !s.journal.IsEmpty() {
 		t.Errorf("left %v", s.stored)
 	}
 }
--- a/internal/completionjournal/tail.go
+++ b/internal/completionjournal/tail.go
@@ -21,17 +21,17 @@
 	if !j.enabled || j.writePending && !j.store.IsPending(j.tail.key) {
 		return // a write that is under way is followed by another one, see tailStored
 	}
-	priority := statestore.Lazy
+	priority := statestore.PriorityBackground
 	if j.hasWaiter {
-		priority = statestore.Done
+		priority = statestore.PriorityCompletion
 	}
 	if j.writePending {
-		j.store.Mark(j.tail.key, priority, j.renderTail, nil)
+		j.store.QueueWrite(j.tail.key, priority, j.renderTail, nil)
 		return
 	}
 	j.chooseTail()
 	j.writePending = true
-	j.store.Mark(j.tail.key, priority, j.renderTail, j.tailStored)
+	j.store.QueueWrite(j.tail.key, priority, j.renderTail, j.tailStored)
 }
 
 // chooseTail keeps the tail while it is short, or begins another value.
--- a/internal/completionjournal/value.go
+++ b/internal/completionjournal/value.go
@@ -16,8 +16,8 @@
 // token of the leader that wrote the value, the number counts its values from 1.
 const Prefix = "g/"
 
-// Form is the version of the values' format that this program writes, and the newest that it reads.
-const Form = 1
+// FormatVersion is the version of the values' format that this program writes, and the newest that it reads.
+const FormatVersion = 1
 
 // Reasons why a value can't be read, as Decode returns them.
 var (
@@ -65,7 +65,7 @@
 		panic(fmt.Sprintf("completionjournal: body: %v", err)) // values of our own types always encode
 	}
 	return Value{
-		Form:   Form,
+		Form:   FormatVersion,
 		Token:  token,
 		Number: number,
 		Sum:    checksum(token, number, body),
@@ -80,8 +80,8 @@
 	switch {
 	case !ok:
 		return nil, fmt.Errorf("%w: %q is no key of the journal", ErrMalformed, key)
-	case v.Form > Form:
-		return nil, fmt.Errorf("%w: %d, %d is read", ErrFormatVersion, v.Form, Form)
+	case v.Form > FormatVersion:
+		return nil, fmt.Errorf("%w: %d, %d is read", ErrFormatVersion, v.Form, FormatVersion)
 	case v.Form == 0:
 		return nil, fmt.Errorf("%w: no format version", ErrMalformed)
 	case v.Token != token || v.Number != number:
--- a/internal/completionjournal/value_test.go
+++ b/internal/completionjournal/value_test.go
@@ -64,7 +64,7 @@
 
 // valueWithBody is a value with any body and the right checksum.
 func valueWithBody(token, number uint64, body []byte) Value {
-	return Value{Form: Form, Token: token, Number: number, Sum: checksum(token, number, body), Body: base64.StdEncoding.EncodeToString(body)}
+	return Value{Form: FormatVersion, Token: token, Number: number, Sum: checksum(token, number, body), Body: base64.StdEncoding.EncodeToString(body)}
 }
 
 func encodeBody(t testing.TB, in valueBody) Value {
@@ -94,7 +94,7 @@
 		value Value
 		want  error
 	}{
-		{"a later format version", Key(5, 1), change(func(v *Value) { v.Form = Form + 1 }), ErrFormatVersion},
+		{"a later format version", Key(5, 1), change(func(v *Value) { v.Form = FormatVersion + 1 }), ErrFormatVersion},
 		{"no format version", Key(5, 1), change(func(v *Value) { v.Form = 0 }), ErrMalformed},
 		{"of another token", Key(6, 1), good, ErrWrongKey},
 		{"copied to another number", Key(5, 2), good, ErrWrongKey},
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -129,8 +129,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Coast() < 4*Drift(c.Lease()) || c.Lease() < 4*c.LeaderTTL() {
-		t.Fatalf("outage tolerance %v, lease %v, leader's lease %v", c.Coast(), c.Lease(), c.LeaderTTL())
+	if c.OutageTolerance() < 4*WithClockDrift(c.WorkerLease()) || c.WorkerLease() < 4*c.LeaderLease() {
+		t.Fatalf("outage tolerance %v, lease %v, leader's lease %v", c.OutageTolerance(), c.WorkerLease(), c.LeaderLease())
 	}
 }
 
@@ -157,9 +157,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			both := c.Cluster.State.Both()
-			if c.ValueBytes() != tc.valueBytes || both.TxnOps != tc.txnOps || both.WriteRPS != tc.writeRPS || c.LayoutBytes() != 16<<10 {
-				t.Errorf("%d bytes, %+v, layout %d", c.ValueBytes(), both, c.LayoutBytes())
+			both := c.Cluster.State.EffectiveLimits()
+			if c.MaxValueBytes() != tc.valueBytes || both.TxnOps != tc.txnOps || both.WriteRPS != tc.writeRPS || c.CompletionLayoutBytes() != 16<<10 {
+				t.Errorf("%d bytes, %+v, layout %d", c.MaxValueBytes(), both, c.CompletionLayoutBytes())
 			}
 		})
 	}
--- a/internal/config/fleet_size.go
+++ b/internal/config/fleet_size.go
@@ -33,8 +33,8 @@
 // controller on a busy machine gets half of what it was promised.
 const takeOverPerMachine = 2 * 125 * time.Microsecond
 
-// TakeOver is how long a new leader may be busy with taking over its fleet.
-func (c *Config) TakeOver() time.Duration {
+// TakeoverDuration is how long a new leader may be busy with taking over its fleet.
+func (c *Config) TakeoverDuration() time.Duration {
 	work := time.Duration(c.FleetSize()) * takeOverPerMachine
 	return time.Duration(float64(work) / c.Cluster.Resources.Cores)
 }
--- a/internal/config/fleet_size_test.go
+++ b/internal/config/fleet_size_test.go
@@ -44,7 +44,7 @@
 	} {
 		t.Run(fmt.Sprintf("%d machines, %v cores, %v requests/s, %q", tc.machines, tc.cores, tc.rps, tc.operator), func(t *testing.T) {
 			cfg := sized(t, tc.machines, tc.cores, tc.rps, tc.operator)
-			if got := cfg.LeaderTTL(); got < tc.min || got > tc.max {
+			if got := cfg.LeaderLease(); got < tc.min || got > tc.max {
 				t.Errorf("the leader's lease is %v, not %v to %v", got, tc.min, tc.max)
 			}
 			if got := cfg.FleetSize(); got != tc.fleetSize {
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// SuspicionFactor is how many times as long a suspicion lasts that no other controller confirms.
-const SuspicionFactor = 3.0
+// UnconfirmedSuspicionFactor is how many times as long a suspicion lasts that no other controller confirms.
+const UnconfirmedSuspicionFactor = 3.0
 
 // validateMembership returns the error of the first setting of failure detection that is out of
 // range or contradicts another.
@@ -25,9 +25,9 @@
 			Reason: fmt.Sprintf("is longer than membership.probe, %v", m.Probe)}
 	}
 	// A dead controller's machines must find another one within their leases.
-	if longest := time.Duration(float64(c.Suspicion()) * SuspicionFactor); longest > c.Lease() {
+	if longest := time.Duration(float64(c.SuspicionTimeout()) * UnconfirmedSuspicionFactor); longest > c.WorkerLease() {
 		return &FieldError{Source: OperatorSource, Field: "membership.suspicion", Value: m.Suspicion,
-			Reason: fmt.Sprintf("leader's leases are up to %v, longer than the workers' lease of %v", longest, c.Lease())}
+			Reason: fmt.Sprintf("leader's leases are up to %v, longer than the workers' lease of %v", longest, c.WorkerLease())}
 	}
 	return nil
 }
@@ -38,21 +38,21 @@
 
 // ProbeInterval is the time between two probes of a peer.
 func (c *Config) ProbeInterval() time.Duration {
-	return multiply(c.LeaderTTL(), c.Operator.Membership.Probe)
+	return multiply(c.LeaderLease(), c.Operator.Membership.Probe)
 }
 
 // ProbeTimeout is how long a peer's answer may take before others are asked to probe it.
 func (c *Config) ProbeTimeout() time.Duration {
-	return multiply(c.LeaderTTL(), c.Operator.Membership.Timeout)
+	return multiply(c.LeaderLease(), c.Operator.Membership.Timeout)
 }
 
-// Suspicion is the least time from the suspicion that a controller has failed to the decision that
-// it is dead. It is SuspicionFactor times as long if no other controller confirms the suspicion.
-func (c *Config) Suspicion() time.Duration {
-	return multiply(c.LeaderTTL(), c.Operator.Membership.Suspicion)
+// SuspicionTimeout is the least time from the suspicion that a controller has failed to the decision that
+// it is dead. It is UnconfirmedSuspicionFactor times as long if no other controller confirms the suspicion.
+func (c *Config) SuspicionTimeout() time.Duration {
+	return multiply(c.LeaderLease(), c.Operator.Membership.Suspicion)
 }
 
-// Steady is how long a controller that came back must have been alive before it serves machines.
-func (c *Config) Steady() time.Duration {
-	return multiply(c.Lease(), c.Operator.Membership.Steady)
+// RejoinMinUptime is how long a controller that came back must have been alive before it serves machines.
+func (c *Config) RejoinMinUptime() time.Duration {
+	return multiply(c.WorkerLease(), c.Operator.Membership.Steady)
 }
--- a/internal/config/membership_test.go
+++ b/internal/config/membership_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rising := []time.Duration{cfg.ProbeTimeout(), cfg.ProbeInterval(), cfg.LeaderTTL(), cfg.Suspicion(), cfg.Steady()}
+	rising := []time.Duration{cfg.ProbeTimeout(), cfg.ProbeInterval(), cfg.LeaderLease(), cfg.SuspicionTimeout(), cfg.RejoinMinUptime()}
 	for i := range len(rising) - 1 {
 		if rising[i] >= rising[i+1] {
 			t.Errorf("timeout, interval, lease, suspicion and steady do not rise: %v", rising)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,7 +7,7 @@
 	Green struct {
 		// Gamma is the degradation below which a job stops scaling out.
 		Gamma float64 `toml:"gamma"`
-		// UpperCap is the upper queue's share of the fleet.
+		// UpperQueueCap is the upper queue's share of the fleet.
 		UpperCap float64 `toml:"upper_cap"`
 		// RoundS is the time between two scheduling rounds, and FillS between two fills of
 		// free machines, in seconds.
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -37,13 +37,13 @@
 }
 
 // Team is a team with its quota: Cores and Accelerators are guaranteed to it, CoresMax and
-// AccelMax are the most that it may use. Zero: no guarantee, or no limit.
+// AcceleratorsMax are the most that it may use. Zero: no guarantee, or no limit.
 type Team struct {
-	Name         string  `json:"name"`
-	Cores        float64 `json:"cpus"`
-	CoresMax     float64 `json:"cpus_max"`
-	Accelerators float64 `json:"gpus"`
-	AccelMax     float64 `json:"gpus_max"`
+	Name            string  `json:"name"`
+	Cores           float64 `json:"cpus"`
+	CoresMax        float64 `json:"cpus_max"`
+	Accelerators    float64 `json:"gpus"`
+	AcceleratorsMax float64 `json:"gpus_max"`
 }
 
 // Objective is one of the users' service-level objectives: a share of the jobs of a class meets
@@ -58,8 +58,8 @@
 
 // Workers holds the workers' timing, in seconds.
 type Workers struct {
-	// ReportS is the time between two heartbeats.
-	ReportS float64 `json:"report_s"`
+	// HeartbeatS is the time between two heartbeats.
+	HeartbeatS float64 `json:"report_s"`
 	// LeaseS is how long a worker goes on without an answer.
 	LeaseS float64 `json:"lease_s"`
 	// CancelS is how long the tasks of a cancelled job may take to end.
@@ -86,9 +86,9 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// Both returns the limits that hold now and later: the lower of each. The program keeps to them
+// EffectiveLimits returns the limits that hold now and later: the lower of each. The program keeps to them
 // from the start, so that the moment of the change does not matter.
-func (s State) Both() State {
+func (s State) EffectiveLimits() State {
 	next := s.Next
 	if next == nil {
 		return s
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -77,7 +77,7 @@
 			return &FieldError{Source: PlatformSource, Field: path + ".name", Reason: missingOrTwice}
 		}
 		seen[team.Name] = true
-		for _, amount := range []float64{team.Cores, team.CoresMax, team.Accelerators, team.AccelMax} {
+		for _, amount := range []float64{team.Cores, team.CoresMax, team.Accelerators, team.AcceleratorsMax} {
 			if !(amount >= 0) || math.IsInf(amount, 0) {
 				return &FieldError{Source: PlatformSource, Field: path, Reason: "amounts must be 0 or more"}
 			}
@@ -136,9 +136,9 @@
 
 func (c *Config) platformRanges() []fieldRange {
 	workers, state, cloud, resources := c.Cluster.Workers, c.Cluster.State, c.Cluster.Cloud, c.Cluster.Resources
-	both := state.Both()
+	both := state.EffectiveLimits()
 	return []fieldRange{
-		{"cluster.workers.report_s", workers.ReportS, 0.01, 3600},
+		{"cluster.workers.report_s", workers.HeartbeatS, 0.01, 3600},
 		{"cluster.workers.lease_s", workers.LeaseS, 0.5, 3600},
 		{"cluster.workers.cancel_s", workers.CancelS, workers.LeaseS, 86400},
 		{"cluster.state.rps", state.RPS, 5, 1e9},
--- a/internal/config/value_size.go
+++ b/internal/config/value_size.go
@@ -2,10 +2,12 @@
 
 const bytesPerKB = 1024
 
-// ValueBytes is the state service's limit on one value, now and later, in bytes.
-func (c *Config) ValueBytes() int { return int(c.Cluster.State.Both().ValueKB * bytesPerKB) }
+// MaxValueBytes is the state service's limit on one value, now and later, in bytes.
+func (c *Config) MaxValueBytes() int {
+	return int(c.Cluster.State.EffectiveLimits().ValueKB * bytesPerKB)
+}
 
-// LayoutBytes is what the layout of stored completions is computed from, in bytes: the limit on a
+// CompletionLayoutBytes is what the layout of stored completions is computed from, in bytes: the limit on a
 // value as it was when the first were written, whatever it will be, as a key must not change its
 // meaning.
-func (c *Config) LayoutBytes() int { return int(c.Cluster.State.ValueKB * bytesPerKB) }
+func (c *Config) CompletionLayoutBytes() int { return int(c.Cluster.State.ValueKB * bytesPerKB) }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -35,7 +35,7 @@
 				PlatformSource, need.field, need.has, size, need.want, need.otherwise))
 		}
 	}
-	if takeOver, longest := c.TakeOver(), c.maxLeaderTTL(); takeOver > longest {
+	if takeOver, longest := c.TakeoverDuration(), c.maxLeaderTTL(); takeOver > longest {
 		warnings = append(warnings, fmt.Sprintf(
 			"%s: cluster.workers.lease_s: a take-over of %.0f machines may take %.1f s, the leader's lease is %.1f s at the most",
 			PlatformSource, size, takeOver.Seconds(), longest.Seconds()))
@@ -45,7 +45,7 @@
 
 // capacityNeeds returns what a fleet of this many machines needs.
 func (c *Config) capacityNeeds(machines float64) []capacityNeed {
-	resources, state, cloud := c.Cluster.Resources, c.Cluster.State.Both(), c.Cluster.Cloud
+	resources, state, cloud := c.Cluster.Resources, c.Cluster.State.EffectiveLimits(), c.Cluster.Cloud
 	controllers := float64(len(c.Siblings) + 1)
 	return []capacityNeed{
 		{"cluster.resources.fd_limit", float64(resources.FDs), machines / controllers / clientSocketShare / workerSocketShare,
@@ -56,7 +56,7 @@
 			"a leader answers late at the peak"},
 		{"cluster.state.write_rps", state.WriteRPS, machines / machinesPerChange,
 			"bursts of submissions and starts wait or are answered 503"},
-		{"cluster.state.write_rps", state.WriteRPS, machines / (c.Lease().Seconds() * leasesPerWrite),
+		{"cluster.state.write_rps", state.WriteRPS, machines / (c.WorkerLease().Seconds() * leasesPerWrite),
 			"one record of each machine takes longer than the workers' lease"},
 		{"cluster.cloud.rps", cloud.RPS, 2 * machines / machinesPerListing / max(1, cloud.ListLagS),
 			"the list of machines is older than its lag"},
@@ -66,8 +66,10 @@
 // maxGateChanges is how many changes a transaction of the feature gate has at most.
 const maxGateChanges = 3
 
-// GateFits says whether the state service's limits allow the feature gate's transactions.
-func (c *Config) GateFits() bool { return c.Cluster.State.Both().TxnOps >= maxGateChanges }
+// SupportsFeatureGate says whether the state service's limits allow the feature gate's transactions.
+func (c *Config) SupportsFeatureGate() bool {
+	return c.Cluster.State.EffectiveLimits().TxnOps >= maxGateChanges
+}
 
 // featureGateWarnings returns what operators should know of a rolling upgrade with this file.
 func (c *Config) featureGateWarnings() []string {
@@ -79,9 +81,9 @@
 	if c.Operator.EndJournal.Enabled && c.Operator.Upgrade.Hold {
 		warnings = append(warnings, string(OperatorSource)+": end_journal.enabled waits while upgrade.hold is true: the feature gate stays closed")
 	}
-	if c.Operator.EndJournal.Enabled && !c.GateFits() {
+	if c.Operator.EndJournal.Enabled && !c.SupportsFeatureGate() {
 		warnings = append(warnings, fmt.Sprintf("%s: end_journal.enabled: cluster.state.txn_ops is %d, the feature gate needs %d",
-			OperatorSource, c.Cluster.State.Both().TxnOps, maxGateChanges))
+			OperatorSource, c.Cluster.State.EffectiveLimits().TxnOps, maxGateChanges))
 	}
 	return warnings
 }
--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -26,14 +26,14 @@
 	// accrualDivisor: service is accounted for at the most every twentieth of a worker's lease, as each time
 	// goes through all jobs.
 	accrualDivisor = 20
-	// counterRowEntries is the size of a row of counters in units of clusterstate.EntryBytes.
+	// counterRowEntries is the size of a row of counters in units of clusterstate.MaxEntryBytes.
 	counterRowEntries = 2
 )
 
 // accrueService accounts for the service attained since the last time.
 func (a *serviceAccounting) accrueService() {
 	elapsed := (a.env.now - a.accrueAt).Seconds()
-	if elapsed < a.env.cfg.Lease().Seconds()/accrualDivisor {
+	if elapsed < a.env.cfg.WorkerLease().Seconds()/accrualDivisor {
 		return
 	}
 	a.accrueAt = a.env.now
@@ -51,18 +51,18 @@
 	storedAt := a.env.wall
 	for i, jobs := range batches {
 		record := clusterstate.Counters{At: storedAt, Jobs: jobs}
-		a.store.Mark(counterKey(i), statestore.Counters, func() any { return record }, nil)
+		a.store.QueueWrite(counterKey(i), statestore.PriorityCounters, func() any { return record }, nil)
 	}
 	// Records of earlier, larger batches would bring back old values at a failover.
 	for i := len(batches); a.store.Version(counterKey(i)) != 0; i++ {
-		a.store.Mark(counterKey(i), statestore.Counters, func() any { return nil }, nil)
+		a.store.QueueWrite(counterKey(i), statestore.PriorityCounters, func() any { return nil }, nil)
 	}
 }
 
 // counterBatches returns the rows of counters by job, split into records. Jobs that are not stored, are being
 // cancelled or run as a service have none.
 func (a *serviceAccounting) counterBatches() []map[string]clusterstate.CounterRow {
-	limit := a.env.cfg.ValueBytes() / (counterRowEntries * clusterstate.EntryBytes)
+	limit := a.env.cfg.MaxValueBytes() / (counterRowEntries * clusterstate.MaxEntryBytes)
 	var batches []map[string]clusterstate.CounterRow
 	for _, j := range a.state.SortedJobs() {
 		uid := j.Spec.UID
@@ -73,8 +73,8 @@
 			batches = append(batches, map[string]clusterstate.CounterRow{})
 		}
 		scale := j.Scale
-		batches[len(batches)-1][uid] = clusterstate.CounterRow{Attained: scale.Attained, Upper: scale.Upper, Slots: scale.Slots,
-			DoneAt: scale.DoneAt, AttainedAt: scale.AttainedAt, First: scale.First, Degr: scale.Degr}
+		batches[len(batches)-1][uid] = clusterstate.CounterRow{Attained: scale.Attained, Upper: scale.InUpperQueue, Slots: scale.Slots,
+			DoneAt: scale.DoneAt, AttainedAt: scale.AttainedAt, First: scale.InitialEfficiency, Degr: scale.Degradation}
 	}
 	return batches
 }
--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -16,10 +16,10 @@
 	c := w.nodes[w.awaitLeader()].controller
 	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.env.now)
 	job := func(uid string) *clusterstate.Job {
-		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.env.wall)
+		j := l.state.AddJob(&protocol.JobSpec{UID: uid, Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		m := l.state.AddMachine("i-" + uid)
-		m.Type, m.Zone, m.Up, m.Size = "m8", "a", true, l.machines.machineSize("m8")
+		m.Type, m.Zone, m.EverReported, m.Size = "m8", "a", true, l.machines.machineSize("m8")
 		l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
 		return j
 	}
@@ -30,7 +30,7 @@
 	load("j-1")
 	for range 50 {
 		m := l.state.AddMachine("i-" + string(rune('a'+len(l.state.Machines))))
-		m.Up, m.Size = true, l.machines.machineSize("m8")
+		m.EverReported, m.Size = true, l.machines.machineSize("m8")
 	}
 	load("j-2")
 	if first.Scale.Attained == 0 || first.Scale.Attained != second.Scale.Attained {
--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -29,15 +29,15 @@
 	attemptsPerBlock = 1<<attemptBlockBits - 1
 	// reserveBelow is how many numbers are left when the next block is reserved: half of a block.
 	reserveBelow = 1 << (attemptBlockBits - 1)
-	// leastLeft is how many numbers must be left for a placement round to begin: more than any round takes.
-	leastLeft = 1 << 20
+	// minNumbersLeft is how many numbers must be left for a placement round to begin: more than any round takes.
+	minNumbersLeft = 1 << 20
 )
 
 // left is how many numbers of the block are left.
 func (n *attemptNumbers) left() uint64 { return attemptsPerBlock - n.used }
 
 // enough reports whether a placement round can get as many numbers as it may take.
-func (n *attemptNumbers) enough() bool { return n.next != 0 || n.left() >= leastLeft }
+func (n *attemptNumbers) enough() bool { return n.next != 0 || n.left() >= minNumbersLeft }
 
 // take returns the next number.
 func (n *attemptNumbers) take() uint64 {
@@ -56,7 +56,7 @@
 	}
 	n.reserving = true
 	reserved := n.block + 1
-	n.store.Mark(keyCounter, statestore.User, func() any { return counterRecord{Token: reserved} }, func() {
+	n.store.QueueWrite(keyCounter, statestore.PriorityUser, func() any { return counterRecord{Token: reserved} }, func() {
 		n.next, n.reserving = reserved, false
 		n.placement.fillPending = true
 		n.env.log.Info("attempt number block reserved", "token", n.lease.token, "block", reserved)
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -19,7 +19,7 @@
 	w := newWorld(t, 71)
 	w.awaitLeader()
 	token := w.leadership().lease.token
-	w.leaveAttemptNumbers(leastLeft + 3)
+	w.leaveAttemptNumbers(minNumbersLeft + 3)
 	w.run(2 * second)
 	w.leaveAttemptNumbers(3)
 	w.submit("j-1", map[string]any{"shards": 6})
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -36,7 +36,7 @@
 
 // requestStop has an attempt stopped, and with it all of its gang. The tasks have grace seconds to save.
 func (t *attemptTracker) requestStop(a *clusterstate.Attempt, grace float64, reason stopReason) {
-	if a.Job.Gang != nil && !a.Job.Finishing {
+	if a.Job.Gang != nil && !a.Job.Finalizing {
 		t.requestGangStop(a.Job, a.Number, grace, reason)
 		return
 	}
@@ -46,13 +46,13 @@
 // requestAttemptStop has one attempt stopped. A repeated request counts only if it shortens the grace period.
 // An attempt whose run command was never sent is removed at once.
 func (t *attemptTracker) requestAttemptStop(a *clusterstate.Attempt, grace float64, reason stopReason) {
-	if a.StopRequested && grace >= a.Grace {
+	if a.StopRequested && grace >= a.GraceSeconds {
 		return
 	}
 	if a.StopRequested {
 		a.StopSentAt = 0
 	}
-	a.StopRequested, a.Grace = true, grace
+	a.StopRequested, a.GraceSeconds = true, grace
 	t.env.log.Debug("stop requested", "task", a.Key().Task, "attempt", a.Number, "machine", a.Machine.ID, "reason", reason)
 	if a.Durable && !a.Sent {
 		t.removeAttempt(a, neverSent)
@@ -87,5 +87,5 @@
 	if a.Job.Spec.Service || !a.Sent || a.Preempted || a.Job.IsDone(a.Index) {
 		return false
 	}
-	return a.Exit != protocol.CauseError && a.Exit != protocol.CauseNoRoom
+	return a.ExitCause != protocol.CauseError && a.ExitCause != protocol.CauseInsufficientResources
 }
--- a/internal/controller/call_limiter.go
+++ b/internal/controller/call_limiter.go
@@ -51,7 +51,7 @@
 	if mayHang && l.mayHangInFlight >= l.maxMayHang() {
 		return false
 	}
-	return l.startRate.Has(now, 1)
+	return l.startRate.Allows(now, 1)
 }
 
 // maxMayHang is how many of the calls in flight may be to workers that may not answer. The other third stays
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -35,8 +35,8 @@
 	c.outbox.effects = nil
 	for i := range 3000 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
-		m.Type, m.Zone, m.Addr, m.Listed, m.Up = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), true, true
-		m.ExistedAt, m.LaunchedAt = c.env.now, c.env.now
+		m.Type, m.Zone, m.Addr, m.ListedRunning, m.EverReported = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), true, true
+		m.KnownToExistAt, m.LaunchedAt = c.env.now, c.env.now
 	}
 	ask := func() int {
 		c.outbox.effects = nil
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -69,7 +69,7 @@
 }
 
 func (w *world) jobEnded(uid string) bool {
-	return w.lastReplies[uid] == protocol.Done || w.lastReplies[uid] == protocol.Cancelled
+	return w.lastReplies[uid] == protocol.JobDone || w.lastReplies[uid] == protocol.JobCancelled
 }
 
 // startPolling begins the polling of a job when its user first gets an answer about it.
@@ -124,7 +124,7 @@
 	used, held := map[string]float64{}, map[string]int{}
 	for _, worker := range w.workers() {
 		for _, t := range worker.Tasks {
-			if t.State != protocol.Exited && !worker.Deleted {
+			if t.State != protocol.TaskExited && !worker.Deleted {
 				used[w.specs[t.UID]["owner"].(string)] += w.specs[t.UID]["cores"].(float64)
 				held[t.UID]++
 			}
@@ -155,13 +155,13 @@
 func (w *world) hasRoom(spec map[string]any) bool {
 	most, all, zones := 0, 0, map[string]int{}
 	for _, worker := range w.workers() {
-		if !worker.Up || worker.Deleted || worker.Cut || worker.Hung || worker.AnswersLost || worker.ReportsLost || worker.Spot && !spec["borrowed"].(bool) ||
+		if !worker.Up || worker.Deleted || worker.Partitioned || worker.Hung || worker.RepliesLost || worker.HeartbeatsLost || worker.Spot && !spec["borrowed"].(bool) ||
 			spec["yard"] != nil && spec["yard"] != worker.Zone {
 			continue
 		}
 		free := machineCores
 		for _, t := range worker.Tasks {
-			if t.State != protocol.Exited {
+			if t.State != protocol.TaskExited {
 				free -= w.specs[t.UID]["cores"].(float64)
 			}
 		}
@@ -184,9 +184,9 @@
 func (w *world) settle() {
 	w.t.Helper()
 	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
-	w.state.Down, w.state.Refuse, w.cloud.Down = false, map[int]bool{}, false
+	w.state.Down, w.state.RefusedClients, w.cloud.Down = false, map[int]bool{}, false
 	for _, worker := range w.workers() {
-		worker.Cut, worker.AnswersLost, worker.ReportsLost = false, false, false
+		worker.Partitioned, worker.RepliesLost, worker.HeartbeatsLost = false, false, false
 	}
 	for i, n := range w.nodes {
 		if !n.alive {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -40,18 +40,20 @@
 // callTimeout is how long a direct call may take: commandTimeout, and a tenth of the workers' lease at the
 // most.
 func (d *commandDispatcher) callTimeout() time.Duration {
-	return min(d.env.cfg.Lease()/10, commandTimeout)
+	return min(d.env.cfg.WorkerLease()/10, commandTimeout)
 }
 
 // callRetryPause is how long a worker is left alone after its first failed call; after more in a row the
 // pause is longer, up to maxCallBackoffFactor times.
 func (d *commandDispatcher) callRetryPause() time.Duration {
-	return min(d.env.cfg.Report()/2, d.env.cfg.LeaderTTL()*2/3)
+	return min(d.env.cfg.WorkerHeartbeatInterval()/2, d.env.cfg.LeaderLease()*2/3)
 }
 
 // epochRetryPause is how long after a refusal for its agent epoch a worker is called again with the epoch
 // that it named.
-func (d *commandDispatcher) epochRetryPause() time.Duration { return d.env.cfg.Report() / 20 }
+func (d *commandDispatcher) epochRetryPause() time.Duration {
+	return d.env.cfg.WorkerHeartbeatInterval() / 20
+}
 
 // directCall is a call to a worker that is in flight.
 type directCall struct {
@@ -81,7 +83,7 @@
 
 // canCall reports whether a direct call to the machine is possible at all now.
 func (d *commandDispatcher) canCall(m *clusterstate.Machine) bool {
-	if m.CallInFlight || m.Addr == "" || d.env.now < m.NextCall {
+	if m.CallInFlight || m.Addr == "" || d.env.now < m.NextCallAt {
 		return false
 	}
 	return d.loader.ready && !d.lease.ended && !d.lease.verifiesLease()
@@ -134,7 +136,7 @@
 	}
 	m.FailedCalls, m.ConnectionFailed = 0, false
 	if reply.Heartbeat == nil {
-		m.NextCall = d.env.now + d.env.cfg.Report()
+		m.NextCallAt = d.env.now + d.env.cfg.WorkerHeartbeatInterval()
 		return
 	}
 	d.heartbeats.applyHeartbeat(reply.Heartbeat, false)
@@ -144,9 +146,9 @@
 	if reply.Outcome == workerclient.Rejected {
 		// The worker has another agent epoch than the call named. The response says which.
 		m.Probed = false
-		m.NextCall = d.env.now + d.epochRetryPause()
+		m.NextCallAt = d.env.now + d.epochRetryPause()
 		if reply.Heartbeat.Epoch == call.epoch {
-			m.NextCall = d.env.now + d.env.cfg.Report()
+			m.NextCallAt = d.env.now + d.env.cfg.WorkerHeartbeatInterval()
 		}
 	}
 	d.dispatchCommands(m)
@@ -158,7 +160,7 @@
 	m.FailedCalls++
 	m.ConnectionFailed, m.LastFailedCallAt = res.ConnectionFailed, call.sentAt
 	m.Probed = false
-	m.NextCall = d.env.now + d.callRetryPause()*time.Duration(min(m.FailedCalls, maxCallBackoffFactor))
+	m.NextCallAt = d.env.now + d.callRetryPause()*time.Duration(min(m.FailedCalls, maxCallBackoffFactor))
 }
 
 // settleRuns notes what became of the run commands that the call carried. Without a response a copy of them
@@ -185,7 +187,7 @@
 // machine that may be up, and shows whether direct calls work again. A machine that still boots would only
 // let it time out.
 func (d *commandDispatcher) needsProbe(m *clusterstate.Machine) bool {
-	unheard := !m.TokenAcknowledged && !m.Probed && (m.Up || m.Listed)
+	unheard := !m.TokenAcknowledged && !m.Probed && (m.EverReported || m.ListedRunning)
 	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && d.env.now > m.LastSeen+d.overdueAfter()
 	// probesReachability comes last, as it counts what it is asked: other machines did not answer, so this
 	// one is asked whether the fault is theirs or the leader's.
@@ -194,7 +196,9 @@
 
 // overdueAfter is how long after its last message a worker is probed: half an interval after the heartbeat
 // that is missing was due.
-func (d *commandDispatcher) overdueAfter() time.Duration { return d.env.cfg.Report() * 3 / 2 }
+func (d *commandDispatcher) overdueAfter() time.Duration {
+	return d.env.cfg.WorkerHeartbeatInterval() * 3 / 2
+}
 
 // hasNoCommands reports whether the machine has no pending commands, as most machines of a fleet, without
 // building any list: every machine is looked at at every tick. Commands sent less than a heartbeat interval
@@ -205,13 +209,13 @@
 	if len(m.UnknownTasks) > 0 {
 		return false
 	}
-	repeatBefore := d.env.now - d.env.cfg.Report()
+	repeatBefore := d.env.now - d.env.cfg.WorkerHeartbeatInterval()
 	for _, exit := range m.Exited {
-		if exit.Ready && (exit.Sent == 0 || exit.Sent <= repeatBefore) {
+		if exit.Clearable && (exit.ClearSentAt == 0 || exit.ClearSentAt <= repeatBefore) {
 			return false
 		}
 	}
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		if a.StopRequested {
 			if a.StopSentAt == 0 || a.StopSentAt <= repeatBefore {
 				return false
@@ -231,7 +235,7 @@
 		return nil
 	}
 	var commands []protocol.Command
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		switch {
 		case a.StopRequested:
 			commands = d.appendStop(commands, m, a, inReply)
@@ -278,8 +282,8 @@
 		}
 		commands = d.appendRun(commands, m, a, inReply)
 	}
-	grace := a.Grace
-	if a.State == protocol.Saving {
+	grace := a.GraceSeconds
+	if a.State == protocol.TaskSavingCheckpoint {
 		grace = 0 // the time to save is over, see stopIsDue
 	}
 	a.StopSentAt = d.env.now
@@ -289,8 +293,8 @@
 // stopIsDue reports whether the stop command is to be sent, for the first time or again. A task that is saving
 // has its grace period, and two heartbeat intervals for its exit to be reported.
 func (d *commandDispatcher) stopIsDue(a *clusterstate.Attempt) bool {
-	interval := d.env.cfg.Report()
-	if a.State == protocol.Saving && d.env.now < a.StopSentAt+seconds(a.Grace)+2*interval {
+	interval := d.env.cfg.WorkerHeartbeatInterval()
+	if a.State == protocol.TaskSavingCheckpoint && d.env.now < a.StopSentAt+seconds(a.GraceSeconds)+2*interval {
 		return false
 	}
 	return a.StopSentAt <= 0 || d.env.now >= a.StopSentAt+interval
@@ -299,7 +303,7 @@
 // appendUnknownTaskStops adds stop commands for tasks of jobs that the cluster state does not have.
 func (d *commandDispatcher) appendUnknownTaskStops(commands []protocol.Command, m *clusterstate.Machine) []protocol.Command {
 	for _, key := range slices.SortedFunc(maps.Keys(m.UnknownTasks), compareAttemptKeys) {
-		if d.env.now >= m.UnknownTasks[key]+d.env.cfg.Report() {
+		if d.env.now >= m.UnknownTasks[key]+d.env.cfg.WorkerHeartbeatInterval() {
 			m.UnknownTasks[key] = d.env.now
 			commands = append(commands, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt})
 		}
@@ -318,7 +322,7 @@
 		if !d.clearIsDue(m, exited) {
 			continue
 		}
-		exited.Sent = d.env.now
+		exited.ClearSentAt = d.env.now
 		commands = append(commands, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 	}
 	return commands
@@ -327,7 +331,7 @@
 // clearIsDue reports whether an exited task may be cleared now. After the clear a repeated run command would
 // start the task again, so none may be on its way.
 func (d *commandDispatcher) clearIsDue(m *clusterstate.Machine, exited *clusterstate.ExitedTask) bool {
-	if !exited.Ready || exited.Sent > 0 && d.env.now < exited.Sent+d.env.cfg.Report() {
+	if !exited.Clearable || exited.ClearSentAt > 0 && d.env.now < exited.ClearSentAt+d.env.cfg.WorkerHeartbeatInterval() {
 		return false
 	}
 	a := exited.Attempt
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -44,15 +44,15 @@
 			case 0:
 				worker.Hang(w.randomMilliseconds(2000, 30_000))
 			case 1:
-				worker.AnswersLost = true
+				worker.RepliesLost = true
 			}
 		}
-		w.state.Refuse[old] = true
+		w.state.RefusedClients[old] = true
 		w.at(w.randomMilliseconds(0, 2500), func() { w.cancelSome("j-s1", "j-b1", "j-s2") })
 		w.run(w.randomMilliseconds(1500, 12_000))
 		w.state.Outage(time.Duration(40+w.rng.IntN(40)) * second)
 		w.run(w.randomMilliseconds(0, 12_000))
-		w.state.Refuse[old] = false
+		w.state.RefusedClients[old] = false
 		w.run(90 * second)
 	})
 }
@@ -63,7 +63,7 @@
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		old := w.awaitLeader()
 		w.cancelSome("j-s1", "j-s3")
-		w.state.Refuse[old] = true
+		w.state.RefusedClients[old] = true
 		w.cancelSome("j-b1", "j-s2")
 		w.run(w.randomMilliseconds(500, 1500))
 		w.state.Outage(45 * second)
@@ -100,11 +100,11 @@
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for n, worker := range w.randomMachines(0.6) {
 			if n%2 == 0 {
-				worker.Cut = true
-				w.at(w.randomMilliseconds(3000, 40_000), func() { worker.Cut = false })
+				worker.Partitioned = true
+				w.at(w.randomMilliseconds(3000, 40_000), func() { worker.Partitioned = false })
 			} else {
-				worker.AnswersLost = true
-				w.at(w.randomMilliseconds(3000, 60_000), func() { worker.AnswersLost = false })
+				worker.RepliesLost = true
+				w.at(w.randomMilliseconds(3000, 60_000), func() { worker.RepliesLost = false })
 			}
 		}
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 8000))
@@ -120,17 +120,17 @@
 	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
 		for _, worker := range w.workers() {
 			if worker.Up && len(worker.Tasks) > 0 {
-				worker.AnswersLost = true
+				worker.RepliesLost = true
 			}
 		}
 		w.restart(w.leaderOrFirst(), 2*second)
 		w.run(second)
 		w.cancelSome("j-s2")
-		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.Cancelled })
+		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.JobCancelled })
 		w.until(60*second, "j-s3 runs elsewhere", func() bool {
 			for _, worker := range w.workers() {
 				for _, task := range worker.Tasks {
-					if task.UID == "j-s3" && task.State == protocol.Running && !worker.AnswersLost && !worker.Deleted {
+					if task.UID == "j-s3" && task.State == protocol.TaskRunning && !worker.RepliesLost && !worker.Deleted {
 						return true
 					}
 				}
@@ -148,7 +148,7 @@
 		w.cancelSome("j-s1")
 		w.run(10 * second)
 		old := w.leaderOrFirst()
-		w.state.Refuse[old] = true
+		w.state.RefusedClients[old] = true
 		w.cancelSome("j-b1")
 		w.run(w.randomMilliseconds(1000, 6000))
 		w.state.Outage(40 * second)
@@ -229,10 +229,10 @@
 		var held []copied
 		for _, worker := range w.workers() {
 			if worker.Up && !worker.Deleted {
-				held = append(held, copied{worker, protocol.Encode(worker.Message())})
+				held = append(held, copied{worker, protocol.Encode(worker.Heartbeat())})
 				if w.rng.IntN(2) == 0 {
-					worker.Cut = true
-					w.at(w.randomMilliseconds(2000, 25_000), func() { worker.Cut = false })
+					worker.Partitioned = true
+					w.at(w.randomMilliseconds(2000, 25_000), func() { worker.Partitioned = false })
 				}
 			}
 		}
@@ -325,7 +325,7 @@
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		var heartbeatsLost []*emulator.Worker
 		for _, worker := range w.randomMachines(0.6) {
-			worker.ReportsLost = true
+			worker.HeartbeatsLost = true
 			heartbeatsLost = append(heartbeatsLost, worker)
 		}
 		w.cancelSome("j-b1")
@@ -336,12 +336,12 @@
 		w.run(25 * second)
 		began := map[*emulator.Worker]int{}
 		for _, worker := range heartbeatsLost {
-			began[worker] = worker.Lives
+			began[worker] = worker.TasksStarted
 		}
 		w.run(60 * second)
 		for _, worker := range heartbeatsLost {
-			if worker.Lives > began[worker]+2 {
-				w.violated("a machine whose heartbeats are lost was given %d tasks, all of which die with its lease", worker.Lives-began[worker])
+			if worker.TasksStarted > began[worker]+2 {
+				w.violated("a machine whose heartbeats are lost was given %d tasks, all of which die with its lease", worker.TasksStarted-began[worker])
 			}
 		}
 		// Their tasks run elsewhere.
@@ -349,7 +349,7 @@
 			n := 0
 			for _, worker := range w.workers() {
 				for _, task := range worker.Tasks {
-					if task.UID == uid && task.State == protocol.Running && !worker.ReportsLost && !worker.Deleted {
+					if task.UID == uid && task.State == protocol.TaskRunning && !worker.HeartbeatsLost && !worker.Deleted {
 						n++
 					}
 				}
@@ -371,8 +371,8 @@
 			return 0
 		}
 		for _, worker := range w.randomMachines(0.4) {
-			worker.Cut = true // a new epoch, while copies of heartbeats of the earlier one are in flight
-			w.at(w.randomMilliseconds(9000, 16_000), func() { worker.Cut = false })
+			worker.Partitioned = true // a new epoch, while copies of heartbeats of the earlier one are in flight
+			w.at(w.randomMilliseconds(9000, 16_000), func() { worker.Partitioned = false })
 		}
 		w.run(w.randomMilliseconds(4000, 14_000))
 		w.cancelSome("j-s1")
@@ -392,8 +392,8 @@
 		}
 		w.run(40 * second)
 		for _, worker := range w.randomMachines(0.5) {
-			worker.Cut = true
-			w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Cut = false })
+			worker.Partitioned = true
+			w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Partitioned = false })
 		}
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 5000))
 		w.run(w.randomMilliseconds(500, 5000))
@@ -453,8 +453,8 @@
 				case 0:
 					worker.Die()
 				case 1:
-					worker.Cut = true
-					w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Cut = false })
+					worker.Partitioned = true
+					w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Partitioned = false })
 				case 2:
 					worker.Hang(w.randomMilliseconds(3000, 20_000))
 				}
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("late boots: %s", out.String())
 	}
 	for _, m := range l.machines.sortedMachines() {
-		m.Up = true
+		m.EverReported = true
 	}
 	l.scaler.watchBootTimes()
 	l.scaler.watchBootTimes()
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -65,9 +65,9 @@
 	}
 	left := 1 + len(snapshot.Machines)/drainFleetDivisor
 	candidates := c.drainCandidates(snapshot)
-	snapshot.Looked = 0
+	snapshot.MachinesExamined = 0
 	for _, candidate := range candidates[:min(len(candidates), candidatesPerDrain*left)] {
-		if snapshot.Looked > maxConsolidationWork {
+		if snapshot.MachinesExamined > maxConsolidationWork {
 			break // the next consolidation looks at the rest
 		}
 		rest := snapshot.WithoutMachine(candidate.machineID, candidate.tasks, c.forecast.forecastDemand)
@@ -85,7 +85,7 @@
 // replicaIsWaiting says whether a replica waits for room that its team's quota allows.
 func replicaIsWaiting(s *scheduler.Snapshot) bool {
 	return slices.ContainsFunc(s.Jobs, func(j *scheduler.Job) bool {
-		return len(j.Waiting) > 0 && j.Service && s.Quotas[j.Team].WithinMaximum(j.Need)
+		return len(j.Waiting) > 0 && j.Service && s.Quotas[j.Team].WithinMaximum(j.Request)
 	})
 }
 
@@ -128,13 +128,13 @@
 // kindsInDemand are the kinds of machines of which many are booting or being launched, compared with those that are up.
 func (c *consolidator) kindsInDemand() map[machineKind]bool {
 	coming, up := map[machineKind]int{}, map[machineKind]int{}
-	for _, request := range c.pool.Launching() {
+	for _, request := range c.pool.LaunchesInFlight() {
 		coming[machineKind{request.Type, request.Spot}] += request.Count
 	}
 	for _, m := range c.state.Machines {
 		switch {
 		case m.Releasing || c.partitions.isPartitioned(m.Zone):
-		case m.Up:
+		case m.EverReported:
 			up[machineKind{m.Type, m.Spot}]++
 		default:
 			coming[machineKind{m.Type, m.Spot}]++
@@ -150,9 +150,9 @@
 // drainMachine requests all tasks of a machine to stop, and keeps new ones away from it until they have moved.
 func (c *consolidator) drainMachine(m *clusterstate.Machine, tasks int) {
 	c.env.log.Info("draining machine", "machine", m.ID, "type", m.Type, "tasks", tasks)
-	c.drainAt = c.env.now + drainPauseLeases*c.env.cfg.Lease()
-	m.DrainUntil = c.env.now + c.env.cfg.Lease()
-	for _, a := range m.Sorted() {
+	c.drainAt = c.env.now + drainPauseLeases*c.env.cfg.WorkerLease()
+	m.DrainUntil = c.env.now + c.env.cfg.WorkerLease()
+	for _, a := range m.SortedAttempts() {
 		c.attempts.requestStop(a, a.Job.Spec.SaveS, stopConsolidation)
 	}
 }
@@ -177,7 +177,7 @@
 // movableTasks lists a machine's tasks as jobs of one task each, or nil if any of them can't be moved.
 func (c *consolidator) movableTasks(m *clusterstate.Machine, free float64) []*scheduler.Job {
 	var tasks []*scheduler.Job
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		if !c.isMovable(a, free) {
 			return nil
 		}
@@ -189,14 +189,14 @@
 // isMovable says whether the task of an attempt can be moved: a replica that has run for a while or, on a machine that
 // is half free, a task of a batch job that saves checkpoints. free is the free share of its machine.
 func (c *consolidator) isMovable(a *clusterstate.Attempt, free float64) bool {
-	if a.Job.Gang != nil || a.Job.Cancelling || a.StopRequested || a.State != protocol.Running {
+	if a.Job.Gang != nil || a.Job.Cancelling || a.StopRequested || a.State != protocol.TaskRunning {
 		return false
 	}
 	settledS := c.catalog.longestBootS()
 	if !a.Job.Spec.Service {
 		settledS *= batchSettledBoots
 	}
-	if c.env.now < a.Since+seconds(settledS) {
+	if c.env.now < a.AddedAt+seconds(settledS) {
 		return false
 	}
 	return a.Job.Spec.Service || a.Job.Spec.CheckpointS > 0 && free >= minFreeShareToMoveBatches
@@ -205,7 +205,7 @@
 // singleTaskView is a view of an attempt's task as a job of one task that is to start on another machine.
 func singleTaskView(a *clusterstate.Attempt) *scheduler.Job {
 	view := newJobView(a.Job)
-	view.InZone, view.Waiting = a.Job.InZone(), []int{a.Index}
+	view.InZone, view.Waiting = a.Job.AttemptsByZone(), []int{a.Index}
 	view.InZone[a.Machine.Zone]--
 	return view
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -161,6 +161,6 @@
 		c.endLeadership(endShutdown)
 		c.outbox.revokeLease(l.lease.leaseID)
 	}
-	c.election.electionBackoffUntil = c.env.now + c.env.cfg.Coast()
+	c.election.electionBackoffUntil = c.env.now + c.env.cfg.OutageTolerance()
 	c.detection.applyDetectorActions(c.detection.detector.Leave(c.detection.detectorClock()))
 }
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -70,7 +70,7 @@
 		}
 		expected := float64(tasks) / windowS * bootS * f.env.cfg.Operator.Fleet.Headroom
 		job := expectedJob(class, sample, max(1, int(expected+0.5)))
-		job.Images, job.AimS = imageShares(images, tasks), objective
+		job.Images, job.StartObjectiveS = imageShares(images, tasks), objective
 		jobs = append(jobs, job)
 	}
 	return jobs
@@ -84,7 +84,7 @@
 		if !f.health.isOverdue(m) {
 			continue
 		}
-		for _, a := range m.Sorted() {
+		for _, a := range m.SortedAttempts() {
 			if a.Job.Spec.Service && !a.Job.Cancelling && !a.StopRequested {
 				jobs = append(jobs, replacementJob(a))
 			}
@@ -105,8 +105,8 @@
 	spec := sample.Spec
 	job := &scheduler.Job{
 		ID: demandIDPrefix + class, Class: class, Priority: int(spec.Priority),
-		Service: true, Headroom: true, Tasks: tasks, Degradation: 1,
-		Need: sample.Need, ImageGB: spec.ImageGB, Spot: spec.Spot, Types: sample.Types,
+		Service: true, IsHeadroom: true, Tasks: tasks, Degradation: 1,
+		Request: sample.Need, ImageGB: spec.ImageGB, Spot: spec.Spot, Types: sample.Types,
 	}
 	for i := range tasks {
 		job.Waiting = append(job.Waiting, i)
@@ -117,7 +117,7 @@
 // replacementJob makes a headroom job of the task of an attempt that is probably gone.
 func replacementJob(a *clusterstate.Attempt) *scheduler.Job {
 	job := newJobView(a.Job)
-	job.ID, job.Headroom, job.Spread, job.OneZone = replacementIDPrefix+a.Key().Task, true, false, false
+	job.ID, job.IsHeadroom, job.Spread, job.OneZone = replacementIDPrefix+a.Key().Task, true, false, false
 	job.Waiting = []int{a.Index}
 	return job
 }
@@ -143,7 +143,7 @@
 	images map[string]int    // tasks by image
 	sample *clusterstate.Job // the job that was added last
 	// services is the total need of the replicas among the tasks, by team.
-	services map[string]scheduler.Need
+	services map[string]scheduler.Resources
 }
 
 // arrivalHistorySeconds bounds how many seconds with arrivals are kept of a class. It is far more than
@@ -171,7 +171,7 @@
 	if found {
 		return &h.seconds[i]
 	}
-	h.seconds = slices.Insert(h.seconds, i, arrivalSecond{at: at, images: map[string]int{}, services: map[string]scheduler.Need{}})
+	h.seconds = slices.Insert(h.seconds, i, arrivalSecond{at: at, images: map[string]int{}, services: map[string]scheduler.Resources{}})
 	if len(h.seconds) > arrivalHistorySeconds {
 		h.seconds = h.seconds[1:]
 		i--
--- a/internal/controller/demand_forecast_test.go
+++ b/internal/controller/demand_forecast_test.go
@@ -8,7 +8,7 @@
 )
 
 func arrivalAt(second int64, tasks int) *clusterstate.Job {
-	return &clusterstate.Job{Spec: &protocol.Spec{UID: "j", Team: "red", Tasks: tasks, Image: "img", Service: true}, Submitted: second * 1000}
+	return &clusterstate.Job{Spec: &protocol.JobSpec{UID: "j", Team: "red", Tasks: tasks, Image: "img", Service: true}, Submitted: second * 1000}
 }
 
 // Of more than 200 arrivals within four boot times only the last 200 counted: a fleet of 4,000
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -68,10 +68,10 @@
 				lead := w.awaitLeader()
 				token := w.leadership().lease.token
 				var first time.Duration
-				begins := w.machines.Begins
-				w.machines.Begins = func(worker *emulator.Worker, task string, t *emulator.Task) {
+				begins := w.machines.TaskStarted
+				w.machines.TaskStarted = func(worker *emulator.Worker, task string, t *emulator.Task) {
 					begins(worker, task, t)
-					if first == 0 && t.Try>>attemptBlockBits > token {
+					if first == 0 && t.Attempt>>attemptBlockBits > token {
 						first = w.Now()
 					}
 				}
@@ -136,7 +136,7 @@
 		}
 		for _, worker := range w.workers() {
 			if worker.Up && !worker.Deleted {
-				sum.lapses += float64(worker.Session - 1)
+				sum.lapses += float64(worker.Epoch - 1)
 			}
 		}
 		w.requireNoViolations()
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -36,7 +36,7 @@
 	inFlight     bool          // a request is under way
 }
 
-// Fractions and multiples of the leader's lease (config.LeaderTTL) in an election.
+// Fractions and multiples of the leader's lease (config.LeaderLease) in an election.
 const (
 	// stateCallTimeoutDivisor bounds the wait for one answer of the state service to half of the lease, so
 	// that a request whose answer is lost can be repeated within it.
@@ -63,7 +63,7 @@
 
 // stateCallTimeout is how long an election waits for an answer of the state service.
 func (e *election) stateCallTimeout() time.Duration {
-	return e.env.cfg.LeaderTTL() / stateCallTimeoutDivisor
+	return e.env.cfg.LeaderLease() / stateCallTimeoutDivisor
 }
 
 // watchLeaderKeys campaigns when there is no leader, and keeps what is known of the leader keys current: it
@@ -94,7 +94,7 @@
 func (e *election) mayReadLeaderKeys() bool {
 	keys := &e.leaderKeys
 	return !keys.inFlight && e.env.now >= keys.retryAt && e.controller.leadership == nil &&
-		e.outbox.stateRequests.Has(e.env.now, 1)
+		e.outbox.stateRequests.Allows(e.env.now, 1)
 }
 
 // listLeaderKeys requests all leader keys.
@@ -110,10 +110,10 @@
 // followLeaderKeys requests the changes of the leader keys after the revision that is known. The state
 // service answers at the first change, or without any after watchBlockLeases.
 func (e *election) followLeaderKeys() {
-	ttl := e.env.cfg.LeaderTTL()
+	ttl := e.env.cfg.LeaderLease()
 	block := watchBlockLeases * ttl
 	current := e.leaderKeysRequest()
-	e.outbox.state.Watch(keyPrefix, e.leaderKeys.revision, block, block+ttl, func(events protocol.Events, err error) {
+	e.outbox.state.Watch(keyPrefix, e.leaderKeys.revision, block, block+ttl, func(events protocol.WatchReply, err error) {
 		if current() {
 			e.onLeaderKeysChanged(events, err)
 		}
@@ -144,7 +144,7 @@
 	}
 	keys.known, keys.revision, keys.listFailureLogged = true, page.Revision, false
 	keys.clearKeys()
-	for _, item := range page.Items.Items {
+	for _, item := range page.Items {
 		keys.applyKey(item.Key, item.Value, item.Version)
 	}
 	e.observeLeader()
@@ -162,7 +162,7 @@
 
 // onLeaderKeysChanged applies the changes that a watch returned. A watch that failed may have missed some, so
 // that the keys are listed again.
-func (e *election) onLeaderKeysChanged(events protocol.Events, err error) {
+func (e *election) onLeaderKeysChanged(events protocol.WatchReply, err error) {
 	keys := &e.leaderKeys
 	if err != nil {
 		keys.known, keys.retryAt = false, e.env.now+e.env.retryPause()
@@ -187,7 +187,7 @@
 	if !e.mayCall(candidate) {
 		return
 	}
-	maxAge := e.env.cfg.LeaderTTL() / campaignLeaseDivisor
+	maxAge := e.env.cfg.LeaderLease() / campaignLeaseDivisor
 	if candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+maxAge {
 		e.acquireLease(candidate, func() {
 			if e.leaderKeys.known && e.leaderKeys.leader == nil && e.controller.leadership == nil {
@@ -209,7 +209,7 @@
 
 // mayCall reports whether the candidate may send its next request now.
 func (e *election) mayCall(candidate *candidate) bool {
-	return !candidate.inFlight && e.env.now >= candidate.retryAt && e.outbox.stateRequests.Has(e.env.now, 1)
+	return !candidate.inFlight && e.env.now >= candidate.retryAt && e.outbox.stateRequests.Allows(e.env.now, 1)
 }
 
 // sendElection sends the transaction that makes the candidate the leader.
@@ -250,7 +250,7 @@
 
 // successorRank is this controller's rank among those that may succeed a leader, 0 being the first.
 func (e *election) successorRank(former string) int {
-	return membership.Rank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.Successors(former))
+	return membership.Rank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.LeaderCandidates(former))
 }
 
 // mayCampaign reports whether it is this candidate's turn: the first by rank campaigns at once, the others one
@@ -259,7 +259,7 @@
 	if !e.detection.enabled() {
 		return true
 	}
-	spacing := e.env.cfg.LeaderTTL() / candidateSpacingDivisor
+	spacing := e.env.cfg.LeaderLease() / candidateSpacingDivisor
 	rank := e.successorRank(e.preparer.preparation.formerLeader)
 	return e.env.now >= e.leaderKeys.leaderlessSince+time.Duration(rank)*spacing
 }
@@ -270,7 +270,7 @@
 	if !e.mayCall(candidate) {
 		return
 	}
-	ttl := e.env.cfg.LeaderTTL()
+	ttl := e.env.cfg.LeaderLease()
 	switch {
 	case candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+candidateLeaseMaxAge(ttl):
 		e.acquireLease(candidate, func() {})
@@ -283,7 +283,7 @@
 func (e *election) acquireLease(candidate *candidate, then func()) {
 	candidate.inFlight = true
 	sent := e.env.now
-	e.outbox.state.GrantLease(e.env.cfg.LeaderTTL(), e.stateCallTimeout(), func(lease uint64, err error) {
+	e.outbox.state.GrantLease(e.env.cfg.LeaderLease(), e.stateCallTimeout(), func(lease uint64, err error) {
 		candidate.inFlight = false
 		if err != nil {
 			candidate.retryAt = e.env.now + e.env.retryPause()
@@ -389,5 +389,5 @@
 // backsOffElection reports whether this controller leaves the leadership to others.
 func (e *election) backsOffElection() bool {
 	return e.env.now < e.electionBackoffUntil &&
-		e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.Lease()/backoffLeaseDivisor
+		e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.WorkerLease()/backoffLeaseDivisor
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -35,7 +35,7 @@
 // retryPause is a short wait before something is tried again: between one and two sixteenths of the leader's
 // lease, at random, so that the controllers do not retry in step.
 func (e *environment) retryPause() time.Duration {
-	base := e.cfg.LeaderTTL() / retryPauses
+	base := e.cfg.LeaderLease() / retryPauses
 	return base + time.Duration(e.rng.Int64N(int64(base)+1))
 }
 
@@ -51,7 +51,7 @@
 
 // maxFailoverTime is how long it takes at the most until the state service no longer names a leader that has
 // ended.
-func (e *environment) maxFailoverTime() time.Duration { return failoverLeases * e.cfg.LeaderTTL() }
+func (e *environment) maxFailoverTime() time.Duration { return failoverLeases * e.cfg.LeaderLease() }
 
 // workerFailoverTime is how long a worker may need to go through all the other controllers when none of them
 // answers: at each it waits for the whole timeout, and pauses.
@@ -62,5 +62,5 @@
 // workerScanTime is how long a worker takes to go through all the other controllers, and to send its next
 // heartbeat, at so much a controller. The heartbeat comes after its interval; a quarter of that is to spare.
 func (e *environment) workerScanTime(perController time.Duration) time.Duration {
-	return time.Duration(len(e.cfg.Siblings))*perController + e.cfg.Report()*5/4
+	return time.Duration(len(e.cfg.Siblings))*perController + e.cfg.WorkerHeartbeatInterval()*5/4
 }
--- a/internal/controller/failover_attempts_test.go
+++ b/internal/controller/failover_attempts_test.go
@@ -18,7 +18,7 @@
 	c := w.nodes[w.awaitLeader()].controller
 	l := newLeadership(c, &leaderRecord{Token: 99, LeaseID: 1}, 1, c.env.now)
 	c.leadership = l
-	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: machines, Cores: 1, MemoryGB: 1}, c.env.wall)
+	j := l.state.AddJob(&protocol.JobSpec{UID: "j-1", Team: "red", Tasks: machines, Cores: 1, MemoryGB: 1}, c.env.wall)
 	j.Stored = true
 	for i := range machines {
 		entries := []clusterstate.AttemptEntry{{Job: "j-1", Index: i, Try: 100}, {Job: "j-1", Index: (i + 1) % machines, Try: 7}}
@@ -30,7 +30,7 @@
 		t.Errorf("it took %v", took)
 	}
 	for _, m := range l.machines.sortedMachines() {
-		for _, a := range m.Sorted() {
+		for _, a := range m.SortedAttempts() {
 			if a.StopRequested != (a.Number == 7) {
 				t.Fatalf("attempt %d of task %d is to be stopped: %v", a.Number, a.Index, a.StopRequested)
 			}
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -26,11 +26,11 @@
 			f.settleStarts()
 			f.controller.outbox.stateChanges.Refill()
 			for range f.controller.env.cfg.Cluster.State.TxnOps {
-				l.machines.storeMachine(list[n%len(list)], statestore.Start, nil)
+				l.machines.storeMachine(list[n%len(list)], statestore.PriorityBatch, nil)
 				n++
 			}
 			b.StartTimer()
-			t := l.store.Compose()
+			t := l.store.BuildTransaction()
 			body := protocol.Encode(t.Body)
 			changes += t.Writes()
 			bytes += len(body)
@@ -45,15 +45,15 @@
 func BenchmarkSlopeFailover(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		var items []protocol.Item
+		var items []protocol.KeyValue
 		add := func(key string, value any) {
-			items = append(items, protocol.Item{Key: key, Value: protocol.Encode(value), Version: 1})
+			items = append(items, protocol.KeyValue{Key: key, Value: protocol.Encode(value), Version: 1})
 		}
 		for _, j := range f.leadership.state.SortedJobs() {
 			add(clusterstate.JobPrefix+j.Spec.UID, j.Record())
 		}
 		for i := range 10 * workers {
-			add(fmt.Sprintf("%sj-o%07d", clusterstate.JobPrefix, i), clusterstate.JobRecord{State: protocol.Done, Tasks: 12})
+			add(fmt.Sprintf("%sj-o%07d", clusterstate.JobPrefix, i), clusterstate.JobRecord{State: protocol.JobDone, Tasks: 12})
 		}
 		for _, m := range f.leadership.machines.sortedMachines() {
 			add(clusterstate.MachinePrefix+m.ID, m.Record())
@@ -69,7 +69,7 @@
 		for b.Loop() {
 			l := newLeadership(f.controller, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.controller.env.now)
 			for _, it := range items {
-				l.store.Loaded(it.Key, it.Version)
+				l.store.SetVersion(it.Key, it.Version)
 				if err := l.loader.loadRecord(it); err != nil {
 					b.Fatal(err)
 				}
@@ -105,7 +105,7 @@
 
 // counters returns the stored counters of the fleet's arrays.
 func (f *slopeFleet) counters() []map[string]clusterstate.CounterRow {
-	limit := f.controller.env.cfg.ValueBytes() / (2 * clusterstate.EntryBytes)
+	limit := f.controller.env.cfg.MaxValueBytes() / (2 * clusterstate.MaxEntryBytes)
 	batches := []map[string]clusterstate.CounterRow{{}}
 	for _, j := range f.leadership.state.SortedJobs() {
 		if j.Spec.Service {
@@ -151,7 +151,7 @@
 		var jobs []*clusterstate.Job
 		perWaiting := heapOf(func() any {
 			for i := range workers {
-				jobs = append(jobs, f.addJob(fmt.Sprintf("j-%08d", i), 0, i%3 == 0, scheduler.Need{Cores: 1, Mem: 1}))
+				jobs = append(jobs, f.addJob(fmt.Sprintf("j-%08d", i), 0, i%3 == 0, scheduler.Resources{Cores: 1, Mem: 1}))
 			}
 			return f
 		}) / float64(workers)
@@ -166,8 +166,8 @@
 		perOver := heapOf(func() any {
 			for i := range 10 * workers {
 				uid := fmt.Sprintf("j-o%07d", i)
-				f.leadership.state.Terminal[uid] = clusterstate.TerminalState{Tasks: 12}
-				f.leadership.store.Loaded(clusterstate.JobPrefix+uid, 1)
+				f.leadership.state.TerminalJobs[uid] = clusterstate.TerminalState{Tasks: 12}
+				f.leadership.store.SetVersion(clusterstate.JobPrefix+uid, 1)
 			}
 			return f
 		}) / float64(10*workers)
--- a/internal/controller/failover_preparation.go
+++ b/internal/controller/failover_preparation.go
@@ -85,11 +85,11 @@
 func (p *failoverPreparer) preloadNextPage(token uint64) {
 	preload := p.preloadOf(token)
 	requests := &p.outbox.stateRequests
-	if preload.finished || preload.inFlight || !requests.Has(p.env.now, 1+preloadReserve*requests.Burst()) {
+	if preload.finished || preload.inFlight || !requests.Allows(p.env.now, 1+preloadReserve*requests.Burst()) {
 		return
 	}
 	preload.inFlight = true
-	timeout := p.env.cfg.LeaderTTL()
+	timeout := p.env.cfg.LeaderLease()
 	p.outbox.state.List(preload.currentPrefix(), preload.after, recordsPerPage, timeout, func(page stateclient.Page, err error) {
 		p.onPagePreloaded(preload, page, err)
 	})
@@ -116,7 +116,7 @@
 		return
 	}
 	preload.bytes += page.Bytes
-	preload.addPage(page.Items)
+	preload.addPage(page.KeyValuePage)
 	if preload.bytes > p.preloadLimitBytes() {
 		preload.finished = true
 	}
@@ -134,11 +134,11 @@
 func (p *failoverPreparer) beginFailover(token uint64) *Failover {
 	preparation := &p.preparation
 	failover := &Failover{
-		Token:         token,
-		Former:        preparation.formerLeader,
-		Suspected:     preparation.suspectedAt,
-		LeaderKeyGone: p.election.leaderKeys.leaderlessSince,
-		Elected:       p.env.now,
+		Token:            token,
+		FormerLeader:     preparation.formerLeader,
+		Suspected:        preparation.suspectedAt,
+		LeaderKeyRemoved: p.election.leaderKeys.leaderlessSince,
+		Elected:          p.env.now,
 	}
 	preparation.suspectedAt, preparation.formerLeader = 0, p.env.cfg.Label
 	return failover
--- a/internal/controller/failover_trace.go
+++ b/internal/controller/failover_trace.go
@@ -32,7 +32,7 @@
 
 // expireFailover finishes the failover without a placement when there was none for a worker's lease.
 func (t *failoverTrace) expireFailover() {
-	if failover := t.failover; failover != nil && failover.Loaded > 0 && t.env.now > failover.Loaded+t.env.cfg.Lease() {
+	if failover := t.failover; failover != nil && failover.Loaded > 0 && t.env.now > failover.Loaded+t.env.cfg.WorkerLease() {
 		t.finishFailover()
 	}
 }
@@ -40,7 +40,7 @@
 // finishFailover logs the failover and hands it to the observer, once.
 func (t *failoverTrace) finishFailover() {
 	failover := t.failover
-	args := []any{"token", failover.Token, "former_leader", failover.Former, "preloaded", failover.Preloaded}
+	args := []any{"token", failover.Token, "former_leader", failover.FormerLeader, "preloaded", failover.Preloaded}
 	for _, step := range failover.Steps() {
 		args = append(args, step.Name+"_s", (step.To - step.From).Seconds())
 	}
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -41,14 +41,14 @@
 		return &failureDetection{}
 	}
 	settings := membership.Settings{
-		Self:            cfg.Label,
-		Interval:        cfg.ProbeInterval(),
-		Timeout:         cfg.ProbeTimeout(),
-		Suspicion:       cfg.Suspicion(),
-		SuspicionFactor: config.SuspicionFactor,
-		Steady:          cfg.Steady(),
-		Stall:           stallTimeouts * cfg.ProbeTimeout(),
-		ClockError:      cfg.ClockError(),
+		Self:             cfg.Label,
+		ProbeInterval:    cfg.ProbeInterval(),
+		ProbeTimeout:     cfg.ProbeTimeout(),
+		SuspicionTimeout: cfg.SuspicionTimeout(),
+		SuspicionFactor:  config.UnconfirmedSuspicionFactor,
+		RejoinDelay:      cfg.RejoinMinUptime(),
+		PauseThreshold:   stallTimeouts * cfg.ProbeTimeout(),
+		ClockError:       cfg.ClockError(),
 	}
 	for _, sibling := range cfg.Siblings {
 		settings.Peers = append(settings.Peers, sibling.Label)
@@ -66,8 +66,8 @@
 	}
 	d.applyDetectorActions(d.detector.Tick(d.detectorClock()))
 	if d.env.now >= d.countersDueAt {
-		d.countersDueAt = d.env.now + d.env.cfg.Lease()
-		d.env.observer.Detector(d.detector.Health(), d.detector.Counters())
+		d.countersDueAt = d.env.now + d.env.cfg.WorkerLease()
+		d.env.observer.DetectorSampled(d.detector.LocalHealth(), d.detector.Counters())
 	}
 }
 
@@ -80,14 +80,14 @@
 	}
 	d.lastRequest++
 	d.probed[d.lastRequest] = from
-	d.applyDetectorActions(d.detector.Probed(d.detectorClock(), d.lastRequest, body))
+	d.applyDetectorActions(d.detector.HandleProbe(d.detectorClock(), d.lastRequest, body))
 }
 
 // notePeerAnswer notes that a controller answered a request that was sent at a steady time: it is alive, as if
 // it had answered a probe.
 func (d *failureDetection) notePeerAnswer(label string, sent time.Duration) {
 	if d.enabled() {
-		d.applyDetectorActions(d.detector.Heard(d.detectorClock(), label, sent))
+		d.applyDetectorActions(d.detector.ObserveAck(d.detectorClock(), label, sent))
 	}
 }
 
@@ -107,9 +107,9 @@
 			d.sendProbe(action)
 		case membership.Respond:
 			d.replyToProbe(action)
-		case membership.Change:
+		case membership.StateChange:
 			d.onMemberChange(action)
-		case membership.Drop:
+		case membership.DroppedMessage:
 			d.onDroppedMessage(action)
 		}
 	}
@@ -127,8 +127,8 @@
 			return
 		}
 		d.pause.noteAnswer(sent, res.Status != 0)
-		answer := membership.Answer{Status: res.Status, Body: res.Body}
-		d.applyDetectorActions(d.detector.Answered(d.detectorClock(), send.ID, answer))
+		answer := membership.Response{Status: res.Status, Body: res.Body}
+		d.applyDetectorActions(d.detector.HandleResponse(d.detectorClock(), send.ID, answer))
 	})
 }
 
@@ -148,7 +148,7 @@
 
 // onMemberChange logs a controller's change of state, and has the failover prepared if it is the leader that
 // is suspected.
-func (d *failureDetection) onMemberChange(change membership.Change) {
+func (d *failureDetection) onMemberChange(change membership.StateChange) {
 	d.env.log.Info("controller is "+change.To.String(), "controller", change.Label, "previous", change.From.String(),
 		"reason", string(change.Reason), "incarnation", uint64(change.Incarnation), "after_s", change.After.Seconds())
 	d.env.observer.MemberChanged(change)
@@ -158,13 +158,13 @@
 }
 
 // onDroppedMessage counts a message that the detector did not take, and logs the first of its kind.
-func (d *failureDetection) onDroppedMessage(drop membership.Drop) {
-	d.env.observer.Dropped(drop)
+func (d *failureDetection) onDroppedMessage(drop membership.DroppedMessage) {
+	d.env.observer.PeerMessageDropped(drop)
 	if drop.First {
 		d.env.log.Info("peer message dropped", "controller", drop.Label, "reason", string(drop.Reason))
 	}
 }
 
 func (d *failureDetection) detectorClock() membership.Clock {
-	return membership.Clock{Steady: d.env.now, Wall: d.env.wall}
+	return membership.Clock{Monotonic: d.env.now, Wall: d.env.wall}
 }
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -70,7 +70,7 @@
 				}
 			}
 			for _, worker := range w.workers() {
-				if worker.Up && !worker.Deleted && worker.Session > 1 {
+				if worker.Up && !worker.Deleted && worker.Epoch > 1 {
 					t.Errorf("loss %v: the lease of %s ran out", loss, worker.ID)
 				}
 			}
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -28,20 +28,20 @@
 
 // onTaskError handles a task that exited with an error. The attempt is nil if the cluster state does not have it.
 func (f *failureTracker) onTaskError(m *clusterstate.Machine, j *clusterstate.Job, a *clusterstate.Attempt, key clusterstate.AttemptKey) {
-	if a != nil && j.Spec.Service && f.env.now > a.Since+seconds(f.catalog.longestBootS()) {
+	if a != nil && j.Spec.Service && f.env.now > a.AddedAt+seconds(f.catalog.longestBootS()) {
 		f.noteTaskSuccess(j, nil) // a service's task that ran for that long had succeeded
 	}
 	f.env.log.Debug("task failed", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
-	if j.Failures.Waves == 0 || a != nil && a.Since > j.Failures.LastWave {
+	if j.Failures.Backoffs == 0 || a != nil && a.AddedAt > j.Failures.LastBackoffAt {
 		f.backOffJob(j)
 	}
 	switch {
-	case j.Failures.Note(m.ID, f.env.now):
+	case j.Failures.RecordFailure(m.ID, f.env.now):
 		f.env.log.Info("job failing on every machine tried", "job", j.Spec.UID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(j.Failures.Machines))
 		f.withdrawFailures(j)
-	case j.Failures.Everywhere:
+	case j.Failures.IsJobFault:
 		// The job's own fault, which says nothing of the machine.
-	case m.Faults.Suspect(j.Spec.UID):
+	case m.Faults.AddSuspect(j.Spec.UID):
 		f.logFaultyMachine(m)
 	}
 }
@@ -52,10 +52,10 @@
 	if m != nil {
 		m.Faults.Clear()
 	}
-	if j.Failures.Waves == 0 {
+	if j.Failures.Backoffs == 0 {
 		return
 	}
-	if j.Failures.Everywhere {
+	if j.Failures.IsJobFault {
 		f.env.log.Info("job no longer failing", "job", j.Spec.UID)
 	}
 	for id := range j.Failures.Machines {
@@ -64,10 +64,10 @@
 			continue
 		}
 		switch {
-		case other.Faults.Confirm(j.Spec.UID):
+		case other.Faults.ConfirmSuspect(j.Spec.UID):
 			f.logFaultyMachine(other)
-		case other.Faults.Confirmed > 0:
-			other.QuarantinedUntil = max(other.QuarantinedUntil, f.env.now+f.env.cfg.Lease())
+		case other.Faults.ConfirmedJobs > 0:
+			other.QuarantinedUntil = max(other.QuarantinedUntil, f.env.now+f.env.cfg.WorkerLease())
 		}
 	}
 	j.Failures = clusterstate.JobFailures{}
@@ -77,21 +77,21 @@
 func (f *failureTracker) withdrawFailures(j *clusterstate.Job) {
 	for id := range j.Failures.Machines {
 		if m := f.state.Machines[id]; m != nil {
-			m.Faults.Withdraw(j.Spec.UID)
+			m.Faults.RemoveSuspect(j.Spec.UID)
 		}
 	}
 }
 
 // logFaultyMachine logs that a machine is quarantined: it gets no more tasks, and is released once it is idle.
 func (f *failureTracker) logFaultyMachine(m *clusterstate.Machine) {
-	f.env.log.Info("machine quarantined", "machine", m.ID, "type", m.Type, "zone", m.Zone, "failed_jobs", len(m.Faults.Suspects)+m.Faults.Confirmed)
+	f.env.log.Info("machine quarantined", "machine", m.ID, "type", m.Type, "zone", m.Zone, "failed_jobs", len(m.Faults.SuspectJobs)+m.Faults.ConfirmedJobs)
 }
 
 // backOffJob delays a failing job, and counts the delay as attained service: otherwise a job whose tasks fail at
 // once would keep the top rank for ever.
 func (f *failureTracker) backOffJob(j *clusterstate.Job) {
-	j.Failures.Waves++
-	j.Failures.LastWave = f.env.now
+	j.Failures.Backoffs++
+	j.Failures.LastBackoffAt = f.env.now
 	delay := f.retryDelay(j)
 	j.NotBefore = max(j.NotBefore, f.env.now+delay)
 	j.Scale.Attained += delay.Seconds() * capacityShare(j, f.views.readyCapacity())
@@ -101,18 +101,18 @@
 // lease at the most, as a job that waits for longer beside free room is stuck. For a job that fails everywhere it
 // may be as long as a cancellation may take.
 func (f *failureTracker) retryDelay(j *clusterstate.Job) time.Duration {
-	longest := f.env.cfg.Lease()
-	if j.Failures.Everywhere {
-		longest = max(longest, f.env.cfg.Cancel())
+	longest := f.env.cfg.WorkerLease()
+	if j.Failures.IsJobFault {
+		longest = max(longest, f.env.cfg.CancelTimeout())
 	}
-	delay := f.env.cfg.Report() << min(max(j.Failures.Waves-1, 0), maxRetryDoublings)
+	delay := f.env.cfg.WorkerHeartbeatInterval() << min(max(j.Failures.Backoffs-1, 0), maxRetryDoublings)
 	return min(delay, longest)
 }
 
 // noteProbingStart notes the start of a task of a job that is tried with one task at a time: the next one waits for
 // the outcome.
 func (f *failureTracker) noteProbingStart(j *clusterstate.Job) {
-	if j.Failures.Probing() && j.Gang == nil {
+	if j.Failures.IsProbing() && j.Gang == nil {
 		j.NotBefore = max(j.NotBefore, f.env.now+f.retryDelay(j))
 	}
 }
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -27,14 +27,14 @@
 	w.submit("j-9", map[string]any{"shards": 12, "cores": 1.0})
 	w.submit("j-1", map[string]any{"shards": 6})
 	w.until(90*second, "it is found out", func() bool {
-		return w.leadership().state.Jobs["j-9"] != nil && w.leadership().state.Jobs["j-9"].Failures.Everywhere
+		return w.leadership().state.Jobs["j-9"] != nil && w.leadership().state.Jobs["j-9"].Failures.IsJobFault
 	})
 	for _, m := range w.leadership().machines.sortedMachines() {
-		if m.Faults.Faulty || len(m.Faults.Suspects) > 0 || m.QuarantinedUntil > 0 {
+		if m.Faults.Faulty || len(m.Faults.SuspectJobs) > 0 || m.QuarantinedUntil > 0 {
 			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
 		}
 	}
-	w.awaitStatus(120*second, "j-1", protocol.Done)
+	w.awaitStatus(120*second, "j-1", protocol.JobDone)
 	w.submit("j-2", map[string]any{"shape": "service"})
 	w.until(60*second, "another runs beside it", func() bool { return w.running("j-2") == 1 })
 	before := w.failures
@@ -43,7 +43,7 @@
 		t.Errorf("tried %d times in three times cancel_s", n)
 	}
 	w.cancel("j-9")
-	w.awaitStatus(10*second, "j-9", protocol.Cancelled)
+	w.awaitStatus(10*second, "j-9", protocol.JobCancelled)
 	w.settle()
 }
 
@@ -60,13 +60,13 @@
 		w.submit(fmt.Sprintf("j-%d", i+1), map[string]any{"shards": 4, "cores": 1.0})
 	}
 	for i := range 2 {
-		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i+1), protocol.Done)
+		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i+1), protocol.JobDone)
 	}
 	if m := w.leadership().state.Machines[bad]; m != nil && !m.Faults.Faulty {
 		t.Errorf("%d tasks failed on it: %+v", w.failures, m.Faults)
 	}
 	for _, m := range w.leadership().machines.sortedMachines() {
-		if m.ID != bad && (m.Faults.Faulty || m.Faults.Confirmed > 0) {
+		if m.ID != bad && (m.Faults.Faulty || m.Faults.ConfirmedJobs > 0) {
 			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
 		}
 	}
@@ -76,23 +76,23 @@
 // Two faulty jobs on the same machines are not evidence enough against these machines.
 func TestEvidenceOfFailures(t *testing.T) {
 	var m clusterstate.MachineFaults
-	if m.Suspect("j-1") || m.Suspect("j-2") || len(m.Suspects) != 2 {
+	if m.AddSuspect("j-1") || m.AddSuspect("j-2") || len(m.SuspectJobs) != 2 {
 		t.Error("two jobs are enough")
 	}
-	m.Withdraw("j-2")
-	if m.Suspect("j-3") || !m.Confirm("j-1") || !m.Faulty {
+	m.RemoveSuspect("j-2")
+	if m.AddSuspect("j-3") || !m.ConfirmSuspect("j-1") || !m.Faulty {
 		t.Errorf("a confirmed failure and a suspect: %+v", m)
 	}
 	if m.Clear(); !m.Faulty {
 		t.Error("a task that was still running clears it")
 	}
 	var f clusterstate.JobFailures
-	if f.Note("a", 0) || f.Probing() || f.Note("a", 0) || f.Note("b", second) || !f.Probing() || f.Everywhere || !f.Note("c", 0) || f.Note("d", 0) {
+	if f.RecordFailure("a", 0) || f.IsProbing() || f.RecordFailure("a", 0) || f.RecordFailure("b", second) || !f.IsProbing() || f.IsJobFault || !f.RecordFailure("c", 0) || f.RecordFailure("d", 0) {
 		t.Errorf("%+v", f)
 	}
 	f = clusterstate.JobFailures{}
-	f.Note("a", 0)
-	if !f.Avoid(second, 2*second)["a"] || len(f.Avoid(3*second, 2*second)) > 0 {
+	f.RecordFailure("a", 0)
+	if !f.AvoidedMachines(second, 2*second)["a"] || len(f.AvoidedMachines(3*second, 2*second)) > 0 {
 		t.Error("a machine is avoided for a while")
 	}
 }
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -43,13 +43,13 @@
 func (l *leadership) newGate() *featuregate.Gate {
 	cfg := l.controller.env.cfg
 	settings := featuregate.Settings{
-		Version:  completionJournalVersion,
-		Self:     cfg.Label,
-		Own:      *readVersionStatement(l.controller.versionStatement()),
-		Fits:     cfg.GateFits(),
-		Settled:  cfg.LeaderTTL(),
-		Patience: cfg.Lease(),
-		Pause:    gatePauseLeases * cfg.Lease(),
+		Version:             completionJournalVersion,
+		Self:                cfg.Label,
+		Own:                 *readVersionStatement(l.controller.versionStatement()),
+		TransactionsFit:     cfg.SupportsFeatureGate(),
+		SettleTime:          cfg.LeaderLease(),
+		OlderProgramTimeout: cfg.WorkerLease(),
+		BackOff:             gatePauseLeases * cfg.WorkerLease(),
 	}
 	for _, sibling := range cfg.Siblings {
 		settings.Peers = append(settings.Peers, sibling.Label)
@@ -73,15 +73,15 @@
 		return nil
 	}
 	return &featuregate.Statement{
-		Reads:  featuregate.StorageVersion(statement.Reads),
-		Writes: featuregate.StorageVersion(statement.Writes),
-		Hold:   statement.Hold,
+		ReadsUpTo:  featuregate.StorageVersion(statement.Reads),
+		WritesUpTo: featuregate.StorageVersion(statement.Writes),
+		HoldClosed: statement.Hold,
 	}
 }
 
 // onVersionStatement hands the statement in a controller's heartbeat to the gate.
 func (g *gateKeeper) onVersionStatement(heartbeat *protocol.PeerHeartbeat) {
-	g.gate.Heard(g.env.now, heartbeat.From, heartbeat.Incarnation, readVersionStatement(heartbeat.Versions))
+	g.gate.RecordStatement(g.env.now, heartbeat.From, heartbeat.Incarnation, readVersionStatement(heartbeat.Versions))
 }
 
 // tick carries out what the gate decides. Nothing is decided while it is uncertain whether this
@@ -91,7 +91,7 @@
 		return
 	}
 	before := g.gate.State()
-	action := g.gate.Decide(g.env.now, before == featuregate.Closing && g.completions.isCompacted())
+	action := g.gate.NextAction(g.env.now, before == featuregate.Closing && g.completions.isCompacted())
 	g.noteGateState(before)
 	if g.gate.State() == featuregate.Closing {
 		g.completions.close()
@@ -121,18 +121,18 @@
 // storeGate stores the leader key with another state of the gate. The journal is used once that is durable.
 func (g *gateKeeper) storeGate(record leaderRecord, change *statestore.LeaderChange) {
 	change.Entry = g.leaderEntry(record)
-	change.Applied = func() {
+	change.OnApplied = func() {
 		before := g.gate.State()
 		g.storedRecord = record
-		g.gate.Stored(g.env.now)
+		g.gate.ActionStored(g.env.now)
 		g.noteGateState(before)
 		if g.gate.MayWrite() {
 			g.completions.open()
 		}
 	}
-	change.Refused = func() {
+	change.OnRefused = func() {
 		before := g.gate.State()
-		g.gate.Failed(g.env.now)
+		g.gate.ActionRefused(g.env.now)
 		g.noteGateState(before)
 	}
 	g.store.ChangeLeader(change)
@@ -149,8 +149,8 @@
 	Token    uint64        // of the leader
 	At       time.Duration // on the steady clock
 	From, To featuregate.State
-	// Why is what keeps the gate from being open; "" if nothing does.
-	Why string
+	// Reason is what keeps the gate from being open; "" if nothing does.
+	Reason string
 	// Statements are the last statements of the other controllers, by label, for example
 	// "reads 1, writes 1".
 	Statements map[string]string
@@ -162,7 +162,7 @@
 	state, obstacle := g.gate.State(), g.gate.Obstacle()
 	enabled := g.env.cfg.Operator.EndJournal.Enabled
 	logged := &g.gateLogged
-	logsObstacle := enabled && obstacle != logged.obstacle && g.env.now >= logged.at+g.env.cfg.Lease()
+	logsObstacle := enabled && obstacle != logged.obstacle && g.env.now >= logged.at+g.env.cfg.WorkerLease()
 	if state == before && !logsObstacle {
 		return
 	}
@@ -174,7 +174,7 @@
 	}
 	g.env.log.Info("feature gate state", args...)
 	if state != before {
-		g.env.observer.GateChanged(GateChange{Token: g.lease.token, At: g.env.now, From: before, To: state, Why: obstacle.String(), Statements: statements})
+		g.env.observer.GateChanged(GateChange{Token: g.lease.token, At: g.env.now, From: before, To: state, Reason: obstacle.String(), Statements: statements})
 	}
 }
 
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -109,7 +109,7 @@
 	for _, i := range back {
 		u.restart(i, nil)
 	}
-	u.run(u.cfgs[0].Lease() - 2*second)
+	u.run(u.cfgs[0].WorkerLease() - 2*second)
 	if !u.gateIs("open") {
 		t.Error("the gate closes before a workers' lease is over")
 	}
@@ -174,8 +174,8 @@
 		return deliveryFault{hold: second}
 	}},
 	{"the state service refuses its sender alone", func(u *upgradeWorld, node int) deliveryFault {
-		u.state.Refuse[node] = true
-		u.at(15*second, func() { u.state.Refuse[node] = false })
+		u.state.RefusedClients[node] = true
+		u.at(15*second, func() { u.state.RefusedClients[node] = false })
 		return deliveryFault{}
 	}},
 	{"the state service is out for longer than a lease", func(u *upgradeWorld, _ int) deliveryFault {
@@ -320,8 +320,8 @@
 	u.run(30 * second)
 	u.endSoon(u.awaitLeader())
 	u.run(20 * second)
-	if u.state.Over > 0 {
-		t.Errorf("%d transactions were over the limits", u.state.Over)
+	if u.state.TooLarge > 0 {
+		t.Errorf("%d transactions were over the limits", u.state.TooLarge)
 	}
 	u.restart(u.leaderAt(0)[1], newerOperator(holdOn))
 	u.until(60*second, "the gate is closed", func() bool { return u.gateIs("closed") && len(u.journalKeys()) == 0 })
--- a/internal/controller/fleet_summary.go
+++ b/internal/controller/fleet_summary.go
@@ -23,10 +23,10 @@
 
 // logFleetSummary logs machines by what they do, jobs by class, load by machine type and use by team.
 func (f *fleetSummary) logFleetSummary() {
-	latency := f.store.Took()
+	latency := f.store.Latencies()
 	machines := f.countMachines()
 	args := []any{"transactions", latency.TotalCount(), "transaction_p99_ms", latency.ValueAtQuantile(loggedQuantile),
-		"jobs", len(f.state.Jobs), "busy", machines.busy, "idle", machines.idle, "booting", machines.booting, "launching", len(f.pool.Launching())}
+		"jobs", len(f.state.Jobs), "busy", machines.busy, "idle", machines.idle, "booting", machines.booting, "launching", len(f.pool.LaunchesInFlight())}
 	args = append(args, f.classAttributes()...)
 	args = append(args, f.loadAttributes()...)
 	args = append(args, f.quotaAttributes()...)
@@ -42,7 +42,7 @@
 	for _, m := range f.state.Machines {
 		switch {
 		case m.Releasing:
-		case !m.Up:
+		case !m.EverReported:
 			counts.booting++
 		case len(m.Attempts) == 0:
 			counts.idle++
@@ -58,7 +58,7 @@
 	waiting, active := map[string]int{}, map[string]int{}
 	for _, j := range f.state.Jobs {
 		if j.Stored && !j.Cancelling {
-			waiting[j.Spec.Class] += j.Spec.Tasks - j.Done - j.ActiveAttempts
+			waiting[j.Spec.Class] += j.Spec.Tasks - j.CompletedTasks - j.ActiveAttempts
 			active[j.Spec.Class] += j.ActiveAttempts
 		}
 	}
@@ -80,7 +80,7 @@
 func (f *fleetSummary) loadAttributes() []any {
 	loads := map[string]*typeLoad{}
 	for _, m := range f.state.Machines {
-		if !m.Up || m.Releasing {
+		if !m.EverReported || m.Releasing {
 			continue
 		}
 		name := machineTypeLabel(m)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -60,7 +60,7 @@
 	w := newWorld(t, 57)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	lease := c.env.cfg.Lease()
+	lease := c.env.cfg.WorkerLease()
 	miss := func() {
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
 			l.reach.noteMissed(id, c.env.now)
@@ -91,7 +91,7 @@
 	w := newWorld(t, 37)
 	for _, cfg := range w.cfgs {
 		cfg.Cluster.Workers.LeaseS = 31
-		cfg.Cluster.Workers.ReportS = 6
+		cfg.Cluster.Workers.HeartbeatS = 6
 	}
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4})
@@ -135,15 +135,15 @@
 	c.outbox.effects = nil
 	for i := range 2 * fds {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
-		m.Type, m.Zone, m.Addr, m.Listed = "m8", "b", fmt.Sprintf("10.2.0.%d:1", i), true
-		m.ExistedAt, m.LaunchedAt = c.env.now, c.env.now
+		m.Type, m.Zone, m.Addr, m.ListedRunning = "m8", "b", fmt.Sprintf("10.2.0.%d:1", i), true
+		m.KnownToExistAt, m.LaunchedAt = c.env.now, c.env.now
 		l.dispatcher.dispatchCommands(m)
 	}
 	if l.dispatcher.callLimiter.inFlight != l.dispatcher.callLimiter.mayHangInFlight || l.dispatcher.callLimiter.mayHangInFlight != fds/12 {
 		t.Errorf("%d calls under way, %d of them may hang, with %d sockets", l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.mayHangInFlight, fds)
 	}
 	m := l.state.AddMachine("i-000001")
-	m.Type, m.Zone, m.Addr, m.Seen, m.TokenAcknowledged, m.Up = "m8", "a", "10.2.1.1:1", true, true, true
+	m.Type, m.Zone, m.Addr, m.Seen, m.TokenAcknowledged, m.EverReported = "m8", "a", "10.2.1.1:1", true, true, true
 	m.LastSeen, m.Epoch = c.env.now, 1
 	m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{{Task: "j-9/0", Attempt: 1}: -time.Hour}
 	l.dispatcher.dispatchCommands(m)
@@ -159,21 +159,21 @@
 		w := newWorld(t, 53)
 		c := w.nodes[w.awaitLeader()].controller
 		l := c.leadership
-		j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "web", Team: "red", Service: true, Tasks: 2 * machines, Cores: 1, MemoryGB: 1}, c.env.wall)
+		j := l.state.AddJob(&protocol.JobSpec{UID: "j-1", Class: "web", Team: "red", Service: true, Tasks: 2 * machines, Cores: 1, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		for i := range machines {
 			m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 			m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.%d.%d:1", i/256, i%256), l.machines.machineSize("m8")
-			m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered, m.Token = true, true, true, 1, c.env.now, c.env.now, l.lease.token
+			m.Seen, m.TokenAcknowledged, m.EverReported, m.Epoch, m.LastSeen, m.LastAnswered, m.Token = true, true, true, 1, c.env.now, c.env.now, l.lease.token
 			for k := range 2 {
 				a := l.state.AddAttempt(m, j, 2*i+k, l.attemptNumbers.take(), c.env.now)
-				a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.Running, 1
+				a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.TaskRunning, 1
 			}
 		}
 		m := l.state.Machines["i-900000"]
 		body := protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Token: l.lease.token}
-		for _, a := range m.Sorted() {
-			body.Tasks = append(body.Tasks, protocol.TaskStatus{Task: a.Key().Task, Attempt: a.Number, State: protocol.Running})
+		for _, a := range m.SortedAttempts() {
+			body.Tasks = append(body.Tasks, protocol.TaskStatus{Task: a.Key().Task, Attempt: a.Number, State: protocol.TaskRunning})
 		}
 		l.machines.sortedMachines()
 		tick = testing.AllocsPerRun(20, func() { l.health.watchMachines() })
@@ -204,7 +204,7 @@
 		t.Run(what, func(t *testing.T) {
 			w := newWorld(t, 54)
 			for _, cfg := range w.cfgs {
-				cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.ReportS = 31, 2
+				cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.HeartbeatS = 31, 2
 			}
 			w.awaitLeader()
 			size := 1.0
@@ -218,7 +218,7 @@
 			if w.leader() == 2 {
 				t.Fatal("the leader is in the zone to be cut")
 			}
-			w.cloud.Full = what == "no room"
+			w.cloud.OutOfCapacity = what == "no room"
 			w.unreachable = map[string]bool{}
 			var victim *emulator.Worker
 			for _, worker := range w.workers() {
@@ -226,7 +226,7 @@
 					w.unreachable[worker.Addr] = true
 				} else if what != "cut zone" && worker.Zone == "a" && len(worker.Tasks) > 0 && victim == nil {
 					victim = worker
-					worker.Cut = true
+					worker.Partitioned = true
 					w.unreachable[worker.Addr] = what != "hanging"
 				}
 			}
@@ -256,7 +256,7 @@
 	now := time.Minute
 	for i := range 40 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
-		m.Type, m.Zone, m.Up, m.LastSeen = "m8", "b", true, now-time.Duration(i%6)*second
+		m.Type, m.Zone, m.EverReported, m.LastSeen = "m8", "b", true, now-time.Duration(i%6)*second
 	}
 	m := l.state.Machines["i-900005"]
 	m.ConnectionFailed, m.FailedCalls = true, 2
@@ -284,7 +284,7 @@
 	l := c.leadership
 	w.run(20 * second) // the machine types and the list of machines have been read
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
-		j := l.state.AddJob(&protocol.Spec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.env.wall)
+		j := l.state.AddJob(&protocol.JobSpec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		return j
 	}
@@ -293,17 +293,17 @@
 	for i := range 4 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), l.machines.machineSize("m8")
-		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
+		m.Seen, m.TokenAcknowledged, m.EverReported, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
 		if i < 3 {
 			a := l.state.AddAttempt(m, web, i, l.attemptNumbers.take(), c.env.now)
-			a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.Running, 1
+			a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.TaskRunning, 1
 		}
 		all = append(all, m)
 	}
 	if l.consolidator.manyUnresponsive() {
 		t.Error("late though all answer")
 	}
-	all[0].FailedCalls, all[0].LastSeen, l.lease.electedAt = 2, c.env.now-c.env.cfg.Lease()/2, c.env.now-c.env.cfg.Lease()
+	all[0].FailedCalls, all[0].LastSeen, l.lease.electedAt = 2, c.env.now-c.env.cfg.WorkerLease()/2, c.env.now-c.env.cfg.WorkerLease()
 	if !l.consolidator.manyUnresponsive() {
 		t.Error("one machine of three is late, and others would be emptied")
 	}
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -109,7 +109,7 @@
 	if f.lostLeaderForLong() {
 		return false
 	}
-	return f.leaderLabel() != "" || f.env.now < keys.leaderlessSince+f.env.cfg.Lease()/2
+	return f.leaderLabel() != "" || f.env.now < keys.leaderlessSince+f.env.cfg.WorkerLease()/2
 }
 
 // lostLeaderForLong reports whether no leader has answered for longer than a failover should take. Where the
@@ -118,9 +118,9 @@
 	if !f.contact.leaderLost || len(f.env.cfg.Siblings) == 0 {
 		return false
 	}
-	patience := f.env.cfg.Lease() / 2
+	patience := f.env.cfg.WorkerLease() / 2
 	if f.storeNamesLeader() {
-		patience = min(f.env.maxFailoverTime(), f.env.cfg.Lease()*3/20)
+		patience = min(f.env.maxFailoverTime(), f.env.cfg.WorkerLease()*3/20)
 	}
 	return f.env.now > f.contact.leaderLostAt+patience
 }
@@ -144,7 +144,7 @@
 	}
 	contact.inFlight = true
 	sent := f.env.now
-	body, timeout := protocol.EncodePeer(f.peerHeartbeat()), f.env.cfg.Lease()/peerHeartbeatTimeout
+	body, timeout := protocol.EncodePeer(f.peerHeartbeat()), f.env.cfg.WorkerLease()/peerHeartbeatTimeout
 	f.outbox.peerCall(asked, peerHeartbeatPath, body, timeout, func(res Result) {
 		f.onPeerHeartbeatReply(asked, sent, res)
 	})
@@ -207,7 +207,7 @@
 	if f.controller.leadership != nil {
 		return
 	}
-	contact.inFlight, contact.nextAt = false, sent+f.env.cfg.Heartbeat()
+	contact.inFlight, contact.nextAt = false, sent+f.env.cfg.PeerHeartbeatInterval()
 	var reply protocol.PeerHeartbeatReply
 	ok := res.Status == http.StatusOK && protocol.DecodePeer(res.Body, &reply) == nil && reply.Token >= contact.highestToken
 	if ok && reply.Leader != "" && reply.Leader != f.env.cfg.Label {
@@ -223,7 +223,7 @@
 	}
 	contact.nextSibling++
 	if asked == f.leaderLabel() {
-		contact.connectionRefused = res.ConnectionFailed && f.env.now < sent+f.env.cfg.Lease()/refusedConnectionTime
+		contact.connectionRefused = res.ConnectionFailed && f.env.now < sent+f.env.cfg.WorkerLease()/refusedConnectionTime
 	}
 	f.noteLeaderUnanswered()
 }
@@ -246,13 +246,13 @@
 	if !contact.leaderLost {
 		contact.leaderLost, contact.leaderLostAt = true, f.env.now
 	}
-	if f.election.leaderKeys.known && f.env.now > contact.keysCheckedAt+f.env.cfg.LeaderTTL() {
+	if f.election.leaderKeys.known && f.env.now > contact.keysCheckedAt+f.env.cfg.LeaderLease() {
 		contact.keysCheckedAt = f.env.now
 		f.election.leaderKeys.refresh(f.env.now)
 	}
 }
 
-// renewsLeaseForLeader reports whether this controller answers the worker for the leader, and notes that it does.
+// tryRenewLeaseForLeader reports whether this controller answers the worker for the leader, and notes that it does.
 // It does so while it reaches neither a leader nor a state service that would name one, if the worker is of its
 // own zone and has had a leader.
 //
@@ -260,13 +260,13 @@
 // probably ended or is paused, and the next will be known before long. Workers that were sent to it waited for 4 s
 // there, and as long at the next controller that had ended, and their leases ran out. After that moment, a leader
 // that the state service still names does lead, and workers go to it if they can reach it: see leader_probes.go.
-func (f *follower) renewsLeaseForLeader(heartbeat *protocol.WorkerHeartbeat) bool {
+func (f *follower) tryRenewLeaseForLeader(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
 	if !contact.leaderLost || heartbeat.Zone != f.env.cfg.Zone || heartbeat.Token == 0 {
 		return false
 	}
 	failoverIsOver := f.env.now > contact.leaderLostAt+f.env.maxFailoverTime()
-	if f.storeNamesLeader() && failoverIsOver && f.sendsWorkerToLeader(heartbeat) {
+	if f.storeNamesLeader() && failoverIsOver && f.trySendWorkerToLeader(heartbeat) {
 		return false
 	}
 	if !contact.servesLeases {
@@ -297,12 +297,12 @@
 // in its absence, with this controller's own.
 func (f *follower) forwardHeartbeat(from requester, heartbeat *protocol.WorkerHeartbeat, body []byte) {
 	leader := f.contact.leader
-	timeout := min(f.env.cfg.Lease()/forwardTimeoutLease, forwardTimeout)
+	timeout := min(f.env.cfg.WorkerLease()/forwardTimeoutLease, forwardTimeout)
 	f.relay.sendToLeader(&leaderRequest{
 		from:     from,
 		leader:   leader,
 		path:     forwardedHeartbeatPath,
-		relay:    protocol.Relay{Op: string(OpWorkerHeartbeat), Body: body, From: f.env.cfg.Label},
+		relay:    protocol.ForwardedRequest{Operation: string(OpWorkerHeartbeat), Body: body, From: f.env.cfg.Label},
 		deadline: f.env.now + timeout,
 		then: func(res Result) {
 			reply, ok := readRelayReply(res)
@@ -324,7 +324,7 @@
 	if leader == f.contact.leader {
 		f.noteLeaderUnanswered()
 	}
-	if f.renewsLeaseForLeader(heartbeat) {
+	if f.tryRenewLeaseForLeader(heartbeat) {
 		f.replyLeaseOnly(from, heartbeat)
 		return
 	}
@@ -351,5 +351,5 @@
 
 // isRecent reports whether what was heard at a steady time still counts; 0: never heard.
 func (f *follower) isRecent(heardAt time.Duration) bool {
-	return heardAt > 0 && f.env.now < heardAt+f.env.cfg.Lease()/contactValidity
+	return heardAt > 0 && f.env.now < heardAt+f.env.cfg.WorkerLease()/contactValidity
 }
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -33,11 +33,11 @@
 			w := newWorld(t, 111)
 			w.fullFleet(4)
 			w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
-			w.until(10*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.until(10*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			if left := w.running("j-0"); left < 16-6 {
 				t.Errorf("together %v: %d of 16 tasks are left, 6 had to go", together, left)
 			}
-			w.awaitStatus(30*second, "j-1", protocol.Done)
+			w.awaitStatus(30*second, "j-1", protocol.JobDone)
 			w.cancel("j-0")
 			w.settle()
 		})
@@ -72,7 +72,7 @@
 		w.run(4 * second)
 	}
 	for _, uid := range []string{"j-1", "j-2", "j-3", "j-4"} {
-		w.until(40*second, uid+" has begun", func() bool { return w.machines.Wholes[uid] > 0 })
+		w.until(40*second, uid+" has begun", func() bool { return w.machines.GangStarts[uid] > 0 })
 	}
 	w.cancel("j-0")
 	w.settle()
@@ -92,8 +92,8 @@
 	}
 	w.run(6 * second)
 	w.submit("j-1", group(2, 1, map[string]any{"rank": "high", "owner": "blue"}))
-	w.until(7500*time.Millisecond, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitStatus(30*second, "j-1", protocol.Done)
+	w.until(7500*time.Millisecond, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.awaitStatus(30*second, "j-1", protocol.JobDone)
 	w.cancel("j-0")
 	w.settle()
 }
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -20,7 +20,7 @@
 func (w *world) machinesWithTasksOf(uid string) (out []*emulator.Worker) {
 	for _, worker := range w.workers() {
 		for _, t := range worker.Tasks {
-			if t.UID == uid && t.State != protocol.Exited && !worker.Deleted {
+			if t.UID == uid && t.State != protocol.TaskExited && !worker.Deleted {
 				out = append(out, worker)
 				break
 			}
@@ -42,12 +42,12 @@
 	}
 	w.submit("j-1", group(2, 2, map[string]any{"owner": "blue"}))
 	w.until(40*second, "the one without an image gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
-	if w.machines.Wholes["j-1"] != 0 {
+	if w.machines.GangStarts["j-1"] != 0 {
 		t.Error("it began")
 	}
 	w.pulls = nil
-	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.until(30*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -58,11 +58,11 @@
 		t.Run(fmt.Sprintf("hangs for %v", hang), func(t *testing.T) {
 			w := newWorld(t, 102)
 			w.submit("j-1", group(4, 4, map[string]any{"apart": true}))
-			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			w.run(2 * second)
 			w.machinesWithTasksOf("j-1")[0].Hang(hang)
-			w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-			w.awaitStatus(60*second, "j-1", protocol.Done)
+			w.until(60*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+			w.awaitStatus(60*second, "j-1", protocol.JobDone)
 			w.settle()
 		})
 	}
@@ -80,7 +80,7 @@
 			w.replicasOnMachines(4, 3)
 			w.cloud.Down = true
 			w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
-			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			w.run(3 * second)
 			w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
 			w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
@@ -89,12 +89,12 @@
 				w.restart(w.awaitLeader(), 2*second)
 			}
 			w.until(30*second, "the replica runs", func() bool { return w.running("j-2") == 1 })
-			if after < 0 && w.machines.Saves["j-1"] != 1 {
-				t.Errorf("its progress was saved %d times", w.machines.Saves["j-1"])
+			if after < 0 && w.machines.GangCheckpoints["j-1"] != 1 {
+				t.Errorf("its progress was saved %d times", w.machines.GangCheckpoints["j-1"])
 			}
 			w.cancel("j-2")
-			w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-			w.awaitStatus(90*second, "j-1", protocol.Done)
+			w.until(60*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+			w.awaitStatus(90*second, "j-1", protocol.JobDone)
 			w.settle()
 		})
 	}
@@ -112,20 +112,20 @@
 			w := newWorld(t, 104)
 			w.runs = func(string) time.Duration { return 40 * second }
 			w.submit("j-1", group(4, 4, map[string]any{"borrowed": true, "apart": true}))
-			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+			w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			w.run(2 * second)
 			worker := w.machinesWithTasksOf("j-1")[0]
 			if !worker.Spot {
 				t.Fatal("it is on an ordinary machine")
 			}
 			end := w.Now() + time.Duration(tc.notice*float64(second))
-			worker.Taken = end
+			worker.PreemptedAt = end
 			w.at(end-w.Now(), worker.Die)
-			w.until(90*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-			if w.machines.Saves["j-1"] != tc.saves {
-				t.Errorf("its progress was saved %d times, want %d", w.machines.Saves["j-1"], tc.saves)
+			w.until(90*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+			if w.machines.GangCheckpoints["j-1"] != tc.saves {
+				t.Errorf("its progress was saved %d times, want %d", w.machines.GangCheckpoints["j-1"], tc.saves)
 			}
-			w.awaitStatus(90*second, "j-1", protocol.Done)
+			w.awaitStatus(90*second, "j-1", protocol.JobDone)
 			w.settle()
 		})
 	}
@@ -137,16 +137,16 @@
 	w := newWorld(t, 105)
 	w.runs = func(string) time.Duration { return 20 * second }
 	w.submit("j-1", group(4, 4, nil))
-	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+	w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(19 * second)
 	for _, worker := range w.machinesWithTasksOf("j-1")[1:] {
-		worker.Cut = true
-		w.at(30*second, func() { worker.Cut = false })
+		worker.Partitioned = true
+		w.at(30*second, func() { worker.Partitioned = false })
 	}
-	w.awaitStatus(10*second, "j-1", protocol.Done)
+	w.awaitStatus(10*second, "j-1", protocol.JobDone)
 	w.run(40 * second)
-	if w.machines.Wholes["j-1"] != 1 {
-		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
+	if w.machines.GangStarts["j-1"] != 1 {
+		t.Errorf("it began %d times", w.machines.GangStarts["j-1"])
 	}
 	w.settle()
 }
@@ -155,7 +155,7 @@
 // holds its tasks up, and nothing of it starts afterwards (the checker verifies that).
 func TestGangIsCancelledInEachState(t *testing.T) {
 	pulling := func(w *world) bool { return len(w.machinesWithTasksOf("j-1")) > 0 }
-	running := func(w *world) bool { return w.machines.Wholes["j-1"] == 1 }
+	running := func(w *world) bool { return w.machines.GangStarts["j-1"] == 1 }
 	stopSent := func(w *world) bool { return len(w.stopCommands["j-1"]) > 0 }
 	for name, prepare := range map[string]func(*world){
 		"waiting": func(w *world) {
@@ -194,7 +194,7 @@
 			w.replicasOnMachines(4, 3)
 			prepare(w)
 			w.cancel("j-1")
-			w.awaitStatus(25*second, "j-1", protocol.Cancelled)
+			w.awaitStatus(25*second, "j-1", protocol.JobCancelled)
 			w.settle()
 		})
 	}
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -35,9 +35,9 @@
 		}
 	}
 	w.cancel("j-1")
-	w.awaitStatus(90*second, "j-2", protocol.Done)
-	if w.machines.Wholes["j-2"] != 1 {
-		t.Errorf("the gang began %d times", w.machines.Wholes["j-2"])
+	w.awaitStatus(90*second, "j-2", protocol.JobDone)
+	if w.machines.GangStarts["j-2"] != 1 {
+		t.Errorf("the gang began %d times", w.machines.GangStarts["j-2"])
 	}
 	w.settle()
 }
@@ -47,7 +47,7 @@
 func TestGangBeginsAgainAfterALoss(t *testing.T) {
 	w := newWorld(t, 91)
 	w.submit("j-1", group(4, 4, nil)) // two machines
-	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+	w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(3 * second)
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 {
@@ -55,8 +55,8 @@
 			break
 		}
 	}
-	w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.until(60*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -67,11 +67,11 @@
 	w := newWorld(t, 92)
 	w.runs = func(string) time.Duration { return 60 * second }
 	w.submit("j-1", group(4, 4, nil))
-	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+	w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(2 * second)
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 {
-			worker.ReportsLost = true
+			worker.HeartbeatsLost = true
 			break
 		}
 	}
@@ -86,8 +86,8 @@
 			t.Errorf("a stop command came %v after the first, with a grace period of %v s", h.at-commands[0].at, h.grace)
 		}
 	}
-	w.until(60*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitStatus(90*second, "j-1", protocol.Done)
+	w.until(60*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -104,7 +104,7 @@
 			w.run(time.Duration(seed) * 3 * time.Millisecond)
 			w.crash(lead)
 			w.at(2*second, func() { w.boot(lead) })
-			w.awaitStatus(120*second, "j-1", protocol.Done)
+			w.awaitStatus(120*second, "j-1", protocol.JobDone)
 			w.settle()
 		})
 	}
@@ -124,8 +124,8 @@
 		w.submit(fmt.Sprintf("j-4%d", i), group(2, 1, nil))
 		w.run(5 * second)
 	}
-	w.awaitStatus(60*second, "j-2", protocol.Done)
-	w.awaitStatus(60*second, "j-3", protocol.Done)
+	w.awaitStatus(60*second, "j-2", protocol.JobDone)
+	w.awaitStatus(60*second, "j-3", protocol.JobDone)
 	w.settle()
 }
 
@@ -170,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.state.Place(clusterstate.JobPrefix+"j-2", &emulator.Item{Version: 1, Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
+	w.state.Preset(clusterstate.JobPrefix+"j-2", &emulator.Item{Version: 1, Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
 	w.startPolling("j-2")
 	try := uint64(1 << 20)
 	for i, worker := range w.workers() {
@@ -182,10 +182,10 @@
 		try++
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Try: try})
 		it.Value = protocol.Encode(rec)
-		worker.Hold(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Try: try, State: protocol.WaitingForGang})
+		worker.AddTask(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Attempt: try, State: protocol.TaskWaitingForGang})
 	}
 	w.restart(w.awaitLeader(), second)
-	w.awaitStatus(120*second, "j-2", protocol.Done)
+	w.awaitStatus(120*second, "j-2", protocol.JobDone)
 	w.settle()
 }
 
@@ -201,7 +201,7 @@
 		for _, worker := range w.workers() {
 			for _, task := range worker.Tasks {
 				if task.UID == "j-1" && !worker.Deleted {
-					out = max(out, task.Try)
+					out = max(out, task.Attempt)
 				}
 			}
 		}
@@ -216,11 +216,11 @@
 		}
 	}
 	w.pulls = nil
-	w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+	w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	if try() != first {
 		t.Errorf("attempt %d, first %d", try(), first)
 	}
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -239,7 +239,7 @@
 	w.until(2*second, "they are empty", func() bool { return w.running("j-0")+w.running("j-9") == 0 })
 	written := false
 	w.script = func(_ int, c Call) deliveryFault {
-		var txn protocol.Txn
+		var txn protocol.Transaction
 		if c.Path == "/multi" && !written && protocol.Decode(c.Body, &txn) == nil {
 			for _, ch := range txn.Then {
 				if rec, ok := ch.Value.(map[string]any); ok && rec["t"] != nil && ch.Put[:2] == clusterstate.MachinePrefix {
@@ -259,7 +259,7 @@
 		}
 	}
 	w.script = nil
-	w.awaitStatus(120*second, "j-1", protocol.Done)
+	w.awaitStatus(120*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -296,8 +296,8 @@
 	}
 	w.crash(w.awaitLeader())
 	w.pulls = nil
-	w.until(32*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.until(32*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -323,6 +323,6 @@
 		})
 		w.run(second)
 	}
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -42,7 +42,7 @@
 		return
 	}
 	event := clusterstate.TaskLost
-	if proof != reportedExited && a.Durable && !a.Loaded && g.Replaces() {
+	if proof != reportedExited && a.Durable && !a.Loaded && g.MayReplaceTasks() {
 		// The attempt is proved absent and the worker does not know its number. After an exit the worker would
 		// take a repeated run command for one that it has executed.
 		event = clusterstate.TaskReplaceable
@@ -59,7 +59,7 @@
 	case neverSent, absentFromHeartbeat:
 		return a.StopRequested
 	case reportedExited:
-		return a.StopRequested && a.Exit == protocol.CauseStopped
+		return a.StopRequested && a.ExitCause == protocol.CauseStopped
 	case notRecorded, leaseExpired, machineFailed, machineDeleted, machineUnlisted:
 		return false // the task was lost, whatever was requested of it
 	}
@@ -80,7 +80,7 @@
 		j.Gang.Apply(clusterstate.StopRequested)
 	}
 	if grace > 0 {
-		grace += t.env.cfg.GangPeer().Seconds()
+		grace += t.env.cfg.GangPeerTimeout().Seconds()
 	}
 	for _, a := range j.Gang.Attempts() {
 		if a.Number == number {
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -20,7 +20,7 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	lead := w.awaitLeader()
 	for _, worker := range w.workers() {
-		worker.Cut = true
+		worker.Partitioned = true
 	}
 	asked := 0
 	w.user(lead, OpCancel, "j-1", func(status int, _ protocol.JobStatus) {
@@ -29,14 +29,14 @@
 		}
 	})
 	w.run(2 * second)
-	if w.lastReplies["j-1"] == protocol.Cancelled || asked != 1 {
+	if w.lastReplies["j-1"] == protocol.JobCancelled || asked != 1 {
 		t.Fatalf("state %q after %d answers", w.lastReplies["j-1"], asked)
 	}
 	w.crash(lead)
 	for _, worker := range w.workers() {
-		worker.Cut = false
+		worker.Partitioned = false
 	}
-	w.until(40*second, "the successor has called it off", func() bool { return w.lastReplies["j-1"] == protocol.Cancelled })
+	w.until(40*second, "the successor has called it off", func() bool { return w.lastReplies["j-1"] == protocol.JobCancelled })
 	if w.running("j-1") != 0 {
 		t.Error("a replica still runs")
 	}
@@ -51,11 +51,11 @@
 	w.submit("j-1", map[string]any{"shards": 2, "cores": 4.0})
 	w.until(60*second, "it runs", func() bool { return w.running("j-1") == 2 })
 	for _, worker := range w.workers() {
-		worker.Cut = true
-		w.at(8*second, func() { worker.Cut = false })
+		worker.Partitioned = true
+		w.at(8*second, func() { worker.Partitioned = false })
 	}
 	w.cancel("j-1")
-	w.awaitStatus(30*second, "j-1", protocol.Done)
+	w.awaitStatus(30*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -67,7 +67,7 @@
 	w.awaitLeader()
 	var held []string
 	w.script = func(_ int, c Call) deliveryFault {
-		var txn protocol.Txn
+		var txn protocol.Transaction
 		if c.Path != "/multi" || protocol.Decode(c.Body, &txn) != nil || len(held) > 0 {
 			return deliveryFault{}
 		}
@@ -111,14 +111,14 @@
 		// Some attempts have no answer: those may have applied before the 400.
 		return deliveryFault{answerLost: c.Path == "/multi" && n%7 == 0}
 	}
-	w.at(15*second, func() { w.state.Malformed = func(txn protocol.Txn) bool { return len(txn.Then) > 3 } })
+	w.at(15*second, func() { w.state.Malformed = func(txn protocol.Transaction) bool { return len(txn.Then) > 3 } })
 	for i := range 10 {
 		uid := fmt.Sprintf("j-%d", i)
 		w.at(time.Duration(i/5)*14*second, func() { w.submit(uid, map[string]any{"shards": 3, "cores": 1.0}) })
 	}
 	w.run(30 * second)
 	for i := range 10 {
-		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i), protocol.Done)
+		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i), protocol.JobDone)
 	}
 	w.settle()
 }
@@ -129,7 +129,7 @@
 	w := newWorld(t, 74)
 	w.awaitLeader()
 	w.run(2 * second)
-	w.state.Malformed = func(txn protocol.Txn) bool {
+	w.state.Malformed = func(txn protocol.Transaction) bool {
 		for _, ch := range txn.Then {
 			if ch.Put == clusterstate.JobPrefix+"j-1" {
 				return true
@@ -139,13 +139,13 @@
 	}
 	w.submit("j-1", nil)
 	w.submit("j-2", nil)
-	w.awaitStatus(100*second, "j-2", protocol.Done)
+	w.awaitStatus(100*second, "j-2", protocol.JobDone)
 	if w.lastReplies["j-1"] != "" {
 		t.Errorf("j-1 is %q", w.lastReplies["j-1"])
 	}
 	w.state.Malformed = nil
 	w.submit("j-1", nil)
-	w.awaitStatus(100*second, "j-1", protocol.Done)
+	w.awaitStatus(100*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -157,12 +157,12 @@
 	w.cloud.Down = true // nothing else can be rented
 	w.spec("j-9", nil)
 	for _, worker := range w.workers() {
-		worker.Hold("j-9/0", &emulator.Task{UID: "j-9", Try: 7, State: protocol.Running})
+		worker.AddTask("j-9/0", &emulator.Task{UID: "j-9", Attempt: 7, State: protocol.TaskRunning})
 	}
 	w.run(5 * second)
 	w.calmSince = w.Now()
 	w.submit("j-2", map[string]any{"cores": 2.0})
-	w.awaitStatus(60*second, "j-2", protocol.Done)
+	w.awaitStatus(60*second, "j-2", protocol.JobDone)
 	w.settle()
 }
 
@@ -174,10 +174,10 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(5 * second)
 	worker := w.workers()[0]
-	worker.ReportsLost = true
+	worker.HeartbeatsLost = true
 	w.run(8500 * time.Millisecond) // of a lease of 10 s
 	for name, task := range worker.Tasks {
-		if task.State == protocol.Running {
+		if task.State == protocol.TaskRunning {
 			t.Errorf("%s is still on a machine that is about to end its epoch", name)
 		}
 	}
@@ -193,10 +193,10 @@
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	w.run(20 * second)
-	j := l.state.AddJob(&protocol.Spec{UID: "j-1", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.env.wall)
+	j := l.state.AddJob(&protocol.JobSpec{UID: "j-1", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1}, c.env.wall)
 	j.Stored, j.Cancelling = true, true
 	m := l.state.AddMachine("i-900000")
-	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.Up = "m8", "a", true, true, true
+	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.EverReported = "m8", "a", true, true, true
 	m.Epoch, m.Sequence, m.HeartbeatSequence, m.Token = 1, 10, 10, l.lease.token
 	a := l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
 	a.Durable, a.Sent, a.Epoch, a.RunSequence, a.StopRequested = true, true, 1, 10, true
@@ -217,11 +217,11 @@
 func TestBackoffIsBounded(t *testing.T) {
 	w := newWorld(t, 78)
 	c := w.nodes[w.awaitLeader()].controller
-	j := c.leadership.state.AddJob(&protocol.Spec{UID: "j-1", Team: "red", Tasks: 1, Cores: 1}, c.env.wall)
+	j := c.leadership.state.AddJob(&protocol.JobSpec{UID: "j-1", Team: "red", Tasks: 1, Cores: 1}, c.env.wall)
 	for range 20 {
 		c.leadership.failures.backOffJob(j)
 	}
-	if j.NotBefore > c.env.now+c.env.cfg.Lease() {
+	if j.NotBefore > c.env.now+c.env.cfg.WorkerLease() {
 		t.Errorf("waits for %v", j.NotBefore-c.env.now)
 	}
 }
@@ -284,7 +284,7 @@
 		})
 	}
 	w.run(second)
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.cancel("j-1") // it stays done
 	w.settle()
 }
@@ -299,12 +299,12 @@
 	token := string(w.state.Item(keyCounter).Value)
 	lost := false
 	w.script = func(_ int, c Call) deliveryFault {
-		var txn protocol.Txn
+		var txn protocol.Transaction
 		if c.Path != "/multi" || lost || protocol.Decode(c.Body, &txn) != nil || txn.Then[0].Put != clusterstate.JobPrefix+"j-1" {
 			return deliveryFault{}
 		}
 		lost = true
-		w.state.Malformed = func(txn protocol.Txn) bool {
+		w.state.Malformed = func(txn protocol.Transaction) bool {
 			return w.state.Item(clusterstate.JobPrefix+"j-1") != nil && len(txn.Then) > 0 && txn.Then[0].Put == clusterstate.JobPrefix+"j-1"
 		}
 		w.at(3*second, func() { w.state.Malformed = nil })
@@ -312,8 +312,8 @@
 	}
 	w.submit("j-1", nil)
 	w.submit("j-2", nil)
-	w.awaitStatus(60*second, "j-1", protocol.Done)
-	w.awaitStatus(60*second, "j-2", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
+	w.awaitStatus(60*second, "j-2", protocol.JobDone)
 	if !lost || string(w.state.Item(keyCounter).Value) != token {
 		t.Errorf("lost %v, or another election was held", lost)
 	}
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -31,8 +31,8 @@
 
 func newAssignments(c *Controller) assignments {
 	cfg := c.env.cfg
-	interval := cfg.Report().Seconds()
-	perSecond := max(float64(cfg.FleetSize())/cfg.Lease().Seconds(), minRedirectsPerHeartbeat/interval)
+	interval := cfg.WorkerHeartbeatInterval().Seconds()
+	perSecond := max(float64(cfg.FleetSize())/cfg.WorkerLease().Seconds(), minRedirectsPerHeartbeat/interval)
 	return assignments{zones: map[string]*membership.Assignment{}, redirectBudget: ratelimit.New(perSecond, perSecond*interval)}
 }
 
@@ -72,10 +72,10 @@
 // takeRedirect takes a redirect of the machine from the budget, if it may be redirected by that route now. The
 // route is asked last, as its answer starts a trial.
 func (r *heartbeatRouter) takeRedirect(m *clusterstate.Machine, route *heartbeatRoute) bool {
-	if r.env.now < m.NoRedirectUntil || !r.assignments.redirectBudget.Has(r.env.now, 1) {
+	if r.env.now < m.NoRedirectUntil || !r.assignments.redirectBudget.Allows(r.env.now, 1) {
 		return false
 	}
-	if !route.accepts(r.env.now, r.env.cfg.Report()) {
+	if !route.accepts(r.env.now, r.env.cfg.WorkerHeartbeatInterval()) {
 		return false
 	}
 	r.assignments.redirectBudget.Take(r.env.now, 1)
@@ -99,7 +99,7 @@
 		labels = append(labels, r.env.cfg.Label)
 	}
 	for _, sibling := range r.env.cfg.Siblings {
-		if sibling.Zone == zone && r.detection.detector.Serves(sibling.Label, r.env.now) {
+		if sibling.Zone == zone && r.detection.detector.MayServeMachines(sibling.Label, r.env.now) {
 			labels = append(labels, sibling.Label)
 		}
 	}
@@ -114,7 +114,7 @@
 		return true
 	}
 	p := r.peers[label]
-	return p != nil && r.heardLately(p) && r.detection.detector.TakesWork(label, r.env.now)
+	return p != nil && r.heardLately(p) && r.detection.detector.AcceptsWork(label, r.env.now)
 }
 
 // routeTo is the workers' route to a controller, and the incarnation of that controller's process. A machine that
--- a/internal/controller/heartbeat_bench_test.go
+++ b/internal/controller/heartbeat_bench_test.go
@@ -10,8 +10,8 @@
 // heartbeat returns the heartbeat of a machine of the fleet that agrees with the cluster state.
 func (f *slopeFleet) heartbeat(m *clusterstate.Machine) *protocol.WorkerHeartbeat {
 	msg := &protocol.WorkerHeartbeat{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Epoch: 1, Sequence: m.Sequence + 1, Token: 1}
-	for _, a := range m.Sorted() {
-		msg.Tasks = append(msg.Tasks, protocol.TaskStatus{Task: a.Key().Task, Attempt: a.Number, State: protocol.Running})
+	for _, a := range m.SortedAttempts() {
+		msg.Tasks = append(msg.Tasks, protocol.TaskStatus{Task: a.Key().Task, Attempt: a.Number, State: protocol.TaskRunning})
 	}
 	return msg
 }
@@ -40,7 +40,7 @@
 			bytes += len(body)
 			request := Request{ID: uint64(n), Op: OpWorkerHeartbeat, Body: body}
 			if forwarded {
-				request = Request{ID: uint64(n), Op: OpForwardedHeartbeat, Body: protocol.EncodePeer(protocol.Relay{Op: string(OpWorkerHeartbeat), Body: body, From: "n1"})}
+				request = Request{ID: uint64(n), Op: OpForwardedHeartbeat, Body: protocol.EncodePeer(protocol.ForwardedRequest{Operation: string(OpWorkerHeartbeat), Body: body, From: "n1"})}
 			}
 			b.StartTimer()
 			f.controller.Handle(at, request)
@@ -56,7 +56,7 @@
 func BenchmarkSlopeHeartbeatExit(b *testing.B) {
 	benchmarkHeartbeats(b, func(_ *slopeFleet, _ *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
 		if len(msg.Tasks) > 0 {
-			msg.Tasks[0].State, msg.Tasks[0].Cause = protocol.Exited, protocol.CauseDone
+			msg.Tasks[0].State, msg.Tasks[0].Cause = protocol.TaskExited, protocol.CauseDone
 		}
 	}, false)
 }
@@ -65,7 +65,7 @@
 	benchmarkHeartbeats(b, func(_ *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
 		if len(msg.Tasks) > 0 {
 			first := msg.Tasks[0]
-			m.Attempts[clusterstate.AttemptKey{Task: first.Task, Attempt: first.Attempt}].SetState(protocol.FetchingImage)
+			m.Attempts[clusterstate.AttemptKey{Task: first.Task, Attempt: first.Attempt}].SetState(protocol.TaskFetchingImage)
 		}
 	}, false)
 }
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -119,7 +119,7 @@
 		r.onWorkerReturned(m, &p.route)
 		return ""
 	}
-	if r.env.now < m.NoRedirectUntil || !p.route.accepts(r.env.now, r.env.cfg.Report()) {
+	if r.env.now < m.NoRedirectUntil || !p.route.accepts(r.env.now, r.env.cfg.WorkerHeartbeatInterval()) {
 		return ""
 	}
 	m.RedirectedAt, m.RedirectedProcess = r.env.now, p.incarnation
@@ -129,12 +129,12 @@
 // mayRedirect reports whether a worker may be redirected at all: its zone is known, it has the leader's token,
 // and half a lease has passed since the election.
 func (r *heartbeatRouter) mayRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) bool {
-	return m.Zone != "" && msg.Token == r.lease.token && r.env.now >= r.lease.electedAt+r.env.cfg.Lease()/2
+	return m.Zone != "" && msg.Token == r.lease.token && r.env.now >= r.lease.electedAt+r.env.cfg.WorkerLease()/2
 }
 
 // onWorkerReturned notes that a worker sends its heartbeats elsewhere though it was redirected to a controller.
 func (r *heartbeatRouter) onWorkerReturned(m *clusterstate.Machine, route *heartbeatRoute) {
-	lease := r.env.cfg.Lease()
+	lease := r.env.cfg.WorkerLease()
 	if r.env.now > m.RedirectedAt+settledLeases*lease {
 		m.FailedRedirects = 0
 	}
@@ -163,7 +163,7 @@
 
 // peerContactLimit is how long after a heartbeat of another controller that one counts as in contact: an eighth of
 // the workers' lease.
-func (e *environment) peerContactLimit() time.Duration { return e.cfg.Lease() / 8 }
+func (e *environment) peerContactLimit() time.Duration { return e.cfg.WorkerLease() / 8 }
 
 // heardLately reports whether the controller is in contact with the leader.
 func (r *heartbeatRouter) heardLately(p *peer) bool {
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -48,7 +48,7 @@
 	}
 	w.run(60 * second)
 	for _, worker := range far {
-		if worker.Session > 1 {
+		if worker.Epoch > 1 {
 			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
@@ -127,7 +127,7 @@
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
 	w.run(25 * second)
 	for _, worker := range w.workers() {
-		if worker.Zone == "b" && worker.Session > 1 {
+		if worker.Zone == "b" && worker.Epoch > 1 {
 			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
@@ -145,9 +145,9 @@
 	w.run(5 * second)
 	worker := w.workers()[0]
 	w.heartbeatTimeout = 2 * second
-	worker.ReportsLost = true
+	worker.HeartbeatsLost = true
 	w.run(6 * second)
-	worker.ReportsLost = false
+	worker.HeartbeatsLost = false
 	w.run(10 * second)
 	for task, n := range w.starts {
 		if n > 1 {
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -31,11 +31,11 @@
 	if known.Type != "m8" || len(known.Attempts) != before || known.Releasing {
 		t.Errorf("a listed machine changed: %+v", known)
 	}
-	heartbeat := w.machines.Workers[known.ID].Message()
+	heartbeat := w.machines.Workers[known.ID].Heartbeat()
 	heartbeat.Tasks = append(heartbeat.Tasks, []protocol.TaskStatus{
-		{Task: "j-999999/0", Attempt: 7, State: protocol.Running}, {Task: "no task", Attempt: 1, State: protocol.Running},
-		{Task: "j-1/-1", State: protocol.Exited, Cause: "odd"}, {Task: "j-1/99", Attempt: 3, State: "dreaming"},
-		{Task: "", State: protocol.Exited, Cause: protocol.CauseError}}...)
+		{Task: "j-999999/0", Attempt: 7, State: protocol.TaskRunning}, {Task: "no task", Attempt: 1, State: protocol.TaskRunning},
+		{Task: "j-1/-1", State: protocol.TaskExited, Cause: "odd"}, {Task: "j-1/99", Attempt: 3, State: "dreaming"},
+		{Task: "", State: protocol.TaskExited, Cause: protocol.CauseError}}...)
 	body := protocol.Encode(heartbeat)
 	status := 0
 	w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: body}, func(reply Reply) { status = reply.Status })
@@ -67,6 +67,6 @@
 	if len(ghosts) > 0 {
 		t.Errorf("machines of unknown types are used: %v", ghosts)
 	}
-	w.awaitStatus(30*second, "j-1", protocol.Active)
+	w.awaitStatus(30*second, "j-1", protocol.JobRunning)
 	w.requireNoViolations()
 }
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -21,10 +21,10 @@
 // but only of a job whose user has not been answered. The request to cancel is stored at once: a user who gets no
 // answer asks again, but gives up after a while, and the job must not run on after a failover.
 func (c *jobCompletion) completeCancellation(j *clusterstate.Job) {
-	if !j.Cancelling || j.Finishing || j.ActiveAttempts > 0 {
+	if !j.Cancelling || j.Finalizing || j.ActiveAttempts > 0 {
 		return
 	}
-	j.Finishing = true
+	j.Finalizing = true
 	c.failures.withdrawFailures(j)
 	c.storeTerminalState(j, clusterstate.TerminalState{Cancelled: true})
 }
@@ -32,10 +32,10 @@
 // completeJob stores the end of a job whose tasks are all done; its user is answered once that is stored. A job that
 // was done before it could be cancelled counts as done.
 func (c *jobCompletion) completeJob(j *clusterstate.Job) {
-	if j.Finishing {
+	if j.Finalizing {
 		return
 	}
-	j.Finishing, j.Cancelling = true, false
+	j.Finalizing, j.Cancelling = true, false
 	c.storeTerminalState(j, clusterstate.TerminalState{Tasks: j.Spec.Tasks})
 }
 
@@ -43,11 +43,11 @@
 // removed, and the users who wait for its cancellation are answered.
 func (c *jobCompletion) storeTerminalState(j *clusterstate.Job, terminal clusterstate.TerminalState) {
 	uid := j.Spec.UID
-	c.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
+	c.store.QueueWrite(clusterstate.JobPrefix+uid, statestore.PriorityUser, func() any { return j.Record() }, func() {
 		if !terminal.Cancelled {
 			c.env.log.Info("job done", "job", uid)
 		}
-		c.state.Terminal[uid] = terminal
+		c.state.TerminalJobs[uid] = terminal
 		c.completions.releaseJobEntries(j)
 		c.deleteCompletionRecords(j)
 		c.userRequests.replyCancelled(uid)
@@ -59,7 +59,7 @@
 func (c *jobCompletion) deleteCompletionRecords(j *clusterstate.Job) {
 	for _, key := range c.state.CompletionKeys(j) {
 		if c.store.Version(key) != 0 || c.store.IsPending(key) {
-			c.store.Mark(key, statestore.Lazy, func() any { return nil }, nil)
+			c.store.QueueWrite(key, statestore.PriorityBackground, func() any { return nil }, nil)
 		}
 	}
 }
--- a/internal/controller/late_messages_test.go
+++ b/internal/controller/late_messages_test.go
@@ -34,9 +34,9 @@
 	w.cancel("j-7")
 	w.crash(w.awaitLeader())
 	for i := range 7 {
-		w.awaitStatus(300*second, fmt.Sprintf("j-%d", i), protocol.Done)
+		w.awaitStatus(300*second, fmt.Sprintf("j-%d", i), protocol.JobDone)
 	}
-	w.awaitStatus(10*second, "j-7", protocol.Cancelled)
+	w.awaitStatus(10*second, "j-7", protocol.JobCancelled)
 	w.requireNoViolations()
 }
 
@@ -62,7 +62,7 @@
 		w.run(second)
 		w.checkCancelledTasksEnded()
 	}
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.requireNoViolations()
 }
 
@@ -76,7 +76,7 @@
 	old := w.awaitLeader()
 	// The workers are cut off when the leader ends, and their tasks run on.
 	for _, worker := range w.workers() {
-		worker.Cut = true
+		worker.Partitioned = true
 	}
 	w.crash(old)
 	l := w.awaitLeader()
@@ -92,7 +92,7 @@
 		t.Errorf("%d replicas of 4 run", w.running("j-1"))
 	}
 	for _, worker := range w.workers() {
-		worker.Cut = false
+		worker.Partitioned = false
 	}
 	w.run(60 * second)
 	if n := w.running("j-1"); n != 4 {
@@ -124,7 +124,7 @@
 			}
 		}
 	}
-	machine.Cut = true
+	machine.Partitioned = true
 	w.cancel("j-3")
 	w.submit("j-4", map[string]any{"shape": "service", "cores": 5.0})
 	w.crash(w.awaitLeader())
@@ -158,7 +158,7 @@
 	w.submit("j-1", map[string]any{"shape": "service"})
 	w.until(8*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	w.cancel("j-1")
-	w.awaitStatus(5*second, "j-1", protocol.Cancelled)
+	w.awaitStatus(5*second, "j-1", protocol.JobCancelled)
 	w.run(15 * second)
 	w.crash(w.awaitLeader())
 	w.awaitLeader()
--- a/internal/controller/leader_keys.go
+++ b/internal/controller/leader_keys.go
@@ -141,9 +141,9 @@
 // electionTxn returns the transaction that makes a candidate the leader, on condition that no other controller
 // became it meanwhile. Unless the gate is closed, the state of the gate is copied from the former leader's record
 // to the candidate's.
-func (k *leaderKeys) electionTxn(record *leaderRecord) protocol.Txn {
+func (k *leaderKeys) electionTxn(record *leaderRecord) protocol.Transaction {
 	leader := protocol.Change{Put: keyLeader, Value: record, Lease: record.LeaseID}
-	txn := protocol.Txn{
+	txn := protocol.Transaction{
 		If:   []protocol.Condition{{Key: keyLeader, Version: k.recordVersion}, {Key: keyCounter, Version: k.counterVersion}},
 		Then: []protocol.Change{{Put: keyCounter, Value: counterRecord{Token: record.Token}}},
 	}
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -30,12 +30,12 @@
 	verifyingLeaseUntil time.Duration
 }
 
-// Fractions of the leader's lease (config.LeaderTTL).
+// Fractions of the leader's lease (config.LeaderLease).
 const (
 	// firstRenewalDivisor: the first renewal is due an eighth of a lease after the election, sooner than the
 	// others, as the lease runs since before the election.
 	firstRenewalDivisor = 8
-	// renewalDivisor: a lease is renewed five times in its duration. config.LeaderTTL allows for the requests
+	// renewalDivisor: a lease is renewed five times in its duration. config.LeaderLease allows for the requests
 	// that these renewals take.
 	renewalDivisor = 5
 	// renewalRetryDivisor: a failed renewal is repeated after a tenth of the lease.
@@ -48,7 +48,7 @@
 // renewLeaderLease renews the lease well before it expires. A leader whose lease was not confirmed for as long
 // as it may coast (config.Coast) ends its leadership.
 func (l *leaderLease) renewLeaderLease() {
-	if l.env.now > l.leaseConfirmedAt+l.env.cfg.Coast() && !l.holdsLease() {
+	if l.env.now > l.leaseConfirmedAt+l.env.cfg.OutageTolerance() && !l.holdsLease() {
 		l.controller.endLeadership(endLeaseUnconfirmed)
 		return
 	}
@@ -61,7 +61,7 @@
 // sendRenewal sends a renewal of the lease.
 func (l *leaderLease) sendRenewal() {
 	l.renewalInFlight = true
-	sent, timeout := l.env.now, l.env.cfg.LeaderTTL()/renewalTimeoutDivisor
+	sent, timeout := l.env.now, l.env.cfg.LeaderLease()/renewalTimeoutDivisor
 	l.outbox.state.RenewLease(l.leaseID, timeout, func(err error) {
 		l.renewalInFlight = false
 		if l.ended {
@@ -74,7 +74,7 @@
 // onRenewalResult handles the answer to a renewal that was sent at a time. Without a usable answer the leader
 // coasts: it keeps answering workers, but starts nothing.
 func (l *leaderLease) onRenewalResult(sent time.Duration, err error) {
-	ttl := l.env.cfg.LeaderTTL()
+	ttl := l.env.cfg.LeaderLease()
 	switch {
 	case err == nil:
 		if !l.holdsLease() {
@@ -103,8 +103,8 @@
 
 // holdsLeaseUntil is the time until which no other controller can become leader.
 func (l *leaderLease) holdsLeaseUntil() time.Duration {
-	ttl := l.env.cfg.LeaderTTL()
-	drift := config.Drift(ttl) - ttl
+	ttl := l.env.cfg.LeaderLease()
+	drift := config.WithClockDrift(ttl) - ttl
 	return l.leaseConfirmedAt + ttl - drift
 }
 
--- a/internal/controller/leader_probes.go
+++ b/internal/controller/leader_probes.go
@@ -55,11 +55,11 @@
 	p.sent[machine], p.last = now, now
 }
 
-// sendsWorkerToLeader reports whether a worker of this controller's zone is sent to the leader that this controller
+// trySendWorkerToLeader reports whether a worker of this controller's zone is sent to the leader that this controller
 // has lost, and notes that it is.
-func (f *follower) sendsWorkerToLeader(heartbeat *protocol.WorkerHeartbeat) bool {
+func (f *follower) trySendWorkerToLeader(heartbeat *protocol.WorkerHeartbeat) bool {
 	probes := &f.contact.leaderProbes
-	returned := probes.noteReturned(heartbeat.Machine, f.env.now, f.env.cfg.Lease())
+	returned := probes.noteReturned(heartbeat.Machine, f.env.now, f.env.cfg.WorkerLease())
 	if returned || f.env.now < probes.next || len(probes.sent) >= maxProbingWorkers {
 		return false
 	}
@@ -73,7 +73,7 @@
 // refusesAtOnce reports whether connections to the leader are refused at once. The workers' are refused then as
 // well, and each of them may try: it is back long before its lease runs out.
 func (f *follower) refusesAtOnce() bool {
-	return f.contact.connectionRefused && f.env.workerScanTime(heartbeatRetryPause) < f.env.cfg.Lease()/2
+	return f.contact.connectionRefused && f.env.workerScanTime(heartbeatRetryPause) < f.env.cfg.WorkerLease()/2
 }
 
 // mayRiskLease reports whether a worker may try the leader where connections get no answer. It waits for one at
@@ -84,5 +84,5 @@
 	if last := contact.leaderProbes.last; last > 0 && f.env.now < last+f.env.workerFailoverTime() {
 		return false
 	}
-	return len(heartbeat.Tasks) == 0 || f.env.now >= contact.leaderLostAt+f.env.cfg.Coast()/2
+	return len(heartbeat.Tasks) == 0 || f.env.now >= contact.leaderLostAt+f.env.cfg.OutageTolerance()/2
 }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -89,7 +89,7 @@
 	epochs := map[string]uint64{}
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 {
-			epochs[worker.ID] = worker.Session
+			epochs[worker.ID] = worker.Epoch
 		}
 	}
 	var out bytes.Buffer
@@ -125,7 +125,7 @@
 		t.Errorf("%d tasks were moved", n-starts)
 	}
 	for _, worker := range w.workers() {
-		if epoch, had := epochs[worker.ID]; had && epoch != worker.Session {
+		if epoch, had := epochs[worker.ID]; had && epoch != worker.Epoch {
 			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
@@ -153,7 +153,7 @@
 		return true
 	})
 	for _, worker := range w.workers() {
-		if worker.Session > 1 {
+		if worker.Epoch > 1 {
 			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
@@ -171,7 +171,7 @@
 	core := w.nodes[2].controller
 	sent := func(machine string, tasks int) bool {
 		msg := &protocol.WorkerHeartbeat{Machine: machine, Zone: "b", Token: 1, Tasks: make([]protocol.TaskStatus, tasks)}
-		return !core.follower.renewsLeaseForLeader(msg)
+		return !core.follower.tryRenewLeaseForLeader(msg)
 	}
 	if sent("i-1", 3) {
 		t.Error("a worker with tasks is sent first")
@@ -187,8 +187,8 @@
 	if !sent("i-3", 0) || sent("i-2", 0) {
 		t.Error("the next trial is not made")
 	}
-	w.until(core.env.cfg.Coast(), "one with tasks is sent", func() bool { return sent("i-1", 3) })
-	if core.env.now < core.follower.contact.leaderLostAt+core.env.cfg.Coast()/2 {
+	w.until(core.env.cfg.OutageTolerance(), "one with tasks is sent", func() bool { return sent("i-1", 3) })
+	if core.env.now < core.follower.contact.leaderLostAt+core.env.cfg.OutageTolerance()/2 {
 		t.Error("a worker with tasks is sent early")
 	}
 }
@@ -204,18 +204,18 @@
 	c := w.nodes[lead].controller
 	l := c.leadership
 	m := l.state.AddMachine("i-900000")
-	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.Up = "m8", "b", true, true, true
-	m.LastAnswered, m.TokenAcknowledgedAt, m.LastSeen = c.env.now-c.env.cfg.Lease(), c.env.now-c.env.cfg.Lease(), c.env.now
+	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.EverReported = "m8", "b", true, true, true
+	m.LastAnswered, m.TokenAcknowledgedAt, m.LastSeen = c.env.now-c.env.cfg.WorkerLease(), c.env.now-c.env.cfg.WorkerLease(), c.env.now
 	p := l.peers[w.cfgs[2].Label]
 	p.lastHeard, p.servedKnownUntil, p.lastServed = c.env.now, c.env.now, 0
 	if !l.health.cannotReachControllers(m) {
 		t.Fatal("with the zone's controller in contact, its heartbeats are not taken for lost")
 	}
-	p.servedKnownUntil = c.env.now - c.env.cfg.Lease()
+	p.servedKnownUntil = c.env.now - c.env.cfg.WorkerLease()
 	if l.health.cannotReachControllers(m) {
 		t.Error("a heartbeat that was delayed passes for contact")
 	}
-	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.Lease()/4
+	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.WorkerLease()/4
 	if l.health.cannotReachControllers(m) {
 		t.Error("the zone's controller renewed its lease")
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -61,7 +61,7 @@
 		peers:      map[string]*peer{},
 		lease: &leaderLease{
 			token: elected.Token, leaseID: elected.LeaseID, electedAt: now, leaseConfirmedAt: confirmed,
-			renewLeaseAt: now + cfg.LeaderTTL()/firstRenewalDivisor,
+			renewLeaseAt: now + cfg.LeaderLease()/firstRenewalDivisor,
 		},
 		timers:         &timerQueue{},
 		loader:         &stateLoader{},
@@ -155,11 +155,11 @@
 
 // newClusterState returns an empty cluster state with the quotas of the teams.
 func newClusterState(cfg *config.Config) *clusterstate.State {
-	state := clusterstate.New(cfg.LayoutBytes(), cfg.ValueBytes())
+	state := clusterstate.New(cfg.CompletionLayoutBytes(), cfg.MaxValueBytes())
 	for _, team := range cfg.Cluster.Teams {
 		state.Quotas[team.Name] = &scheduler.Quota{
-			Guaranteed: scheduler.Need{Cores: team.Cores, Accel: team.Accelerators},
-			Maximum:    scheduler.Need{Cores: team.CoresMax, Accel: team.AccelMax}}
+			Guaranteed: scheduler.Resources{Cores: team.Cores, Accel: team.Accelerators},
+			Maximum:    scheduler.Resources{Cores: team.CoresMax, Accel: team.AcceleratorsMax}}
 	}
 	return state
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -40,12 +40,12 @@
 			w.submit("j-1", group(8, 0.5, nil))
 			w.at(2*second, func() { w.state.Limits = lowerLimits })
 			w.at(2*second+crash, func() { w.restart(w.leaderOrFirst(), second) })
-			w.awaitStatus(200*second, "j-1", protocol.Done)
+			w.awaitStatus(200*second, "j-1", protocol.JobDone)
 			for i := range 40 {
-				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.Done)
+				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.JobDone)
 			}
-			if w.state.Over > 0 {
-				t.Errorf("%d transactions were over the limits", w.state.Over)
+			if w.state.TooLarge > 0 {
+				t.Errorf("%d transactions were over the limits", w.state.TooLarge)
 			}
 			w.settle()
 		})
@@ -90,7 +90,7 @@
 	})
 	w.run(2 * second)
 	w.restart(w.awaitLeader(), second)
-	w.awaitStatus(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	started := 0
 	for task, times := range w.starts {
 		started += times
@@ -98,8 +98,8 @@
 			t.Errorf("%s started %d times", task, times)
 		}
 	}
-	if started != len(open) || w.state.Over > 0 {
-		t.Errorf("%d tasks were started, %d transactions over the limits", started, w.state.Over)
+	if started != len(open) || w.state.TooLarge > 0 {
+		t.Errorf("%d tasks were started, %d transactions over the limits", started, w.state.TooLarge)
 	}
 	w.run(5 * second)
 	for _, key := range w.state.Keys() {
@@ -122,11 +122,11 @@
 	if len(worker.Tasks) < 60 {
 		t.Fatalf("%d tasks on the machine", len(worker.Tasks))
 	}
-	worker.Cut = true
+	worker.Partitioned = true
 	w.announceLimits()
 	w.until(100*second, "it is deleted", func() bool { return worker.Deleted })
 	w.runs = func(string) time.Duration { return second }
-	w.awaitStatus(300*second, "j-1", protocol.Done)
+	w.awaitStatus(300*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
--- a/internal/controller/machine_catalog.go
+++ b/internal/controller/machine_catalog.go
@@ -37,17 +37,17 @@
 // refreshMachineTypes fetches the machine types at the start and then at intervals, as the current prices come
 // with them.
 func (m *machineCatalog) refreshMachineTypes() {
-	if m.typesInFlight || m.env.now < m.typesRefreshAt || !m.outbox.cloudRequests.Has(m.env.now, 1) {
+	if m.typesInFlight || m.env.now < m.typesRefreshAt || !m.outbox.cloudRequests.Allows(m.env.now, 1) {
 		return
 	}
 	m.typesInFlight = true
-	m.outbox.cloud.MachineTypes(m.env.cfg.Lease()/4, func(types []protocol.MachineType, err error) {
+	m.outbox.cloud.MachineTypes(m.env.cfg.WorkerLease()/4, func(types []protocol.MachineType, err error) {
 		m.typesInFlight = false
 		if err != nil || len(types) == 0 {
-			m.typesRefreshAt = m.env.now + m.env.cfg.LeaderTTL()/2
+			m.typesRefreshAt = m.env.now + m.env.cfg.LeaderLease()/2
 			return
 		}
-		m.typesRefreshAt = m.env.now + catalogRefreshLeases*m.env.cfg.Lease()
+		m.typesRefreshAt = m.env.now + catalogRefreshLeases*m.env.cfg.WorkerLease()
 		m.replaceTypes(types)
 	})
 }
@@ -60,7 +60,7 @@
 		m.typeInfo[t.Name] = t
 		m.types = append(m.types, &scheduler.Type{
 			Name:        t.Name,
-			Size:        scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
+			Size:        scheduler.Resources{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
 			Price:       t.Price,
 			SpotPrice:   t.SpotPrice,
 			Zones:       t.Zones,
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -40,32 +40,32 @@
 // freshFor is how long after its last message a machine may be given tasks: a quarter of a lease, and two
 // heartbeat intervals.
 func (h *machineHealth) freshFor() time.Duration {
-	return h.env.cfg.Lease()/4 + 2*h.env.cfg.Report()
+	return h.env.cfg.WorkerLease()/4 + 2*h.env.cfg.WorkerHeartbeatInterval()
 }
 
 // maxUnanswered is how long a machine's heartbeats may be unanswered until it gets no more tasks: half a lease.
-func (h *machineHealth) maxUnanswered() time.Duration { return h.env.cfg.Lease() / 2 }
+func (h *machineHealth) maxUnanswered() time.Duration { return h.env.cfg.WorkerLease() / 2 }
 
 // exchangeTime is how long a command and the worker's word for its effect may take where all is well: two
 // heartbeat intervals, and a tenth of a lease.
 func (h *machineHealth) exchangeTime() time.Duration {
-	return 2*h.env.cfg.Report() + h.env.cfg.Lease()/10
+	return 2*h.env.cfg.WorkerHeartbeatInterval() + h.env.cfg.WorkerLease()/10
 }
 
 // overdueAfter is how long a machine that can't be reached is silent until its tasks will probably be needed
 // elsewhere: 0.4 of a lease.
-func (h *machineHealth) overdueAfter() time.Duration { return h.env.cfg.Lease() * 2 / 5 }
+func (h *machineHealth) overdueAfter() time.Duration { return h.env.cfg.WorkerLease() * 2 / 5 }
 
 // evacuationStart is the earliest that tasks leave a machine that reaches no controller: 0.55 of a lease after
 // its last answered heartbeat.
-func (h *machineHealth) evacuationStart() time.Duration { return h.env.cfg.Lease() * 11 / 20 }
+func (h *machineHealth) evacuationStart() time.Duration { return h.env.cfg.WorkerLease() * 11 / 20 }
 
 // evacuationEnd is the latest that they leave it, 0.8 of a lease, which is shortly before the lease expires.
-func (h *machineHealth) evacuationEnd() time.Duration { return h.env.cfg.Lease() * 4 / 5 }
+func (h *machineHealth) evacuationEnd() time.Duration { return h.env.cfg.WorkerLease() * 4 / 5 }
 
 // leaseWithMargin is the worker's lease with the drift of the clocks, and a fiftieth of it to be safe.
 func (h *machineHealth) leaseWithMargin() time.Duration {
-	return config.Drift(h.env.cfg.Lease()) + h.env.cfg.Lease()/50
+	return config.WithClockDrift(h.env.cfg.WorkerLease()) + h.env.cfg.WorkerLease()/50
 }
 
 // isSchedulable reports whether tasks may be started on the machine: it has lately shown this leader's token, and
@@ -78,7 +78,7 @@
 
 // isOpenToTasks reports whether the machine is meant to be given tasks, whatever its heartbeats say.
 func (h *machineHealth) isOpenToTasks(m *clusterstate.Machine) bool {
-	if m.Releasing || m.SpotNotice || m.Faults.Faulty || h.env.now < m.QuarantinedUntil || h.env.now < m.DrainUntil {
+	if m.Releasing || m.ReclaimNotice || m.Faults.Faulty || h.env.now < m.QuarantinedUntil || h.env.now < m.DrainUntil {
 		return false
 	}
 	return m.Size.Cores > 0 && len(m.UnknownTasks) == 0
@@ -115,7 +115,7 @@
 	for _, p := range h.peers {
 		// A peer's statement counts from the reading of this leader's clock that it echoes: a heartbeat that was
 		// held up in a partition told of the time before the partition when it came, and 125 tasks were stopped.
-		if p.zone == m.Zone && h.env.now > p.servedKnownUntil+h.env.peerContactLimit()+h.env.cfg.Heartbeat() {
+		if p.zone == m.Zone && h.env.now > p.servedKnownUntil+h.env.peerContactLimit()+h.env.cfg.PeerHeartbeatInterval() {
 			return false
 		}
 	}
@@ -159,7 +159,7 @@
 // watchMachines does what becomes due by time alone: evacuations, direct calls and the expiry of leases.
 func (h *machineHealth) watchMachines() {
 	for _, m := range h.machines.sortedMachines() {
-		if m.SpotNotice {
+		if m.ReclaimNotice {
 			h.evacuateBeforeReclaim(m)
 		}
 		if len(m.Attempts) > 0 && h.cannotReachControllers(m) {
@@ -180,7 +180,7 @@
 
 // evacuateBeforeReclaim has tasks with checkpoints saved before the cloud reclaims a spot machine.
 func (h *machineHealth) evacuateBeforeReclaim(m *clusterstate.Machine) {
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		spec := a.Job.Spec
 		if spec.CheckpointS <= 0 {
 			continue
@@ -194,7 +194,7 @@
 // evacuateUnreachable stops tasks on a machine whose lease will expire because it reaches no controller, so that
 // they go on elsewhere sooner.
 func (h *machineHealth) evacuateUnreachable(m *clusterstate.Machine) {
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		if h.leaseUnrenewed(m, h.evacuateAfter(a)) {
 			h.attempts.requestStop(a, a.Job.Spec.SaveS, stopNoController)
 		}
@@ -208,7 +208,7 @@
 		h.env.log.Info("worker lease expired", "machine", m.ID, "tasks", len(m.Attempts))
 	}
 	m.TokenAcknowledged, m.Probed = false, false
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		h.attempts.removeAttempt(a, leaseExpired)
 	}
 	clear(m.Exited)
@@ -248,7 +248,7 @@
 		if p.firstHeard > 0 {
 			last = max(last, p.firstHeard)
 		} else {
-			last = max(last, h.lease.electedAt+config.Drift(h.env.cfg.Coast()))
+			last = max(last, h.lease.electedAt+config.WithClockDrift(h.env.cfg.OutageTolerance()))
 		}
 	}
 	return last
