--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -27,9 +27,9 @@
 func (l *leadership) newPool() *machinepool.Pool {
 	cfg := l.controller.env.cfg
 	times := machinepool.Times{
-		Lease:     cfg.Lease(),
-		ListLag:   cfg.ListLag(),
-		ListEvery: max(cfg.ListLag()/listLagDivisor, seconds(requestsPerList/cfg.Cluster.Cloud.RPS)),
+		Lease:        cfg.WorkerLease(),
+		ListLag:      cfg.CloudListLag(),
+		ListInterval: max(cfg.CloudListLag()/listLagDivisor, seconds(requestsPerList/cfg.Cluster.Cloud.RPS)),
 	}
 	return machinepool.New(poolHost{l}, l.controller.outbox.cloud, l.controller.env.log, times, l.lease.token)
 }
@@ -37,30 +37,30 @@
 // Now implements machinepool.Host.
 func (h poolHost) Now() time.Duration { return h.leader.controller.env.now }
 
-// MayCall implements machinepool.Host.
-func (h poolHost) MayCall() bool {
-	return h.leader.controller.outbox.cloudRequests.Has(h.leader.controller.env.now, 1)
+// MayRequest implements machinepool.Host.
+func (h poolHost) MayRequest() bool {
+	return h.leader.controller.outbox.cloudRequests.Allows(h.leader.controller.env.now, 1)
 }
 
-// Pause implements machinepool.Host.
-func (h poolHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
+// RetryPause implements machinepool.Host.
+func (h poolHost) RetryPause() time.Duration { return h.leader.controller.env.retryPause() }
 
-// Later implements machinepool.Host.
-func (h poolHost) Later(at time.Duration, do func()) { h.leader.timers.runAt(at, do) }
+// RunAt implements machinepool.Host.
+func (h poolHost) RunAt(at time.Duration, do func()) { h.leader.timers.runAt(at, do) }
 
-// Ended implements machinepool.Host.
-func (h poolHost) Ended() bool { return h.leader.lease.ended }
+// HasEnded implements machinepool.Host.
+func (h poolHost) HasEnded() bool { return h.leader.lease.ended }
 
-// Listed implements machinepool.Host.
-func (h poolHost) Listed(listed *protocol.ListedMachine) { h.leader.machines.onListed(listed) }
+// OnListed implements machinepool.Host.
+func (h poolHost) OnListed(listed *protocol.ListedMachine) { h.leader.machines.onListed(listed) }
 
-// ListRead implements machinepool.Host.
-func (h poolHost) ListRead(asked time.Duration, names map[string]bool) {
+// OnListRead implements machinepool.Host.
+func (h poolHost) OnListRead(asked time.Duration, names map[string]bool) {
 	h.leader.machines.removeUnlisted(asked, names)
 }
 
-// ToDelete implements machinepool.Host: machines whose release is durable, in the order of their names.
-func (h poolHost) ToDelete(most int) []string {
+// MachinesToDelete implements machinepool.Host: machines whose release is durable, in the order of their names.
+func (h poolHost) MachinesToDelete(most int) []string {
 	var names []string
 	for _, m := range h.leader.machines.sortedMachines() {
 		if m.ReleaseStored && len(names) < most {
@@ -70,24 +70,24 @@
 	return names
 }
 
-// Deleted implements machinepool.Host.
-func (h poolHost) Deleted(name string) {
+// OnDeleted implements machinepool.Host.
+func (h poolHost) OnDeleted(name string) {
 	if m := h.leader.state.Machines[name]; m != nil {
 		h.leader.machines.removeMachine(m, machineDeleted)
 	}
 }
 
-// Launched implements machinepool.Host.
-func (h poolHost) Launched(pool scheduler.Pool, name string, asked time.Duration) {
+// OnLaunched implements machinepool.Host.
+func (h poolHost) OnLaunched(pool scheduler.Pool, name string, asked time.Duration) {
 	m := h.leader.state.AddMachine(name)
 	m.Type, m.Zone, m.Spot = pool.Type, pool.Zone, pool.Spot
 	m.Size = h.leader.machines.machineSize(m.Type)
-	m.ExistedAt, m.LaunchedAt = h.leader.controller.env.now, asked
-	h.leader.machines.storeMachine(m, statestore.Lazy, nil)
+	m.KnownToExistAt, m.LaunchedAt = h.leader.controller.env.now, asked
+	h.leader.machines.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
-// Short implements machinepool.Host: a new shortage has the scaling planned again at once, with other pools.
-func (h poolHost) Short(pool scheduler.Pool, short bool) {
+// SetExhausted implements machinepool.Host: a new shortage has the scaling planned again at once, with other pools.
+func (h poolHost) SetExhausted(pool scheduler.Pool, short bool) {
 	h.leader.scaler.onPoolShortage(pool, short)
 	if short {
 		h.leader.placement.planAt = h.leader.controller.env.now
--- a/internal/controller/machine_redirection_test.go
+++ b/internal/controller/machine_redirection_test.go
@@ -117,7 +117,7 @@
 	}
 	w.until(60*second, "each machine is back", settled)
 	for _, worker := range w.workers() {
-		if worker.Up && !worker.Deleted && worker.Session > 1 {
+		if worker.Up && !worker.Deleted && worker.Epoch > 1 {
 			t.Errorf("the lease of %s ran out", worker.ID)
 		}
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -44,11 +44,11 @@
 // storeMachine marks the machine's record to be written, or to be deleted once the machine is removed; then is
 // called when that is durable.
 func (r *machineRegistry) storeMachine(m *clusterstate.Machine, priority statestore.Priority, then func()) {
-	r.store.Mark(clusterstate.MachinePrefix+m.ID, priority, func() any {
+	r.store.QueueWrite(clusterstate.MachinePrefix+m.ID, priority, func() any {
 		if r.state.Machines[m.ID] != m {
 			return nil
 		}
-		m.Recorded = true
+		m.HasRecord = true
 		return m.Record()
 	}, then)
 }
@@ -59,11 +59,11 @@
 }
 
 // machineSize is what a machine of the type offers; nothing if the catalog does not have the type.
-func (r *machineRegistry) machineSize(typeName string) scheduler.Need {
+func (r *machineRegistry) machineSize(typeName string) scheduler.Resources {
 	if info, ok := r.catalog.typeInfo[typeName]; ok {
-		return scheduler.Need{Cores: info.Cores, Accel: info.Accelerators, Mem: info.MemoryGB}
+		return scheduler.Resources{Cores: info.Cores, Accel: info.Accelerators, Mem: info.MemoryGB}
 	}
-	return scheduler.Need{}
+	return scheduler.Resources{}
 }
 
 // onListed applies what the cloud's list says of a machine. One that is not known yet is added, and one that has
@@ -72,7 +72,7 @@
 	m := r.state.Machines[listed.ID]
 	if m == nil {
 		m = r.state.AddMachine(listed.ID)
-		m.ExistedAt = r.env.now
+		m.KnownToExistAt = r.env.now
 		m.LaunchedAt = r.env.now - seconds(listed.AgeS)
 		r.env.log.Info("machine discovered in the cloud's list", "machine", listed.ID, "type", listed.Type, "zone", listed.Zone, "state", listed.State)
 	}
@@ -86,10 +86,10 @@
 	if listed.Addr != "" {
 		m.Addr = listed.Addr
 	}
-	m.Listed = listed.State == machineStateRunning
+	m.ListedRunning = listed.State == machineStateRunning
 	if listed.State == machineStateFailed && !m.Releasing {
 		r.env.log.Info("machine failed in the cloud's list", "machine", m.ID, "tasks", len(m.Attempts))
-		for _, a := range m.Sorted() {
+		for _, a := range m.SortedAttempts() {
 			r.attempts.removeAttempt(a, machineFailed)
 		}
 		r.releaseMachine(m, releaseFailed)
@@ -99,9 +99,9 @@
 // removeUnlisted removes machines that no longer exist: one that surely existed at the moment that the list
 // describes would be in it. askedAt is when the list was asked for.
 func (r *machineRegistry) removeUnlisted(askedAt time.Duration, listed map[string]bool) {
-	lag := r.env.cfg.ListLag()
+	lag := r.env.cfg.CloudListLag()
 	for _, m := range r.sortedMachines() {
-		if !listed[m.ID] && askedAt > m.ExistedAt+maxListLags*lag+lag/listLagMarginPart {
+		if !listed[m.ID] && askedAt > m.KnownToExistAt+maxListLags*lag+lag/listLagMarginPart {
 			r.removeMachine(m, machineUnlisted)
 		}
 	}
@@ -113,12 +113,12 @@
 		return
 	}
 	r.env.log.Info("machine removed", "machine", m.ID, "reason", proof, "tasks", len(m.Attempts))
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		r.attempts.removeAttempt(a, proof)
 	}
 	r.state.RemoveMachine(m)
-	r.pool.Remove(m.ID)
-	r.storeMachine(m, statestore.Lazy, nil)
+	r.pool.MarkRemoved(m.ID)
+	r.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
 // releaseMachine has a machine deleted. Its record says so durably before the deletion is requested, so that a
@@ -129,13 +129,13 @@
 	}
 	r.env.log.Info("releasing machine", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "reason", reason)
 	m.Releasing = true
-	r.storeMachine(m, statestore.Done, func() { m.ReleaseStored = true })
+	r.storeMachine(m, statestore.PriorityCompletion, func() { m.ReleaseStored = true })
 }
 
 // abandonMachine removes the attempts that were to be started on a machine whose record the state service rejects.
 func (r *machineRegistry) abandonMachine(m *clusterstate.Machine) {
-	m.QuarantinedUntil = r.env.now + r.env.cfg.Lease()
-	for _, a := range m.Sorted() {
+	m.QuarantinedUntil = r.env.now + r.env.cfg.WorkerLease()
+	for _, a := range m.SortedAttempts() {
 		if !a.Durable {
 			r.attempts.removeAttempt(a, notRecorded)
 		}
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -17,30 +17,30 @@
 		FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: w.topology.zones}}
 	w.cloud.Name = func(n int) string { return fmt.Sprintf("i-%06d", n) }
 	w.cloud.Addr = func(id string) string { return "10.1." + strings.TrimLeft(id[2:], "0") + ":9000" }
-	w.cloud.Lag = 5 * time.Second
+	w.cloud.ListLag = 5 * time.Second
 	w.cloud.BootTime = func(string) time.Duration { return 10 * time.Second }
-	w.cloud.Wrong = func(what string) { w.violated("%s", what) }
-	w.cloud.Launch = func(m *emulator.Machine) {
+	w.cloud.Violation = func(what string) { w.violated("%s", what) }
+	w.cloud.OnLaunch = func(m *emulator.Machine) {
 		worker := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
-		worker.Reported = func(body []byte) { w.recordHeartbeat(worker, body) }
+		worker.OnHeartbeat = func(body []byte) { w.recordHeartbeat(worker, body) }
 		w.at(10*time.Second, worker.Boot)
 	}
-	w.cloud.Remove = func(m *emulator.Machine) { w.machines.Workers[m.ID].Die() }
+	w.cloud.OnDelete = func(m *emulator.Machine) { w.machines.Workers[m.ID].Die() }
 }
 
 // newMachines creates a fleet whose workers send their heartbeats to the world's controllers.
 func (w *world) newMachines() {
-	f := emulator.NewFleet(w.queue, emulator.Timing{Report: time.Second, Lease: 10 * time.Second, NextController: time.Second,
-		SentAway: 100 * time.Millisecond, GangWait: 30 * time.Second, GangPeer: gangPeer, Look: tick})
+	f := emulator.NewFleet(w.queue, emulator.Timing{HeartbeatInterval: time.Second, LeaseTTL: 10 * time.Second, FailoverDelay: time.Second,
+		RedirectDelay: 100 * time.Millisecond, GangStartTimeout: 30 * time.Second, GangPeerTimeout: gangPeer, CheckInterval: tick})
 	f.Controllers = len(w.topology.controllers)
-	f.Label = func(name string) int {
+	f.ControllerByName = func(name string) int {
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
 		if err != nil {
 			return -1
 		}
 		return n
 	}
-	f.Carrier = w.deliverHeartbeat
+	f.SendHeartbeat = w.deliverHeartbeat
 	f.Jobs = w.jobOf
 	f.RunTime = func(task string) time.Duration { return w.runs(task) }
 	f.FetchTime = func(_ *emulator.Worker, task string, _ *emulator.Job) time.Duration {
@@ -49,25 +49,25 @@
 		}
 		return testSite.fetch
 	}
-	f.Fails = func(worker *emulator.Worker, t *emulator.Task) bool {
+	f.FailsAtStart = func(worker *emulator.Worker, t *emulator.Task) bool {
 		if w.fails == nil || !w.fails(worker, t.UID) {
 			return false
 		}
 		w.failures++
 		return true
 	}
-	f.Begins = w.checkStart
-	f.Done = func(task string, t *emulator.Task) {
+	f.TaskStarted = w.checkStart
+	f.TaskCompleted = func(task string, t *emulator.Task) {
 		w.finished[task] = true
 		if w.ended != nil {
 			w.ended(t.UID)
 		}
 	}
-	f.Died = func(worker *emulator.Worker) { w.cloud.Machine(worker.ID).Deleted = true }
-	f.Halted = func(t *emulator.Task, graceS float64) {
+	f.WorkerDied = func(worker *emulator.Worker) { w.cloud.Machine(worker.ID).Deleted = true }
+	f.GangStopRequested = func(t *emulator.Task, graceS float64) {
 		w.stopCommands[t.UID] = append(w.stopCommands[t.UID], stopCommand{w.Now(), graceS})
 	}
-	f.Wrong = func(what string) { w.violated("%s", what) }
+	f.Violation = func(what string) { w.violated("%s", what) }
 	w.machines = f
 }
 
@@ -78,7 +78,7 @@
 		return nil
 	}
 	return &emulator.Job{Tasks: spec["shards"].(int), Gang: spec["shape"] == "group", Service: spec["shape"] == "service",
-		SaveS: spec["saveTakesS"].(float64), Cores: spec["cores"].(float64)}
+		CheckpointS: spec["saveTakesS"].(float64), Cores: spec["cores"].(float64)}
 }
 
 // workers returns the workers in a fixed order, so that runs repeat.
@@ -118,13 +118,13 @@
 		w.at(latency, func() { answer(0, nil) })
 		return
 	}
-	if f.lost || worker.ReportsLost {
+	if f.lost || worker.HeartbeatsLost {
 		none()
 		return
 	}
 	w.at(latency, func() {
 		w.ask(node, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {
-			if f.answerLost || worker.Hung || worker.AnswersLost {
+			if f.answerLost || worker.Hung || worker.RepliesLost {
 				none()
 				return
 			}
@@ -145,7 +145,7 @@
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
 	for _, holder := range w.machines.Workers {
 		for name, otherTask := range holder.Tasks {
-			if !otherTask.Here() || holder.Deleted {
+			if !otherTask.OccupiesMachine() || holder.Deleted {
 				continue
 			}
 			other, _, _ := strings.Cut(name, "@")
@@ -177,7 +177,7 @@
 	n := 0
 	for _, worker := range w.workers() {
 		for _, t := range worker.Tasks {
-			if t.UID == uid && t.Here() && !worker.Deleted {
+			if t.UID == uid && t.OccupiesMachine() && !worker.Deleted {
 				n++
 			}
 		}
--- a/internal/controller/observer.go
+++ b/internal/controller/observer.go
@@ -10,13 +10,13 @@
 // is handled, so they must not block. They return nothing, so that an observer can't change what the controller
 // decides.
 type Observer interface {
-	// Detector takes the state of the failure detector, once in a workers' lease: its health, from 0 (it trusts its own
+	// DetectorSampled takes the state of the failure detector, once in a workers' lease: its health, from 0 (it trusts its own
 	// observations) to 8 (it hardly does), and its counters since the process started.
-	Detector(health int, counters membership.Counters)
+	DetectorSampled(health int, counters membership.Counters)
 	// MemberChanged takes a change of the state in which the failure detector holds another controller.
-	MemberChanged(membership.Change)
-	// Dropped takes a message of another controller's failure detector that was not accepted.
-	Dropped(membership.Drop)
+	MemberChanged(membership.StateChange)
+	// PeerMessageDropped takes a message of another controller's failure detector that was not accepted.
+	PeerMessageDropped(membership.DroppedMessage)
 	// FailedOver takes a finished change of leader, at the new leader: at its first placement, or a workers' lease
 	// after the records were loaded if there was none.
 	FailedOver(Failover)
@@ -26,24 +26,24 @@
 	JournalSized(JournalSize)
 	// MachineRedirected takes the redirection of a machine's worker to another controller, by that one's label.
 	MachineRedirected(machine, to string)
-	// Rerouted counts a request that went to the leader by another controller.
-	Rerouted()
-	// Retried counts a request to the leader that will be sent once more.
-	Retried()
-	// Resumed takes the length of a process pause that has just ended, and whether this controller led before it.
-	Resumed(pause time.Duration, led bool)
+	// RequestRerouted counts a request that went to the leader by another controller.
+	RequestRerouted()
+	// RequestRetried counts a request to the leader that will be sent once more.
+	RequestRetried()
+	// ProcessResumed takes the length of a process pause that has just ended, and whether this controller led before it.
+	ProcessResumed(pause time.Duration, led bool)
 }
 
 // Failover is a change of leader as the new leader saw it. Times are steady times of the new leader's process; 0: that
 // step did not happen, or was not seen.
 type Failover struct {
-	Token          uint64        // of the new leader
-	Former         string        // label of the former leader; empty: unknown
-	Suspected      time.Duration // when the former leader was suspected
-	LeaderKeyGone  time.Duration // when the state service no longer named it
-	Elected        time.Duration // when the election was won
-	Loaded         time.Duration // when all records were loaded
-	FirstPlacement time.Duration // when the first task was started
+	Token            uint64        // of the new leader
+	FormerLeader     string        // label of the former leader; empty: unknown
+	Suspected        time.Duration // when the former leader was suspected
+	LeaderKeyRemoved time.Duration // when the state service no longer named it
+	Elected          time.Duration // when the election was won
+	Loaded           time.Duration // when all records were loaded
+	FirstPlacement   time.Duration // when the first task was started
 	// Jobs and Machines count what was loaded.
 	Jobs     int
 	Machines int
@@ -68,10 +68,10 @@
 // Steps returns the steps that happened, in their order. There is always the election.
 func (f *Failover) Steps() []FailoverStep {
 	var steps []FailoverStep
-	if f.Suspected > 0 && f.LeaderKeyGone >= f.Suspected {
-		steps = append(steps, FailoverStep{stepSuspicion, f.Suspected, f.LeaderKeyGone})
+	if f.Suspected > 0 && f.LeaderKeyRemoved >= f.Suspected {
+		steps = append(steps, FailoverStep{stepSuspicion, f.Suspected, f.LeaderKeyRemoved})
 	}
-	electionFrom := f.LeaderKeyGone
+	electionFrom := f.LeaderKeyRemoved
 	if electionFrom == 0 || electionFrom > f.Elected {
 		electionFrom = f.Elected
 	}
@@ -88,13 +88,13 @@
 // noObserver is the observer of a controller that nobody observes.
 type noObserver struct{}
 
-func (noObserver) Detector(int, membership.Counters) {}
-func (noObserver) MemberChanged(membership.Change)   {}
-func (noObserver) Dropped(membership.Drop)           {}
-func (noObserver) FailedOver(Failover)               {}
-func (noObserver) GateChanged(GateChange)            {}
-func (noObserver) JournalSized(JournalSize)          {}
-func (noObserver) MachineRedirected(string, string)  {}
-func (noObserver) Rerouted()                         {}
-func (noObserver) Retried()                          {}
-func (noObserver) Resumed(time.Duration, bool)       {}
+func (noObserver) DetectorSampled(int, membership.Counters)     {}
+func (noObserver) MemberChanged(membership.StateChange)         {}
+func (noObserver) PeerMessageDropped(membership.DroppedMessage) {}
+func (noObserver) FailedOver(Failover)                          {}
+func (noObserver) GateChanged(GateChange)                       {}
+func (noObserver) JournalSized(JournalSize)                     {}
+func (noObserver) MachineRedirected(string, string)             {}
+func (noObserver) RequestRerouted()                             {}
+func (noObserver) RequestRetried()                              {}
+func (noObserver) ProcessResumed(time.Duration, bool)           {}
--- a/internal/controller/observer_test.go
+++ b/internal/controller/observer_test.go
@@ -20,10 +20,10 @@
 
 type memberChange struct {
 	at time.Duration
-	membership.Change
+	membership.StateChange
 }
 
-func (o *worldObserver) MemberChanged(c membership.Change) {
+func (o *worldObserver) MemberChanged(c membership.StateChange) {
 	o.changes = append(o.changes, memberChange{o.w.Now(), c})
 }
 
@@ -36,9 +36,9 @@
 
 func (o *worldObserver) FailedOver(h Failover) { o.failovers = append(o.failovers, h) }
 
-func (o *worldObserver) Rerouted() { o.reroutes++ }
+func (o *worldObserver) RequestRerouted() { o.reroutes++ }
 
-func (o *worldObserver) Retried() { o.retries++ }
+func (o *worldObserver) RequestRetried() { o.retries++ }
 
 // became returns when a controller's view of another one first changed to a state, at or after a
 // time; 0: never.
--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -49,7 +49,7 @@
 	}
 	switch {
 	case strings.HasPrefix(c.Path, "/follow?"):
-		var events protocol.Events
+		var events protocol.WatchReply
 		if protocol.Decode(body, &events) != nil {
 			return body
 		}
@@ -63,7 +63,7 @@
 		events.Events = kept
 		return protocol.Encode(events)
 	case strings.HasPrefix(c.Path, "/store?under="+keyPrefix):
-		var items protocol.Items
+		var items protocol.KeyValuePage
 		if protocol.Decode(body, &items) != nil {
 			return body
 		}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -45,7 +45,7 @@
 const retryAfterSeconds = 1
 
 func newOutbox(env *environment) *outbox {
-	state, cloud := env.cfg.Cluster.State.Both(), env.cfg.Cluster.Cloud
+	state, cloud := env.cfg.Cluster.State.EffectiveLimits(), env.cfg.Cluster.Cloud
 	o := &outbox{env: env, calls: map[uint64]func(Result){},
 		stateRequests: ratelimit.New(state.RPS*stateRequestShare, state.RPS*stateRequestShare),
 		stateChanges:  ratelimit.New(state.WriteRPS*stateChangeShare, state.WriteRPS*stateChangeBurst),
@@ -101,7 +101,7 @@
 
 // revokeLease ends a lease at the state service ahead of its time. If the request fails the lease expires.
 func (o *outbox) revokeLease(lease uint64) {
-	o.state.RevokeLease(lease, o.env.cfg.LeaderTTL()/stateCallTimeoutDivisor, func(error) {})
+	o.state.RevokeLease(lease, o.env.cfg.LeaderLease()/stateCallTimeoutDivisor, func(error) {})
 }
 
 // deliver hands the result of a call to the function that waits for it.
@@ -122,7 +122,7 @@
 // refusal from a failure on the way.
 func (o *outbox) replyUntil(to requester, status int, body []byte, retryAfter int, until time.Duration) {
 	if to.relayed {
-		body = protocol.EncodePeer(protocol.RelayReply{Status: status, Body: body, RetryAfter: retryAfter})
+		body = protocol.EncodePeer(protocol.ForwardedReply{Status: status, Body: body, RetryAfter: retryAfter})
 		status, retryAfter = http.StatusOK, 0
 	}
 	o.effects = append(o.effects, Reply{ID: to.id, Status: status, Body: body, RetryAfter: retryAfter, ValidUntil: until})
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -25,11 +25,11 @@
 const minEndedControllers = 2
 
 // machineSilence is how long a machine sends nothing until it counts as silent.
-func (d *partitionDetector) machineSilence() time.Duration { return d.env.cfg.Lease() * 3 / 10 }
+func (d *partitionDetector) machineSilence() time.Duration { return d.env.cfg.WorkerLease() * 3 / 10 }
 
 // controllerSilence is how long the controllers of a zone send nothing until the zone may be partitioned. By the
 // same time, an end before the election counts as one together with the previous leader.
-func (d *partitionDetector) controllerSilence() time.Duration { return d.env.cfg.Lease() / 4 }
+func (d *partitionDetector) controllerSilence() time.Duration { return d.env.cfg.WorkerLease() / 4 }
 
 // zoneCount counts the machines of a zone that are up, and those of them that are silent.
 type zoneCount struct{ up, silent int }
@@ -64,7 +64,7 @@
 func (d *partitionDetector) countMachines() map[string]zoneCount {
 	zones := map[string]zoneCount{}
 	for _, m := range d.state.Machines {
-		if !m.Up || m.Releasing {
+		if !m.EverReported || m.Releasing {
 			continue
 		}
 		count := zones[m.Zone]
@@ -95,7 +95,7 @@
 		return 0, false
 	}
 	if since, was := d.partitioned[zone]; was {
-		return since, d.env.now < since+d.env.cfg.Coast()
+		return since, d.env.now < since+d.env.cfg.OutageTolerance()
 	}
 	return d.env.now, otherZoneHeard && count.silent > 0
 }
@@ -130,7 +130,7 @@
 // takes longer than a lease. Its machines are released, as their tasks can go on elsewhere only with the cloud's
 // word.
 func (d *partitionDetector) controllerLost(zone string) bool {
-	if !d.isPartitioned(zone) || d.env.now < d.lease.electedAt+d.env.cfg.Lease() {
+	if !d.isPartitioned(zone) || d.env.now < d.lease.electedAt+d.env.cfg.WorkerLease() {
 		return false
 	}
 	if !d.onlyControllerEnded(zone) {
@@ -139,7 +139,7 @@
 	// Going through all the others and the wait for the next heartbeat must take longer than the lease. Where it
 	// does not, the zone's workers found their controller again, which renews their leases for the leader: the
 	// machines of a zone of 158 were once released with all that ran on them.
-	if d.env.workerFailoverTime() <= d.env.cfg.Lease() {
+	if d.env.workerFailoverTime() <= d.env.cfg.WorkerLease() {
 		return false
 	}
 	return !d.heardInZone(zone)
--- a/internal/controller/pending_requests.go
+++ b/internal/controller/pending_requests.go
@@ -10,7 +10,7 @@
 // requester is the sender of a Request, who gets its Reply.
 type requester struct {
 	id uint64 // of the Request
-	// relayed: another controller relayed the request, and gets the answer as a protocol.RelayReply.
+	// relayed: another controller relayed the request, and gets the answer as a protocol.ForwardedReply.
 	relayed bool
 	// forwardedBy is the controller that forwarded a worker's heartbeat; empty: the worker sent it here,
 	// or the controller does not name itself.
--- a/internal/controller/placing_steps_test.go
+++ b/internal/controller/placing_steps_test.go
@@ -17,7 +17,7 @@
 }
 
 func carriesVerb(c Call, verb string) bool {
-	var body protocol.Commands
+	var body protocol.CommandRequest
 	if c.Target != ToWorker || protocol.Decode(c.Body, &body) != nil {
 		return false
 	}
@@ -119,7 +119,7 @@
 	w.submit("j-3", map[string]any{"shape": "service", "shards": 2, "owner": "blue"})
 	w.until(60*second, "the leader ends at "+step.name, func() bool { return died })
 	w.until(120*second, "all runs", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
-	w.awaitStatus(120*second, "j-2", protocol.Done)
+	w.awaitStatus(120*second, "j-2", protocol.JobDone)
 	if fault.second && !again {
 		w.t.Error("the second leader did not end")
 	}
@@ -145,7 +145,7 @@
 			}
 			w.submit("j-3", map[string]any{"shards": 2})
 			w.until(60*second, "the leader ends", func() bool { return died })
-			w.awaitStatus(120*second, "j-3", protocol.Done)
+			w.awaitStatus(120*second, "j-3", protocol.JobDone)
 			w.run(20 * second)
 			w.settle()
 		})
--- a/internal/controller/preload_test.go
+++ b/internal/controller/preload_test.go
@@ -13,7 +13,7 @@
 // storeMany stores records of completed jobs, so that a failover reads them in pages.
 func (w *world) storeMany(n int) {
 	for i := range n {
-		w.state.Change(fmt.Sprintf("j/j-9%06d", i), &emulator.Item{Value: protocol.Encode(map[string]any{"s": protocol.Done, "n": 1})})
+		w.state.Change(fmt.Sprintf("j/j-9%06d", i), &emulator.Item{Value: protocol.Encode(map[string]any{"s": protocol.JobDone, "n": 1})})
 	}
 }
 
@@ -46,7 +46,7 @@
 				if r.Status != http.StatusCreated {
 					t.Errorf("the submission is answered %d", r.Status)
 				}
-				w.recordStatus("j-6", protocol.JobStatus{UID: "j-6", State: protocol.Pending}, w.Now())
+				w.recordStatus("j-6", protocol.JobStatus{UID: "j-6", State: protocol.JobPending}, w.Now())
 				w.startPolling("j-6")
 			})
 			w.cancelRequested["j-5"] = true
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -30,12 +30,12 @@
 // detectPause reports whether the process was paused, and logs it: gap is the time since the last event was
 // handled, and ticks come many times in a leader's lease.
 func (p *pauseRecovery) detectPause(gap time.Duration) bool {
-	if p.env.now == 0 || gap <= p.env.cfg.LeaderTTL() {
+	if p.env.now == 0 || gap <= p.env.cfg.LeaderLease() {
 		return false
 	}
 	leads := p.controller.leadership != nil
 	p.env.log.Info("process pause detected", "duration_s", gap.Seconds(), "leader", leads)
-	p.env.observer.Resumed(gap, leads)
+	p.env.observer.ProcessResumed(gap, leads)
 	return true
 }
 
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -166,7 +166,7 @@
 	var heartbeat []byte
 	for _, worker := range w.workers() {
 		if worker.Up && !worker.Deleted {
-			heartbeat = protocol.Encode(worker.Message())
+			heartbeat = protocol.Encode(worker.Heartbeat())
 		}
 	}
 	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
--- a/internal/controller/random_failures_test.go
+++ b/internal/controller/random_failures_test.go
@@ -36,8 +36,8 @@
 	case 0:
 		w.state.Outage(lasts)
 	case 1:
-		w.state.Refuse[node] = true
-		w.at(lasts, func() { w.state.Refuse[node] = false })
+		w.state.RefusedClients[node] = true
+		w.at(lasts, func() { w.state.RefusedClients[node] = false })
 	case 2:
 		faults.isolated[node] = true
 		w.at(lasts, func() { faults.isolated[node] = false })
@@ -49,18 +49,18 @@
 		}
 	case 5:
 		for _, worker := range w.randomMachines(0.4) {
-			worker.AnswersLost = true
-			w.at(lasts, func() { worker.AnswersLost = false })
+			worker.RepliesLost = true
+			w.at(lasts, func() { worker.RepliesLost = false })
 		}
 	case 6:
 		for _, worker := range w.randomMachines(0.4) {
-			worker.ReportsLost = true
-			w.at(lasts, func() { worker.ReportsLost = false })
+			worker.HeartbeatsLost = true
+			w.at(lasts, func() { worker.HeartbeatsLost = false })
 		}
 	case 7:
 		for _, worker := range w.randomMachines(0.4) {
-			worker.Cut = true
-			w.at(lasts, func() { worker.Cut = false })
+			worker.Partitioned = true
+			w.at(lasts, func() { worker.Partitioned = false })
 		}
 	case 8:
 		for _, worker := range w.randomMachines(0.4) {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -55,16 +55,16 @@
 }
 
 // probeTime is the twentieth of a lease in which a worker that can be reached answers a probe.
-func (r *reachability) probeTime() time.Duration { return r.env.cfg.Lease() / 20 }
+func (r *reachability) probeTime() time.Duration { return r.env.cfg.WorkerLease() / 20 }
 
 // suspiciousSilence is how long no worker gives a direct sign of life before the leader doubts its own way to
 // them.
-func (r *reachability) suspiciousSilence() time.Duration { return r.env.cfg.Lease() / 10 }
+func (r *reachability) suspiciousSilence() time.Duration { return r.env.cfg.WorkerLease() / 10 }
 
 // probesReachability reports whether a machine is probed because others did not answer though they are up: it is
 // one whose heartbeat lately came by another controller. It counts the samples that it grants.
 func (r *reachability) probesReachability(m *clusterstate.Machine) bool {
-	if r.missedMachines[m.ID] || !m.TokenAcknowledged || r.env.now >= m.LastSeen+2*r.env.cfg.Report() {
+	if r.missedMachines[m.ID] || !m.TokenAcknowledged || r.env.now >= m.LastSeen+2*r.env.cfg.WorkerHeartbeatInterval() {
 		return false
 	}
 	if len(r.missedMachines) > 0 && r.env.now > r.lastReachedAt+r.probeTime() {
@@ -103,7 +103,7 @@
 func (l *leadership) stepDown() {
 	env, election := l.controller.env, l.controller.election
 	env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reach.missedMachines))
-	election.electionBackoffUntil = env.now + stepDownBackoffLeases*env.cfg.Lease()
+	election.electionBackoffUntil = env.now + stepDownBackoffLeases*env.cfg.WorkerLease()
 	election.leaderKeys.revokedLease = l.lease.leaseID
 	l.controller.endLeadership(endWorkersUnreachable)
 	l.controller.outbox.revokeLease(l.lease.leaseID)
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -44,7 +44,7 @@
 func (r *reconciliation) reconcileTask(status protocol.TaskStatus) {
 	key := clusterstate.AttemptKey{Task: status.Task, Attempt: status.Attempt}
 	r.reported[key] = true
-	if status.State == protocol.Exited {
+	if status.State == protocol.TaskExited {
 		r.handler.onExit(r.machine, key, status)
 		return
 	}
@@ -61,7 +61,7 @@
 		return
 	}
 	a.SetState(status.State)
-	if status.State == protocol.Running {
+	if status.State == protocol.TaskRunning {
 		r.handler.onRunning(r.machine, a)
 	}
 }
@@ -71,7 +71,7 @@
 	if !r.lacksSentAttempt() {
 		return // the usual case, which needs no sorted list
 	}
-	for _, a := range r.machine.Sorted() {
+	for _, a := range r.machine.SortedAttempts() {
 		if !r.reported[a.Key()] && a.Sent && r.provesAbsence(a) {
 			r.handler.onAbsent(a, absentFromHeartbeat)
 		}
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -50,7 +50,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := clusterstate.New(16<<10, 16<<10)
-			j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 1, Cores: 1}, 0)
+			j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 1, Cores: 1}, 0)
 			m := state.AddMachine("i-1")
 			m.Epoch, m.HeartbeatSequence = 2, 7
 			a := state.AddAttempt(m, j, 0, 1, 0)
@@ -69,7 +69,7 @@
 // absent.
 func TestReconciliationOfReportedTasks(t *testing.T) {
 	state := clusterstate.New(16<<10, 16<<10)
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
 	m := state.AddMachine("i-1")
 	m.Epoch = 1
 	for i := range 2 {
@@ -78,9 +78,9 @@
 	}
 	var noted recordedOutcomes
 	reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 1, Tasks: []protocol.TaskStatus{
-		{Task: "j-1/0", Attempt: 1, State: protocol.Running},
-		{Task: "j-1/1", Attempt: 1, State: protocol.Exited, Cause: protocol.CauseDone},
-		{Task: "j-9/0", Attempt: 1, State: protocol.Running},
+		{Task: "j-1/0", Attempt: 1, State: protocol.TaskRunning},
+		{Task: "j-1/1", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone},
+		{Task: "j-9/0", Attempt: 1, State: protocol.TaskRunning},
 	}}, true, &noted)
 	if len(noted.absent) > 0 || len(noted.exits) != 1 || len(noted.runs) != 1 || len(noted.unknown) != 1 {
 		t.Errorf("%+v", noted)
--- a/internal/controller/record_preload.go
+++ b/internal/controller/record_preload.go
@@ -22,7 +22,7 @@
 
 // preloadedPrefix is the records under one prefix.
 type preloadedPrefix struct {
-	items []protocol.Item
+	items []protocol.KeyValue
 	// revision is that of the first page: catchUp needs the changes after it.
 	revision uint64
 	complete bool
@@ -41,7 +41,7 @@
 func (p *recordPreload) currentPrefix() string { return p.order[len(p.prefixes)-1] }
 
 // addPage adds a page of the current prefix. After its last page the next prefix is begun.
-func (p *recordPreload) addPage(page protocol.Items) {
+func (p *recordPreload) addPage(page protocol.KeyValuePage) {
 	current := &p.prefixes[len(p.prefixes)-1]
 	if p.after == "" {
 		current.revision = page.Revision
@@ -78,8 +78,8 @@
 
 // catchUp applies the changes since the preload and returns the records as the state service has them now, in
 // the order of their keys.
-func (p *preloadedPrefix) catchUp(events []protocol.Event) []protocol.Item {
-	current := make(map[string]protocol.Item, len(p.items))
+func (p *preloadedPrefix) catchUp(events []protocol.WatchEvent) []protocol.KeyValue {
+	current := make(map[string]protocol.KeyValue, len(p.items))
 	for _, item := range p.items {
 		current[item.Key] = item
 	}
@@ -87,10 +87,10 @@
 		if event.Delete != "" {
 			delete(current, event.Delete)
 		} else {
-			current[event.Put] = protocol.Item{Key: event.Put, Value: event.Value, Version: event.Version}
+			current[event.Put] = protocol.KeyValue{Key: event.Put, Value: event.Value, Version: event.Version}
 		}
 	}
-	out := make([]protocol.Item, 0, len(current))
+	out := make([]protocol.KeyValue, 0, len(current))
 	for _, key := range sortedKeys(current) {
 		out = append(out, current[key])
 	}
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -31,7 +31,7 @@
 	from     requester
 	leader   string // its label
 	path     string // relayPath or forwardedHeartbeatPath
-	relay    protocol.Relay
+	relay    protocol.ForwardedRequest
 	deadline time.Duration // when it is given up
 	retried  bool
 	// then is called with the outcome; a Result with status 0 if the request is given up.
@@ -55,18 +55,18 @@
 // unless its id is valid: then the leader may have accepted that job before.
 func (r *leaderRelay) relayFromUser(from requester, request Request) {
 	if request.Op == OpSubmit {
-		if uid, _, err := protocol.ParseSubmission(request.Body); err != nil && !protocol.ValidUID(uid) {
+		if uid, _, err := protocol.ParseSubmission(request.Body); err != nil && !protocol.ValidJobID(uid) {
 			r.outbox.reply(from, http.StatusBadRequest, nil, 0)
 			return
 		}
 	}
-	relay := protocol.Relay{Op: string(request.Op), UID: request.UID, Body: request.Body}
+	relay := protocol.ForwardedRequest{Operation: string(request.Op), UID: request.UID, Body: request.Body}
 	r.relayToLeader(from, r.follower.leaderLabel(), relayPath, relay)
 }
 
 // relayFromPeer relays a request to the leader for a controller that does not reach it. It is not relayed a
 // second time, and only to the leader that both controllers know.
-func (r *leaderRelay) relayFromPeer(from requester, path string, relay protocol.Relay) {
+func (r *leaderRelay) relayFromPeer(from requester, path string, relay protocol.ForwardedRequest) {
 	leader := r.follower.leaderLabel()
 	if !r.detection.enabled() || relay.To == "" || relay.To != leader || leader == r.env.cfg.Label {
 		r.outbox.replyUnavailable(from)
@@ -77,7 +77,7 @@
 }
 
 // relayToLeader relays a request and answers it with the leader's answer, or refuses it when its time is over.
-func (r *leaderRelay) relayToLeader(from requester, leader, path string, relay protocol.Relay) {
+func (r *leaderRelay) relayToLeader(from requester, leader, path string, relay protocol.ForwardedRequest) {
 	if r.env.peerAddr(leader) == "" || r.isUnreachable(leader) || r.pending.isFull() {
 		r.outbox.replyUnavailable(from)
 		return
@@ -111,7 +111,7 @@
 	to, relay := request.leader, request.relay
 	if intermediary := r.intermediary(request); intermediary != "" {
 		to, relay.To = intermediary, request.leader
-		r.env.observer.Rerouted()
+		r.env.observer.RequestRerouted()
 	}
 	body := protocol.EncodePeer(relay)
 	r.outbox.peerCall(to, request.path, body, request.deadline-r.env.now, func(res Result) {
@@ -128,7 +128,7 @@
 	if !r.detection.enabled() || request.relay.To != "" || request.from.relayed {
 		return ""
 	}
-	label, _ := r.detection.detector.Way(request.leader)
+	label, _ := r.detection.detector.RelayRoute(request.leader)
 	return label
 }
 
@@ -138,7 +138,7 @@
 	if r.detection.peerState(label) != membership.Dead {
 		return false
 	}
-	_, reached := r.detection.detector.Way(label)
+	_, reached := r.detection.detector.RelayRoute(label)
 	return !reached
 }
 
@@ -150,7 +150,7 @@
 		return false
 	}
 	request.retried = true
-	r.env.observer.Retried()
+	r.env.observer.RequestRetried()
 	r.retries = append(r.retries, retry{at: at, request: request})
 	return true
 }
@@ -184,8 +184,8 @@
 }
 
 // readRelayReply returns the leader's answer to what was relayed; false: there was none.
-func readRelayReply(res Result) (protocol.RelayReply, bool) {
-	var reply protocol.RelayReply
+func readRelayReply(res Result) (protocol.ForwardedReply, bool) {
+	var reply protocol.ForwardedReply
 	ok := res.Status == http.StatusOK && protocol.DecodePeer(res.Body, &reply) == nil &&
 		reply.Status >= http.StatusOK && reply.Status <= maxRelayedStatus
 	return reply, ok
--- a/internal/controller/request_burst_test.go
+++ b/internal/controller/request_burst_test.go
@@ -63,8 +63,8 @@
 		case 7:
 			for _, worker := range w.workers() {
 				if worker.Up && w.rng.IntN(3) == 0 {
-					worker.Cut = true
-					w.at(time.Duration(w.rng.IntN(30))*second, func() { worker.Cut = false })
+					worker.Partitioned = true
+					w.at(time.Duration(w.rng.IntN(30))*second, func() { worker.Partitioned = false })
 				}
 			}
 		case 8:
@@ -78,8 +78,8 @@
 			}
 		case 10:
 			i := w.rng.IntN(3)
-			w.state.Refuse[i] = true
-			w.at(time.Duration(w.rng.IntN(25))*second, func() { w.state.Refuse[i] = false })
+			w.state.RefusedClients[i] = true
+			w.at(time.Duration(w.rng.IntN(25))*second, func() { w.state.RefusedClients[i] = false })
 		case 11:
 			for _, worker := range w.workers() {
 				if worker.Up && w.rng.IntN(4) == 0 {
@@ -93,7 +93,7 @@
 		}
 	}
 	lossy = false
-	w.state.Refuse = map[int]bool{}
+	w.state.RefusedClients = map[int]bool{}
 	for i := range 3 {
 		if !w.nodes[i].alive {
 			w.boot(i)
@@ -108,7 +108,7 @@
 	}
 	for _, uid := range jobs {
 		if !cancelled[uid] && w.specs[uid]["shape"] == "batch" {
-			w.awaitStatus(400*second, uid, protocol.Done)
+			w.awaitStatus(400*second, uid, protocol.JobDone)
 		}
 	}
 	w.requireNoViolations()
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -68,7 +68,7 @@
 // onRelayedRequest decides a user's request that another controller relayed, or relays it once more for a
 // controller that does not reach the leader.
 func (c *Controller) onRelayedRequest(from requester, body []byte) {
-	var relay protocol.Relay
+	var relay protocol.ForwardedRequest
 	if protocol.DecodePeer(body, &relay) != nil {
 		c.outbox.reply(from, http.StatusBadRequest, nil, 0)
 		return
@@ -78,14 +78,14 @@
 		c.relay.relayFromPeer(from, relayPath, relay)
 		return
 	}
-	c.leadership.userRequests.handle(from, Op(relay.Op), relay.UID, relay.Body)
+	c.leadership.userRequests.handle(from, Op(relay.Operation), relay.UID, relay.Body)
 }
 
 // onForwardedHeartbeat takes a worker's heartbeat that another controller forwarded, or forwards it once more
 // for a controller that does not reach the leader.
 func (c *Controller) onForwardedHeartbeat(from requester, body []byte) {
 	from.relayed = true
-	var relay protocol.Relay
+	var relay protocol.ForwardedRequest
 	if protocol.DecodePeer(body, &relay) != nil {
 		c.outbox.replyUnavailable(from)
 		return
@@ -112,7 +112,7 @@
 // only a moment ago. What can't be decided in that time is refused at once with status 503.
 func (c *Controller) isReady() bool {
 	if l := c.leadership; l != nil {
-		return l.loader.ready || c.env.now < l.lease.electedAt+c.env.cfg.Lease()
+		return l.loader.ready || c.env.now < l.lease.electedAt+c.env.cfg.WorkerLease()
 	}
 	return c.follower.isReady()
 }
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -21,7 +21,7 @@
 	for _, added := range reserved {
 		r := t.reservations[added.Machine.ID]
 		r.job = added.Job.ID
-		r.until = t.env.now + t.env.cfg.Lease() + stopTimes[added.Job.ID]
+		r.until = t.env.now + t.env.cfg.WorkerLease() + stopTimes[added.Job.ID]
 		r.tasks += added.Tasks
 		t.reservations[added.Machine.ID] = r
 	}
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -168,7 +168,7 @@
 	u.steps[step]++
 	if step == opens {
 		for i, since := range u.newerSince {
-			if since == 0 || u.Now() < since+u.cfgs[i].LeaderTTL() {
+			if since == 0 || u.Now() < since+u.cfgs[i].LeaderLease() {
 				u.violated("the gate opens while n%d is of the older version, or has just been upgraded", i)
 			}
 		}
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -18,9 +18,9 @@
 	w.submit("j-1", map[string]any{"shards": 5})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "apart": true})
 	w.until(60*second, "both run", func() bool { return w.running("j-1") > 0 && w.running("j-2") == 2 })
-	w.awaitStatus(90*second, "j-1", protocol.Done)
+	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	w.cancel("j-2")
-	w.awaitStatus(5*second, "j-2", protocol.Cancelled)
+	w.awaitStatus(5*second, "j-2", protocol.JobCancelled)
 	w.until(2*second, "replicas have ended", func() bool { return w.running("j-2") == 0 })
 	w.submit("j-1", map[string]any{"shards": 5}) // a late repeat
 	w.run(120 * second)
@@ -53,7 +53,7 @@
 				}
 			}
 			for i := range 6 {
-				w.awaitStatus(240*second, fmt.Sprintf("j-%d", i), protocol.Done)
+				w.awaitStatus(240*second, fmt.Sprintf("j-%d", i), protocol.JobDone)
 			}
 			w.requireNoViolations()
 		})
@@ -85,7 +85,7 @@
 		t.Error("the old leader coasts without end")
 	}
 	w.script = nil
-	w.awaitStatus(200*second, "j-1", protocol.Done)
+	w.awaitStatus(200*second, "j-1", protocol.JobDone)
 	w.requireNoViolations()
 }
 
@@ -95,7 +95,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	for _, worker := range w.workers() {
-		worker.Cut = true
+		worker.Partitioned = true
 	}
 	w.cloud.Down = true // no deletion proves anything faster
 	w.cancel("j-1")
@@ -103,7 +103,7 @@
 		w.run(second)
 		w.checkCancelledTasksEnded()
 	}
-	if w.lastReplies["j-1"] != protocol.Cancelled || w.running("j-1") != 0 {
+	if w.lastReplies["j-1"] != protocol.JobCancelled || w.running("j-1") != 0 {
 		t.Errorf("state %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
 	}
 	w.requireNoViolations()
@@ -119,7 +119,7 @@
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 && n < 2 {
 			n++
-			worker.Cut = true
+			worker.Partitioned = true
 		}
 	}
 	w.run(90 * second)
@@ -150,7 +150,7 @@
 	}
 	w.run(10 * second)
 	w.submit("j-2", nil)
-	w.awaitStatus(90*second, "j-2", protocol.Done)
+	w.awaitStatus(90*second, "j-2", protocol.JobDone)
 	if w.running("j-1") != 2 {
 		t.Error("the outage cost replicas in the end")
 	}
@@ -230,14 +230,14 @@
 	w.until(60*second, "a replica runs", func() bool { return w.running("j-1") == 1 })
 	w.run(5 * second)
 	for _, worker := range w.workers() {
-		worker.Cut = true
+		worker.Partitioned = true
 	}
 	w.run(20 * second)
 	for _, worker := range w.workers() {
-		if worker.Deleted && worker.Lives > 0 {
+		if worker.Deleted && worker.TasksStarted > 0 {
 			t.Errorf("%s was returned while it could not be reached", worker.ID)
 		}
-		worker.Cut = false
+		worker.Partitioned = false
 	}
 	w.until(30*second, "the replica is back", func() bool { return w.running("j-1") == 1 })
 	w.requireNoViolations()
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -43,7 +43,7 @@
 
 // isSilent says whether a machine has not been heard for two fifths of its lease: several heartbeats are missing.
 func (a *autoscaler) isSilent(m *clusterstate.Machine) bool {
-	return a.health.silentFor(m) > a.env.cfg.Lease()*2/5
+	return a.health.silentFor(m) > a.env.cfg.WorkerLease()*2/5
 }
 
 // isUnreachable says whether a machine is most probably lost with all its tasks: it is silent and no connection to it
@@ -63,7 +63,7 @@
 		return false
 	}
 	for _, attempt := range m.Attempts {
-		if spec := attempt.Job.Spec; spec.Service && spec.ImageGB > t.FetchGBPerS*a.env.cfg.Lease().Seconds() {
+		if spec := attempt.Job.Spec; spec.Service && spec.ImageGB > t.FetchGBPerS*a.env.cfg.WorkerLease().Seconds() {
 			return false
 		}
 	}
@@ -75,7 +75,7 @@
 func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
 	heard := map[string][]time.Duration{}
 	for _, m := range a.state.Machines {
-		if m.Up && !m.Releasing {
+		if m.EverReported && !m.Releasing {
 			heard[m.Zone] = append(heard[m.Zone], m.LastSeen)
 		}
 	}
@@ -103,7 +103,7 @@
 func (a *autoscaler) newScaleInPass(needed map[string]bool) *scaleInPass {
 	silent, up := 0, 0
 	for _, m := range a.state.Machines {
-		if m.Up && !m.Releasing && !a.partitions.isPartitioned(m.Zone) {
+		if m.EverReported && !m.Releasing && !a.partitions.isPartitioned(m.Zone) {
 			up++
 			if a.isSilent(m) {
 				silent++
@@ -131,13 +131,13 @@
 	switch {
 	case p.controllerLost[m.Zone] && len(m.Attempts) > 0:
 		return releaseControllerLost
-	case p.scaler.partitions.isPartitioned(m.Zone) && m.Up:
+	case p.scaler.partitions.isPartitioned(m.Zone) && m.EverReported:
 		// A follower in the zone may be renewing its lease. Even without one, tasks that
 		// must be spread wait for this zone, and for the time of a partition a
 		// machine with cached images is worth more than a new one.
 		m.IdleSince = now
 		return keepMachine
-	case !m.Up:
+	case !m.EverReported:
 		return p.bootingReleaseReason(m)
 	}
 	if reason := p.silentReleaseReason(m); reason != keepMachine {
@@ -160,7 +160,7 @@
 	// Not at once after a failover: idle machines that have long been up have no stored
 	// record, and asking thousands of them takes a while (scale run with 5,500 workers: 107
 	// were released within the first second).
-	askedBy := scaler.lease.electedAt + scaler.env.cfg.Lease()/2
+	askedBy := scaler.lease.electedAt + scaler.env.cfg.WorkerLease()/2
 	if scaler.env.now > max(bootTimeout, askedBy) {
 		return releaseBootTimedOut
 	}
@@ -179,7 +179,7 @@
 		return releaseUnheardOnFailover
 	case p.hearsNoAnswer(m):
 		return releaseAnswersLost
-	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > silentLeases*p.scaler.env.cfg.Lease():
+	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > silentLeases*p.scaler.env.cfg.WorkerLease():
 		return releaseSilent
 	}
 	return keepMachine
@@ -196,7 +196,7 @@
 // back.
 func (p *scaleInPass) isUnheardSinceFailover(m *clusterstate.Machine) bool {
 	return m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
-		p.scaler.health.silentFor(m) > p.scaler.env.cfg.Lease()/2
+		p.scaler.health.silentFor(m) > p.scaler.env.cfg.WorkerLease()/2
 }
 
 // hearsNoAnswer says whether a machine with tasks sends heartbeats that never show our token. It hears none of our
@@ -204,7 +204,7 @@
 // there are gone.
 func (p *scaleInPass) hearsNoAnswer(m *clusterstate.Machine) bool {
 	return m.UnseenAnswers >= unseenAnswersMin && m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
-		len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+p.scaler.env.cfg.Lease()
+		len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+p.scaler.env.cfg.WorkerLease()
 }
 
 // idleReleaseReason is why a machine that answers is released: it has no tasks, and is quarantined, drained or idle
@@ -244,8 +244,8 @@
 		s.left.Fill()
 	}
 	var tasks []*scheduler.Job
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		tasks = append(tasks, singleTaskView(a))
 	}
-	return s.left.Absorbs(tasks)
+	return s.left.TryPlaceAll(tasks)
 }
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -52,7 +52,7 @@
 	booting, late := 0, 0
 	for _, m := range a.state.Machines {
 		t := a.catalog.machineType(m.Type)
-		if m.Up || m.Releasing || t == nil {
+		if m.EverReported || m.Releasing || t == nil {
 			continue
 		}
 		booting++
@@ -98,7 +98,7 @@
 	inFlight := a.addLaunching(plan)
 	blocked := func(p scheduler.Pool) bool {
 		// A machine that boots in a partitioned zone can't reach us, and costs all the same.
-		return a.partitions.isPartitioned(p.Zone) || a.pool.IsShort(p) || inFlight[p] > 0
+		return a.partitions.isPartitioned(p.Zone) || a.pool.IsBackingOff(p) || inFlight[p] > 0
 	}
 	a.launch(plan.Plan(a.catalog.types, blocked, a.maxLaunches()))
 	needed := map[string]bool{}
@@ -116,7 +116,7 @@
 // addLaunching adds the machines of launch requests under way to a plan, and counts them by pool.
 func (a *autoscaler) addLaunching(plan *scheduler.Snapshot) map[scheduler.Pool]int {
 	inFlight := map[scheduler.Pool]int{}
-	for _, request := range a.pool.Launching() {
+	for _, request := range a.pool.LaunchesInFlight() {
 		inFlight[request.Pool] += request.Count
 		t := a.catalog.machineType(request.Type)
 		if t == nil {
@@ -124,7 +124,7 @@
 		}
 		for range request.Count {
 			plan.AddMachine(&scheduler.Machine{Type: t, Zone: request.Zone, Spot: request.Spot,
-				Free: t.Size, Room: launchingMachineRoom, Booting: true})
+				Free: t.Size, TaskCapacity: launchingMachineRoom, Booting: true})
 		}
 	}
 	return inFlight
@@ -133,7 +133,7 @@
 // launch asks the cloud for machines, as far as its rate limit allows now. The next plan asks for the rest.
 func (a *autoscaler) launch(launches []scheduler.Launch) {
 	for _, l := range launches {
-		if !a.outbox.cloudRequests.Has(a.env.now, 1) {
+		if !a.outbox.cloudRequests.Allows(a.env.now, 1) {
 			return
 		}
 		a.pool.Launch(l.Pool, l.Count)
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -84,7 +84,7 @@
 			b.StopTimer()
 			f := newSlopeFleet(b, workers)
 			for _, j := range f.waiting {
-				j.Spec.Priority, j.Spec.Service = protocol.Production, true
+				j.Spec.Priority, j.Spec.Service = protocol.PriorityProduction, true
 			}
 			f.leadership.placement.runFill()
 			f.settleStarts()
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -131,7 +131,7 @@
 		waiting, resume := c.views.waitingTasks(j)
 		c.views.updateJobView(view, j, waiting, resume, reservedTasks[j.Spec.UID])
 		if len(waiting) > 0 {
-			view.InZone = j.InZone()
+			view.InZone = j.AttemptsByZone()
 		}
 		viewOf[j] = view
 		snapshot.Jobs = append(snapshot.Jobs, view)
@@ -169,7 +169,7 @@
 	if c.typesGeneration != c.catalog.typesGeneration {
 		c.rebuild()
 	}
-	return &scheduler.Snapshot{Quotas: c.quotas, UpperCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
+	return &scheduler.Snapshot{Quotas: c.quotas, UpperQueueCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
 }
 
 // syncFleet brings machines and quotas up to date with the cluster state, and has the snapshot refer to them.
--- a/internal/controller/scheduler_cache_jobs.go
+++ b/internal/controller/scheduler_cache_jobs.go
@@ -22,7 +22,7 @@
 // waitingJobs lists the jobs with tasks that may be started now. reservedTasks counts the tasks that machines are
 // reserved for, by job id.
 func (c *schedulerCache) waitingJobs(reservedTasks map[string]int) []*scheduler.Job {
-	for _, j := range c.state.TakeOpenedJobs() {
+	for _, j := range c.state.TakeJobsToSchedule() {
 		c.addJob(j)
 	}
 	list, order := c.jobBuffer[:0], c.waitingOrder[:0]
@@ -72,8 +72,8 @@
 // its tasks, has changed that count for itself only: the view then holds more tasks than the cluster state.
 func (c *schedulerCache) refreshJob(j *clusterstate.Job, cached *cachedJob, waiting []int, resume, reservedTasks int) *scheduler.Job {
 	inZone := cached.view.InZone
-	if inZone == nil || j.Gang != nil || cached.inZoneRevision != j.Revision() || cached.view.Held != j.ActiveAttempts {
-		inZone, cached.inZoneRevision = j.InZone(), j.Revision()
+	if inZone == nil || j.Gang != nil || cached.inZoneRevision != j.Revision() || cached.view.Assigned != j.ActiveAttempts {
+		inZone, cached.inZoneRevision = j.AttemptsByZone(), j.Revision()
 	}
 	c.views.updateJobView(&cached.view, j, waiting, resume, reservedTasks)
 	cached.view.InZone = inZone
--- a/internal/controller/scheduler_cache_machines.go
+++ b/internal/controller/scheduler_cache_machines.go
@@ -13,7 +13,7 @@
 	// view is the machine as the scheduler saw it last, of this revision and size.
 	view     scheduler.Machine
 	revision uint64
-	size     scheduler.Need
+	size     scheduler.Resources
 	// position orders the machine in the fleet, once hasPosition is set.
 	position    int
 	hasPosition bool
@@ -103,11 +103,11 @@
 	list := c.machineBuffer[:0]
 	for _, e := range c.cachedMachines {
 		m := e.machine
-		if m.Up && !m.Releasing {
+		if m.EverReported && !m.Releasing {
 			snapshot.Capacity = snapshot.Capacity.Plus(m.Size)
 		}
 		if now < m.DrainUntil {
-			snapshot.Moving = snapshot.Moving || movesReplicas(m)
+			snapshot.Draining = snapshot.Draining || movesReplicas(m)
 		}
 		if !c.health.isSchedulable(m) {
 			c.removeFromFleet(e)
@@ -129,7 +129,7 @@
 // isStale says whether a machine has changed since its view was made, or a decision has changed the view.
 func (c *schedulerCache) isStale(e *cachedMachine) bool {
 	m := e.machine
-	return !e.inFleet || e.view.Changed || e.revision != m.Revision() || e.size != m.Size ||
+	return !e.inFleet || e.view.Dirty || e.revision != m.Revision() || e.size != m.Size ||
 		e.view.ReservedFor != c.placement.reservations[m.ID].job
 }
 
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -32,12 +32,12 @@
 	for _, j := range l.state.Jobs {
 		kept := l.cache.cachedJobs[j]
 		if kept == nil {
-			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.OpenedJobs(), j) {
+			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.JobsToSchedule(), j) {
 				w.violated("%s waits and is not in the scheduler cache", j.Spec.UID)
 			}
 			continue
 		}
-		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.filled && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finishing && !slices.Equal(fresh, kept.waiting) {
+		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.filled && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finalizing && !slices.Equal(fresh, kept.waiting) {
 			w.violated("%s: waiting tasks %v, the scheduler cache has %v", j.Spec.UID, fresh, kept.waiting)
 		}
 	}
@@ -96,14 +96,14 @@
 		return &s
 	}
 	return cmp.Diff(sorted(*want), sorted(*got), cmpopts.IgnoreUnexported(scheduler.Snapshot{}, scheduler.Machine{}, scheduler.Job{}),
-		cmpopts.IgnoreFields(scheduler.Snapshot{}, "Fleet"), cmpopts.IgnoreFields(scheduler.Machine{}, "Changed"), cmpopts.EquateEmpty())
+		cmpopts.IgnoreFields(scheduler.Snapshot{}, "Fleet"), cmpopts.IgnoreFields(scheduler.Machine{}, "Dirty"), cmpopts.EquateEmpty())
 }
 
 // snapshot builds a snapshot of all machines and jobs anew, as each pass did before there was a
 // scheduler cache. It is the oracle of that cache.
 func (l *leadership) snapshot(running, booting bool) *scheduler.Snapshot {
 	c := l.controller
-	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.views.readyCapacity()}
+	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperQueueCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.views.readyCapacity()}
 	for name, t := range l.state.Quotas {
 		clone := *t
 		s.Quotas[name] = &clone
@@ -122,7 +122,7 @@
 		sj := &scheduler.Job{}
 		l.views.updateJobView(sj, j, waiting, resume, claims[j.Spec.UID])
 		if len(waiting) > 0 {
-			sj.InZone = j.InZone()
+			sj.InZone = j.AttemptsByZone()
 		}
 		jobs[j] = sj
 		s.Jobs = append(s.Jobs, sj)
@@ -134,7 +134,7 @@
 			continue
 		}
 		if c.env.now < m.DrainUntil {
-			s.Moving = s.Moving || movesReplicas(m)
+			s.Draining = s.Draining || movesReplicas(m)
 		}
 		views = append(views, l.views.machineView(m, t))
 		sm := &views[len(views)-1]
@@ -165,14 +165,14 @@
 	var logged bytes.Buffer
 	c.env.log = slog.New(slog.NewTextHandler(&logged, nil))
 	l := c.leadership
-	j := l.state.AddJob(&protocol.Spec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
+	j := l.state.AddJob(&protocol.JobSpec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
 	j.Stored = true // it waits for ever, so that fills have a job to consider
 	l.placement.runFill()
 	if d := differenceOfSnapshots(l); d != "" {
 		t.Fatal(d)
 	}
 	m := w.leadership().machines.sortedMachines()[0]
-	m.Used = m.Used.Plus(scheduler.Need{Cores: 1})
+	m.Used = m.Used.Plus(scheduler.Resources{Cores: 1})
 	for range 3 {
 		l.cache.verify()
 	}
@@ -195,19 +195,19 @@
 	for i := range 4 {
 		m := l.state.AddMachine("i-90000" + string(rune('0'+i)))
 		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", "10.2.0.1:1", l.machines.machineSize("m8")
-		m.Seen, m.TokenAcknowledged, m.Up, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
+		m.Seen, m.TokenAcknowledged, m.EverReported, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
 	}
-	add := func(uid string, change func(*protocol.Spec)) *clusterstate.Job {
-		spec := &protocol.Spec{UID: uid, Class: "web", Team: "red", Tasks: 3, Cores: 8, MemoryGB: 1}
+	add := func(uid string, change func(*protocol.JobSpec)) *clusterstate.Job {
+		spec := &protocol.JobSpec{UID: uid, Class: "web", Team: "red", Tasks: 3, Cores: 8, MemoryGB: 1}
 		change(spec)
 		j := l.state.AddJob(spec, c.env.wall)
 		j.Stored = true
 		return j
 	}
-	l.forecast.recordArrival(add("j-1", func(s *protocol.Spec) { s.Service, s.Tasks, s.Cores = true, 1, 4 }))
-	gang := add("j-2", func(s *protocol.Spec) { s.Gang, s.Tasks, s.Cores = true, 7, 8 })
+	l.forecast.recordArrival(add("j-1", func(s *protocol.JobSpec) { s.Service, s.Tasks, s.Cores = true, 1, 4 }))
+	gang := add("j-2", func(s *protocol.JobSpec) { s.Gang, s.Tasks, s.Cores = true, 7, 8 })
 	gang.WaitingSince = 1
-	add("j-3", func(s *protocol.Spec) { s.Cores = 7 })
+	add("j-3", func(s *protocol.JobSpec) { s.Cores = 7 })
 	for range 3 {
 		l.placement.runFill()
 		if d := differenceOfSnapshots(l); d != "" {
--- a/internal/controller/scheduler_cache_verify.go
+++ b/internal/controller/scheduler_cache_verify.go
@@ -34,7 +34,7 @@
 	m, view := e.machine, &e.view
 	fresh := c.views.machineView(m, view.Type)
 	setImages(&fresh, m)
-	return fresh.Free == view.Free && fresh.Room == view.Room && fresh.Used == view.Used && fresh.Zone == view.Zone &&
+	return fresh.Free == view.Free && fresh.TaskCapacity == view.TaskCapacity && fresh.Used == view.Used && fresh.Zone == view.Zone &&
 		fresh.Spot == view.Spot && fresh.Type.Name == m.Type && fresh.ImageSet == view.ImageSet &&
-		len(fresh.Fetching) == len(view.Fetching) && c.fleet.Follows(view)
+		len(fresh.Fetching) == len(view.Fetching) && c.fleet.IsCurrent(view)
 }
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -19,16 +19,16 @@
 }
 
 // capacityShare is the share of a capacity that one task of the job needs: of the accelerators where it needs any.
-func capacityShare(j *clusterstate.Job, capacity scheduler.Need) float64 {
+func capacityShare(j *clusterstate.Job, capacity scheduler.Resources) float64 {
 	return scheduler.Share(j.Need, capacity)
 }
 
 // readyCapacity is the total size of the machines that are up and not being released, or of one machine of each
 // type if there are none.
-func (v *schedulerViews) readyCapacity() scheduler.Need {
-	var total scheduler.Need
+func (v *schedulerViews) readyCapacity() scheduler.Resources {
+	var total scheduler.Resources
 	for _, m := range v.state.Machines {
-		if m.Up && !m.Releasing {
+		if m.EverReported && !m.Releasing {
 			total = total.Plus(m.Size)
 		}
 	}
@@ -52,15 +52,15 @@
 	s := j.Spec
 	*view = scheduler.Job{
 		ID: s.UID, Class: s.Class, Team: s.Team, Priority: int(s.Priority), Submitted: j.Submitted,
-		Service: s.Service, Tasks: s.Tasks, Held: j.ActiveAttempts,
-		Need: j.Need, SaveS: s.SaveS, Image: s.Image, ImageGB: s.ImageGB,
+		Service: s.Service, Tasks: s.Tasks, Assigned: j.ActiveAttempts,
+		Request: j.Need, SaveS: s.SaveS, Image: s.Image, ImageGB: s.ImageGB,
 		Spot: s.Spot, Types: j.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread,
-		Upper: j.Scale.Upper && !s.Service, Slots: j.Scale.Slots,
-		Attained: j.Scale.Attained, Degradation: j.Scale.Degr,
+		InUpperQueue: j.Scale.InUpperQueue && !s.Service, Slots: j.Scale.Slots,
+		Attained: j.Scale.Attained, Degradation: j.Scale.Degradation,
 	}
 	if j.Gang != nil {
 		// Gangs skip the upper queue, with degradation 1, and their number of slots does not change.
-		view.Gang, view.Upper, view.Slots, view.Degradation = true, false, s.Tasks, 1
+		view.Gang, view.InUpperQueue, view.Slots, view.Degradation = true, false, s.Tasks, 1
 	}
 }
 
@@ -77,10 +77,10 @@
 // limitStartable limits waiting tasks to those that may be started now: none for a while after failures, and one at
 // a time while the job is probed for whether it still fails. It notes since when the job has had no task anywhere.
 func (v *schedulerViews) limitStartable(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
-	if j.Cancelling || j.Finishing || v.env.now < j.NotBefore {
+	if j.Cancelling || j.Finalizing || v.env.now < j.NotBefore {
 		waiting, resume = nil, 0
 	}
-	if j.Failures.Probing() && j.Gang == nil && len(waiting) > 1 {
+	if j.Failures.IsProbing() && j.Gang == nil && len(waiting) > 1 {
 		waiting, resume = waiting[:1], min(resume, 1)
 	}
 	v.noteWaitingSince(j)
@@ -89,7 +89,7 @@
 
 // noteWaitingSince notes when a job came to be without any task on a machine, and forgets it once it has one or ends.
 func (v *schedulerViews) noteWaitingSince(j *clusterstate.Job) {
-	if j.ActiveAttempts > 0 || j.Cancelling || j.Finishing {
+	if j.ActiveAttempts > 0 || j.Cancelling || j.Finalizing {
 		j.WaitingSince = 0
 	} else if j.WaitingSince == 0 {
 		j.WaitingSince = v.env.now
@@ -103,19 +103,19 @@
 // of its tasks machines are reserved for.
 func (v *schedulerViews) updateJobView(view *scheduler.Job, j *clusterstate.Job, waiting []int, resume, reservedTasks int) {
 	describeJob(view, j)
-	view.Waiting, view.Resume = waiting, resume
-	view.AimS = v.waitObjective(j.Spec.Class)
-	view.Plain = view.IsPlain(v.catalog.types)
-	view.LeftS, view.Late = v.deadlineSlack(j)
-	view.Patient = float64(v.env.wall-j.Submitted)/1000 > patienceBoots*v.catalog.longestBootS()
-	view.Avoid = j.Failures.Avoid(v.env.now, v.env.cfg.Cancel())
+	view.Waiting, view.Interrupted = waiting, resume
+	view.StartObjectiveS = v.waitObjective(j.Spec.Class)
+	view.AvoidsAccelerators = view.CanAvoidAccelerators(v.catalog.types)
+	view.UntilDeadlineS, view.DeadlineMissed = v.deadlineSlack(j)
+	view.WaitedTwoBoots = float64(v.env.wall-j.Submitted)/1000 > patienceBoots*v.catalog.longestBootS()
+	view.AvoidMachines = j.Failures.AvoidedMachines(v.env.now, v.env.cfg.CancelTimeout())
 	view.Starved = j.WaitingSince > 0 && v.env.now > j.WaitingSince+seconds(v.catalog.longestBootS())
 	view.Reserved = min(reservedTasks, len(view.Waiting))
 }
 
 // bootingType is the type of a machine that is booting and will most probably be up soon, or nil.
 func (v *schedulerViews) bootingType(m *clusterstate.Machine) *scheduler.Type {
-	if m.Up || m.Releasing || v.partitions.isPartitioned(m.Zone) {
+	if m.EverReported || m.Releasing || v.partitions.isPartitioned(m.Zone) {
 		return nil
 	}
 	if t := v.catalog.machineType(m.Type); t != nil && v.env.now < m.LaunchedAt+seconds(t.BootS*usualBootFactor) {
@@ -126,10 +126,10 @@
 
 // machineView is a view of a machine, without its images and tasks.
 func (v *schedulerViews) machineView(m *clusterstate.Machine, t *scheduler.Type) scheduler.Machine {
-	maxAttempts := v.env.cfg.ValueBytes() / clusterstate.EntryBytes // that fit into the machine's record
+	maxAttempts := v.env.cfg.MaxValueBytes() / clusterstate.MaxEntryBytes // that fit into the machine's record
 	return scheduler.Machine{
 		ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot,
-		Free: m.Size.Minus(m.Used), Room: maxAttempts - len(m.Attempts), Used: len(m.Attempts) > 0,
+		Free: m.Size.Minus(m.Used), TaskCapacity: maxAttempts - len(m.Attempts), Used: len(m.Attempts) > 0,
 		ReservedFor: v.placement.reservations[m.ID].job, ImageSet: v.state.ImageSet(m),
 	}
 }
@@ -137,12 +137,12 @@
 // setImages sets the images that a machine has cached, and those that it is fetching.
 func setImages(view *scheduler.Machine, m *clusterstate.Machine) {
 	view.Images = m.Images
-	if !m.Starting() {
+	if !m.HasStartingAttempts() {
 		return
 	}
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		image := a.Job.Spec.Image
-		if a.State != "" && a.State != protocol.FetchingImage || m.Images[image] {
+		if a.State != "" && a.State != protocol.TaskFetchingImage || m.Images[image] {
 			continue
 		}
 		if view.Fetching == nil {
@@ -157,9 +157,9 @@
 func (v *schedulerViews) appendRunningTasks(
 	list []scheduler.RunningTask, m *clusterstate.Machine, viewOf map[*clusterstate.Job]*scheduler.Job,
 ) []scheduler.RunningTask {
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		if view := viewOf[a.Job]; view != nil && !a.StopRequested {
-			list = append(list, scheduler.RunningTask{Job: view, Index: a.Index, SinceS: (v.env.now - a.Since).Seconds()})
+			list = append(list, scheduler.RunningTask{Job: view, Index: a.Index, RunningS: (v.env.now - a.AddedAt).Seconds()})
 		}
 	}
 	return list
@@ -185,7 +185,7 @@
 }
 
 // reserveArrivals reserves a part of what arrived, by team.
-func reserveArrivals(quotas map[string]*scheduler.Quota, arrived map[string]scheduler.Need, part float64) {
+func reserveArrivals(quotas map[string]*scheduler.Quota, arrived map[string]scheduler.Resources, part float64) {
 	for team, need := range arrived {
 		if quota := quotas[team]; quota != nil {
 			quota.ServiceReserve = quota.ServiceReserve.Plus(need.Times(part))
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -79,10 +79,10 @@
 	if t.isDue(&t.countersAt, seconds(green.CountersS)) {
 		t.accounting.writeCounters()
 	}
-	if t.isDue(&t.summaryAt, cfg.Lease()) {
+	if t.isDue(&t.summaryAt, cfg.WorkerLease()) {
 		t.summary.logFleetSummary()
 	}
-	if t.isDue(&t.planAt, cfg.LeaderTTL()*2/3) {
+	if t.isDue(&t.planAt, cfg.LeaderLease()*2/3) {
 		t.partitions.detectPartitions()
 		t.scaler.watchBootTimes()
 		t.fillPending = true // the retry delays of failed jobs and the quarantine of machines end with time alone
@@ -145,9 +145,9 @@
 	a := t.state.AddAttempt(m, j, index, number, t.env.now)
 	t.failures.noteProbingStart(j)
 	t.env.log.Debug("task placed", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
-	priority := statestore.Start
+	priority := statestore.PriorityBatch
 	if j.Spec.Service {
-		priority = statestore.Replica
+		priority = statestore.PriorityReplica
 	}
 	t.machines.storeMachine(m, priority, func() {
 		if m.Attempts[a.Key()] != a {
@@ -171,7 +171,7 @@
 func (t *taskScheduler) runRound() {
 	for _, j := range t.state.Jobs {
 		if !j.Spec.Service && j.Gang == nil {
-			j.Scale.Round(j.Done, j.Spec.Tasks, t.env.cfg.Operator.Green.Gamma)
+			j.Scale.EndRound(j.CompletedTasks, j.Spec.Tasks, t.env.cfg.Operator.Green.Gamma)
 		}
 	}
 	if !t.lease.holdsLease() {
@@ -184,7 +184,7 @@
 	snapshot.Jobs = t.forecast.appendHeadroom(snapshot.Jobs)
 	snapshot.Fill() // a task that finds room needs no preemption
 	most := max(t.env.cfg.Cluster.State.TxnOps, len(snapshot.Machines)/preemptionFleetDivisor)
-	preemption := snapshot.Stops(most, t.searchedJobs)
+	preemption := snapshot.Preempt(most, t.searchedJobs)
 	stopTimes := map[string]time.Duration{} // by job: how long the slowest of the tasks preempted for it may take
 	for _, stop := range preemption.Stops {
 		stopTimes[stop.For.ID] = max(stopTimes[stop.For.ID], t.stopDuration(stop.Victim.Job))
@@ -197,7 +197,7 @@
 // wait for its peers.
 func (t *taskScheduler) stopDuration(victim *scheduler.Job) time.Duration {
 	if victim.Gang {
-		return seconds(victim.SaveS) + t.env.cfg.GangPeer()
+		return seconds(victim.SaveS) + t.env.cfg.GangPeerTimeout()
 	}
 	return seconds(victim.SaveS)
 }
@@ -205,7 +205,7 @@
 // preempt requests a task to stop for a job that ranks before its own.
 func (t *taskScheduler) preempt(stop scheduler.Stop) {
 	m := t.state.Machines[stop.Machine.ID]
-	for _, a := range m.Sorted() {
+	for _, a := range m.SortedAttempts() {
 		if a.Job.Spec.UID == stop.Victim.Job.ID && a.Index == stop.Victim.Index {
 			t.env.log.Info("preempting task", "task", a.Key().Task, "machine", m.ID, "preemptor", stop.For.ID)
 			a.Preempted = true
--- a/internal/controller/slope_fleet_test.go
+++ b/internal/controller/slope_fleet_test.go
@@ -68,7 +68,7 @@
 		{Name: "g64", Cores: 64, Accelerators: 8, MemoryGB: 384, CacheGB: 400, FetchGBPerS: 2, Price: 20, SpotPrice: 8, BootS: 45, Zones: []string{"a", "b", "c"}},
 	} {
 		c.catalog.typeInfo[t.Name] = t
-		c.catalog.types = append(c.catalog.types, &scheduler.Type{Name: t.Name, Size: scheduler.Need{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
+		c.catalog.types = append(c.catalog.types, &scheduler.Type{Name: t.Name, Size: scheduler.Resources{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
 			Price: t.Price, SpotPrice: t.SpotPrice, Zones: t.Zones, BootS: t.BootS, FetchGBPerS: t.FetchGBPerS})
 	}
 	l := newLeadership(c, &leaderRecord{Token: 1, LeaseID: 1}, 1, c.env.now)
@@ -112,15 +112,15 @@
 	var job *clusterstate.Job
 	for i := range tasks {
 		if i%slopeTasksPerJob == 0 {
-			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Need{Cores: 1, Mem: 2})
+			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Resources{Cores: 1, Mem: 2})
 		}
 		f.run(job, i%slopeTasksPerJob, f.leadership.machines.sortedMachines()[i%workers])
 	}
 	f.fillMachines()
 	for i := range int(float64(workers) * slopeWaitingPerWorker) {
-		need := scheduler.Need{Cores: 2, Mem: 2.8}
+		need := scheduler.Resources{Cores: 2, Mem: 2.8}
 		if i%2 == 0 {
-			need = scheduler.Need{Cores: 11, Accel: 2, Mem: 50}
+			need = scheduler.Resources{Cores: 11, Accel: 2, Mem: 50}
 		}
 		f.waiting = append(f.waiting, f.addJob(fmt.Sprintf("j-w%07d", i), i%teams, i%3 == 0, need))
 	}
@@ -132,14 +132,14 @@
 	m.Type = []string{"m16", "g64"}[i%2]
 	m.Zone, m.Addr = string(rune('a'+i%3)), "10.1.0.1:1"
 	m.Size = f.leadership.machines.machineSize(m.Type)
-	m.Seen, m.TokenAcknowledged, m.Up, m.Listed, m.Recorded, m.Epoch, m.Token = true, true, true, true, true, 1, 1
+	m.Seen, m.TokenAcknowledged, m.EverReported, m.ListedRunning, m.HasRecord, m.Epoch, m.Token = true, true, true, true, true, 1, 1
 	m.LastSeen, m.LastAnswered, m.TokenAcknowledgedAt, m.Probed = f.controller.env.now, f.controller.env.now, f.controller.env.now, true
 	m.UseImage(fmt.Sprintf("img-%02d", i%12), 5, 400)
 }
 
-func (f *slopeFleet) addJob(uid string, team int, service bool, need scheduler.Need) *clusterstate.Job {
+func (f *slopeFleet) addJob(uid string, team int, service bool, need scheduler.Resources) *clusterstate.Job {
 	i := len(f.leadership.state.Jobs)
-	spec := &protocol.Spec{UID: uid, Class: []string{"web", "scoring"}[i%2], Team: fmt.Sprintf("team-%d", team), Service: service, Priority: protocol.Normal,
+	spec := &protocol.JobSpec{UID: uid, Class: []string{"web", "scoring"}[i%2], Team: fmt.Sprintf("team-%d", team), Service: service, Priority: protocol.PriorityNormal,
 		Tasks: slopeTasksPerJob, Cores: need.Cores, Accelerators: need.Accel, MemoryGB: need.Mem, Image: fmt.Sprintf("img-%02d", i%12), ImageGB: 5,
 		Spread: service && need.Accel == 0, CheckpointS: 15, SaveS: 3, EstimateS: 90}
 	job := f.leadership.state.AddJob(spec, f.controller.env.wall-int64(i%3600)*1000)
@@ -151,20 +151,20 @@
 func (f *slopeFleet) run(job *clusterstate.Job, index int, m *clusterstate.Machine) {
 	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.take(), f.controller.env.now-time.Minute)
 	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
-	a.SetState(protocol.Running)
+	a.SetState(protocol.TaskRunning)
 	f.tasks = append(f.tasks, a)
 }
 
 // fillMachines leaves room only on every third machine: one task's worth of cores, and two accelerators.
 func (f *slopeFleet) fillMachines() {
-	big := f.addJob("j-big", 0, false, scheduler.Need{})
+	big := f.addJob("j-big", 0, false, scheduler.Resources{})
 	for i, m := range f.leadership.machines.sortedMachines() {
-		left := scheduler.Need{}
+		left := scheduler.Resources{}
 		if i%3 == 0 {
-			left = scheduler.Need{Cores: 14, Accel: 2, Mem: 60}
+			left = scheduler.Resources{Cores: 14, Accel: 2, Mem: 60}
 		}
 		free := m.Size.Minus(m.Used)
-		m.Used = m.Used.Plus(scheduler.Need{Cores: max(0, free.Cores-left.Cores), Accel: max(0, free.Accel-left.Accel)})
+		m.Used = m.Used.Plus(scheduler.Resources{Cores: max(0, free.Cores-left.Cores), Accel: max(0, free.Accel-left.Accel)})
 	}
 	f.leadership.state.RemoveJob(big.Spec.UID)
 }
@@ -199,7 +199,7 @@
 	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
 			f.revision++
-			f.controller.outbox.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TxnReply{Revision: f.revision})})
+			f.controller.outbox.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TransactionReply{Revision: f.revision})})
 			return true
 		}
 	}
@@ -208,7 +208,7 @@
 
 // keepBusy keeps a transaction in flight that is never answered, so that no fill begins.
 func (f *slopeFleet) keepBusy() {
-	f.leadership.store.Mark("x/busy", statestore.User, func() any { return 1 }, nil)
+	f.leadership.store.QueueWrite("x/busy", statestore.PriorityUser, func() any { return 1 }, nil)
 	f.leadership.flush()
 }
 
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -37,7 +37,7 @@
 	ready   bool           // all records are loaded
 	preload *recordPreload // what was read ahead of the election; nil: nothing
 	// loadCapacity is the fleet's capacity while the counters are loaded (see loadedCapacity).
-	loadCapacity *scheduler.Need
+	loadCapacity *scheduler.Resources
 	// orphanedCompletions are the keys of completion records whose job is over. An earlier leader has left
 	// them, or a version of the program that does not know them.
 	orphanedCompletions []string
@@ -48,7 +48,7 @@
 	prefix string
 	// since is the storage version from which on such records exist.
 	since featuregate.StorageVersion
-	load  func(*stateLoader, protocol.Item) error
+	load  func(*stateLoader, protocol.KeyValue) error
 }
 
 // recordKinds are the kinds of a leader's records in the order in which they are loaded. Completions refer to
@@ -64,8 +64,8 @@
 }
 
 // decoded makes the loader of a kind from a function that applies a decoded record.
-func decoded[Record any](apply func(s *stateLoader, key string, record Record) error) func(*stateLoader, protocol.Item) error {
-	return func(s *stateLoader, item protocol.Item) error {
+func decoded[Record any](apply func(s *stateLoader, key string, record Record) error) func(*stateLoader, protocol.KeyValue) error {
+	return func(s *stateLoader, item protocol.KeyValue) error {
 		var record Record
 		if err := protocol.Decode(item.Value, &record); err != nil {
 			return err
@@ -109,7 +109,7 @@
 
 // requestPage requests the page of records after a key.
 func (s *stateLoader) requestPage(step int, prefix, after string) {
-	s.outbox.state.List(prefix, after, recordsPerPage, s.env.cfg.LeaderTTL(), func(page stateclient.Page, err error) {
+	s.outbox.state.List(prefix, after, recordsPerPage, s.env.cfg.LeaderLease(), func(page stateclient.Page, err error) {
 		if !s.lease.ended {
 			s.onPage(step, after, page, err)
 		}
@@ -122,7 +122,7 @@
 		s.timers.runAt(s.env.now+s.env.retryPause(), func() { s.loadPage(step, after) })
 		return
 	}
-	records := page.Items.Items
+	records := page.Items
 	s.loadRecords(records)
 	if page.More && len(records) > 0 {
 		s.loadPage(step, records[len(records)-1].Key)
@@ -135,7 +135,7 @@
 // election, when earlier leaders can write nothing more.
 func (s *stateLoader) requestChanges(step int, prefix string, preloaded *preloadedPrefix) {
 	const doNotBlock = 0
-	s.outbox.state.Watch(prefix, preloaded.revision, doNotBlock, s.env.cfg.LeaderTTL(), func(events protocol.Events, err error) {
+	s.outbox.state.Watch(prefix, preloaded.revision, doNotBlock, s.env.cfg.LeaderLease(), func(events protocol.WatchReply, err error) {
 		if !s.lease.ended {
 			s.onChanges(step, preloaded, events, err)
 		}
@@ -144,7 +144,7 @@
 
 // onChanges loads the preloaded records with their changes. Without a usable answer (too much may have changed
 // for the state service to tell) the whole preload is dropped and all is read again.
-func (s *stateLoader) onChanges(step int, preloaded *preloadedPrefix, events protocol.Events, err error) {
+func (s *stateLoader) onChanges(step int, preloaded *preloadedPrefix, events protocol.WatchReply, err error) {
 	if err != nil {
 		s.preload = nil
 		s.loadPage(step, "")
@@ -157,9 +157,9 @@
 }
 
 // loadRecords loads records. One that is unreadable is logged and left out: the others must not wait for it.
-func (s *stateLoader) loadRecords(items []protocol.Item) {
+func (s *stateLoader) loadRecords(items []protocol.KeyValue) {
 	for _, item := range items {
-		s.store.Loaded(item.Key, item.Version)
+		s.store.SetVersion(item.Key, item.Version)
 		if err := s.loadRecord(item); err != nil {
 			s.env.log.Error("stored record is unreadable", "key", item.Key, "err", err)
 		}
@@ -167,7 +167,7 @@
 }
 
 // loadRecord loads a record by the kind that its key's prefix names. Others are ignored.
-func (s *stateLoader) loadRecord(item protocol.Item) error {
+func (s *stateLoader) loadRecord(item protocol.KeyValue) error {
 	for i := range recordKinds {
 		if strings.HasPrefix(item.Key, recordKinds[i].prefix) {
 			return recordKinds[i].load(s, item)
@@ -180,10 +180,10 @@
 func (s *stateLoader) applyJob(key string, record clusterstate.JobRecord) error {
 	uid := strings.TrimPrefix(key, clusterstate.JobPrefix)
 	switch record.State {
-	case protocol.Done:
-		s.state.Terminal[uid] = clusterstate.TerminalState{Tasks: record.Tasks}
-	case protocol.Cancelled:
-		s.state.Terminal[uid] = clusterstate.TerminalState{Cancelled: true}
+	case protocol.JobDone:
+		s.state.TerminalJobs[uid] = clusterstate.TerminalState{Tasks: record.Tasks}
+	case protocol.JobCancelled:
+		s.state.TerminalJobs[uid] = clusterstate.TerminalState{Cancelled: true}
 	default:
 		if record.Spec == nil {
 			return fmt.Errorf("state %q without a job", record.State)
@@ -214,9 +214,9 @@
 func (s *stateLoader) loadMachine(id string, record clusterstate.MachineRecord) {
 	m := s.state.AddMachine(id)
 	m.Type, m.Zone, m.Spot, m.Addr = record.Type, record.Zone, record.Spot, record.Addr
-	m.Recorded = true
+	m.HasRecord = true
 	m.Releasing, m.ReleaseStored = record.Return, record.Return
-	m.ExistedAt, m.LaunchedAt = s.env.now, s.env.now
+	m.KnownToExistAt, m.LaunchedAt = s.env.now, s.env.now
 	for _, entry := range record.Attempts {
 		j := s.state.Jobs[entry.Job]
 		if j == nil {
@@ -228,12 +228,14 @@
 		a := s.state.AddAttempt(m, j, entry.Index, entry.Try, s.env.now)
 		a.Durable, a.Loaded, a.Sent = true, true, true
 		s.machines.noteImageUse(m, j)
-		m.Up = true
+		m.EverReported = true
 	}
 }
 
 // applyJournal applies a value of the completion journal.
-func (s *stateLoader) applyJournal(item protocol.Item) error { return s.completions.loadValue(item) }
+func (s *stateLoader) applyJournal(item protocol.KeyValue) error {
+	return s.completions.loadValue(item)
+}
 
 // applyCounters loads counters of attained service.
 func (s *stateLoader) applyCounters(_ string, record clusterstate.Counters) error {
@@ -251,10 +253,10 @@
 		if j == nil || j.Cancelling {
 			continue
 		}
-		j.Scale = scheduler.Scale{Upper: row.Upper, Slots: max(1, row.Slots), Attained: row.Attained,
-			DoneAt: row.DoneAt, AttainedAt: row.AttainedAt, First: row.First, Degr: row.Degr}
-		if j.Scale.Degr <= 0 {
-			j.Scale.Degr = 1
+		j.Scale = scheduler.ScaleUp{InUpperQueue: row.Upper, Slots: max(1, row.Slots), Attained: row.Attained,
+			DoneAt: row.DoneAt, AttainedAt: row.AttainedAt, InitialEfficiency: row.First, Degradation: row.Degr}
+		if j.Scale.Degradation <= 0 {
+			j.Scale.Degradation = 1
 		}
 		j.Scale.Attained += ageSeconds * float64(j.ActiveAttempts) * scheduler.Share(j.Need, capacity)
 	}
@@ -263,7 +265,7 @@
 // loadedCapacity is the fleet's capacity by the records of the machines, which are loaded before the counters. It
 // is computed once: going through the fleet for each job took a new leader of 3,600 machines and 1,700 jobs
 // two seconds of half a core in one go, which is longer than its lease, and so on for each leader after it.
-func (s *stateLoader) loadedCapacity() scheduler.Need {
+func (s *stateLoader) loadedCapacity() scheduler.Resources {
 	if s.loadCapacity == nil {
 		capacity := s.views.readyCapacity()
 		s.loadCapacity = &capacity
@@ -278,7 +280,7 @@
 	s.reviewLoadedAttempts()
 	s.deleteOrphanedCompletions()
 	s.completions.logLoaded()
-	s.env.log.Info("cluster state loaded", "token", s.lease.token, "jobs", len(s.state.Jobs), "terminal_jobs", len(s.state.Terminal), "machines", len(s.state.Machines))
+	s.env.log.Info("cluster state loaded", "token", s.lease.token, "jobs", len(s.state.Jobs), "terminal_jobs", len(s.state.TerminalJobs), "machines", len(s.state.Machines))
 	s.placement.fillPending = true
 	s.trace.noteStateLoaded()
 }
@@ -289,9 +291,9 @@
 	for _, uid := range sortedKeys(s.state.Jobs) {
 		j := s.state.Jobs[uid]
 		switch {
-		case j.Done == j.Spec.Tasks:
+		case j.CompletedTasks == j.Spec.Tasks:
 			s.jobs.completeJob(j)
-		case j.Gang != nil && j.Done > 0:
+		case j.Gang != nil && j.CompletedTasks > 0:
 			s.attempts.completeGang(j) // an older version has stored that one task is completed, so all are
 		default:
 			s.attempts.verifyGang(j)
@@ -306,7 +308,7 @@
 	newest := s.newestAttempts()
 	for _, m := range s.machines.sortedMachines() {
 		m.Size = s.machines.machineSize(m.Type)
-		for _, a := range m.Sorted() {
+		for _, a := range m.SortedAttempts() {
 			if a.Job.IsDone(a.Index) || a.Job.Cancelling || a.Number < newest[taskRef{a.Job, a.Index}] {
 				s.attempts.requestStop(a, 0, stopUnwantedOnLoad)
 			}
@@ -317,7 +319,7 @@
 // deleteOrphanedCompletions deletes the completion records whose job is over.
 func (s *stateLoader) deleteOrphanedCompletions() {
 	for _, key := range s.orphanedCompletions {
-		s.store.Mark(key, statestore.Lazy, func() any { return nil }, nil)
+		s.store.QueueWrite(key, statestore.PriorityBackground, func() any { return nil }, nil)
 	}
 	s.orphanedCompletions = nil
 }
@@ -335,7 +337,7 @@
 	newest := map[taskRef]uint64{}
 	for _, m := range s.state.Machines {
 		for _, a := range m.Attempts {
-			if a.Job.AttemptsOf(a.Index) > 1 {
+			if a.Job.AttemptCount(a.Index) > 1 {
 				task := taskRef{a.Job, a.Index}
 				newest[task] = max(newest[task], a.Number)
 			}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -19,9 +19,9 @@
 func (l *leadership) newStore(version uint64) *statestore.Writer {
 	env, outbox := l.controller.env, l.controller.outbox
 	limits := statestore.Limits{
-		Changes:    env.cfg.Cluster.State.Both().TxnOps,
-		ValueBytes: env.cfg.ValueBytes(),
-		Timeout:    env.cfg.LeaderTTL() / stateCallTimeoutDivisor,
+		MaxChanges:     env.cfg.Cluster.State.EffectiveLimits().TxnOps,
+		MaxValueBytes:  env.cfg.MaxValueBytes(),
+		RequestTimeout: env.cfg.LeaderLease() / stateCallTimeoutDivisor,
 	}
 	key := statestore.LeaderKey{
 		Key:     keyLeader,
@@ -29,9 +29,9 @@
 		Entry:   l.gating.leaderEntry(l.gating.storedRecord),
 	}
 	writer := statestore.NewWriter(recordHost{l}, outbox.state, env.log, limits, &outbox.stateChanges, key)
-	writer.Loaded(keyCounter, version)
+	writer.SetVersion(keyCounter, version)
 	if l.gating.storedRecord.StorageVersion != 0 {
-		writer.Loaded(keyLease, version)
+		writer.SetVersion(keyLease, version)
 	}
 	return writer
 }
@@ -56,27 +56,27 @@
 // Now implements statestore.Host.
 func (h recordHost) Now() time.Duration { return h.leader.controller.env.now }
 
-// MayCall implements statestore.Host.
-func (h recordHost) MayCall() bool {
-	return h.leader.controller.outbox.stateRequests.Has(h.leader.controller.env.now, 1)
+// MayRequest implements statestore.Host.
+func (h recordHost) MayRequest() bool {
+	return h.leader.controller.outbox.stateRequests.Allows(h.leader.controller.env.now, 1)
 }
 
-// Pause implements statestore.Host.
-func (h recordHost) Pause() time.Duration { return h.leader.controller.env.retryPause() }
+// RetryPause implements statestore.Host.
+func (h recordHost) RetryPause() time.Duration { return h.leader.controller.env.retryPause() }
 
-// End implements statestore.Host.
-func (h recordHost) End(reason statestore.EndReason) {
+// EndLeadership implements statestore.Host.
+func (h recordHost) EndLeadership(reason statestore.EndReason) {
 	h.leader.controller.endLeadership(endReason(reason))
 }
 
-// Ended implements statestore.Host.
-func (h recordHost) Ended() bool { return h.leader.lease.ended }
+// HasEnded implements statestore.Host.
+func (h recordHost) HasEnded() bool { return h.leader.lease.ended }
 
-// Unavailable implements statestore.Host: users get an answer at once instead of waiting for the service.
-func (h recordHost) Unavailable() { h.leader.controller.pending.refuseAll() }
+// OnUnavailable implements statestore.Host: users get an answer at once instead of waiting for the service.
+func (h recordHost) OnUnavailable() { h.leader.controller.pending.refuseAll() }
 
-// Abandoned implements statestore.Host: what waits for an abandoned record to be durable must not wait for ever.
-func (h recordHost) Abandoned(key string) {
+// OnAbandoned implements statestore.Host: what waits for an abandoned record to be durable must not wait for ever.
+func (h recordHost) OnAbandoned(key string) {
 	if id, isMachine := strings.CutPrefix(key, clusterstate.MachinePrefix); isMachine && h.leader.state.Machines[id] != nil {
 		h.leader.machines.abandonMachine(h.leader.state.Machines[id])
 		return
@@ -90,8 +90,8 @@
 	}
 }
 
-// Rendered implements statestore.Host.
-func (h recordHost) Rendered(key string) { h.leader.completions.journal.Rendered(key) }
+// OnRendered implements statestore.Host.
+func (h recordHost) OnRendered(key string) { h.leader.completions.journal.RecordRendered(key) }
 
-// Stored implements statestore.Host.
-func (h recordHost) Stored(key string) { h.leader.completions.journal.Stored(key) }
+// OnStored implements statestore.Host.
+func (h recordHost) OnStored(key string) { h.leader.completions.journal.RecordStored(key) }
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -44,7 +44,7 @@
 // JournalSize is what the completion journal holds, in numbers.
 type JournalSize struct {
 	Values     int // stored values
-	Ends       int // completions and departures in them that are not compacted yet
+	Entries    int // completions and departures in them that are not compacted yet
 	Waiting    int // those that wait to be stored
 	Unreadable int // stored values that could not be decoded at the failover
 }
@@ -53,9 +53,9 @@
 func (l *leadership) newCompletionRecorder() *completionRecorder {
 	cfg := l.controller.env.cfg
 	limits := completionjournal.Limits{
-		ValueBytes:   cfg.ValueBytes(),
-		CompactAfter: compactionLeases * cfg.Lease(),
-		Values:       min(journalPages*pageBytes/cfg.ValueBytes()+1, journalPages*recordsPerPage),
+		ValueBytes:   cfg.MaxValueBytes(),
+		CompactAfter: compactionLeases * cfg.WorkerLease(),
+		Values:       min(journalPages*pageBytes/cfg.MaxValueBytes()+1, journalPages*recordsPerPage),
 	}
 	journal := completionjournal.New(l.lease.token, limits, l.store, compactionHost{l}, func() time.Duration { return l.controller.env.now })
 	if l.gating.gate.MayWrite() {
@@ -79,51 +79,51 @@
 
 // isCompacted reports whether nothing is stored that older versions of the program can't read. Unreadable values
 // do not count: no version reads them, and nothing is lost by that but work.
-func (r *completionRecorder) isCompacted() bool { return r.journal.Empty() }
+func (r *completionRecorder) isCompacted() bool { return r.journal.IsEmpty() }
 
 // tick compacts what is due, and gives the observer the journal's size once in a worker's lease.
 func (r *completionRecorder) tick() {
 	r.journal.Tick()
-	if r.env.now < r.sizeObservedAt+r.env.cfg.Lease() {
+	if r.env.now < r.sizeObservedAt+r.env.cfg.WorkerLease() {
 		return
 	}
 	r.sizeObservedAt = r.env.now
 	values, ends, waiting := r.journal.Size()
-	r.env.observer.JournalSized(JournalSize{Values: values, Ends: ends, Waiting: waiting, Unreadable: r.unreadable})
+	r.env.observer.JournalSized(JournalSize{Values: values, Entries: ends, Waiting: waiting, Unreadable: r.unreadable})
 }
 
 // recordCompletion stores the completion of a task; then is called once it is durable.
 func (r *completionRecorder) recordCompletion(j *clusterstate.Job, index int, then func()) {
-	if r.journal.Takes() {
+	if r.journal.Accepts() {
 		r.journal.Add(completionjournal.Entry{Job: j.Spec.UID, Index: index}, r.state.CompletionKey(j, index), then)
 		return
 	}
-	r.storeCompletions(j, index, statestore.Done, then)
+	r.storeCompletions(j, index, statestore.PriorityCompletion, then)
 }
 
 // recordDeparture stores that an attempt has left its machine. The attempts of a gang share one number, under
 // which a replaced task may return to the machine: its departures are stored in the records in any case.
 func (r *completionRecorder) recordDeparture(a *clusterstate.Attempt) {
 	m := a.Machine
-	if !m.Recorded {
+	if !m.HasRecord {
 		return
 	}
-	if a.Job.Gang == nil && r.journal.Takes() {
+	if a.Job.Gang == nil && r.journal.Accepts() {
 		entry := completionjournal.Entry{Job: a.Job.Spec.UID, Index: a.Index, Machine: m.ID, Attempt: a.Number}
 		r.journal.Add(entry, clusterstate.MachinePrefix+m.ID, nil)
 		return
 	}
-	r.machines.storeMachine(m, statestore.Lazy, nil)
+	r.machines.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
 // storeCompletions has the completion record that covers a task written.
 func (r *completionRecorder) storeCompletions(j *clusterstate.Job, index int, priority statestore.Priority, then func()) {
-	r.store.Mark(r.state.CompletionKey(j, index), priority, func() any { return r.state.CompletionRecord(j, index) }, then)
+	r.store.QueueWrite(r.state.CompletionKey(j, index), priority, func() any { return r.state.CompletionRecord(j, index) }, then)
 }
 
 // releaseJobEntries releases all journal entries of a job whose final state is durable.
 func (r *completionRecorder) releaseJobEntries(j *clusterstate.Job) {
-	if r.journal.Empty() {
+	if r.journal.IsEmpty() {
 		return
 	}
 	for _, key := range r.state.CompletionKeys(j) {
@@ -133,8 +133,8 @@
 
 // releaseRecord releases the journal entries that wait for a record to be written: it is not needed any more.
 func (r *completionRecorder) releaseRecord(key string) {
-	r.journal.Rendered(key)
-	r.journal.Stored(key)
+	r.journal.RecordRendered(key)
+	r.journal.RecordStored(key)
 }
 
 // compactionHost adapts a leadership to completionjournal.Compactor.
@@ -164,13 +164,13 @@
 	case !h.leader.store.IsPending(key) && h.leader.store.Version(key) == 0:
 		h.leader.completions.releaseRecord(key) // the record is deleted already
 	default:
-		h.leader.store.Mark(key, priority, func() any { return nil }, nil)
+		h.leader.store.QueueWrite(key, priority, func() any { return nil }, nil)
 	}
 }
 
 // loadValue loads a value of the journal at a failover, after the records. A value that can't be decoded is left in
 // the state service and counted.
-func (r *completionRecorder) loadValue(item protocol.Item) error {
+func (r *completionRecorder) loadValue(item protocol.KeyValue) error {
 	entries, err := decodeJournalValue(item)
 	if err != nil {
 		r.unreadable++
@@ -190,7 +190,7 @@
 }
 
 // decodeJournalValue returns the entries of a stored value of the journal.
-func decodeJournalValue(item protocol.Item) ([]completionjournal.Entry, error) {
+func decodeJournalValue(item protocol.KeyValue) ([]completionjournal.Entry, error) {
 	var value completionjournal.Value
 	if err := protocol.Decode(item.Value, &value); err != nil {
 		return nil, err
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -23,11 +23,11 @@
 	rec, _ := u.stored()
 	l := newLeadership(core, &rec, 1, 0)
 	for _, prefix := range loadOrder(rec.storageVersion()) {
-		var items []protocol.Item
+		var items []protocol.KeyValue
 		for _, key := range u.state.Keys() {
 			if strings.HasPrefix(key, prefix) {
 				it := u.state.Item(key)
-				items = append(items, protocol.Item{Key: key, Value: it.Value, Version: it.Version})
+				items = append(items, protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version})
 			}
 		}
 		l.loader.loadRecords(items)
@@ -44,22 +44,22 @@
 	for _, worker := range u.workers() {
 		for name, task := range worker.Tasks {
 			id, _, _ := strings.Cut(name, "@")
-			if task.State == protocol.Exited {
+			if task.State == protocol.TaskExited {
 				reported[id] = true
 				continue
 			}
-			uid, index, _ := clusterstate.ParseTask(id)
+			uid, index, _ := clusterstate.ParseTaskName(id)
 			j, m := l.state.Jobs[uid], l.state.Machines[worker.ID]
 			if j == nil || worker.Deleted {
 				continue
 			}
-			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Try}] == nil {
-				u.violated("a failover does not know that %s, attempt %d, is on %s", id, task.Try, worker.ID)
+			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Attempt}] == nil {
+				u.violated("a failover does not know that %s, attempt %d, is on %s", id, task.Attempt, worker.ID)
 			}
 		}
 	}
 	for id := range u.finished {
-		uid, index, _ := clusterstate.ParseTask(id)
+		uid, index, _ := clusterstate.ParseTaskName(id)
 		if j := l.state.Jobs[uid]; j != nil && !reported[id] && !j.IsDone(index) && !j.Spec.Service {
 			u.violated("a failover does not know that %s is done, and nobody reports it", id)
 		}
@@ -129,7 +129,7 @@
 		return completionjournal.Encode(token, number, ends)
 	}
 	truncated, altered, later := good(1, 1, completionjournal.Entry{Job: "j-1"}), good(1, 2, completionjournal.Entry{Job: "j-1"}), good(1, 3)
-	truncated.Body, altered.Sum, later.Form = truncated.Body[:4], altered.Sum+1, completionjournal.Form+1
+	truncated.Body, altered.Sum, later.Form = truncated.Body[:4], altered.Sum+1, completionjournal.FormatVersion+1
 	unreadable := []string{completionjournal.Key(1, 1), completionjournal.Key(1, 2), completionjournal.Key(1, 3), completionjournal.Key(1, 4), "g/1/five", "g/1/6"}
 	for i, v := range []any{truncated, altered, later, good(2, 4), good(1, 5), "text"} {
 		store(unreadable[i], v)
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -22,12 +22,12 @@
 	if m.Exited[key] != nil {
 		return
 	}
-	record := &clusterstate.ExitedTask{Attempt: m.Attempts[key], Ready: true}
+	record := &clusterstate.ExitedTask{Attempt: m.Attempts[key], Clearable: true}
 	m.Exited[key] = record
 	if record.Attempt != nil {
-		record.Attempt.Exit = status.Cause
+		record.Attempt.ExitCause = status.Cause
 	}
-	uid, index, ok := clusterstate.ParseTask(key.Task)
+	uid, index, ok := clusterstate.ParseTaskName(key.Task)
 	if j := h.state.Jobs[uid]; ok && j != nil && index < j.Spec.Tasks {
 		h.env.log.Debug("task exited", "task", key.Task, "attempt", key.Attempt, "machine", m.ID, "cause", status.Cause)
 		h.applyExitCause(taskExit{machine: m, job: j, index: index, key: key, record: record, cause: status.Cause})
@@ -46,10 +46,10 @@
 		h.onTaskDone(exit)
 	case protocol.CauseError:
 		h.failures.onTaskError(m, j, exit.record.Attempt, exit.key)
-	case protocol.CauseNoRoom, protocol.CauseBusy:
+	case protocol.CauseInsufficientResources, protocol.CauseBusy:
 		// The machine knows better than the cluster state what is on it. It gets no tasks for a heartbeat
 		// interval.
-		m.QuarantinedUntil = max(m.QuarantinedUntil, h.env.now+h.env.cfg.Report())
+		m.QuarantinedUntil = max(m.QuarantinedUntil, h.env.now+h.env.cfg.WorkerHeartbeatInterval())
 	case protocol.CauseStopped, protocol.CausePeersLost:
 		// The job is not to blame.
 	case protocol.CauseIncomplete:
@@ -66,21 +66,21 @@
 // worker's report is its only record until then.
 func (h *heartbeatReceiver) onTaskDone(exit taskExit) {
 	j, record := exit.job, exit.record
-	if j.Spec.Service || j.Cancelling && j.Finishing {
+	if j.Spec.Service || j.Cancelling && j.Finalizing {
 		return
 	}
 	h.machines.noteImageUse(exit.machine, j)
-	if j.Gang == nil && !j.MarkDone(exit.index) && j.Finishing {
+	if j.Gang == nil && !j.MarkDone(exit.index) && j.Finalizing {
 		return
 	}
-	record.Ready = false
-	ready := func() { record.Ready = true }
+	record.Clearable = false
+	ready := func() { record.Clearable = true }
 	switch {
 	case j.Gang != nil:
 		// If one task of a gang is done, all are.
 		h.attempts.completeGang(j)
 		h.storeCompletedJob(j, ready)
-	case j.Done == j.Spec.Tasks:
+	case j.CompletedTasks == j.Spec.Tasks:
 		// Also if the job's cancellation was under way.
 		h.jobs.completeJob(j)
 		h.storeCompletedJob(j, ready)
@@ -91,5 +91,5 @@
 
 // storeCompletedJob marks the job's record to be written; then is called once it is durable.
 func (h *heartbeatReceiver) storeCompletedJob(j *clusterstate.Job, then func()) {
-	h.store.Mark(clusterstate.JobPrefix+j.Spec.UID, statestore.User, func() any { return j.Record() }, then)
+	h.store.QueueWrite(clusterstate.JobPrefix+j.Spec.UID, statestore.PriorityUser, func() any { return j.Record() }, then)
 }
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -32,7 +32,7 @@
 	w.submit("j-2", map[string]any{"shards": 6, "cores": 2.0})
 	w.submit("j-3", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "owner": "blue", "rank": "production"})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
-	w.awaitStatus(200*second, "j-2", protocol.Done)
+	w.awaitStatus(200*second, "j-2", protocol.JobDone)
 	lead := w.leader()
 	started := w.totalStarts()
 	w.crash(lead)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -60,7 +60,7 @@
 
 // command sends commands to a machine; it returns false if they were refused.
 func (l *ganglessLeader) command(worker *emulator.Worker, orders ...protocol.Command) bool {
-	body := protocol.Commands{Token: l.token, Epoch: worker.Session, Commands: orders}
+	body := protocol.CommandRequest{Token: l.token, Epoch: worker.Epoch, Commands: orders}
 	taken := false
 	worker.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == http.StatusOK })
 	return taken
@@ -102,7 +102,7 @@
 func tasksOf(worker *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
 	for name, t := range worker.Tasks {
 		if task, _, _ := strings.Cut(name, "@"); t.UID == uid {
-			out = append(out, clusterstate.AttemptKey{Task: task, Attempt: t.Try})
+			out = append(out, clusterstate.AttemptKey{Task: task, Attempt: t.Attempt})
 		}
 	}
 	slices.SortFunc(out, compareAttemptKeys)
@@ -122,13 +122,13 @@
 func TestRunningGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 121)
 	w.startGangOnTwoMachines()
-	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+	w.until(30*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	o := w.startOlderLeader()
 	w.run(8 * second)
 	o.resign()
-	w.awaitStatus(60*second, "j-1", protocol.Done)
-	if w.machines.Wholes["j-1"] != 1 {
-		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
+	if w.machines.GangStarts["j-1"] != 1 {
+		t.Errorf("it began %d times", w.machines.GangStarts["j-1"])
 	}
 	w.settle()
 }
@@ -149,16 +149,16 @@
 	w.pulls = nil
 	other := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasks {
-		_, index, _ := clusterstate.ParseTask(key.Task)
+		_, index, _ := clusterstate.ParseTaskName(key.Task)
 		o.startTask(other, "j-1", index)
 	}
 	w.run(5 * second)
-	if w.machines.Wholes["j-1"] != 0 {
+	if w.machines.GangStarts["j-1"] != 0 {
 		t.Fatal("two numbers make a whole")
 	}
 	o.resign()
-	w.until(40*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-	w.awaitStatus(60*second, "j-1", protocol.Done)
+	w.until(40*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -168,7 +168,7 @@
 	w := newGateClosedWorld(t, 123)
 	w.runs = func(string) time.Duration { return 40 * second }
 	w.startGangOnTwoMachines()
-	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+	w.until(30*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	o := w.startOlderLeader()
 	worker := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasksOf(worker, "j-1") {
@@ -176,8 +176,8 @@
 	}
 	w.run(time.Second)
 	o.resign()
-	w.until(40*second, "it has begun again", func() bool { return w.machines.Wholes["j-1"] == 2 })
-	w.awaitStatus(90*second, "j-1", protocol.Done)
+	w.until(40*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
@@ -187,12 +187,12 @@
 	w := newGateClosedWorld(t, 124)
 	w.runs = func(string) time.Duration { return 12 * second }
 	w.startGangOnTwoMachines()
-	w.until(30*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
+	w.until(30*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(8 * second)
 	o := w.startOlderLeader()
 	w.until(10*second, "it is done", func() bool { return w.finished["j-1/0"] })
 	state := clusterstate.New(16<<10, 16<<10)
-	j := state.AddJob(&protocol.Spec{UID: "j-1", Tasks: 4}, 1)
+	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 4}, 1)
 	stored := 0
 	for _, worker := range w.workers() {
 		keys := tasksOf(worker, "j-1")
@@ -204,7 +204,7 @@
 			continue
 		}
 		for _, key := range keys {
-			_, index, _ := clusterstate.ParseTask(key.Task)
+			_, index, _ := clusterstate.ParseTaskName(key.Task)
 			j.MarkDone(index)
 			stored++
 			o.command(worker, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
@@ -216,10 +216,10 @@
 		t.Fatalf("%d of 4 completions are stored", stored)
 	}
 	o.resign()
-	w.awaitStatus(5*second, "j-1", protocol.Done)
+	w.awaitStatus(5*second, "j-1", protocol.JobDone)
 	w.run(40 * second)
-	if w.machines.Wholes["j-1"] != 1 {
-		t.Errorf("it began %d times", w.machines.Wholes["j-1"])
+	if w.machines.GangStarts["j-1"] != 1 {
+		t.Errorf("it began %d times", w.machines.GangStarts["j-1"])
 	}
 	w.settle()
 }
@@ -252,7 +252,7 @@
 			w.cancelRequested["j-1"] = true
 			o.resign()
 			w.cancel("j-1")
-			w.awaitStatus(20*second, "j-1", protocol.Cancelled)
+			w.awaitStatus(20*second, "j-1", protocol.JobCancelled)
 			w.settle()
 		})
 	}
@@ -282,8 +282,8 @@
 				t.Error("a command of the old process was taken")
 			}
 			w.cloud.Down = false
-			w.until(60*second, "it runs", func() bool { return w.machines.Wholes["j-1"] == 1 })
-			w.awaitStatus(60*second, "j-1", protocol.Done)
+			w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+			w.awaitStatus(60*second, "j-1", protocol.JobDone)
 			w.settle()
 		})
 	}
@@ -308,8 +308,8 @@
 		w.run(3 * second)
 	}
 	for turn := range 5 {
-		w.awaitStatus(120*second, fmt.Sprintf("j-%d0", turn), protocol.Done)
-		w.awaitStatus(120*second, fmt.Sprintf("j-%d1", turn), protocol.Done)
+		w.awaitStatus(120*second, fmt.Sprintf("j-%d0", turn), protocol.JobDone)
+		w.awaitStatus(120*second, fmt.Sprintf("j-%d1", turn), protocol.JobDone)
 	}
 	w.settle()
 }
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -14,7 +14,7 @@
 	w.submit("j-1", map[string]any{"shards": 4})
 	w.until(60*second, "tasks run", func() bool { return w.running("j-1") > 0 })
 	old := w.awaitLeader()
-	w.state.Refuse[old] = true
+	w.state.RefusedClients[old] = true
 	w.until(10*second, "another leader", func() bool { l := w.leader(); return l >= 0 && l != old })
 	w.user(old, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
 		if s != http.StatusServiceUnavailable && s != http.StatusOK {
@@ -27,8 +27,8 @@
 		}
 	})
 	w.run(20 * second)
-	w.state.Refuse[old] = false
-	w.awaitStatus(120*second, "j-1", protocol.Done)
+	w.state.RefusedClients[old] = false
+	w.awaitStatus(120*second, "j-1", protocol.JobDone)
 	w.requireNoViolations()
 }
 
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -107,12 +107,12 @@
 }
 
 // infeasibleReason returns why a job can never run on this cluster, or feasible.
-func (u *userRequests) infeasibleReason(spec *protocol.Spec) infeasibility {
+func (u *userRequests) infeasibleReason(spec *protocol.JobSpec) infeasibility {
 	quota := u.state.Quotas[spec.Team]
 	if quota == nil {
 		return unknownTeam
 	}
-	need := scheduler.Need{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB}
+	need := scheduler.Resources{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB}
 	zones := u.feasibleZones(spec, need)
 	if len(zones) == 0 {
 		return noMachineTypeFits
@@ -132,7 +132,7 @@
 }
 
 // feasibleZones returns the zones that have a machine type which the job may use and a task of it fits on.
-func (u *userRequests) feasibleZones(spec *protocol.Spec, need scheduler.Need) map[string]bool {
+func (u *userRequests) feasibleZones(spec *protocol.JobSpec, need scheduler.Resources) map[string]bool {
 	zones := map[string]bool{}
 	for _, t := range u.catalog.types {
 		allowed := spec.Types == nil || slices.Contains(spec.Types, t.Name)
@@ -149,11 +149,11 @@
 }
 
 // storeSubmission has a job's record stored; its users are answered, and its tasks placed, once it is durable.
-func (u *userRequests) storeSubmission(from requester, uid string, spec *protocol.Spec) {
+func (u *userRequests) storeSubmission(from requester, uid string, spec *protocol.JobSpec) {
 	j := u.state.AddJob(spec, u.env.wall)
 	submission := &pendingSubmission{job: j, waiters: []requester{from}}
 	u.pendingSubmissions[uid] = submission
-	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, func() {
+	u.store.QueueWrite(clusterstate.JobPrefix+uid, statestore.PriorityUser, func() any { return j.Record() }, func() {
 		u.onSubmissionStored(submission)
 	})
 }
@@ -181,7 +181,7 @@
 		if slices.ContainsFunc(u.pendingSubmissions[uid].waiters, u.pending.isWaiting) {
 			continue
 		}
-		if u.store.Unmark(clusterstate.JobPrefix + uid) {
+		if u.store.CancelWrite(clusterstate.JobPrefix + uid) {
 			delete(u.pendingSubmissions, uid)
 			u.state.RemoveJob(uid)
 		}
@@ -221,12 +221,12 @@
 	// Users who were refused meanwhile ask again, and would pile up here.
 	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(waiter requester) bool { return !u.pending.isWaiting(waiter) })
 	u.cancelWaiters[uid] = append(waiting, from)
-	if j.Cancelling || j.Finishing {
+	if j.Cancelling || j.Finalizing {
 		return // answered when that is durable
 	}
 	u.env.log.Info("job cancellation accepted", "job", uid)
 	j.Cancelling = true
-	u.store.Mark(clusterstate.JobPrefix+uid, statestore.User, func() any { return j.Record() }, nil)
+	u.store.QueueWrite(clusterstate.JobPrefix+uid, statestore.PriorityUser, func() any { return j.Record() }, nil)
 	u.stopAttempts(j)
 	u.jobs.completeCancellation(j)
 }
@@ -234,7 +234,7 @@
 // stopAttempts requests all attempts of a job to stop without grace, as nothing that they still do is of use.
 func (u *userRequests) stopAttempts(j *clusterstate.Job) {
 	for _, m := range u.machines.sortedMachines() {
-		for _, a := range m.Sorted() {
+		for _, a := range m.SortedAttempts() {
 			if a.Job == j {
 				u.attempts.requestStop(a, 0, stopJobCancelled)
 			}
@@ -280,21 +280,21 @@
 
 // terminalStatus returns the final state of a job; false: the job is not over, or not known.
 func (u *userRequests) terminalStatus(uid string) (protocol.JobStatus, bool) {
-	terminal, ok := u.state.Terminal[uid]
+	terminal, ok := u.state.TerminalJobs[uid]
 	if !ok {
 		return protocol.JobStatus{}, false
 	}
 	if terminal.Cancelled {
-		return protocol.JobStatus{UID: uid, State: protocol.Cancelled}, true
+		return protocol.JobStatus{UID: uid, State: protocol.JobCancelled}, true
 	}
-	return protocol.JobStatus{UID: uid, State: protocol.Done, Done: terminal.Tasks}, true
+	return protocol.JobStatus{UID: uid, State: protocol.JobDone, Done: terminal.Tasks}, true
 }
 
 // activeStatus is the status of a job that is not over.
 func (u *userRequests) activeStatus(j *clusterstate.Job) protocol.JobStatus {
-	status := protocol.JobStatus{UID: j.Spec.UID, State: protocol.Pending, Done: j.Done, Running: j.Running}
-	if j.Running > 0 {
-		status.State = protocol.Active
+	status := protocol.JobStatus{UID: j.Spec.UID, State: protocol.JobPending, Done: j.CompletedTasks, Running: j.RunningTasks}
+	if j.RunningTasks > 0 {
+		status.State = protocol.JobRunning
 	}
 	return status
 }
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -60,7 +60,7 @@
 // onWorkerHeartbeat answers a worker's heartbeat while this controller does not lead: it renews the worker's
 // lease for the leader, forwards the heartbeat to the leader, or redirects the worker there.
 func (f *follower) onWorkerHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
-	if f.renewsLeaseForLeader(msg) {
+	if f.tryRenewLeaseForLeader(msg) {
 		f.replyLeaseOnly(from, msg)
 		return
 	}
@@ -164,20 +164,20 @@
 	if !m.Seen {
 		m.IdleSince = h.env.now
 	}
-	if !m.Up {
+	if !m.EverReported {
 		h.env.log.Info("machine up", "machine", m.ID, "type", m.Type, "zone", m.Zone, "spot", m.Spot)
 	}
-	observation := m.Apply(header, h.lease.token, h.env.now, h.env.cfg.Lease())
-	m.Up = true
+	observation := m.RecordMessage(header, h.lease.token, h.env.now, h.env.cfg.WorkerLease())
+	m.EverReported = true
 	if observation.AnswersLost {
 		h.env.log.Info("machine receives no answers", "machine", m.ID, "epoch", msg.Epoch)
 	}
 	if observation.LeaseExpired {
 		h.env.log.Info("agent epoch expired", "machine", m.ID, "epoch", msg.Epoch)
 	}
-	h.placement.fillPending = h.placement.fillPending || observation.FirstToken
+	h.placement.fillPending = h.placement.fillPending || observation.FirstLeaderToken
 	h.noteSpotNotice(m, msg)
-	reconcile(m, msg, observation.ShowsToken, h)
+	reconcile(m, msg, observation.HasLeaderToken, h)
 	return m, true
 }
 
@@ -188,7 +188,7 @@
 	if m == nil {
 		h.env.log.Info("heartbeat from an unknown machine", "machine", msg.Machine, "type", msg.Type, "zone", msg.Zone)
 		m = h.state.AddMachine(msg.Machine)
-		m.ExistedAt, m.LaunchedAt = h.env.now, h.env.now
+		m.KnownToExistAt, m.LaunchedAt = h.env.now, h.env.now
 	}
 	if m.Type == "" {
 		m.Type, m.Zone, m.Spot = msg.Type, msg.Zone, msg.Spot
@@ -207,9 +207,9 @@
 		return
 	}
 	reclaimedBy := h.env.now + seconds(max(0, min(*msg.SpotNoticeS, maxSpotNoticeS)))
-	if !m.SpotNotice {
+	if !m.ReclaimNotice {
 		h.env.log.Info("spot reclaim notice", "machine", m.ID, "notice_s", *msg.SpotNoticeS)
-		m.SpotNotice, m.ReclaimedBy = true, reclaimedBy
+		m.ReclaimNotice, m.ReclaimedBy = true, reclaimedBy
 		h.placement.fillPending = true
 	}
 	m.ReclaimedBy = min(m.ReclaimedBy, reclaimedBy)
@@ -229,7 +229,7 @@
 // adoptUnknownAttempt adds an attempt that the cluster state did not have on that machine. While it is there,
 // the task is not started a second time; it is stopped. The result is nil if the task's job is unknown.
 func (h *heartbeatReceiver) adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
-	uid, index, ok := clusterstate.ParseTask(key.Task)
+	uid, index, ok := clusterstate.ParseTaskName(key.Task)
 	if !ok {
 		return nil
 	}
@@ -242,7 +242,7 @@
 	a := h.state.AddAttempt(m, j, index, key.Attempt, h.env.now)
 	a.Durable, a.Loaded = true, true
 	h.attempts.requestStop(a, j.Spec.SaveS, stopUnrecorded)
-	h.machines.storeMachine(m, statestore.Lazy, nil)
+	h.machines.storeMachine(m, statestore.PriorityBackground, nil)
 	return a
 }
 
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -122,7 +122,7 @@
 		runs: func(string) time.Duration { return 30 * time.Second }}
 	limits := testSite.state
 	w.state = emulator.NewStateService(w.queue, emulator.StateLimits{ValueBytes: limits.valueKB << 10, Changes: limits.changes})
-	w.state.MostChanges, w.state.Wrong = limits.changes, func(what string) { w.violated("%s", what) }
+	w.state.MaxChanges, w.state.Violation = limits.changes, func(what string) { w.violated("%s", what) }
 	w.newCloud()
 	w.newMachines()
 	for i := range shape.controllers {
@@ -411,10 +411,10 @@
 	if s.State != before && sent < w.lastReplyAt[uid] {
 		return
 	}
-	if (before == protocol.Done || before == protocol.Cancelled) && s.State != before {
+	if (before == protocol.JobDone || before == protocol.JobCancelled) && s.State != before {
 		w.violated("went_back: %s was %s, now %s", uid, before, s.State)
 	}
-	if s.State == protocol.Done {
+	if s.State == protocol.JobDone {
 		n := w.specs[uid]["shards"].(int)
 		for k := range n {
 			if !w.finished[uid+"/"+strconv.Itoa(k)] {
@@ -422,7 +422,7 @@
 			}
 		}
 	}
-	if s.State == protocol.Cancelled && before != s.State {
+	if s.State == protocol.JobCancelled && before != s.State {
 		w.cancelledAt[uid] = w.Now()
 		if !w.cancelRequested[uid] {
 			w.violated("went_back: %s is called cancelled, and nobody asked for it", uid)
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -14,7 +14,7 @@
 	w := newWorld(t, 96)
 	l := w.leadership()
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
-		j := l.state.AddJob(&protocol.Spec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, l.controller.env.wall)
+		j := l.state.AddJob(&protocol.JobSpec{UID: uid, Team: "red", Service: service, Tasks: tasks, Cores: 1, MemoryGB: 1}, l.controller.env.wall)
 		j.Stored = true
 		return j
 	}
@@ -27,7 +27,7 @@
 	for i, id := range []string{"i-900099", "i-900098"} {
 		l.placement.startTask(service, i, l.state.Machines[id], l.attemptNumbers.take())
 	}
-	txn := l.store.Compose()
+	txn := l.store.BuildTransaction()
 	if txn == nil || len(txn.Puts) < 2 {
 		t.Fatal("no transaction")
 	}
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -70,7 +70,7 @@
 			for range 60 {
 				w.run(second)
 				w.checkCancelledTasksEnded()
-				if w.lastReplies["j-2"] == protocol.Cancelled && w.running("j-2") > 0 {
+				if w.lastReplies["j-2"] == protocol.JobCancelled && w.running("j-2") > 0 {
 					t.Fatal("a cancellation is confirmed with a task still there")
 				}
 				if n := w.running("j-1"); n < 3 {
@@ -78,7 +78,7 @@
 				}
 			}
 			w.script, w.heartbeatFault = nil, nil
-			w.awaitStatus(40*second, "j-2", protocol.Cancelled)
+			w.awaitStatus(40*second, "j-2", protocol.JobCancelled)
 			w.until(40*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
 			w.requireNoViolations()
 		})
@@ -121,7 +121,7 @@
 	w.boot(2)
 	for _, worker := range w.workers() {
 		if worker.Zone == "b" && worker.Up {
-			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(worker.Message())}, func(r Reply) {
+			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(worker.Heartbeat())}, func(r Reply) {
 				if r.Status != http.StatusOK {
 					t.Errorf("a worker of the zone got %d", r.Status)
 				}
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -31,10 +31,10 @@
 type Machine struct {
 	ID, Addr string
 	Pool
-	Rented  time.Duration
-	Up      bool
-	Deleted bool          // deleted or preempted: no longer listed
-	Failed  time.Duration // when it stopped on its own; 0: it has not
+	LaunchedAt time.Duration
+	Up         bool
+	Deleted    bool          // deleted or preempted: no longer listed
+	FailedAt   time.Duration // when it stopped on its own; 0: it has not
 }
 
 // Cloud emulates a cloud that launches and deletes machines.
@@ -52,22 +52,22 @@
 	// sort in the order of n.
 	Name func(n int) string
 	Addr func(id string) string
-	// Left is how many more machines of each pool can be launched; nil: any number.
-	Left map[Pool]int
-	// Lag is how long a new machine is missing from the list, BootTime how long a machine takes to boot,
+	// Capacity is how many more machines of each pool can be launched; nil: any number.
+	Capacity map[Pool]int
+	// ListLag is how long a new machine is missing from the list, BootTime how long a machine takes to boot,
 	// and Rate the limit of requests a second; 0: no limit.
-	Lag      time.Duration
-	BootTime func(typ string) time.Duration
-	Rate     float64
+	ListLag     time.Duration
+	BootTime    func(typ string) time.Duration
+	RequestRate float64
 	// Down has all requests fail, Full all launches (injected faults).
-	Down, Full bool
+	Down, OutOfCapacity bool
 	// Deleted are the names in the requests for deletion, in their order.
 	Deleted []string
-	// Launch is called for each machine that begins to boot, Remove for each that is deleted.
-	Launch func(m *Machine)
-	Remove func(m *Machine)
-	// Wrong is called for requests that violate the protocol; nil: they are only refused.
-	Wrong func(what string)
+	// OnLaunch is called for each machine that begins to boot, Remove for each that is deleted.
+	OnLaunch func(m *Machine)
+	OnDelete func(m *Machine)
+	// Violation is called for requests that violate the protocol; nil: they are only refused.
+	Violation func(what string)
 }
 
 // NewCloud returns a cloud without machines.
@@ -78,11 +78,11 @@
 // Create makes a machine that begins to boot now, without a call of Launch.
 func (c *Cloud) Create(pool Pool) *Machine {
 	id := c.Name(len(c.machines) + 1)
-	m := &Machine{ID: id, Addr: c.Addr(id), Pool: pool, Rented: c.queue.Now()}
+	m := &Machine{ID: id, Addr: c.Addr(id), Pool: pool, LaunchedAt: c.queue.Now()}
 	c.machines = append(c.machines, m)
 	c.byName[id] = m
-	if c.Left != nil {
-		c.Left[pool]--
+	if c.Capacity != nil {
+		c.Capacity[pool]--
 	}
 	return m
 }
@@ -92,16 +92,16 @@
 
 // Fail records that a machine has stopped on its own.
 func (c *Cloud) Fail(id string) {
-	if m := c.byName[id]; m != nil && !m.Deleted && m.Failed == 0 {
-		m.Failed = c.queue.Now()
+	if m := c.byName[id]; m != nil && !m.Deleted && m.FailedAt == 0 {
+		m.FailedAt = c.queue.Now()
 		c.releaseCapacity(m)
 	}
 }
 
 // releaseCapacity lets a machine's place be launched again.
 func (c *Cloud) releaseCapacity(m *Machine) {
-	if c.Left != nil {
-		c.Left[m.Pool]++
+	if c.Capacity != nil {
+		c.Capacity[m.Pool]++
 	}
 }
 
@@ -110,7 +110,7 @@
 	if c.Down {
 		return statusUnavailable, protocol.Encode(map[string]any{"error": "trouble"})
 	}
-	if c.Rate > 0 && !c.requestBudget.allowBurst(c.queue.Now(), c.Rate, burstSeconds*c.Rate, 1) {
+	if c.RequestRate > 0 && !c.requestBudget.allowBurst(c.queue.Now(), c.RequestRate, burstSeconds*c.RequestRate, 1) {
 		return statusTooMany, nil
 	}
 	path, query, _ := strings.Cut(target, "?")
@@ -134,8 +134,8 @@
 
 // reportViolation tells of a request that violates the protocol.
 func (c *Cloud) reportViolation(what string) {
-	if c.Wrong != nil {
-		c.Wrong("cloud: " + what)
+	if c.Violation != nil {
+		c.Violation("cloud: " + what)
 	}
 }
 
@@ -150,20 +150,20 @@
 	pool := Pool{request.Type, request.Zone, request.Spot}
 	if c.launchedByRequest[request.Request] == nil {
 		count := request.Count
-		if c.Left != nil {
-			count = min(count, c.Left[pool])
+		if c.Capacity != nil {
+			count = min(count, c.Capacity[pool])
 		}
-		if c.Full || count <= 0 {
+		if c.OutOfCapacity || count <= 0 {
 			return statusUnavailable, protocol.Encode(map[string]any{"error": "no capacity"})
 		}
 		for range count {
 			m := c.Create(pool)
 			c.launchedByRequest[request.Request] = append(c.launchedByRequest[request.Request], m.ID)
-			c.Launch(m)
+			c.OnLaunch(m)
 			c.queue.After(c.BootTime(m.Type), func() { m.Up = true })
 		}
 	}
-	return http.StatusOK, protocol.Encode(protocol.MachineNames{Machines: c.launchedByRequest[request.Request]})
+	return http.StatusOK, protocol.Encode(protocol.MachineIDs{Machines: c.launchedByRequest[request.Request]})
 }
 
 // list returns one page of the machines in the order of their names.
@@ -177,7 +177,7 @@
 	first, _ := slices.BinarySearchFunc(c.machines, after, func(m *Machine, name string) int { return strings.Compare(m.ID, name) })
 	out := protocol.MachineList{}
 	for _, m := range c.machines[first:] {
-		if m.ID <= after || m.Deleted || now < m.Rented+c.Lag {
+		if m.ID <= after || m.Deleted || now < m.LaunchedAt+c.ListLag {
 			continue
 		}
 		if len(out.Machines) == limit {
@@ -186,20 +186,20 @@
 		}
 		state := "booting"
 		switch {
-		case m.Failed > 0 && now > m.Failed+failureListingDelay:
+		case m.FailedAt > 0 && now > m.FailedAt+failureListingDelay:
 			state = "failed"
 		case m.Up:
 			state = "running"
 		}
 		out.Machines = append(out.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
-			Spot: m.Spot, State: state, AgeS: (now - m.Rented).Seconds()})
+			Spot: m.Spot, State: state, AgeS: (now - m.LaunchedAt).Seconds()})
 	}
 	return out
 }
 
 // deleteMachines deletes machines by their names; unknown ones are ignored.
 func (c *Cloud) deleteMachines(body []byte) (int, []byte) {
-	var request protocol.MachineNames
+	var request protocol.MachineIDs
 	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > maxDeleted {
 		c.reportViolation("a deletion can't be read or names too many")
 		return http.StatusBadRequest, nil
@@ -210,11 +210,11 @@
 		if m == nil || m.Deleted {
 			continue
 		}
-		if m.Failed == 0 {
+		if m.FailedAt == 0 {
 			c.releaseCapacity(m)
 		}
 		m.Deleted = true
-		c.Remove(m)
+		c.OnDelete(m)
 	}
 	return http.StatusOK, nil
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -9,75 +9,75 @@
 
 // Timing holds the workers' times: those of the settings and those that the protocol's page names.
 type Timing struct {
-	// Report is the time between two heartbeats, give or take the share Jitter of it.
-	Report time.Duration
-	Jitter float64
-	// LeastPause is the shortest time between two heartbeats when something has changed; 0: changes
+	// HeartbeatInterval is the time between two heartbeats, give or take the share Jitter of it.
+	HeartbeatInterval time.Duration
+	Jitter            float64
+	// MinHeartbeatPause is the shortest time between two heartbeats when something has changed; 0: changes
 	// wait for the next regular heartbeat.
-	LeastPause time.Duration
-	// ReportWait is how long the answer to a heartbeat is waited for. NextController is how long after a
-	// failure the next controller is tried, SentAway how long after a redirect the one that it names.
-	ReportWait, NextController, SentAway time.Duration
-	// Lease is how long after the last answered heartbeat a worker ends its tasks.
-	Lease time.Duration
-	// GangWait is how long a gang's task waits for the others to start, GangPeer how long one runs on
+	MinHeartbeatPause time.Duration
+	// HeartbeatTimeout is how long the answer to a heartbeat is waited for. FailoverDelay is how long after a
+	// failure the next controller is tried, RedirectDelay how long after a redirect the one that it names.
+	HeartbeatTimeout, FailoverDelay, RedirectDelay time.Duration
+	// LeaseTTL is how long after the last answered heartbeat a worker ends its tasks.
+	LeaseTTL time.Duration
+	// GangStartTimeout is how long a gang's task waits for the others to start, GangPeerTimeout how long one runs on
 	// without them.
-	GangWait, GangPeer time.Duration
-	// Look is how often expired leases and the ends of tasks on hung machines are checked for.
-	Look time.Duration
+	GangStartTimeout, GangPeerTimeout time.Duration
+	// CheckInterval is how often expired leases and the ends of tasks on hung machines are checked for.
+	CheckInterval time.Duration
 }
 
 // Job is the part of a job's description that workers need: cores, accelerators and memory (GB) of each
 // task, the image, and the time in seconds that a task takes to save a checkpoint (0: it saves none).
 type Job struct {
-	Image   string
-	ImageGB float64
-	Tasks   int
-	Gang    bool
-	Service bool
-	SaveS   float64
-	Cores   float64
-	Accel   float64
-	Memory  float64
+	Image        string
+	ImageGB      float64
+	Tasks        int
+	Gang         bool
+	Service      bool
+	CheckpointS  float64
+	Cores        float64
+	Accelerators float64
+	MemoryGB     float64
 }
 
-// Carrier sends a worker's heartbeat to a controller, and gives the answer: status 0 if there was none in
+// HeartbeatSender sends a worker's heartbeat to a controller, and gives the answer: status 0 if there was none in
 // time.
-type Carrier func(worker *Worker, controller int, body []byte, answer Reply)
+type HeartbeatSender func(worker *Worker, controller int, body []byte, answer Reply)
 
 // Observer is called for what happens on workers. Nil functions are not called.
 type Observer struct {
-	// Begins is called when a task starts on a machine, Leaves when it is no longer there.
-	Begins func(worker *Worker, task string, t *Task)
-	Leaves func(worker *Worker, task string, t *Task)
-	// Done is called for each task that has completed.
-	Done func(task string, t *Task)
-	// Died is called for each machine that has ended.
-	Died func(worker *Worker)
-	// Halted is called for the first command to stop a gang's task, with its grace period in seconds.
-	Halted func(t *Task, graceS float64)
-	// Wrong is called for messages that violate the protocol.
-	Wrong func(what string)
+	// TaskStarted is called when a task starts on a machine, Leaves when it is no longer there.
+	TaskStarted func(worker *Worker, task string, t *Task)
+	TaskStopped func(worker *Worker, task string, t *Task)
+	// TaskCompleted is called for each task that has completed.
+	TaskCompleted func(task string, t *Task)
+	// WorkerDied is called for each machine that has ended.
+	WorkerDied func(worker *Worker)
+	// GangStopRequested is called for the first command to stop a gang's task, with its grace period in seconds.
+	GangStopRequested func(t *Task, graceS float64)
+	// Violation is called for messages that violate the protocol.
+	Violation func(what string)
 }
 
 // Fleet is all workers, with what is the same for all of them.
 type Fleet struct {
-	queue   *EventQueue
-	Timing  Timing
-	Workers map[string]*Worker
-	Carrier Carrier
+	queue         *EventQueue
+	Timing        Timing
+	Workers       map[string]*Worker
+	SendHeartbeat HeartbeatSender
 	Observer
 	// Controllers is the number of controllers; Label returns the number of the one with a name,
 	// negative if there is none.
-	Controllers int
-	Label       func(name string) int
+	Controllers      int
+	ControllerByName func(name string) int
 	// Jobs returns a job's description; nil: there is no such job.
 	Jobs func(uid string) *Job
 	// RunTime returns how long a task runs, FetchTime how long it waits for its image.
 	RunTime   func(task string) time.Duration
 	FetchTime func(worker *Worker, task string, j *Job) time.Duration
-	// Fails says whether a task fails as soon as it starts; nil: none does.
-	Fails func(worker *Worker, t *Task) bool
+	// FailsAtStart says whether a task fails as soon as it starts; nil: none does.
+	FailsAtStart func(worker *Worker, t *Task) bool
 	// Random returns numbers from 0 to 1, for the jitter of heartbeats.
 	Random func() float64
 	// RefuseUnfit has workers refuse tasks that they have no room for or run already.
@@ -87,20 +87,20 @@
 	// counts those that have ended with a checkpoint.
 	gangs             map[GangAttempt]map[*Task]*Worker
 	checkpointedTasks map[GangAttempt]int
-	// Wholes counts by job how often a gang has started to run with all its tasks, and Saves how often
+	// GangStarts counts by job how often a gang has started to run with all its tasks, and Saves how often
 	// one was stopped with a checkpoint.
-	Wholes, Saves map[string]int
+	GangStarts, GangCheckpoints map[string]int
 }
 
 // NewFleet returns a fleet without workers.
 func NewFleet(queue *EventQueue, timing Timing) *Fleet {
 	return &Fleet{queue: queue, Timing: timing, Workers: map[string]*Worker{}, gangs: map[GangAttempt]map[*Task]*Worker{},
-		checkpointedTasks: map[GangAttempt]int{}, Wholes: map[string]int{}, Saves: map[string]int{}}
+		checkpointedTasks: map[GangAttempt]int{}, GangStarts: map[string]int{}, GangCheckpoints: map[string]int{}}
 }
 
 // Add adds a worker that has not booted yet.
 func (f *Fleet) Add(id, addr, typ, zone string, spot bool) *Worker {
-	worker := &Worker{fleet: f, ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Session: 1, Tasks: map[string]*Task{}}
+	worker := &Worker{fleet: f, ID: id, Addr: addr, Type: typ, Zone: zone, Spot: spot, Epoch: 1, Tasks: map[string]*Task{}}
 	f.Workers[id] = worker
 	return worker
 }
@@ -116,7 +116,7 @@
 
 // reportViolation tells of a message that violates the protocol.
 func (f *Fleet) reportViolation(format string, args ...any) {
-	if f.Wrong != nil {
-		f.Wrong(fmt.Sprintf(format, args...))
+	if f.Violation != nil {
+		f.Violation(fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -20,7 +20,7 @@
 // gangTasks lists the tasks of a gang's attempt that occupy machines, in the order of their starts.
 func (f *Fleet) gangTasks(attempt GangAttempt) (out []*Task) {
 	for t, worker := range f.gangs[attempt] {
-		if t.Here() && !worker.Deleted {
+		if t.OccupiesMachine() && !worker.Deleted {
 			out = append(out, t)
 		}
 	}
@@ -28,7 +28,7 @@
 	return out
 }
 
-func (t *Task) gangAttempt() GangAttempt { return GangAttempt{t.UID, t.Try} }
+func (t *Task) gangAttempt() GangAttempt { return GangAttempt{t.UID, t.Attempt} }
 
 // joinGang adds a task to those of its gang's attempt.
 func (f *Fleet) joinGang(worker *Worker, t *Task) {
@@ -49,15 +49,15 @@
 }
 
 // waitForGang has a gang's task wait for the others, and starts the gang with the last one. Without it
-// the task ends after Timing.GangWait.
+// the task ends after Timing.GangStartTimeout.
 func (w *Worker) waitForGang(name string, t *Task, job *Job) {
 	f := w.fleet
-	w.setState(name, t, protocol.WaitingForGang, "")
+	w.setState(name, t, protocol.TaskWaitingForGang, "")
 	f.joinGang(w, t)
 	f.startGangIfComplete(t.gangAttempt(), job)
-	f.queue.After(f.Timing.GangWait, func() {
-		if t.State == protocol.WaitingForGang {
-			w.setState(name, t, protocol.Exited, protocol.CauseIncomplete)
+	f.queue.After(f.Timing.GangStartTimeout, func() {
+		if t.State == protocol.TaskWaitingForGang {
+			w.setState(name, t, protocol.TaskExited, protocol.CauseIncomplete)
 		}
 	})
 }
@@ -68,22 +68,22 @@
 	whole := func(state protocol.TaskState) bool {
 		n := 0
 		for _, t := range all {
-			if t.State == state && t.Halted == 0 {
+			if t.State == state && t.StopRequestedAt == 0 {
 				n++
 			}
 		}
 		return n == job.Tasks
 	}
-	if !whole(protocol.WaitingForGang) {
+	if !whole(protocol.TaskWaitingForGang) {
 		return
 	}
 	for _, t := range all {
-		t.State = protocol.Running
+		t.State = protocol.TaskRunning
 		f.gangs[attempt][t].heartbeatSoon()
 	}
-	f.Wholes[attempt.UID]++
+	f.GangStarts[attempt.UID]++
 	f.queue.After(f.RunTime(attempt.UID+"/0"), func() {
-		if len(f.gangTasks(attempt)) != len(all) || !whole(protocol.Running) {
+		if len(f.gangTasks(attempt)) != len(all) || !whole(protocol.TaskRunning) {
 			return
 		}
 		f.finishGang(attempt, all)
@@ -95,11 +95,11 @@
 	for _, t := range all {
 		worker := f.gangs[attempt][t]
 		name := worker.attemptKey(t)
-		worker.setState(name, t, protocol.Exited, protocol.CauseDone)
+		worker.setState(name, t, protocol.TaskExited, protocol.CauseDone)
 	}
 	for i, t := range all {
-		if f.Done != nil {
-			f.Done(attempt.UID+"/"+strconv.Itoa(i), t)
+		if f.TaskCompleted != nil {
+			f.TaskCompleted(attempt.UID+"/"+strconv.Itoa(i), t)
 		}
 	}
 }
@@ -111,22 +111,22 @@
 			return name
 		}
 	}
-	return Name(t.UID, t.Try)
+	return AttemptKey(t.UID, t.Attempt)
 }
 
 // stopGangTask stops a gang's task: at once, unless it runs and the grace period (seconds) is long
 // enough to save a checkpoint. Until it ends it is reported as running, as the protocol's page says.
 func (w *Worker) stopGangTask(name string, t *Task, job *Job, graceS float64) {
 	f := w.fleet
-	if t.Halted == 0 && f.Halted != nil {
-		f.Halted(t, graceS)
+	if t.StopRequestedAt == 0 && f.GangStopRequested != nil {
+		f.GangStopRequested(t, graceS)
 	}
-	if t.State != protocol.Running || job.SaveS == 0 || graceS < job.SaveS {
-		w.setState(name, t, protocol.Exited, protocol.CauseStopped)
+	if t.State != protocol.TaskRunning || job.CheckpointS == 0 || graceS < job.CheckpointS {
+		w.setState(name, t, protocol.TaskExited, protocol.CauseStopped)
 		return
 	}
-	if t.Halted == 0 {
-		t.Halted = f.queue.Now()
+	if t.StopRequestedAt == 0 {
+		t.StopRequestedAt = f.queue.Now()
 	}
 }
 
@@ -140,10 +140,10 @@
 		job := f.Jobs(attempt.UID)
 		for _, t := range f.gangTasks(attempt) {
 			worker := f.gangs[attempt][t]
-			if t.State != protocol.Running || worker.Hung {
+			if t.State != protocol.TaskRunning || worker.Hung {
 				continue
 			}
-			if t.Halted > 0 {
+			if t.StopRequestedAt > 0 {
 				f.stepGangStop(worker, t, job)
 			} else {
 				f.checkGangPeers(worker, t, job)
@@ -157,7 +157,7 @@
 func (f *Fleet) checkGangPeers(worker *Worker, t *Task, job *Job) {
 	running := 0
 	for _, peer := range f.gangTasks(t.gangAttempt()) {
-		if peer.State == protocol.Running && peer.Halted == 0 {
+		if peer.State == protocol.TaskRunning && peer.StopRequestedAt == 0 {
 			running++
 		}
 	}
@@ -167,8 +167,8 @@
 		t.peersMissingSince = 0
 	case t.peersMissingSince == 0:
 		t.peersMissingSince = now
-	case now >= t.peersMissingSince+f.Timing.GangPeer:
-		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CausePeersLost)
+	case now >= t.peersMissingSince+f.Timing.GangPeerTimeout:
+		worker.setState(worker.attemptKey(t), t, protocol.TaskExited, protocol.CausePeersLost)
 	}
 }
 
@@ -176,25 +176,25 @@
 // told to stop too, or without one if they were not within gang_peer_s.
 func (f *Fleet) stepGangStop(worker *Worker, t *Task, job *Job) {
 	attempt := t.gangAttempt()
-	stopping, first := f.checkpointedTasks[attempt], t.Halted // those that have ended were told
+	stopping, first := f.checkpointedTasks[attempt], t.StopRequestedAt // those that have ended were told
 	for _, peer := range f.gangTasks(attempt) {
-		if peer.Halted > 0 {
+		if peer.StopRequestedAt > 0 {
 			stopping++
-			first = min(first, peer.Halted)
+			first = min(first, peer.StopRequestedAt)
 		}
 	}
-	takes := time.Duration(job.SaveS * float64(time.Second))
+	takes := time.Duration(job.CheckpointS * float64(time.Second))
 	now := f.queue.Now()
 	switch {
-	case now < t.Halted+takes:
+	case now < t.StopRequestedAt+takes:
 	case stopping == job.Tasks:
-		t.Stored = true
-		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CauseStopped)
+		t.CheckpointSaved = true
+		worker.setState(worker.attemptKey(t), t, protocol.TaskExited, protocol.CauseStopped)
 		if f.checkpointedTasks[attempt] == 0 {
-			f.Saves[t.UID]++
+			f.GangCheckpoints[t.UID]++
 		}
 		f.checkpointedTasks[attempt]++
-	case now >= first+f.Timing.GangPeer:
-		worker.setState(worker.attemptKey(t), t, protocol.Exited, protocol.CausePeersLost)
+	case now >= first+f.Timing.GangPeerTimeout:
+		worker.setState(worker.attemptKey(t), t, protocol.TaskExited, protocol.CausePeersLost)
 	}
 }
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -10,19 +10,19 @@
 	"claybarrow/internal/protocol"
 )
 
-// Message returns the worker's next heartbeat, under the next sequence number.
-func (w *Worker) Message() protocol.WorkerHeartbeat {
+// Heartbeat returns the worker's next heartbeat, under the next sequence number.
+func (w *Worker) Heartbeat() protocol.WorkerHeartbeat {
 	w.Seq++
-	m := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Session, Sequence: w.Seq, Token: w.Token,
+	m := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Epoch, Sequence: w.Seq, Token: w.Token,
 		Tasks: []protocol.TaskStatus{}}
-	if w.Taken > 0 {
-		notice := max(0, (w.Taken - w.fleet.queue.Now()).Seconds())
+	if w.PreemptedAt > 0 {
+		notice := max(0, (w.PreemptedAt - w.fleet.queue.Now()).Seconds())
 		m.SpotNoticeS = &notice
 	}
 	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
 		t := w.Tasks[name]
 		task, _, _ := strings.Cut(name, "@")
-		m.Tasks = append(m.Tasks, protocol.TaskStatus{Task: task, Attempt: t.Try, State: t.State, Cause: t.Cause, CheckpointSaved: t.Stored})
+		m.Tasks = append(m.Tasks, protocol.TaskStatus{Task: task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, CheckpointSaved: t.CheckpointSaved})
 	}
 	return m
 }
@@ -42,16 +42,16 @@
 func (w *Worker) heartbeatInterval() time.Duration {
 	t := w.fleet.Timing
 	if t.Jitter == 0 {
-		return t.Report
+		return t.HeartbeatInterval
 	}
-	return time.Duration(float64(t.Report) * (1 + t.Jitter*(2*w.fleet.Random()-1)))
+	return time.Duration(float64(t.HeartbeatInterval) * (1 + t.Jitter*(2*w.fleet.Random()-1)))
 }
 
-// heartbeatSoon sends a heartbeat as soon as Timing.LeastPause allows, because its content has changed.
+// heartbeatSoon sends a heartbeat as soon as Timing.MinHeartbeatPause allows, because its content has changed.
 // If one is in flight the next follows its answer.
 func (w *Worker) heartbeatSoon() {
 	f := w.fleet
-	if f.Timing.LeastPause == 0 || !w.Up || w.Deleted {
+	if f.Timing.MinHeartbeatPause == 0 || !w.Up || w.Deleted {
 		return
 	}
 	if w.changePending {
@@ -59,7 +59,7 @@
 	}
 	w.changePending = true
 	if !w.heartbeatInFlight {
-		w.scheduleHeartbeat(max(0, w.lastHeartbeat+f.Timing.LeastPause-f.queue.Now()))
+		w.scheduleHeartbeat(max(0, w.lastHeartbeat+f.Timing.MinHeartbeatPause-f.queue.Now()))
 	}
 }
 
@@ -69,17 +69,17 @@
 	if w.Deleted {
 		return
 	}
-	if w.Cut || w.Hung {
-		w.scheduleHeartbeat(f.Timing.NextController)
+	if w.Partitioned || w.Hung {
+		w.scheduleHeartbeat(f.Timing.FailoverDelay)
 		return
 	}
-	body := protocol.Encode(w.Message())
-	if w.Reported != nil {
-		w.Reported(body)
+	body := protocol.Encode(w.Heartbeat())
+	if w.OnHeartbeat != nil {
+		w.OnHeartbeat(body)
 	}
-	sent, session := f.queue.Now(), w.Session
+	sent, session := f.queue.Now(), w.Epoch
 	w.heartbeatInFlight, w.changePending, w.lastHeartbeat = true, false, sent
-	f.Carrier(w, w.Controller, body, func(status int, answer []byte) {
+	f.SendHeartbeat(w, w.Controller, body, func(status int, answer []byte) {
 		w.heartbeatInFlight = false
 		w.handleHeartbeatReply(sent, session, status, answer)
 	})
@@ -99,22 +99,22 @@
 		if err := protocol.Decode(body, &reply); err != nil {
 			f.reportViolation("a report's answer can't be read: %v", err)
 		}
-		if reply.Token >= w.Token && session == w.Session {
+		if reply.Token >= w.Token && session == w.Epoch {
 			w.advanceToken(reply.Token)
-			w.Answered = sent
+			w.LeaseRenewedAt = sent
 			w.Execute(reply.Commands)
 		}
 		wait := w.heartbeatInterval()
 		if w.changePending {
-			wait = max(0, w.lastHeartbeat+f.Timing.LeastPause-f.queue.Now())
+			wait = max(0, w.lastHeartbeat+f.Timing.MinHeartbeatPause-f.queue.Now())
 		}
 		w.scheduleHeartbeat(wait)
 	case http.StatusMisdirectedRequest:
 		var elsewhere protocol.Redirect
 		_ = protocol.Decode(body, &elsewhere) // a missing name is allowed
-		if n := f.Label(elsewhere.Leader); n >= 0 && n != w.Controller {
+		if n := f.ControllerByName(elsewhere.Leader); n >= 0 && n != w.Controller {
 			w.Controller = n
-			w.scheduleHeartbeat(f.Timing.SentAway)
+			w.scheduleHeartbeat(f.Timing.RedirectDelay)
 			return
 		}
 		w.tryNextController()
@@ -126,7 +126,7 @@
 // tryNextController sends the next heartbeat to the next controller.
 func (w *Worker) tryNextController() {
 	w.Controller = (w.Controller + 1) % w.fleet.Controllers
-	w.scheduleHeartbeat(w.fleet.Timing.NextController)
+	w.scheduleHeartbeat(w.fleet.Timing.FailoverDelay)
 }
 
 // advanceToken raises the highest fencing token that the worker has seen.
--- a/internal/emulator/images.go
+++ b/internal/emulator/images.go
@@ -25,7 +25,7 @@
 	if ready, known := c.readyAt[job.Image]; known {
 		return max(0, ready-now)
 	}
-	wait := time.Duration(job.ImageGB / max(worker.Size.FetchGBPerS, minFetchGBPerS) * float64(time.Second))
+	wait := time.Duration(job.ImageGB / max(worker.MachineType.FetchGBPerS, minFetchGBPerS) * float64(time.Second))
 	c.readyAt[job.Image], c.sizeGB[job.Image] = now+wait, job.ImageGB
 	c.evict(worker)
 	return wait
@@ -37,7 +37,7 @@
 	for _, gb := range c.sizeGB {
 		total += gb
 	}
-	for total > worker.Size.CacheGB && worker.Size.CacheGB > 0 {
+	for total > worker.MachineType.CacheGB && worker.MachineType.CacheGB > 0 {
 		needed := map[string]bool{}
 		for _, t := range worker.Tasks {
 			if j := worker.fleet.Jobs(t.UID); j != nil {
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -38,10 +38,10 @@
 	RequestRate, ChangeRate float64
 }
 
-// StateStats counts what the state service did. Bytes are those of the transactions' bodies, TooMany the
+// StateStats counts what the state service did. Bytes are those of the transactions' bodies, RateLimited the
 // requests over a rate limit, Conflicts the transactions whose conditions did not hold.
 type StateStats struct {
-	Requests, Transactions, Changes, Bytes, TooMany, Conflicts int64
+	Requests, Transactions, Changes, Bytes, RateLimited, Conflicts int64
 }
 
 // StateService is a small key-value store with leases, watches and transactions.
@@ -51,30 +51,30 @@
 	leases        map[uint64]*lease
 	revision      uint64
 	lastID        uint64
-	events        []protocol.Event
+	events        []protocol.WatchEvent
 	watches       []*watch
 	requestBudget tokenBucket
 	changeBudget  tokenBucket
 
 	// Down has the service answer nobody, Refuse these clients not (injected faults).
-	Down   bool
-	Refuse map[int]bool
+	Down           bool
+	RefusedClients map[int]bool
 	// Malformed says which transactions are refused as malformed (an injected fault); nil: none.
-	Malformed func(protocol.Txn) bool
+	Malformed func(protocol.Transaction) bool
 	Limits    StateLimits
-	// MostChanges is how many changes the settings allow in a transaction, whatever Limits says now;
+	// MaxChanges is how many changes the settings allow in a transaction, whatever Limits says now;
 	// more are a protocol violation of the controller. 0: not checked.
-	MostChanges int
-	// Over counts the transactions that were refused for their size.
-	Over  int
-	Stats StateStats
-	// Wrong is called for requests that violate the protocol; nil: they are only refused.
-	Wrong func(what string)
+	MaxChanges int
+	// TooLarge counts the transactions that were refused for their size.
+	TooLarge int
+	Stats    StateStats
+	// Violation is called for requests that violate the protocol; nil: they are only refused.
+	Violation func(what string)
 }
 
 // NewStateService returns an empty store.
 func NewStateService(queue *EventQueue, limits StateLimits) *StateService {
-	return &StateService{queue: queue, leases: map[uint64]*lease{}, Refuse: map[int]bool{}, Limits: limits}
+	return &StateService{queue: queue, leases: map[uint64]*lease{}, RefusedClients: map[int]bool{}, Limits: limits}
 }
 
 // Item returns a key's item, or nil.
@@ -93,22 +93,22 @@
 	s.notifyWatches()
 }
 
-// Place puts a key without a new revision and without an event, as if it had always been there.
-func (s *StateService) Place(key string, it *Item) { s.items.Set(key, it) }
+// Preset puts a key without a new revision and without an event, as if it had always been there.
+func (s *StateService) Preset(key string, it *Item) { s.items.Set(key, it) }
 
 // applyChange puts or deletes a key under the present revision, and keeps the event for watches.
 func (s *StateService) applyChange(key string, it *Item) {
-	event := protocol.Event{Delete: key, Version: s.revision}
+	event := protocol.WatchEvent{Delete: key, Version: s.revision}
 	if it == nil {
 		s.items.Delete(key)
 	} else {
 		it.Version = s.revision
 		s.items.Set(key, it)
-		event = protocol.Event{Put: key, Value: it.Value, Version: s.revision}
+		event = protocol.WatchEvent{Put: key, Value: it.Value, Version: s.revision}
 	}
 	s.events = append(s.events, event)
 	if len(s.events) >= 2*maxKeptEvents {
-		s.events = append([]protocol.Event(nil), s.events[len(s.events)-maxKeptEvents:]...)
+		s.events = append([]protocol.WatchEvent(nil), s.events[len(s.events)-maxKeptEvents:]...)
 	}
 }
 
@@ -128,12 +128,12 @@
 func (s *StateService) Serve(client int, method, target string, body []byte, reply Reply) {
 	s.Stats.Requests++
 	// While the service is down, watches stay open without an answer.
-	if isWatch := strings.HasPrefix(target, watchPath); !isWatch && (s.Down || s.Refuse[client]) {
+	if isWatch := strings.HasPrefix(target, watchPath); !isWatch && (s.Down || s.RefusedClients[client]) {
 		reply(statusUnavailable, nil)
 		return
 	}
 	if !s.requestBudget.allow(s.queue.Now(), s.Limits.RequestRate, 1) {
-		s.Stats.TooMany++
+		s.Stats.RateLimited++
 		reply(statusTooMany, nil)
 		return
 	}
@@ -184,8 +184,8 @@
 
 // reportViolation tells of a request that violates the protocol.
 func (s *StateService) reportViolation(format string, args ...any) {
-	if s.Wrong != nil {
-		s.Wrong("state service: " + fmt.Sprintf(format, args...))
+	if s.Violation != nil {
+		s.Violation("state service: " + fmt.Sprintf(format, args...))
 	}
 }
 
@@ -197,7 +197,7 @@
 	}
 	limit = min(limit, maxPageItems)
 	prefix, after := values.Get("under"), values.Get("after")
-	out := protocol.Items{Revision: s.revision}
+	out := protocol.KeyValuePage{Revision: s.revision}
 	size := 0
 	s.items.Ascend(max(prefix, after), func(key string, it *Item) bool {
 		if key <= after && after != "" {
@@ -211,7 +211,7 @@
 			out.More = true
 			return false
 		}
-		out.Items = append(out.Items, protocol.Item{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease})
+		out.Items = append(out.Items, protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease})
 		return true
 	})
 	reply(http.StatusOK, protocol.Encode(out))
@@ -221,8 +221,8 @@
 func (s *StateService) get(key string, reply Reply) {
 	it := s.Item(key)
 	if it == nil {
-		reply(http.StatusNotFound, protocol.Encode(protocol.TxnReply{Revision: s.revision}))
+		reply(http.StatusNotFound, protocol.Encode(protocol.TransactionReply{Revision: s.revision}))
 		return
 	}
-	reply(http.StatusOK, protocol.Encode(protocol.Item{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease}))
+	reply(http.StatusOK, protocol.Encode(protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease}))
 }
--- a/internal/emulator/state_test.go
+++ b/internal/emulator/state_test.go
@@ -36,8 +36,8 @@
 	return answer
 }
 
-func put(key string, lease uint64) protocol.Txn {
-	return protocol.Txn{Then: []protocol.Change{{Put: key, Value: "x", Lease: lease}}}
+func put(key string, lease uint64) protocol.Transaction {
+	return protocol.Transaction{Then: []protocol.Change{{Put: key, Value: "x", Lease: lease}}}
 }
 
 func TestChangeRateLimit(t *testing.T) {
@@ -52,14 +52,14 @@
 
 func TestRefusedTransactions(t *testing.T) {
 	b := newStateBench()
-	long := protocol.Txn{Then: []protocol.Change{{Put: "a/9", Value: string(make([]byte, 200))}}}
+	long := protocol.Transaction{Then: []protocol.Change{{Put: "a/9", Value: string(make([]byte, 200))}}}
 	b.want(t, "a value that is too large", 400, "POST", "/multi", long)
-	if b.Over != 1 {
-		t.Errorf("%d transactions counted as too large, want 1", b.Over)
+	if b.TooLarge != 1 {
+		t.Errorf("%d transactions counted as too large, want 1", b.TooLarge)
 	}
 	b.want(t, "a put with a lease that does not exist", 400, "POST", "/multi", put("a/9", 77))
-	if b.Over != 1 || b.Item("a/9") != nil {
-		t.Errorf("%d transactions counted as too large, want 1; item %v, want none", b.Over, b.Item("a/9"))
+	if b.TooLarge != 1 || b.Item("a/9") != nil {
+		t.Errorf("%d transactions counted as too large, want 1; item %v, want none", b.TooLarge, b.Item("a/9"))
 	}
 }
 
@@ -90,7 +90,7 @@
 	for i := range 5 {
 		b.want(t, "put", 200, "POST", "/multi", put(fmt.Sprint("a/", i), 0))
 	}
-	var page protocol.Items
+	var page protocol.KeyValuePage
 	body := b.want(t, "a page", 200, "GET", "/store?under=a/&limit=2&after=a/1", nil)
 	if err := protocol.Decode(body, &page); err != nil || len(page.Items) != 2 || page.Items[0].Key != "a/2" || !page.More {
 		t.Errorf("a page after a/1: %+v, %v", page, err)
--- a/internal/emulator/state_transaction.go
+++ b/internal/emulator/state_transaction.go
@@ -57,11 +57,11 @@
 		reply(http.StatusBadRequest, nil)
 		return
 	}
-	if limit := s.MostChanges; limit > 0 && (len(body) > protocol.MaxBody || len(t.Then) > limit || len(t.If) > maxConditionsPerChange*limit) {
+	if limit := s.MaxChanges; limit > 0 && (len(body) > protocol.MaxBodyBytes || len(t.Then) > limit || len(t.If) > maxConditionsPerChange*limit) {
 		s.reportViolation("a transaction over the limits: %d changes, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
 	}
 	if s.tooLarge(&t) {
-		s.Over++
+		s.TooLarge++
 		reply(http.StatusBadRequest, nil)
 		return
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	if !s.changeBudget.allow(s.queue.Now(), s.Limits.ChangeRate, float64(len(t.Then))) {
-		s.Stats.TooMany++
+		s.Stats.RateLimited++
 		reply(statusTooMany, nil)
 		return
 	}
@@ -82,7 +82,7 @@
 	if s.Malformed == nil {
 		return false
 	}
-	var txn protocol.Txn
+	var txn protocol.Transaction
 	return protocol.Decode(body, &txn) != nil || s.Malformed(txn)
 }
 
@@ -91,7 +91,7 @@
 func (s *StateService) apply(t *transaction, reply Reply) {
 	if failed := s.failedConditions(t.If); len(failed) > 0 {
 		s.Stats.Conflicts++
-		reply(http.StatusConflict, protocol.Encode(protocol.TxnReply{Revision: s.revision, Failed: failed}))
+		reply(http.StatusConflict, protocol.Encode(protocol.TransactionReply{Revision: s.revision, Failed: failed}))
 		return
 	}
 	for _, change := range t.Then {
@@ -111,7 +111,7 @@
 		}
 		s.applyChange(change.Put, &Item{Value: change.Value, Lease: change.Lease})
 	}
-	reply(http.StatusOK, protocol.Encode(protocol.TxnReply{Revision: s.revision}))
+	reply(http.StatusOK, protocol.Encode(protocol.TransactionReply{Revision: s.revision}))
 	s.notifyWatches()
 }
 
--- a/internal/emulator/state_watch.go
+++ b/internal/emulator/state_watch.go
@@ -45,10 +45,10 @@
 // answerWatch answers with the changes after the watch's revision, if there are any or its time is over.
 // It returns whether the watch has been answered.
 func (s *StateService) answerWatch(open *watch, over bool) bool {
-	if open.done || s.Down || s.Refuse[open.client] {
+	if open.done || s.Down || s.RefusedClients[open.client] {
 		return open.done
 	}
-	out := protocol.Events{Revision: s.revision}
+	out := protocol.WatchReply{Revision: s.revision}
 	first := len(s.events) // of the events after the watch's revision
 	for first > 0 && s.events[first-1].Version > open.afterRevision {
 		first--
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -15,22 +15,22 @@
 
 	ID, Addr, Type, Zone string
 	Spot, Up, Deleted    bool
-	Size                 protocol.MachineType
-	// Injected faults. Cut: no message reaches it or leaves it. AnswersLost: its heartbeats arrive, answers
-	// and direct commands don't. ReportsLost: the other way round. Hung: it does nothing until it goes on,
+	MachineType          protocol.MachineType
+	// Injected faults. Cut: no message reaches it or leaves it. RepliesLost: its heartbeats arrive, answers
+	// and direct commands don't. HeartbeatsLost: the other way round. Hung: it does nothing until it goes on,
 	// or for ever.
-	Cut, AnswersLost, ReportsLost, Hung bool
-	deferredRequests                    []func() // that came while it hung
+	Partitioned, RepliesLost, HeartbeatsLost, Hung bool
+	deferredRequests                               []func() // that came while it hung
 
-	Session, Seq, Token uint64
-	Tasks               map[string]*Task // by task and attempt, see Name
-	Answered            time.Duration    // when the last heartbeat that was answered was sent
-	Controller          int              // number of the controller that it sends heartbeats to
-	Lives               int              // number of tasks that it was told to run
-	// Taken is when the cloud takes a spot machine back, of which it has notice; 0: it does not.
-	Taken time.Duration
-	// Reported is called with each heartbeat's body before it is sent; nil: it is not.
-	Reported func(body []byte)
+	Epoch, Seq, Token uint64
+	Tasks             map[string]*Task // by task and attempt, see Name
+	LeaseRenewedAt    time.Duration    // when the last heartbeat that was answered was sent
+	Controller        int              // number of the controller that it sends heartbeats to
+	TasksStarted      int              // number of tasks that it was told to run
+	// PreemptedAt is when the cloud takes a spot machine back, of which it has notice; 0: it does not.
+	PreemptedAt time.Duration
+	// OnHeartbeat is called with each heartbeat's body before it is sent; nil: it is not.
+	OnHeartbeat func(body []byte)
 
 	heartbeatInFlight bool
 	changePending     bool
@@ -40,14 +40,14 @@
 }
 
 // Reachable says whether direct commands get through.
-func (w *Worker) Reachable() bool { return w.Up && !w.Deleted && !w.Cut && !w.AnswersLost }
+func (w *Worker) Reachable() bool { return w.Up && !w.Deleted && !w.Partitioned && !w.RepliesLost }
 
 // Boot brings the machine up: it sends heartbeats from now on.
 func (w *Worker) Boot() {
 	if w.Deleted {
 		return
 	}
-	w.Up, w.Answered = true, w.fleet.queue.Now()
+	w.Up, w.LeaseRenewedAt = true, w.fleet.queue.Now()
 	w.sendHeartbeat()
 	w.checkLease()
 }
@@ -56,8 +56,8 @@
 func (w *Worker) Die() {
 	w.Deleted, w.Up = true, false
 	w.dropAllTasks()
-	if w.fleet.Died != nil {
-		w.fleet.Died(w)
+	if w.fleet.WorkerDied != nil {
+		w.fleet.WorkerDied(w)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (w *Worker) dropTask(name string) {
 	t := w.Tasks[name]
 	delete(w.Tasks, name)
-	w.notifyLeft(name, t, t.Here())
+	w.notifyLeft(name, t, t.OccupiesMachine())
 	w.fleet.leaveGang(t)
 }
 
@@ -99,14 +99,14 @@
 	if w.Deleted {
 		return
 	}
-	if f.queue.Now() > w.Answered+f.Timing.Lease {
-		w.Session++
+	if f.queue.Now() > w.LeaseRenewedAt+f.Timing.LeaseTTL {
+		w.Epoch++
 		w.dropAllTasks()
-		w.Answered = f.queue.Now()
+		w.LeaseRenewedAt = f.queue.Now()
 		w.heartbeatSoon()
 	}
-	wait := f.Timing.Look
-	if left := w.Answered + f.Timing.Lease - f.queue.Now(); left > wait {
+	wait := f.Timing.CheckInterval
+	if left := w.LeaseRenewedAt + f.Timing.LeaseTTL - f.queue.Now(); left > wait {
 		wait = left
 	}
 	f.queue.After(wait, w.checkLease)
@@ -125,17 +125,17 @@
 // session are refused.
 func (w *Worker) executeDirect(path string, body []byte) (int, []byte) {
 	if path == "/status" {
-		return http.StatusOK, protocol.Encode(w.Message())
+		return http.StatusOK, protocol.Encode(w.Heartbeat())
 	}
-	var request protocol.Commands
+	var request protocol.CommandRequest
 	if err := protocol.Decode(body, &request); err != nil {
 		w.fleet.reportViolation("commands can't be read: %v", err)
 		return http.StatusBadRequest, nil
 	}
-	if request.Token < w.Token || request.Epoch != w.Session {
-		return http.StatusConflict, protocol.Encode(w.Message())
+	if request.Token < w.Token || request.Epoch != w.Epoch {
+		return http.StatusConflict, protocol.Encode(w.Heartbeat())
 	}
 	w.advanceToken(request.Token)
 	w.Execute(request.Commands)
-	return http.StatusOK, protocol.Encode(w.Message())
+	return http.StatusOK, protocol.Encode(w.Heartbeat())
 }
--- a/internal/emulator/worker_test.go
+++ b/internal/emulator/worker_test.go
@@ -10,38 +10,38 @@
 // A machine caches what it used last, fetches an image once, and refuses what does not fit.
 func TestWorkerImagesAndRefusals(t *testing.T) {
 	queue := &EventQueue{}
-	f := NewFleet(queue, Timing{Report: time.Second, Lease: time.Minute, Look: time.Second, NextController: time.Second})
+	f := NewFleet(queue, Timing{HeartbeatInterval: time.Second, LeaseTTL: time.Minute, CheckInterval: time.Second, FailoverDelay: time.Second})
 	jobs := map[string]*Job{}
 	f.Jobs = func(uid string) *Job { return jobs[uid] }
 	f.RunTime = func(string) time.Duration { return time.Hour }
 	f.FetchTime, f.RefuseUnfit, f.Controllers = FetchImage, true, 1
-	f.Carrier = func(_ *Worker, _ int, _ []byte, answer Reply) {
+	f.SendHeartbeat = func(_ *Worker, _ int, _ []byte, answer Reply) {
 		queue.After(time.Millisecond, func() {
 			answer(200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: 1, Commands: []protocol.Command{}}))
 		})
 	}
 	worker := f.Add("i-1", "", "m", "a", false)
-	worker.Size = protocol.MachineType{Cores: 4, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1}
+	worker.MachineType = protocol.MachineType{Cores: 4, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1}
 	worker.Boot()
 	run := func(uid string, image string, gb, cores float64) *Task {
-		jobs[uid] = &Job{Image: image, ImageGB: gb, Tasks: 1, Cores: cores, Memory: 1}
+		jobs[uid] = &Job{Image: image, ImageGB: gb, Tasks: 1, Cores: cores, MemoryGB: 1}
 		worker.Execute([]protocol.Command{{Verb: protocol.VerbRun, Task: uid + "/0", Attempt: 1}})
-		return worker.Tasks[Name(uid+"/0", 1)]
+		return worker.Tasks[AttemptKey(uid+"/0", 1)]
 	}
 	first, second := run("j-1", "x", 4, 1), run("j-2", "x", 4, 1)
 	queue.RunUntil(3 * time.Second)
-	if first.State != protocol.FetchingImage {
+	if first.State != protocol.TaskFetchingImage {
 		t.Error("it runs before its image is there")
 	}
 	queue.RunUntil(5 * time.Second)
-	if first.State != protocol.Running || second.State != protocol.Running {
+	if first.State != protocol.TaskRunning || second.State != protocol.TaskRunning {
 		t.Errorf("after one fetch: %s and %s", first.State, second.State)
 	}
-	if third := run("j-3", "x", 4, 3); third.Cause != protocol.CauseNoRoom {
+	if third := run("j-3", "x", 4, 3); third.Cause != protocol.CauseInsufficientResources {
 		t.Errorf("no room: %s", third.Cause)
 	}
 	worker.Execute([]protocol.Command{{Verb: protocol.VerbRun, Task: "j-1/0", Attempt: 2}})
-	if again := worker.Tasks[Name("j-1/0", 2)]; again.Cause != protocol.CauseBusy {
+	if again := worker.Tasks[AttemptKey("j-1/0", 2)]; again.Cause != protocol.CauseBusy {
 		t.Errorf("the same task again: %s", again.Cause)
 	}
 	run("j-4", "y", 5, 0)
@@ -50,12 +50,12 @@
 	if len(worker.images.readyAt) != 3 {
 		t.Errorf("images that are needed were dropped: %v", worker.images.readyAt)
 	}
-	delete(worker.Tasks, Name("j-4/0", 1))
+	delete(worker.Tasks, AttemptKey("j-4/0", 1))
 	run("j-6", "w", 1, 0)
 	if _, kept := worker.images.readyAt["y"]; kept {
 		t.Error("the image that was used longest ago stays")
 	}
-	if worker.Token != 1 || worker.Session != 1 {
-		t.Errorf("token %d, session %d", worker.Token, worker.Session)
+	if worker.Token != 1 || worker.Epoch != 1 {
+		t.Errorf("token %d, session %d", worker.Token, worker.Epoch)
 	}
 }
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -23,12 +23,12 @@
 // Statement is what a controller says of itself in heartbeats and their answers. A message without one is
 // from a program that has no gate.
 type Statement struct {
-	// Reads is the highest version that its program reads.
-	Reads StorageVersion
-	// Writes is the highest version that its settings ask for.
-	Writes StorageVersion
-	// Hold: its operators hold the gate closed.
-	Hold bool
+	// ReadsUpTo is the highest version that its program reads.
+	ReadsUpTo StorageVersion
+	// WritesUpTo is the highest version that its settings ask for.
+	WritesUpTo StorageVersion
+	// HoldClosed: its operators hold the gate closed.
+	HoldClosed bool
 }
 
 // String is the statement for logs; nil is that of a program without the gate.
@@ -36,8 +36,8 @@
 	if s == nil {
 		return "no statement"
 	}
-	text := fmt.Sprintf("reads %d, writes %d", s.Reads, s.Writes)
-	if s.Hold {
+	text := fmt.Sprintf("reads %d, writes %d", s.ReadsUpTo, s.WritesUpTo)
+	if s.HoldClosed {
 		text += ", holds"
 	}
 	return text
@@ -113,15 +113,15 @@
 	Peers []string
 	// Own is the statement of this controller.
 	Own Statement
-	// Fits: the state service's limits allow the gate's transactions.
-	Fits bool
-	// Settled is how long each controller must have stated the version before the gate opens: a leader's
+	// TransactionsFit: the state service's limits allow the gate's transactions.
+	TransactionsFit bool
+	// SettleTime is how long each controller must have stated the version before the gate opens: a leader's
 	// lease.
-	Settled time.Duration
-	// Patience is how long a program without the gate is heard before the gate closes: a workers' lease.
-	Patience time.Duration
-	// Pause is the least time from a closing to the next opening, and from a refused action to the next try.
-	Pause time.Duration
+	SettleTime time.Duration
+	// OlderProgramTimeout is how long a program without the gate is heard before the gate closes: a workers' lease.
+	OlderProgramTimeout time.Duration
+	// BackOff is the least time from a closing to the next opening, and from a refused action to the next try.
+	BackOff time.Duration
 }
 
 // Action is what is to be stored next.
@@ -194,9 +194,9 @@
 	return statements
 }
 
-// Heard records a controller's message with its statement; nil: the message had none. Controllers that are
+// RecordStatement records a controller's message with its statement; nil: the message had none. Controllers that are
 // not in the settings are ignored.
-func (g *Gate) Heard(now time.Duration, label, incarnation string, statement *Statement) {
+func (g *Gate) RecordStatement(now time.Duration, label, incarnation string, statement *Statement) {
 	p := g.peers[label]
 	if p == nil {
 		return
@@ -205,18 +205,18 @@
 	switch {
 	case statement != nil:
 		p.lacksStatement = false
-	case !p.lacksStatement || gap > g.settings.Patience:
+	case !p.lacksStatement || gap > g.settings.OlderProgramTimeout:
 		p.lacksStatement, p.lacksStatementSince = true, now
 	}
-	continues := p.everHeard && p.incarnation == incarnation && gap <= g.settings.Settled
+	continues := p.everHeard && p.incarnation == incarnation && gap <= g.settings.SettleTime
 	if !continues || g.objection(label, p.statement) != NoCause {
 		p.statedSince = now
 	}
 	p.everHeard, p.lastHeard, p.incarnation, p.statement = true, now, incarnation, statement
 }
 
-// Decide returns the action to carry out next. compacted: no record of the version is stored.
-func (g *Gate) Decide(now time.Duration, compacted bool) Action {
+// NextAction returns the action to carry out next. compacted: no record of the version is stored.
+func (g *Gate) NextAction(now time.Duration, compacted bool) Action {
 	if g.actionPending {
 		return NoAction
 	}
@@ -264,11 +264,11 @@
 func (g *Gate) isBackingOff(now time.Duration) bool { return g.backingOff && now < g.notBefore }
 
 func (g *Gate) backOff(now time.Duration) {
-	g.backingOff, g.notBefore = true, now+g.settings.Pause
+	g.backingOff, g.notBefore = true, now+g.settings.BackOff
 }
 
-// Stored records that the pending action is durable.
-func (g *Gate) Stored(now time.Duration) {
+// ActionStored records that the pending action is durable.
+func (g *Gate) ActionStored(now time.Duration) {
 	g.actionPending, g.backingOff = false, false
 	switch {
 	case g.state == Opening:
@@ -281,9 +281,9 @@
 	}
 }
 
-// Failed records that the pending action was refused for good. It is tried again after a
+// ActionRefused records that the pending action was refused for good. It is tried again after a
 // back-off.
-func (g *Gate) Failed(now time.Duration) {
+func (g *Gate) ActionRefused(now time.Duration) {
 	g.actionPending = false
 	if g.state == Opening {
 		g.state = Closed
@@ -296,13 +296,13 @@
 	switch {
 	case s == nil:
 		return NoStatement
-	case s.Reads < g.settings.Version:
+	case s.ReadsUpTo < g.settings.Version:
 		return CannotRead
-	case s.Hold:
+	case s.HoldClosed:
 		return HeldClosed
-	case s.Writes < g.settings.Version:
+	case s.WritesUpTo < g.settings.Version:
 		return FeatureOff
-	case label == g.settings.Self && !g.settings.Fits:
+	case label == g.settings.Self && !g.settings.TransactionsFit:
 		return ExceedsTransactionLimit
 	}
 	return NoCause
@@ -320,7 +320,7 @@
 			continue
 		}
 		cause := g.objection(label, p.statement)
-		if cause == NoStatement && now <= p.lacksStatementSince+g.settings.Patience {
+		if cause == NoStatement && now <= p.lacksStatementSince+g.settings.OlderProgramTimeout {
 			continue
 		}
 		if cause != NoCause {
@@ -355,7 +355,7 @@
 	if cause := g.objection(label, p.statement); cause != NoCause {
 		return cause
 	}
-	if now < p.statedSince+g.settings.Settled {
+	if now < p.statedSince+g.settings.SettleTime {
 		return NotSettled
 	}
 	return NoCause
@@ -363,5 +363,5 @@
 
 // isSilent reports whether a controller was not heard for as long as its statement takes to settle.
 func (g *Gate) isSilent(p *peer, now time.Duration) bool {
-	return !p.everHeard || now > p.lastHeard+g.settings.Settled
+	return !p.everHeard || now > p.lastHeard+g.settings.SettleTime
 }
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -70,7 +70,7 @@
 const maxInFlight = 2
 
 func modelSettings(node int) Settings {
-	s := Settings{Version: 1, Self: fmt.Sprint(node), Own: ready, Fits: true, Settled: 1, Patience: 1, Pause: 1}
+	s := Settings{Version: 1, Self: fmt.Sprint(node), Own: ready, TransactionsFit: true, SettleTime: 1, OlderProgramTimeout: 1, BackOff: 1}
 	for i := range 3 {
 		if i != node {
 			s.Peers = append(s.Peers, fmt.Sprint(i))
@@ -211,7 +211,7 @@
 	}
 	leader.version = s.store.version
 	if leader.action != NoAction {
-		leader.gate.Stored(s.now)
+		leader.gate.ActionStored(s.now)
 		leader.action = NoAction
 	}
 }
@@ -272,7 +272,7 @@
 				if !n.newer[k] {
 					statement = nil
 				}
-				n.leaders[i].gate.Heard(n.now, fmt.Sprint(k), "", statement)
+				n.leaders[i].gate.RecordStatement(n.now, fmt.Sprint(k), "", statement)
 			})
 		}
 	}
@@ -292,7 +292,7 @@
 	}
 	quiet(func(n *modelState) {
 		t := n.leaders[i]
-		t.action = t.gate.Decide(n.now, n.store.journal == 0 || faults.closesUncompacted)
+		t.action = t.gate.NextAction(n.now, n.store.journal == 0 || faults.closesUncompacted)
 		switch t.action {
 		case NoAction:
 		case StoreOpen:
@@ -359,12 +359,12 @@
 			}
 			s.leaders[0].gate = New(modelSettings(0), stored)
 			for at := s.now - 2; at <= s.now; at++ {
-				s.leaders[0].gate.Heard(at, "1", "", &ready)
+				s.leaders[0].gate.RecordStatement(at, "1", "", &ready)
 				statement := &ready
 				if older {
 					statement = nil
 				}
-				s.leaders[0].gate.Heard(at, "2", "", statement)
+				s.leaders[0].gate.RecordStatement(at, "2", "", statement)
 			}
 			out = append(out, s)
 		}
--- a/internal/machinepool/launch.go
+++ b/internal/machinepool/launch.go
@@ -39,8 +39,8 @@
 	failures int
 }
 
-// Launching returns the requests that are under way, in a fixed order, so that runs can be replayed.
-func (p *Pool) Launching() []*LaunchRequest {
+// LaunchesInFlight returns the requests that are under way, in a fixed order, so that runs can be replayed.
+func (p *Pool) LaunchesInFlight() []*LaunchRequest {
 	out := make([]*LaunchRequest, 0, len(p.launching))
 	for _, name := range slices.Sorted(maps.Keys(p.launching)) {
 		out = append(out, p.launching[name])
@@ -48,8 +48,8 @@
 	return out
 }
 
-// IsShort reports whether a pool of machines is left alone for now, as it gave fewer than asked for.
-func (p *Pool) IsShort(pool scheduler.Pool) bool { return p.host.Now() < p.backoffs[pool].until }
+// IsBackingOff reports whether a pool of machines is left alone for now, as it gave fewer than asked for.
+func (p *Pool) IsBackingOff(pool scheduler.Pool) bool { return p.host.Now() < p.backoffs[pool].until }
 
 // Launch asks for machines of a pool, for at most as many as one request may have. The name of the
 // request holds the fencing token and a counter: no controller ever uses it again, which makes the
@@ -66,7 +66,7 @@
 	p.launching[launch.requestName] = launch
 	p.log.Info("launching machines", "request", launch.requestName, "type", launch.Type, "zone", launch.Zone, "spot", launch.Spot, "count", launch.Count)
 	p.client.Launch(launch.request(), p.times.Lease/launchTimeoutShare, func(names []string, err error) {
-		if !p.host.Ended() {
+		if !p.host.HasEnded() {
 			p.onLaunchAnswer(launch, names, err)
 		}
 	})
@@ -88,7 +88,7 @@
 		delete(p.launching, launch.requestName)
 	default:
 		// No answer, or trouble: the same name again launches nothing twice.
-		p.host.Later(p.host.Now()+p.host.Pause()*launchRetryPauses, func() { p.sendLaunch(launch) })
+		p.host.RunAt(p.host.Now()+p.host.RetryPause()*launchRetryPauses, func() { p.sendLaunch(launch) })
 	}
 }
 
@@ -97,7 +97,7 @@
 	delete(p.launching, launch.requestName)
 	for _, name := range names {
 		if !p.WasRemoved(name) {
-			p.host.Launched(launch.Pool, name, launch.sentAt)
+			p.host.OnLaunched(launch.Pool, name, launch.sentAt)
 		}
 	}
 	if len(names) < launch.Count {
@@ -105,7 +105,7 @@
 		return
 	}
 	delete(p.backoffs, launch.Pool)
-	p.host.Short(launch.Pool, false)
+	p.host.SetExhausted(launch.Pool, false)
 }
 
 // backOff leaves a pool of machines alone for a while that refused a request or filled it only in part:
@@ -115,5 +115,5 @@
 	b.failures = min(b.failures+1, maxBackoffFailures)
 	b.until = p.host.Now() + p.times.Lease*time.Duration(b.failures)/2
 	p.backoffs[pool] = b
-	p.host.Short(pool, true)
+	p.host.SetExhausted(pool, true)
 }
--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -44,35 +44,35 @@
 type Times struct {
 	Lease   time.Duration // the workers'
 	ListLag time.Duration // by which the cloud's list may be behind
-	// ListEvery is the least time between two lists.
-	ListEvery time.Duration
+	// ListInterval is the least time between two lists.
+	ListInterval time.Duration
 }
 
 // Host is the leader that the machines belong to.
 type Host interface {
 	// Now is the controller's present time.
 	Now() time.Duration
-	// MayCall reports whether the budget allows a request to the cloud.
-	MayCall() bool
-	// Pause is a short wait before something is tried again.
-	Pause() time.Duration
-	// Later runs a function at the first tick after a time, unless the leadership has ended.
-	Later(at time.Duration, do func())
-	// Ended reports whether the leadership has ended.
-	Ended() bool
-
-	// Listed takes one machine of the list.
-	Listed(machine *protocol.ListedMachine)
-	// ListRead takes the names of a whole list and the time at which it was asked for.
-	ListRead(asked time.Duration, names map[string]bool)
-	// ToDelete returns the names of at most so many machines whose deletion may be sent.
-	ToDelete(most int) []string
-	// Deleted takes a machine that is gone.
-	Deleted(name string)
-	// Launched takes a machine that was launched by a request sent at a time.
-	Launched(pool scheduler.Pool, name string, asked time.Duration)
-	// Short is told that a pool of machines gave fewer than asked for (true) or all of them (false).
-	Short(pool scheduler.Pool, short bool)
+	// MayRequest reports whether the budget allows a request to the cloud.
+	MayRequest() bool
+	// RetryPause is a short wait before something is tried again.
+	RetryPause() time.Duration
+	// RunAt runs a function at the first tick after a time, unless the leadership has ended.
+	RunAt(at time.Duration, do func())
+	// HasEnded reports whether the leadership has ended.
+	HasEnded() bool
+
+	// OnListed takes one machine of the list.
+	OnListed(machine *protocol.ListedMachine)
+	// OnListRead takes the names of a whole list and the time at which it was asked for.
+	OnListRead(asked time.Duration, names map[string]bool)
+	// MachinesToDelete returns the names of at most so many machines whose deletion may be sent.
+	MachinesToDelete(most int) []string
+	// OnDeleted takes a machine that is gone.
+	OnDeleted(name string)
+	// OnLaunched takes a machine that was launched by a request sent at a time.
+	OnLaunched(pool scheduler.Pool, name string, asked time.Duration)
+	// SetExhausted is told that a pool of machines gave fewer than asked for (true) or all of them (false).
+	SetExhausted(pool scheduler.Pool, short bool)
 }
 
 // Pool makes a leader's requests to the cloud. At most one list and one deletion are in flight.
@@ -116,8 +116,8 @@
 // HasList reports whether one whole list has been read.
 func (p *Pool) HasList() bool { return p.listRead }
 
-// Remove notes that a machine is gone: lists and heartbeats that still name it are old.
-func (p *Pool) Remove(name string) { p.removed[name] = p.host.Now() }
+// MarkRemoved notes that a machine is gone: lists and heartbeats that still name it are old.
+func (p *Pool) MarkRemoved(name string) { p.removed[name] = p.host.Now() }
 
 // WasRemoved reports whether a machine is gone.
 func (p *Pool) WasRemoved(name string) bool { return p.removed[name] != 0 }
@@ -135,7 +135,7 @@
 // readList begins to read the list if it is time and none is being read.
 func (p *Pool) readList() {
 	now := p.host.Now()
-	if p.listInFlight || now < p.nextListAt || !p.host.MayCall() {
+	if p.listInFlight || now < p.nextListAt || !p.host.MayRequest() {
 		return
 	}
 	p.listInFlight = true
@@ -146,11 +146,11 @@
 // of the pages.
 func (p *Pool) readPage(after string, asked time.Duration, names map[string]bool) {
 	p.client.List(after, listPageSize, p.times.Lease/listTimeoutShare, func(list protocol.MachineList, err error) {
-		if p.host.Ended() {
+		if p.host.HasEnded() {
 			return
 		}
 		if err != nil {
-			p.listInFlight, p.nextListAt = false, p.host.Now()+p.host.Pause()*listRetryPauses
+			p.listInFlight, p.nextListAt = false, p.host.Now()+p.host.RetryPause()*listRetryPauses
 			return
 		}
 		p.takePage(list.Machines, names)
@@ -159,8 +159,8 @@
 			return
 		}
 		p.listInFlight, p.listRead = false, true
-		p.nextListAt = p.host.Now() + p.times.ListEvery
-		p.host.ListRead(asked, names)
+		p.nextListAt = p.host.Now() + p.times.ListInterval
+		p.host.OnListRead(asked, names)
 	})
 }
 
@@ -170,32 +170,32 @@
 		machine := &machines[i]
 		names[machine.ID] = true
 		if !p.WasRemoved(machine.ID) {
-			p.host.Listed(machine)
+			p.host.OnListed(machine)
 		}
 	}
 }
 
 // deleteMachines has machines deleted, one request at a time, until the cloud says that they are gone.
 func (p *Pool) deleteMachines() {
-	if p.deleteInFlight || p.host.Now() < p.nextDeleteAt || !p.host.MayCall() {
+	if p.deleteInFlight || p.host.Now() < p.nextDeleteAt || !p.host.MayRequest() {
 		return
 	}
-	names := p.host.ToDelete(maxDeleteCount)
+	names := p.host.MachinesToDelete(maxDeleteCount)
 	if len(names) == 0 {
 		return
 	}
 	p.deleteInFlight = true
 	p.client.Delete(names, p.times.Lease/deleteTimeoutShare, func(err error) {
-		if p.host.Ended() {
+		if p.host.HasEnded() {
 			return
 		}
 		p.deleteInFlight = false
 		if err != nil {
-			p.nextDeleteAt = p.host.Now() + p.host.Pause()*deleteRetryPauses
+			p.nextDeleteAt = p.host.Now() + p.host.RetryPause()*deleteRetryPauses
 			return
 		}
 		for _, name := range names {
-			p.host.Deleted(name)
+			p.host.OnDeleted(name)
 		}
 	})
 }
--- a/internal/machinepool/pool_test.go
+++ b/internal/machinepool/pool_test.go
@@ -36,22 +36,24 @@
 func (h *fakeHost) Call(_, path string, body any, _ time.Duration, then func(int, []byte)) {
 	h.sent = append(h.sent, sentRequest{path, body, then})
 }
-func (h *fakeHost) MayCall() bool                    { return true }
-func (h *fakeHost) Pause() time.Duration             { return 100 * time.Millisecond }
-func (h *fakeHost) Later(_ time.Duration, do func()) { h.timers = append(h.timers, do) }
-func (h *fakeHost) Ended() bool                      { return h.ended }
-func (h *fakeHost) Listed(m *protocol.ListedMachine) {
+func (h *fakeHost) MayRequest() bool                 { return true }
+func (h *fakeHost) RetryPause() time.Duration        { return 100 * time.Millisecond }
+func (h *fakeHost) RunAt(_ time.Duration, do func()) { h.timers = append(h.timers, do) }
+func (h *fakeHost) HasEnded() bool                   { return h.ended }
+func (h *fakeHost) OnListed(m *protocol.ListedMachine) {
 	h.listedMachines = append(h.listedMachines, m.ID)
 }
-func (h *fakeHost) Deleted(name string) { h.deleted = append(h.deleted, name) }
-func (h *fakeHost) Short(_ scheduler.Pool, short bool) {
+func (h *fakeHost) OnDeleted(name string) { h.deleted = append(h.deleted, name) }
+func (h *fakeHost) SetExhausted(_ scheduler.Pool, short bool) {
 	h.exhaustedReports = append(h.exhaustedReports, short)
 }
-func (h *fakeHost) ToDelete(most int) []string { return h.toDelete[:min(most, len(h.toDelete))] }
-func (h *fakeHost) Launched(_ scheduler.Pool, n string, _ time.Duration) {
+func (h *fakeHost) MachinesToDelete(most int) []string {
+	return h.toDelete[:min(most, len(h.toDelete))]
+}
+func (h *fakeHost) OnLaunched(_ scheduler.Pool, n string, _ time.Duration) {
 	h.launched = append(h.launched, n)
 }
-func (h *fakeHost) ListRead(_ time.Duration, names map[string]bool) {
+func (h *fakeHost) OnListRead(_ time.Duration, names map[string]bool) {
 	for name := range names {
 		h.listedNames = append(h.listedNames, name)
 	}
@@ -73,7 +75,7 @@
 
 func newTestPool() (*fakeHost, *Pool) {
 	host := &fakeHost{now: time.Minute}
-	return host, New(host, cloudclient.New(host), slog.New(slog.DiscardHandler), Times{Lease: 10 * time.Second, ListLag: 5 * time.Second, ListEvery: 3 * time.Second}, 7)
+	return host, New(host, cloudclient.New(host), slog.New(slog.DiscardHandler), Times{Lease: 10 * time.Second, ListLag: 5 * time.Second, ListInterval: 3 * time.Second}, 7)
 }
 
 func page(more bool, names ...string) []byte {
@@ -87,7 +89,7 @@
 // A list is read page by page; machines that are gone are no news, but were in it.
 func TestList(t *testing.T) {
 	host, p := newTestPool()
-	p.Remove("i-2")
+	p.MarkRemoved("i-2")
 	p.Tick()
 	host.take(t, "/machines?limit=500").answer(200, page(true, "i-1", "i-2"))
 	if p.HasList() {
@@ -119,7 +121,7 @@
 	p.Tick()
 	p.Tick()
 	c := host.take(t, "/machines/delete")
-	if got := len(c.body.(protocol.MachineNames).Machines); got != 100 {
+	if got := len(c.body.(protocol.MachineIDs).Machines); got != 100 {
 		t.Errorf("%d at once", got)
 	}
 	c.answer(0, nil)
@@ -140,7 +142,7 @@
 	p.Launch(pool, 80)
 	c := host.take(t, "/machines")
 	q := c.body.(protocol.LaunchRequest)
-	if q.Count != 50 || q.Request != "r-7-1" || len(p.Launching()) != 1 {
+	if q.Count != 50 || q.Request != "r-7-1" || len(p.LaunchesInFlight()) != 1 {
 		t.Errorf("%+v", q)
 	}
 	c.answer(0, nil)
@@ -149,36 +151,36 @@
 	if again := c.body.(protocol.LaunchRequest); again != q {
 		t.Errorf("repeated as %+v", again)
 	}
-	p.Remove("i-2")
-	c.answer(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1", "i-2"}}))
-	if !slices.Equal(host.launched, []string{"i-1"}) || !p.IsShort(pool) || len(p.Launching()) != 0 {
-		t.Errorf("rented %v, short %v", host.launched, p.IsShort(pool))
+	p.MarkRemoved("i-2")
+	c.answer(200, protocol.Encode(protocol.MachineIDs{Machines: []string{"i-1", "i-2"}}))
+	if !slices.Equal(host.launched, []string{"i-1"}) || !p.IsBackingOff(pool) || len(p.LaunchesInFlight()) != 0 {
+		t.Errorf("rented %v, short %v", host.launched, p.IsBackingOff(pool))
 	}
 	host.now += 5*time.Second + 1
-	if p.IsShort(pool) {
+	if p.IsBackingOff(pool) {
 		t.Error("it is left alone for longer than half a lease")
 	}
 	p.Launch(pool, 1)
 	host.take(t, "/machines").answer(503, protocol.Encode(map[string]any{"error": "no capacity"}))
 	host.now += 9 * time.Second
-	if !p.IsShort(pool) {
+	if !p.IsBackingOff(pool) {
 		t.Error("the second time is not longer")
 	}
 	p.Launch(pool, 1)
-	host.take(t, "/machines").answer(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-3"}}))
-	if p.IsShort(pool) || !slices.Equal(host.exhaustedReports, []bool{true, true, false}) {
-		t.Errorf("short %v, told %v", p.IsShort(pool), host.exhaustedReports)
+	host.take(t, "/machines").answer(200, protocol.Encode(protocol.MachineIDs{Machines: []string{"i-3"}}))
+	if p.IsBackingOff(pool) || !slices.Equal(host.exhaustedReports, []bool{true, true, false}) {
+		t.Errorf("short %v, told %v", p.IsBackingOff(pool), host.exhaustedReports)
 	}
 	// An outage (503 trouble) is no shortage; after four leases the list tells what came of it.
 	p.Launch(pool, 1)
 	host.take(t, "/machines").answer(503, protocol.Encode(map[string]any{"error": "trouble"}))
-	if p.IsShort(pool) || len(p.Launching()) != 1 {
+	if p.IsBackingOff(pool) || len(p.LaunchesInFlight()) != 1 {
 		t.Error("an outage is taken for a shortage")
 	}
 	host.timers[len(host.timers)-1]()
 	host.now += 41 * time.Second
 	host.take(t, "/machines").answer(0, nil)
-	if len(p.Launching()) != 0 {
+	if len(p.LaunchesInFlight()) != 0 {
 		t.Error("it is repeated for ever")
 	}
 }
@@ -203,8 +205,8 @@
 			host, p := newTestPool()
 			p.Launch(pool, 1)
 			host.take(t, "/machines").answer(c.status, c.body)
-			if p.IsShort(pool) != c.exhausted || (len(host.timers) == 0) != c.exhausted || (len(p.Launching()) == 0) != c.exhausted {
-				t.Errorf("left alone %v, %d repeats, %d under way", p.IsShort(pool), len(host.timers), len(p.Launching()))
+			if p.IsBackingOff(pool) != c.exhausted || (len(host.timers) == 0) != c.exhausted || (len(p.LaunchesInFlight()) == 0) != c.exhausted {
+				t.Errorf("left alone %v, %d repeats, %d under way", p.IsBackingOff(pool), len(host.timers), len(p.LaunchesInFlight()))
 			}
 		})
 	}
@@ -216,7 +218,7 @@
 	p.Launch(scheduler.Pool{Type: "m8"}, 1)
 	p.Tick()
 	host.ended = true
-	host.take(t, "/machines").answer(200, protocol.Encode(protocol.MachineNames{Machines: []string{"i-1"}}))
+	host.take(t, "/machines").answer(200, protocol.Encode(protocol.MachineIDs{Machines: []string{"i-1"}}))
 	host.take(t, "/machines?limit=500").answer(200, page(false, "i-1"))
 	if len(host.launched)+len(host.listedMachines)+len(host.listedNames) > 0 {
 		t.Errorf("%+v", host)
--- a/internal/membership/actions.go
+++ b/internal/membership/actions.go
@@ -23,8 +23,8 @@
 	Body    []byte
 }
 
-// Change reports a member's change of state.
-type Change struct {
+// StateChange reports a member's change of state.
+type StateChange struct {
 	Label       string
 	From, To    State
 	Reason      Reason
@@ -33,14 +33,14 @@
 	After time.Duration
 }
 
-// Drop reports a message that was not taken.
-type Drop struct {
+// DroppedMessage reports a message that was not taken.
+type DroppedMessage struct {
 	Label  string // of the sender; "" if it can't be read
 	Reason DropReason
 	First  bool // whether it is the first from that peer for that reason, to be logged
 }
 
-func (Send) isAction()    {}
-func (Respond) isAction() {}
-func (Change) isAction()  {}
-func (Drop) isAction()    {}
+func (Send) isAction()           {}
+func (Respond) isAction()        {}
+func (StateChange) isAction()    {}
+func (DroppedMessage) isAction() {}
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -29,7 +29,7 @@
 	case Suspect:
 		m.suspicion.confirmations[by] = true
 	case Alive:
-		if !m.probeInFlight && d.clock.now > m.lastAckAt+d.settings.Timeout {
+		if !m.probeInFlight && d.clock.now > m.lastAckAt+d.settings.ProbeTimeout {
 			d.startProbe(&pendingProbe{target: m})
 		}
 	case Dead, Left: // it is absent here already
--- a/internal/membership/clock.go
+++ b/internal/membership/clock.go
@@ -4,8 +4,8 @@
 
 // Clock is a reading of the monotonic clock and of the time of day.
 type Clock struct {
-	Steady time.Duration // monotonic time since any fixed start
-	Wall   int64         // Unix time in milliseconds
+	Monotonic time.Duration // monotonic time since any fixed start
+	Wall      int64         // Unix time in milliseconds
 }
 
 // detectorClock is the latest reading of the clock. Its monotonic time never goes back.
@@ -18,13 +18,13 @@
 }
 
 func newDetectorClock(settings Settings) detectorClock {
-	return detectorClock{futureTolerance: 2*settings.ClockError.Milliseconds() + settings.Steady.Milliseconds()}
+	return detectorClock{futureTolerance: 2*settings.ClockError.Milliseconds() + settings.RejoinDelay.Milliseconds()}
 }
 
 // advance takes a reading and returns the monotonic time since the previous one.
 func (c *detectorClock) advance(reading Clock) (gap time.Duration) {
-	gap = reading.Steady - c.now
-	c.now, c.wall = max(c.now, reading.Steady), reading.Wall
+	gap = reading.Monotonic - c.now
+	c.now, c.wall = max(c.now, reading.Monotonic), reading.Wall
 	return gap
 }
 
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -35,9 +35,9 @@
 	switch {
 	case !d.started:
 		d.start()
-	case gap > d.settings.Stall:
+	case gap > d.settings.PauseThreshold:
 		d.recoverFromPause()
-	case gap > d.settings.Timeout:
+	case gap > d.settings.ProbeTimeout:
 		d.health.degrade() // the process lacks processor time
 	}
 }
@@ -55,7 +55,7 @@
 // recoverFromPause ends the probes in flight and restarts all suspicions after this process did not run
 // for a while: what it has not heard meanwhile proves nothing.
 func (d *Detector) recoverFromPause() {
-	d.counters.Stalls++
+	d.counters.Pauses++
 	d.health.degradeFully()
 	for _, probe := range d.pending.probes {
 		d.out.nack(probe)
@@ -85,9 +85,9 @@
 	return d.out.actions
 }
 
-// Heard records that a peer answered a request other than a probe. sent is the monotonic time when the
+// ObserveAck records that a peer answered a request other than a probe. sent is the monotonic time when the
 // request was sent: an answer to an earlier request than the suspicion clears nothing.
-func (d *Detector) Heard(at Clock, label string, sent time.Duration) []Action {
+func (d *Detector) ObserveAck(at Clock, label string, sent time.Duration) []Action {
 	d.advanceClock(at)
 	m := d.members[label]
 	if m == nil {
@@ -106,7 +106,7 @@
 	d.self.leaving = true
 	for _, label := range d.labels {
 		if m := d.members[label]; m.isPresent() && m.method == viaProbe {
-			d.out.sendProbe(label, d.out.newProbe(label), d.settings.Timeout)
+			d.out.sendProbe(label, d.out.newProbe(label), d.settings.ProbeTimeout)
 		}
 	}
 	return d.out.actions
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -19,7 +19,7 @@
 // recordChanges collects the changes of state from now on.
 func (s *simulation) recordChanges() *[]observedChange {
 	list := &[]observedChange{}
-	s.onChange = func(at time.Duration, by string, c Change) {
+	s.onChange = func(at time.Duration, by string, c StateChange) {
 		*list = append(*list, observedChange{at, by, c.Label, c.To, c.Reason})
 	}
 	return list
@@ -91,19 +91,19 @@
 	sim.nodes["n01"].crash()
 	sim.run(20 * second)
 	d := sim.nodes["n00"].detector
-	if d.Serves("n01", sim.now) {
+	if d.MayServeMachines("n01", sim.now) {
 		t.Error("a dead controller serves machines")
 	}
 	sim.start("n01")
 	sim.run(2 * second)
-	if !sim.allObserve("n01", Alive) || !sim.nodes["n01"].detector.Serves("n00", sim.now) {
+	if !sim.allObserve("n01", Alive) || !sim.nodes["n01"].detector.MayServeMachines("n00", sim.now) {
 		t.Errorf("it is %v", sim.state("n00", "n01"))
 	}
-	if d.Serves("n01", sim.now) {
+	if d.MayServeMachines("n01", sim.now) {
 		t.Error("it serves machines at once")
 	}
 	sim.run(20 * second)
-	if !d.Serves("n01", sim.now) {
+	if !d.MayServeMachines("n01", sim.now) {
 		t.Error("it does not serve machines after Settings.Steady")
 	}
 	if c := d.Counters(); c.FalseDeaths+c.FalseSuspicions > 0 {
@@ -128,13 +128,13 @@
 			for _, s := range *list {
 				t.Errorf("%+v", s)
 			}
-			via, reached := sim.nodes["n00"].detector.Way("n01")
+			via, reached := sim.nodes["n00"].detector.RelayRoute("n01")
 			if via != "n02" || !reached {
 				t.Errorf("route via %q, reached %v", via, reached)
 			}
 			sim.dropMessage = func(string, string) bool { return false }
 			sim.run(5 * second)
-			if via, reached := sim.nodes["n00"].detector.Way("n01"); via != "" || !reached {
+			if via, reached := sim.nodes["n00"].detector.RelayRoute("n01"); via != "" || !reached {
 				t.Errorf("after the link is back: route via %q, reached %v", via, reached)
 			}
 		})
@@ -188,7 +188,7 @@
 	if c := sim.nodes["n00"].detector.Counters(); c.FalseDeaths != 1 {
 		t.Errorf("%+v", c)
 	}
-	if sim.nodes["n00"].detector.Serves("n01", sim.now) {
+	if sim.nodes["n00"].detector.MayServeMachines("n01", sim.now) {
 		t.Error("it serves machines at once")
 	}
 }
@@ -210,7 +210,7 @@
 					t.Errorf("%+v", s)
 				}
 			}
-			if h := sim.nodes["n00"].detector.Health(); h != 0 {
+			if h := sim.nodes["n00"].detector.LocalHealth(); h != 0 {
 				t.Errorf("20 s after the pause its health score is %d", h)
 			}
 		})
@@ -227,7 +227,7 @@
 	if !sim.allObserve("n00", Suspect) && !sim.allObserve("n00", Dead) {
 		t.Error("the others do not notice")
 	}
-	if sim.nodes["n00"].detector.Health() == 0 {
+	if sim.nodes["n00"].detector.LocalHealth() == 0 {
 		t.Error("its local health did not degrade")
 	}
 	sim.run(10 * second)
@@ -325,14 +325,14 @@
 	sim.nodes["n01"].withoutProbes = false
 	sim.start("n01")
 	sim.run(3 * second)
-	if sim.state("n00", "n01") != Alive || sim.nodes["n00"].detector.Members()[0].Heartbeats {
+	if sim.state("n00", "n01") != Alive || sim.nodes["n00"].detector.Members()[0].UsesHeartbeats {
 		t.Errorf("upgraded, it is %+v", sim.nodes["n00"].detector.Members()[0])
 	}
 	sim.nodes["n01"].crash()
 	sim.nodes["n01"].withoutProbes = true
 	sim.start("n01")
 	sim.run(10 * second)
-	if sim.state("n00", "n01") != Alive || !sim.nodes["n00"].detector.Members()[0].Heartbeats {
+	if sim.state("n00", "n01") != Alive || !sim.nodes["n00"].detector.Members()[0].UsesHeartbeats {
 		t.Errorf("rolled back, it is %+v", sim.nodes["n00"].detector.Members()[0])
 	}
 }
--- a/internal/membership/group_view.go
+++ b/internal/membership/group_view.go
@@ -27,7 +27,7 @@
 
 // reportLifetime is for how long a peer's report of a suspicion counts.
 func (g *groupView) reportLifetime() time.Duration {
-	return reportLifetimeIntervals * g.settings.Interval
+	return reportLifetimeIntervals * g.settings.ProbeInterval
 }
 
 // countAliveExcept counts the peers that are alive, without the given one.
--- a/internal/membership/inbound.go
+++ b/internal/membership/inbound.go
@@ -5,11 +5,11 @@
 	"net/http"
 )
 
-// Probed handles a peer's probe. Its Respond, with the same request, may come from a later event when
+// HandleProbe handles a peer's probe. Its Respond, with the same request, may come from a later event when
 // the probe is about a third member.
-func (d *Detector) Probed(at Clock, request uint64, body []byte) []Action {
+func (d *Detector) HandleProbe(at Clock, request uint64, body []byte) []Action {
 	d.advanceClock(at)
-	d.counters.BytesReceived += uint64(min(len(body), MostBytes))
+	d.counters.BytesReceived += uint64(min(len(body), MaxMessageBytes))
 	message, err := decodeMessage[Probe](body)
 	sender := d.members[message.From]
 	switch {
@@ -59,7 +59,7 @@
 	case d.pending.forPeers >= maxProbesForPeers:
 		d.out.respondEmpty(request, http.StatusServiceUnavailable)
 	default:
-		d.counters.OnBehalf++
+		d.counters.ProbesForPeers++
 		d.startProbe(&pendingProbe{target: target, forPeer: true, requestID: request, requester: sender.label,
 			requesterSequence: message.Sequence})
 	}
--- a/internal/membership/inbound_test.go
+++ b/internal/membership/inbound_test.go
@@ -25,7 +25,7 @@
 }
 
 func (s *singleDetector) clock() Clock {
-	return Clock{Steady: s.now, Wall: testWall + s.now.Milliseconds()}
+	return Clock{Monotonic: s.now, Wall: testWall + s.now.Milliseconds()}
 }
 
 // deliver passes a probe to the detector, and returns the response's status and the reasons of drops. A
@@ -33,13 +33,13 @@
 func (s *singleDetector) deliver(body []byte) (status int, drops []DropReason) {
 	s.t.Helper()
 	s.request++
-	for _, a := range s.detector.Probed(s.clock(), s.request, body) {
+	for _, a := range s.detector.HandleProbe(s.clock(), s.request, body) {
 		switch a := a.(type) {
 		case Respond:
 			status = a.Status
-		case Drop:
+		case DroppedMessage:
 			drops = append(drops, a.Reason)
-		case Change:
+		case StateChange:
 			s.t.Errorf("%+v", a)
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 func validProbe() Probe {
-	return Probe{Version: Version, From: "b", Incarnation: Incarnation(testWall), Sequence: 5}
+	return Probe{Version: ProtocolVersion, From: "b", Incarnation: Incarnation(testWall), Sequence: 5}
 }
 
 // Invalid messages are dropped and counted, and change nothing.
@@ -65,7 +65,7 @@
 		"empty":                     {nil, 400, DropMalformed},
 		"truncated":                 {encode(validProbe())[:9], 400, DropMalformed},
 		"text":                      {[]byte("hello"), 400, DropMalformed},
-		"oversized":                 {append(encode(validProbe()), make([]byte, MostBytes)...), 400, DropMalformed},
+		"oversized":                 {append(encode(validProbe()), make([]byte, MaxMessageBytes)...), 400, DropMalformed},
 		"too many claims":           {change(func(p *Probe) { p.Claims = make([]Claim, maxClaims+1) }), 400, DropMalformed},
 		"another type":              {encode(map[int]string{1: "one"}), 400, DropMalformed},
 		"a higher version":          {change(func(p *Probe) { p.Version++ }), 404, DropVersion},
@@ -94,8 +94,8 @@
 			if after.state != before.state || after.incarnation != before.incarnation || name != "an unknown target" && after.sequence != before.sequence {
 				t.Errorf("the member was %+v, is %+v", before, *after)
 			}
-			if s.detector.Counters().Dropped != 1 {
-				t.Errorf("%d drops are counted", s.detector.Counters().Dropped)
+			if s.detector.Counters().DroppedMessages != 1 {
+				t.Errorf("%d drops are counted", s.detector.Counters().DroppedMessages)
 			}
 		})
 	}
@@ -133,8 +133,8 @@
 	firsts := 0
 	for range 5 {
 		s.request++
-		for _, a := range s.detector.Probed(s.clock(), s.request, encode(validProbe())) {
-			if d, is := a.(Drop); is && d.First {
+		for _, a := range s.detector.HandleProbe(s.clock(), s.request, encode(validProbe())) {
+			if d, is := a.(DroppedMessage); is && d.First {
 				firsts++
 			}
 		}
@@ -198,10 +198,10 @@
 			if err := cbor.Unmarshal(sent.Body, &p); err != nil {
 				t.Fatal(err)
 			}
-			reply := ProbeReply{Version: Version, From: "b", Incarnation: Incarnation(testWall), Sequence: p.Sequence}
+			reply := ProbeReply{Version: ProtocolVersion, From: "b", Incarnation: Incarnation(testWall), Sequence: p.Sequence}
 			change(&reply)
-			s.detector.Answered(s.clock(), sent.ID, Answer{Status: 200, Body: encode(reply)})
-			if c := s.detector.Counters(); c.Answers != 0 || c.Dropped != 1 {
+			s.detector.HandleResponse(s.clock(), sent.ID, Response{Status: 200, Body: encode(reply)})
+			if c := s.detector.Counters(); c.Replies != 0 || c.DroppedMessages != 1 {
 				t.Errorf("%+v", c)
 			}
 		})
@@ -220,15 +220,15 @@
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		d := New(testSettings("a", []string{"a", "b", "c"}), rand.New(rand.NewPCG(1, 1)))
-		at := Clock{Steady: time.Second, Wall: testWall}
+		at := Clock{Monotonic: time.Second, Wall: testWall}
 		d.Tick(at)
 		for i := range 2 {
-			for _, a := range d.Probed(at, uint64(i+1), body) {
-				if c, is := a.(Change); is && c.To != Left {
+			for _, a := range d.HandleProbe(at, uint64(i+1), body) {
+				if c, is := a.(StateChange); is && c.To != Left {
 					t.Errorf("%+v", c)
 				}
 			}
-			d.Answered(at, uint64(i+1), Answer{Status: 200, Body: body})
+			d.HandleResponse(at, uint64(i+1), Response{Status: 200, Body: body})
 		}
 		if len(d.pending.probes) > 4+maxProbesForPeers || len(d.pending.requests) > 64 {
 			t.Errorf("%d probes, %d requests", len(d.pending.probes), len(d.pending.requests))
