--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -7,14 +7,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is that of the messages. A change that earlier versions can't read raises it; fields
+// ProtocolVersion is that of the messages. A change that earlier versions can't read raises it; fields
 // may be added without, as unknown ones are ignored.
-const Version = 1
+const ProtocolVersion = 1
 
 // Bounds on what is taken from a peer.
 const (
-	// MostBytes bounds a message: 24 controllers' claims take under 1 KiB.
-	MostBytes = 8 << 10
+	// MaxMessageBytes bounds a message: 24 controllers' claims take under 1 KiB.
+	MaxMessageBytes = 8 << 10
 	// maxClaims bounds the claims of a message.
 	maxClaims = 64
 	// maxSequence is beyond what a process sends in thousands of years.
@@ -91,7 +91,7 @@
 
 // decode reads a body of bounded length into a message.
 func decode(body []byte, into any) error {
-	if len(body) > MostBytes {
+	if len(body) > MaxMessageBytes {
 		return errMessageTooLarge
 	}
 	if err := decodeMode.Unmarshal(body, into); err != nil {
@@ -107,7 +107,7 @@
 	if err := decode(body, &m); err != nil {
 		return m, err
 	}
-	if m.version() > Version {
+	if m.version() > ProtocolVersion {
 		return m, errUnsupportedVersion
 	}
 	return m, nil
--- a/internal/membership/outbox.go
+++ b/internal/membership/outbox.go
@@ -19,7 +19,7 @@
 // newProbe is the next probe for a peer, with our claims.
 func (o *outbox) newProbe(peer string) Probe {
 	self := &o.view.self
-	return Probe{Version: Version, From: self.label, Incarnation: self.incarnation, Sequence: self.nextSequence(),
+	return Probe{Version: ProtocolVersion, From: self.label, Incarnation: self.incarnation, Sequence: self.nextSequence(),
 		Claims: o.view.claimsFor(peer)}
 }
 
@@ -41,7 +41,7 @@
 
 // respond answers a peer's probe.
 func (o *outbox) respond(requestID uint64, status int, reply ProbeReply) {
-	reply.Version, reply.From, reply.Incarnation = Version, o.view.self.label, o.view.self.incarnation
+	reply.Version, reply.From, reply.Incarnation = ProtocolVersion, o.view.self.label, o.view.self.incarnation
 	body := encode(reply)
 	o.counters.BytesSent += uint64(len(body))
 	o.actions = append(o.actions, Respond{Request: requestID, Status: status, Body: body})
@@ -74,10 +74,10 @@
 
 // drop counts and reports a message that is not taken.
 func (o *outbox) drop(from string, reason DropReason) {
-	o.counters.Dropped++
+	o.counters.DroppedMessages++
 	first := o.view.members[from].isFirstDrop(reason)
-	o.actions = append(o.actions, Drop{Label: from, Reason: reason, First: first})
+	o.actions = append(o.actions, DroppedMessage{Label: from, Reason: reason, First: first})
 }
 
 // reportChange reports a member's change of state.
-func (o *outbox) reportChange(change Change) { o.actions = append(o.actions, change) }
+func (o *outbox) reportChange(change StateChange) { o.actions = append(o.actions, change) }
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -4,7 +4,7 @@
 
 // startProbe begins a probe with a request to its target.
 func (d *Detector) startProbe(probe *pendingProbe) {
-	probe.sentAt, probe.timeout = d.clock.now, d.health.stretch(d.settings.Timeout)
+	probe.sentAt, probe.timeout = d.clock.now, d.health.stretch(d.settings.ProbeTimeout)
 	d.counters.Probes++
 	d.pending.add(probe)
 	d.sendDirect(probe)
@@ -48,7 +48,7 @@
 	d.random.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
 	for _, helper := range helpers[:min(len(helpers), maxHelpers)] {
 		probe.helpers++
-		d.counters.WitnessesAsked++
+		d.counters.IndirectProbes++
 		d.sendIndirect(probe, helper)
 	}
 }
@@ -80,7 +80,7 @@
 	if target.lastAckAt >= probe.sentAt {
 		return // it answered another request meanwhile
 	}
-	d.counters.Failures++
+	d.counters.ProbeFailures++
 	switch {
 	case probe.nacks > 0:
 		target.unconfirmedFailures = 0
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -11,25 +11,25 @@
 	return Alive
 }
 
-// Serves reports whether a controller may serve machines at a monotonic time: it is neither dead nor
+// MayServeMachines reports whether a controller may serve machines at a monotonic time: it is neither dead nor
 // left, and if it was, it has been back for Settings.Steady. Suspicion alone takes no machine away.
-func (d *Detector) Serves(label string, now time.Duration) bool {
+func (d *Detector) MayServeMachines(label string, now time.Duration) bool {
 	m := d.members[label]
 	if m == nil {
 		return label == d.self.label
 	}
-	return m.isPresent() && (m.rejoinedAt == 0 || now >= m.rejoinedAt+d.settings.Steady)
+	return m.isPresent() && (m.rejoinedAt == 0 || now >= m.rejoinedAt+d.settings.RejoinDelay)
 }
 
-// TakesWork reports whether new work may be sent to a controller at a monotonic time: it may serve
+// AcceptsWork reports whether new work may be sent to a controller at a monotonic time: it may serve
 // machines and is not suspected.
-func (d *Detector) TakesWork(label string, now time.Duration) bool {
-	return d.StateOf(label) == Alive && d.Serves(label, now)
+func (d *Detector) AcceptsWork(label string, now time.Duration) bool {
+	return d.StateOf(label) == Alive && d.MayServeMachines(label, now)
 }
 
-// Way is the relay route to a controller: via is "" for the direct route, or the member that reached it
+// RelayRoute is the relay route to a controller: via is "" for the direct route, or the member that reached it
 // since our own last probe of it failed. reached is false if no route is known.
-func (d *Detector) Way(label string) (via string, reached bool) {
+func (d *Detector) RelayRoute(label string) (via string, reached bool) {
 	m := d.members[label]
 	if m == nil || !m.directProbeFailed {
 		return "", true
@@ -42,9 +42,9 @@
 	return "", false
 }
 
-// Successors lists the controllers that may follow a leader: this one and the peers that are alive,
+// LeaderCandidates lists the controllers that may follow a leader: this one and the peers that are alive,
 // without the leader. The order is that of the labels, this controller first.
-func (d *Detector) Successors(leader string) []string {
+func (d *Detector) LeaderCandidates(leader string) []string {
 	candidates := []string{}
 	if d.self.label != leader {
 		candidates = append(candidates, d.self.label)
@@ -59,11 +59,11 @@
 
 // Member is what is known of a peer.
 type Member struct {
-	Label       string
-	State       State
-	Since       time.Duration // when the state began, monotonic
-	Incarnation Incarnation
-	Heartbeats  bool // whether it is judged by heartbeats, as its version knows no probes
+	Label          string
+	State          State
+	Since          time.Duration // when the state began, monotonic
+	Incarnation    Incarnation
+	UsesHeartbeats bool // whether it is judged by heartbeats, as its version knows no probes
 }
 
 // Members lists the peers, sorted by label.
@@ -71,7 +71,7 @@
 	members := make([]Member, 0, len(d.labels))
 	for _, label := range d.labels {
 		m := d.members[label]
-		members = append(members, Member{Label: label, State: m.state, Since: m.since, Incarnation: m.incarnation, Heartbeats: m.method == viaHeartbeat})
+		members = append(members, Member{Label: label, State: m.state, Since: m.since, Incarnation: m.incarnation, UsesHeartbeats: m.method == viaHeartbeat})
 	}
 	return members
 }
@@ -79,8 +79,8 @@
 // Incarnation is that of this controller.
 func (d *Detector) Incarnation() Incarnation { return d.self.incarnation }
 
-// Health is the local health score: 0, in good health, to 8.
-func (d *Detector) Health() int { return d.health.score }
+// LocalHealth is the local health score: 0, in good health, to 8.
+func (d *Detector) LocalHealth() int { return d.health.score }
 
 // Counters are the totals so far.
 func (d *Detector) Counters() Counters { return d.counters }
--- a/internal/membership/responses.go
+++ b/internal/membership/responses.go
@@ -2,14 +2,14 @@
 
 import "net/http"
 
-// Answer is the outcome of a Send.
-type Answer struct {
+// Response is the outcome of a Send.
+type Response struct {
 	Status int // HTTP status; 0: there was no answer
 	Body   []byte
 }
 
-// Answered handles the outcome of the Send with the ID. That of a probe which has ended is ignored.
-func (d *Detector) Answered(at Clock, id uint64, answer Answer) []Action {
+// HandleResponse handles the outcome of the Send with the ID. That of a probe which has ended is ignored.
+func (d *Detector) HandleResponse(at Clock, id uint64, answer Response) []Action {
 	d.advanceClock(at)
 	request := d.pending.takeRequest(id)
 	if request == nil {
@@ -25,7 +25,7 @@
 }
 
 // handleDirectResponse handles what came from the target of a probe itself.
-func (d *Detector) handleDirectResponse(request *pendingRequest, answer Answer) {
+func (d *Detector) handleDirectResponse(request *pendingRequest, answer Response) {
 	probe, target := request.probe, request.probe.target
 	reply, ok := d.readReply(target.label, request, answer)
 	switch {
@@ -55,7 +55,7 @@
 
 // handleIndirectResponse handles what came from a helper. Without a valid reply the helper counts as
 // silent: neither an ack nor a nack.
-func (d *Detector) handleIndirectResponse(request *pendingRequest, answer Answer) {
+func (d *Detector) handleIndirectResponse(request *pendingRequest, answer Response) {
 	probe, target := request.probe, request.probe.target
 	reply, ok := d.readReply(request.helper, request, answer)
 	if !ok {
@@ -67,7 +67,7 @@
 		probe.nacks++
 		return
 	}
-	d.counters.WitnessesReached++
+	d.counters.IndirectAcks++
 	target.recordIndirectAck(d.clock.now, request.helper)
 	switch {
 	case target.updateIncarnation(reply.TargetIncarnation, &d.clock):
@@ -82,7 +82,7 @@
 // was sent since. A member that is dead or left comes back by a later incarnation alone, unless its
 // version knows no probes, and so no incarnations.
 func (d *Detector) recordAck(m *member, request *pendingRequest, reply ProbeReply) {
-	d.counters.Answers++
+	d.counters.Replies++
 	m.recordDirectAck(d.clock.now)
 	m.unconfirmedFailures = 0
 	d.health.improve()
@@ -99,7 +99,7 @@
 
 // readReply reads the reply to a probe; ok is false if there is none or it is dropped. A rejected probe
 // (409) counts too, as only a running process rejects one.
-func (d *Detector) readReply(from string, request *pendingRequest, answer Answer) (reply ProbeReply, ok bool) {
+func (d *Detector) readReply(from string, request *pendingRequest, answer Response) (reply ProbeReply, ok bool) {
 	if request.heartbeat || answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
 		return ProbeReply{}, false
 	}
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -7,19 +7,19 @@
 type Settings struct {
 	Self  string   // label of this controller
 	Peers []string // labels of the other controllers
-	// Interval is the time between two probes of a peer.
-	Interval time.Duration
-	// Timeout is how long a direct ack may take before other members are asked to probe the
+	// ProbeInterval is the time between two probes of a peer.
+	ProbeInterval time.Duration
+	// ProbeTimeout is how long a direct ack may take before other members are asked to probe the
 	// peer. Indirect probes have twice as long.
-	Timeout time.Duration
-	// Suspicion is the least time from suspicion to death, when enough members confirm the
-	// suspicion. If nobody does, the time is SuspicionFactor times as long.
-	Suspicion       time.Duration
-	SuspicionFactor float64
-	// Steady is how long a member that came back must have been alive to serve machines.
-	Steady time.Duration
-	// Stall is the gap between two events after which the observer counts as having been paused.
-	Stall time.Duration
+	ProbeTimeout time.Duration
+	// SuspicionTimeout is the least time from suspicion to death, when enough members confirm the
+	// suspicion. If nobody does, the time is UnconfirmedSuspicionFactor times as long.
+	SuspicionTimeout time.Duration
+	SuspicionFactor  float64
+	// RejoinDelay is how long a member that came back must have been alive to serve machines.
+	RejoinDelay time.Duration
+	// PauseThreshold is the gap between two events after which the observer counts as having been paused.
+	PauseThreshold time.Duration
 	// ClockError bounds the difference between the times of day of two controllers.
 	ClockError time.Duration
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -22,7 +22,7 @@
 	// delay is the latency of a message.
 	delay func(from, to string) time.Duration
 	// onChange is called for each change of state.
-	onChange func(at time.Duration, by string, change Change)
+	onChange func(at time.Duration, by string, change StateChange)
 	bytes    map[string]int // bodies sent, by label
 	sent     map[string]int // requests sent, by label
 }
@@ -50,8 +50,8 @@
 )
 
 func testSettings(self string, labels []string) Settings {
-	s := Settings{Self: self, Interval: testLease / 5, Timeout: testLease / 10, Suspicion: 2 * testLease, SuspicionFactor: 3,
-		Steady: 20 * time.Second, Stall: testLease * 3 / 10, ClockError: 25 * time.Millisecond}
+	s := Settings{Self: self, ProbeInterval: testLease / 5, ProbeTimeout: testLease / 10, SuspicionTimeout: 2 * testLease, SuspicionFactor: 3,
+		RejoinDelay: 20 * time.Second, PauseThreshold: testLease * 3 / 10, ClockError: 25 * time.Millisecond}
 	for _, l := range labels {
 		if l != self {
 			s.Peers = append(s.Peers, l)
@@ -67,7 +67,7 @@
 		nodes: map[string]*node{}, bytes: map[string]int{}, sent: map[string]int{},
 		dropMessage: func(string, string) bool { return false },
 		delay:       func(string, string) time.Duration { return 2 * time.Millisecond },
-		onChange:    func(time.Duration, string, Change) {},
+		onChange:    func(time.Duration, string, StateChange) {},
 	}
 	for i := range n {
 		sim.labels = append(sim.labels, fmt.Sprintf("n%02d", i))
@@ -95,7 +95,7 @@
 
 func (s *simulation) clock(n *node) Clock {
 	drifted := time.Duration(float64(s.now) * (1 + n.drift))
-	return Clock{Steady: drifted, Wall: testWall + (s.now + n.clockOffset).Milliseconds()}
+	return Clock{Monotonic: drifted, Wall: testWall + (s.now + n.clockOffset).Milliseconds()}
 }
 
 // start starts a new process of a controller, and its ticks.
@@ -163,9 +163,9 @@
 				delete(n.waiting, a.Request)
 				answer(a.Status, a.Body)
 			}
-		case Change:
+		case StateChange:
 			s.onChange(s.now, n.label, a)
-		case Drop:
+		case DroppedMessage:
 			n.drops[a.Reason]++
 		}
 	}
@@ -180,7 +180,7 @@
 		s.handle(n, generation, func() {
 			if !answered {
 				answered = true
-				s.apply(n, n.detector.Answered(s.clock(n), request.ID, Answer{status, body}))
+				s.apply(n, n.detector.HandleResponse(s.clock(n), request.ID, Response{status, body}))
 			}
 		})
 	}
@@ -210,7 +210,7 @@
 			default:
 				to.request++
 				to.waiting[to.request] = reply
-				s.apply(to, to.detector.Probed(s.clock(to), to.request, request.Body))
+				s.apply(to, to.detector.HandleProbe(s.clock(to), to.request, request.Body))
 			}
 		})
 	})
--- a/internal/membership/transitions.go
+++ b/internal/membership/transitions.go
@@ -2,7 +2,7 @@
 
 // setState changes a member's state and reports it.
 func (d *Detector) setState(m *member, to State, reason Reason) {
-	d.out.reportChange(Change{Label: m.label, From: m.state, To: to, Reason: reason, Incarnation: m.incarnation, After: d.clock.now - m.since})
+	d.out.reportChange(StateChange{Label: m.label, From: m.state, To: to, Reason: reason, Incarnation: m.incarnation, After: d.clock.now - m.since})
 	m.state, m.since = to, d.clock.now
 }
 
@@ -24,7 +24,7 @@
 		if m.state != Suspect {
 			continue
 		}
-		timeout := m.suspicion.timeout(d.settings.Suspicion, d.settings.SuspicionFactor, len(d.labels)-1)
+		timeout := m.suspicion.timeout(d.settings.SuspicionTimeout, d.settings.SuspicionFactor, len(d.labels)-1)
 		if d.clock.now >= m.suspicion.since+d.health.stretch(timeout) {
 			d.counters.Deaths++
 			d.setState(m, Dead, ReasonSuspicionTimeout)
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -19,7 +19,7 @@
 	Types []MachineType `msgpack:"flavours"`
 }
 
-// LaunchRequest asks the cloud for machines. MachineNames answers it.
+// LaunchRequest asks the cloud for machines. MachineIDs answers it.
 type LaunchRequest struct {
 	// Request identifies the request: repeated with the same one, it launches nothing more.
 	Request string `msgpack:"hire"`
@@ -29,8 +29,8 @@
 	Count   int    `msgpack:"number"`
 }
 
-// MachineNames holds machines' IDs: those that a launch gave, or those that are to be deleted.
-type MachineNames struct {
+// MachineIDs holds machines' IDs: those that a launch gave, or those that are to be deleted.
+type MachineIDs struct {
 	Machines []string `msgpack:"hosts"`
 }
 
--- a/internal/protocol/encoding.go
+++ b/internal/protocol/encoding.go
@@ -9,9 +9,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxBody is the largest body of a request or a response, in bytes. The state service's answers
+// MaxBodyBytes is the largest body of a request or a response, in bytes. The state service's answers
 // may be larger (see package transport).
-const MaxBody = 64 << 10
+const MaxBodyBytes = 64 << 10
 
 // ErrMalformed is the error of a body that is not one complete MessagePack value.
 var ErrMalformed = errors.New("malformed")
--- a/internal/protocol/job_spec.go
+++ b/internal/protocol/job_spec.go
@@ -7,18 +7,18 @@
 
 // Priorities in rising order.
 const (
-	Idle Priority = iota
-	Normal
-	High
-	Production
+	PriorityIdle Priority = iota
+	PriorityNormal
+	PriorityHigh
+	PriorityProduction
 )
 
-// MaxTasks is the largest number of tasks that a job may have.
-const MaxTasks = 100_000
+// MaxTasksPerJob is the largest number of tasks that a job may have.
+const MaxTasksPerJob = 100_000
 
-// Spec is a job as submitted. It is stored in this form, so that tags and types must not change.
+// JobSpec is a job as submitted. It is stored in this form, so that tags and types must not change.
 // Amounts are those of one task.
-type Spec struct {
+type JobSpec struct {
 	UID          string   `msgpack:"u"`
 	Class        string   `msgpack:"c"`
 	Team         string   `msgpack:"o"`
@@ -40,7 +40,7 @@
 	Spot    bool   `msgpack:"bo,omitempty"` // spot machines may be used
 	// EstimateS is how many seconds a task runs, as its owner says.
 	EstimateS float64 `msgpack:"e,omitempty"`
-	// CheckpointS is the time between two checkpoints, and SaveS how long writing one takes, in
+	// CheckpointS is the time between two checkpoints, and CheckpointS how long writing one takes, in
 	// seconds. CheckpointS 0: the task has none.
 	CheckpointS float64 `msgpack:"cp,omitempty"`
 	SaveS       float64 `msgpack:"sv,omitempty"`
@@ -53,8 +53,8 @@
 	maxJobIDDigits = 40
 )
 
-// ValidUID says whether an ID has the form of job IDs: j- and 1 to 40 digits or small letters.
-func ValidUID(s string) bool {
+// ValidJobID says whether an ID has the form of job IDs: j- and 1 to 40 digits or small letters.
+func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, jobIDPrefix)
 	if !ok || len(digits) == 0 || len(digits) > maxJobIDDigits {
 		return false
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -1,9 +1,9 @@
 package protocol
 
-// Relay is a request of a user or a worker that a controller forwards to the leader.
-type Relay struct {
-	// Op is the operation (controller.Op).
-	Op string `cbor:"1,keyasint"`
+// ForwardedRequest is a request of a user or a worker that a controller forwards to the leader.
+type ForwardedRequest struct {
+	// Operation is the operation (controller.Op).
+	Operation string `cbor:"1,keyasint"`
 	// UID is the job that the request names, if any.
 	UID  string `cbor:"2,keyasint,omitempty"`
 	Body []byte `cbor:"3,keyasint,omitempty"`
@@ -14,8 +14,8 @@
 	To string `cbor:"5,keyasint,omitempty"`
 }
 
-// RelayReply is the leader's answer to a forwarded request.
-type RelayReply struct {
+// ForwardedReply is the leader's answer to a forwarded request.
+type ForwardedReply struct {
 	Status     int    `cbor:"1,keyasint"` // of HTTP
 	Body       []byte `cbor:"2,keyasint,omitempty"`
 	RetryAfter int    `cbor:"3,keyasint,omitempty"` // seconds; 0: none
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -20,9 +20,9 @@
 		{"heartbeat reply", "a301626e3002070309",
 			&PeerHeartbeatReply{Leader: "n0", Token: 7, LeaderClock: 9}, &PeerHeartbeatReply{}},
 		{"forwarded request", "a301667375626d697402636a2d3103420102",
-			&Relay{Op: "submit", UID: "j-1", Body: []byte{1, 2}}, &Relay{}},
+			&ForwardedRequest{Operation: "submit", UID: "j-1", Body: []byte{1, 2}}, &ForwardedRequest{}},
 		{"forwarded request's reply", "a3011901f70241010301",
-			&RelayReply{Status: 503, Body: []byte{1}, RetryAfter: 1}, &RelayReply{}},
+			&ForwardedReply{Status: 503, Body: []byte{1}, RetryAfter: 1}, &ForwardedReply{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			raw, err := hex.DecodeString(tc.encoded)
@@ -51,7 +51,7 @@
 			Body []byte `cbor:"3,keyasint,omitempty"`
 		}
 		var older olderRelay
-		if err := DecodePeer(EncodePeer(Relay{Op: "poll", UID: "j-1", To: "n0"}), &older); err != nil || older.UID != "j-1" {
+		if err := DecodePeer(EncodePeer(ForwardedRequest{Operation: "poll", UID: "j-1", To: "n0"}), &older); err != nil || older.UID != "j-1" {
 			t.Errorf("an older version reads %+v, %v", older, err)
 		}
 	})
--- a/internal/protocol/state_service.go
+++ b/internal/protocol/state_service.go
@@ -2,19 +2,19 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Item is a key of the state service with its value.
-type Item struct {
+// KeyValue is a key of the state service with its value.
+type KeyValue struct {
 	Key     string             `msgpack:"k"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Version uint64             `msgpack:"stamp"`  // the revision of its last change
 	Lease   uint64             `msgpack:"tenure"` // the lease that it ends with; 0: none
 }
 
-// Items is one page of keys.
-type Items struct {
-	Items    []Item `msgpack:"items"`
-	More     bool   `msgpack:"more"`   // there is another page
-	Revision uint64 `msgpack:"ledger"` // of the whole store when the page was read
+// KeyValuePage is one page of keys.
+type KeyValuePage struct {
+	Items    []KeyValue `msgpack:"items"`
+	More     bool       `msgpack:"more"`   // there is another page
+	Revision uint64     `msgpack:"ledger"` // of the whole store when the page was read
 }
 
 // Condition is one comparison of a compare-and-swap: the key has this version. Version 0: the key
@@ -32,14 +32,14 @@
 	Delete string `msgpack:"delete,omitempty"`
 }
 
-// Txn is a transaction: all its changes are applied if all its conditions hold, else none.
-type Txn struct {
+// Transaction is a transaction: all its changes are applied if all its conditions hold, else none.
+type Transaction struct {
 	If   []Condition `msgpack:"if"`
 	Then []Change    `msgpack:"apply"`
 }
 
-// TxnReply answers a transaction.
-type TxnReply struct {
+// TransactionReply answers a transaction.
+type TransactionReply struct {
 	Revision uint64   `msgpack:"ledger"`
 	Failed   []string `msgpack:"failed"` // keys whose condition did not hold
 }
@@ -54,16 +54,16 @@
 	Lease uint64 `msgpack:"tenure"`
 }
 
-// Event is one change that a watch has seen: a put if Put is set, and a deletion if Delete is.
-type Event struct {
+// WatchEvent is one change that a watch has seen: a put if Put is set, and a deletion if Delete is.
+type WatchEvent struct {
 	Put     string             `msgpack:"put"`
 	Value   msgpack.RawMessage `msgpack:"data"`
 	Delete  string             `msgpack:"delete"`
 	Version uint64             `msgpack:"stamp"`
 }
 
-// Events answers a watch.
-type Events struct {
-	Revision uint64  `msgpack:"ledger"` // from where the next watch goes on
-	Events   []Event `msgpack:"news"`
+// WatchReply answers a watch.
+type WatchReply struct {
+	Revision uint64       `msgpack:"ledger"` // from where the next watch goes on
+	Events   []WatchEvent `msgpack:"news"`
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -38,10 +38,10 @@
 
 // priorities are the values of fieldPriority.
 var priorities = map[string]Priority{
-	"production": Production,
-	"high":       High,
-	"normal":     Normal,
-	"idle":       Idle,
+	"production": PriorityProduction,
+	"high":       PriorityHigh,
+	"normal":     PriorityNormal,
+	"idle":       PriorityIdle,
 }
 
 // ValidationError is the error of a submission with a field that is missing or invalid.
@@ -57,7 +57,7 @@
 // field that is wrong, or one of ErrMalformed, ErrBodyTooLarge, ErrNestedTooDeeply and ErrNotAMap.
 // The uid is returned as far as it could be read, also with an error: a job that was accepted
 // before is answered with its state whatever a repeat of its submission holds.
-func ParseSubmission(body []byte) (uid string, spec *Spec, err error) {
+func ParseSubmission(body []byte) (uid string, spec *JobSpec, err error) {
 	values, err := decodeSubmission(body)
 	if err != nil {
 		return "", nil, err
@@ -73,8 +73,8 @@
 
 // parse reads all fields. The order decides which error is reported where several fields are
 // wrong.
-func (f *submissionFields) parse() *Spec {
-	spec := &Spec{
+func (f *submissionFields) parse() *JobSpec {
+	spec := &JobSpec{
 		UID:          f.text(fieldUID, required),
 		Class:        f.text(fieldClass, required),
 		Team:         f.text(fieldTeam, required),
@@ -92,7 +92,7 @@
 		SaveS:        f.amount(fieldSaveS, required),
 		DeadlineS:    f.amount(fieldDeadlineS, optional),
 	}
-	if !ValidUID(spec.UID) {
+	if !ValidJobID(spec.UID) {
 		f.fail(fieldUID, "not in the form of a job id")
 	}
 	spec.Service, spec.Gang = f.shape()
@@ -131,7 +131,7 @@
 
 func (f *submissionFields) taskCount() int {
 	count := f.amount(fieldTasks, required)
-	if count < 1 || count > MaxTasks || count != math.Trunc(count) {
+	if count < 1 || count > MaxTasksPerJob || count != math.Trunc(count) {
 		f.fail(fieldTasks, "not a whole number from 1 to 100000")
 	}
 	return int(count)
--- a/internal/protocol/submission_body.go
+++ b/internal/protocol/submission_body.go
@@ -19,7 +19,7 @@
 
 // decodeSubmission reads a map with texts as keys from a body of any origin.
 func decodeSubmission(body []byte) (map[string]any, error) {
-	if len(body) > MaxBody {
+	if len(body) > MaxBodyBytes {
 		return nil, ErrBodyTooLarge
 	}
 	// The decoder recurses once a level: the depth is bounded before it runs.
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -141,7 +141,7 @@
 		{"deep pairs", bytes.Repeat([]byte{0x92, 0xc0}, 30_000), ErrMalformed},
 		{"huge array", []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
 		{"huge map", []byte{0xdf, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
-		{"large", make([]byte, MaxBody+1), ErrBodyTooLarge},
+		{"large", make([]byte, MaxBodyBytes+1), ErrBodyTooLarge},
 		{"bytes after the end", append(Encode(submission(nil)), 0xc0), ErrMalformed},
 		{"number keys", Encode(map[int]int{1: 2}), nil}, // the decoder's own error
 	} {
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -5,10 +5,10 @@
 
 // States of jobs.
 const (
-	Pending   JobState = "pending" // no task is running now
-	Active    JobState = "running" // at least one task is
-	Done      JobState = "done"
-	Cancelled JobState = "aborted"
+	JobPending   JobState = "pending" // no task is running now
+	JobRunning   JobState = "running" // at least one task is
+	JobDone      JobState = "done"
+	JobCancelled JobState = "aborted"
 )
 
 // JobStatus answers a user's submission, poll or cancellation.
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -5,11 +5,11 @@
 
 // States of tasks on workers.
 const (
-	FetchingImage  TaskState = "pulling"
-	WaitingForGang TaskState = "gathering" // until the gang's other tasks of the same attempt are there
-	Running        TaskState = "running"
-	Saving         TaskState = "saving" // writes its last checkpoint before it stops
-	Exited         TaskState = "exited" // stays in the reports until a VerbClear
+	TaskFetchingImage    TaskState = "pulling"
+	TaskWaitingForGang   TaskState = "gathering" // until the gang's other tasks of the same attempt are there
+	TaskRunning          TaskState = "running"
+	TaskSavingCheckpoint TaskState = "saving" // writes its last checkpoint before it stops
+	TaskExited           TaskState = "exited" // stays in the reports until a VerbClear
 )
 
 // ExitCause is why a task ended, as its worker reports it.
@@ -17,11 +17,11 @@
 
 // Causes of a task's end.
 const (
-	CauseDone    ExitCause = "done"
-	CauseStopped ExitCause = "halted"  // by VerbStop
-	CauseError   ExitCause = "error"   // the task failed
-	CauseNoRoom  ExitCause = "no_room" // the machine has too little free
-	CauseBusy    ExitCause = "busy"    // another attempt of the task is on the machine
+	CauseDone                  ExitCause = "done"
+	CauseStopped               ExitCause = "halted"  // by VerbStop
+	CauseError                 ExitCause = "error"   // the task failed
+	CauseInsufficientResources ExitCause = "no_room" // the machine has too little free
+	CauseBusy                  ExitCause = "busy"    // another attempt of the task is on the machine
 	// CausePeersLost is that of a gang's task whose other tasks are gone.
 	CausePeersLost ExitCause = "mates_gone"
 	// CauseIncomplete is that of a gang's task whose gang was not complete in time.
@@ -78,9 +78,9 @@
 	Commands []Command `msgpack:"orders"`
 }
 
-// Commands is a request to a worker with commands that do not wait for its next heartbeat. The
+// CommandRequest is a request to a worker with commands that do not wait for its next heartbeat. The
 // worker refuses it if it has seen a higher fencing token, or is in another epoch.
-type Commands struct {
+type CommandRequest struct {
 	Token    uint64    `msgpack:"mandate"`
 	Epoch    uint64    `msgpack:"shift"`
 	Commands []Command `msgpack:"orders"`
--- a/internal/ratelimit/token_bucket.go
+++ b/internal/ratelimit/token_bucket.go
@@ -23,8 +23,8 @@
 	b.filledAt = now
 }
 
-// Has reports whether the bucket holds n tokens now.
-func (b *TokenBucket) Has(now time.Duration, n float64) bool {
+// Allows reports whether the bucket holds n tokens now.
+func (b *TokenBucket) Allows(now time.Duration, n float64) bool {
 	b.fill(now)
 	return b.level >= n
 }
@@ -38,9 +38,9 @@
 // Burst is the most tokens that the bucket holds.
 func (b *TokenBucket) Burst() float64 { return b.burst }
 
-// Empty takes all tokens that are left, as the other side has refused a request for exceeding its limit. A
+// Drain takes all tokens that are left, as the other side has refused a request for exceeding its limit. A
 // level below zero stays.
-func (b *TokenBucket) Empty() { b.level = min(b.level, 0) }
+func (b *TokenBucket) Drain() { b.level = min(b.level, 0) }
 
 // Refill makes the bucket full again.
 func (b *TokenBucket) Refill() { b.level = b.burst }
--- a/internal/scalerun/clients.go
+++ b/internal/scalerun/clients.go
@@ -83,7 +83,7 @@
 	uid := fmt.Sprintf("j-%d%07d", r.number, c.jobsSubmitted)
 	j := &job{uid: uid, class: load.Name, team: teamName(c.random.IntN(r.plan.Teams.Count)), load: load, spread: load.Spread,
 		Job: emulator.Job{Image: load.Name + "-" + strconv.Itoa(c.random.IntN(load.Images)), ImageGB: load.ImageGB, Tasks: load.Tasks,
-			Gang: load.Shape == "group", Service: load.Shape == "service", Cores: load.Cores, Accel: load.Accelerators, Memory: load.MemoryGB},
+			Gang: load.Shape == "group", Service: load.Shape == "service", Cores: load.Cores, Accelerators: load.Accelerators, MemoryGB: load.MemoryGB},
 		submittedAt: r.loop.queue.Now(), completed: map[string]bool{}, started: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
 	r.invariants.jobs[uid] = j
 	c.requestUntilDecided(j, opSubmit, c.description(j), func() { c.onAccepted(j) })
@@ -96,7 +96,7 @@
 		estimate = 0
 	}
 	return protocol.Encode(map[string]any{"uid": j.uid, "tier": j.class, "owner": j.team, "shape": j.load.Shape, "rank": j.load.Priority,
-		"shards": j.Tasks, "cores": j.Cores, "accelerators": j.Accel, "ramGb": j.Memory, "bundle": j.Image, "sizeGb": j.ImageGB,
+		"shards": j.Tasks, "cores": j.Cores, "accelerators": j.Accelerators, "ramGb": j.MemoryGB, "bundle": j.Image, "sizeGb": j.ImageGB,
 		"flavours": nil, "yard": nil, "together": false, "apart": j.spread, "borrowed": false, "expectS": estimate,
 		"saveEveryS": 0.0, "saveTakesS": 0.0, "dueS": nil})
 }
--- a/internal/scalerun/controller_settings.go
+++ b/internal/scalerun/controller_settings.go
@@ -51,7 +51,7 @@
 	c := &s.Cluster
 	c.Size, c.Zones = p.Control.Controllers, p.Fleet.Zones
 	c.Teams, c.Objectives = p.teamSettings(), p.objectiveSettings()
-	c.Workers = config.Workers{ReportS: p.Workers.ReportS, LeaseS: p.Workers.LeaseS, CancelS: p.Workers.CancelS, GangPeerS: p.Workers.GangPeerS}
+	c.Workers = config.Workers{HeartbeatS: p.Workers.ReportS, LeaseS: p.Workers.LeaseS, CancelS: p.Workers.CancelS, GangPeerS: p.Workers.GangPeerS}
 	c.State = config.State{RPS: p.State.RPS, WriteRPS: p.State.WriteRPS, ValueKB: p.State.ValueKB, TxnOps: p.State.TxnOps}
 	c.Cloud = config.Cloud{RPS: p.Cloud.RPS, ListLagS: p.Cloud.ListLagS}
 	c.Resources = config.Resources{Cores: p.Control.Cores, MemMB: p.Control.MemoryMB, FDs: p.Control.Sockets}
@@ -64,7 +64,7 @@
 	regions := float64(p.Fleet.Regions)
 	for n := range p.Teams.Count {
 		teams = append(teams, config.Team{Name: teamName(n), Cores: p.Teams.Cores / regions, CoresMax: p.Teams.CoresMax / regions,
-			Accelerators: p.Teams.Accelerators / regions, AccelMax: p.Teams.AcceleratorsMax / regions})
+			Accelerators: p.Teams.Accelerators / regions, AcceleratorsMax: p.Teams.AcceleratorsMax / regions})
 	}
 	return teams
 }
--- a/internal/scalerun/fleet.go
+++ b/internal/scalerun/fleet.go
@@ -27,8 +27,8 @@
 func (r *region) newCloud() {
 	p := r.plan
 	cloud := emulator.NewCloud(r.loop.queue)
-	cloud.Wrong, cloud.Rate, cloud.Lag = r.failOnProtocolError, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
-	cloud.Left = map[emulator.Pool]int{} // machines that the fleet has lost can be launched again, no more
+	cloud.Violation, cloud.RequestRate, cloud.ListLag = r.failOnProtocolError, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
+	cloud.Capacity = map[emulator.Pool]int{} // machines that the fleet has lost can be launched again, no more
 	cloud.Name = func(n int) string { return fmt.Sprintf("i-%d%06d", r.number, n) }
 	cloud.Addr = func(id string) string {
 		n, _ := strconv.Atoi(id[3:]) // Name made it, so that it parses
@@ -39,11 +39,11 @@
 			CacheGB: t.CacheGB, FetchGBPerS: t.FetchGBPerS, Price: t.Price, SpotPrice: t.Price / spotDiscount, BootS: t.BootS, Zones: p.Fleet.Zones})
 	}
 	cloud.BootTime = func(typ string) time.Duration { return seconds(r.typeOf(typ).BootS) }
-	cloud.Launch = func(m *emulator.Machine) {
+	cloud.OnLaunch = func(m *emulator.Machine) {
 		worker := r.addWorker(m)
 		r.loop.queue.After(cloud.BootTime(m.Type), worker.Boot)
 	}
-	cloud.Remove = func(m *emulator.Machine) {
+	cloud.OnDelete = func(m *emulator.Machine) {
 		if worker := r.fleet.Workers[m.ID]; worker != nil {
 			worker.Die()
 		}
@@ -60,9 +60,9 @@
 // newFleet makes the region's emulated workers, which report to the real controllers.
 func (r *region) newFleet() {
 	w := r.plan.Workers
-	f := emulator.NewFleet(r.loop.queue, emulator.Timing{Report: seconds(w.ReportS), Jitter: heartbeatJitter, LeastPause: minHeartbeatPause,
-		NextController: nextControllerWait, SentAway: redirectWait, Lease: seconds(w.LeaseS),
-		GangWait: seconds(w.GangWaitS), GangPeer: seconds(w.GangPeerS), Look: leaseCheckInterval})
+	f := emulator.NewFleet(r.loop.queue, emulator.Timing{HeartbeatInterval: seconds(w.ReportS), Jitter: heartbeatJitter, MinHeartbeatPause: minHeartbeatPause,
+		FailoverDelay: nextControllerWait, RedirectDelay: redirectWait, LeaseTTL: seconds(w.LeaseS),
+		GangStartTimeout: seconds(w.GangWaitS), GangPeerTimeout: seconds(w.GangPeerS), CheckInterval: leaseCheckInterval})
 	f.Random, f.RefuseUnfit, f.FetchTime = r.random.Float64, true, emulator.FetchImage
 	var addresses, labels []string
 	for i := range r.plan.Control.Controllers {
@@ -73,8 +73,8 @@
 	r.carrier.onAnswer = func(machine string, controller int) {
 		r.ownership.workerAnswered(machine, controller, r.loop.queue.Now())
 	}
-	f.Carrier, f.Controllers = r.carrier.send, len(addresses)
-	f.Label = func(name string) int { return slices.Index(labels, name) }
+	f.SendHeartbeat, f.Controllers = r.carrier.send, len(addresses)
+	f.ControllerByName = func(name string) int { return slices.Index(labels, name) }
 	f.Jobs = func(uid string) *emulator.Job {
 		if j := r.invariants.jobs[uid]; j != nil {
 			return &j.Job
@@ -82,7 +82,7 @@
 		return nil
 	}
 	f.RunTime = r.runTime
-	f.Observer = emulator.Observer{Begins: r.onTaskStarted, Leaves: r.onTaskStopped, Done: r.onTaskCompleted, Died: r.onWorkerDied, Wrong: r.failOnProtocolError}
+	f.Observer = emulator.Observer{TaskStarted: r.onTaskStarted, TaskStopped: r.onTaskStopped, TaskCompleted: r.onTaskCompleted, WorkerDied: r.onWorkerDied, Violation: r.failOnProtocolError}
 	r.fleet = f
 }
 
@@ -97,7 +97,7 @@
 
 func (r *region) addWorker(m *emulator.Machine) *emulator.Worker {
 	worker := r.fleet.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
-	worker.Size = r.typeOf(m.Type)
+	worker.MachineType = r.typeOf(m.Type)
 	worker.Controller = r.random.IntN(r.plan.Control.Controllers)
 	r.byAddress[m.Addr] = worker
 	return worker
@@ -109,7 +109,7 @@
 	for i, typ := range r.plan.machineTypes(n) {
 		m := r.cloud.Create(emulator.Pool{Type: typ, Zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)]})
 		m.Up = true
-		r.cloud.Left[m.Pool]++ // Create counts it as newly launched, and it was there before
+		r.cloud.Capacity[m.Pool]++ // Create counts it as newly launched, and it was there before
 		worker := r.addWorker(m)
 		r.loop.queue.After(seconds(r.plan.Workers.ReportS*r.random.Float64()), worker.Boot)
 	}
@@ -139,10 +139,10 @@
 	j := r.invariants.jobs[t.UID]
 	r.upgrade.taskStarted(task, j, now)
 	r.metrics.running++
-	r.detection.taskStarted(t.Try >> attemptBlockBits)
-	if r.ownership.taskStarted(t.UID, t.Try, now) {
+	r.detection.taskStarted(t.Attempt >> attemptBlockBits)
+	if r.ownership.taskStarted(t.UID, t.Attempt, now) {
 		r.jobsOwnedTwice++
-		r.invariants.violate(j, "owned_twice", "%s is started by attempt %d though a later leader had started some", task, t.Try)
+		r.invariants.violate(j, "owned_twice", "%s is started by attempt %d though a later leader had started some", task, t.Attempt)
 	}
 	if j != nil && !j.started[task] {
 		j.started[task] = true
--- a/internal/scalerun/heartbeats.go
+++ b/internal/scalerun/heartbeats.go
@@ -47,7 +47,7 @@
 
 // send is the fleet's Carrier: the event loop calls it, and the answer is given on the event loop.
 func (c *heartbeatCarrier) send(worker *emulator.Worker, controller int, body []byte, answer emulator.Reply) {
-	if worker.ReportsLost {
+	if worker.HeartbeatsLost {
 		c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
 		return
 	}
@@ -56,7 +56,7 @@
 		status, reply, traffic := c.exchange(id, controller, body)
 		c.loop.post(func() {
 			c.metrics.heartbeat(status, time.Since(sent), traffic)
-			if worker.Hung || worker.AnswersLost {
+			if worker.Hung || worker.RepliesLost {
 				c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
 				return
 			}
--- a/internal/scalerun/invariants.go
+++ b/internal/scalerun/invariants.go
@@ -80,7 +80,7 @@
 		i.violate(nil, "invented", "%s runs, and nobody submitted its job", task)
 		return
 	}
-	j.note(i.queue.Now(), "%s begins on %s (%s, attempt %d)", task, worker.ID, worker.Zone, t.Try)
+	j.note(i.queue.Now(), "%s begins on %s (%s, attempt %d)", task, worker.ID, worker.Zone, t.Attempt)
 	if other := j.placements[task]; other != nil {
 		i.violate(j, "ran_twice", "%s begins on %s while it is on %s", task, worker.ID, other.worker.ID)
 	}
@@ -94,7 +94,7 @@
 	}
 	team := i.teams[j.team]
 	team.cores += j.Cores
-	team.accel += j.Accel
+	team.accel += j.Accelerators
 	if team.overLimit() {
 		i.violate(j, "quota", "%s uses %.1f cores and %.1f accelerators", j.team, team.cores, team.accel)
 	}
@@ -111,7 +111,7 @@
 	j.tasksByZone[worker.Zone]--
 	team := i.teams[j.team]
 	team.cores -= j.Cores
-	team.accel -= j.Accel
+	team.accel -= j.Accelerators
 }
 
 // statusReported checks the state of a job that its client was told, in answer to a request that was
@@ -123,13 +123,13 @@
 		return
 	}
 	j.note(i.queue.Now(), "its user is told %s", state)
-	if before == protocol.Done || before == protocol.Cancelled {
+	if before == protocol.JobDone || before == protocol.JobCancelled {
 		i.violate(j, "went_back", "%s was %s, now %s", j.uid, before, state)
 	}
-	if state == protocol.Done && len(j.completed) < j.Tasks {
+	if state == protocol.JobDone && len(j.completed) < j.Tasks {
 		i.violate(j, "not_done", "%s: %d of %d tasks have completed", j.uid, len(j.completed), j.Tasks)
 	}
-	if state == protocol.Cancelled {
+	if state == protocol.JobCancelled {
 		i.cancellationReported(j)
 	}
 	j.reportedState, j.reportedAt = state, i.queue.Now()
--- a/internal/scalerun/invariants_test.go
+++ b/internal/scalerun/invariants_test.go
@@ -36,7 +36,7 @@
 }
 
 func runningTask() *emulator.Task {
-	return &emulator.Task{UID: "j-1", Try: 1, State: protocol.Running}
+	return &emulator.Task{UID: "j-1", Attempt: 1, State: protocol.TaskRunning}
 }
 
 // report has the job's client be told a state now.
@@ -95,14 +95,14 @@
 		{"a task starts after the cancellation", "ran_cancelled", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.queue.RunUntil(time.Second)
-			b.report(protocol.Cancelled)
+			b.report(protocol.JobCancelled)
 			b.start(b.one, "j-1/0")
 		}},
 		{"a task runs on after the cancellation", "ran_cancelled", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.start(b.one, "j-1/0")
 			b.queue.RunUntil(time.Second)
-			b.report(protocol.Cancelled)
+			b.report(protocol.JobCancelled)
 			b.queue.RunUntil(time.Minute)
 		}},
 	})
@@ -110,24 +110,24 @@
 
 func TestReportedStateInvariants(t *testing.T) {
 	testInvariants(t, []invariantsCase{
-		{"cancelled without a request", "went_back", func(b *invariantsBench) { b.report(protocol.Cancelled) }},
+		{"cancelled without a request", "went_back", func(b *invariantsBench) { b.report(protocol.JobCancelled) }},
 		{"active after cancelled", "went_back", func(b *invariantsBench) {
 			b.job.cancelRequested = true
-			b.report(protocol.Cancelled)
-			b.report(protocol.Active)
+			b.report(protocol.JobCancelled)
+			b.report(protocol.JobRunning)
 		}},
 		{"the question was under way when the client was told", "", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.queue.RunUntil(time.Second)
-			b.report(protocol.Cancelled)
-			b.statusReported(b.job, protocol.Pending, b.queue.Now()/2)
+			b.report(protocol.JobCancelled)
+			b.statusReported(b.job, protocol.JobPending, b.queue.Now()/2)
 		}},
-		{"done without its tasks", "not_done", func(b *invariantsBench) { b.report(protocol.Done) }},
+		{"done without its tasks", "not_done", func(b *invariantsBench) { b.report(protocol.JobDone) }},
 		{"done twice, and not found before it was accepted", "", func(b *invariantsBench) {
 			b.answerReceived(b.job, opPoll, 404)
 			b.job.completed["j-1/0"], b.job.completed["j-1/1"], b.job.completed["j-1/2"], b.job.completed["j-1/3"] = true, true, true, true
-			b.report(protocol.Done)
-			b.report(protocol.Done)
+			b.report(protocol.JobDone)
+			b.report(protocol.JobDone)
 		}},
 	})
 }
--- a/internal/scalerun/job.go
+++ b/internal/scalerun/job.go
@@ -49,5 +49,5 @@
 
 // finished says whether the client has been told that the job has ended.
 func (j *job) finished() bool {
-	return j.reportedState == protocol.Done || j.reportedState == protocol.Cancelled
+	return j.reportedState == protocol.JobDone || j.reportedState == protocol.JobCancelled
 }
--- a/internal/scalerun/ownership.go
+++ b/internal/scalerun/ownership.go
@@ -94,7 +94,7 @@
 func expiredSessions(fleet *emulator.Fleet) int {
 	n := 0
 	for _, worker := range fleet.Workers {
-		if worker.Up && worker.Session > 1 {
+		if worker.Up && worker.Epoch > 1 {
 			n++
 		}
 	}
--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -132,8 +132,8 @@
 	r.controlPlane = &controlPlane{plan: plan, region: number, dir: dir, metrics: metrics, fail: r.fail}
 	r.state = emulator.NewStateService(queue, emulator.StateLimits{ValueBytes: int(plan.State.ValueKB * 1024), Changes: plan.State.TxnOps,
 		RequestRate: plan.State.RPS, ChangeRate: plan.State.WriteRPS})
-	r.state.MostChanges = plan.State.TxnOps
-	r.state.Wrong = r.failOnProtocolError
+	r.state.MaxChanges = plan.State.TxnOps
+	r.state.Violation = r.failOnProtocolError
 	r.clients = newClients(r)
 	r.newCloud()
 	r.newFleet()
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -54,7 +54,7 @@
 		DirectMessagesPerS: per(float64(m.directMessages)), WorkerBytesPerS: per(float64(m.workerBytes)) / float64(max(1, len(r.fleet.Workers))),
 		LeaderChanges: m.leaderChanges, LeaderGaps: m.leaderGaps.quantiles(),
 		StateRequestsPerS: per(float64(s.Requests - base.Requests)), StateChangesPerS: per(float64(s.Changes - base.Changes)),
-		StateBytesPerS: per(float64(s.Bytes - base.Bytes)), StateRateLimited: s.TooMany - base.TooMany, StateConflicts: s.Conflicts - base.Conflicts,
+		StateBytesPerS: per(float64(s.Bytes - base.Bytes)), StateRateLimited: s.RateLimited - base.RateLimited, StateConflicts: s.Conflicts - base.Conflicts,
 		StateKeys: len(r.state.Keys()), Processes: m.processUse(measured), MaxEventDelayS: r.loop.maxDelay.Seconds()}
 	out.Ownership = r.ownership.totals()
 	out.Ownership.JobsOwnedTwice = r.jobsOwnedTwice
--- a/internal/scalerun/servers.go
+++ b/internal/scalerun/servers.go
@@ -78,7 +78,7 @@
 // handle serves requests on the event loop.
 func (r *region) handle(serve func(request *http.Request, body []byte, reply emulator.Reply)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, 2*protocol.MaxBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, 2*protocol.MaxBodyBytes))
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
--- a/internal/scalerun/upgrade.go
+++ b/internal/scalerun/upgrade.go
@@ -107,7 +107,7 @@
 
 // taskStopped records a task that has left its machine.
 func (u *upgradeMonitor) taskStopped(task string, t *emulator.Task) {
-	if t.State != protocol.Exited || t.Cause == protocol.CauseDone {
+	if t.State != protocol.TaskExited || t.Cause == protocol.CauseDone {
 		u.left[task] = true
 	}
 }
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -22,7 +22,7 @@
 // expected returns the expected tasks anew at each call, as counting them uses them up.
 func (s *Snapshot) WithoutMachine(id string, moved []*Job, expected func() []*Job) *Snapshot {
 	rest := s.clone(id)
-	s.Looked += len(rest.Machines) * (len(moved) + 1)
+	s.MachinesExamined += len(rest.Machines) * (len(moved) + 1)
 	for _, j := range moved {
 		m := rest.bestTargetFor(j)
 		if m == nil {
@@ -36,7 +36,7 @@
 	if rest.headroom = rest.clone("").countHeadroom(expected()); rest.headroom < s.headroom {
 		return nil
 	}
-	rest.headroomKnown, rest.Looked = true, s.Looked
+	rest.headroomKnown, rest.MachinesExamined = true, s.MachinesExamined
 	return rest
 }
 
@@ -58,8 +58,8 @@
 // mayMoveTo says whether a task may be moved to a machine. A replica moves only to where its
 // image is, as it would be away for the time of a fetch otherwise.
 func (j *Job) mayMoveTo(m *Machine) bool {
-	return m.Used && m.ReservedFor == "" && m.Room > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) &&
-		j.Need.Fits(m.Free) && j.MayRunOn(m)
+	return m.Used && m.ReservedFor == "" && m.TaskCapacity > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) &&
+		j.Request.Fits(m.Free) && j.MayRunOn(m)
 }
 
 // countHeadroom counts for how many of the expected tasks there is room, and takes it.
--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -11,7 +11,7 @@
 	ms := machines(box, "a", "a")
 	for _, m := range ms {
 		m.Used, m.Images = true, map[string]bool{"img": true}
-		m.Free = Need{Cores: 4, Mem: 16}
+		m.Free = Resources{Cores: 4, Mem: 16}
 	}
 	return snap(ms)
 }
@@ -20,11 +20,11 @@
 // expected ones stays.
 func TestWithoutMachine(t *testing.T) {
 	replica := func(cores float64) []*Job {
-		return []*Job{batch("web", 1, func(j *Job) { j.Service, j.Image, j.Need = true, "img", Need{Cores: cores, Mem: 1} })}
+		return []*Job{batch("web", 1, func(j *Job) { j.Service, j.Image, j.Request = true, "img", Resources{Cores: cores, Mem: 1} })}
 	}
 	none := func() []*Job { return nil }
 	expect := func() []*Job {
-		return []*Job{batch("~web", 2, func(j *Job) { j.Team, j.Service, j.Headroom, j.Need = "", true, true, Need{Cores: 2, Mem: 1} })}
+		return []*Job{batch("~web", 2, func(j *Job) { j.Team, j.Service, j.IsHeadroom, j.Request = "", true, true, Resources{Cores: 2, Mem: 1} })}
 	}
 	withoutImages := func(s *Snapshot) { s.Machines[1].Images = nil }
 	for _, tc := range []struct {
@@ -54,7 +54,7 @@
 // While replicas of drained machines move, batches don't start in the room that they need.
 func TestBatchesWaitWhileReplicasMove(t *testing.T) {
 	s := halfFullFleet()
-	s.Moving = true
+	s.Draining = true
 	s.Jobs = []*Job{batch("b", 3, nil), batch("web", 1, func(j *Job) { j.Service = true })}
 	if d := cmp.Diff(map[string]int{"web": 1}, started(s.Fill())); d != "" {
 		t.Error(d)
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -43,12 +43,12 @@
 	f.placeStarvedBatches()
 	f.placeStarvedGangs()
 	for _, j := range s.Jobs {
-		if j.Headroom {
+		if j.IsHeadroom {
 			s.reserve(j)
 		}
 		s.chargeReserved(j)
 	}
-	if s.Moving {
+	if s.Draining {
 		return f.placements
 	}
 	for _, pass := range fillPasses {
@@ -66,8 +66,8 @@
 func (f *filler) placeServices() {
 	for _, guaranteed := range []bool{true, false} {
 		for _, j := range f.snapshot.Jobs {
-			if j.Service && !j.Headroom {
-				f.placeTasks(j, func(quota *Quota) bool { return !guaranteed || quota.WithinGuarantee(j.Need) })
+			if j.Service && !j.IsHeadroom {
+				f.placeTasks(j, func(quota *Quota) bool { return !guaranteed || quota.WithinGuarantee(j.Request) })
 			}
 		}
 	}
@@ -79,10 +79,10 @@
 func (f *filler) placeStarvedBatches() {
 	s := f.snapshot
 	for _, j := range s.Jobs {
-		if j.Service || j.Gang || !j.Starved || j.Held > 0 || len(j.Waiting) == 0 {
+		if j.Service || j.Gang || !j.Starved || j.Assigned > 0 || len(j.Waiting) == 0 {
 			continue
 		}
-		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.Need) {
+		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.Request) {
 			continue
 		}
 		if m := s.bestMachine(j); m != nil {
@@ -104,7 +104,7 @@
 		}
 	}
 	slices.SortStableFunc(starved, func(a, b *Job) int { return cmp.Compare(a.Submitted, b.Submitted) })
-	withinMaximum := func(quota *Quota, whole Need) bool { return quota.WithinMaximum(whole) }
+	withinMaximum := func(quota *Quota, whole Resources) bool { return quota.WithinMaximum(whole) }
 	for _, j := range starved {
 		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
 			continue // its team's own work has to end first
@@ -124,7 +124,7 @@
 // jobs, and then all of them are late.
 func orderBeyondSlots(jobs []*Job) {
 	slices.SortStableFunc(jobs, func(x, y *Job) int {
-		return cmp.Or(compareBool(x.Late, y.Late), cmp.Compare(x.LeftS, y.LeftS), cmp.Compare(x.Rank(), y.Rank()))
+		return cmp.Or(compareBool(x.DeadlineMissed, y.DeadlineMissed), cmp.Compare(x.UntilDeadlineS, y.UntilDeadlineS), cmp.Compare(x.Rank(), y.Rank()))
 	})
 }
 
@@ -139,12 +139,12 @@
 		}
 		s.refundReserved(j)
 		if j.Gang {
-			f.placements = append(f.placements, s.placeGang(j, func(quota *Quota, whole Need) bool {
+			f.placements = append(f.placements, s.placeGang(j, func(quota *Quota, whole Resources) bool {
 				return quota.WithinMaximum(whole.Plus(quota.ServiceReserve)) && (pass == withinSlots || quota.WithinGuarantee(whole))
 			})...)
 		} else {
-			if j.Upper && pass == withinSlots {
-				upperShare += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
+			if j.InUpperQueue && pass == withinSlots {
+				upperShare += Share(j.Request, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
 			f.placeTasks(j, func(quota *Quota) bool { return s.mayPlaceBatch(j, quota, pass, upperShare) })
 		}
@@ -156,13 +156,13 @@
 func (s *Snapshot) mayPlaceBatch(j *Job, quota *Quota, pass fillPass, upperShare float64) bool {
 	switch pass {
 	case withinGuarantees:
-		return quota.WithinGuarantee(j.Need)
+		return quota.WithinGuarantee(j.Request)
 	case withinSlots:
-		return j.Held < j.Slots && (!j.Upper || upperShare <= s.UpperCap || j.Held == 0)
+		return j.Assigned < j.Slots && (!j.InUpperQueue || upperShare <= s.UpperQueueCap || j.Assigned == 0)
 	case interrupted:
 		// Interrupted tasks had been placed by rank, and go on before new tasks take the room:
 		// large jobs have attained most, and each of their interrupted tasks waited for a boot.
-		return j.Resume > 0
+		return j.Interrupted > 0
 	case spareRoom:
 		return true
 	}
@@ -189,7 +189,9 @@
 }
 
 // reservedNeed is what was freed for the job by preemption and it has not taken yet.
-func (j *Job) reservedNeed() Need { return j.Need.Times(float64(min(j.Reserved, len(j.Waiting)))) }
+func (j *Job) reservedNeed() Resources {
+	return j.Request.Times(float64(min(j.Reserved, len(j.Waiting))))
+}
 
 // chargeReserved counts the job's reserved need as used, so that the team's other batches don't
 // take the part of the quota that was freed for it.
@@ -227,9 +229,9 @@
 	}
 }
 
-// Absorbs says whether there is room for a task of each of the jobs, and takes it if there is for
+// TryPlaceAll says whether there is room for a task of each of the jobs, and takes it if there is for
 // all. Quotas are not checked: the jobs' teams use that much already.
-func (s *Snapshot) Absorbs(jobs []*Job) bool {
+func (s *Snapshot) TryPlaceAll(jobs []*Job) bool {
 	rest := s.clone("")
 	for _, j := range jobs {
 		m := rest.bestMachine(j)
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -12,17 +12,17 @@
 // Update adds a machine, or follows its changes. Of machines with equal scores the one with the
 // lowest position is chosen; the position must not change while the machine is in the fleet.
 func (f *Fleet) Update(m *Machine, position int) {
-	m.position, m.Changed = position, false
+	m.position, m.Dirty = position, false
 	f.index.update(m)
 }
 
 // Remove takes a machine out.
 func (f *Fleet) Remove(m *Machine) { f.index.remove(m) }
 
-// Follows says whether the fleet has the machine as it is now.
-func (f *Fleet) Follows(m *Machine) bool {
+// IsCurrent says whether the fleet has the machine as it is now.
+func (f *Fleet) IsCurrent(m *Machine) bool {
 	indexed := f.index.machines[m]
-	if indexed == nil || indexed.free != m.Free || indexed.room != m.Room || indexed.reservedFor != m.ReservedFor ||
+	if indexed == nil || indexed.free != m.Free || indexed.room != m.TaskCapacity || indexed.reservedFor != m.ReservedFor ||
 		indexed.pool != f.index.pools[m.poolKey()] {
 		return false
 	}
--- a/internal/scheduler/gang_placement.go
+++ b/internal/scheduler/gang_placement.go
@@ -6,15 +6,15 @@
 )
 
 // wholeNeed is what all waiting tasks of the job need together.
-func (j *Job) wholeNeed() Need { return j.Need.Times(float64(len(j.Waiting))) }
+func (j *Job) wholeNeed() Resources { return j.Request.Times(float64(len(j.Waiting))) }
 
 // fleetCanHold says whether the machines there are could hold the whole gang if they were empty. A
 // gang that they can't hold waits for rented machines, and must not hold room back from others.
 func (s *Snapshot) fleetCanHold(j *Job) bool {
 	tasksByZone, all := map[string]float64{}, 0.0
 	for _, m := range s.Machines {
-		if j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.Need.Fits(m.Type.Size) {
-			n := perMachine(j.Need, m.Type.Size)
+		if j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.Request.Fits(m.Type.Size) {
+			n := perMachine(j.Request, m.Type.Size)
 			tasksByZone[m.Zone] += n
 			all += n
 		}
@@ -35,7 +35,7 @@
 
 // placeGang starts all tasks of a gang, or none. A gang that must be in one zone is tried in one
 // after the other, as the best machine for its first task may be in a zone without room for all.
-func (s *Snapshot) placeGang(j *Job, allowed func(quota *Quota, whole Need) bool) []Placement {
+func (s *Snapshot) placeGang(j *Job, allowed func(quota *Quota, whole Resources) bool) []Placement {
 	quota := s.Quotas[j.Team]
 	if len(j.Waiting) == 0 || quota == nil || !allowed(quota, j.wholeNeed()) {
 		return nil
@@ -64,14 +64,14 @@
 func (s *Snapshot) tryPlaceGang(j *Job) ([]Placement, bool) {
 	var out []Placement
 	var assigned []gangAssignment
-	waiting, held := j.Waiting, j.Held
+	waiting, held := j.Waiting, j.Assigned
 	for len(j.Waiting) > 0 {
 		m := s.bestMachine(j)
 		if m == nil {
 			for _, a := range slices.Backward(assigned) {
 				s.unassign(j, a)
 			}
-			j.Waiting, j.Held = waiting, held
+			j.Waiting, j.Assigned = waiting, held
 			return nil, false
 		}
 		assigned = append(assigned, gangAssignment{m, m.Used, m.Fetching[j.Image]})
@@ -84,15 +84,15 @@
 // unassign takes the last assignment of a task of the job back, but for the job's own counts.
 func (s *Snapshot) unassign(j *Job, a gangAssignment) {
 	m := a.machine
-	m.Free, m.Used = m.Free.Plus(j.Need), a.wasUsed
-	m.Room++
+	m.Free, m.Used = m.Free.Plus(j.Request), a.wasUsed
+	m.TaskCapacity++
 	if !a.wasFetching {
 		delete(m.Fetching, j.Image)
 	}
 	s.machineChanged(m)
 	j.InZone[m.Zone]--
 	if quota := s.Quotas[j.Team]; quota != nil {
-		quota.Used = quota.Used.Minus(j.Need)
+		quota.Used = quota.Used.Minus(j.Request)
 	}
 }
 
@@ -104,8 +104,8 @@
 func (s *Snapshot) gangZones(j *Job) []string {
 	room := map[string]int{}
 	for _, m := range s.Machines {
-		if (m.ReservedFor == "" || m.ReservedFor == j.ID) && j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.Avoid[m.ID] {
-			if n := min(perMachine(j.Need, m.Free), float64(m.Room)); n >= 1 {
+		if (m.ReservedFor == "" || m.ReservedFor == j.ID) && j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.AvoidMachines[m.ID] {
+			if n := min(perMachine(j.Request, m.Free), float64(m.TaskCapacity)); n >= 1 {
 				room[m.Zone] += int(min(n, maxTasksPerMachine))
 			}
 		}
--- a/internal/scheduler/gang_placement_test.go
+++ b/internal/scheduler/gang_placement_test.go
@@ -7,7 +7,7 @@
 func TestGangIsPlacedWhole(t *testing.T) {
 	gang := func(n int) *Job {
 		return batch("g", n, func(j *Job) {
-			j.Gang, j.Upper, j.OneZone, j.Need, j.Slots = true, false, true, Need{Cores: 4, Mem: 1}, n
+			j.Gang, j.InUpperQueue, j.OneZone, j.Request, j.Slots = true, false, true, Resources{Cores: 4, Mem: 1}, n
 		})
 	}
 	ms := machines(box, "a", "b", "b")
@@ -23,7 +23,7 @@
 		}
 	}
 	ms = machines(box, "a", "b")
-	s = snap(ms, gang(3), batch("x", 16, func(j *Job) { j.Slots, j.Upper = 16, false }))
+	s = snap(ms, gang(3), batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false }))
 	if got := started(s.Fill()); got["g"] != 0 || got["x"] != 16 {
 		t.Errorf("started %v: a gang without room for all of it takes room from others", got)
 	}
@@ -33,16 +33,16 @@
 func TestRoomIsHeldBackForStarvedGang(t *testing.T) {
 	gang := func(id string, n int, submitted int64) *Job {
 		return batch(id, n, func(j *Job) {
-			j.Gang, j.Upper, j.Starved, j.Need, j.Slots, j.Submitted = true, false, true, Need{Cores: 4, Mem: 1}, n, submitted
+			j.Gang, j.InUpperQueue, j.Starved, j.Request, j.Slots, j.Submitted = true, false, true, Resources{Cores: 4, Mem: 1}, n, submitted
 		})
 	}
-	small := batch("x", 16, func(j *Job) { j.Slots, j.Upper = 16, false })
+	small := batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false })
 	ms := machines(box, "a", "b")
-	ms[1].Free = Need{} // full for now
+	ms[1].Free = Resources{} // full for now
 	if got := started(snap(ms, small, gang("g", 3, 1)).Fill()); got["x"] != 0 || got["g"] != 0 {
 		t.Errorf("started %v: small tasks took the room of a starved gang", got)
 	}
-	small = batch("x", 16, func(j *Job) { j.Slots, j.Upper = 16, false })
+	small = batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false })
 	if got := started(snap(machines(box, "a"), small, gang("g", 3, 1)).Fill()); got["x"] != 8 {
 		t.Errorf("started %v: a gang that these machines can't hold keeps their room", got)
 	}
--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -14,13 +14,13 @@
 // gangRequirements is what decides where a gang may get room, but for its size.
 type gangRequirements struct {
 	team, zone, types     string
-	need                  Need
+	need                  Resources
 	priority              int
 	spot, oneZone, spread bool
 }
 
 func (j *Job) gangRequirements() gangRequirements {
-	return gangRequirements{team: j.Team, zone: j.Zone, types: strings.Join(slices.Sorted(maps.Keys(j.Types)), ","), need: j.Need,
+	return gangRequirements{team: j.Team, zone: j.Zone, types: strings.Join(slices.Sorted(maps.Keys(j.Types)), ","), need: j.Request,
 		priority: j.Priority, spot: j.Spot, oneZone: j.OneZone, spread: j.Spread}
 }
 
@@ -31,12 +31,12 @@
 		return
 	}
 	requirements := j.gangRequirements()
-	if tasks, known := r.infeasibleGangs[requirements]; known && len(j.Waiting) >= tasks && j.Held == 0 {
+	if tasks, known := r.infeasibleGangs[requirements]; known && len(j.Waiting) >= tasks && j.Assigned == 0 {
 		return
 	}
 	preemption := r.cheapestGangPreemption(j)
 	if preemption == nil {
-		if j.Held == 0 {
+		if j.Assigned == 0 {
 			r.infeasibleGangs[requirements] = len(j.Waiting)
 		}
 		return
@@ -73,9 +73,9 @@
 	guaranteed bool            // the whole gang is within its team's guarantee
 	gangTasks  map[*Job][]Stop // of running gangs, which stop whole
 
-	free        map[*Machine]Need // of machines where something stops or was placed
-	placed      map[*Machine]int  // tasks of the gang by machine
-	freedByTeam map[string]Need
+	free        map[*Machine]Resources // of machines where something stops or was placed
+	placed      map[*Machine]int       // tasks of the gang by machine
+	freedByTeam map[string]Resources
 	stopped     map[taskKey]bool
 	inZone      map[string]int // tasks of the gang by zone, with those that run
 	stops       []Stop
@@ -110,8 +110,8 @@
 	if inZone == nil {
 		inZone = map[string]int{}
 	}
-	return &gangPreemption{round: r, job: j, gangTasks: gangTasks, free: map[*Machine]Need{}, placed: map[*Machine]int{},
-		freedByTeam: map[string]Need{}, stopped: map[taskKey]bool{}, inZone: inZone,
+	return &gangPreemption{round: r, job: j, gangTasks: gangTasks, free: map[*Machine]Resources{}, placed: map[*Machine]int{},
+		freedByTeam: map[string]Resources{}, stopped: map[taskKey]bool{}, inZone: inZone,
 		guaranteed: r.snapshot.Quotas[j.Team].WithinGuarantee(j.wholeNeed())}
 }
 
@@ -150,7 +150,7 @@
 	allowed.Zone = zone
 	var machines []*Machine
 	for _, m := range g.round.snapshot.Machines {
-		if !m.Booting && (m.ReservedFor == "" || m.ReservedFor == allowed.ID) && allowed.Need.Fits(m.Type.Size) &&
+		if !m.Booting && (m.ReservedFor == "" || m.ReservedFor == allowed.ID) && allowed.Request.Fits(m.Type.Size) &&
 			allowed.AllowedOn(m.Type.Name, m.Zone, m.Spot) {
 			machines = append(machines, m)
 		}
@@ -191,24 +191,24 @@
 	g.round.snapshot.gangMachinesExamined++
 	j := g.job
 	free := g.freeOn(m)
-	if j.Need.Fits(free) {
-		return &taskOption{possible: m.Room > g.placed[m]}
+	if j.Request.Fits(free) {
+		return &taskOption{possible: m.TaskCapacity > g.placed[m]}
 	}
 	option := &taskOption{}
 	freedByTeam := maps.Clone(g.freedByTeam)
 	for _, task := range g.preemptibleOn(m) {
-		if j.Need.Fits(free) {
+		if j.Request.Fits(free) {
 			break
 		}
 		if task.Job.Priority >= j.Priority && !g.stillExceedsGuarantee(task.Job.Team, freedByTeam) {
 			continue // its team has returned all that it had borrowed
 		}
 		option.stops = append(option.stops, Stop{Victim: task, Machine: m})
-		free = free.Plus(task.Job.Need)
-		freedByTeam[task.Job.Team] = freedByTeam[task.Job.Team].Plus(task.Job.Need)
+		free = free.Plus(task.Job.Request)
+		freedByTeam[task.Job.Team] = freedByTeam[task.Job.Team].Plus(task.Job.Request)
 	}
 	option.stops, option.cost = g.withoutNeedless(m, option.stops)
-	option.possible = j.Need.Fits(free) && m.Room > g.placed[m]
+	option.possible = j.Request.Fits(free) && m.TaskCapacity > g.placed[m]
 	return option
 }
 
@@ -230,12 +230,12 @@
 func (g *gangPreemption) withoutNeedless(m *Machine, stops []Stop) ([]Stop, float64) {
 	free := g.freeOn(m)
 	for _, stop := range stops {
-		free = free.Plus(stop.Victim.Job.Need)
+		free = free.Plus(stop.Victim.Job.Request)
 	}
 	var needed []Stop
 	cost := 0.0
 	for _, stop := range stops {
-		if less := free.Minus(stop.Victim.Job.Need); g.job.Need.Fits(less) {
+		if less := free.Minus(stop.Victim.Job.Request); g.job.Request.Fits(less) {
 			free = less
 			continue
 		}
@@ -245,7 +245,7 @@
 	return needed, cost
 }
 
-func (g *gangPreemption) freeOn(m *Machine) Need {
+func (g *gangPreemption) freeOn(m *Machine) Resources {
 	if free, changed := g.free[m]; changed {
 		return free
 	}
@@ -253,7 +253,7 @@
 }
 
 // stillExceedsGuarantee says whether the team would use more than its guarantee after the stops.
-func (g *gangPreemption) stillExceedsGuarantee(team string, freedByTeam map[string]Need) bool {
+func (g *gangPreemption) stillExceedsGuarantee(team string, freedByTeam map[string]Resources) bool {
 	quota := g.round.snapshot.Quotas[team]
 	if quota == nil {
 		return false
@@ -269,7 +269,7 @@
 		g.addStop(stop)
 	}
 	g.cost += option.cost
-	g.free[m] = g.freeOn(m).Minus(g.job.Need)
+	g.free[m] = g.freeOn(m).Minus(g.job.Request)
 	g.placed[m]++
 	g.inZone[m.Zone]++
 }
@@ -288,8 +288,8 @@
 		}
 		g.stopped[key] = true
 		g.stops = append(g.stops, one)
-		g.free[one.Machine] = g.freeOn(one.Machine).Plus(victim.Job.Need)
-		g.freedByTeam[victim.Job.Team] = g.freedByTeam[victim.Job.Team].Plus(victim.Job.Need)
+		g.free[one.Machine] = g.freeOn(one.Machine).Plus(victim.Job.Request)
+		g.freedByTeam[victim.Job.Team] = g.freedByTeam[victim.Job.Team].Plus(victim.Job.Request)
 	}
 }
 
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -8,8 +8,8 @@
 // waitingGang is a gang of high priority whose tasks take half a box each.
 func waitingGang(tasks int, change func(*Job)) *Job {
 	return batch("gang", tasks, func(j *Job) {
-		j.Gang, j.Upper, j.Priority, j.Slots = true, false, 2, tasks
-		j.Need = Need{Cores: 4, Mem: 1}
+		j.Gang, j.InUpperQueue, j.Priority, j.Slots = true, false, 2, tasks
+		j.Request = Resources{Cores: 4, Mem: 1}
 		if change != nil {
 			change(j)
 		}
@@ -19,15 +19,15 @@
 // runningOn is a job that runs: it puts tasks of half a box each on machines, the first one the youngest.
 func runningOn(id string, change func(*Job), on ...*Machine) *Job {
 	j := batch(id, 0, func(j *Job) {
-		j.Upper, j.Need, j.Attained = false, Need{Cores: 4, Mem: 1}, 1
+		j.InUpperQueue, j.Request, j.Attained = false, Resources{Cores: 4, Mem: 1}, 1
 		if change != nil {
 			change(j)
 		}
 	})
-	j.Held, j.Slots, j.Tasks = len(on), len(on), len(on)
+	j.Assigned, j.Slots, j.Tasks = len(on), len(on), len(on)
 	for i, m := range on {
-		m.Running = append(m.Running, RunningTask{Job: j, Index: i, SinceS: 10 + float64(i)})
-		m.Free, m.Used = m.Free.Minus(j.Need), true
+		m.Running = append(m.Running, RunningTask{Job: j, Index: i, RunningS: 10 + float64(i)})
+		m.Free, m.Used = m.Free.Minus(j.Request), true
 		j.InZone[m.Zone]++
 	}
 	return j
@@ -97,7 +97,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ms, jobs := tc.fleet()
 			s := snap(ms, append(jobs, waitingGang(tc.tasks, tc.gang))...)
-			round := s.Stops(10, map[string]bool{})
+			round := s.Preempt(10, map[string]bool{})
 			if len(round.Stops) != tc.stops {
 				t.Fatalf("%d stops, want %d", len(round.Stops), tc.stops)
 			}
@@ -128,10 +128,10 @@
 			ms := machines(box, "a")
 			blue := runningOn("blue", inTeamBlue, ms[0], ms[0])
 			s := snap(ms, blue, waitingGang(2, lowPriority))
-			s.Quotas["red"].Guaranteed = Need{Cores: 8}
-			s.Quotas["blue"].Guaranteed = Need{Cores: tc.guaranteed}
-			s.Quotas["blue"].Used = Need{Cores: 8}
-			if round := s.Stops(10, map[string]bool{}); len(round.Stops) != tc.stops {
+			s.Quotas["red"].Guaranteed = Resources{Cores: 8}
+			s.Quotas["blue"].Guaranteed = Resources{Cores: tc.guaranteed}
+			s.Quotas["blue"].Used = Resources{Cores: 8}
+			if round := s.Preempt(10, map[string]bool{}); len(round.Stops) != tc.stops {
 				t.Errorf("%d stops, want %d", len(round.Stops), tc.stops)
 			}
 		})
@@ -143,8 +143,8 @@
 func TestGangFreesItsTeamsQuota(t *testing.T) {
 	ms := machines(box, "a", "b")
 	s := snap(ms, runningOn("low", lowPriority, ms[0], ms[0]), waitingGang(2, nil))
-	s.Quotas["red"].Maximum, s.Quotas["red"].Used = Need{Cores: 8}, Need{Cores: 8}
-	if round := s.Stops(10, map[string]bool{}); len(round.Stops) != 2 || reservedTasks(round) != 2 {
+	s.Quotas["red"].Maximum, s.Quotas["red"].Used = Resources{Cores: 8}, Resources{Cores: 8}
+	if round := s.Preempt(10, map[string]bool{}); len(round.Stops) != 2 || reservedTasks(round) != 2 {
 		t.Errorf("%d stops, room is reserved for %d tasks", len(round.Stops), reservedTasks(round))
 	}
 }
@@ -168,7 +168,7 @@
 		{"the first gang has a reservation", 2, 10, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			round := build(tc.reserved).Stops(tc.most, map[string]bool{})
+			round := build(tc.reserved).Preempt(tc.most, map[string]bool{})
 			if len(round.Stops) != tc.stops {
 				t.Errorf("%d stops, want %d", len(round.Stops), tc.stops)
 			}
@@ -207,13 +207,13 @@
 				jobs = append(jobs, waitingGang(2+i%7, func(j *Job) {
 					j.ID, j.OneZone, j.Submitted = fmt.Sprintf("gang-%d", i), true, int64(i)
 					if !tc.alike {
-						j.Need.Mem = 1 + float64(i)/1000
+						j.Request.Mem = 1 + float64(i)/1000
 					}
 				}))
 			}
 			s := snap(ms, jobs...)
-			s.Quotas["red"].Maximum = Need{}
-			s.Stops(200, map[string]bool{})
+			s.Quotas["red"].Maximum = Resources{}
+			s.Preempt(200, map[string]bool{})
 			if s.gangMachinesExamined > tc.most {
 				t.Errorf("%d machines examined for 500 gangs on a fleet of 800, want at most %d", s.gangMachinesExamined, tc.most)
 			}
--- a/internal/scheduler/green_test.go
+++ b/internal/scheduler/green_test.go
@@ -5,24 +5,24 @@
 // GREEN's scale-up: one more slot a round while degradation stays at or above gamma, judged once
 // every slot has finished a task.
 func TestScale(t *testing.T) {
-	s := NewScale()
+	s := NewScaleUp()
 	s.Attained = 10
-	s.Round(0, 100, 0.9)
-	if s.Slots != 1 || !s.Upper {
+	s.EndRound(0, 100, 0.9)
+	if s.Slots != 1 || !s.InUpperQueue {
 		t.Fatalf("scaled up with nothing to judge by: %+v", s)
 	}
-	s.Round(1, 100, 0.9) // 0.01 per 10
-	if s.Slots != 2 || s.Degr != 1 {
+	s.EndRound(1, 100, 0.9) // 0.01 per 10
+	if s.Slots != 2 || s.Degradation != 1 {
 		t.Fatalf("first scale-up: %+v", s)
 	}
 	s.Attained = 30
-	s.Round(3, 100, 0.9) // 0.02 per 20: as good as at minimum size
+	s.EndRound(3, 100, 0.9) // 0.02 per 20: as good as at minimum size
 	if s.Slots != 3 {
 		t.Fatalf("second scale-up: %+v", s)
 	}
 	s.Attained = 90
-	s.Round(6, 100, 0.9) // 0.03 per 60: half as good
-	if s.Upper || s.Slots != 3 || s.Degr != 0.5 {
+	s.EndRound(6, 100, 0.9) // 0.03 per 60: half as good
+	if s.InUpperQueue || s.Slots != 3 || s.Degradation != 0.5 {
 		t.Fatalf("drop to the lower queue at its size: %+v", s)
 	}
 }
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -3,21 +3,21 @@
 import "fmt"
 
 // box is a machine type without accelerators, gpu one with four.
-var box = &Type{Name: "box", Size: Need{Cores: 8, Mem: 32}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10}
-var gpu = &Type{Name: "gpu", Size: Need{Cores: 32, Accel: 4, Mem: 128}, Price: 10, SpotPrice: 4, Zones: []string{"a"}, BootS: 10}
+var box = &Type{Name: "box", Size: Resources{Cores: 8, Mem: 32}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10}
+var gpu = &Type{Name: "gpu", Size: Resources{Cores: 32, Accel: 4, Mem: 128}, Price: 10, SpotPrice: 4, Zones: []string{"a"}, BootS: 10}
 
 // machines makes an empty machine of the type in each zone.
 func machines(t *Type, zones ...string) []*Machine {
 	var out []*Machine
 	for i, z := range zones {
-		out = append(out, &Machine{ID: fmt.Sprintf("%s-%d", t.Name, i), Type: t, Zone: z, Free: t.Size, Room: 100})
+		out = append(out, &Machine{ID: fmt.Sprintf("%s-%d", t.Name, i), Type: t, Zone: z, Free: t.Size, TaskCapacity: 100})
 	}
 	return out
 }
 
 // batch makes a batch job with n waiting tasks of one core, in the upper queue.
 func batch(id string, n int, change func(*Job)) *Job {
-	j := &Job{ID: id, Team: "red", Tasks: n, Need: Need{Cores: 1, Mem: 1}, Degradation: 1, Slots: 1, Upper: true, InZone: map[string]int{}}
+	j := &Job{ID: id, Team: "red", Tasks: n, Request: Resources{Cores: 1, Mem: 1}, Degradation: 1, Slots: 1, InUpperQueue: true, InZone: map[string]int{}}
 	for i := range n {
 		j.Waiting = append(j.Waiting, i)
 	}
@@ -29,8 +29,8 @@
 
 // snap makes a snapshot with two teams: red, and blue with a guarantee.
 func snap(list []*Machine, jobs ...*Job) *Snapshot {
-	s := &Snapshot{Machines: list, Jobs: jobs, UpperCap: 0.3, Quotas: map[string]*Quota{
-		"red": {Maximum: Need{Cores: 100}}, "blue": {Maximum: Need{Cores: 100}, Guaranteed: Need{Cores: 4}}}}
+	s := &Snapshot{Machines: list, Jobs: jobs, UpperQueueCap: 0.3, Quotas: map[string]*Quota{
+		"red": {Maximum: Resources{Cores: 100}}, "blue": {Maximum: Resources{Cores: 100}, Guaranteed: Resources{Cores: 4}}}}
 	for _, m := range list {
 		s.Capacity = s.Capacity.Plus(m.Type.Size)
 	}
--- a/internal/scheduler/index_search.go
+++ b/internal/scheduler/index_search.go
@@ -42,14 +42,14 @@
 // searchIndex is nil if the index does not tell which machine is best for the job: for headroom
 // that is reserved where several images are, and for tasks that need memory alone.
 func (s *Snapshot) searchIndex(j *Job) *indexSearch {
-	if s.index == nil || j.Headroom && len(j.Images) > 0 || j.Need.Cores <= 0 && j.Need.Accel <= 0 {
+	if s.index == nil || j.IsHeadroom && len(j.Images) > 0 || j.Request.Cores <= 0 && j.Request.Accel <= 0 {
 		return nil
 	}
 	// Searches don't overlap, so each takes over the memory of the one before.
 	search := &s.search
 	*search = indexSearch{snapshot: s, job: j, rule: s.coreRuleFor(j), pools: search.pools[:0]}
 	for _, pool := range s.index.poolList {
-		if j.AllowedOn(pool.typ.Name, pool.zone, pool.spot) && j.Need.Fits(pool.typ.Size) && !pool.isInfeasible(j.Need, search.rule) {
+		if j.AllowedOn(pool.typ.Name, pool.zone, pool.spot) && j.Request.Fits(pool.typ.Size) && !pool.isInfeasible(j.Request, search.rule) {
 			search.pools = append(search.pools, poolBest{pool: pool, stale: true})
 		}
 	}
@@ -58,7 +58,7 @@
 
 // coreRuleFor says which cores a task of the job may take now.
 func (s *Snapshot) coreRuleFor(j *Job) coreRule {
-	if s.reserveAcceleratorCores && j.Plain && j.Need.Accel <= 0 {
+	if s.reserveAcceleratorCores && j.AvoidsAccelerators && j.Request.Accel <= 0 {
 		return leaveAcceleratorCores
 	}
 	return anyCores
@@ -125,12 +125,12 @@
 func (is *indexSearch) bestInPool(pool *poolIndex) scoredMachine {
 	j := is.job
 	best := noMachine()
-	if pool.isInfeasible(j.Need, is.rule) {
+	if pool.isInfeasible(j.Request, is.rule) {
 		return best
 	}
 	missingImage := missingImageScore * j.fetchWeight(pool.typ)
 	for _, class := range pool.classList {
-		if class.machines.len() == 0 || class.accel+eps < j.Need.Accel {
+		if class.machines.len() == 0 || class.accel+eps < j.Request.Accel {
 			continue
 		}
 		bound := leastScore(j, pool, class)
@@ -144,8 +144,8 @@
 		// they have been searched already.
 		is.searchBucket(&class.machines, pool, class, bound+missingImage+fetchInProgressScore*float64(class.fetching), &best)
 	}
-	if best.machine == nil && len(j.Avoid) == 0 {
-		pool.recordInfeasible(j.Need, is.rule)
+	if best.machine == nil && len(j.AvoidMachines) == 0 {
+		pool.recordInfeasible(j.Request, is.rule)
 	}
 	return best
 }
@@ -159,7 +159,7 @@
 	if j.Spot && !pool.spot {
 		least += notSpotScore
 	}
-	if j.Need.Accel == 0 && pool.typ.Size.Accel > 0 {
+	if j.Request.Accel == 0 && pool.typ.Size.Accel > 0 {
 		least += unneededAcceleratorScore
 	}
 	if !class.used {
@@ -175,19 +175,19 @@
 		return
 	}
 	j := is.job
-	if j.Need.Accel > 0 && class.accel-j.Need.Accel > 0 {
+	if j.Request.Accel > 0 && class.accel-j.Request.Accel > 0 {
 		// What is left of the accelerators decides, and is the same all along the bucket.
 		bucket.byPosition.Scan(func(entry bucketEntry) bool { return !is.consider(entry.machine, best) })
 		return
 	}
-	if j.Need.Accel <= 0 && pool.typ.Size.Accel > 0 {
+	if j.Request.Accel <= 0 && pool.typ.Size.Accel > 0 {
 		// From about here on a task without accelerators takes no cores that free ones need.
-		enough := j.Need.Cores + acceleratorCoreReserve*pool.typ.Size.Cores*max(0, class.accel)/pool.typ.Size.Accel
+		enough := j.Request.Cores + acceleratorCoreReserve*pool.typ.Size.Cores*max(0, class.accel)/pool.typ.Size.Accel
 		if is.scanFrom(bucket, enough*(1-1e-9), leaveAcceleratorCores, best) || is.rule == leaveAcceleratorCores {
 			return
 		}
 	}
-	is.scanFrom(bucket, j.Need.Cores-eps, anyCores, best)
+	is.scanFrom(bucket, j.Request.Cores-eps, anyCores, best)
 }
 
 // scanFrom considers the first machine of the bucket, from a number of free cores on, that accepts
@@ -206,7 +206,7 @@
 
 // consider takes a machine for the best if it is, and says whether it accepts the task.
 func (is *indexSearch) consider(m *Machine, best *scoredMachine) bool {
-	is.snapshot.Looked++
+	is.snapshot.MachinesExamined++
 	if !is.snapshot.accepts(is.job, m) {
 		return false
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -10,42 +10,42 @@
 type Job struct {
 	ID, Class, Team, Image string
 	ImageGB                float64
-	AimS                   float64 // the users' shortest objective for a start, in seconds; 0: none
+	StartObjectiveS        float64 // the users' shortest objective for a start, in seconds; 0: none
 	Service                bool
 	Gang                   bool // all its tasks are placed, or none
 	Priority               int
 	Submitted              int64
-	Need                   Need            // of one task
+	Request                Resources       // of one task
 	Spot                   bool            // may run on spot machines
 	SaveS                  float64         // seconds that its tasks need to save when stopped
 	Types                  map[string]bool // machine types that it may use; nil: any
-	Avoid                  map[string]bool // IDs of machines where it failed
+	AvoidMachines          map[string]bool // IDs of machines where it failed
 	Zone                   string          // that it must run in; empty: any
 	OneZone, Spread        bool            // all tasks in one zone; no more than half of them in one
 	Tasks                  int
 	Waiting                []int          // indices of the tasks that wait
 	InZone                 map[string]int // tasks on machines, by zone
-	Held                   int            // tasks on machines
-	Upper                  bool           // in GREEN's upper queue
+	Assigned               int            // tasks on machines
+	InUpperQueue           bool           // in GREEN's upper queue
 	Slots                  int            // tasks that it may run before spare room is shared out
 	Attained, Degradation  float64        // see Scale
-	// Headroom: its tasks are expected, not submitted. They hold room for replicas to come.
-	Headroom bool
-	// LeftS is the time left until its deadline in seconds, infinite if it has none.
-	LeftS float64
-	// Late: it can't meet its deadline any more.
-	Late bool
-	// Resume is how many of the waiting tasks, listed first, ran before and were interrupted by
+	// IsHeadroom: its tasks are expected, not submitted. They hold room for replicas to come.
+	IsHeadroom bool
+	// UntilDeadlineS is the time left until its deadline in seconds, infinite if it has none.
+	UntilDeadlineS float64
+	// DeadlineMissed: it can't meet its deadline any more.
+	DeadlineMissed bool
+	// Interrupted is how many of the waiting tasks, listed first, ran before and were interrupted by
 	// their machine's end rather than by rank.
-	Resume int
+	Interrupted int
 	// Reserved is for how many of its tasks others were preempted and have not all gone yet.
 	Reserved int
 	// Images are the images that expected tasks may need, with the share of each.
 	Images []ImageShare
-	// Plain: a batch for machines without accelerators, see IsPlain.
-	Plain bool
-	// Patient: it has waited so long that no rented machine will come.
-	Patient bool
+	// AvoidsAccelerators: a batch for machines without accelerators, see CanAvoidAccelerators.
+	AvoidsAccelerators bool
+	// WaitedTwoBoots: it has waited so long that no rented machine will come.
+	WaitedTwoBoots bool
 	// Starved: it has had no task anywhere for longer than a boot.
 	Starved bool
 
@@ -72,11 +72,11 @@
 
 func (j *Job) rankClass() int {
 	switch {
-	case j.Service && !j.Headroom:
+	case j.Service && !j.IsHeadroom:
 		return rankService
-	case j.Headroom:
+	case j.IsHeadroom:
 		return rankHeadroom
-	case j.Upper:
+	case j.InUpperQueue:
 		return rankUpper
 	}
 	return rankLower
@@ -114,7 +114,7 @@
 
 // MayRunOn says whether the job may have a task on the machine, if there is room.
 func (j *Job) MayRunOn(m *Machine) bool {
-	return j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.ZoneOpen(m.Zone) && !j.Avoid[m.ID]
+	return j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.ZoneOpen(m.Zone) && !j.AvoidMachines[m.ID]
 }
 
 // ZoneOpen says whether one more task may go to the zone, given where the others are.
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_test.go
@@ -10,7 +10,7 @@
 // attained service over degradation, lowest first.
 func TestOrder(t *testing.T) {
 	lower := func(attained, degr float64) func(*Job) {
-		return func(j *Job) { j.Upper, j.Attained, j.Degradation = false, attained, degr }
+		return func(j *Job) { j.InUpperQueue, j.Attained, j.Degradation = false, attained, degr }
 	}
 	jobs := []*Job{
 		batch("old-lower", 1, lower(10, 1)), batch("young-lower", 1, lower(2, 1)), batch("inefficient", 1, lower(6, 0.5)),
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -44,7 +44,7 @@
 	classList []*equivalenceClass
 	// infeasible are needs that no machine of the pool has room for, by the rule for cores. They
 	// are forgotten when a machine gains room.
-	infeasible [coreRules][]Need
+	infeasible [coreRules][]Resources
 }
 
 // classKey is what a task's score depends on beside the image and the free cores.
@@ -81,7 +81,7 @@
 	entry          bucketEntry
 	withImages     []string
 	fetchingImages []string
-	free           Need
+	free           Resources
 	room           int
 	reservedFor    string
 }
@@ -143,11 +143,11 @@
 	pool := index.poolFor(m)
 	switch {
 	case !known || indexed.gainedRoom(m):
-		pool.infeasible = [coreRules][]Need{}
+		pool.infeasible = [coreRules][]Resources{}
 	case indexed.free.Accel != m.Free.Accel:
 		pool.infeasible[leaveAcceleratorCores] = nil // fewer free accelerators need fewer cores
 	}
-	*indexed = indexedMachine{pool: pool, free: m.Free, room: m.Room, reservedFor: m.ReservedFor,
+	*indexed = indexedMachine{pool: pool, free: m.Free, room: m.TaskCapacity, reservedFor: m.ReservedFor,
 		withImages: indexed.withImages[:0], fetchingImages: indexed.fetchingImages[:0]}
 	index.link(indexed, m)
 }
@@ -155,7 +155,7 @@
 // gainedRoom says whether the machine may have room now for a task that it had none for before.
 func (i *indexedMachine) gainedRoom(m *Machine) bool {
 	return i.free.Cores < m.Free.Cores || i.free.Accel < m.Free.Accel || i.free.Mem < m.Free.Mem ||
-		i.room <= 0 && m.Room > 0 || i.reservedFor != m.ReservedFor
+		i.room <= 0 && m.TaskCapacity > 0 || i.reservedFor != m.ReservedFor
 }
 
 // link puts a machine into the buckets for its state, or among those reserved for a job.
@@ -187,7 +187,7 @@
 
 // isFull says whether the machine has no room for any task with cores or accelerators.
 func (m *Machine) isFull() bool {
-	return m.Room <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
+	return m.TaskCapacity <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
 }
 
 // remove takes a machine out.
@@ -289,15 +289,15 @@
 }
 
 // isInfeasible says whether it is known that no machine of the pool has room for a need.
-func (p *poolIndex) isInfeasible(need Need, rule coreRule) bool {
-	return slices.ContainsFunc(p.infeasible[rule], func(known Need) bool { return known.isAtMost(need) })
+func (p *poolIndex) isInfeasible(need Resources, rule coreRule) bool {
+	return slices.ContainsFunc(p.infeasible[rule], func(known Resources) bool { return known.isAtMost(need) })
 }
 
 // maxInfeasible bounds how many needs are kept; jobs of a class mostly need the same.
 const maxInfeasible = 16
 
 // recordInfeasible keeps a need that no machine of the pool had room for, in place of larger ones.
-func (p *poolIndex) recordInfeasible(need Need, rule coreRule) {
+func (p *poolIndex) recordInfeasible(need Resources, rule coreRule) {
 	kept := p.infeasible[rule][:0]
 	for _, known := range p.infeasible[rule] {
 		if !need.isAtMost(known) {
--- a/internal/scheduler/machine_index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -9,9 +9,9 @@
 
 // randomTypes are three types of machine, one with accelerators.
 var randomTypes = []*Type{
-	{Name: "small", Size: Need{Cores: 4, Mem: 8}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b", "c"}, BootS: 10, FetchGBPerS: 0.5},
-	{Name: "large", Size: Need{Cores: 32, Mem: 128}, Price: 6, SpotPrice: 2, Zones: []string{"a", "b"}, BootS: 10, FetchGBPerS: 2},
-	{Name: "accel", Size: Need{Cores: 64, Accel: 8, Mem: 384}, Price: 20, SpotPrice: 8, Zones: []string{"a", "c"}, BootS: 20, FetchGBPerS: 2},
+	{Name: "small", Size: Resources{Cores: 4, Mem: 8}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b", "c"}, BootS: 10, FetchGBPerS: 0.5},
+	{Name: "large", Size: Resources{Cores: 32, Mem: 128}, Price: 6, SpotPrice: 2, Zones: []string{"a", "b"}, BootS: 10, FetchGBPerS: 2},
+	{Name: "accel", Size: Resources{Cores: 64, Accel: 8, Mem: 384}, Price: 20, SpotPrice: 8, Zones: []string{"a", "c"}, BootS: 20, FetchGBPerS: 2},
 }
 
 // randomSnapshot makes the same snapshot for the same seed. Amounts are multiples of a quarter,
@@ -19,18 +19,18 @@
 func randomSnapshot(seed uint64) *Snapshot {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	quarter := func(n int) float64 { return float64(rng.IntN(n)) / 4 }
-	s := &Snapshot{UpperCap: 0.3, Quotas: map[string]*Quota{}}
+	s := &Snapshot{UpperQueueCap: 0.3, Quotas: map[string]*Quota{}}
 	for i := range 1 + rng.IntN(5) {
-		s.Quotas[fmt.Sprint("team-", i)] = &Quota{Guaranteed: Need{Cores: quarter(200), Accel: float64(rng.IntN(20))},
-			Maximum: Need{Cores: quarter(3000), Accel: float64(rng.IntN(120))}, ServiceReserve: Need{Cores: quarter(20)}}
+		s.Quotas[fmt.Sprint("team-", i)] = &Quota{Guaranteed: Resources{Cores: quarter(200), Accel: float64(rng.IntN(20))},
+			Maximum: Resources{Cores: quarter(3000), Accel: float64(rng.IntN(120))}, ServiceReserve: Resources{Cores: quarter(20)}}
 	}
 	jobs := randomJobs(rng, quarter, len(s.Quotas))
 	for i := range 2 + rng.IntN(60) {
 		t := randomTypes[rng.IntN(len(randomTypes))]
 		m := &Machine{ID: fmt.Sprintf("i-%03d", i), Type: t, Zone: t.Zones[rng.IntN(len(t.Zones))], Spot: rng.IntN(3) == 0,
-			Free: t.Size, Room: rng.IntN(30), Used: rng.IntN(2) == 0, Images: map[string]bool{}, Booting: rng.IntN(8) == 0}
+			Free: t.Size, TaskCapacity: rng.IntN(30), Used: rng.IntN(2) == 0, Images: map[string]bool{}, Booting: rng.IntN(8) == 0}
 		if rng.IntN(2) == 0 {
-			m.Free = Need{Cores: min(t.Size.Cores, quarter(int(4*t.Size.Cores)+1)), Accel: float64(rng.IntN(int(t.Size.Accel) + 1)), Mem: quarter(int(4*t.Size.Mem) + 1)}
+			m.Free = Resources{Cores: min(t.Size.Cores, quarter(int(4*t.Size.Cores)+1)), Accel: float64(rng.IntN(int(t.Size.Accel) + 1)), Mem: quarter(int(4*t.Size.Mem) + 1)}
 		}
 		for range rng.IntN(4) {
 			m.Images[fmt.Sprint("img-", rng.IntN(5))] = true
@@ -46,7 +46,7 @@
 		s.Capacity = s.Capacity.Plus(t.Size)
 	}
 	s.Jobs = jobs
-	s.Moving = rng.IntN(12) == 0
+	s.Draining = rng.IntN(12) == 0
 	return s
 }
 
@@ -54,12 +54,12 @@
 func runRandomTasks(rng *rand.Rand, m *Machine, jobs []*Job, first int) {
 	for i := range rng.IntN(4) {
 		j := jobs[rng.IntN(len(jobs))]
-		if j.Headroom || !j.Need.Fits(m.Free) {
+		if j.IsHeadroom || !j.Request.Fits(m.Free) {
 			continue
 		}
-		m.Running = append(m.Running, RunningTask{Job: j, Index: first + i, SinceS: float64(rng.IntN(100))})
-		m.Free, m.Used = m.Free.Minus(j.Need), true
-		j.Held++
+		m.Running = append(m.Running, RunningTask{Job: j, Index: first + i, RunningS: float64(rng.IntN(100))})
+		m.Free, m.Used = m.Free.Minus(j.Request), true
+		j.Assigned++
 		j.InZone[m.Zone]++
 	}
 }
@@ -68,12 +68,12 @@
 	var jobs []*Job
 	for i := range 2 + rng.IntN(40) {
 		j := &Job{ID: fmt.Sprintf("j-%03d", i), Team: fmt.Sprint("team-", rng.IntN(teams)), Image: []string{"", fmt.Sprint("img-", rng.IntN(5))}[min(1, rng.IntN(6))],
-			ImageGB: quarter(40), AimS: quarter(40), Service: rng.IntN(3) == 0, Gang: rng.IntN(6) == 0, Priority: rng.IntN(4), Submitted: int64(rng.IntN(20)),
-			Need: Need{Cores: quarter(48), Mem: quarter(100)}, Spot: rng.IntN(2) == 0, Degradation: 1, Attained: quarter(50), Slots: 1 + rng.IntN(4),
-			Upper: rng.IntN(2) == 0, InZone: map[string]int{}, LeftS: quarter(100), Late: rng.IntN(5) == 0, Starved: rng.IntN(4) == 0, Patient: rng.IntN(4) == 0,
-			Plain: rng.IntN(3) == 0, OneZone: rng.IntN(8) == 0, Spread: rng.IntN(5) == 0, Resume: rng.IntN(2)}
+			ImageGB: quarter(40), StartObjectiveS: quarter(40), Service: rng.IntN(3) == 0, Gang: rng.IntN(6) == 0, Priority: rng.IntN(4), Submitted: int64(rng.IntN(20)),
+			Request: Resources{Cores: quarter(48), Mem: quarter(100)}, Spot: rng.IntN(2) == 0, Degradation: 1, Attained: quarter(50), Slots: 1 + rng.IntN(4),
+			InUpperQueue: rng.IntN(2) == 0, InZone: map[string]int{}, UntilDeadlineS: quarter(100), DeadlineMissed: rng.IntN(5) == 0, Starved: rng.IntN(4) == 0, WaitedTwoBoots: rng.IntN(4) == 0,
+			AvoidsAccelerators: rng.IntN(3) == 0, OneZone: rng.IntN(8) == 0, Spread: rng.IntN(5) == 0, Interrupted: rng.IntN(2)}
 		if rng.IntN(3) == 0 {
-			j.Need.Accel = float64(rng.IntN(5))
+			j.Request.Accel = float64(rng.IntN(5))
 		}
 		if rng.IntN(4) == 0 {
 			j.Types = map[string]bool{randomTypes[rng.IntN(3)].Name: true, randomTypes[rng.IntN(3)].Name: true}
@@ -82,13 +82,13 @@
 			j.Zone = []string{"a", "b", "c"}[rng.IntN(3)]
 		}
 		if rng.IntN(6) == 0 {
-			j.Avoid = map[string]bool{fmt.Sprintf("i-%03d", rng.IntN(60)): true, fmt.Sprintf("i-%03d", rng.IntN(60)): true}
+			j.AvoidMachines = map[string]bool{fmt.Sprintf("i-%03d", rng.IntN(60)): true, fmt.Sprintf("i-%03d", rng.IntN(60)): true}
 		}
 		if j.Service {
-			j.Gang, j.Upper = false, false
+			j.Gang, j.InUpperQueue = false, false
 		}
 		if rng.IntN(10) == 0 {
-			j.Service, j.Gang, j.Headroom, j.Team = true, false, true, ""
+			j.Service, j.Gang, j.IsHeadroom, j.Team = true, false, true, ""
 			if rng.IntN(2) == 0 {
 				j.Images = []ImageShare{{"img-1", 0.5}, {"img-2", 0.5}}
 			}
@@ -132,7 +132,7 @@
 		if !slices.Equal(a, b) {
 			t.Fatalf("seed %d: a fill decides\n%v\nand not\n%v", seed, a, b)
 		}
-		a, b = stopped(got.Stops(20, map[string]bool{})), stopped(want.Stops(20))
+		a, b = stopped(got.Preempt(20, map[string]bool{})), stopped(want.Stops(20))
 		stops += len(a)
 		if !slices.Equal(a, b) {
 			t.Fatalf("seed %d: a round decides\n%v\nand not\n%v", seed, a, b)
@@ -185,7 +185,7 @@
 	case 3:
 		m.Fetching, m.Used = nil, !m.Used
 	case 4:
-		m.Room = rng.IntN(5)
+		m.TaskCapacity = rng.IntN(5)
 	case 5:
 		if len(s.Machines) > 2 {
 			s.index.remove(m)
@@ -205,7 +205,7 @@
 // copySnapshot copies what a pass changes.
 func copySnapshot(s *Snapshot) *Snapshot {
 	out := s.clone("")
-	out.Moving = s.Moving
+	out.Draining = s.Draining
 	for name, team := range s.Quotas {
 		copied := *team
 		out.Quotas[name] = &copied
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -26,12 +26,12 @@
 	out = s.placeStarved(out)
 	out = s.placeStarvedGangs(out)
 	for _, j := range s.Jobs {
-		if j.Headroom {
+		if j.IsHeadroom {
 			s.reserve(j)
 		}
 		s.chargeReserved(j)
 	}
-	if s.Moving {
+	if s.Draining {
 		return out
 	}
 	for _, pass := range fillPasses {
@@ -49,8 +49,8 @@
 func (s *oracle) placeServices(out []Placement) []Placement {
 	for _, guaranteed := range []bool{true, false} {
 		for _, j := range s.Jobs {
-			if j.Service && !j.Headroom {
-				out = s.place(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Need) })
+			if j.Service && !j.IsHeadroom {
+				out = s.place(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Request) })
 			}
 		}
 	}
@@ -60,10 +60,10 @@
 // placeStarved gives each batch that has waited for longer than a boot one task.
 func (s *oracle) placeStarved(out []Placement) []Placement {
 	for _, j := range s.Jobs {
-		if j.Service || j.Gang || !j.Starved || j.Held > 0 || len(j.Waiting) == 0 {
+		if j.Service || j.Gang || !j.Starved || j.Assigned > 0 || len(j.Waiting) == 0 {
 			continue
 		}
-		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need) {
+		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Request) {
 			continue
 		}
 		if m := s.bestMachine(j); m != nil {
@@ -84,12 +84,12 @@
 		}
 		s.refundReserved(j)
 		if j.Gang {
-			out = s.placeGang(out, j, func(t *Quota, whole Need) bool {
+			out = s.placeGang(out, j, func(t *Quota, whole Resources) bool {
 				return t.WithinMaximum(whole.Plus(t.ServiceReserve)) && (pass == withinSlots || t.WithinGuarantee(whole))
 			})
 		} else {
-			if j.Upper && pass == withinSlots {
-				upper += Share(j.Need, s.Capacity) * float64(min(j.Slots, j.Tasks))
+			if j.InUpperQueue && pass == withinSlots {
+				upper += Share(j.Request, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
 			out = s.place(out, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
 		}
@@ -139,17 +139,17 @@
 
 func (s *oracle) assign(j *Job, m *Machine) {
 	j.Waiting = j.Waiting[1:]
-	j.Resume = max(0, j.Resume-1)
-	j.Held++
+	j.Interrupted = max(0, j.Interrupted-1)
+	j.Assigned++
 	if j.InZone == nil {
 		j.InZone = map[string]int{}
 	}
 	j.InZone[m.Zone]++
 	if t := s.Quotas[j.Team]; t != nil {
-		t.Used = t.Used.Plus(j.Need)
+		t.Used = t.Used.Plus(j.Request)
 	}
-	m.Free = m.Free.Minus(j.Need)
-	m.Room--
+	m.Free = m.Free.Minus(j.Request)
+	m.TaskCapacity--
 	m.Used = true
 	if !m.Images[j.Image] && j.Image != "" {
 		if m.Fetching == nil {
@@ -172,7 +172,7 @@
 	if s.listsWithRoom[k] == nil {
 		s.listsWithRoom[k] = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
-			if m.Room > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
+			if m.TaskCapacity > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
 				s.listsWithRoom[k] = append(s.listsWithRoom[k], m)
 			}
 		}
@@ -183,8 +183,8 @@
 func (s *oracle) bestMachine(j *Job) *Machine {
 	var pick *Machine
 	bestScore := math.Inf(1)
-	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
-	s.Looked += len(list)
+	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	s.MachinesExamined += len(list)
 	for _, m := range list {
 		if !s.accepts(j, m) {
 			continue
@@ -208,9 +208,9 @@
 		}
 	}
 	slices.SortStableFunc(starved, func(a, b *Job) int { return cmp.Compare(a.Submitted, b.Submitted) })
-	inLimit := func(t *Quota, whole Need) bool { return t.WithinMaximum(whole) }
+	inLimit := func(t *Quota, whole Resources) bool { return t.WithinMaximum(whole) }
 	for _, j := range starved {
-		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
+		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Request.Times(float64(len(j.Waiting)))) {
 			continue // its team's own work has to end first
 		}
 		before := len(out)
@@ -224,9 +224,9 @@
 
 // placeGang starts all tasks of a gang, or none: in one zone after the other if
 // they must be together, as the best place for the first may have no room for all.
-func (s *oracle) placeGang(out []Placement, j *Job, may func(*Quota, Need) bool) []Placement {
+func (s *oracle) placeGang(out []Placement, j *Job, may func(*Quota, Resources) bool) []Placement {
 	team := s.Quotas[j.Team]
-	if len(j.Waiting) == 0 || team == nil || !may(team, j.Need.Times(float64(len(j.Waiting)))) {
+	if len(j.Waiting) == 0 || team == nil || !may(team, j.Request.Times(float64(len(j.Waiting)))) {
 		return out
 	}
 	if !j.OneZone || j.Zone != "" {
@@ -245,7 +245,7 @@
 // tryPlaceGang places all waiting tasks of a gang, or takes everything back.
 func (s *oracle) tryPlaceGang(j *Job) ([]Placement, bool) {
 	var out []Placement
-	waiting, held := j.Waiting, j.Held
+	waiting, held := j.Waiting, j.Assigned
 	type before struct {
 		m        *Machine
 		used     bool
@@ -256,17 +256,17 @@
 		m := s.bestMachine(j)
 		if m == nil {
 			for _, b := range slices.Backward(undo) {
-				b.m.Free, b.m.Used = b.m.Free.Plus(j.Need), b.used
-				b.m.Room++
+				b.m.Free, b.m.Used = b.m.Free.Plus(j.Request), b.used
+				b.m.TaskCapacity++
 				if !b.fetching {
 					delete(b.m.Fetching, j.Image)
 				}
 				j.InZone[b.m.Zone]--
 				if t := s.Quotas[j.Team]; t != nil {
-					t.Used = t.Used.Minus(j.Need)
+					t.Used = t.Used.Minus(j.Request)
 				}
 			}
-			j.Waiting, j.Held = waiting, held
+			j.Waiting, j.Assigned = waiting, held
 			return nil, false
 		}
 		undo = append(undo, before{m, m.Used, m.Fetching[j.Image]})
@@ -294,7 +294,7 @@
 		}
 		choice := s.selectorFor(j)
 		for len(j.Waiting) > 0 {
-			if t := s.Quotas[j.Team]; t != nil && !t.Admits(j) && !j.Headroom {
+			if t := s.Quotas[j.Team]; t != nil && !t.Admits(j) && !j.IsHeadroom {
 				break
 			}
 			m := choice.best()
@@ -306,7 +306,7 @@
 				if typ == nil {
 					break
 				}
-				m = &Machine{Type: typ, Zone: p.Zone, Spot: p.Spot, Free: typ.Size, Room: 1 << 20, Booting: true}
+				m = &Machine{Type: typ, Zone: p.Zone, Spot: p.Spot, Free: typ.Size, TaskCapacity: 1 << 20, Booting: true}
 				s.Machines = append(s.Machines, m)
 				s.listsWithRoom = [2][]*Machine{}
 				choice.added(m, len(s.Machines))
@@ -329,10 +329,10 @@
 
 // planGang places a gang whole. It returns false if machines have to be rented for it.
 func (s *oracle) planGang(j *Job, later []*Job, types []*Type, blocked func(Pool) bool) bool {
-	if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Need.Times(float64(len(j.Waiting)))) {
+	if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Request.Times(float64(len(j.Waiting)))) {
 		return true
 	}
-	if s.placeGang(nil, j, func(*Quota, Need) bool { return true }) != nil {
+	if s.placeGang(nil, j, func(*Quota, Resources) bool { return true }) != nil {
 		return true
 	}
 	if j.OneZone && j.Zone == "" {
@@ -357,7 +357,7 @@
 	s.gangMachinesExamined = 0
 	for _, j := range s.Jobs {
 		switch {
-		case j.Headroom:
+		case j.IsHeadroom:
 		case j.Reserved > 0:
 			// What was stopped for this job before is still on its way out.
 		case j.Gang:
@@ -372,7 +372,7 @@
 // preemptForTasks makes room for the waiting tasks of a job that it has slots for, one
 // after the other.
 func (s *oracle) preemptForTasks(j *Job, rank map[*Job]int, out *Preemption, most int) {
-	held := j.Held
+	held := j.Assigned
 	for len(j.Waiting) > 0 && (j.Service || held < j.Slots) {
 		m, set := s.preemptionForTask(j, rank)
 		if m == nil || len(out.Stops)+len(set) > most {
@@ -399,7 +399,7 @@
 	m := s.bestMachine(j)
 	if m == nil {
 		var victims []RunningTask
-		if m, victims = s.cheapestPreemption(j, team.WithinGuarantee(j.Need), rank); m == nil {
+		if m, victims = s.cheapestPreemption(j, team.WithinGuarantee(j.Request), rank); m == nil {
 			return nil, nil
 		}
 		for _, v := range victims {
@@ -409,16 +409,16 @@
 	after := *team
 	for _, v := range set {
 		if v.Victim.Job.Team == j.Team {
-			after.Used = after.Used.Minus(v.Victim.Job.Need)
+			after.Used = after.Used.Minus(v.Victim.Job.Request)
 		}
 	}
-	for !after.WithinMaximum(j.Need) {
+	for !after.WithinMaximum(j.Request) {
 		on, v := s.youngest(j, set)
 		if on == nil {
 			return nil, nil
 		}
 		set = append(set, Stop{Victim: v, Machine: on})
-		after.Used = after.Used.Minus(v.Job.Need)
+		after.Used = after.Used.Minus(v.Job.Request)
 	}
 	return m, set
 }
@@ -472,8 +472,8 @@
 // candidateHeapFor puts the machines that have room for a task of the job in order.
 func (s *oracle) candidateHeapFor(j *Job) *oracleCandidateHeap {
 	c := &oracleCandidateHeap{oracle: s, job: j}
-	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
-	s.Looked += len(list)
+	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	s.MachinesExamined += len(list)
 	for place, m := range list {
 		if s.accepts(j, m) {
 			c.list = append(c.list, oracleCandidate{machine: m, score: s.score(j, m), position: place})
@@ -498,7 +498,7 @@
 		return
 	}
 	first := &c.list[0]
-	c.oracle.Looked++
+	c.oracle.MachinesExamined++
 	if !c.oracle.accepts(c.job, first.machine) {
 		heap.Pop(c)
 		return
@@ -567,7 +567,7 @@
 	var held RunningTask
 	for _, m := range s.Machines {
 		for _, h := range m.Running {
-			if h.Job.Team != j.Team || h.Job.Priority >= j.Priority || (pick != nil && h.SinceS >= held.SinceS) ||
+			if h.Job.Team != j.Team || h.Job.Priority >= j.Priority || (pick != nil && h.RunningS >= held.RunningS) ||
 				slices.ContainsFunc(but, func(b Stop) bool { return b.Victim.Job == h.Job && b.Victim.Index == h.Index }) {
 				continue
 			}
@@ -583,12 +583,12 @@
 	lower := victim.Priority < j.Priority
 	team := s.Quotas[victim.Team]
 	borrowed := guaranteed && victim.Team != j.Team && team != nil && team.ExceedsGuarantee()
-	if victim.Service && !lower && !j.Patient {
+	if victim.Service && !lower && !j.WaitedTwoBoots {
 		// One replica for another is no gain, and the stopped one fetches its image
 		// anew; a machine may be on its way.
 		borrowed = false
 	}
-	ranked := rank[victim] > rank[j] || (!victim.Service && victim.Held > victim.Slots)
+	ranked := rank[victim] > rank[j] || (!victim.Service && victim.Assigned > victim.Slots)
 	return (lower || borrowed) && ranked
 }
 
@@ -598,7 +598,7 @@
 	var chosen []RunningTask
 	cheapest := math.Inf(1)
 	for _, m := range s.Machines {
-		if m.Booting || m.ReservedFor != "" || !j.Need.Fits(m.Type.Size) || !j.MayRunOn(m) {
+		if m.Booting || m.ReservedFor != "" || !j.Request.Fits(m.Type.Size) || !j.MayRunOn(m) {
 			continue
 		}
 		var may []RunningTask
@@ -611,14 +611,14 @@
 		free, cost := m.Free, 0.0
 		var set []RunningTask
 		for _, h := range may {
-			if j.Need.Fits(free) {
+			if j.Request.Fits(free) {
 				break
 			}
 			set = append(set, h)
-			free = free.Plus(h.Job.Need)
+			free = free.Plus(h.Job.Request)
 			cost += stopCost(h, m)
 		}
-		if j.Need.Fits(free) && len(set) > 0 && cost < cheapest {
+		if j.Request.Fits(free) && len(set) > 0 && cost < cheapest {
 			pick, chosen, cheapest = m, set, cost
 		}
 	}
@@ -630,13 +630,13 @@
 	var typ *Type
 	best := math.Inf(1)
 	for _, t := range types {
-		if !j.mayUse(t) || j.Plain && t.Size.Accel > 0 {
+		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
 			continue
 		}
-		fit := perMachine(j.Need, t.Size)
+		fit := perMachine(j.Request, t.Size)
 		alike := 0
 		for _, o := range later {
-			if (o.Need.Accel > 0) == (j.Need.Accel > 0) && (o.Types == nil || o.Types[t.Name]) && o.Need.Fits(t.Size) {
+			if (o.Request.Accel > 0) == (j.Request.Accel > 0) && (o.Types == nil || o.Types[t.Name]) && o.Request.Fits(t.Size) {
 				alike += len(o.Waiting)
 			}
 		}
@@ -682,6 +682,6 @@
 		case x.Job.Gang != y.Job.Gang:
 			return !x.Job.Gang
 		}
-		return x.SinceS < y.SinceS
+		return x.RunningS < y.RunningS
 	})
 }
--- a/internal/scheduler/preemptible_tasks.go
+++ b/internal/scheduler/preemptible_tasks.go
@@ -24,7 +24,7 @@
 	borrowingTeams map[string]bool
 	gangs          map[*Job][]Stop // see runningGangs; nil: to be listed anew
 	// infeasible are needs for which no machine has enough to stop, by what decides that.
-	infeasible map[preemptionKey][]Need
+	infeasible map[preemptionKey][]Resources
 	// sharedCosts are the costs of jobs that are alike.
 	sharedCosts map[sharedCostsKey]*preemptionCosts
 	// version changes when costs that were worked out before may have become wrong.
@@ -56,7 +56,7 @@
 
 func newPreemptibleTasks(s *Snapshot) *preemptibleTasks {
 	p := &preemptibleTasks{snapshot: s, byMachine: map[*Machine][]RunningTask{}, stopped: map[taskOnMachine]bool{}, lowestPriority: math.MaxInt,
-		borrowingTeams: map[string]bool{}, infeasible: map[preemptionKey][]Need{}, sharedCosts: map[sharedCostsKey]*preemptionCosts{}}
+		borrowingTeams: map[string]bool{}, infeasible: map[preemptionKey][]Resources{}, sharedCosts: map[sharedCostsKey]*preemptionCosts{}}
 	for _, m := range s.Machines {
 		for _, task := range m.Running {
 			p.lowestPriority = min(p.lowestPriority, task.Job.Priority)
@@ -99,7 +99,7 @@
 	if startsToBorrow {
 		p.borrowingTeams[j.Team] = true
 	}
-	if startsToBorrow || !j.Service && j.Held == j.Slots+1 {
+	if startsToBorrow || !j.Service && j.Assigned == j.Slots+1 {
 		p.version++
 		clear(p.infeasible)
 	}
@@ -134,33 +134,33 @@
 
 func (j *Job) preemptionKey(guaranteed bool) preemptionKey {
 	return preemptionKey{team: j.Team, zone: j.Zone, types: j.typeNames(), priority: j.Priority, spot: j.Spot, oneZone: j.OneZone, spread: j.Spread,
-		guaranteed: guaranteed, service: j.Service, patient: j.Patient}
+		guaranteed: guaranteed, service: j.Service, patient: j.WaitedTwoBoots}
 }
 
 // isInfeasible says whether a job that ranks before this one and differs in nothing else that
 // matters found no machine with enough to stop for as little.
-func (p *preemptibleTasks) isInfeasible(key preemptionKey, need Need) bool {
-	return slices.ContainsFunc(p.infeasible[key], func(known Need) bool { return known.isAtMost(need) })
+func (p *preemptibleTasks) isInfeasible(key preemptionKey, need Resources) bool {
+	return slices.ContainsFunc(p.infeasible[key], func(known Resources) bool { return known.isAtMost(need) })
 }
 
 // recordInfeasible keeps a need that was looked for in vain, unless the job's own zones or
 // failures may be the reason.
 func (p *preemptibleTasks) recordInfeasible(j *Job, key preemptionKey) {
-	if len(j.Avoid) > 0 || j.OneZone || j.Spread || len(p.infeasible[key]) >= maxInfeasible {
+	if len(j.AvoidMachines) > 0 || j.OneZone || j.Spread || len(p.infeasible[key]) >= maxInfeasible {
 		return
 	}
-	p.infeasible[key] = append(p.infeasible[key], j.Need)
+	p.infeasible[key] = append(p.infeasible[key], j.Request)
 }
 
-// Lowest is the lowest priority that a job may have.
-const Lowest = 0
+// LowestPriority is the lowest priority that a job may have.
+const LowestPriority = 0
 
 // youngestOfTeam is the task of the job's team and of lower priority that has been on its machine
 // for the least time, and is not among those to stop already. The machine is nil if there is none.
 func (p *preemptibleTasks) youngestOfTeam(j *Job, except []Stop) (*Machine, RunningTask) {
 	p.buildTeamLists()
 	var youngest *teamTask
-	for priority := Lowest; priority < j.Priority; priority++ {
+	for priority := LowestPriority; priority < j.Priority; priority++ {
 		key := teamPriority{j.Team, priority}
 		list := p.byTeam[key]
 		for len(list) > 0 && p.stopped[list[0].key()] {
@@ -196,8 +196,8 @@
 
 // youngerThan says whether it is to be stopped before another one.
 func (t *teamTask) youngerThan(other *teamTask) bool {
-	if t.Victim.SinceS != other.Victim.SinceS {
-		return t.Victim.SinceS < other.Victim.SinceS
+	if t.Victim.RunningS != other.Victim.RunningS {
+		return t.Victim.RunningS < other.Victim.RunningS
 	}
 	return t.number < other.number
 }
@@ -218,7 +218,7 @@
 	}
 	for _, list := range p.byTeam {
 		slices.SortFunc(list, func(a, b teamTask) int {
-			return cmp.Or(cmp.Compare(a.Victim.SinceS, b.Victim.SinceS), cmp.Compare(a.number, b.number))
+			return cmp.Or(cmp.Compare(a.Victim.RunningS, b.Victim.RunningS), cmp.Compare(a.number, b.number))
 		})
 	}
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -40,14 +40,14 @@
 	infeasibleGangs map[gangRequirements]int
 }
 
-// Stops works out a round's preemption: for tasks that wait within their slots and found no room,
+// Preempt works out a round's preemption: for tasks that wait within their slots and found no room,
 // lower-ranked tasks give way, as far as the protocol's section "Preemption" lets them. A round
 // stops most tasks at most.
 //
 // Jobs in searched, by their ID, are left out: earlier rounds, whose work was bounded, examined
 // them in vain. Those that this round examines in vain are added; once all jobs have been
 // examined the map is emptied.
-func (s *Snapshot) Stops(most int, searched map[string]bool) Preemption {
+func (s *Snapshot) Preempt(most int, searched map[string]bool) Preemption {
 	s.useIndex()
 	Order(s.Jobs)
 	for i, j := range s.Jobs {
@@ -75,7 +75,7 @@
 		switch {
 		case len(r.plan.Stops) >= r.maxStops:
 			return true // nothing more can come of it
-		case j.Headroom, searched[j.ID]:
+		case j.IsHeadroom, searched[j.ID]:
 		case j.Reserved > 0:
 			// What was stopped for this job before is still on its way out.
 		case j.Gang:
@@ -93,13 +93,13 @@
 
 // wantsPreemption says whether any of its waiting tasks is worth a stop.
 func (j *Job) wantsPreemption() bool {
-	return len(j.Waiting) > 0 && !j.Headroom && j.Reserved == 0 && (j.Service || j.Gang || j.Held < j.Slots)
+	return len(j.Waiting) > 0 && !j.IsHeadroom && j.Reserved == 0 && (j.Service || j.Gang || j.Assigned < j.Slots)
 }
 
 // preemptForTasks makes room for the waiting tasks of a job that it has slots for, one after the
 // other.
 func (r *preemptionRound) preemptForTasks(j *Job) {
-	held := j.Held
+	held := j.Assigned
 	var costs *preemptionCosts
 	for len(j.Waiting) > 0 && (j.Service || held < j.Slots) {
 		m, stops := r.preemptionForTask(j, &costs)
@@ -126,7 +126,7 @@
 	m := r.snapshot.bestMachine(j)
 	if m == nil {
 		var victims []RunningTask
-		if m, victims = r.cheapestPreemption(j, quota.WithinGuarantee(j.Need), costs); m == nil {
+		if m, victims = r.cheapestPreemption(j, quota.WithinGuarantee(j.Request), costs); m == nil {
 			return nil, nil
 		}
 		for _, victim := range victims {
@@ -136,16 +136,16 @@
 	after := *quota
 	for _, stop := range stops {
 		if stop.Victim.Job.Team == j.Team {
-			after.Used = after.Used.Minus(stop.Victim.Job.Need)
+			after.Used = after.Used.Minus(stop.Victim.Job.Request)
 		}
 	}
-	for !after.WithinMaximum(j.Need) {
+	for !after.WithinMaximum(j.Request) {
 		on, victim := r.tasks.youngestOfTeam(j, stops)
 		if on == nil {
 			return nil, nil
 		}
 		stops = append(stops, Stop{Victim: victim, Machine: on})
-		after.Used = after.Used.Minus(victim.Job.Need)
+		after.Used = after.Used.Minus(victim.Job.Request)
 	}
 	return m, stops
 }
@@ -153,10 +153,10 @@
 // stop takes a task off its machine for a job, and adds it to the round's stops.
 func (r *preemptionRound) stop(stop Stop, j *Job) {
 	victim := stop.Victim
-	exceeded, beyondSlots := r.exceedsGuarantee(victim.Job.Team), victim.Job.Held > victim.Job.Slots
+	exceeded, beyondSlots := r.exceedsGuarantee(victim.Job.Team), victim.Job.Assigned > victim.Job.Slots
 	r.snapshot.removeTask(stop.Machine, victim)
 	costsChanged := victim.Job.Gang || exceeded != r.exceedsGuarantee(victim.Job.Team) ||
-		beyondSlots != (victim.Job.Held > victim.Job.Slots)
+		beyondSlots != (victim.Job.Assigned > victim.Job.Slots)
 	r.tasks.taskStopped(stop.Machine, victim, j, costsChanged)
 	r.plan.Stops = append(r.plan.Stops, Stop{Victim: victim, Machine: stop.Machine, For: j})
 }
@@ -188,14 +188,14 @@
 	if victim.Priority >= j.Priority {
 		// One replica for another is no gain, and the stopped one fetches its image
 		// anew; a machine may be on its way.
-		if !guaranteed || victim.Team == j.Team || victim.Service && !j.Patient {
+		if !guaranteed || victim.Team == j.Team || victim.Service && !j.WaitedTwoBoots {
 			return false
 		}
 		if !r.exceedsGuarantee(victim.Team) {
 			return false
 		}
 	}
-	return victim.rankPosition > j.rankPosition || !victim.Service && victim.Held > victim.Slots
+	return victim.rankPosition > j.rankPosition || !victim.Service && victim.Assigned > victim.Slots
 }
 
 // sortPreemptible puts first what costs least to stop: replicas last, gangs before them as they
@@ -205,7 +205,7 @@
 		return
 	}
 	slices.SortStableFunc(tasks, func(x, y RunningTask) int {
-		return cmp.Or(compareBool(x.Job.Service, y.Job.Service), compareBool(x.Job.Gang, y.Job.Gang), cmp.Compare(x.SinceS, y.SinceS))
+		return cmp.Or(compareBool(x.Job.Service, y.Job.Service), compareBool(x.Job.Gang, y.Job.Gang), cmp.Compare(x.RunningS, y.RunningS))
 	})
 }
 
@@ -228,9 +228,9 @@
 
 // stopCost is the work that a stop loses, and the trouble that it makes.
 func stopCost(task RunningTask, m *Machine) float64 {
-	lost := task.SinceS*Share(task.Job.Need, m.Type.Size) + stopBaseCost
+	lost := task.RunningS*Share(task.Job.Request, m.Type.Size) + stopBaseCost
 	if task.Job.Gang {
-		lost *= max(1, float64(task.Job.Held)) // the others of the gang stop too
+		lost *= max(1, float64(task.Job.Assigned)) // the others of the gang stop too
 	}
 	if task.Job.Service {
 		lost += replicaStopCost
--- a/internal/scheduler/preemption_costs.go
+++ b/internal/scheduler/preemption_costs.go
@@ -20,7 +20,7 @@
 type machineCost struct {
 	machine *Machine
 	cost    float64
-	free    Need // for which the cost was worked out
+	free    Resources // for which the cost was worked out
 }
 
 func (c *machineCost) before(other *machineCost) bool {
@@ -55,7 +55,7 @@
 // teams exceed their guarantees. So its own rank does not matter, and jobs that are alike share
 // their costs.
 type sharedCostsKey struct {
-	need                      Need
+	need                      Resources
 	types, zone, reclaimingBy string // reclaimingBy: the team, if within its guarantee
 	spot, guaranteed          bool
 	priority                  int
@@ -63,10 +63,10 @@
 
 // sharedCostsKey returns false if the job has costs of its own.
 func (j *Job) sharedCostsKey(guaranteed bool) (sharedCostsKey, bool) {
-	if !j.Service || len(j.Avoid) > 0 || guaranteed && j.Patient {
+	if !j.Service || len(j.AvoidMachines) > 0 || guaranteed && j.WaitedTwoBoots {
 		return sharedCostsKey{}, false
 	}
-	key := sharedCostsKey{need: j.Need, types: j.typeNames(), zone: j.Zone, spot: j.Spot, guaranteed: guaranteed, priority: j.Priority}
+	key := sharedCostsKey{need: j.Request, types: j.typeNames(), zone: j.Zone, spot: j.Spot, guaranteed: guaranteed, priority: j.Priority}
 	if guaranteed {
 		key.reclaimingBy = j.Team
 	}
@@ -82,7 +82,7 @@
 	current := *costs
 	if current == nil || current.version != r.tasks.version || current.guaranteed != guaranteed {
 		key := j.preemptionKey(guaranteed)
-		if r.tasks.isInfeasible(key, j.Need) {
+		if r.tasks.isInfeasible(key, j.Request) {
 			return nil, nil
 		}
 		current = r.costsFor(j, guaranteed)
@@ -146,7 +146,7 @@
 		}
 		if _, cost, possible := r.preemptionOn(j, m, guaranteed, false); possible {
 			costs.add(machineCost{m, cost, m.Free})
-		} else if j.Need.Fits(m.Free) {
+		} else if j.Request.Fits(m.Free) {
 			costs.roomForLess = true
 		}
 	}
@@ -171,8 +171,8 @@
 // mayPreemptOn says whether stops on a machine could make room for a task of the job, as far as
 // its zone's other tasks and the machine's running ones don't matter.
 func (j *Job) mayPreemptOn(m *Machine) bool {
-	return !m.Booting && m.ReservedFor == "" && len(m.Running) > 0 && j.Need.Fits(m.Type.Size) &&
-		j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.Avoid[m.ID]
+	return !m.Booting && m.ReservedFor == "" && len(m.Running) > 0 && j.Request.Fits(m.Type.Size) &&
+		j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.AvoidMachines[m.ID]
 }
 
 // preemptionOn works out what has to stop on a machine for one task of the job: the victims, if
@@ -180,18 +180,18 @@
 func (r *preemptionRound) preemptionOn(j *Job, m *Machine, guaranteed, wantVictims bool) (victims []RunningTask, cost float64, possible bool) {
 	free, stops := m.Free, 0
 	for _, task := range r.tasks.on(m) {
-		if j.Need.Fits(free) {
+		if j.Request.Fits(free) {
 			break
 		}
 		if !r.isPreemptible(task.Job, j, guaranteed) {
 			continue
 		}
 		stops++
-		free = free.Plus(task.Job.Need)
+		free = free.Plus(task.Job.Request)
 		cost += stopCost(task, m)
 		if wantVictims {
 			victims = append(victims, task)
 		}
 	}
-	return victims, cost, stops > 0 && j.Need.Fits(free)
+	return victims, cost, stops > 0 && j.Request.Fits(free)
 }
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -9,11 +9,11 @@
 func TestStops(t *testing.T) {
 	full := func(victim *Job, n int) []*Machine {
 		m := machines(box, "a")
-		victim.Waiting, victim.Held, victim.Slots = nil, n, n
+		victim.Waiting, victim.Assigned, victim.Slots = nil, n, n
 		victim.InZone["a"] = n
 		for i := range n {
-			m[0].Running = append(m[0].Running, RunningTask{Job: victim, Index: i, SinceS: float64(i)})
-			m[0].Free = m[0].Free.Minus(victim.Need)
+			m[0].Running = append(m[0].Running, RunningTask{Job: victim, Index: i, RunningS: float64(i)})
+			m[0].Free = m[0].Free.Minus(victim.Request)
 		}
 		return m
 	}
@@ -23,19 +23,19 @@
 		teams    map[string]*Quota
 		stops    int
 	}{
-		{"lower priority gives way", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.Upper = false }, nil, 1},
-		{"the same priority does not give way", func(j *Job) { j.Service = true }, func(j *Job) { j.Upper = false }, nil, 0},
-		{"a higher priority does not give way", nil, func(j *Job) { j.Priority, j.Upper = 3, false }, nil, 0},
-		{"borrowed quota is reclaimed", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
-			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 1},
+		{"lower priority gives way", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.InUpperQueue = false }, nil, 1},
+		{"the same priority does not give way", func(j *Job) { j.Service = true }, func(j *Job) { j.InUpperQueue = false }, nil, 0},
+		{"a higher priority does not give way", nil, func(j *Job) { j.Priority, j.InUpperQueue = 3, false }, nil, 0},
+		{"borrowed quota is reclaimed", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.InUpperQueue, j.Priority = false, 3 },
+			map[string]*Quota{"red": {Guaranteed: Resources{Cores: 2}, Used: Resources{Cores: 8}}, "blue": {Guaranteed: Resources{Cores: 4}}}, 1},
 		{"a replica is not preempted for another at once", func(j *Job) { j.Team, j.Service, j.Priority = "blue", true, 3 }, func(j *Job) { j.Service, j.Priority = true, 3 },
-			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 0},
-		{"a replica is preempted for another after a long wait", func(j *Job) { j.Team, j.Service, j.Priority, j.Patient = "blue", true, 3, true }, func(j *Job) { j.Service, j.Priority, j.Submitted = true, 3, 1 },
-			map[string]*Quota{"red": {Guaranteed: Need{Cores: 2}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 1},
-		{"what is within a guarantee is not preempted", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.Upper, j.Priority = false, 3 },
-			map[string]*Quota{"red": {Guaranteed: Need{Cores: 8}, Used: Need{Cores: 8}}, "blue": {Guaranteed: Need{Cores: 4}}}, 0},
-		{"a team's maximum is freed for its work of higher priority", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.Upper = false },
-			map[string]*Quota{"red": {Maximum: Need{Cores: 8}, Used: Need{Cores: 8}}}, 1},
+			map[string]*Quota{"red": {Guaranteed: Resources{Cores: 2}, Used: Resources{Cores: 8}}, "blue": {Guaranteed: Resources{Cores: 4}}}, 0},
+		{"a replica is preempted for another after a long wait", func(j *Job) { j.Team, j.Service, j.Priority, j.WaitedTwoBoots = "blue", true, 3, true }, func(j *Job) { j.Service, j.Priority, j.Submitted = true, 3, 1 },
+			map[string]*Quota{"red": {Guaranteed: Resources{Cores: 2}, Used: Resources{Cores: 8}}, "blue": {Guaranteed: Resources{Cores: 4}}}, 1},
+		{"what is within a guarantee is not preempted", func(j *Job) { j.Team = "blue" }, func(j *Job) { j.InUpperQueue, j.Priority = false, 3 },
+			map[string]*Quota{"red": {Guaranteed: Resources{Cores: 8}, Used: Resources{Cores: 8}}, "blue": {Guaranteed: Resources{Cores: 4}}}, 0},
+		{"a team's maximum is freed for its work of higher priority", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.InUpperQueue = false },
+			map[string]*Quota{"red": {Maximum: Resources{Cores: 8}, Used: Resources{Cores: 8}}}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			vic := batch("victim", 8, tc.vic)
@@ -43,12 +43,12 @@
 			if tc.teams != nil {
 				s.Quotas = tc.teams
 			}
-			got := s.Stops(10, map[string]bool{}).Stops
+			got := s.Preempt(10, map[string]bool{}).Stops
 			if len(got) != tc.stops {
 				t.Fatalf("%d stops, want %d", len(got), tc.stops)
 			}
-			if tc.stops == 1 && got[0].Victim.SinceS != 0 {
-				t.Errorf("stopped the task that has run for %v s, not the youngest", got[0].Victim.SinceS)
+			if tc.stops == 1 && got[0].Victim.RunningS != 0 {
+				t.Errorf("stopped the task that has run for %v s, not the youngest", got[0].Victim.RunningS)
 			}
 		})
 	}
@@ -57,20 +57,20 @@
 // One round makes room for all waiting tasks of a job, each on a machine that is then reserved for
 // it. A job whose victims have not all ended stops no more.
 func TestPreemptionMakesRoomForWholeJob(t *testing.T) {
-	typ := &Type{Name: "m", Size: Need{Cores: 8, Mem: 99}}
+	typ := &Type{Name: "m", Size: Resources{Cores: 8, Mem: 99}}
 	build := func(claims int) *Snapshot {
-		web := &Job{ID: "j-web", Team: "red", Service: true, Priority: 3, Need: Need{Cores: 8}, Tasks: 3, Degradation: 1,
+		web := &Job{ID: "j-web", Team: "red", Service: true, Priority: 3, Request: Resources{Cores: 8}, Tasks: 3, Degradation: 1,
 			Reserved: claims, Waiting: []int{0, 1, 2}}
 		s := &Snapshot{Jobs: []*Job{web}, Quotas: map[string]*Quota{"red": {}, "blue": {}}}
 		for i := range 4 {
-			b := &Job{ID: "j-" + string(rune('a'+i)), Team: "blue", Need: Need{Cores: 8}, Tasks: 1, Held: 1, Slots: 1, Degradation: 1,
+			b := &Job{ID: "j-" + string(rune('a'+i)), Team: "blue", Request: Resources{Cores: 8}, Tasks: 1, Assigned: 1, Slots: 1, Degradation: 1,
 				InZone: map[string]int{"": 1}}
 			s.Jobs = append(s.Jobs, b)
-			s.Machines = append(s.Machines, &Machine{ID: "i-" + string(rune('a'+i)), Type: typ, Room: 9, Used: true, Running: []RunningTask{{Job: b}}})
+			s.Machines = append(s.Machines, &Machine{ID: "i-" + string(rune('a'+i)), Type: typ, TaskCapacity: 9, Used: true, Running: []RunningTask{{Job: b}}})
 		}
 		return s
 	}
-	round := build(0).Stops(9, map[string]bool{})
+	round := build(0).Preempt(9, map[string]bool{})
 	targets := map[string]bool{}
 	for _, reservation := range round.Reservations {
 		if reservation.Job.ID != "j-web" || reservation.Tasks != 1 || reservation.Machine.ReservedFor != "j-web" {
@@ -86,7 +86,7 @@
 	if len(round.Stops) != 3 || len(round.Reservations) != 3 || len(targets) != 3 {
 		t.Errorf("%d stops for 3 tasks on %d machines", len(round.Stops), len(targets))
 	}
-	if n := len(build(3).Stops(9, map[string]bool{}).Stops); n != 0 {
+	if n := len(build(3).Preempt(9, map[string]bool{}).Stops); n != 0 {
 		t.Errorf("%d stops while earlier victims have not ended", n)
 	}
 }
@@ -104,15 +104,17 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ms := machines(box, "a", "a")
 			gang := batch("g", 0, func(j *Job) {
-				j.Gang, j.Upper, j.Need, j.Held, j.Slots, j.Tasks = true, false, Need{Cores: 4, Mem: 1}, 4, 4, 4
+				j.Gang, j.InUpperQueue, j.Request, j.Assigned, j.Slots, j.Tasks = true, false, Resources{Cores: 4, Mem: 1}, 4, 4, 4
+			})
+			array := batch("x", 0, func(j *Job) { j.InUpperQueue, j.Request, j.Assigned = false, Resources{Cores: 8, Mem: 1}, 1 })
+			urgent := batch("s", 1, func(j *Job) {
+				j.Service, j.Priority, j.InUpperQueue, j.Request = true, 3, false, Resources{Cores: 4, Mem: 1}
 			})
-			array := batch("x", 0, func(j *Job) { j.Upper, j.Need, j.Held = false, Need{Cores: 8, Mem: 1}, 1 })
-			urgent := batch("s", 1, func(j *Job) { j.Service, j.Priority, j.Upper, j.Need = true, 3, false, Need{Cores: 4, Mem: 1} })
 			jobs := []*Job{urgent, gang}
 			hold := func(m *Machine, j *Job, n int) {
 				for i := range n {
-					m.Running = append(m.Running, RunningTask{Job: j, Index: i, SinceS: 30})
-					m.Free = m.Free.Minus(j.Need)
+					m.Running = append(m.Running, RunningTask{Job: j, Index: i, RunningS: 30})
+					m.Free = m.Free.Minus(j.Request)
 				}
 			}
 			hold(ms[0], gang, 2)
@@ -122,7 +124,7 @@
 				hold(ms[1], array, 1)
 				jobs = append(jobs, array)
 			}
-			stops := snap(ms, jobs...).Stops(10, map[string]bool{}).Stops
+			stops := snap(ms, jobs...).Preempt(10, map[string]bool{}).Stops
 			if len(stops) != 1 || stops[0].Victim.Job.Gang != tc.alone {
 				t.Errorf("stopped %v, want one task of the gang: %v", stops, tc.alone)
 			}
@@ -136,13 +138,15 @@
 	build := func() *Snapshot {
 		var ms []*Machine
 		for i := range 2_000 {
-			ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", Room: 10})
+			ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", TaskCapacity: 10})
 		}
 		s := snap(ms)
 		s.Quotas = map[string]*Quota{"low": {}}
-		low := batch("low", 0, func(j *Job) { j.Team, j.Held, j.Upper, j.Need = "low", len(ms), false, Need{Cores: 1, Mem: 1} })
+		low := batch("low", 0, func(j *Job) {
+			j.Team, j.Assigned, j.InUpperQueue, j.Request = "low", len(ms), false, Resources{Cores: 1, Mem: 1}
+		})
 		for i, m := range ms {
-			m.Running = []RunningTask{{Job: low, Index: i, SinceS: 10}}
+			m.Running = []RunningTask{{Job: low, Index: i, RunningS: 10}}
 		}
 		s.Jobs = append(s.Jobs, low)
 		// Each is of a team of its own, so that each has to look for itself, and too large.
@@ -150,11 +154,11 @@
 			team := fmt.Sprint("team-", i)
 			s.Quotas[team] = &Quota{}
 			s.Jobs = append(s.Jobs, batch(fmt.Sprintf("large-%03d", i), 1, func(j *Job) {
-				j.Team, j.Priority, j.Need, j.Upper = team, 2, Need{Cores: 4, Mem: 4}, false
+				j.Team, j.Priority, j.Request, j.InUpperQueue = team, 2, Resources{Cores: 4, Mem: 4}, false
 			}))
 		}
 		s.Jobs = append(s.Jobs, batch("last", 1, func(j *Job) {
-			j.Team, j.Priority, j.Need, j.Upper, j.Submitted = "team-0", 2, Need{Cores: 1, Mem: 1}, false, 9
+			j.Team, j.Priority, j.Request, j.InUpperQueue, j.Submitted = "team-0", 2, Resources{Cores: 1, Mem: 1}, false, 9
 		}))
 		return s
 	}
@@ -163,7 +167,7 @@
 	for {
 		rounds++
 		s := build()
-		got := s.Stops(10, searched).Stops
+		got := s.Preempt(10, searched).Stops
 		if s.taskMachinesExamined > maxTaskMachinesExamined+len(s.Machines) {
 			t.Fatalf("a round examined %d machines", s.taskMachinesExamined)
 		}
@@ -188,20 +192,20 @@
 	const count = 400
 	var ms []*Machine
 	for i := range 3 * count {
-		ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", Room: 10})
+		ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", TaskCapacity: 10})
 	}
 	s := snap(ms)
-	low := batch("low", 0, func(j *Job) { j.Held, j.Upper, j.Need = len(ms), false, Need{Cores: 8, Mem: 1} })
+	low := batch("low", 0, func(j *Job) { j.Assigned, j.InUpperQueue, j.Request = len(ms), false, Resources{Cores: 8, Mem: 1} })
 	for i, m := range ms {
-		m.Running = []RunningTask{{Job: low, Index: i, SinceS: float64(i % 7)}}
+		m.Running = []RunningTask{{Job: low, Index: i, RunningS: float64(i % 7)}}
 	}
 	s.Jobs = []*Job{low}
 	for i := range count {
 		s.Jobs = append(s.Jobs, batch(fmt.Sprintf("web-%03d", i), 1, func(j *Job) {
-			j.Service, j.Upper, j.Team, j.Priority, j.Need = true, false, "blue", 3, Need{Cores: 0.25, Mem: 1}
+			j.Service, j.InUpperQueue, j.Team, j.Priority, j.Request = true, false, "blue", 3, Resources{Cores: 0.25, Mem: 1}
 		}))
 	}
-	round := s.Stops(2*count, map[string]bool{})
+	round := s.Preempt(2*count, map[string]bool{})
 	seen := map[string]bool{}
 	for _, reservation := range round.Reservations {
 		seen[reservation.Machine.ID] = true
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -61,7 +61,7 @@
 	s := p.snapshot
 	selector := s.selectorFor(j)
 	for len(j.Waiting) > 0 {
-		if quota := s.Quotas[j.Team]; quota != nil && !quota.Admits(j) && !j.Headroom {
+		if quota := s.Quotas[j.Team]; quota != nil && !quota.Admits(j) && !j.IsHeadroom {
 			return
 		}
 		m := selector.best()
@@ -83,7 +83,7 @@
 	if quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
 		return true
 	}
-	if p.snapshot.placeGang(j, func(*Quota, Need) bool { return true }) != nil {
+	if p.snapshot.placeGang(j, func(*Quota, Resources) bool { return true }) != nil {
 		return true
 	}
 	if j.OneZone && j.Zone == "" {
@@ -108,7 +108,7 @@
 	if typ == nil {
 		return nil
 	}
-	m := &Machine{Type: typ, Zone: pool.Zone, Spot: pool.Spot, Free: typ.Size, Room: recordRoom, Booting: true}
+	m := &Machine{Type: typ, Zone: pool.Zone, Spot: pool.Spot, Free: typ.Size, TaskCapacity: recordRoom, Booting: true}
 	p.snapshot.AddMachine(m)
 	p.machinesByZone[m.Zone]++
 	if p.countByPool[pool] == 0 {
@@ -130,10 +130,10 @@
 	var cheapestType *Type
 	lowest := math.Inf(1)
 	for _, t := range p.types {
-		if !j.mayUse(t) || j.Plain && t.Size.Accel > 0 {
+		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
 			continue
 		}
-		fit := perMachine(j.Need, t.Size)
+		fit := perMachine(j.Request, t.Size)
 		alike := -1 // to be counted if any pool of the type is open
 		for pool := range p.openPools(j, t) {
 			if alike < 0 {
@@ -172,14 +172,14 @@
 
 // mayUse says whether a task of the job fits the type and is allowed on it.
 func (j *Job) mayUse(t *Type) bool {
-	return j.Need.Fits(t.Size) && (j.Types == nil || j.Types[t.Name])
+	return j.Request.Fits(t.Size) && (j.Types == nil || j.Types[t.Name])
 }
 
-// IsPlain says whether the job is a batch without accelerators that may use a type without them.
+// CanAvoidAccelerators says whether the job is a batch without accelerators that may use a type without them.
 // Then no machine with accelerators is rented for it, and it leaves the cores that free
 // accelerators need.
-func (j *Job) IsPlain(types []*Type) bool {
-	return !j.Service && j.Need.Accel == 0 &&
+func (j *Job) CanAvoidAccelerators(types []*Type) bool {
+	return !j.Service && j.Request.Accel == 0 &&
 		slices.ContainsFunc(types, func(t *Type) bool { return t.Size.Accel == 0 && j.mayUse(t) })
 }
 
@@ -187,7 +187,7 @@
 func tasksAlike(j *Job, later []*Job, t *Type) int {
 	alike := 0
 	for _, other := range later {
-		if (other.Need.Accel > 0) == (j.Need.Accel > 0) && other.mayUse(t) {
+		if (other.Request.Accel > 0) == (j.Request.Accel > 0) && other.mayUse(t) {
 			alike += len(other.Waiting)
 		}
 	}
--- a/internal/scheduler/scale_out_test.go
+++ b/internal/scheduler/scale_out_test.go
@@ -41,7 +41,7 @@
 	open := func(Pool) bool { return false }
 	plain := func(types ...*Type) *Snapshot {
 		j := batch("guests", 8, nil)
-		j.Plain = j.IsPlain(types)
+		j.AvoidsAccelerators = j.CanAvoidAccelerators(types)
 		return snap(nil, j)
 	}
 	s := plain(gpu, box)
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -23,17 +23,17 @@
 
 // accepts says whether the machine may be given a task of the job now.
 func (s *Snapshot) accepts(j *Job, m *Machine) bool {
-	return (m.ReservedFor == "" || m.ReservedFor == j.ID) && m.Room > 0 && j.Need.Fits(m.Free) && j.MayRunOn(m) &&
-		(!s.reserveAcceleratorCores || !j.Plain || !j.blocksAccelerators(m))
+	return (m.ReservedFor == "" || m.ReservedFor == j.ID) && m.TaskCapacity > 0 && j.Request.Fits(m.Free) && j.MayRunOn(m) &&
+		(!s.reserveAcceleratorCores || !j.AvoidsAccelerators || !j.blocksAccelerators(m))
 }
 
 // blocksAccelerators says whether a task without accelerators would take cores that the machine's
 // free accelerators need.
 func (j *Job) blocksAccelerators(m *Machine) bool {
-	if j.Need.Accel > 0 || m.Type.Size.Accel <= 0 {
+	if j.Request.Accel > 0 || m.Type.Size.Accel <= 0 {
 		return false
 	}
-	left := m.Free.Minus(j.Need)
+	left := m.Free.Minus(j.Request)
 	return left.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
 }
 
@@ -44,7 +44,7 @@
 		score += bootingScore
 	}
 	switch {
-	case j.Headroom && len(j.Images) > 0:
+	case j.IsHeadroom && len(j.Images) > 0:
 		// Expected replicas get room where their images are: elsewhere each replica began with
 		// a fetch.
 		score += missingImageScore * j.fetchWeight(m.Type) * j.missingShare(m)
@@ -57,15 +57,15 @@
 	if j.Spot && !m.Spot {
 		score += notSpotScore
 	}
-	if j.Need.Accel == 0 && m.Type.Size.Accel > 0 {
+	if j.Request.Accel == 0 && m.Type.Size.Accel > 0 {
 		if j.blocksAccelerators(m) {
 			score += blocksAcceleratorsScore
 		}
 		score += unneededAcceleratorScore
 	}
-	left := Share(m.Free.Minus(j.Need), m.Type.Size)
-	if j.Need.Accel == 0 {
-		left = (m.Free.Cores - j.Need.Cores) / math.Max(m.Type.Size.Cores, eps)
+	left := Share(m.Free.Minus(j.Request), m.Type.Size)
+	if j.Request.Accel == 0 {
+		left = (m.Free.Cores - j.Request.Cores) / math.Max(m.Type.Size.Cores, eps)
 	}
 	score += looseFitScore * left
 	if !m.Used {
@@ -105,8 +105,8 @@
 // the time in which users want the task started. Small images on slow machines miss a start
 // within a second, while a more expensive machine has them at once.
 func (j *Job) fetchWeight(t *Type) float64 {
-	if j.AimS <= 0 || t.FetchGBPerS <= 0 {
+	if j.StartObjectiveS <= 0 || t.FetchGBPerS <= 0 {
 		return 1
 	}
-	return min(maxFetchWeight, max(minFetchWeight, j.ImageGB/t.FetchGBPerS/j.AimS))
+	return min(maxFetchWeight, max(minFetchWeight, j.ImageGB/t.FetchGBPerS/j.StartObjectiveS))
 }
--- a/internal/scheduler/selector.go
+++ b/internal/scheduler/selector.go
@@ -42,8 +42,8 @@
 func (s *Snapshot) scanForBest(j *Job) *Machine {
 	var best *Machine
 	bestScore := math.Inf(1)
-	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
-	s.Looked += len(list)
+	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	s.MachinesExamined += len(list)
 	for _, m := range list {
 		if !s.accepts(j, m) {
 			continue
@@ -86,8 +86,8 @@
 // candidateHeapFor scores the machines that have room for a task of the job.
 func (s *Snapshot) candidateHeapFor(j *Job) *candidateHeap {
 	c := &candidateHeap{snapshot: s, job: j}
-	list := s.machinesWithRoom(j.Need.Accel > 0, j.Need.Cores > 0)
-	s.Looked += len(list)
+	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	s.MachinesExamined += len(list)
 	for position, m := range list {
 		if s.accepts(j, m) {
 			c.list = append(c.list, candidate{machine: m, score: s.score(j, m), position: position})
@@ -111,7 +111,7 @@
 		return
 	}
 	first := &c.list[0]
-	c.snapshot.Looked++
+	c.snapshot.MachinesExamined++
 	if !c.snapshot.accepts(c.job, first.machine) {
 		heap.Pop(c)
 		return
--- a/internal/scheduler/selector_test.go
+++ b/internal/scheduler/selector_test.go
@@ -16,7 +16,7 @@
 			if rng.IntN(2) == 0 {
 				typ = gpu
 			}
-			m := &Machine{ID: fmt.Sprint(i), Type: typ, Zone: "a", Room: rng.IntN(12), Free: typ.Size.Times(float64(rng.IntN(5)) / 4),
+			m := &Machine{ID: fmt.Sprint(i), Type: typ, Zone: "a", TaskCapacity: rng.IntN(12), Free: typ.Size.Times(float64(rng.IntN(5)) / 4),
 				Images: map[string]bool{"img": rng.IntN(3) == 0}, Booting: rng.IntN(4) == 0, Used: rng.IntN(2) == 0, Spot: rng.IntN(2) == 0}
 			if rng.IntN(10) == 0 {
 				m.ReservedFor = "other"
@@ -24,7 +24,7 @@
 			fleet = append(fleet, m)
 		}
 		j := batch("work", 3+rng.IntN(60), func(j *Job) {
-			j.Image, j.Need, j.Spot, j.Plain = "img", Need{Cores: 1 + float64(rng.IntN(3)), Accel: float64(rng.IntN(2)), Mem: 1}, true, rng.IntN(2) == 0
+			j.Image, j.Request, j.Spot, j.AvoidsAccelerators = "img", Resources{Cores: 1 + float64(rng.IntN(3)), Accel: float64(rng.IntN(2)), Mem: 1}, true, rng.IntN(2) == 0
 		})
 		s := snap(fleet, j)
 		s.reserveAcceleratorCores = rng.IntN(2) == 0
@@ -52,12 +52,12 @@
 
 // A fill for an array of thousands examines each machine about once, not once a task.
 func TestFillWorkOfALargeArray(t *testing.T) {
-	s := snap(machines(box, make([]string, 800)...), batch("work", 5000, func(j *Job) { j.Upper = false }))
-	s.Quotas["red"].Maximum = Need{}
+	s := snap(machines(box, make([]string, 800)...), batch("work", 5000, func(j *Job) { j.InUpperQueue = false }))
+	s.Quotas["red"].Maximum = Resources{}
 	if got := started(s.Fill())["work"]; got != 5000 {
 		t.Fatalf("%d tasks started", got)
 	}
-	if s.Looked > 20_000 {
-		t.Errorf("examined %d machines", s.Looked)
+	if s.MachinesExamined > 20_000 {
+		t.Errorf("examined %d machines", s.MachinesExamined)
 	}
 }
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -8,7 +8,7 @@
 // Type is a machine type that the cloud rents out.
 type Type struct {
 	Name             string
-	Size             Need
+	Size             Resources
 	Price, SpotPrice float64 // per machine and unit of time, in the cloud's currency
 	Zones            []string
 	BootS            float64 // seconds from the rental request until the machine is ready
@@ -17,12 +17,12 @@
 
 // Machine is a machine with its free resources. Those of a booting machine are all free.
 type Machine struct {
-	ID   string
-	Type *Type
-	Zone string
-	Spot bool
-	Free Need
-	Room int // further tasks that its stored record can hold
+	ID           string
+	Type         *Type
+	Zone         string
+	Spot         bool
+	Free         Resources
+	TaskCapacity int // further tasks that its stored record can hold
 	// ReservedFor names the job that tasks were preempted for here. No other job may take the
 	// freed room, or each round would stop the same tasks again. Empty: not reserved.
 	ReservedFor string
@@ -30,9 +30,9 @@
 	Fetching    map[string]bool
 	Booting     bool
 	Used        bool // holds tasks, or was assigned one in this snapshot
-	// Changed is set by each decision that changes the machine. Whoever keeps the machine
+	// Dirty is set by each decision that changes the machine. Whoever keeps the machine
 	// between snapshots clears it.
-	Changed bool
+	Dirty bool
 	// ImageSet is the same number for machines that have the same images; 0: not known.
 	ImageSet int
 	// position is the machine's place in the snapshot's list. Of equal scores the lowest wins.
@@ -42,25 +42,25 @@
 
 // RunningTask is a task on a machine, as a candidate for preemption.
 type RunningTask struct {
-	Job    *Job
-	Index  int
-	SinceS float64 // seconds since it was assigned to the machine
+	Job      *Job
+	Index    int
+	RunningS float64 // seconds since it was assigned to the machine
 }
 
 // Snapshot is what the decisions of a pass are made from. Each decision updates it, so that the
 // next one counts with it.
 type Snapshot struct {
-	Machines []*Machine
-	Jobs     []*Job
-	Quotas   map[string]*Quota // by team
-	UpperCap float64           // share of the ready fleet that the upper queue may take
-	// Moving is set while replicas of drained machines move to others. Batches don't start
+	Machines      []*Machine
+	Jobs          []*Job
+	Quotas        map[string]*Quota // by team
+	UpperQueueCap float64           // share of the ready fleet that the upper queue may take
+	// Draining is set while replicas of drained machines move to others. Batches don't start
 	// meanwhile, as they would take the replicas' room.
-	Moving   bool
-	Capacity Need // of ready machines
-	// Looked counts the machines that were examined so far. It measures the work of a pass
+	Draining bool
+	Capacity Resources // of ready machines
+	// MachinesExamined counts the machines that were examined so far. It measures the work of a pass
 	// where a time would make decisions depend on the speed of the host.
-	Looked int
+	MachinesExamined int
 	// Fleet keeps the machines in order from one snapshot to the next; nil: the first pass
 	// builds an index of its own.
 	Fleet *Fleet
@@ -98,17 +98,17 @@
 // assign gives the job's first waiting task its place on a machine.
 func (s *Snapshot) assign(j *Job, m *Machine) {
 	j.Waiting = j.Waiting[1:]
-	j.Resume = max(0, j.Resume-1)
-	j.Held++
+	j.Interrupted = max(0, j.Interrupted-1)
+	j.Assigned++
 	if j.InZone == nil {
 		j.InZone = map[string]int{}
 	}
 	j.InZone[m.Zone]++
 	if quota := s.Quotas[j.Team]; quota != nil {
-		quota.Used = quota.Used.Plus(j.Need)
+		quota.Used = quota.Used.Plus(j.Request)
 	}
-	m.Free = m.Free.Minus(j.Need)
-	m.Room--
+	m.Free = m.Free.Minus(j.Request)
+	m.TaskCapacity--
 	m.Used = true
 	if !m.Images[j.Image] && j.Image != "" {
 		if m.Fetching == nil {
@@ -121,16 +121,16 @@
 
 // removeTask takes a running task off its machine.
 func (s *Snapshot) removeTask(m *Machine, task RunningTask) {
-	m.Free = m.Free.Plus(task.Job.Need)
+	m.Free = m.Free.Plus(task.Job.Request)
 	s.withRoom = [2][]*Machine{}
 	s.machineChanged(m)
 	if quota := s.Quotas[task.Job.Team]; quota != nil {
-		quota.Used = quota.Used.Minus(task.Job.Need)
+		quota.Used = quota.Used.Minus(task.Job.Request)
 	}
 	if task.Job.InZone != nil { // nil for jobs without waiting tasks
 		task.Job.InZone[m.Zone]--
 	}
-	task.Job.Held--
+	task.Job.Assigned--
 	m.Running = without(m.Running, task)
 }
 
@@ -147,7 +147,7 @@
 
 // machineChanged must be called after each change of a machine, so that the index follows it.
 func (s *Snapshot) machineChanged(m *Machine) {
-	m.Changed = true
+	m.Dirty = true
 	if s.index != nil {
 		s.index.update(m)
 	}
@@ -178,7 +178,7 @@
 	if *list == nil {
 		*list = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
-			if m.Room > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
+			if m.TaskCapacity > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
 				*list = append(*list, m)
 			}
 		}
@@ -189,7 +189,7 @@
 // clone copies what placing tasks changes, leaving out the machine with the given ID. The copy has
 // neither jobs nor quotas nor an index.
 func (s *Snapshot) clone(withoutID string) *Snapshot {
-	out := &Snapshot{UpperCap: s.UpperCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
+	out := &Snapshot{UpperQueueCap: s.UpperQueueCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
 	for _, m := range s.Machines {
 		if m.ID != withoutID {
 			c := *m
--- a/internal/stateclient/client.go
+++ b/internal/stateclient/client.go
@@ -58,7 +58,7 @@
 
 // Page is one page of a list of keys.
 type Page struct {
-	protocol.Items
+	protocol.KeyValuePage
 	// Bytes is the size of the answer on the wire, which bounds what the page takes in memory.
 	Bytes int
 }
@@ -70,10 +70,10 @@
 func New(transport apicall.Transport) *Client { return &Client{transport: transport} }
 
 // Get reads a key. Reasons of its own: ErrNotFound.
-func (c *Client) Get(key string, timeout time.Duration, done func(protocol.Item, error)) {
+func (c *Client) Get(key string, timeout time.Duration, done func(protocol.KeyValue, error)) {
 	c.transport.Call(http.MethodGet, fmt.Sprintf(keyPathFormat, key), nil, timeout, func(status int, body []byte) {
 		if status == http.StatusNotFound {
-			done(protocol.Item{}, &apicall.StatusError{Operation: operationGet, Status: status, Reason: ErrNotFound})
+			done(protocol.KeyValue{}, &apicall.StatusError{Operation: operationGet, Status: status, Reason: ErrNotFound})
 			return
 		}
 		apicall.Decoded(operationGet, done)(status, body)
@@ -89,7 +89,7 @@
 	}
 	c.transport.Call(http.MethodGet, path, nil, timeout, func(status int, body []byte) {
 		page := Page{Bytes: len(body)}
-		if err := apicall.ReadAnswer(operationList, status, body, &page.Items); err != nil {
+		if err := apicall.ReadAnswer(operationList, status, body, &page.KeyValuePage); err != nil {
 			done(Page{}, err)
 			return
 		}
@@ -99,7 +99,7 @@
 
 // Watch reads the changes of the keys under a prefix after a revision. If there are none, the service
 // waits for one for as long as block says; 0: it answers at once.
-func (c *Client) Watch(prefix string, afterRevision uint64, block, timeout time.Duration, done func(protocol.Events, error)) {
+func (c *Client) Watch(prefix string, afterRevision uint64, block, timeout time.Duration, done func(protocol.WatchReply, error)) {
 	path := fmt.Sprintf(watchPathFormat, prefix, afterRevision, block.Milliseconds())
 	c.transport.Call(http.MethodGet, path, nil, timeout, apicall.Decoded(operationWatch, done))
 }
@@ -109,7 +109,7 @@
 // ErrConflict with a *ConflictError. apicall.ErrInvalidRequest is a malformed transaction, one over
 // the service's limits or one that names a lease that is not there: the service does not tell them
 // apart. If apicall.IsOutcomeUnknown, it may have applied, or may apply later.
-func (c *Client) Commit(txn protocol.Txn, timeout time.Duration, done func(revision uint64, err error)) {
+func (c *Client) Commit(txn protocol.Transaction, timeout time.Duration, done func(revision uint64, err error)) {
 	c.transport.Call(http.MethodPost, commitPath, txn, timeout, func(status int, body []byte) {
 		done(readCommitAnswer(status, body))
 	})
@@ -119,7 +119,7 @@
 	if status != http.StatusOK && status != http.StatusConflict {
 		return 0, apicall.NewError(operationCommit, status)
 	}
-	var reply protocol.TxnReply
+	var reply protocol.TransactionReply
 	if err := apicall.DecodeBody(operationCommit, status, body, &reply); err != nil {
 		return 0, err
 	}
--- a/internal/stateclient/client_test.go
+++ b/internal/stateclient/client_test.go
@@ -28,20 +28,20 @@
 
 // The requests are the same to the letter whoever makes them: services and tests read their paths.
 func TestRequests(t *testing.T) {
-	txn := protocol.Txn{Then: []protocol.Change{{Put: "a/1", Value: "x"}}}
+	txn := protocol.Transaction{Then: []protocol.Change{{Put: "a/1", Value: "x"}}}
 	for _, c := range []struct {
 		name         string
 		send         func(*Client)
 		method, path string
 		body         any
 	}{
-		{"get", func(c *Client) { c.Get("c/leader", time.Second, func(protocol.Item, error) {}) }, "GET", "/store/c/leader", nil},
+		{"get", func(c *Client) { c.Get("c/leader", time.Second, func(protocol.KeyValue, error) {}) }, "GET", "/store/c/leader", nil},
 		{"first page", func(c *Client) { c.List("c/", "", 10, time.Second, func(Page, error) {}) }, "GET", "/store?under=c/&limit=10", nil},
 		{"next page", func(c *Client) { c.List("j/", "j/a b&c", 1000, time.Second, func(Page, error) {}) },
 			"GET", "/store?under=j/&limit=1000&after=j%2Fa+b%26c", nil},
-		{"blocking watch", func(c *Client) { c.Watch("c/", 7, 12*time.Second, time.Second, func(protocol.Events, error) {}) },
+		{"blocking watch", func(c *Client) { c.Watch("c/", 7, 12*time.Second, time.Second, func(protocol.WatchReply, error) {}) },
 			"GET", "/follow?under=c/&after=7&blockMs=12000", nil},
-		{"watch that does not block", func(c *Client) { c.Watch("j/", 0, 0, time.Second, func(protocol.Events, error) {}) },
+		{"watch that does not block", func(c *Client) { c.Watch("j/", 0, 0, time.Second, func(protocol.WatchReply, error) {}) },
 			"GET", "/follow?under=j/&after=0&blockMs=0", nil},
 		{"commit", func(c *Client) { c.Commit(txn, time.Second, func(uint64, error) {}) }, "POST", "/multi", txn},
 		{"grant", func(c *Client) { c.GrantLease(3*time.Second, time.Second, func(uint64, error) {}) },
@@ -69,14 +69,14 @@
 // operations sends each operation and has its outcome noted.
 var operations = map[string]func(*Client, *outcome){
 	"get": func(c *Client, o *outcome) {
-		c.Get("a/1", 0, func(r protocol.Item, err error) { *o = outcome{r, err} })
+		c.Get("a/1", 0, func(r protocol.KeyValue, err error) { *o = outcome{r, err} })
 	},
 	"list": func(c *Client, o *outcome) { c.List("a/", "", 1, 0, func(r Page, err error) { *o = outcome{r, err} }) },
 	"watch": func(c *Client, o *outcome) {
-		c.Watch("a/", 1, 0, 0, func(r protocol.Events, err error) { *o = outcome{r, err} })
+		c.Watch("a/", 1, 0, 0, func(r protocol.WatchReply, err error) { *o = outcome{r, err} })
 	},
 	"commit": func(c *Client, o *outcome) {
-		c.Commit(protocol.Txn{}, 0, func(r uint64, err error) { *o = outcome{r, err} })
+		c.Commit(protocol.Transaction{}, 0, func(r uint64, err error) { *o = outcome{r, err} })
 	},
 	"grant":  func(c *Client, o *outcome) { c.GrantLease(0, 0, func(r uint64, err error) { *o = outcome{r, err} }) },
 	"renew":  func(c *Client, o *outcome) { c.RenewLease(1, 0, func(err error) { *o = outcome{nil, err} }) },
@@ -93,18 +93,18 @@
 }
 
 func TestResults(t *testing.T) {
-	item := protocol.Item{Key: "a/1", Value: protocol.Encode("x"), Version: 5}
-	items := protocol.Items{Items: []protocol.Item{item}, More: true, Revision: 9}
-	events := protocol.Events{Revision: 9, Events: []protocol.Event{{Delete: "a/1", Version: 9}}}
+	item := protocol.KeyValue{Key: "a/1", Value: protocol.Encode("x"), Version: 5}
+	items := protocol.KeyValuePage{Items: []protocol.KeyValue{item}, More: true, Revision: 9}
+	events := protocol.WatchReply{Revision: 9, Events: []protocol.WatchEvent{{Delete: "a/1", Version: 9}}}
 	for _, c := range []struct {
 		operation string
 		body      []byte
 		want      any
 	}{
 		{"get", protocol.Encode(item), item},
-		{"list", protocol.Encode(items), Page{Items: items, Bytes: len(protocol.Encode(items))}},
+		{"list", protocol.Encode(items), Page{KeyValuePage: items, Bytes: len(protocol.Encode(items))}},
 		{"watch", protocol.Encode(events), events},
-		{"commit", protocol.Encode(protocol.TxnReply{Revision: 9}), uint64(9)},
+		{"commit", protocol.Encode(protocol.TransactionReply{Revision: 9}), uint64(9)},
 		{"grant", protocol.Encode(protocol.LeaseReply{Lease: 42}), uint64(42)},
 		{"renew", nil, nil},
 		{"revoke", nil, nil},
@@ -119,7 +119,7 @@
 }
 
 func TestFailures(t *testing.T) {
-	conflict := protocol.Encode(protocol.TxnReply{Failed: []string{"a/1"}})
+	conflict := protocol.Encode(protocol.TransactionReply{Failed: []string{"a/1"}})
 	undecodable := []byte{0xc1}
 	for _, c := range []struct {
 		name       string
@@ -165,7 +165,7 @@
 }
 
 func TestConflictNamesTheKeys(t *testing.T) {
-	err := answer("commit", 409, protocol.Encode(protocol.TxnReply{Failed: []string{"a/1", "a/2"}})).err
+	err := answer("commit", 409, protocol.Encode(protocol.TransactionReply{Failed: []string{"a/1", "a/2"}})).err
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"a/1", "a/2"}) {
 		t.Errorf("%v", err)
--- a/internal/statestore/leader_key.go
+++ b/internal/statestore/leader_key.go
@@ -10,23 +10,23 @@
 	// Puts and Deletes are the changes of the other keys.
 	Puts    []protocol.Change
 	Deletes []string
-	// Applied is called once the change is durable, Refused if the state service takes it in no form.
-	Applied, Refused func()
+	// OnApplied is called once the change is durable, Refused if the state service takes it in no form.
+	OnApplied, OnRefused func()
 }
 
 // ChangeLeader has the leader key stored in another form by the next transaction. There is one such
 // change at a time.
 func (w *Writer) ChangeLeader(change *LeaderChange) { w.leaderChange = change }
 
-// composeLeaderChange makes the transaction of a change of the leader key; nil: none waits, or the
+// buildLeaderChange makes the transaction of a change of the leader key; nil: none waits, or the
 // budget does not allow it yet.
-func (w *Writer) composeLeaderChange() *Transaction {
+func (w *Writer) buildLeaderChange() *Transaction {
 	change, now := w.leaderChange, w.host.Now()
 	if change == nil {
 		return nil
 	}
 	changes := float64(1 + len(change.Puts) + len(change.Deletes))
-	if !w.changeBudget.Has(now, changes) {
+	if !w.changeBudget.Allows(now, changes) {
 		return nil
 	}
 	w.leaderChange = nil
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -12,9 +12,9 @@
 	host, w = newTestWriter(8)
 	outcome = new(string)
 	change.Entry = testEntry("permanent", 0)
-	change.Applied = func() { *outcome = "applied" }
-	change.Refused = func() { *outcome = "refused" }
-	w.Mark("m/other", Start, value("other"), nil)
+	change.OnApplied = func() { *outcome = "applied" }
+	change.OnRefused = func() { *outcome = "refused" }
+	w.QueueWrite("m/other", PriorityBatch, value("other"), nil)
 	w.ChangeLeader(change)
 	w.Flush()
 	return host, w, outcome
@@ -25,14 +25,14 @@
 }
 
 func item(version uint64, v any) []byte {
-	return protocol.Encode(protocol.Item{Value: protocol.Encode(v), Version: version})
+	return protocol.Encode(protocol.KeyValue{Value: protocol.Encode(v), Version: version})
 }
 
 // The leader key is stored in its new form together with the other keys, alone and under the versions known;
 // all that follows depends on the new version.
 func TestLeaderChange(t *testing.T) {
 	host, w, outcome := newLeaderChangeWriter(openingChange())
-	txn := host.last(t).body.(protocol.Txn)
+	txn := host.last(t).body.(protocol.Transaction)
 	if !slices.Equal(puts(host.last(t)), []string{"c/lease", "c/leader"}) || txn.Then[1].Lease != 0 || txn.Then[0].Lease != 3 {
 		t.Fatalf("%+v", txn)
 	}
@@ -41,14 +41,14 @@
 	}
 	host.last(t).answer(200, applied(9))
 	w.Flush()
-	if next := host.last(t).body.(protocol.Txn); *outcome != "applied" || next.If[0].Version != 9 || next.Then[0].Put != "m/other" {
+	if next := host.last(t).body.(protocol.Transaction); *outcome != "applied" || next.If[0].Version != 9 || next.Then[0].Put != "m/other" {
 		t.Errorf("%s, then %+v", *outcome, next)
 	}
 	// A fence writes the form that is stored now.
 	host.last(t).answer(0, nil)
-	host.now += host.Pause()
+	host.now += host.RetryPause()
 	w.Flush()
-	if fence := host.last(t).body.(protocol.Txn).Then[1]; fence.Put != "c/leader" || fence.Value != "permanent" || fence.Lease != 0 {
+	if fence := host.last(t).body.(protocol.Transaction).Then[1]; fence.Put != "c/leader" || fence.Value != "permanent" || fence.Lease != 0 {
 		t.Errorf("the fence is %+v", fence)
 	}
 }
@@ -77,7 +77,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			host, w, outcome := newLeaderChangeWriter(c.change)
 			host.last(t).answer(0, nil)
-			host.now += host.Pause()
+			host.now += host.RetryPause()
 			w.Flush()
 			if c.status == 409 {
 				host.last(t).answer(409, failed(c.conflict))
@@ -107,7 +107,7 @@
 	host, w, outcome := newLeaderChangeWriter(openingChange())
 	host.last(t).answer(400, nil)
 	w.Flush()
-	if next := host.last(t).body.(protocol.Txn); *outcome != "refused" || host.ended != "" || next.If[0].Version != 5 || next.Then[0].Put != "m/other" {
+	if next := host.last(t).body.(protocol.Transaction); *outcome != "refused" || host.ended != "" || next.If[0].Version != 5 || next.Then[0].Put != "m/other" {
 		t.Errorf("%s, ended %q, then %+v", *outcome, host.ended, next)
 	}
 }
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -13,7 +13,7 @@
 // onAnswer takes the outcome of a transaction: it applied, or it did not, or nobody knows until one of
 // its keys is read back.
 func (w *Writer) onAnswer(t *Transaction, revision uint64, err error) {
-	if w.host.Ended() {
+	if w.host.HasEnded() {
 		return
 	}
 	t.inFlight = false
@@ -42,11 +42,11 @@
 // there were too many changes.
 func (w *Writer) onNotExecuted(t *Transaction, err error) {
 	if errors.Is(err, apicall.ErrRateLimited) {
-		w.changeBudget.Empty()
+		w.changeBudget.Drain()
 	} else {
-		w.host.Unavailable()
+		w.host.OnUnavailable()
 	}
-	t.retryAt = w.host.Now() + w.host.Pause()
+	t.retryAt = w.host.Now() + w.host.RetryPause()
 }
 
 // chooseReadbackKey returns the key that tells whether a transaction has applied.
@@ -62,14 +62,14 @@
 	switch {
 	case slices.Contains(keys, w.leader.Key):
 		if !t.writesLeaderKey || !t.outcomeUnknown {
-			w.host.End(EndOtherLeader)
+			w.host.EndLeadership(EndOtherLeader)
 			return
 		}
 		t.readbackKey = w.leader.Key // an earlier try of ours may have written it
 	case !t.outcomeUnknown || t.leaderChange != nil:
 		// Nobody else may write our keys: what is stored is not what this leader thinks.
 		w.log.Error("stored versions differ from memory", "keys", fmt.Sprint(keys))
-		w.host.End(EndRecordsDiffer)
+		w.host.EndLeadership(EndRecordsDiffer)
 	case len(t.Puts) == 0:
 		w.onApplied(t, 0)
 	default:
@@ -81,7 +81,7 @@
 // later.
 func (w *Writer) onOutcomeUnknown(t *Transaction) {
 	t.outcomeUnknown, w.needsFence = true, true
-	t.retryAt = w.host.Now() + w.host.Pause()
+	t.retryAt = w.host.Now() + w.host.RetryPause()
 }
 
 // onInvalidRequest takes back a transaction that the state service calls invalid: a lease has expired,
@@ -91,11 +91,11 @@
 	w.current = nil
 	if t.leaderChange != nil {
 		w.log.Error("leader key change rejected as malformed")
-		t.leaderChange.Refused()
+		t.leaderChange.OnRefused()
 		return
 	}
 	if t.writesLeaderKey && len(t.writes) == 1 {
-		w.host.End(EndLeaderKeyRefused)
+		w.host.EndLeadership(EndLeaderKeyRefused)
 		return
 	}
 	if len(t.writes) > 1 {
@@ -107,25 +107,25 @@
 	refused := t.writes[0]
 	w.log.Error("record rejected as malformed", "key", refused.key)
 	w.maxWrites = unlimitedWrites
-	w.host.Abandoned(refused.key)
+	w.host.OnAbandoned(refused.key)
 }
 
 // onReadback finds out whether a transaction applied whose answer was lost: if a key of it has another
 // version than before, it did, as only this leader can have changed the key.
-func (w *Writer) onReadback(t *Transaction, item protocol.Item, err error) {
-	if w.host.Ended() {
+func (w *Writer) onReadback(t *Transaction, item protocol.KeyValue, err error) {
+	if w.host.HasEnded() {
 		return
 	}
 	t.inFlight = false
 	key := t.readbackKey
 	if errors.Is(err, stateclient.ErrNotFound) {
 		if w.mustExist(t, key) {
-			w.host.End(EndRecordsDiffer)
+			w.host.EndLeadership(EndRecordsDiffer)
 			return
 		}
-		item = protocol.Item{} // an absent key has the version 0
+		item = protocol.KeyValue{} // an absent key has the version 0
 	} else if err != nil {
-		t.retryAt = w.host.Now() + w.host.Pause()
+		t.retryAt = w.host.Now() + w.host.RetryPause()
 		return
 	}
 	t.readbackKey = ""
@@ -149,13 +149,13 @@
 }
 
 // onLeaderKeyRead finds out from the leader key whether a transaction that writes it has applied.
-func (w *Writer) onLeaderKeyRead(t *Transaction, item protocol.Item) {
+func (w *Writer) onLeaderKeyRead(t *Transaction, item protocol.KeyValue) {
 	if item.Version == w.leader.Version {
 		w.onInvalidRequest(t) // it did not apply, and the last try was refused
 		return
 	}
 	if !t.leaderEntry.Matches(item.Value) {
-		w.host.End(EndOtherLeader)
+		w.host.EndLeadership(EndOtherLeader)
 		return
 	}
 	// A try of ours wrote the leader key, and all else with it.
@@ -184,7 +184,7 @@
 		w.notifyStored(stored)
 	}
 	if t.leaderChange != nil {
-		t.leaderChange.Applied()
+		t.leaderChange.OnApplied()
 	}
 }
 
--- a/internal/statestore/transaction.go
+++ b/internal/statestore/transaction.go
@@ -18,7 +18,7 @@
 
 // Transaction is a set of writes that go out together.
 type Transaction struct {
-	Body protocol.Txn
+	Body protocol.Transaction
 	// Puts are the keys that are put; the leader key is not one of them.
 	Puts    []string
 	deletes []string
@@ -56,9 +56,9 @@
 	t.Body.Then = append(t.Body.Then, protocol.Change{Delete: key})
 }
 
-// Compose makes the next transaction of the writes that wait, within the limits and the budget; nil:
+// BuildTransaction makes the next transaction of the writes that wait, within the limits and the budget; nil:
 // there is none to be made.
-func (w *Writer) Compose() *Transaction {
+func (w *Writer) BuildTransaction() *Transaction {
 	now := w.host.Now()
 	t := &Transaction{createdAt: now}
 	t.require(w.leader.Key, w.leader.Version)
@@ -79,11 +79,11 @@
 	for len(w.queues[priority]) > 0 && w.mayAddWrite(t, priority) {
 		next := w.queues[priority][0]
 		value := next.render()
-		w.host.Rendered(next.key)
+		w.host.OnRendered(next.key)
 		bytes, fits := w.sizeOf(next, value)
 		if !fits {
-			w.Unmark(next.key)
-			w.host.Abandoned(next.key)
+			w.CancelWrite(next.key)
+			w.host.OnAbandoned(next.key)
 			continue
 		}
 		if *size+bytes > maxTransactionBytes {
@@ -99,15 +99,15 @@
 // mayAddWrite reports whether the number of changes and the budget allow one more write of a priority.
 func (w *Writer) mayAddWrite(t *Transaction, priority Priority) bool {
 	// One change is left to the leader key.
-	if len(t.writes) >= min(w.limits.Changes-1, w.maxWrites) {
+	if len(t.writes) >= min(w.limits.MaxChanges-1, w.maxWrites) {
 		return false
 	}
 	// Writes that nobody waits for leave half of the burst to those that somebody waits for.
 	reserve := 0.0
-	if priority >= Lazy {
+	if priority >= PriorityBackground {
 		reserve = w.changeBudget.Burst() / 2
 	}
-	return w.changeBudget.Has(w.host.Now(), float64(len(t.writes)+1)+reserve)
+	return w.changeBudget.Allows(w.host.Now(), float64(len(t.writes)+1)+reserve)
 }
 
 // sizeOf is an estimate from above of the bytes that a write takes of its transaction; false: its value
@@ -119,7 +119,7 @@
 	}
 	// The Go field names are longer than the stored ones, so JSON is the longer encoding.
 	encoded, err := json.Marshal(value)
-	if err != nil || len(encoded) > w.limits.ValueBytes {
+	if err != nil || len(encoded) > w.limits.MaxValueBytes {
 		w.log.Error("record exceeds the value size limit", "key", pending.key, "bytes", len(encoded), "err", err)
 		return 0, false
 	}
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -23,21 +23,21 @@
 // state service's writes of many seconds: replicas that waited behind them missed service-level
 // objectives of a second.
 const (
-	User Priority = iota
-	Replica
-	Start
-	Done
-	Lazy
-	Counters
+	PriorityUser Priority = iota
+	PriorityReplica
+	PriorityBatch
+	PriorityCompletion
+	PriorityBackground
+	PriorityCounters
 	priorityCount
 )
 
 // Limits are the state service's, the lower of the present ones and those announced.
 type Limits struct {
-	Changes    int // of a transaction, with that of the leader key
-	ValueBytes int // of a value as JSON
-	// Timeout is how long the writer waits for an answer.
-	Timeout time.Duration
+	MaxChanges    int // of a transaction, with that of the leader key
+	MaxValueBytes int // of a value as JSON
+	// RequestTimeout is how long the writer waits for an answer.
+	RequestTimeout time.Duration
 }
 
 // unlimitedWrites is more writes than any transaction has.
@@ -84,21 +84,21 @@
 type Host interface {
 	// Now is the controller's present time.
 	Now() time.Duration
-	// MayCall reports whether the budget allows a request to the state service.
-	MayCall() bool
-	// Pause is a short wait before something is tried again.
-	Pause() time.Duration
-	// End ends the leadership.
-	End(why EndReason)
-	Ended() bool
-	// Unavailable is called when the service executes nothing: no user should be kept waiting.
-	Unavailable()
-	// Abandoned is called when a record is given up that the service takes in no form.
-	Abandoned(key string)
-	// Rendered is called when a record was rendered in its present state, Stored when it is durable
+	// MayRequest reports whether the budget allows a request to the state service.
+	MayRequest() bool
+	// RetryPause is a short wait before something is tried again.
+	RetryPause() time.Duration
+	// EndLeadership ends the leadership.
+	EndLeadership(why EndReason)
+	HasEnded() bool
+	// OnUnavailable is called when the service executes nothing: no user should be kept waiting.
+	OnUnavailable()
+	// OnAbandoned is called when a record is given up that the service takes in no form.
+	OnAbandoned(key string)
+	// OnRendered is called when a record was rendered in its present state, Stored when it is durable
 	// as it was last rendered.
-	Rendered(key string)
-	Stored(key string)
+	OnRendered(key string)
+	OnStored(key string)
 }
 
 // write is a record that waits to be written. It is rendered only when its transaction is made, so
@@ -152,8 +152,8 @@
 // Version returns the version of a key as it was last read or written; 0: the key is absent.
 func (w *Writer) Version(key string) uint64 { return w.versions[key] }
 
-// Loaded notes the version of a key that was read.
-func (w *Writer) Loaded(key string, version uint64) { w.versions[key] = version }
+// SetVersion notes the version of a key that was read.
+func (w *Writer) SetVersion(key string, version uint64) { w.versions[key] = version }
 
 // IsPending reports whether a write of a key waits for a transaction.
 func (w *Writer) IsPending(key string) bool { return w.pending[key] != nil }
@@ -161,13 +161,13 @@
 // Busy reports whether a transaction is under way.
 func (w *Writer) Busy() bool { return w.current != nil }
 
-// Took returns the latencies of the transactions in milliseconds, since the caller last reset them.
-func (w *Writer) Took() *hdrhistogram.Histogram { return w.latencies }
+// Latencies returns the latencies of the transactions in milliseconds, since the caller last reset them.
+func (w *Writer) Latencies() *hdrhistogram.Histogram { return w.latencies }
 
-// Mark queues a write of a key's record. Render returns the record when the transaction is made, nil
+// QueueWrite queues a write of a key's record. Render returns the record when the transaction is made, nil
 // to delete the key. Then is called when the write is durable; it may be nil. If a write of the key
 // waits already, both become one of the more urgent priority.
-func (w *Writer) Mark(key string, priority Priority, render func() any, then func()) {
+func (w *Writer) QueueWrite(key string, priority Priority, render func() any, then func()) {
 	pending := w.pending[key]
 	if pending == nil {
 		pending = &write{key: key, priority: priority}
@@ -184,8 +184,8 @@
 	}
 }
 
-// Unmark cancels a write that is in no transaction yet. It returns false if there is none.
-func (w *Writer) Unmark(key string) bool {
+// CancelWrite cancels a write that is in no transaction yet. It returns false if there is none.
+func (w *Writer) CancelWrite(key string) bool {
 	pending := w.pending[key]
 	if pending == nil {
 		return false
@@ -216,7 +216,7 @@
 
 // notifyStored tells those who wait that a record is durable.
 func (w *Writer) notifyStored(stored *write) {
-	w.host.Stored(stored.key)
+	w.host.OnStored(stored.key)
 	for _, notify := range stored.onStored {
 		notify()
 	}
@@ -234,21 +234,21 @@
 	}
 	t.inFlight = true
 	if t.readbackKey != "" {
-		w.client.Get(t.readbackKey, w.limits.Timeout, func(item protocol.Item, err error) { w.onReadback(t, item, err) })
+		w.client.Get(t.readbackKey, w.limits.RequestTimeout, func(item protocol.KeyValue, err error) { w.onReadback(t, item, err) })
 		return
 	}
 	w.addFence(t)
-	w.client.Commit(t.Body, w.limits.Timeout, func(revision uint64, err error) { w.onAnswer(t, revision, err) })
+	w.client.Commit(t.Body, w.limits.RequestTimeout, func(revision uint64, err error) { w.onAnswer(t, revision, err) })
 }
 
 // nextTransaction makes the next transaction; nil: nothing waits, or the budget does not allow it. A
 // change of the leader key goes first.
 func (w *Writer) nextTransaction() *Transaction {
-	if !w.host.MayCall() {
+	if !w.host.MayRequest() {
 		return nil
 	}
-	if t := w.composeLeaderChange(); t != nil {
+	if t := w.buildLeaderChange(); t != nil {
 		return t
 	}
-	return w.Compose()
+	return w.BuildTransaction()
 }
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -32,14 +32,14 @@
 func (h *fakeHost) Call(method, path string, body any, _ time.Duration, then func(int, []byte)) {
 	h.sent = append(h.sent, sentRequest{method, path, body, then})
 }
-func (h *fakeHost) MayCall() bool        { return true }
-func (h *fakeHost) Pause() time.Duration { return 100 * time.Millisecond }
-func (h *fakeHost) End(why EndReason)    { h.ended = why }
-func (h *fakeHost) Ended() bool          { return h.ended != "" }
-func (h *fakeHost) Unavailable()         { h.unavailable++ }
-func (h *fakeHost) Rendered(string)      {}
-func (h *fakeHost) Stored(string)        {}
-func (h *fakeHost) Abandoned(key string) { h.abandoned = append(h.abandoned, key) }
+func (h *fakeHost) MayRequest() bool            { return true }
+func (h *fakeHost) RetryPause() time.Duration   { return 100 * time.Millisecond }
+func (h *fakeHost) EndLeadership(why EndReason) { h.ended = why }
+func (h *fakeHost) HasEnded() bool              { return h.ended != "" }
+func (h *fakeHost) OnUnavailable()              { h.unavailable++ }
+func (h *fakeHost) OnRendered(string)           {}
+func (h *fakeHost) OnStored(string)             {}
+func (h *fakeHost) OnAbandoned(key string)      { h.abandoned = append(h.abandoned, key) }
 
 // last is the request that left last.
 func (h *fakeHost) last(t *testing.T) sentRequest {
@@ -56,7 +56,7 @@
 	host := &fakeHost{}
 	tokens := ratelimit.New(1000, 1000)
 	key := LeaderKey{Key: "c/leader", Version: 5, Entry: testEntry(ourRecord, 3)}
-	w := NewWriter(host, stateclient.New(host), slog.New(slog.DiscardHandler), Limits{Changes: changes, ValueBytes: 100, Timeout: time.Second}, &tokens, key)
+	w := NewWriter(host, stateclient.New(host), slog.New(slog.DiscardHandler), Limits{MaxChanges: changes, MaxValueBytes: 100, RequestTimeout: time.Second}, &tokens, key)
 	return host, w
 }
 
@@ -70,13 +70,15 @@
 
 func value(v any) func() any { return func() any { return v } }
 
-func applied(revision uint64) []byte { return protocol.Encode(protocol.TxnReply{Revision: revision}) }
+func applied(revision uint64) []byte {
+	return protocol.Encode(protocol.TransactionReply{Revision: revision})
+}
 
-func failed(keys ...string) []byte { return protocol.Encode(protocol.TxnReply{Failed: keys}) }
+func failed(keys ...string) []byte { return protocol.Encode(protocol.TransactionReply{Failed: keys}) }
 
 func puts(c sentRequest) []string {
 	var out []string
-	for _, change := range c.body.(protocol.Txn).Then {
+	for _, change := range c.body.(protocol.Transaction).Then {
 		out = append(out, change.Put+change.Delete)
 	}
 	return out
@@ -87,19 +89,19 @@
 	host, w := newTestWriter(4)
 	done := map[string]int{}
 	mark := func(key string, priority Priority) {
-		w.Mark(key, priority, value(key), func() { done[key]++ })
+		w.QueueWrite(key, priority, value(key), func() { done[key]++ })
 	}
-	mark("k/lazy", Lazy)
-	mark("m/batch", Start)
-	mark("j/user", User)
-	mark("m/replica", Replica)
-	mark("m/batch", Replica) // more urgent now
+	mark("k/lazy", PriorityBackground)
+	mark("m/batch", PriorityBatch)
+	mark("j/user", PriorityUser)
+	mark("m/replica", PriorityReplica)
+	mark("m/batch", PriorityReplica) // more urgent now
 	w.Flush()
 	w.Flush()
 	if len(host.sent) != 1 || !slices.Equal(puts(host.sent[0]), []string{"j/user", "m/replica", "m/batch"}) {
 		t.Fatalf("%d requests, %v", len(host.sent), puts(host.sent[0]))
 	}
-	if condition := host.sent[0].body.(protocol.Txn).If[0]; condition.Key != "c/leader" || condition.Version != 5 {
+	if condition := host.sent[0].body.(protocol.Transaction).If[0]; condition.Key != "c/leader" || condition.Version != 5 {
 		t.Errorf("the first condition is %+v", condition)
 	}
 	host.sent[0].answer(200, applied(9))
@@ -115,13 +117,13 @@
 // What can be taken back has not left yet.
 func TestUnmark(t *testing.T) {
 	_, w := newTestWriter(4)
-	w.Mark("j/1", User, value(1), nil)
-	if !w.Unmark("j/1") || w.Unmark("j/1") || w.IsPending("j/1") {
+	w.QueueWrite("j/1", PriorityUser, value(1), nil)
+	if !w.CancelWrite("j/1") || w.CancelWrite("j/1") || w.IsPending("j/1") {
 		t.Error("a write that waits is not taken back")
 	}
-	w.Mark("j/1", User, value(1), nil)
+	w.QueueWrite("j/1", PriorityUser, value(1), nil)
 	w.Flush()
-	if w.Unmark("j/1") {
+	if w.CancelWrite("j/1") {
 		t.Error("a write that has left is taken back")
 	}
 }
@@ -131,7 +133,7 @@
 func TestLostAnswer(t *testing.T) {
 	host, w := newTestWriter(4)
 	done := 0
-	w.Mark("m/1", Start, value("a"), func() { done++ })
+	w.QueueWrite("m/1", PriorityBatch, value("a"), func() { done++ })
 	w.Flush()
 	host.last(t).answer(0, nil)
 	w.Flush()
@@ -148,7 +150,7 @@
 	if c := host.last(t); c.method != "GET" || c.path != "/store/m/1" {
 		t.Fatalf("%s %s", c.method, c.path)
 	}
-	host.last(t).answer(200, protocol.Encode(protocol.Item{Key: "m/1", Version: 12}))
+	host.last(t).answer(200, protocol.Encode(protocol.KeyValue{Key: "m/1", Version: 12}))
 	if done != 1 || w.Version("m/1") != 12 || host.ended != "" {
 		t.Errorf("done %d, version %d, ended %q", done, w.Version("m/1"), host.ended)
 	}
@@ -157,7 +159,7 @@
 // Another leader's key ends the term, unless an earlier try of our own has written it.
 func TestConflictsOfTheLeaderKey(t *testing.T) {
 	host, w := newTestWriter(4)
-	w.Mark("m/1", Start, value("a"), nil)
+	w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
 	w.Flush()
 	host.last(t).answer(409, failed("c/leader"))
 	if host.ended != EndOtherLeader {
@@ -173,7 +175,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			host, w := newTestWriter(4)
-			w.Mark("m/1", Start, value("a"), nil)
+			w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
 			w.Flush()
 			host.last(t).answer(0, nil)
 			host.now += time.Second
@@ -194,7 +196,7 @@
 // A version that differs without an earlier try means that the ledger is not what we think.
 func TestConflictOfARecord(t *testing.T) {
 	host, w := newTestWriter(4)
-	w.Mark("m/1", Start, value("a"), nil)
+	w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
 	w.Flush()
 	host.last(t).answer(409, failed("m/1"))
 	if host.ended != EndRecordsDiffer {
@@ -206,7 +208,7 @@
 func TestMalformed(t *testing.T) {
 	host, w := newTestWriter(20)
 	for i := range 8 {
-		w.Mark(fmt.Sprintf("m/%d", i), Start, value("a"), nil)
+		w.QueueWrite(fmt.Sprintf("m/%d", i), PriorityBatch, value("a"), nil)
 	}
 	revision := uint64(10)
 	for range 40 {
@@ -252,14 +254,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			host, w := newTestWriter(4)
-			w.Mark("m/1", Start, value("a"), nil)
+			w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
 			w.Flush()
 			host.last(t).answer(c.status, c.body)
 			w.Flush()
 			if len(host.sent) != 1 || host.unavailable != c.unavailable || host.ended != "" {
 				t.Fatalf("%d requests before the pause, told %d times of an outage, ended %q", len(host.sent), host.unavailable, host.ended)
 			}
-			host.now += host.Pause()
+			host.now += host.RetryPause()
 			w.Flush()
 			want := []string{"m/1"}
 			if c.fence {
@@ -275,10 +277,10 @@
 // Limits are met exactly: a value of as many bytes as may be, one more, and one change more.
 func TestLimits(t *testing.T) {
 	host, w := newTestWriter(3)
-	w.Mark("m/fits", Start, value(strings.Repeat("x", 98)), nil) // and two quotes
-	w.Mark("m/large", Start, value(strings.Repeat("x", 99)), nil)
-	w.Mark("m/second", Start, value(1), nil)
-	w.Mark("m/third", Start, value(1), nil)
+	w.QueueWrite("m/fits", PriorityBatch, value(strings.Repeat("x", 98)), nil) // and two quotes
+	w.QueueWrite("m/large", PriorityBatch, value(strings.Repeat("x", 99)), nil)
+	w.QueueWrite("m/second", PriorityBatch, value(1), nil)
+	w.QueueWrite("m/third", PriorityBatch, value(1), nil)
 	w.Flush()
 	if got := puts(host.last(t)); !slices.Equal(got, []string{"m/fits", "m/second"}) || !slices.Equal(host.abandoned, []string{"m/large"}) {
 		t.Errorf("%v leave, %v are given up", got, host.abandoned)
@@ -300,13 +302,13 @@
 func TestDeletionOfNothing(t *testing.T) {
 	host, w := newTestWriter(4)
 	done := 0
-	w.Mark("d/1", Lazy, value(nil), func() { done++ })
+	w.QueueWrite("d/1", PriorityBackground, value(nil), func() { done++ })
 	w.Flush()
 	if len(host.sent) != 0 || done != 1 {
 		t.Errorf("%d requests, done %d", len(host.sent), done)
 	}
-	w.Loaded("d/2", 7)
-	w.Mark("d/2", Lazy, value(nil), func() { done++ })
+	w.SetVersion("d/2", 7)
+	w.QueueWrite("d/2", PriorityBackground, value(nil), func() { done++ })
 	w.Flush()
 	host.last(t).answer(200, applied(9))
 	if done != 2 || w.Version("d/2") != 0 {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -26,40 +26,40 @@
 	r.set.GetOrCreateHistogram(name).Update(d.Seconds())
 }
 
-// Detector records the state of the failure detector: its local health (0: healthy) and its
+// DetectorSampled records the state of the failure detector: its local health (0: healthy) and its
 // counters.
-func (r *Recorder) Detector(health int, counters membership.Counters) {
+func (r *Recorder) DetectorSampled(health int, counters membership.Counters) {
 	r.setGauge("claybarrow_observer_health", float64(health))
 	for name, value := range map[string]uint64{
 		"probes":            counters.Probes,
-		"answers":           counters.Answers,
-		"failures":          counters.Failures,
-		"witnesses_asked":   counters.WitnessesAsked,
-		"witnesses_reached": counters.WitnessesReached,
+		"answers":           counters.Replies,
+		"failures":          counters.ProbeFailures,
+		"witnesses_asked":   counters.IndirectProbes,
+		"witnesses_reached": counters.IndirectAcks,
 		"suspicions":        counters.Suspicions,
 		"deaths":            counters.Deaths,
 		"refutations":       counters.Refutations,
 		"false_suspicions":  counters.FalseSuspicions,
 		"false_deaths":      counters.FalseDeaths,
-		"stalls":            counters.Stalls,
+		"stalls":            counters.Pauses,
 		"bytes_sent":        counters.BytesSent,
 		"bytes_received":    counters.BytesReceived,
-		"probes_for_others": counters.OnBehalf,
+		"probes_for_others": counters.ProbesForPeers,
 	} {
 		r.set.GetOrCreateCounter("claybarrow_membership_" + name + "_total").Set(value)
 	}
 }
 
 // MemberChanged records a change of another controller's state: 0 alive, 1 suspect, 2 dead, 3 left.
-func (r *Recorder) MemberChanged(change membership.Change) {
+func (r *Recorder) MemberChanged(change membership.StateChange) {
 	if gauge := r.memberStates[change.Label]; gauge != nil {
 		gauge.Set(float64(change.To))
 	}
 	r.count(fmt.Sprintf(`claybarrow_member_changes_total{controller=%q,to=%q}`, change.Label, change.To))
 }
 
-// Dropped counts a message of another controller that was refused.
-func (r *Recorder) Dropped(drop membership.Drop) {
+// PeerMessageDropped counts a message of another controller that was refused.
+func (r *Recorder) PeerMessageDropped(drop membership.DroppedMessage) {
 	reason := strings.ReplaceAll(string(drop.Reason), " ", "_")
 	r.count(fmt.Sprintf(`claybarrow_messages_dropped_total{reason=%q}`, reason))
 }
@@ -74,7 +74,7 @@
 func (r *Recorder) JournalSized(size controller.JournalSize) {
 	for name, value := range map[string]int{
 		"values":     size.Values,
-		"ends":       size.Ends,
+		"ends":       size.Entries,
 		"waiting":    size.Waiting,
 		"unreadable": size.Unreadable,
 	} {
@@ -87,14 +87,14 @@
 	r.count(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to))
 }
 
-// Rerouted counts a request that reached the leader by way of another controller.
-func (r *Recorder) Rerouted() { r.count("claybarrow_requests_detoured_total") }
+// RequestRerouted counts a request that reached the leader by way of another controller.
+func (r *Recorder) RequestRerouted() { r.count("claybarrow_requests_detoured_total") }
 
-// Retried counts a request to the leader that was sent once more.
-func (r *Recorder) Retried() { r.count("claybarrow_requests_retried_total") }
+// RequestRetried counts a request to the leader that was sent once more.
+func (r *Recorder) RequestRetried() { r.count("claybarrow_requests_retried_total") }
 
-// Resumed records that the process did nothing for some time, and whether it led then.
-func (r *Recorder) Resumed(stoodStill time.Duration, led bool) {
+// ProcessResumed records that the process did nothing for some time, and whether it led then.
+func (r *Recorder) ProcessResumed(stoodStill time.Duration, led bool) {
 	r.count(fmt.Sprintf(`claybarrow_standstills_total{led="%t"}`, led))
 	r.observeSeconds("claybarrow_standstill_seconds", stoodStill)
 }
@@ -106,7 +106,7 @@
 	if failover.Loaded > 0 {
 		r.observeSeconds("claybarrow_handover_load_seconds", failover.Loaded-failover.Elected)
 	}
-	if failover.LeaderKeyGone > 0 {
-		r.observeSeconds("claybarrow_handover_election_seconds", failover.Elected-failover.LeaderKeyGone)
+	if failover.LeaderKeyRemoved > 0 {
+		r.observeSeconds("claybarrow_handover_election_seconds", failover.Elected-failover.LeaderKeyRemoved)
 	}
 }
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -32,18 +32,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Detector(2, membership.Counters{Probes: 7, FalseSuspicions: 1})
-	r.MemberChanged(membership.Change{Label: "n1", From: membership.Alive, To: membership.Suspect})
-	r.MemberChanged(membership.Change{Label: "unheard-of", To: membership.Dead})
-	r.Dropped(membership.Drop{Label: "n1", Reason: membership.DropSequence})
+	r.DetectorSampled(2, membership.Counters{Probes: 7, FalseSuspicions: 1})
+	r.MemberChanged(membership.StateChange{Label: "n1", From: membership.Alive, To: membership.Suspect})
+	r.MemberChanged(membership.StateChange{Label: "unheard-of", To: membership.Dead})
+	r.PeerMessageDropped(membership.DroppedMessage{Label: "n1", Reason: membership.DropSequence})
 	r.MachineRedirected("i-1", "n2")
-	r.Rerouted()
-	r.Retried()
-	r.Resumed(2*time.Second, true)
+	r.RequestRerouted()
+	r.RequestRetried()
+	r.ProcessResumed(2*time.Second, true)
 	r.GateChanged(controller.GateChange{Token: 3, From: featuregate.Closed, To: featuregate.Opening})
 	r.GateChanged(controller.GateChange{Token: 3, From: featuregate.Opening, To: featuregate.Open})
-	r.JournalSized(controller.JournalSize{Values: 4, Ends: 60, Unreadable: 1})
-	r.FailedOver(controller.Failover{Token: 3, LeaderKeyGone: time.Second, Elected: 2 * time.Second, Loaded: 3 * time.Second})
+	r.JournalSized(controller.JournalSize{Values: 4, Entries: 60, Unreadable: 1})
+	r.FailedOver(controller.Failover{Token: 3, LeaderKeyRemoved: time.Second, Elected: 2 * time.Second, Loaded: 3 * time.Second})
 	w := httptest.NewRecorder()
 	r.ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	for _, line := range []string{
@@ -87,15 +87,15 @@
 	start := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	traces := tracesOf(t, start, func(r *Recorder) {
 		r.FailedOver(controller.Failover{
-			Token:          3,
-			Former:         "n1",
-			Suspected:      10 * time.Second,
-			LeaderKeyGone:  11 * time.Second,
-			Elected:        11*time.Second + 20*time.Millisecond,
-			Loaded:         11*time.Second + 90*time.Millisecond,
-			FirstPlacement: 12 * time.Second,
-			Jobs:           5,
-			Machines:       7,
+			Token:            3,
+			FormerLeader:     "n1",
+			Suspected:        10 * time.Second,
+			LeaderKeyRemoved: 11 * time.Second,
+			Elected:          11*time.Second + 20*time.Millisecond,
+			Loaded:           11*time.Second + 90*time.Millisecond,
+			FirstPlacement:   12 * time.Second,
+			Jobs:             5,
+			Machines:         7,
 		})
 	})
 	durations := map[string]time.Duration{}
@@ -126,7 +126,7 @@
 // A change of the feature gate is a span with its reason and what every controller stated.
 func TestTraceOfFeatureGate(t *testing.T) {
 	traces := tracesOf(t, time.Now(), func(r *Recorder) {
-		r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Why: "n1 is told to hold",
+		r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Reason: "n1 is told to hold",
 			Statements: map[string]string{"n1": "reads 1, writes 1, holds", "n2": "no statement"}})
 	})
 	for _, text := range []string{`"feature gate"`, `"closing"`, "n1 is told to hold", "statement.n1", "reads 1, writes 1, holds", "no statement"} {
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -54,7 +54,7 @@
 	steps := failover.Steps()
 	ctx, span := r.tracer.Start(context.Background(), "handover", r.at(steps[0].From), trace.WithAttributes(
 		attribute.Int64("token", int64(failover.Token)),
-		attribute.String("former", failover.Former),
+		attribute.String("former", failover.FormerLeader),
 		attribute.Int("jobs", failover.Jobs),
 		attribute.Int("machines", failover.Machines),
 		attribute.Int("records_read_ahead", failover.Preloaded)))
@@ -74,7 +74,7 @@
 		attribute.Int64("token", int64(change.Token)),
 		attribute.String("from", change.From.String()),
 		attribute.String("to", change.To.String()),
-		attribute.String("why", change.Why),
+		attribute.String("why", change.Reason),
 	}
 	for label, statement := range change.Statements {
 		attributes = append(attributes, attribute.String("statement."+label, statement))
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -39,7 +39,7 @@
 // newClient returns a client that opens at most connsPerHost connections to one address and keeps
 // at most maxIdle idle ones to all. It does not follow redirects: the core reads them itself.
 func newClient(cfg *config.Config, connsPerHost, maxIdle int) *http.Client {
-	dialer := &net.Dialer{Timeout: min(cfg.Lease()/5, maxDialTimeout)}
+	dialer := &net.Dialer{Timeout: min(cfg.WorkerLease()/5, maxDialTimeout)}
 	return &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		Transport: &http.Transport{
@@ -47,7 +47,7 @@
 			MaxConnsPerHost:     connsPerHost,
 			MaxIdleConnsPerHost: connsPerHost,
 			MaxIdleConns:        maxIdle,
-			IdleConnTimeout:     2 * cfg.Lease(),
+			IdleConnTimeout:     2 * cfg.WorkerLease(),
 			DisableCompression:  true,
 		},
 	}
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -17,7 +17,7 @@
 // until calls ends.
 func (s *Server) loop(ctx, calls context.Context, ended chan<- struct{}) {
 	defer close(ended)
-	ticker := time.NewTicker(s.cfg.Tick())
+	ticker := time.NewTicker(s.cfg.TickInterval())
 	defer ticker.Stop()
 	waiting := map[uint64]chan controller.Reply{}
 	var lastID uint64
@@ -34,7 +34,7 @@
 			return
 		}
 		if _, isTick := event.(controller.Tick); isTick {
-			s.shedding.logChanges(s.now().Steady, s.cfg.Lease(), s.log)
+			s.shedding.logChanges(s.now().Steady, s.cfg.WorkerLease(), s.log)
 		}
 		for _, effect := range s.core.Handle(s.now(), event) {
 			switch effect := effect.(type) {
--- a/internal/transport/graceful_shutdown.go
+++ b/internal/transport/graceful_shutdown.go
@@ -36,6 +36,6 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(s.cfg.Lease() / 10):
+	case <-time.After(s.cfg.WorkerLease() / 10):
 	}
 }
--- a/internal/transport/graceful_shutdown_test.go
+++ b/internal/transport/graceful_shutdown_test.go
@@ -119,7 +119,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go server.loop(ctx, ctx, make(chan struct{}))
-	if w := send(server.peerRoutes(), http.MethodPost, "/probe", make([]byte, membership.MostBytes+1)); w.Code != http.StatusBadRequest {
+	if w := send(server.peerRoutes(), http.MethodPost, "/probe", make([]byte, membership.MaxMessageBytes+1)); w.Code != http.StatusBadRequest {
 		t.Errorf("an oversized probe: %d", w.Code)
 	}
 	if w := send(server.peerRoutes(), http.MethodPost, "/probe", []byte{0xa0}); w.Code != http.StatusOK || !strings.HasPrefix(w.Body.String(), "probe") {
--- a/internal/transport/routes.go
+++ b/internal/transport/routes.go
@@ -45,7 +45,7 @@
 // admissionOf returns how requests of an operation are let in. Workers and other controllers have
 // a queue of their own: a flood of users must not cost a worker its lease.
 func (s *Server) admissionOf(op controller.Op) admission {
-	a := admission{queue: s.requests, maxBodyBytes: protocol.MaxBody, closeAbovePercent: closeUsersAbovePercent}
+	a := admission{queue: s.requests, maxBodyBytes: protocol.MaxBodyBytes, closeAbovePercent: closeUsersAbovePercent}
 	switch op {
 	case controller.OpSubmit, controller.OpPoll, controller.OpCancel, controller.OpReady:
 		// As set above.
@@ -58,7 +58,7 @@
 		a.maxBodyBytes += forwardingOverheadBytes
 	case controller.OpProbe:
 		a.queue, a.closeAbovePercent = s.heartbeats, neverClosePercent
-		a.maxBodyBytes = membership.MostBytes
+		a.maxBodyBytes = membership.MaxMessageBytes
 	case controller.OpRelay:
 		a.closeAbovePercent = neverClosePercent
 		a.maxBodyBytes += forwardingOverheadBytes
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -108,7 +108,7 @@
 
 // serveAt starts an HTTP server and returns what closes it with its connections.
 func (s *Server) serveAt(listener *connLimiter, handler http.Handler, failed chan<- error) (closeServer func()) {
-	lease := s.cfg.Lease()
+	lease := s.cfg.WorkerLease()
 	server := &http.Server{
 		Handler:           handler,
 		ReadHeaderTimeout: lease,
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -27,7 +27,7 @@
 func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	cfg := &config.Config{}
-	cfg.Cluster.Workers = config.Workers{ReportS: 1, LeaseS: 10, CancelS: 35}
+	cfg.Cluster.Workers = config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 35}
 	cfg.Cluster.Resources.FDs = 64
 	return New(cfg, echo{}, slog.New(slog.DiscardHandler))
 }
@@ -74,7 +74,7 @@
 		})
 	}
 	t.Run("oversized body", func(t *testing.T) {
-		if w := send(clients, http.MethodPost, "/api/jobs", make([]byte, protocol.MaxBody+1)); w.Code != http.StatusBadRequest {
+		if w := send(clients, http.MethodPost, "/api/jobs", make([]byte, protocol.MaxBodyBytes+1)); w.Code != http.StatusBadRequest {
 			t.Errorf("an oversized body got %d", w.Code)
 		}
 	})
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -18,11 +18,11 @@
 
 // NewCommands builds the body of a request under a fencing token to an agent of an epoch. A request
 // without commands is a probe; it has an empty list on the wire, not nil.
-func NewCommands(token, epoch uint64, commands []protocol.Command) protocol.Commands {
+func NewCommands(token, epoch uint64, commands []protocol.Command) protocol.CommandRequest {
 	if commands == nil {
 		commands = []protocol.Command{}
 	}
-	return protocol.Commands{Token: token, Epoch: epoch, Commands: commands}
+	return protocol.CommandRequest{Token: token, Epoch: epoch, Commands: commands}
 }
 
 // Outcome is what became of the commands of a request.
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -12,10 +12,10 @@
 	for _, c := range []struct {
 		name     string
 		commands []protocol.Command
-		want     protocol.Commands
+		want     protocol.CommandRequest
 	}{
-		{"commands", stop, protocol.Commands{Token: 3, Epoch: 5, Commands: stop}},
-		{"a probe has an empty list on the wire", nil, protocol.Commands{Token: 3, Epoch: 5, Commands: []protocol.Command{}}},
+		{"commands", stop, protocol.CommandRequest{Token: 3, Epoch: 5, Commands: stop}},
+		{"a probe has an empty list on the wire", nil, protocol.CommandRequest{Token: 3, Epoch: 5, Commands: []protocol.Command{}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := NewCommands(3, 5, c.commands); !bytes.Equal(protocol.Encode(got), protocol.Encode(c.want)) {
