--- a/internal/config/fleet_size_test.go
+++ b/internal/config/fleet_size_test.go
@@ -23,7 +23,7 @@
 	return cfg
 }
 
-// The leader's lease outlasts a take-over of the fleet, whatever the resources allow beside it.
+// The leader's lease outlasts a failover with the whole fleet, whatever the resources allow beside it.
 func TestLeaderLeaseFollowsTheFleet(t *testing.T) {
 	for _, tc := range []struct {
 		machines  int
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -32,7 +32,7 @@
 // successor is elected well before that runs out, or less where that costs nothing. Larger fleets
 // have longer leases of their workers, which is no reason to leave users without a leader for
 // longer. What bounds it from below is the work that may keep a leader from renewing: half a
-// second of a whole core, and a take-over of the whole fleet; and its five renewals, which may
+// second of a whole core, and a failover with the whole fleet; and its five renewals, which may
 // take a hundredth of the state service's requests.
 func (c *Config) LeaderLease() time.Duration {
 	cores, rps := c.Cluster.Resources.Cores, c.Cluster.State.RPS
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// A version that differs without an earlier try means that the ledger is not what we think.
+// A version that differs without an earlier try means that the stored records are not what this leader assumes.
 func TestConflictOfARecord(t *testing.T) {
 	host, w := newTestWriter(4)
 	w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -21,7 +21,7 @@
 )
 
 // errExpired is the error of a request that must not be sent any more.
-var errExpired = errors.New("the process stood still since the request was decided")
+var errExpired = errors.New("the process was paused after the request was decided")
 
 // newClients returns an HTTP client for each kind of target, with its share of the sockets.
 func newClients(cfg *config.Config) map[controller.Target]*http.Client {
--- a/internal/transport/graceful_shutdown_test.go
+++ b/internal/transport/graceful_shutdown_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// A request that was decided before a standstill of the process is not sent once it is no longer valid.
+// A request that was decided before a pause of the process is not sent once it is no longer valid.
 func TestExpiredCallIsNotSent(t *testing.T) {
 	reached := false
 	worker := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached = true }))
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -87,7 +87,7 @@
 }
 
 // writeReply writes the controller's reply. One that is no longer valid is replaced by 503: the
-// process stood still since the decision, and another leader may have decided otherwise.
+// process was paused since the decision, and another leader may have decided otherwise.
 func (s *Server) writeReply(w http.ResponseWriter, reply controller.Reply) {
 	if reply.ValidUntil > 0 && s.now().Steady > reply.ValidUntil {
 		reply = controller.Reply{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
--- a/internal/transport/handler_test.go
+++ b/internal/transport/handler_test.go
@@ -20,7 +20,7 @@
 	return nil
 }
 
-// A reply that was decided before a standstill, and is sent after the leader's lease may have
+// A reply that was decided before a process pause, and is sent after the leader's lease may have
 // ended, is replaced: another leader may have answered otherwise.
 func TestExpiredReplyIsReplaced(t *testing.T) {
 	t.Run("expired", func(t *testing.T) {
