--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -328,8 +328,7 @@
 		f.replyLeaseOnly(from, heartbeat)
 		return
 	}
-	redirect := protocol.Redirect{Leader: f.leaderLabel()}
-	f.outbox.reply(from, http.StatusMisdirectedRequest, protocol.Encode(redirect), 0)
+	f.outbox.replyRedirect(from, f.leaderLabel())
 }
 
 // discardContact drops what was known of the leader before a process pause. The highest token stays, as it only
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"claybarrow/internal/clusterstate"
+	"claybarrow/internal/config"
 	"claybarrow/internal/membership"
 	"claybarrow/internal/protocol"
 	"claybarrow/internal/ratelimit"
@@ -29,8 +30,7 @@
 // fleet is.
 const minRedirectsPerHeartbeat = 4
 
-func newAssignments(c *Controller) assignments {
-	cfg := c.env.cfg
+func newAssignments(cfg *config.Config) assignments {
 	interval := cfg.WorkerHeartbeatInterval().Seconds()
 	perSecond := max(float64(cfg.FleetSize())/cfg.WorkerLease().Seconds(), minRedirectsPerHeartbeat/interval)
 	return assignments{zones: map[string]*membership.Assignment{}, redirectBudget: ratelimit.New(perSecond, perSecond*interval)}
--- a/internal/controller/leader_probes.go
+++ b/internal/controller/leader_probes.go
@@ -42,7 +42,7 @@
 	if now > sentAt+conclusiveStay*lease {
 		return false
 	}
-	p.next = max(p.next, now+lease/2<<min(p.failures, maxBackoffDoublings))
+	p.next = max(p.next, now+redirectBackoff(lease, p.failures))
 	p.failures++
 	return true
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -67,7 +67,7 @@
 		loader:         &stateLoader{},
 		trace:          &failoverTrace{failover: &Failover{Token: elected.Token, Elected: now}},
 		heartbeats:     &heartbeatReceiver{},
-		router:         &heartbeatRouter{assignments: newAssignments(c)},
+		router:         &heartbeatRouter{assignments: newAssignments(cfg)},
 		dispatcher:     &commandDispatcher{callLimiter: newCallLimiter(cfg.Cluster.Resources)},
 		attempts:       &attemptTracker{},
 		health:         &machineHealth{},
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -52,9 +52,10 @@
 	return 2*h.env.cfg.WorkerHeartbeatInterval() + h.env.cfg.WorkerLease()/10
 }
 
-// overdueAfter is how long a machine that can't be reached is silent until its tasks will probably be needed
-// elsewhere: 0.4 of a lease.
-func (h *machineHealth) overdueAfter() time.Duration { return h.env.cfg.WorkerLease() * 2 / 5 }
+// isSilent reports whether a machine has not been heard for two fifths of its lease: several heartbeats are missing.
+func (h *machineHealth) isSilent(m *clusterstate.Machine) bool {
+	return h.silentFor(m) > h.env.cfg.WorkerLease()*2/5
+}
 
 // evacuationStart is the earliest that tasks leave a machine that reaches no controller: 0.55 of a lease after
 // its last answered heartbeat.
@@ -153,7 +154,7 @@
 // isOverdue reports whether a machine is late and can't be reached, so that its tasks will probably be needed
 // elsewhere.
 func (h *machineHealth) isOverdue(m *clusterstate.Machine) bool {
-	return m.FailedCalls > maxFailedCalls && h.silentFor(m) > h.overdueAfter() && !h.partitions.isPartitioned(m.Zone)
+	return m.FailedCalls > maxFailedCalls && h.isSilent(m) && !h.partitions.isPartitioned(m.Zone)
 }
 
 // watchMachines does what becomes due by time alone: evacuations, direct calls and the expiry of leases.
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -137,3 +137,8 @@
 func (o *outbox) replyStatus(to requester, status int, job protocol.JobStatus) {
 	o.reply(to, status, protocol.Encode(job), 0)
 }
+
+// replyRedirect tells a worker to send its heartbeats to another controller.
+func (o *outbox) replyRedirect(to requester, label string) {
+	o.reply(to, http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: label}), 0)
+}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -41,11 +41,6 @@
 	}
 }
 
-// isSilent says whether a machine has not been heard for two fifths of its lease: several heartbeats are missing.
-func (a *autoscaler) isSilent(m *clusterstate.Machine) bool {
-	return a.health.silentFor(m) > a.env.cfg.WorkerLease()*2/5
-}
-
 // isUnreachable says whether a machine is most probably lost with all its tasks: it is silent and no connection to it
 // can be made, while other machines of its zone have been heard since and we reach all that others hear. The cloud's
 // deletion proves that it is gone much sooner than its lease. Hanging machines accept connections and are left alone,
@@ -105,7 +100,7 @@
 	for _, m := range a.state.Machines {
 		if m.EverReported && !m.Releasing && !a.partitions.isPartitioned(m.Zone) {
 			up++
-			if a.isSilent(m) {
+			if a.health.isSilent(m) {
 				silent++
 			}
 		}
@@ -143,7 +138,7 @@
 	if reason := p.silentReleaseReason(m); reason != keepMachine {
 		return reason
 	}
-	if p.scaler.isSilent(m) {
+	if p.scaler.health.isSilent(m) {
 		// It may hang or be partitioned, and come back with its images; a dead machine is
 		// soon listed as failed by the cloud. Machines were once released as idle when
 		// their leases had expired, seconds before they would have come back.
@@ -187,7 +182,7 @@
 
 // isReplaceable says whether a machine is most probably lost, and all its tasks have room elsewhere.
 func (p *scaleInPass) isReplaceable(m *clusterstate.Machine) bool {
-	return p.scaler.isUnreachable(m, p.heardSince) && p.scaler.isSilent(m) && p.spare.absorbs(m)
+	return p.scaler.isUnreachable(m, p.heardSince) && p.scaler.health.isSilent(m) && p.spare.absorbs(m)
 }
 
 // isUnheardSinceFailover says whether a machine has been silent since this leader was elected. The proof by the
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -104,11 +104,6 @@
 	l.heartbeats.replyWithCommands(from, l.dispatcher.pendingCommands(m, true))
 }
 
-// replyRedirect tells a worker to send its heartbeats to another controller.
-func (o *outbox) replyRedirect(to requester, label string) {
-	o.reply(to, http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: label}), 0)
-}
-
 // replyWithCommands answers a heartbeat under the leader's token, which renews the worker's lease.
 func (h *heartbeatReceiver) replyWithCommands(to requester, commands []protocol.Command) {
 	reply := protocol.WorkerHeartbeatReply{Token: h.lease.token, Commands: commands}
