--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -2,72 +2,76 @@
 
 import "time"
 
-// AgentState is what the leader knows of the agent process on a machine from the agent's messages:
+// AgentState is the leader's view of the agent process on a machine. It is derived from the agent's messages:
 // heartbeats and answers to direct calls. Messages may arrive late, more than once and in any order.
 //
 // All times are on the leader's own clock (Controller.now), not on the agent's.
 type AgentState struct {
-	// Epoch, Sequence and Token are those of the newest message. An agent whose lease has expired goes on
-	// under a higher epoch. The token is the leader's fencing token that the agent knew when it sent the
-	// message.
+	// Epoch, Sequence and Token are the epoch, sequence number and fencing token of the newest message. An
+	// agent whose lease has expired continues under a higher epoch. Token is the highest leader fencing token
+	// that the agent had received when it sent the message.
 	Epoch, Sequence, Token uint64
 	// HeartbeatSequence is the sequence number of the newest heartbeat.
 	HeartbeatSequence uint64
-	// LastSeen is when the newest message arrived, LastAnswered when the leader last answered a
-	// heartbeat.
+	// LastSeen is the time at which the newest message arrived. LastAnswered is the time at which the leader
+	// last answered a heartbeat.
 	LastSeen, LastAnswered time.Duration
-	// TokenAcknowledgedAt is when the agent first showed this leader's token.
+	// TokenAcknowledged is set once a message of the agent has carried this leader's token;
+	// TokenAcknowledgedAt is the arrival time of the first such message.
 	TokenAcknowledgedAt time.Duration
 	TokenAcknowledged   bool
 	// Seen is set once a message has arrived in this leader's term.
 	Seen bool
-	// ExpiredEpoch is the newest epoch that is proved over; all older ones are over too.
+	// ExpiredEpoch is the newest epoch that is known to have ended. All older epochs have ended too.
 	ExpiredEpoch uint64
-	// UnseenAnswers counts the evidence that the leader's answers do not reach the agent: one for each
-	// answered heartbeat with an older token, unseenAnswersPerExpiry for an expired lease.
+	// UnseenAnswers scores the evidence that the leader's answers do not reach the agent: one for each
+	// heartbeat that still carries an older token after the leader has answered one, and
+	// unseenAnswersPerExpiry for a lease that expired although the leader had answered.
 	UnseenAnswers int
-	// QuarantinedUntil is until when the machine gets no new work.
+	// QuarantinedUntil is the end of the quarantine. Until then no new work is placed on the machine.
 	QuarantinedUntil time.Duration
 }
 
 // HeartbeatHeader is the part of an agent's message that identifies the sender and the message.
 type HeartbeatHeader struct {
 	Epoch, Sequence, Token uint64
-	// Heartbeat is set for a heartbeat, and not for an answer to a direct call.
+	// Heartbeat distinguishes a heartbeat from an answer to a direct call.
 	Heartbeat bool
 }
 
-// IsNewest reports whether a message is newer than all before it and of an epoch that may still be
-// current. Any other message proves nothing, not even that the agent is alive.
+// IsNewest reports whether a message is newer than all messages before it and belongs to an epoch that may
+// still be current. Any other message may be a late copy and is no evidence of anything, not even that the
+// agent is alive.
 func (a *AgentState) IsNewest(msg HeartbeatHeader) bool {
 	older := msg.Epoch < a.Epoch || msg.Epoch == a.Epoch && msg.Sequence <= a.Sequence
 	return !older && msg.Epoch > a.ExpiredEpoch
 }
 
 const (
-	// unseenAnswersPerExpiry is how many unseen answers a lease that expired in spite of the leader's
-	// answers counts for.
+	// unseenAnswersPerExpiry is the number of unseen answers that a lease counts for when it expires although
+	// the leader has answered.
 	unseenAnswersPerExpiry = 3
-	// quarantineLeases is for how many agent leases a machine with such an agent is quarantined.
+	// quarantineLeases is the duration of a quarantine after such an expiry, in agent leases.
 	quarantineLeases = 2
 )
 
-// Observation is what a newest message shows.
+// Observation is the evidence that the newest message of an agent gives.
 type Observation struct {
-	// LeaseExpired: the agent's lease expired since the message before.
+	// LeaseExpired is set if the agent's lease expired since the previous message.
 	LeaseExpired bool
-	// RepliesLost: it expired although the leader had answered less than half a lease ago.
+	// AnswersLost is set if the lease expired although the leader had answered less than half a lease ago.
 	AnswersLost bool
-	// HasLeaderToken: the agent has this leader's token. FirstLeaderToken: for the first time in this term.
+	// HasLeaderToken is set if the message carries this leader's token, FirstLeaderToken if it is the first
+	// message of this term that does.
 	HasLeaderToken, FirstLeaderToken bool
 }
 
-// RecordMessage records a message for which IsNewest holds. token is the leader's own, lease the length of an
-// agent's lease.
+// RecordMessage records a message for which IsNewest returns true. token is this leader's fencing token, lease
+// the duration of an agent's lease.
 func (a *AgentState) RecordMessage(msg HeartbeatHeader, token uint64, now, lease time.Duration) Observation {
 	observation := Observation{LeaseExpired: a.Seen && msg.Epoch > a.Epoch, HasLeaderToken: msg.Token == token}
-	// The answers are lost if the lease expired although the leader answered all the while, or if
-	// several answered heartbeats in a row still show an older token.
+	// The leader's answers do not reach the agent if its lease expired although the leader answered
+	// recently, or if several heartbeats in a row still carry an older token after an answer.
 	switch {
 	case observation.LeaseExpired && a.LastAnswered > 0 && now-a.LastAnswered < lease/2:
 		observation.AnswersLost = true
--- a/internal/clusterstate/agent_state_test.go
+++ b/internal/clusterstate/agent_state_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Late copies, reordered answers and messages of epochs that are over are no evidence.
-func TestNewestMessages(t *testing.T) {
+// Late copies, reordered answers and messages of ended epochs are not taken for the newest message.
+func TestIsNewest(t *testing.T) {
 	newest := HeartbeatHeader{Epoch: 2, Sequence: 10, Token: 4, Heartbeat: true}
 	for _, tc := range []struct {
 		name            string
@@ -29,15 +29,15 @@
 			agent.RecordMessage(newest, 5, time.Second, 10*time.Second)
 			agent.ExpiredEpoch = tc.expiredEpoch
 			if got := agent.IsNewest(HeartbeatHeader{Epoch: tc.epoch, Sequence: tc.sequence}); got != tc.want {
-				t.Errorf("newest: %v", got)
+				t.Errorf("IsNewest returns %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// The leader's answers do not reach an agent that shows an old token again and again, or whose lease expires
-// although it was answered. They do reach one that shows the leader's token.
-func TestAnswersThatDoNotReachTheAgent(t *testing.T) {
+// Unseen answers are counted for an agent that keeps sending an older token, and for an agent whose lease expires
+// although the leader has answered. The count is reset once the agent sends the leader's token.
+func TestUnseenAnswers(t *testing.T) {
 	const lease, token, olderToken = 10 * time.Second, 5, 4
 	agent := &AgentState{}
 	heartbeat := func(epoch, sequence, shown uint64, now time.Duration) Observation {
@@ -45,23 +45,23 @@
 	}
 	first := heartbeat(1, 1, olderToken, time.Second)
 	if first.FirstLeaderToken || first.HasLeaderToken || agent.UnseenAnswers != 0 {
-		t.Errorf("the first heartbeat: %+v, %d unseen", first, agent.UnseenAnswers)
+		t.Errorf("first heartbeat: %+v, %d unseen answers", first, agent.UnseenAnswers)
 	}
 	agent.LastAnswered = time.Second
 	heartbeat(1, 2, olderToken, 2*time.Second)
 	answer := HeartbeatHeader{Epoch: 1, Sequence: 3, Token: olderToken} // to a direct call
 	agent.RecordMessage(answer, token, 2*time.Second, lease)
 	if agent.UnseenAnswers != 1 || agent.HeartbeatSequence != 2 {
-		t.Errorf("%d unseen, last heartbeat %d", agent.UnseenAnswers, agent.HeartbeatSequence)
+		t.Errorf("%d unseen answers, last heartbeat has sequence number %d", agent.UnseenAnswers, agent.HeartbeatSequence)
 	}
 	if got := heartbeat(1, 4, token, 3*time.Second); !got.FirstLeaderToken || agent.UnseenAnswers != 0 || agent.TokenAcknowledgedAt != 3*time.Second {
-		t.Errorf("with the leader's token: %+v, %d unseen", got, agent.UnseenAnswers)
+		t.Errorf("heartbeat with the leader's token: %+v, %d unseen answers", got, agent.UnseenAnswers)
 	}
 	agent.LastAnswered = 3 * time.Second
 	if got := heartbeat(2, 5, token, 7*time.Second); !got.LeaseExpired || !got.AnswersLost || agent.UnseenAnswers != unseenAnswersPerExpiry || agent.QuarantinedUntil != 27*time.Second {
-		t.Errorf("expired although it was answered: %+v, %+v", got, agent)
+		t.Errorf("lease expired although the leader answered: %+v, %+v", got, agent)
 	}
 	if got := heartbeat(3, 6, token, 40*time.Second); !got.LeaseExpired || got.AnswersLost {
-		t.Errorf("expired as nobody answered: %+v", got)
+		t.Errorf("lease expired without a recent answer: %+v", got)
 	}
 }
--- a/internal/clusterstate/attempt.go
+++ b/internal/clusterstate/attempt.go
@@ -8,78 +8,80 @@
 	"claybarrow/internal/protocol"
 )
 
-// Attempt is one start of a task, which may be on its machine until it is proved gone.
+// Attempt is one start of a task on a machine. The task counts as possibly present on the machine until the
+// attempt is known to have ended.
 type Attempt struct {
 	Job   *Job
 	Index int
-	// Number is unique to the attempt, but for a gang's tasks, which share one. Later numbers are
-	// larger, also those of later leaders.
+	// Number is unique to the attempt, except that the tasks of a gang share one number. Numbers increase
+	// over time, across leaders too.
 	Number  uint64
 	Machine *Machine
 
-	// Durable: the machine's record with the attempt is stored, so the run command may be sent.
+	// Durable is set once the machine's record with the attempt is stored. Only then may the run command be
+	// sent.
 	Durable bool
-	// Loaded: the attempt was read from the records of an earlier leader, whose commands may still be
-	// on their way until the agent has acknowledged this leader's token.
+	// Loaded is set if the attempt was read from the records of an earlier leader. Commands of that leader
+	// may still be in flight until the agent has acknowledged this leader's token.
 	Loaded bool
 
-	// Sent: a run command was sent to the agent in Epoch.
+	// Sent is set once a run command was sent to the agent in Epoch.
 	Sent bool
-	// Acknowledged: the agent is known to have received it.
+	// Acknowledged is set once the agent is known to have received the run command.
 	Acknowledged bool
-	// RunLost: a direct run command had no answer, so a copy of it may still be carried out while the
-	// epoch lasts.
+	// RunLost is set if a direct run command was not answered. A copy of the command may still be executed
+	// until the epoch ends.
 	RunLost bool
 	// Epoch is the agent's epoch in which the run command was sent.
 	Epoch uint64
 	// RunSequence is the sequence number of the heartbeat whose answer carried a run command.
 	RunSequence uint64
-	// RunsInFlight counts the direct run commands that have no answer yet.
+	// RunsInFlight counts the direct run commands that are not answered yet.
 	RunsInFlight int
 
-	// State is the newest one that the agent reported; empty before its first report. Change it with
+	// State is the state that the agent reported last; empty before the first report. Change it with
 	// SetState.
 	State protocol.TaskState
-	// AddedAt is when the attempt was added, by the leader's clock.
+	// AddedAt is the time at which the attempt was added, on the leader's clock.
 	AddedAt time.Duration
 
-	// StopRequested: the attempt is to be stopped.
+	// StopRequested is set once the leader has decided to stop the attempt.
 	StopRequested bool
-	// Preempted: it is stopped for work of a higher priority.
+	// Preempted is set if the attempt is stopped in favour of work of a higher priority.
 	Preempted bool
-	// ExitCause is the cause of its end as the agent reported it.
+	// ExitCause is the cause of the attempt's exit as the agent reported it.
 	ExitCause protocol.ExitCause
-	// StopSentAt is when the last stop command was sent, by the leader's clock.
+	// StopSentAt is the time at which the last stop command was sent, on the leader's clock.
 	StopSentAt time.Duration
-	// GraceSeconds is the time in seconds that the task has to save a checkpoint before it is killed.
+	// GraceSeconds is the grace period in which the task may save a checkpoint before it is killed.
 	GraceSeconds float64
 }
 
 // AttemptKey identifies an attempt on a machine.
 type AttemptKey struct {
-	// Task is the task's name as TaskName makes it.
+	// Task is the task's name in the format of TaskName.
 	Task    string
 	Attempt uint64
 }
 
-// TaskName is the name of a task in messages to and from agents: the job's UID, a slash and the index.
+// TaskName returns the name of a task in messages to and from agents: the job's UID, a slash and the index.
 func TaskName(uid string, index int) string { return uid + "/" + strconv.Itoa(index) }
 
-// ParseTaskName reads a name that TaskName has made.
+// ParseTaskName parses a name in the format of TaskName.
 func ParseTaskName(name string) (uid string, index int, ok bool) {
 	uid, digits, found := strings.Cut(name, "/")
 	index, err := strconv.Atoi(digits)
 	return uid, index, found && err == nil && index >= 0
 }
 
-// Key identifies the attempt on its machine.
+// Key returns the key of the attempt on its machine.
 func (a *Attempt) Key() AttemptKey { return AttemptKey{TaskName(a.Job.Spec.UID, a.Index), a.Number} }
 
 // mayNeedImage reports whether the agent may still have to fetch the image.
 func (a *Attempt) mayNeedImage() bool { return a.State == "" || a.State == protocol.TaskFetchingImage }
 
-// SetState records the state that the agent reported, and keeps the counts of the job, the machine
-// and the gang in step with it.
+// SetState records the state that the agent reported, and updates the counts of the job and the machine and
+// the state of the gang.
 func (a *Attempt) SetState(state protocol.TaskState) {
 	if a.State == protocol.TaskRunning {
 		a.Job.RunningTasks--
@@ -100,13 +102,14 @@
 	}
 }
 
-// ExitedTask is an exited attempt that the agent still reports. It is told to forget the attempt by a
-// clear command, once that is safe.
+// ExitedTask is an exited attempt that the agent still reports. A clear command tells the agent to drop the
+// attempt; the leader sends it once it is safe.
 type ExitedTask struct {
-	// Attempt is nil if the cluster state does not have it.
+	// Attempt is nil if the cluster state does not contain the attempt.
 	Attempt *Attempt
-	// Clearable: all that follows from the exit is stored, so the clear command may be sent.
+	// Clearable is set once every consequence of the exit is stored. Only then may the clear command be
+	// sent.
 	Clearable bool
-	// ClearSentAt is when the last clear command was sent, by the leader's clock.
+	// ClearSentAt is the time at which the last clear command was sent, on the leader's clock.
 	ClearSentAt time.Duration
 }
--- a/internal/clusterstate/completion_records.go
+++ b/internal/clusterstate/completion_records.go
@@ -11,52 +11,53 @@
 	"strings"
 )
 
-// ErrCompletionKey is returned for a key that is not one of a completion record.
+// ErrCompletionKey is returned for a key that is not the key of a completion record.
 var ErrCompletionKey = errors.New("not a key of a completion record")
 
 // CompletionRecord is the stored form of the completions of a range of tasks, one bit each.
 //
-// A job's tasks are divided into chunks. Their length never changes, as it gives the keys their meaning.
-// The head of a chunk, which is as much of it as fits into a value, is stored under the chunk's key; the
-// other tasks are stored in parts, which are short enough for any limit. All records are read together: a
-// task is done if any record says so.
+// A job's tasks are divided into chunks. The chunk length never changes, because it determines which tasks a
+// key covers. The head of a chunk is the longest prefix of the chunk that fits into a value; it is stored under
+// the chunk's key. The remaining tasks are stored in parts, which are short enough for any limit. All records
+// are read together: a task is done if its bit is set in any record.
 //
-// Versions before there were parts read the chunks' records only. They know no range that does not begin
-// at the chunk's start, so the rest of a chunk can't be told to them in a value that fits: they take those
-// tasks for open and start them again, and these exit as done at once. A record that is larger than the
-// limit, from before the limit was lowered, is not rewritten: it is the only one that tells those versions
-// of all completions.
+// Versions that predate parts read the chunk records only. In those records every range begins at the chunk's
+// start, so there is no value within the limit that gives these versions the completions after the head. They
+// take those tasks for open and start them again, and the tasks then exit as done at once. A record that was
+// written under a higher limit and exceeds the present one is not rewritten: it is the only record from which
+// these versions can read all completions.
 type CompletionRecord struct {
-	// Bits is a bit set in base64: bit i of byte n is the task at 8n+i from the start of the range.
+	// Bits is a bit set in base64: bit i of byte n is the task with the offset 8n+i in the range.
 	Bits string `msgpack:"b"`
 }
 
 const (
-	// tasksPerPart is the number of tasks in a part: 512 bytes, about 700 as they are stored, which is
-	// less than the smallest limit on values that the settings allow.
+	// tasksPerPart is the number of tasks in a part. A part takes 512 bytes, or about 700 bytes in base64,
+	// which is less than the smallest value size limit that the settings allow.
 	tasksPerPart = 4096
-	// recordOverheadBytes bounds what a completion record takes beside its bits.
+	// recordOverheadBytes is an upper bound on the size of a completion record without its bits.
 	recordOverheadBytes = 64
-	// maxRecordNumber bounds the number of a chunk or part in a key, to refuse damaged keys.
+	// maxRecordNumber is the highest number of a chunk or part that is accepted in a key; damaged keys may
+	// have any number.
 	maxRecordNumber = 1 << 20
 )
 
-// completionLayout tells which record holds a task's completion.
+// completionLayout determines which record holds a task's completion.
 type completionLayout struct {
 	tasksPerChunk int
-	// tasksPerHead is how many tasks of a chunk, from its start, are in the chunk's record.
+	// tasksPerHead is the number of tasks, from the start of a chunk, that the chunk's record holds.
 	tasksPerHead int
 }
 
-// newCompletionLayout computes the layout from the limits on values, in bytes. All numbers of tasks are
-// multiples of 64.
+// newCompletionLayout computes the layout from the limits on the size of values; see New. All numbers of tasks
+// in the layout are multiples of 64.
 func newCompletionLayout(layoutBytes, valueBytes int) completionLayout {
 	tasksPerChunk := max(64, layoutBytes/2*6/64*64)
-	fitting := (valueBytes - recordOverheadBytes) * 3 / 4 * 8 / 64 * 64 // base64 takes 4 bytes for 3
+	fitting := (valueBytes - recordOverheadBytes) * 3 / 4 * 8 / 64 * 64 // base64 encodes 3 bytes as 4
 	return completionLayout{tasksPerChunk: tasksPerChunk, tasksPerHead: min(tasksPerChunk, max(64, fitting))}
 }
 
-// recordRange is the range of tasks in a completion record, from first up to but without end.
+// recordRange is the range of tasks in a completion record: first is included, end is not.
 type recordRange struct {
 	key        string
 	first, end int
@@ -70,7 +71,7 @@
 	return CompletionPartPrefix + uid + "/" + strconv.Itoa(part)
 }
 
-// rangeOf returns the record that a task's completion is written to.
+// rangeOf returns the key and the range of the record that a task's completion is written to.
 func (s *State) rangeOf(j *Job, index int) recordRange {
 	chunk := index / s.layout.tasksPerChunk
 	first := chunk * s.layout.tasksPerChunk
@@ -86,10 +87,10 @@
 	}
 }
 
-// CompletionKey is the key of the record that the task's completion is written to.
+// CompletionKey returns the key of the record that the task's completion is written to.
 func (s *State) CompletionKey(j *Job, index int) string { return s.rangeOf(j, index).key }
 
-// CompletionRecord renders the record with the task's completion, as the job is now.
+// CompletionRecord renders the record that holds the task's completion, from the present state of the job.
 func (s *State) CompletionRecord(j *Job, index int) CompletionRecord {
 	tasks := s.rangeOf(j, index)
 	raw := make([]byte, (tasks.end-tasks.first+7)/8)
@@ -101,7 +102,7 @@
 	return CompletionRecord{Bits: base64.StdEncoding.EncodeToString(raw)}
 }
 
-// CompletionKeys lists the keys of all completion records that the job may have, sorted.
+// CompletionKeys returns the sorted keys of all completion records that may be stored for the job.
 func (s *State) CompletionKeys(j *Job) []string {
 	keys := map[string]bool{}
 	for first := 0; first < j.Spec.Tasks; first += s.layout.tasksPerChunk {
@@ -113,8 +114,9 @@
 	return slices.Sorted(maps.Keys(keys))
 }
 
-// LoadCompletions adds a stored record to its job. It returns false, and no error, if the job is over or
-// unknown. The error is ErrCompletionKey, or that of the base64 decoder, with the key.
+// LoadCompletions adds the completions of a stored record to its job. It returns false and no error if the
+// state has no such job, because the job is over or was never added. The error names the key and wraps
+// ErrCompletionKey or the error of the base64 decoder.
 func (s *State) LoadCompletions(key string, record CompletionRecord) (known bool, err error) {
 	uid, number, isChunk, err := parseCompletionKey(key)
 	if err != nil {
@@ -142,7 +144,7 @@
 	return true, nil
 }
 
-// parseCompletionKey reads a key that chunkKey or partKey has made.
+// parseCompletionKey parses a key in the format of chunkKey or partKey.
 func parseCompletionKey(key string) (uid string, number int, isChunk bool, err error) {
 	rest, isChunk := strings.CutPrefix(key, CompletionPrefix)
 	if !isChunk {
@@ -156,7 +158,8 @@
 	return uid, number, isChunk, nil
 }
 
-// markRangeDone records the completions of a range of tasks. Bits beyond the job's last task are ignored.
+// markRangeDone records the completions in a bit set that begins at the task first. Bits beyond the job's last
+// task are ignored.
 func (j *Job) markRangeDone(first int, raw []byte) {
 	for i, remaining := range raw {
 		for remaining != 0 {
--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -13,29 +13,29 @@
 	"claybarrow/internal/protocol"
 )
 
-// renderRecords renders the records of all completed tasks of a job by key, as they are written one after the
-// other. Each has to fit into limit bytes.
+// renderRecords renders the records of all completed tasks of a job, by key. It fails the test if a record takes
+// more than limit bytes.
 func renderRecords(t *testing.T, state *State, j *Job, limit int) map[string]CompletionRecord {
 	t.Helper()
-	out := map[string]CompletionRecord{}
+	records := map[string]CompletionRecord{}
 	for i := range j.Spec.Tasks {
 		if !j.IsDone(i) {
 			continue
 		}
 		key := state.CompletionKey(j, i)
-		if _, known := out[key]; known {
+		if _, rendered := records[key]; rendered {
 			continue
 		}
-		out[key] = state.CompletionRecord(j, i)
-		if text, err := json.Marshal(out[key]); err != nil || len(text) > limit {
-			t.Fatalf("%s takes %d of %d bytes, %v", key, len(text), limit, err)
+		records[key] = state.CompletionRecord(j, i)
+		if text, err := json.Marshal(records[key]); err != nil || len(text) > limit {
+			t.Fatalf("record %s takes %d bytes, limit %d, error %v", key, len(text), limit, err)
 		}
 	}
-	return out
+	return records
 }
 
-// readAsOlderVersion reads records as the versions before parts do (4297efa and 686f0af): only those of
-// chunks, each from the chunk's start.
+// readAsOlderVersion reads records like the versions that predate parts (4297efa and 686f0af): it reads chunk
+// records only, and takes the first bit of each for the first task of the chunk. It returns the completed tasks.
 func readAsOlderVersion(t *testing.T, layoutBytes, tasks int, records map[string]CompletionRecord) map[int]bool {
 	t.Helper()
 	chunk := max(64, layoutBytes/2*6/64*64)
@@ -54,16 +54,16 @@
 			t.Fatal(err)
 		}
 		for i := range len(raw) * 8 {
-			if at := n*chunk + i; raw[i/8]&(1<<(i%8)) != 0 && at < tasks {
-				done[at] = true
+			if index := n*chunk + i; raw[i/8]&(1<<(i%8)) != 0 && index < tasks {
+				done[index] = true
 			}
 		}
 	}
 	return done
 }
 
-// The completions of an array of any size are stored within the limit and read back as they were, and older
-// versions never take an open task for a completed one. Where the limit allows it they read all completions.
+// The records of an array of any size stay within the limit and are read back unchanged. Older versions never
+// take an open task for a completed one, and they read all completions where the limit allows it.
 func TestCompletionsOfAnySize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, tc := range []struct {
@@ -83,29 +83,29 @@
 				}
 			}
 			records := renderRecords(t, state, j, tc.limit)
-			again := New(tc.layout, tc.limit)
-			read := again.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tc.tasks}, 1)
+			successor := New(tc.layout, tc.limit)
+			read := successor.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tc.tasks}, 1)
 			for key, rec := range records {
-				if known, err := again.LoadCompletions(key, rec); err != nil || !known {
-					t.Fatalf("%s: %v", key, err)
+				if known, err := successor.LoadCompletions(key, rec); err != nil || !known {
+					t.Fatalf("record %s: job is known %v, error %v", key, known, err)
 				}
 			}
 			older := readAsOlderVersion(t, tc.layout, tc.tasks, records)
 			for i := range tc.tasks {
 				if read.IsDone(i) != j.IsDone(i) {
-					t.Fatalf("task %d is read as done %v", i, read.IsDone(i))
+					t.Fatalf("task %d: read as done %v, want %v", i, read.IsDone(i), j.IsDone(i))
 				}
 				if older[i] && !j.IsDone(i) || tc.olderReadAll && older[i] != j.IsDone(i) {
-					t.Fatalf("task %d: an older version reads done %v", i, older[i])
+					t.Fatalf("task %d: an older version reads done %v, want %v", i, older[i], j.IsDone(i))
 				}
 			}
 		})
 	}
 }
 
-// A record from before the limit was lowered is read and left as it is, since an older version that leads
-// again would lose all beyond its new end. Later completions are written to parts.
-func TestOversizedCompletionsStay(t *testing.T) {
+// A record that was written under a higher limit is read and not rewritten: after a rollback an older version
+// would not find the completions beyond the end of a shortened record. Later completions are written to parts.
+func TestOversizedRecordsAreNotRewritten(t *testing.T) {
 	const tasks = 40000
 	before := New(16<<10, 16<<10)
 	j := before.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tasks}, 1)
@@ -121,12 +121,12 @@
 		}
 	}
 	if read.CompletedTasks != tasks-2 {
-		t.Fatalf("%d of %d tasks are read as done", read.CompletedTasks, tasks-2)
+		t.Fatalf("%d tasks are read as done, want %d", read.CompletedTasks, tasks-2)
 	}
 	read.MarkDone(tasks - 1)
 	for _, i := range []int{0, tasks - 1} {
 		if key := after.CompletionKey(read, i); !strings.HasPrefix(key, CompletionPartPrefix) {
-			t.Errorf("the completion of task %d goes to %s", i, key)
+			t.Errorf("the completion of task %d is written to %s, want a part", i, key)
 		}
 	}
 	records[after.CompletionKey(read, tasks-1)] = after.CompletionRecord(read, tasks-1)
@@ -138,12 +138,12 @@
 		}
 	}
 	if read.CompletedTasks != tasks-1 || read.IsDone(tasks-2) {
-		t.Errorf("%d tasks are read as done", read.CompletedTasks)
+		t.Errorf("%d tasks are read as done, want %d; task %d is done: %v", read.CompletedTasks, tasks-1, tasks-2, read.IsDone(tasks-2))
 	}
 }
 
-// Wherever the limit allows it, completions are stored under the keys and in the bits that both older versions
-// wrote.
+// Where the limit allows it, completions are stored under the same keys and in the same bits as by both older
+// versions.
 func TestCompletionsOfOlderVersions(t *testing.T) {
 	state := New(16<<10, 16<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 100000}, 1)
@@ -158,13 +158,13 @@
 		j.MarkDone(i)
 	}
 	if rec := state.CompletionRecord(j, 19); state.CompletionKey(j, 19) != "d/j-1/0" || rec.Bits != "AQII" {
-		t.Errorf("%s: %s", state.CompletionKey(j, 19), rec.Bits)
+		t.Errorf("key %s, bits %s", state.CompletionKey(j, 19), rec.Bits)
 	}
 }
 
-// CompletionKeys lists every key that a job's completions may have, so that none is left when the job is over.
-// Damaged keys are refused.
-func TestKeysOfCompletions(t *testing.T) {
+// CompletionKeys lists every key that a job's completions may have: a missing key would leave a record behind
+// when the job ends. Damaged keys and records are refused.
+func TestCompletionKeys(t *testing.T) {
 	state := New(16<<10, 2<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 100000}, 1)
 	keys := map[string]bool{}
@@ -173,32 +173,33 @@
 	}
 	for i := range j.Spec.Tasks {
 		if key := state.CompletionKey(j, i); !keys[key] {
-			t.Fatalf("%s is not listed", key)
+			t.Fatalf("key %s is not listed", key)
 		}
 	}
 	for _, key := range []string{"d/j-1", "d/j-1/x", "p/j-1/-1", fmt.Sprintf("p/j-1/%d", maxRecordNumber+1)} {
 		if _, err := state.LoadCompletions(key, CompletionRecord{}); !errors.Is(err, ErrCompletionKey) {
-			t.Errorf("%s: error %v", key, err)
+			t.Errorf("key %s: error %v, want ErrCompletionKey", key, err)
 		}
 	}
 	var corrupt base64.CorruptInputError
 	if _, err := state.LoadCompletions("p/j-1/0", CompletionRecord{Bits: "?"}); !errors.As(err, &corrupt) {
-		t.Errorf("bits that are not base64: error %v", err)
+		t.Errorf("record with bits that are not base64: error %v", err)
 	}
 	if known, err := state.LoadCompletions("p/j-2/0", CompletionRecord{Bits: "AQ=="}); known || err != nil {
-		t.Errorf("a record of a job that is over: %v, %v", known, err)
+		t.Errorf("record of an ended job: job is known %v, error %v", known, err)
 	}
 }
 
-// A lower limit on new values does not change the meaning of stored keys, and all new records are within it.
+// A lower limit on new values does not change which tasks a stored key covers, and all new records stay within
+// the limit.
 func TestLowerLimitsKeepTheLayout(t *testing.T) {
 	state := New(8<<10, 2<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 3000}, 1)
 	j.MarkDone(2999)
 	if key := state.CompletionKey(j, 2999); key != "d/j-1/0" {
-		t.Errorf("key %s", key)
+		t.Errorf("task 2999 is stored in %s, want d/j-1/0", key)
 	}
 	if n := len(protocol.Encode(state.CompletionRecord(j, 2999))); n > 2<<10 {
-		t.Errorf("%d bytes", n)
+		t.Errorf("the record takes %d bytes, limit %d", n, 2<<10)
 	}
 }
--- a/internal/clusterstate/failures.go
+++ b/internal/clusterstate/failures.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// JobFailures is what is known of a job's failures since one of its tasks last completed. It is kept
-// in memory only: a new leader begins with none.
+// JobFailures records a job's failures since one of its tasks last completed. It is kept in memory only: a new
+// leader begins with an empty record.
 type JobFailures struct {
 	// Backoffs counts failures for the job's back-off. Failures of tasks that had all started before the
-	// first of them failed count as one.
+	// first of these tasks failed count as one failure.
 	Backoffs int
-	// LastBackoffAt is when the last of these began, by the leader's clock.
+	// LastBackoffAt is the time at which the last back-off began, on the leader's clock.
 	LastBackoffAt time.Duration
-	// Machines are those where tasks have failed, with the time of the last failure there.
+	// Machines maps each machine on which a task of the job has failed to the time of the last failure there.
 	Machines map[string]time.Duration
-	// IsJobFault: the failures are the job's own fault, as its tasks have failed on several machines.
+	// IsJobFault is set once the failures are attributed to the job rather than to machines, because its tasks
+	// have failed on jobFaultMachines machines.
 	IsJobFault bool
 }
 
-// Numbers of machines with failures of a job.
+// Thresholds of the number of machines on which tasks of a job have failed.
 const (
-	// probingMachines is from how many on the job may have only one task started at a time.
+	// probingMachines is the number of machines from which on the job's tasks are started one at a time.
 	probingMachines = 2
-	// jobFaultMachines is from how many on the failures are taken for the job's own fault.
+	// jobFaultMachines is the number of machines from which on the failures are attributed to the job.
 	jobFaultMachines = 3
 )
 
-// RecordFailure records a failure on a machine. It returns true if that is the one which shows that the
-// failures are the job's own fault.
+// RecordFailure records a failure on a machine. It returns true if this failure is the one by which the
+// failures are attributed to the job.
 func (f *JobFailures) RecordFailure(machine string, now time.Duration) bool {
 	if f.IsJobFault {
 		return false
@@ -41,8 +42,8 @@
 // IsProbing reports whether only one task of the job may be started at a time.
 func (f *JobFailures) IsProbing() bool { return f.IsJobFault || len(f.Machines) >= probingMachines }
 
-// AvoidedMachines returns the machines that the job must not be placed on: those where it failed within the
-// given time, unless the failures are its own fault.
+// AvoidedMachines returns the machines that the job must not be placed on: the machines on which it failed less
+// than the duration within ago. It returns none if the failures are attributed to the job.
 func (f *JobFailures) AvoidedMachines(now, within time.Duration) map[string]bool {
 	if f.IsJobFault || len(f.Machines) == 0 {
 		return nil
@@ -56,26 +57,28 @@
 	return avoided
 }
 
-// MachineFaults is the evidence that a machine is faulty, since a task last completed on it. It is kept
-// in memory only: a new leader begins with none.
+// MachineFaults is the evidence, since a task last completed on a machine, that the machine is faulty. It is
+// kept in memory only: a new leader begins without evidence.
 type MachineFaults struct {
-	// SuspectJobs are the jobs with a failed task there, which may be the job's own fault.
+	// SuspectJobs are the jobs of which a task failed on the machine. Each such failure may be the job's own
+	// fault.
 	SuspectJobs map[string]bool
-	// ConfirmedJobs counts the jobs that failed there and completed tasks elsewhere.
+	// ConfirmedJobs counts the jobs that failed on the machine and completed tasks on other machines.
 	ConfirmedJobs int
-	// Faulty: the evidence is enough, and the machine is given no more work. It stays set.
+	// Faulty is set once the evidence suffices. No more work is placed on the machine, and the flag is never
+	// cleared.
 	Faulty bool
 }
 
-// Weights of the evidence against a machine, and the sum from which on it is faulty.
+// Weights of the evidence against a machine, and the sum from which on the machine counts as faulty.
 const (
 	suspectWeight   = 1
 	confirmedWeight = 2
 	faultyThreshold = 3
 )
 
-// AddSuspect records that a task of the job failed on the machine. It returns true if that makes the
-// machine faulty.
+// AddSuspect records that a task of the job failed on the machine. It returns true if the machine becomes
+// faulty by it.
 func (f *MachineFaults) AddSuspect(job string) bool {
 	if f.Faulty {
 		return false
@@ -87,8 +90,8 @@
 	return f.updateFaulty()
 }
 
-// ConfirmSuspect records that a suspected job has completed a task elsewhere. It returns true if that makes
-// the machine faulty.
+// ConfirmSuspect records that a suspected job has completed a task on another machine. It returns true if the
+// machine becomes faulty by it.
 func (f *MachineFaults) ConfirmSuspect(job string) bool {
 	if f.Faulty || !f.SuspectJobs[job] {
 		return false
@@ -98,10 +101,10 @@
 	return f.updateFaulty()
 }
 
-// RemoveSuspect drops the job's failures from the evidence, as they are its own fault.
+// RemoveSuspect removes the job's failures from the evidence, as they are attributed to the job.
 func (f *MachineFaults) RemoveSuspect(job string) { delete(f.SuspectJobs, job) }
 
-// Clear drops the evidence, as a task has completed on the machine. A faulty machine stays faulty.
+// Clear removes the evidence after a task has completed on the machine. A faulty machine stays faulty.
 func (f *MachineFaults) Clear() {
 	if !f.Faulty {
 		*f = MachineFaults{}
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -7,26 +7,26 @@
 	"claybarrow/internal/protocol"
 )
 
-// GangState is the state of a gang's current attempt.
+// GangState is the state of the current attempt of a gang.
 type GangState int
 
 // The states. The transitions are in gangTransitions, and as a table in docs/design.md.
 const (
-	// GangWaiting: no task of the gang can be on any machine.
+	// GangWaiting means that no task of the gang can be on any machine.
 	GangWaiting GangState = iota
-	// GangGathering: its tasks are placed and wait for one another on their machines.
+	// GangGathering means that tasks are placed and wait on their machines for the other tasks.
 	GangGathering
-	// GangRunning: all its tasks run, as at least one of them was reported running.
+	// GangRunning means that all tasks run. A single task that is reported running proves it.
 	GangRunning
-	// GangStopping: all its tasks are being stopped, with time to save a checkpoint.
+	// GangStopping means that all tasks are being stopped and may save a checkpoint before.
 	GangStopping
-	// GangBroken: the attempt can't go on; what is left of it is being stopped and cleared.
+	// GangBroken means that the attempt can't continue. Its remaining tasks are being stopped and cleared.
 	GangBroken
-	// GangDone: a task has completed, which means that all have.
+	// GangDone means that a task has completed. The tasks of a gang complete together, so all have.
 	GangDone
 )
 
-// String is the state's name in logs.
+// String returns the state's name in logs.
 func (s GangState) String() string {
 	switch s {
 	case GangWaiting:
@@ -50,26 +50,26 @@
 
 // The events.
 const (
-	// TaskPlaced: a task was placed under the attempt's number.
+	// TaskPlaced means that a task was placed under the attempt's number.
 	TaskPlaced GangEvent = iota
-	// TaskRunning: a task was reported running, or saving before its end.
+	// TaskRunning means that a task was reported running, or saving a checkpoint before it stops.
 	TaskRunning
-	// TaskReplaceable: a task was lost while all wait, it is proved gone from its machine, and
-	// another may start under the same number.
+	// TaskReplaceable means that a task was lost while all tasks wait, and is known to have left its machine,
+	// so that it may be started again under the same number.
 	TaskReplaceable
-	// TaskLost: a task is gone and can't be replaced.
+	// TaskLost means that a task was lost and can't be replaced.
 	TaskLost
-	// StopRequested: its tasks are to be stopped.
+	// StopRequested means that the gang's tasks are to be stopped.
 	StopRequested
-	// PlacesIncomplete: the records that a new leader has read do not have all its tasks.
+	// PlacesIncomplete means that the records that a new leader has read do not contain all tasks.
 	PlacesIncomplete
-	// TaskDone: a task has completed.
+	// TaskDone means that a task has completed.
 	TaskDone
-	// LastTaskGone: none of its tasks can be on any machine any more.
+	// LastTaskGone means that none of the gang's tasks can be on any machine any more.
 	LastTaskGone
 )
 
-// gangTransitions lists the events that change the state; any other event leaves it as it is.
+// gangTransitions lists the events that change the state. Any other event leaves the state unchanged.
 var gangTransitions = map[GangState]map[GangEvent]GangState{
 	GangWaiting: {TaskPlaced: GangGathering, TaskDone: GangDone},
 	GangGathering: {TaskRunning: GangRunning, TaskLost: GangBroken, StopRequested: GangStopping, PlacesIncomplete: GangBroken,
@@ -82,17 +82,17 @@
 	GangDone:   {},
 }
 
-// Gang is the current attempt of a gang: its tasks start under one number, run and end together. It is
-// rebuilt from the machines' records at a failover.
+// Gang is the current attempt of a gang. Its tasks start under one attempt number, run together and end
+// together. At a failover the new leader rebuilds it from the machines' records.
 type Gang struct {
 	State GangState
-	// Number is the attempt number of all its tasks.
+	// Number is the attempt number that all tasks share.
 	Number   uint64
 	tasks    int
 	attempts []*Attempt
 }
 
-// Apply takes an event, and reports whether the state changed.
+// Apply applies an event and reports whether the state changed.
 func (g *Gang) Apply(event GangEvent) bool {
 	next, listed := gangTransitions[g.State][event]
 	changed := listed && next != g.State
@@ -102,12 +102,12 @@
 	return changed
 }
 
-// Attempts lists all tasks' attempts that may be on machines, including those under other numbers. The
-// list is a copy.
+// Attempts returns a copy of the list of attempts of the gang's tasks that may be on machines. It includes
+// attempts under other numbers.
 func (g *Gang) Attempts() []*Attempt { return slices.Clone(g.attempts) }
 
-// Complete reports whether there is exactly one attempt of each task, all under the gang's number,
-// durable and none of them to be stopped. Only then may any of them be started.
+// Complete reports whether each task has exactly one attempt, and each attempt has the gang's number, is durable
+// and is not to be stopped. Only then may any of the tasks be started.
 func (g *Gang) Complete() bool {
 	placed := map[int]bool{}
 	for _, a := range g.attempts {
@@ -119,8 +119,9 @@
 	return len(placed) == g.tasks && len(g.attempts) == g.tasks
 }
 
-// MayReplaceTasks reports whether lost tasks may start again under the attempt's number: none of its tasks
-// has begun to run, and all that are left were started by this leader and are not to be stopped.
+// MayReplaceTasks reports whether lost tasks may start again under the attempt's number. This requires that no
+// task has begun to run, and that all remaining attempts are durable, were started by this leader and are not
+// to be stopped.
 func (g *Gang) MayReplaceTasks() bool {
 	for _, a := range g.attempts {
 		if a.Number != g.Number || !a.Durable || a.Loaded || a.StopRequested {
@@ -145,8 +146,8 @@
 	}
 }
 
-// applyTaskState applies the event that follows from a task's reported state. Tasks under another
-// number belong to an earlier attempt and change nothing.
+// applyTaskState applies TaskRunning if the agent reports that the task has begun to run. Tasks under another
+// number belong to an earlier attempt of the gang and change nothing.
 func (g *Gang) applyTaskState(a *Attempt) {
 	begun := a.State == protocol.TaskRunning || a.State == protocol.TaskSavingCheckpoint
 	if begun && a.Number == g.Number {
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -6,7 +6,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// Each state and event has the next state that the table in docs/design.md gives.
+// Each state and event lead to the next state that the table in docs/design.md gives.
 func TestGangTransitions(t *testing.T) {
 	const same = GangState(-1)
 	events := []GangEvent{TaskPlaced, TaskRunning, TaskReplaceable, TaskLost, StopRequested, PlacesIncomplete, TaskDone, LastTaskGone}
@@ -26,21 +26,21 @@
 				}
 				g := &Gang{State: state}
 				if changed := g.Apply(event); g.State != next || changed != (next != state) {
-					t.Errorf("after event %d: %v, changed %v, want %v", event, g.State, changed, next)
+					t.Errorf("event %d leads to state %v, want %v; Apply returns %v", event, g.State, next, changed)
 				}
 			}
 		})
 	}
 }
 
-// A state that is not known is named by its number: the log must not end the process.
+// The name of an undefined state contains its number. Logging such a state must not panic.
 func TestUnknownGangState(t *testing.T) {
 	if got := GangState(9).String(); got != "GangState(9)" {
 		t.Error(got)
 	}
 }
 
-// placedGang is a gang of three tasks, each on a machine of its own.
+// placedGang returns a gang of three tasks, each on a machine of its own.
 func placedGang(t *testing.T) (*State, *Job, []*Attempt) {
 	t.Helper()
 	state := New(16<<10, 16<<10)
@@ -54,9 +54,9 @@
 	return state, j, attempts
 }
 
-// A lost task is replaced under the same number while the others gather. No task of a broken attempt is
-// replaced before the last one is gone, as the others may still run.
-func TestLostTasksOfAGang(t *testing.T) {
+// A lost task is replaced under the same number while the others gather. No task of a broken attempt is replaced
+// until all its tasks have left their machines, as the others may still run.
+func TestReplacementOfLostGangTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		broken      bool
@@ -68,7 +68,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			state, j, attempts := placedGang(t)
 			if !j.Gang.Complete() || j.Gang.State != GangGathering {
-				t.Fatalf("placed whole it is %v, complete %v", j.Gang.State, j.Gang.Complete())
+				t.Fatalf("with all tasks placed the gang is %v, complete %v", j.Gang.State, j.Gang.Complete())
 			}
 			state.RemoveAttempt(attempts[1])
 			if tc.broken {
@@ -80,14 +80,14 @@
 			state.RemoveAttempt(attempts[0])
 			state.RemoveAttempt(attempts[2])
 			if waiting, _ := j.WaitingTasks(10); len(waiting) != 3 || j.Gang.State != GangWaiting {
-				t.Errorf("when all attempts are gone tasks %v may start, and it is %v", waiting, j.Gang.State)
+				t.Errorf("after all attempts were removed: tasks %v may start, the gang is %v", waiting, j.Gang.State)
 			}
 		})
 	}
 }
 
-// A gang is complete, and may be started, only with one attempt of each task, under one number, durable and
-// not to be stopped.
+// A gang is complete, and may be started, only if each task has exactly one attempt, all attempts have the same
+// number, and each attempt is durable and not to be stopped.
 func TestGangIsCompleteOnlyWithAllTasks(t *testing.T) {
 	for name, change := range map[string]func(*State, *Job, []*Attempt){
 		"one is not durable":   func(_ *State, _ *Job, all []*Attempt) { all[1].Durable = false },
@@ -106,23 +106,23 @@
 			state, j, all := placedGang(t)
 			change(state, j, all)
 			if j.Gang.Complete() {
-				t.Error("it counts as complete")
+				t.Error("the gang counts as complete")
 			}
 		})
 	}
 }
 
-// A gang runs once a task of it is reported running. Tasks under another number change nothing.
-func TestGangRunsWhenATaskDoes(t *testing.T) {
+// A gang is running once one of its tasks is reported running. Tasks under another attempt number change nothing.
+func TestGangRunsOnceATaskRuns(t *testing.T) {
 	state, j, all := placedGang(t)
 	unanswered := state.AddAttempt(state.AddMachine("i-4"), j, 0, 6, 0)
 	unanswered.SetState(protocol.TaskRunning)
 	all[0].SetState(protocol.TaskWaitingForGang)
 	if j.Gang.State != GangGathering {
-		t.Errorf("it is %v", j.Gang.State)
+		t.Errorf("the gang is %v, want %v", j.Gang.State, GangGathering)
 	}
 	all[0].SetState(protocol.TaskRunning)
 	if j.Gang.State != GangRunning {
-		t.Errorf("it is %v", j.Gang.State)
+		t.Errorf("the gang is %v, want %v", j.Gang.State, GangRunning)
 	}
 }
--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -6,27 +6,28 @@
 	"strings"
 )
 
-// ImageCache is the leader's estimate of the images in a machine's cache. It is kept in memory only: a
-// new leader begins with the images of the attempts that it loads.
+// ImageCache is the leader's estimate of the images that a machine has cached. It is kept in memory only: a new
+// leader begins with the images of the attempts that it loads.
 type ImageCache struct {
-	// Images are the names of the images that the machine is believed to have.
+	// Images are the names of the images that the machine is assumed to have.
 	Images map[string]bool
 
 	uses         map[string]imageUse
-	lastImageUse uint64 // the number of the last use
-	// imageSet is the number of the set of Images; 0: not looked up since they changed.
+	lastImageUse uint64 // number of the last use
+	// imageSet is the number of the present set of images, or 0 if the number was not looked up since the set
+	// changed.
 	imageSet int
 }
 
 // imageUse is the last use of a cached image.
 type imageUse struct {
 	sizeGB  float64
-	lastUse uint64 // uses of a machine's images are numbered from 1
+	lastUse uint64 // the uses of all images of a machine are numbered from 1
 }
 
-// UseImage records that the machine has the image and uses it now. A machine caches the images that it
-// used last: those that no longer fit into the cache are dropped, except those that a task there
-// needs. A cacheGB of 0 or less means an unbounded cache.
+// UseImage records that the machine has the image and uses it now. If the images then exceed the size of the
+// cache, the least recently used ones are evicted, except those that an attempt on the machine needs. A cacheGB
+// of 0 or less means an unbounded cache.
 func (m *Machine) UseImage(name string, sizeGB, cacheGB float64) {
 	if m.uses == nil {
 		m.uses = map[string]imageUse{}
@@ -42,7 +43,7 @@
 	}
 }
 
-// evictImages drops the least recently used images until the rest fits into the cache.
+// evictImages evicts the least recently used images that no attempt needs until the others fit into the cache.
 func (m *Machine) evictImages(cacheGB float64) {
 	totalGB := 0.0
 	for _, use := range m.uses {
@@ -60,7 +61,7 @@
 	}
 }
 
-// leastRecentlyUsedImage is the image to drop next; empty if tasks need all of them.
+// leastRecentlyUsedImage returns the image to evict next, or "" if attempts on the machine need all images.
 func (m *Machine) leastRecentlyUsedImage() string {
 	needed := map[string]bool{}
 	for _, a := range m.Attempts {
@@ -80,11 +81,11 @@
 	m.revision++
 }
 
-// maxImageSets bounds the memory that the numbers of image sets take.
+// maxImageSets limits the number of entries in State.imageSets, and so its memory.
 const maxImageSets = 1 << 16
 
-// ImageSet returns a number, at least 1, that all machines with the same images share. It lets the
-// scheduler compare machines' images without comparing the sets.
+// ImageSet returns a number, at least 1, that is the same for all machines with the same images. It lets the
+// scheduler compare the images of machines without comparing the sets.
 func (s *State) ImageSet(m *Machine) int {
 	if m.imageSet != 0 {
 		return m.imageSet
@@ -103,7 +104,8 @@
 	return number
 }
 
-// resetImageSets forgets all sets, as most of them are of no machine any more. Numbers are not reused.
+// resetImageSets removes the numbers of all sets, as most sets no longer belong to any machine. Numbers are not
+// reused.
 func (s *State) resetImageSets() {
 	s.imageSets = map[string]int{}
 	for _, m := range s.Machines {
--- a/internal/clusterstate/images_test.go
+++ b/internal/clusterstate/images_test.go
@@ -6,9 +6,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The least recently used images are dropped once the cache is full, except those that a task needs. Without
-// this, replicas were sent to machines for images that these no longer had.
-func TestLeastRecentlyUsedImagesAreDropped(t *testing.T) {
+// The least recently used images are evicted once the cache is full, except those that a task needs. Without the
+// eviction replicas were placed on machines for cached images that the machines no longer had.
+func TestLeastRecentlyUsedImagesAreEvicted(t *testing.T) {
 	state := New(1024, 1024)
 	m := state.AddMachine("i-1")
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 1, Image: "needed"}, 0)
@@ -20,11 +20,11 @@
 	m.UseImage("new", 30, 130)
 	for name, want := range map[string]bool{"needed": true, "old": true, "recent": false, "old-but-used": true, "new": true} {
 		if m.Images[name] != want {
-			t.Errorf("%s: %v", name, m.Images[name])
+			t.Errorf("image %s is cached: %v, want %v", name, m.Images[name], want)
 		}
 	}
 	m.UseImage("huge", 200, 130)
 	if !m.Images["needed"] || m.Images["new"] {
-		t.Errorf("after an image as large as the cache: %v", m.Images)
+		t.Errorf("after an image larger than the cache was used: cached images %v", m.Images)
 	}
 }
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -11,61 +11,62 @@
 	"claybarrow/internal/scheduler"
 )
 
-// Job is a job that is not over. Its spec, its submission time and its cancellation are stored in a JobRecord and the
-// completions of its tasks in CompletionRecords; the rest is rebuilt or starts afresh at a failover.
+// Job is a job that has not ended. Its spec, its submission time and its cancellation are stored in a JobRecord,
+// and the completions of its tasks in CompletionRecords. At a failover the new leader rebuilds the other fields
+// from the records or resets them.
 type Job struct {
 	Spec *protocol.JobSpec
-	// Submitted is when the job was submitted, in ms since the epoch by the wall clock of the controller
-	// that accepted it.
+	// Submitted is the time of submission in ms since the epoch, on the wall clock of the controller that
+	// accepted the job.
 	Submitted int64
-	// Stored: the job's record is stored, so the user may be told that the job is accepted.
+	// Stored is set once the job's record is stored. Only then may the job be reported to the user as accepted.
 	Stored bool
-	// Cancelling: no task may be started any more, and all that run are to be stopped. The request is
-	// stored, so a later leader goes on with it.
+	// Cancelling is set once the job's cancellation was requested. No task is started any more, and all running
+	// tasks are stopped. The request is stored, so a later leader continues the cancellation.
 	Cancelling bool
-	// Finalizing: all tasks are done, or cancelled and proved gone, and the final record is being
-	// written.
+	// Finalizing is set while the final record is being written. By then all tasks are done, or cancelled and
+	// known to have left their machines.
 	Finalizing bool
 	// Scale is the job's attained service and its number of slots.
 	Scale scheduler.ScaleUp
-	// Need is what one task needs.
+	// Need is the resources that one task needs.
 	Need scheduler.Resources
 	// Types are the machine types that the tasks may run on; nil: any.
 	Types map[string]bool
 
 	// CompletedTasks counts the tasks that have completed.
 	CompletedTasks int
-	// ActiveAttempts counts the attempts that may be on machines, Running those that were last reported
-	// running.
+	// ActiveAttempts counts the attempts that may be on machines, RunningTasks the attempts that were last
+	// reported running.
 	ActiveAttempts int
 	RunningTasks   int
-	// Gang is the current attempt of a gang; nil if the job is no gang.
+	// Gang is the current attempt of a gang; nil if the job is not a gang.
 	Gang *Gang
 
-	// WaitingSince is since when the job has waited without any task on a machine, by the leader's clock;
-	// 0: it does not.
+	// WaitingSince is the time, on the leader's clock, since which the job waits without any task on a machine;
+	// 0 if it does not wait.
 	WaitingSince time.Duration
-	// Failures are those since a task last completed.
+	// Failures are the failures since a task last completed.
 	Failures JobFailures
-	// NotBefore is the earliest time for the next start after failures, by the leader's clock.
+	// NotBefore is the end of the back-off after failures, on the leader's clock. No task starts before it.
 	NotBefore time.Duration
 
 	doneTasks      taskSet
 	placedTasks    taskSet        // tasks with an attempt that may be on a machine
-	attemptsByTask map[int]int    // numbers of such attempts
-	attemptsByZone map[string]int // and by zone
+	attemptsByTask map[int]int    // number of attempts that may be on a machine, by task
+	attemptsByZone map[string]int // number of attempts that may be on a machine, by zone
 	interrupted    map[int]bool   // interrupted tasks, which are started first
-	// oversizedChunks are the chunks whose stored completion record is larger than one may be now.
+	// oversizedChunks are the chunks whose stored completion record exceeds the present limit on values.
 	oversizedChunks map[int]bool
 	revision        uint64 // see Revision
 	isToSchedule    bool   // the job is in State.toSchedule
 }
 
-// TerminalState is what is kept of a job that is over, to answer questions about it.
+// TerminalState is the final state of a job that has ended. It is kept to answer status requests.
 type TerminalState struct {
-	// Cancelled: the job was cancelled; otherwise it is done.
+	// Cancelled is set if the job was cancelled; otherwise the job is done.
 	Cancelled bool
-	// Tasks is the number of its tasks if it is done.
+	// Tasks is the number of the job's tasks if the job is done.
 	Tasks int
 }
 
@@ -96,14 +97,14 @@
 	return j
 }
 
-// RemoveJob removes a job that is over.
+// RemoveJob removes a job that has ended.
 func (s *State) RemoveJob(uid string) {
 	delete(s.Jobs, uid)
 	s.sortedJobs = nil
 }
 
-// SortedJobs lists the jobs by UID. Like that of SortedMachines, the list is kept until a job is added
-// or removed, and is never changed in place.
+// SortedJobs returns the jobs sorted by UID. The list is cached until a job is added or removed and, as with
+// SortedMachines, is never changed in place.
 func (s *State) SortedJobs() []*Job {
 	if s.sortedJobs == nil {
 		s.sortedJobs = slices.SortedFunc(maps.Values(s.Jobs), func(x, y *Job) int {
@@ -116,7 +117,7 @@
 // IsDone reports whether the task has completed.
 func (j *Job) IsDone(index int) bool { return j.doneTasks.contains(index) }
 
-// MarkDone records that the task has completed. It returns false if that was known.
+// MarkDone records that the task has completed. It returns false if the completion was recorded before.
 func (j *Job) MarkDone(index int) bool {
 	if j.IsDone(index) {
 		return false
@@ -127,13 +128,13 @@
 	return true
 }
 
-// AttemptCount is the number of the task's attempts that may be on machines.
+// AttemptCount returns the number of the task's attempts that may be on machines.
 func (j *Job) AttemptCount(index int) int { return j.attemptsByTask[index] }
 
-// AttemptsByZone returns the number of attempts in each zone. The map is a copy.
+// AttemptsByZone returns the number of attempts that may be on machines in each zone. The map is a copy.
 func (j *Job) AttemptsByZone() map[string]int { return maps.Clone(j.attemptsByZone) }
 
-// addAttempt keeps the job's counts in step with an attempt that State.AddAttempt adds.
+// addAttempt updates the job's counts for an attempt that State.AddAttempt adds.
 func (j *Job) addAttempt(a *Attempt) {
 	j.attemptsByTask[a.Index]++
 	j.placedTasks.add(a.Index)
@@ -143,7 +144,7 @@
 	j.revision++
 }
 
-// removeAttempt keeps the job's counts in step with an attempt that State.RemoveAttempt removes.
+// removeAttempt updates the job's counts for an attempt that State.RemoveAttempt removes.
 func (j *Job) removeAttempt(a *Attempt) {
 	if j.attemptsByTask[a.Index]--; j.attemptsByTask[a.Index] <= 0 {
 		delete(j.attemptsByTask, a.Index)
@@ -154,8 +155,8 @@
 	j.revision++
 }
 
-// MarkInterrupted records that a task was stopped, other than by preemption. It is started again before
-// the job's other tasks.
+// MarkInterrupted records that a task was stopped for another reason than preemption. The task is started again
+// before the job's other tasks.
 func (j *Job) MarkInterrupted(index int) {
 	if j.interrupted == nil {
 		j.interrupted = map[int]bool{}
@@ -164,21 +165,22 @@
 	j.revision++
 }
 
-// Revision changes whenever a task of the job is placed, ends or is interrupted. A cache of the job's
-// waiting tasks is current while the revision is the same; those of a gang also depend on its state.
+// Revision changes whenever a task of the job is placed, ends or is interrupted. Cached waiting tasks of the job
+// stay valid while the revision is the same. The waiting tasks of a gang also depend on the gang's state.
 func (j *Job) Revision() uint64 { return j.revision }
 
-// OpenTasks is the number of tasks that are neither done nor on a machine, as far as is known.
+// OpenTasks returns the number of tasks that are not known to be done and have no attempt that may be on a
+// machine.
 func (j *Job) OpenTasks() int { return j.Spec.Tasks - j.doneTasks.unionSize(j.placedTasks) }
 
-// WaitingTasks lists up to limit tasks that may be started. The first ones, as many as interrupted
-// says, were interrupted.
+// WaitingTasks returns up to limit tasks that may be started. The first tasks of the list, interrupted in number,
+// are those that were interrupted.
 func (j *Job) WaitingTasks(limit int) (tasks []int, interrupted int) {
 	return j.AppendWaitingTasks(nil, limit)
 }
 
-// AppendWaitingTasks is WaitingTasks with a slice to append to, which must be empty. It saves an
-// allocation for each job in each scheduling pass.
+// AppendWaitingTasks is like WaitingTasks but appends to the given slice, which must be empty. Reusing the slice
+// saves an allocation for each job in each scheduling pass.
 func (j *Job) AppendWaitingTasks(tasks []int, limit int) (_ []int, interrupted int) {
 	if j.Cancelling || j.Finalizing {
 		return tasks, 0
@@ -192,7 +194,7 @@
 		}
 	}
 	interrupted = len(tasks)
-	// Whole words at a time, as most tasks of a large array are done or placed.
+	// Whole words are skipped at a time, as most tasks of a large array are done or placed.
 	for word := range j.doneTasks {
 		for open := ^(j.doneTasks[word] | j.placedTasks[word]); open != 0; open &= open - 1 {
 			index := word*bitsPerWord + bits.TrailingZeros64(open)
@@ -207,9 +209,9 @@
 	return tasks, interrupted
 }
 
-// appendWaitingGangTasks appends a gang's tasks that may be started: all of them once the whole attempt
-// before is proved gone, or those that were lost while the others gather. Lost tasks of a broken
-// attempt are not replaced while any of it is left.
+// appendWaitingGangTasks appends the tasks of a gang that may be started: all tasks once every task of the
+// previous attempt is known to have left its machine, or the tasks that were lost while the others gather. Lost
+// tasks of a broken attempt are not replaced while any of its tasks remains.
 func (j *Job) appendWaitingGangTasks(tasks []int) []int {
 	if j.ActiveAttempts > 0 && !j.Gang.MayReplaceTasks() {
 		return tasks
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -10,27 +10,28 @@
 	"claybarrow/internal/scheduler"
 )
 
-// Machine is a machine and all attempts that may be on it. Its identity, its attempts and Releasing are
-// stored in a MachineRecord; the rest is kept in memory and starts afresh at a failover. All times are on
-// the leader's clock (Controller.now).
+// Machine is a machine and all attempts that may be on it. Its identity, its attempts and Releasing are stored
+// in a MachineRecord; the other fields are kept in memory only and are reset at a failover. All times are on the
+// leader's clock (Controller.now).
 type Machine struct {
 	ID, Type, Zone, Addr string
-	// Spot: the cloud may reclaim the machine.
+	// Spot is set for a spot machine, which the cloud may reclaim.
 	Spot bool
-	// Size is the machine's resources, Used what the attempts on it need.
+	// Size is the machine's total resources, Used the sum that the attempts on it need.
 	Size, Used scheduler.Resources
-	// Attempts are those that may be there. Add and remove them with State.AddAttempt and
+	// Attempts are the attempts that may be on the machine. Add and remove them with State.AddAttempt and
 	// State.RemoveAttempt.
 	Attempts map[AttemptKey]*Attempt
 	// Exited are the exited attempts that the agent still reports.
 	Exited map[AttemptKey]*ExitedTask
-	// UnknownTasks are reported tasks of jobs that the cluster state does not have, with the time of
-	// the last stop command.
+	// UnknownTasks are reported tasks of jobs that the cluster state does not contain, with the time of the last
+	// stop command.
 	UnknownTasks map[AttemptKey]time.Duration
 
 	// Faults is the evidence that the machine is faulty.
 	Faults MachineFaults
-	// DrainUntil is until when its replicas are being moved away, and nothing new is placed on it.
+	// DrainUntil is the end of the machine's drain. Until then its replicas are moved to other machines and
+	// nothing new is placed on it.
 	DrainUntil time.Duration
 
 	AgentState
@@ -40,73 +41,73 @@
 	SpotReclaim
 	ImageCache
 
-	sortedAttempts []*Attempt // nil: not sorted since the attempts changed; see Sorted
+	sortedAttempts []*Attempt // cached by SortedAttempts; nil if the attempts have changed since
 	// startingAttempts counts the attempts whose image the agent may still have to fetch.
 	startingAttempts int
 	revision         uint64 // see Revision
 }
 
-// DirectCallState is the state of the leader's direct calls to the agent. There is at most one call in
-// flight.
+// DirectCallState is the state of the leader's direct calls to the agent. At most one call is in flight.
 type DirectCallState struct {
 	CallInFlight bool
-	// FailedCalls counts the calls in a row that were not answered with status 200 or 409.
+	// FailedCalls counts the consecutive calls that were not answered with status 200 or 409.
 	FailedCalls int
-	// ConnectionFailed: for the last failed call not even a connection could be made.
+	// ConnectionFailed is set if no connection could be established for the last failed call.
 	ConnectionFailed bool
-	// LastFailedCallAt is when that call was sent.
+	// LastFailedCallAt is the time at which the last failed call was sent.
 	LastFailedCallAt time.Duration
-	// NextCallAt is the earliest time for the next call.
+	// NextCallAt is the earliest time at which the next call may be sent.
 	NextCallAt time.Duration
-	// Probed: a call was sent, and has neither failed nor found another epoch than expected since.
+	// Probed is set when a call is sent. It is cleared when a call fails or finds an unexpected epoch, and when
+	// the agent's lease expires.
 	Probed bool
 }
 
-// RedirectState tells whether the agent was redirected to send its heartbeats to a controller in its own
-// zone.
+// RedirectState is the state of the agent's redirect. A redirected agent sends its heartbeats to a controller in
+// its own zone instead of the leader.
 type RedirectState struct {
-	// RedirectedAt is when the agent was last redirected; 0 once it has come back to the leader.
-	// Until NoRedirectUntil it sends its heartbeats to the leader; the time grows with each
-	// redirect that failed.
+	// RedirectedAt is the time at which the agent was last redirected; 0 once it has returned to the leader.
+	// Until NoRedirectUntil the agent sends its heartbeats to the leader. This back-off grows with each failed
+	// redirect.
 	RedirectedAt, NoRedirectUntil time.Duration
-	// RedirectedProcess is the incarnation of the controller that it was redirected to, RedirectedTo
+	// RedirectedProcess is the incarnation of the controller that the agent was redirected to, RedirectedTo is
 	// that controller's label.
 	RedirectedProcess string
 	RedirectedTo      string
-	// FailedRedirects counts the redirects in a row from which the agent came back soon.
+	// FailedRedirects counts the consecutive redirects from which the agent returned to the leader soon.
 	FailedRedirects int
 }
 
 // RentalState is the state of the machine's rental in the cloud.
 type RentalState struct {
-	// KnownToExistAt is the latest time at which the machine is known to have existed. A listing that is
-	// surely younger and does not have the machine proves that it is gone.
+	// KnownToExistAt is the latest time at which the machine is known to have existed. A cloud listing that is
+	// certainly more recent and does not contain the machine proves that the machine no longer exists.
 	KnownToExistAt time.Duration
-	// LaunchedAt is when the rental was requested, as far as that is known.
+	// LaunchedAt is the time at which the rental was requested, if known.
 	LaunchedAt time.Duration
-	// EverReported: the agent has sent a heartbeat at some time, to this leader or an earlier one.
+	// EverReported is set once the agent has sent a heartbeat, to this leader or to an earlier one.
 	EverReported bool
-	// ListedRunning: the cloud lists the machine as running.
+	// ListedRunning is set if the cloud lists the machine as running.
 	ListedRunning bool
-	// Releasing: the machine is to be deleted.
+	// Releasing is set once the machine is to be deleted.
 	Releasing bool
-	// ReleaseStored: Releasing is stored, so the deletion may be sent.
+	// ReleaseStored is set once Releasing is stored. Only then may the delete request be sent.
 	ReleaseStored bool
-	// IdleSince is since when the machine counts as idle; 0: not known yet.
+	// IdleSince is the time since which the machine counts as idle; 0 if it is not known yet.
 	IdleSince time.Duration
-	// HasRecord: the machine has a record in the state service, or one was rendered for it.
+	// HasRecord is set if a record of the machine is in the state service, or was rendered to be written there.
 	HasRecord bool
 }
 
 // SpotReclaim is the cloud's notice that it reclaims a spot machine.
 type SpotReclaim struct {
-	// ReclaimNotice: the notice was given.
+	// ReclaimNotice is set once the cloud has given the notice.
 	ReclaimNotice bool
-	// ReclaimedBy is when the machine will be gone at the latest.
+	// ReclaimedBy is the latest time by which the cloud reclaims the machine.
 	ReclaimedBy time.Duration
 }
 
-// AddMachine returns the machine with the ID, and adds it if there is none.
+// AddMachine returns the machine with the ID. It adds the machine if the state does not contain it.
 func (s *State) AddMachine(id string) *Machine {
 	m := s.Machines[id]
 	if m == nil {
@@ -122,15 +123,15 @@
 	return m
 }
 
-// RemoveMachine removes a machine that is gone.
+// RemoveMachine removes a machine that no longer exists.
 func (s *State) RemoveMachine(m *Machine) {
 	delete(s.Machines, m.ID)
 	s.sortedMachines = nil
 }
 
-// SortedMachines lists the machines by ID. The list is kept until a machine is added or removed, as it
-// is asked for at every tick, and is never changed in place: the caller may add and remove machines
-// while it iterates.
+// SortedMachines returns the machines sorted by ID. It is called at every tick, so the list is cached until a
+// machine is added or removed. The list is never changed in place: the caller may add and remove machines while
+// it iterates.
 func (s *State) SortedMachines() []*Machine {
 	if s.sortedMachines == nil {
 		s.sortedMachines = slices.SortedFunc(maps.Values(s.Machines), func(x, y *Machine) int {
@@ -140,16 +141,16 @@
 	return s.sortedMachines
 }
 
-// addAttempt keeps the machine's counts in step with an attempt that State.AddAttempt adds.
+// addAttempt updates the machine's counts for an attempt that State.AddAttempt adds.
 func (m *Machine) addAttempt(a *Attempt) {
 	m.Attempts[a.Key()], m.sortedAttempts = a, nil
 	m.Used = m.Used.Plus(a.Job.Need)
-	m.startingAttempts++ // its state is empty
+	m.startingAttempts++ // the state of a new attempt is empty
 	m.revision++
 }
 
-// removeAttempt keeps the machine's counts in step with an attempt that State.RemoveAttempt removes, and
-// whose state it has emptied.
+// removeAttempt updates the machine's counts for an attempt that State.RemoveAttempt removes. RemoveAttempt has
+// reset the attempt's state to empty before.
 func (m *Machine) removeAttempt(a *Attempt) {
 	delete(m.Attempts, a.Key())
 	m.sortedAttempts = nil
@@ -158,22 +159,23 @@
 	m.revision++
 }
 
-// Revision changes whenever an attempt is added, removed or changes its state, and whenever an image is
-// added or dropped. A cache of the machine is current while the revision is the same.
+// Revision changes whenever an attempt is added, removed or changes its state, and whenever an image is added or
+// evicted. Data derived from the machine stays valid while the revision is the same.
 func (m *Machine) Revision() uint64 { return m.revision }
 
 // HasStartingAttempts reports whether an attempt on the machine may still need its image.
 func (m *Machine) HasStartingAttempts() bool { return m.startingAttempts > 0 }
 
-// SortedAttempts lists the machine's attempts in a fixed order, so that runs replay. The list is kept until an
-// attempt is added or removed, and is never changed in place: the caller may remove attempts while it
-// iterates.
+// SortedAttempts returns the machine's attempts in a fixed order, so that simulated runs are reproducible. The
+// list is cached until an attempt is added or removed. It is never changed in place: the caller may remove
+// attempts while it iterates.
 func (m *Machine) SortedAttempts() []*Attempt {
 	if m.sortedAttempts == nil && len(m.Attempts) > 0 {
-		// slices.SortedFunc would allocate three times more, after each start and end of a task.
+		// slices.SortedFunc would allocate three times more, and the list is sorted again after each start and
+		// end of a task.
 		m.sortedAttempts = slices.Collect(maps.Values(m.Attempts))
 		slices.SortFunc(m.sortedAttempts, func(x, y *Attempt) int {
-			// A gang's tasks have the same number.
+			// The tasks of a gang share one attempt number.
 			return cmp.Or(cmp.Compare(x.Number, y.Number), cmp.Compare(x.Index, y.Index))
 		})
 	}
--- a/internal/clusterstate/measured_size_test.go
+++ b/internal/clusterstate/measured_size_test.go
@@ -7,8 +7,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// The writer of records measures a value by its JSON with the Go names of the fields, and cuts transactions by
-// that measure. So a renamed field changes which records fit, though not what is stored of them.
+// The record writer measures a value by its JSON encoding with the Go field names, and limits transactions by
+// that size. Renaming a field therefore changes which records fit, although their stored form stays the same.
 func TestMeasuredSizeOfRecords(t *testing.T) {
 	for name, tc := range map[string]struct {
 		record any
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -10,8 +10,8 @@
 	JobPrefix = "j/"
 	// CompletionPrefix + UID + "/" + chunk holds a CompletionRecord.
 	CompletionPrefix = "d/"
-	// CompletionPartPrefix + UID + "/" + part holds a CompletionRecord of tasks that do not fit into
-	// the record of their chunk.
+	// CompletionPartPrefix + UID + "/" + part holds a CompletionRecord of tasks that do not fit into the
+	// record of their chunk.
 	CompletionPartPrefix = "p/"
 	// MachinePrefix + machine ID holds a MachineRecord.
 	MachinePrefix = "m/"
@@ -19,20 +19,20 @@
 	CounterPrefix = "k/"
 )
 
-// Cancelling is the stored state of a job whose user has requested its cancellation and has not been
-// told that it is cancelled. No task of it may be started, and those that run are stopped.
+// Cancelling is the stored state of a job whose cancellation was requested and is not complete. No task of the
+// job is started any more, and the running tasks are stopped.
 const Cancelling protocol.JobState = "cancelling"
 
-// JobRecord is the stored form of a job. The writer bounds a record by its JSON with these Go field
-// names, so they are part of the limit; the tags are what is stored.
+// JobRecord is the stored form of a job. It is stored under the names in the tags. The writer, however, measures
+// a record by its JSON encoding with the Go field names, so renaming a field changes which records fit the limit.
 type JobRecord struct {
 	// State is empty, Cancelling, protocol.Done or protocol.Cancelled.
 	State protocol.JobState `msgpack:"s,omitempty"`
 	// Tasks is the number of tasks of a job that is done.
 	Tasks int `msgpack:"n,omitempty"`
-	// Submitted is in ms since the epoch, by the wall clock of the controller that accepted the job.
+	// Submitted is in ms since the epoch, on the wall clock of the controller that accepted the job.
 	Submitted int64 `msgpack:"t,omitempty"`
-	// Spec is nil once the job is over.
+	// Spec is nil once the job has ended.
 	Spec *protocol.JobSpec `msgpack:"j,omitempty"`
 }
 
@@ -42,13 +42,13 @@
 	Zone string `msgpack:"z"`
 	Spot bool   `msgpack:"b,omitempty"`
 	Addr string `msgpack:"a,omitempty"`
-	// Return: the machine is to be deleted, see RentalState.Releasing.
+	// Return is set if the machine is to be deleted; see RentalState.Releasing.
 	Return   bool           `msgpack:"r,omitempty"`
 	Attempts []AttemptEntry `msgpack:"t,omitempty"`
 }
 
-// AttemptEntry is an attempt in a MachineRecord. It is stored as an array: the order of its fields is
-// the encoding.
+// AttemptEntry is an attempt in a MachineRecord. It is encoded as an array, so the order of its fields must not
+// change.
 type AttemptEntry struct {
 	//lint:ignore U1000 msgpack finds the field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
@@ -57,21 +57,22 @@
 	Try      uint64
 }
 
-// MaxEntryBytes bounds what an AttemptEntry takes of a MachineRecord, in bytes as the writer measures it. Twice
-// as much bounds a CounterRow.
+// MaxEntryBytes is an upper bound on the size of an AttemptEntry in a MachineRecord, as the writer measures it.
+// Twice as much is an upper bound on the size of a CounterRow.
 const MaxEntryBytes = 96
 
-// Counters is a batch of the jobs' attained service. It is written now and then, for the next leader.
+// Counters is a batch of the attained service of jobs. The leader writes it periodically for the next leader.
 type Counters struct {
-	// At is when the batch was rendered, in ms since the epoch by the leader's wall clock. The next
-	// leader adds the service attained since.
+	// At is the time at which the batch was rendered, in ms since the epoch on the leader's wall clock. The next
+	// leader adds the service attained since then.
 	At int64 `msgpack:"t"`
-	// Jobs has the figures by the job's UID.
+	// Jobs has a row for each job, by the job's UID.
 	Jobs map[string]CounterRow `msgpack:"j"`
 }
 
-// CounterRow is a job's scheduler.Scale, whose fields have the same names and meaning. It is stored as an
-// array: the order of its fields is the encoding.
+// CounterRow is the stored form of a job's scheduler.ScaleUp. Upper holds InUpperQueue, First InitialEfficiency
+// and Degr Degradation; the other fields have the names that they have there. CounterRow is encoded as an array,
+// so the order of its fields must not change.
 type CounterRow struct {
 	//lint:ignore U1000 msgpack finds the field by reflection
 	_msgpack   struct{} `msgpack:",as_array"`
@@ -84,7 +85,7 @@
 	Degr       float64
 }
 
-// Record renders the job's record as the job is now.
+// Record renders the job's record from its present state.
 func (j *Job) Record() JobRecord {
 	switch {
 	case j.Finalizing && j.Cancelling:
@@ -97,7 +98,7 @@
 	return JobRecord{Submitted: j.Submitted, Spec: j.Spec}
 }
 
-// Record renders the machine's record with all attempts that may be on it.
+// Record renders the machine's record with all attempts that may be on the machine.
 func (m *Machine) Record() MachineRecord {
 	record := MachineRecord{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Addr: m.Addr, Return: m.Releasing}
 	for _, a := range m.SortedAttempts() {
--- a/internal/clusterstate/records_test.go
+++ b/internal/clusterstate/records_test.go
@@ -10,9 +10,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The bytes are those that the version in production (686f0af) and the one before it (4297efa, which has no
-// gangs) wrote. Both wrote each record alike, but for the gang, which only the later one has. They are read
-// back, and the same records are written as the same bytes, so each version reads what the others write.
+// The bytes were written by the version in production (686f0af) and by the version before it (4297efa). Both wrote
+// the same bytes for each record, except that 4297efa has no gangs. This version must decode these bytes to the
+// expected records and encode the records to the same bytes, so that each version reads what the others write.
 func TestRecordsOfOlderVersions(t *testing.T) {
 	service := &protocol.JobSpec{UID: "j-000413", Class: "web", Team: "search", Service: true, Priority: protocol.PriorityProduction, Tasks: 2,
 		Cores: 2, MemoryGB: 2.8, Image: "img-1", ImageGB: 0.6, Spread: true}
@@ -52,21 +52,21 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(tc.want, tc.into, cmpopts.IgnoreUnexported(AttemptEntry{}, CounterRow{})); diff != "" {
-				t.Errorf("read as (-want +got):\n%s", diff)
+				t.Errorf("decoded record differs (-want +got):\n%s", diff)
 			}
 			if got := hex.EncodeToString(protocol.Encode(tc.want)); got != tc.wrote {
-				t.Errorf("written as %s", got)
+				t.Errorf("encoded as %s, want %s", got, tc.wrote)
 			}
 		})
 	}
 }
 
-// A record of a later version, with unknown fields and an unknown state, is read all the same.
+// A record of a later version is decoded although it has unknown fields and an unknown state.
 func TestRecordsOfALaterVersion(t *testing.T) {
 	later := protocol.Encode(map[string]any{"s": "resting", "t": 5, "x": map[string]any{"y": 1},
 		"j": map[string]any{"u": "j-1", "c": "train", "o": "vision", "p": 1, "n": 2, "cc": 1.0, "cm": 1.0, "i": "img", "ig": 1.0, "g": true, "zz": []int{1}}})
 	var rec JobRecord
 	if err := protocol.Decode(later, &rec); err != nil || rec.Spec == nil || rec.Spec.UID != "j-1" || !rec.Spec.Gang || rec.State != "resting" {
-		t.Errorf("read as %+v, %v", rec, err)
+		t.Errorf("decoded as %+v, error %v", rec, err)
 	}
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -1,22 +1,22 @@
 // Package clusterstate holds the cluster's state: the jobs, the machines, the attempts that may be on each
-// machine, and what each team uses of its quota. An attempt stays until it is proved gone; quotas, zone
-// counts and free capacity include all attempts that may still be on a machine.
+// machine, and each team's quota usage. An attempt is kept until it is known to have left its machine; quotas,
+// zone counts and free capacity include all attempts that may still be on a machine.
 //
-// Only the leader has a State. It belongs to one leadership and is used by the controller's event loop
-// alone, without locks. What has to survive a failover is stored in the state service, by the writer of
+// Only the leader has a State. A State belongs to one leadership and is accessed by the controller's event loop
+// only, without locks. The state that must survive a failover is stored in the state service by the writer of
 // internal/statestore:
 //
-//	j/<uid>           JobRecord: the spec, or the final state of a job that is over
+//	j/<uid>           JobRecord: the spec, or the final state of a job that has ended
 //	d/<uid>/<chunk>   CompletionRecord: which tasks of an array are done
-//	p/<uid>/<part>    CompletionRecord: those that do not fit into the record of their chunk
+//	p/<uid>/<part>    CompletionRecord: tasks that do not fit into the record of their chunk
 //	m/<id>            MachineRecord: the machine and the attempts that may be on it
 //	k/<batch>         Counters: attained service, for the order of jobs
 //
-// At a failover the new leader reads these records, then the completion journal, and adds what they say to
-// an empty State. All else (the agents' state, failures, image caches) starts afresh.
+// At a failover the new leader reads these records and then the completion journal, and adds their contents to
+// an empty State. All other state (agents, failures, image caches) is reset.
 //
-// Times are durations on the leader's clock (Controller.now), which starts anew with each process, unless
-// they are said to be in ms since the epoch.
+// Times are durations on the leader's clock (Controller.now), which starts anew with each process, unless the
+// comment says that they are in ms since the epoch.
 package clusterstate
 
 import (
@@ -25,29 +25,29 @@
 	"claybarrow/internal/scheduler"
 )
 
-// State is the cluster's state as the leader knows it.
+// State is the leader's view of the cluster.
 type State struct {
-	// Jobs are the jobs that are not over, by UID.
+	// Jobs are the jobs that have not ended, by UID.
 	Jobs map[string]*Job
-	// TerminalJobs are those that are over, by UID.
+	// TerminalJobs are the jobs that have ended, by UID.
 	TerminalJobs map[string]TerminalState
 	// Machines are all machines that may exist, by ID.
 	Machines map[string]*Machine
-	// Quotas are the teams' quotas with what the teams use, by the team's name.
+	// Quotas are the teams' quotas and their usage, by the team's name.
 	Quotas map[string]*scheduler.Quota
 
 	layout         completionLayout
 	sortedMachines []*Machine // see SortedMachines
 	sortedJobs     []*Job     // see SortedJobs
 	toSchedule     []*Job     // see TakeJobsToSchedule
-	// imageSets are the numbers of the machines' sets of images, by the images' sorted names.
+	// imageSets maps each set of images to its number; see ImageSet. The key is the sorted names, one a line.
 	imageSets    map[string]int
 	lastImageSet int
 }
 
-// New makes an empty state. layoutBytes is the limit on a stored value, in bytes, from which the layout of
-// the completion records is computed; it must not change while any are stored, as it gives their keys
-// their meaning. valueBytes is the limit that newly written values keep within.
+// New returns an empty state. layoutBytes is the limit on the size of a stored value from which the layout of the
+// completion records is computed. It determines which tasks a key covers, so it must not change while completion
+// records are stored. valueBytes is the limit on the size of newly written values.
 func New(layoutBytes, valueBytes int) *State {
 	return &State{
 		Jobs:         map[string]*Job{},
@@ -73,13 +73,14 @@
 	return a
 }
 
-// RemoveAttempt removes an attempt that is proved gone. Removing it twice changes nothing.
+// RemoveAttempt removes an attempt that is known to have left its machine. Removing it twice has no further
+// effect.
 func (s *State) RemoveAttempt(a *Attempt) {
 	m, j := a.Machine, a.Job
 	if m.Attempts[a.Key()] != a {
 		return
 	}
-	a.SetState("") // it no longer counts as running
+	a.SetState("") // the attempt no longer counts as running
 	m.removeAttempt(a)
 	j.removeAttempt(a)
 	s.markToSchedule(j)
@@ -91,7 +92,7 @@
 	}
 }
 
-// markToSchedule records that the job may have tasks that wait.
+// markToSchedule records that the job may have waiting tasks.
 func (s *State) markToSchedule(j *Job) {
 	if !j.isToSchedule {
 		j.isToSchedule = true
@@ -99,11 +100,11 @@
 	}
 }
 
-// JobsToSchedule is the list that TakeJobsToSchedule would return. It leaves the list as it is.
+// JobsToSchedule returns the list that TakeJobsToSchedule would return, and does not empty it.
 func (s *State) JobsToSchedule() []*Job { return s.toSchedule }
 
-// TakeJobsToSchedule returns the jobs that may have got waiting tasks since the last call: new ones, and those
-// that an attempt was removed from. No other change makes a task wait.
+// TakeJobsToSchedule returns and empties the list of jobs that may have new waiting tasks since the last call:
+// new jobs, and jobs of which an attempt was removed. No other change makes a task wait.
 func (s *State) TakeJobsToSchedule() []*Job {
 	jobs := s.toSchedule
 	s.toSchedule = nil
--- a/internal/clusterstate/task_set_test.go
+++ b/internal/clusterstate/task_set_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Tasks at the ends of the 64-bit words are told apart.
+// Tasks at the first and last bit of the 64-bit words are distinct members of the set.
 func TestTaskSet(t *testing.T) {
 	const tasks = 130
 	set, other := newTaskSet(tasks), newTaskSet(tasks)
