--- a/internal/stateclient/client_test.go
+++ b/internal/stateclient/client_test.go
@@ -11,7 +11,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// request is one that left, with what a test answers it by.
+// request is a request that the client has sent. The test calls done to answer it.
 type request struct {
 	method, path string
 	body         any
@@ -19,14 +19,14 @@
 	done         func(status int, body []byte)
 }
 
-// recorder is a transport that keeps the request that left last.
+// recorder is a transport that records the last request.
 type recorder struct{ last request }
 
 func (r *recorder) Call(method, path string, body any, timeout time.Duration, done func(int, []byte)) {
 	r.last = request{method, path, body, timeout, done}
 }
 
-// The requests are the same to the letter whoever makes them: services and tests read their paths.
+// The methods, paths and bodies of the requests are fixed: the state service and other tests depend on them.
 func TestRequests(t *testing.T) {
 	txn := protocol.Transaction{Then: []protocol.Change{{Put: "a/1", Value: "x"}}}
 	for _, c := range []struct {
@@ -54,19 +54,19 @@
 			c.send(New(&sent))
 			got := sent.last
 			if got.method != c.method || got.path != c.path || got.timeout != time.Second || !reflect.DeepEqual(got.body, c.body) {
-				t.Errorf("%s %s %+v within %v, want %s %s %+v", got.method, got.path, got.body, got.timeout, c.method, c.path, c.body)
+				t.Errorf("sent %s %s %+v with timeout %v, want %s %s %+v with timeout 1s", got.method, got.path, got.body, got.timeout, c.method, c.path, c.body)
 			}
 		})
 	}
 }
 
-// outcome is a result, whatever its type, and its error.
+// outcome is the result and the error of an operation.
 type outcome struct {
 	result any
 	err    error
 }
 
-// operations sends each operation and has its outcome noted.
+// operations has a function for each operation that sends the operation and stores its outcome.
 var operations = map[string]func(*Client, *outcome){
 	"get": func(c *Client, o *outcome) {
 		c.Get("a/1", 0, func(r protocol.KeyValue, err error) { *o = outcome{r, err} })
@@ -83,7 +83,7 @@
 	"revoke": func(c *Client, o *outcome) { c.RevokeLease(1, 0, func(err error) { *o = outcome{nil, err} }) },
 }
 
-// answer sends an operation and answers it.
+// answer sends an operation, answers the request and returns the outcome.
 func answer(operation string, status int, body []byte) outcome {
 	var sent recorder
 	var got outcome
@@ -112,7 +112,7 @@
 		t.Run(c.operation, func(t *testing.T) {
 			got := answer(c.operation, 200, c.body)
 			if got.err != nil || !reflect.DeepEqual(got.result, c.want) {
-				t.Errorf("%+v, %v, want %+v", got.result, got.err, c.want)
+				t.Errorf("result %+v, error %v, want %+v", got.result, got.err, c.want)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 			t.Run(c.name+"/"+operation, func(t *testing.T) {
 				err := answer(operation, c.status, c.body).err
 				if err == nil || apicall.StatusOf(err) != c.status {
-					t.Fatalf("error %v", err)
+					t.Fatalf("error %v, want an error with status %d", err, c.status)
 				}
 				checkReason(t, err, c.reason)
 			})
@@ -153,13 +153,13 @@
 	}
 }
 
-// checkReason checks that an error has this reason and no other.
+// checkReason checks that an error matches this reason and no other.
 func checkReason(t *testing.T, err, want error) {
 	t.Helper()
 	for _, reason := range []error{apicall.ErrNoAnswer, apicall.ErrMalformedAnswer, apicall.ErrInvalidRequest, apicall.ErrRateLimited,
 		apicall.ErrUnavailable, ErrNotFound, ErrConflict, ErrLeaseExpired} {
 		if errors.Is(err, reason) != errors.Is(want, reason) {
-			t.Errorf("%v: is %q: %v", err, reason, errors.Is(err, reason))
+			t.Errorf("error %v: matches %q: %v, want %v", err, reason, errors.Is(err, reason), errors.Is(want, reason))
 		}
 	}
 }
@@ -168,6 +168,6 @@
 	err := answer("commit", 409, protocol.Encode(protocol.TransactionReply{Failed: []string{"a/1", "a/2"}})).err
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) || !slices.Equal(conflict.Keys, []string{"a/1", "a/2"}) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a ConflictError with the keys a/1 and a/2", err)
 	}
 }
--- a/internal/statestore/leader_key.go
+++ b/internal/statestore/leader_key.go
@@ -2,24 +2,24 @@
 
 import "claybarrow/internal/protocol"
 
-// LeaderChange stores the leader key in another form, together with a few other keys, in a transaction
-// of its own. As that changes the version of the leader key, on which every write depends, nothing
-// that was sent before it can apply after it.
+// LeaderChange replaces the leader key's entry and changes a few other keys, in one separate transaction. The
+// transaction changes the version of the leader key. As every write is conditional on that version, no
+// transaction that was sent before it can apply after it.
 type LeaderChange struct {
 	Entry LeaderEntry
-	// Puts and Deletes are the changes of the other keys.
+	// Puts and Deletes are the changes to the other keys.
 	Puts    []protocol.Change
 	Deletes []string
-	// OnApplied is called once the change is durable, Refused if the state service takes it in no form.
+	// OnApplied is called once the change is durable, OnRefused if the state service rejects it as malformed.
 	OnApplied, OnRefused func()
 }
 
-// ChangeLeader has the leader key stored in another form by the next transaction. There is one such
-// change at a time.
+// ChangeLeader schedules a change of the leader key for the next transaction. Only one change may be scheduled at
+// a time.
 func (w *Writer) ChangeLeader(change *LeaderChange) { w.leaderChange = change }
 
-// buildLeaderChange makes the transaction of a change of the leader key; nil: none waits, or the
-// budget does not allow it yet.
+// buildLeaderChange builds the transaction for the scheduled change of the leader key. It returns nil if no change
+// is scheduled or the budget does not allow it yet.
 func (w *Writer) buildLeaderChange() *Transaction {
 	change, now := w.leaderChange, w.host.Now()
 	if change == nil {
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -7,7 +7,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// newLeaderChangeWriter is a writer that has sent a change of its leader key, and what became of that.
+// newLeaderChangeWriter returns a writer that has sent a change of its leader key, and the outcome of the change.
 func newLeaderChangeWriter(change *LeaderChange) (host *fakeHost, w *Writer, outcome *string) {
 	host, w = newTestWriter(8)
 	outcome = new(string)
@@ -28,13 +28,13 @@
 	return protocol.Encode(protocol.KeyValue{Value: protocol.Encode(v), Version: version})
 }
 
-// The leader key is stored in its new form together with the other keys, alone and under the versions known;
-// all that follows depends on the new version.
+// A change of the leader key is sent with its other keys in a separate transaction, on the condition of the last
+// known versions. All later transactions are conditional on the new version of the leader key.
 func TestLeaderChange(t *testing.T) {
 	host, w, outcome := newLeaderChangeWriter(openingChange())
 	txn := host.last(t).body.(protocol.Transaction)
 	if !slices.Equal(puts(host.last(t)), []string{"c/lease", "c/leader"}) || txn.Then[1].Lease != 0 || txn.Then[0].Lease != 3 {
-		t.Fatalf("%+v", txn)
+		t.Fatalf("transaction %+v", txn)
 	}
 	if !slices.Equal(txn.If, []protocol.Condition{{Key: "c/leader", Version: 5}, {Key: "c/lease", Version: 0}}) {
 		t.Errorf("conditions %+v", txn.If)
@@ -42,9 +42,9 @@
 	host.last(t).answer(200, applied(9))
 	w.Flush()
 	if next := host.last(t).body.(protocol.Transaction); *outcome != "applied" || next.If[0].Version != 9 || next.Then[0].Put != "m/other" {
-		t.Errorf("%s, then %+v", *outcome, next)
+		t.Errorf("outcome %q, next transaction %+v", *outcome, next)
 	}
-	// A fence writes the form that is stored now.
+	// A fence writes the entry that is stored now.
 	host.last(t).answer(0, nil)
 	host.now += host.RetryPause()
 	w.Flush()
@@ -53,15 +53,15 @@
 	}
 }
 
-// What becomes of a change whose answer was lost is read back from the leader key. Neither another leader's
-// key nor a key of the lease that is gone passes for an own one.
+// If the answer to a change was lost, the outcome is determined by reading the leader key back. The change does not
+// count as applied if another leader wrote the key, or if the key or the lease's key does not exist any more.
 func TestLeaderChangeWithoutAnAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		change   *LeaderChange
-		status   int // of the second try
+		status   int // answer to the second attempt
 		conflict string
-		version  uint64 // of the leader key that is read back; 0: it is gone
+		version  uint64 // version of the leader key that is read back; 0: the key does not exist
 		record   string
 		outcome  string
 		ended    EndReason
@@ -87,7 +87,7 @@
 			w.Flush()
 			if host.last(t).method == "GET" {
 				if host.last(t).path != "/store/c/leader" {
-					t.Errorf("%s is read", host.last(t).path)
+					t.Errorf("the request reads %s, want /store/c/leader", host.last(t).path)
 				}
 				if c.version == 0 {
 					host.last(t).answer(404, nil)
@@ -96,18 +96,19 @@
 				}
 			}
 			if *outcome != c.outcome || host.ended != c.ended {
-				t.Errorf("%q, ended %q", *outcome, host.ended)
+				t.Errorf("outcome %q, want %q; leadership ended by %q, want %q", *outcome, c.outcome, host.ended, c.ended)
 			}
 		})
 	}
 }
 
-// A change that is refused for good ends no leader: what it had waits, and the key keeps its form.
+// A change that is rejected as malformed does not end the leadership. The leader key keeps its version, and the
+// queued writes are sent next.
 func TestRefusedLeaderChange(t *testing.T) {
 	host, w, outcome := newLeaderChangeWriter(openingChange())
 	host.last(t).answer(400, nil)
 	w.Flush()
 	if next := host.last(t).body.(protocol.Transaction); *outcome != "refused" || host.ended != "" || next.If[0].Version != 5 || next.Then[0].Put != "m/other" {
-		t.Errorf("%s, ended %q, then %+v", *outcome, host.ended, next)
+		t.Errorf("outcome %q, leadership ended by %q, next transaction %+v", *outcome, host.ended, next)
 	}
 }
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -10,8 +10,8 @@
 	"claybarrow/internal/stateclient"
 )
 
-// onAnswer takes the outcome of a transaction: it applied, or it did not, or nobody knows until one of
-// its keys is read back.
+// onAnswer handles the answer to a transaction. The transaction applied, did not apply, or has an unknown outcome
+// until one of its keys is read back.
 func (w *Writer) onAnswer(t *Transaction, revision uint64, err error) {
 	if w.host.HasEnded() {
 		return
@@ -29,7 +29,7 @@
 	case apicall.IsOutcomeUnknown(err):
 		w.onOutcomeUnknown(t)
 	case errors.Is(err, apicall.ErrInvalidRequest) && t.outcomeUnknown:
-		// An earlier try may have applied all the same.
+		// An earlier attempt may have applied although the state service rejects the repeated one.
 		t.readbackKey = w.chooseReadbackKey(t)
 	case errors.Is(err, apicall.ErrInvalidRequest):
 		w.onInvalidRequest(t)
@@ -38,8 +38,8 @@
 	}
 }
 
-// onNotExecuted has a transaction repeated that the service did not execute, as it was in trouble or
-// there were too many changes.
+// onNotExecuted schedules a retry of a transaction that the state service did not execute because it was rate
+// limited or unavailable.
 func (w *Writer) onNotExecuted(t *Transaction, err error) {
 	if errors.Is(err, apicall.ErrRateLimited) {
 		w.changeBudget.Drain()
@@ -49,7 +49,7 @@
 	t.retryAt = w.host.Now() + w.host.RetryPause()
 }
 
-// chooseReadbackKey returns the key that tells whether a transaction has applied.
+// chooseReadbackKey returns a key whose version shows whether the transaction has applied.
 func (w *Writer) chooseReadbackKey(t *Transaction) string {
 	if t.leaderChange != nil {
 		return w.leader.Key
@@ -57,7 +57,8 @@
 	return slices.Concat(t.Puts, t.deletes)[0]
 }
 
-// onConflict takes the keys that had other versions than the transaction required.
+// onConflict handles a version conflict. keys are the keys whose versions differ from those that the transaction
+// required.
 func (w *Writer) onConflict(t *Transaction, keys []string) {
 	switch {
 	case slices.Contains(keys, w.leader.Key):
@@ -65,9 +66,9 @@
 			w.host.EndLeadership(EndOtherLeader)
 			return
 		}
-		t.readbackKey = w.leader.Key // an earlier try of ours may have written it
+		t.readbackKey = w.leader.Key // an earlier attempt of this transaction may have written the leader key
 	case !t.outcomeUnknown || t.leaderChange != nil:
-		// Nobody else may write our keys: what is stored is not what this leader thinks.
+		// Only this leader writes these keys, so the stored records differ from its state in memory.
 		w.log.Error("stored versions differ from memory", "keys", fmt.Sprint(keys))
 		w.host.EndLeadership(EndRecordsDiffer)
 	case len(t.Puts) == 0:
@@ -77,16 +78,17 @@
 	}
 }
 
-// onOutcomeUnknown has a transaction repeated that had no answer: it may have applied, or may apply
-// later.
+// onOutcomeUnknown schedules a retry of a transaction that was not answered. The transaction may have applied, or
+// may still apply later.
 func (w *Writer) onOutcomeUnknown(t *Transaction) {
 	t.outcomeUnknown, w.needsFence = true, true
 	t.retryAt = w.host.Now() + w.host.RetryPause()
 }
 
-// onInvalidRequest takes back a transaction that the state service calls invalid: a lease has expired,
-// or a limit is lower than the settings say. Its writes go out in smaller transactions. Only a single
-// record that is refused by itself is given up, and its users are told to come back.
+// onInvalidRequest handles a transaction that the state service rejects as malformed, because a lease has expired
+// or a limit is lower than the settings say. The writes are queued again and sent in smaller transactions. A
+// record is abandoned only if a transaction with this record alone is rejected; the host then refuses the user
+// requests that wait for the record, so that users retry them.
 func (w *Writer) onInvalidRequest(t *Transaction) {
 	w.current = nil
 	if t.leaderChange != nil {
@@ -110,8 +112,8 @@
 	w.host.OnAbandoned(refused.key)
 }
 
-// onReadback finds out whether a transaction applied whose answer was lost: if a key of it has another
-// version than before, it did, as only this leader can have changed the key.
+// onReadback handles the read-back of a key of a transaction with an unknown outcome. If the version of the key
+// has changed, the transaction has applied, as only this leader writes the key.
 func (w *Writer) onReadback(t *Transaction, item protocol.KeyValue, err error) {
 	if w.host.HasEnded() {
 		return
@@ -134,13 +136,13 @@
 		return
 	}
 	if item.Version == w.versions[key] {
-		w.onInvalidRequest(t) // it did not apply, and the last try was refused
+		w.onInvalidRequest(t) // no attempt has applied, and the last one was rejected
 		return
 	}
 	w.onApplied(t, item.Version)
 }
 
-// mustExist reports whether a key is there whether or not a transaction has applied.
+// mustExist reports whether the key exists regardless of whether the transaction has applied.
 func (w *Writer) mustExist(t *Transaction, key string) bool {
 	if key == w.leader.Key {
 		return true
@@ -148,28 +150,28 @@
 	return w.versions[key] != 0 && !slices.Contains(t.deletes, key)
 }
 
-// onLeaderKeyRead finds out from the leader key whether a transaction that writes it has applied.
+// onLeaderKeyRead determines from the stored leader key whether a transaction that writes this key has applied.
 func (w *Writer) onLeaderKeyRead(t *Transaction, item protocol.KeyValue) {
 	if item.Version == w.leader.Version {
-		w.onInvalidRequest(t) // it did not apply, and the last try was refused
+		w.onInvalidRequest(t) // no attempt has applied, and the last one was rejected
 		return
 	}
 	if !t.leaderEntry.Matches(item.Value) {
 		w.host.EndLeadership(EndOtherLeader)
 		return
 	}
-	// A try of ours wrote the leader key, and all else with it.
+	// An attempt of this transaction wrote the leader key, and all its other changes with it.
 	w.noteLeaderKey(t, item.Version)
 	w.onApplied(t, item.Version)
 }
 
-// noteLeaderKey notes that the leader key is stored as the transaction wrote it. Earlier transactions
-// can't apply any more.
+// noteLeaderKey records that the leader key has the version and the entry that the transaction wrote. Earlier
+// transactions can't apply any more.
 func (w *Writer) noteLeaderKey(t *Transaction, version uint64) {
 	w.leader.Version, w.leader.Entry, w.needsFence = version, t.leaderEntry, false
 }
 
-// onApplied notes that a transaction applied at a revision, and tells those who wait for its writes.
+// onApplied records that a transaction applied at a revision, and calls the callbacks of its writes.
 func (w *Writer) onApplied(t *Transaction, revision uint64) {
 	for _, key := range t.Puts {
 		w.versions[key] = revision
@@ -188,9 +190,9 @@
 	}
 }
 
-// recordLatency notes how long a transaction took.
+// recordLatency records the time from the creation of a transaction until it was known to have applied.
 func (w *Writer) recordLatency(t *Transaction) {
 	latency := (w.host.Now() - t.createdAt).Milliseconds()
-	// A value out of range is clipped; the histogram only serves the log.
+	// Latencies out of range are clamped; the histogram is used for logging only.
 	_ = w.latencies.RecordValue(min(maxLatencyMillis, max(1, latency)))
 }
--- a/internal/statestore/transaction.go
+++ b/internal/statestore/transaction.go
@@ -7,39 +7,39 @@
 	"claybarrow/internal/protocol"
 )
 
-// maxTransactionBytes bounds a transaction's size, of the 64 KiB that the protocol allows.
+// maxTransactionBytes limits the estimated size of a transaction. The protocol allows 64 KiB.
 const maxTransactionBytes = 60 << 10
 
-// Estimates of the sizes of parts of a transaction on the wire, in bytes, from above.
+// Upper bounds of the sizes of parts of a transaction on the wire, in bytes.
 const (
 	transactionOverhead = 1024 // the leader key and its condition
-	writeOverhead       = 160  // beside the value and the key, which is in the condition and in the change
+	writeOverhead       = 160  // a write without its value and without its key, which is sent twice
 )
 
-// Transaction is a set of writes that go out together.
+// Transaction is a set of writes that the state service applies together.
 type Transaction struct {
 	Body protocol.Transaction
-	// Puts are the keys that are put; the leader key is not one of them.
+	// Puts are the keys that the transaction puts, without the leader key.
 	Puts    []string
 	deletes []string
 	writes  []*write
-	// outcomeUnknown means that an earlier try had no answer and may have applied.
+	// outcomeUnknown means that an earlier attempt was not answered and may have applied.
 	outcomeUnknown bool
-	// writesLeaderKey means that it also stores leaderEntry in the leader key.
+	// writesLeaderKey means that the transaction also stores leaderEntry in the leader key.
 	writesLeaderKey bool
 	leaderEntry     LeaderEntry
-	// leaderChange is the change of the leader key that it carries out, or nil.
+	// leaderChange is the change of the leader key that the transaction carries out, or nil.
 	leaderChange *LeaderChange
 	createdAt    time.Duration
 	retryAt      time.Duration
 	inFlight     bool
-	readbackKey  string // the key to be read to find out whether it applied; "": none
+	readbackKey  string // key to read back to determine whether the transaction applied; "" for none
 }
 
-// Writes returns how many records it has.
+// Writes returns the number of writes in the transaction.
 func (t *Transaction) Writes() int { return len(t.writes) }
 
-// require adds the condition that a key has a version.
+// require adds the condition that the key has the version.
 func (t *Transaction) require(key string, version uint64) {
 	t.Body.If = append(t.Body.If, protocol.Condition{Key: key, Version: version})
 }
@@ -56,8 +56,8 @@
 	t.Body.Then = append(t.Body.Then, protocol.Change{Delete: key})
 }
 
-// BuildTransaction makes the next transaction of the writes that wait, within the limits and the budget; nil:
-// there is none to be made.
+// BuildTransaction builds the next transaction from the queued writes, within the limits and the budget. It
+// returns nil if there is no write to send.
 func (w *Writer) BuildTransaction() *Transaction {
 	now := w.host.Now()
 	t := &Transaction{createdAt: now}
@@ -73,8 +73,8 @@
 	return t
 }
 
-// takeWrites moves writes of a priority from their queue into a transaction, as long as they fit. Size
-// is the estimated size of the transaction.
+// takeWrites moves writes of a priority from their queue into the transaction while they fit. size is the
+// estimated size of the transaction in bytes.
 func (w *Writer) takeWrites(t *Transaction, priority Priority, size *int) {
 	for len(w.queues[priority]) > 0 && w.mayAddWrite(t, priority) {
 		next := w.queues[priority][0]
@@ -96,13 +96,13 @@
 	}
 }
 
-// mayAddWrite reports whether the number of changes and the budget allow one more write of a priority.
+// mayAddWrite reports whether the limit on changes and the budget allow one more write of the priority.
 func (w *Writer) mayAddWrite(t *Transaction, priority Priority) bool {
-	// One change is left to the leader key.
+	// One change is reserved for the leader key.
 	if len(t.writes) >= min(w.limits.MaxChanges-1, w.maxWrites) {
 		return false
 	}
-	// Writes that nobody waits for leave half of the burst to those that somebody waits for.
+	// Background writes leave half of the burst to writes that users, tasks or completions wait for.
 	reserve := 0.0
 	if priority >= PriorityBackground {
 		reserve = w.changeBudget.Burst() / 2
@@ -110,14 +110,14 @@
 	return w.changeBudget.Allows(w.host.Now(), float64(len(t.writes)+1)+reserve)
 }
 
-// sizeOf is an estimate from above of the bytes that a write takes of its transaction; false: its value
-// is over the service's limit.
+// sizeOf returns an upper bound on the bytes that a write takes in its transaction. fits is false if the value
+// exceeds the state service's limit.
 func (w *Writer) sizeOf(pending *write, value any) (bytes int, fits bool) {
 	bytes = 2*len(pending.key) + writeOverhead
 	if value == nil {
 		return bytes, true
 	}
-	// The Go field names are longer than the stored ones, so JSON is the longer encoding.
+	// The Go field names are longer than the stored names, so the JSON encoding is the longer one.
 	encoded, err := json.Marshal(value)
 	if err != nil || len(encoded) > w.limits.MaxValueBytes {
 		w.log.Error("record exceeds the value size limit", "key", pending.key, "bytes", len(encoded), "err", err)
@@ -126,7 +126,8 @@
 	return bytes + len(encoded), true
 }
 
-// addWrite puts a write into a transaction. What was never written needs no deletion.
+// addWrite adds a write to the transaction. The deletion of a key that does not exist is complete without a
+// request.
 func (w *Writer) addWrite(t *Transaction, next *write, value any) {
 	version := w.versions[next.key]
 	if value == nil && version == 0 {
@@ -142,8 +143,8 @@
 	t.put(protocol.Change{Put: next.key, Value: value})
 }
 
-// addFence has a transaction write the leader key if an earlier one may still be on its way, unless it
-// writes that key already.
+// addFence makes the transaction write the leader key if an earlier transaction may still be in flight, unless
+// the transaction writes the leader key already. The new version of the leader key fences off earlier ones.
 func (w *Writer) addFence(t *Transaction) {
 	if !w.needsFence || t.writesLeaderKey {
 		return
@@ -152,7 +153,7 @@
 	w.changeBudget.Take(w.host.Now(), 1)
 }
 
-// putLeaderKey has a transaction store the leader key.
+// putLeaderKey adds the change that stores the leader key.
 func (w *Writer) putLeaderKey(t *Transaction, entry LeaderEntry) {
 	t.writesLeaderKey, t.leaderEntry = true, entry
 	t.Body.Then = append(t.Body.Then, protocol.Change{Put: w.leader.Key, Value: entry.Record, Lease: entry.Lease})
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -1,6 +1,6 @@
-// Package statestore writes a leader's records to the state service. Writes that wait go out in one
-// transaction at a time, the most urgent first, within the service's limits. If it is unknown
-// whether a transaction applied, that is read back before anything else is written.
+// Package statestore writes a leader's records to the state service. Queued writes are sent in one transaction at a
+// time, in the order of their priority and within the service's limits. A transaction with an unknown outcome is
+// repeated or read back until the outcome is known; no other transaction is sent before.
 package statestore
 
 import (
@@ -15,13 +15,13 @@
 	"claybarrow/internal/stateclient"
 )
 
-// Priority orders the writes that wait; lower values go first.
+// Priority orders the queued writes. Lower values are written first.
 type Priority int
 
-// The priorities: what users wait for, what starts of replicas and then of batch tasks wait for,
-// completions, and what only helps a successor. Starts of a job array of thousands of tasks take the
-// state service's writes of many seconds: replicas that waited behind them missed service-level
-// objectives of a second.
+// The priorities: writes that users wait for, writes that starts of replicas wait for, writes that starts of batch
+// tasks wait for, completions, and two priorities for writes that only serve a later leader. Replicas precede batch
+// tasks because the starts of a job array of thousands of tasks use up the state service's write rate for many
+// seconds: replicas that waited behind them missed service-level objectives of one second.
 const (
 	PriorityUser Priority = iota
 	PriorityReplica
@@ -32,77 +32,78 @@
 	priorityCount
 )
 
-// Limits are the state service's, the lower of the present ones and those announced.
+// Limits are the limits of the state service: for each, the lower of the present and the announced limit.
 type Limits struct {
-	MaxChanges    int // of a transaction, with that of the leader key
-	MaxValueBytes int // of a value as JSON
-	// RequestTimeout is how long the writer waits for an answer.
+	MaxChanges    int // changes in a transaction, including the one of the leader key
+	MaxValueBytes int // size of a value as JSON
+	// RequestTimeout is the time that the writer waits for an answer.
 	RequestTimeout time.Duration
 }
 
-// unlimitedWrites is more writes than any transaction has.
+// unlimitedWrites is larger than the number of writes in any transaction.
 const unlimitedWrites = 1 << 20
 
-// Bounds of the transactions' latencies in the log.
+// Range and precision of the histogram of transaction latencies.
 const (
 	maxLatencyMillis = 60_000
 	latencyDigits    = 2 // significant decimal digits
 )
 
-// LeaderKey is the key whose version is a condition of every transaction: those of a former leader
-// fail by it.
+// LeaderKey is the key whose version is a condition of every transaction, so that transactions of a former leader
+// fail.
 type LeaderKey struct {
 	Key     string
 	Version uint64
 	Entry   LeaderEntry
 }
 
-// LeaderEntry is how the leader key is stored.
+// LeaderEntry is the value of the leader key and the lease that the key is attached to.
 type LeaderEntry struct {
 	Record any
-	Lease  uint64 // 0: the key is permanent
-	// Matches reports whether a stored value, as it was read, is the record.
+	Lease  uint64 // 0 if the key is permanent
+	// Matches reports whether a value, as read from the state service, equals Record.
 	Matches func(value []byte) bool
 }
 
-// EndReason is why the writer ends a leadership, as the log says it.
+// EndReason is the reason for which the writer ends a leadership, as it is logged.
 type EndReason string
 
 // The reasons.
 const (
-	// EndOtherLeader: another leader has written the leader key.
+	// EndOtherLeader means that another leader has written the leader key.
 	EndOtherLeader EndReason = "leader key belongs to another leader"
-	// EndRecordsDiffer: a key that only this leader writes has another version than it should, so the
-	// stored records are not those that this leader holds in memory.
+	// EndRecordsDiffer means that a key that only this leader writes has an unexpected version, so the stored
+	// records differ from this leader's state in memory.
 	EndRecordsDiffer EndReason = "stored records differ from memory"
-	// EndLeaderKeyRefused: the state service refuses to store the leader key.
+	// EndLeaderKeyRefused means that the state service rejects a write of the leader key as malformed.
 	EndLeaderKeyRefused EndReason = "leader key can't be written"
 )
 
-// Host is the leader that the records belong to. After End it does not call the writer any more, and
-// Ended returns true.
+// Host is the leader that the records belong to. Once EndLeadership was called, HasEnded returns true and the host
+// does not call the writer any more.
 type Host interface {
-	// Now is the controller's present time.
+	// Now returns the present time on the controller's clock.
 	Now() time.Duration
 	// MayRequest reports whether the budget allows a request to the state service.
 	MayRequest() bool
-	// RetryPause is a short wait before something is tried again.
+	// RetryPause returns the delay before a request is retried.
 	RetryPause() time.Duration
 	// EndLeadership ends the leadership.
 	EndLeadership(why EndReason)
 	HasEnded() bool
-	// OnUnavailable is called when the service executes nothing: no user should be kept waiting.
+	// OnUnavailable is called when the state service does not execute requests. The host should refuse the user
+	// requests that wait for a write instead of leaving them without an answer.
 	OnUnavailable()
-	// OnAbandoned is called when a record is given up that the service takes in no form.
+	// OnAbandoned is called when a record is abandoned because it is too large or the state service rejects it.
 	OnAbandoned(key string)
-	// OnRendered is called when a record was rendered in its present state, Stored when it is durable
+	// OnRendered is called when a record was rendered from its present state, OnStored when the record is durable
 	// as it was last rendered.
 	OnRendered(key string)
 	OnStored(key string)
 }
 
-// write is a record that waits to be written. It is rendered only when its transaction is made, so
-// that all changes of a record up to then are one write.
+// write is a queued write of a record. The record is rendered only when the write is added to a transaction, so
+// that all changes of the record until then are combined in one write.
 type write struct {
 	key      string
 	priority Priority
@@ -110,13 +111,13 @@
 	onStored []func()
 }
 
-// Writer writes the records. There is one transaction at a time, so that one with an unknown outcome
-// blocks its keys simply by being the only one. Each key's version is a condition, so a lost
+// Writer writes the records. Only one transaction is sent at a time, so no other transaction can write a key while
+// the outcome for this key is unknown. The version of each key is a condition of the transaction, so a delayed
 // transaction that applies late can't undo a newer one.
 //
-// Absent keys all have the version 0, though: a transaction that creates keys could apply once more
-// after they were deleted again. So after a request without an answer the next transaction also
-// writes the leader key, whose version is a condition of all: from then on no earlier one can apply.
+// The version of an absent key, however, is always 0: a delayed transaction that creates keys could apply again
+// after the keys were deleted. Therefore, after a request without an answer, the next transaction also writes the
+// leader key. As the version of the leader key is a condition of every transaction, no earlier one can apply then.
 type Writer struct {
 	host         Host
 	client       *stateclient.Client
@@ -129,18 +130,18 @@
 	pending  map[string]*write
 	queues   [priorityCount][]*write
 	current  *Transaction
-	// leaderChange is to be the next transaction, or nil.
+	// leaderChange is the change of the leader key that the next transaction carries out, or nil.
 	leaderChange *LeaderChange
-	// needsFence means that a transaction without an answer may still be on its way.
+	// needsFence means that a transaction that was not answered may still be in flight.
 	needsFence bool
-	// maxWrites is how many writes a transaction may have. It is lowered when the service calls one
-	// invalid, until the record at fault has been found.
+	// maxWrites is the maximum number of writes in a transaction. It is lowered when the state service rejects a
+	// transaction as malformed, until the malformed record is isolated.
 	maxWrites int
-	// latencies are the times until transactions were known to have applied, in milliseconds.
+	// latencies are the times, in milliseconds, until transactions were known to have applied.
 	latencies *hdrhistogram.Histogram
 }
 
-// NewWriter makes the writer of a new leader's term. The budget is that of changes per second.
+// NewWriter returns the writer of a new leadership. changes limits the rate of changes to the state service.
 func NewWriter(host Host, client *stateclient.Client, log *slog.Logger, limits Limits, changes *ratelimit.TokenBucket, leader LeaderKey) *Writer {
 	return &Writer{
 		host: host, client: client, log: log, limits: limits, changeBudget: changes, leader: leader,
@@ -149,24 +150,24 @@
 	}
 }
 
-// Version returns the version of a key as it was last read or written; 0: the key is absent.
+// Version returns the version of a key as it was last read or written, or 0 if the key is absent.
 func (w *Writer) Version(key string) uint64 { return w.versions[key] }
 
-// SetVersion notes the version of a key that was read.
+// SetVersion records the version of a key that was read.
 func (w *Writer) SetVersion(key string, version uint64) { w.versions[key] = version }
 
-// IsPending reports whether a write of a key waits for a transaction.
+// IsPending reports whether a write of the key is queued.
 func (w *Writer) IsPending(key string) bool { return w.pending[key] != nil }
 
-// Busy reports whether a transaction is under way.
+// Busy reports whether a transaction was built and its outcome is not known yet.
 func (w *Writer) Busy() bool { return w.current != nil }
 
-// Latencies returns the latencies of the transactions in milliseconds, since the caller last reset them.
+// Latencies returns the histogram of the transactions' latencies in milliseconds. The caller may reset it.
 func (w *Writer) Latencies() *hdrhistogram.Histogram { return w.latencies }
 
-// QueueWrite queues a write of a key's record. Render returns the record when the transaction is made, nil
-// to delete the key. Then is called when the write is durable; it may be nil. If a write of the key
-// waits already, both become one of the more urgent priority.
+// QueueWrite queues a write of the record of a key. render is called when the write is added to a transaction and
+// returns the record, or nil to delete the key. then is called once the write is durable; it may be nil. If a write
+// of the key is queued already, both are combined in one write with the more urgent priority.
 func (w *Writer) QueueWrite(key string, priority Priority, render func() any, then func()) {
 	pending := w.pending[key]
 	if pending == nil {
@@ -184,7 +185,7 @@
 	}
 }
 
-// CancelWrite cancels a write that is in no transaction yet. It returns false if there is none.
+// CancelWrite cancels a queued write that is not part of a transaction yet. It returns false if there is none.
 func (w *Writer) CancelWrite(key string) bool {
 	pending := w.pending[key]
 	if pending == nil {
@@ -195,14 +196,14 @@
 	return true
 }
 
-// dequeue takes a write out of its queue.
+// dequeue removes a write from its queue.
 func (w *Writer) dequeue(pending *write) {
 	queue := &w.queues[pending.priority]
 	*queue = slices.DeleteFunc(*queue, func(other *write) bool { return other == pending })
 }
 
-// requeue queues a transaction's writes again, first in their queues. A write that was asked for
-// meanwhile keeps its newer request.
+// requeue inserts the writes of a transaction at the front of their queues again. If a newer write of a key was
+// queued in the meantime, that write is kept and takes over the callbacks of the older one.
 func (w *Writer) requeue(t *Transaction) {
 	for _, former := range slices.Backward(t.writes) {
 		if newer := w.pending[former.key]; newer != nil {
@@ -214,7 +215,7 @@
 	}
 }
 
-// notifyStored tells those who wait that a record is durable.
+// notifyStored calls the host and the callbacks of a write that is durable.
 func (w *Writer) notifyStored(stored *write) {
 	w.host.OnStored(stored.key)
 	for _, notify := range stored.onStored {
@@ -222,8 +223,8 @@
 	}
 }
 
-// Flush sends the next transaction, unless one is under way. One that is to be repeated or read back
-// is sent when its pause is over.
+// Flush sends the next transaction, unless the outcome of one is not known yet. A transaction that must be repeated
+// or read back is sent once its retry delay has passed.
 func (w *Writer) Flush() {
 	if w.current == nil {
 		w.current = w.nextTransaction()
@@ -241,8 +242,8 @@
 	w.client.Commit(t.Body, w.limits.RequestTimeout, func(revision uint64, err error) { w.onAnswer(t, revision, err) })
 }
 
-// nextTransaction makes the next transaction; nil: nothing waits, or the budget does not allow it. A
-// change of the leader key goes first.
+// nextTransaction builds the next transaction. A change of the leader key precedes the queued writes. It returns
+// nil if there is nothing to write or the budget does not allow it.
 func (w *Writer) nextTransaction() *Transaction {
 	if !w.host.MayRequest() {
 		return nil
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -13,7 +13,7 @@
 	"claybarrow/internal/stateclient"
 )
 
-// fakeHost is a leader whose state service answers as a test says.
+// fakeHost is a leader that records the requests to the state service, so that the test can answer them.
 type fakeHost struct {
 	now         time.Duration
 	sent        []sentRequest
@@ -41,11 +41,11 @@
 func (h *fakeHost) OnStored(string)             {}
 func (h *fakeHost) OnAbandoned(key string)      { h.abandoned = append(h.abandoned, key) }
 
-// last is the request that left last.
+// last returns the request that was sent last.
 func (h *fakeHost) last(t *testing.T) sentRequest {
 	t.Helper()
 	if len(h.sent) == 0 {
-		t.Fatal("nothing left")
+		t.Fatal("no request was sent")
 	}
 	return h.sent[len(h.sent)-1]
 }
@@ -60,7 +60,7 @@
 	return host, w
 }
 
-// testEntry is a leader key whose record is a string.
+// testEntry returns a leader entry whose record is a string.
 func testEntry(record string, lease uint64) LeaderEntry {
 	return LeaderEntry{Record: record, Lease: lease, Matches: func(value []byte) bool {
 		var stored string
@@ -77,59 +77,59 @@
 func failed(keys ...string) []byte { return protocol.Encode(protocol.TransactionReply{Failed: keys}) }
 
 func puts(c sentRequest) []string {
-	var out []string
+	var keys []string
 	for _, change := range c.body.(protocol.Transaction).Then {
-		out = append(out, change.Put+change.Delete)
+		keys = append(keys, change.Put+change.Delete)
 	}
-	return out
+	return keys
 }
 
-// The most urgent goes first, one transaction at a time, and a key that is asked for twice is written once.
+// The most urgent writes are sent first, in one transaction at a time. A key that is queued twice is written once.
 func TestOrderOfWrites(t *testing.T) {
 	host, w := newTestWriter(4)
 	done := map[string]int{}
-	mark := func(key string, priority Priority) {
+	queue := func(key string, priority Priority) {
 		w.QueueWrite(key, priority, value(key), func() { done[key]++ })
 	}
-	mark("k/lazy", PriorityBackground)
-	mark("m/batch", PriorityBatch)
-	mark("j/user", PriorityUser)
-	mark("m/replica", PriorityReplica)
-	mark("m/batch", PriorityReplica) // more urgent now
+	queue("k/lazy", PriorityBackground)
+	queue("m/batch", PriorityBatch)
+	queue("j/user", PriorityUser)
+	queue("m/replica", PriorityReplica)
+	queue("m/batch", PriorityReplica) // raises the priority of the queued write
 	w.Flush()
 	w.Flush()
 	if len(host.sent) != 1 || !slices.Equal(puts(host.sent[0]), []string{"j/user", "m/replica", "m/batch"}) {
-		t.Fatalf("%d requests, %v", len(host.sent), puts(host.sent[0]))
+		t.Fatalf("%d requests, the first one writes %v", len(host.sent), puts(host.sent[0]))
 	}
 	if condition := host.sent[0].body.(protocol.Transaction).If[0]; condition.Key != "c/leader" || condition.Version != 5 {
 		t.Errorf("the first condition is %+v", condition)
 	}
 	host.sent[0].answer(200, applied(9))
 	if done["m/batch"] != 2 || done["j/user"] != 1 || done["k/lazy"] != 0 || w.Version("m/batch") != 9 || w.Busy() {
-		t.Errorf("%v", done)
+		t.Errorf("callbacks by key %v, m/batch has version %d, busy %v", done, w.Version("m/batch"), w.Busy())
 	}
 	w.Flush()
 	if got := puts(host.last(t)); !slices.Equal(got, []string{"k/lazy"}) {
-		t.Errorf("then %v", got)
+		t.Errorf("the next transaction writes %v, want k/lazy", got)
 	}
 }
 
-// What can be taken back has not left yet.
-func TestUnmark(t *testing.T) {
+// A queued write can be cancelled once. A write that was sent can't be cancelled.
+func TestCancelWrite(t *testing.T) {
 	_, w := newTestWriter(4)
 	w.QueueWrite("j/1", PriorityUser, value(1), nil)
 	if !w.CancelWrite("j/1") || w.CancelWrite("j/1") || w.IsPending("j/1") {
-		t.Error("a write that waits is not taken back")
+		t.Error("a queued write is not cancelled, or is cancelled twice")
 	}
 	w.QueueWrite("j/1", PriorityUser, value(1), nil)
 	w.Flush()
 	if w.CancelWrite("j/1") {
-		t.Error("a write that has left is taken back")
+		t.Error("a write that was sent is cancelled")
 	}
 }
 
-// An answer that is lost is found out by reading back, and the next transaction writes the leader key, so
-// that no earlier try can apply any more.
+// After a lost answer the transaction is repeated and also writes the leader key, so that no earlier attempt can
+// apply any more. If the repeated transaction has a conflict, the outcome is determined by reading a key back.
 func TestLostAnswer(t *testing.T) {
 	host, w := newTestWriter(4)
 	done := 0
@@ -138,39 +138,39 @@
 	host.last(t).answer(0, nil)
 	w.Flush()
 	if len(host.sent) != 1 {
-		t.Error("it is repeated without a pause")
+		t.Error("the transaction is repeated without a delay")
 	}
 	host.now += time.Second
 	w.Flush()
 	if got := puts(host.last(t)); !slices.Equal(got, []string{"m/1", "c/leader"}) {
-		t.Errorf("repeated as %v", got)
+		t.Errorf("the repeated transaction writes %v, want m/1 and c/leader", got)
 	}
 	host.last(t).answer(409, failed("m/1"))
 	w.Flush()
 	if c := host.last(t); c.method != "GET" || c.path != "/store/m/1" {
-		t.Fatalf("%s %s", c.method, c.path)
+		t.Fatalf("the request is %s %s, want GET /store/m/1", c.method, c.path)
 	}
 	host.last(t).answer(200, protocol.Encode(protocol.KeyValue{Key: "m/1", Version: 12}))
 	if done != 1 || w.Version("m/1") != 12 || host.ended != "" {
-		t.Errorf("done %d, version %d, ended %q", done, w.Version("m/1"), host.ended)
+		t.Errorf("%d callbacks, version %d, leadership ended by %q", done, w.Version("m/1"), host.ended)
 	}
 }
 
-// Another leader's key ends the term, unless an earlier try of our own has written it.
+// A conflict on the leader key ends the leadership, unless an earlier attempt of this leader wrote the key.
 func TestConflictsOfTheLeaderKey(t *testing.T) {
 	host, w := newTestWriter(4)
 	w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
 	w.Flush()
 	host.last(t).answer(409, failed("c/leader"))
 	if host.ended != EndOtherLeader {
-		t.Errorf("ended %q under another leader's key", host.ended)
+		t.Errorf("leadership ended by %q, want %q", host.ended, EndOtherLeader)
 	}
 	for _, c := range []struct {
 		name, record string
 		ended        EndReason
 		version      uint64
 	}{
-		{"an earlier try of our own", ourRecord, "", 20},
+		{"an earlier attempt of this leader", ourRecord, "", 20},
 		{"another leader", "another's", EndOtherLeader, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -180,32 +180,34 @@
 			host.last(t).answer(0, nil)
 			host.now += time.Second
 			w.Flush()
-			host.last(t).answer(0, nil) // also the one that writes the leader key
+			host.last(t).answer(0, nil) // the repeated transaction, which writes the leader key, has no answer either
 			host.now += time.Second
 			w.Flush()
 			host.last(t).answer(409, failed("c/leader"))
 			w.Flush()
 			host.last(t).answer(200, protocol.Encode(map[string]any{"k": "c/leader", "data": c.record, "stamp": 20}))
 			if host.ended != c.ended || w.Version("m/1") != c.version {
-				t.Errorf("ended %q, version %d", host.ended, w.Version("m/1"))
+				t.Errorf("leadership ended by %q, want %q; version %d, want %d", host.ended, c.ended, w.Version("m/1"), c.version)
 			}
 		})
 	}
 }
 
-// A version that differs without an earlier try means that the stored records are not what this leader assumes.
+// A conflict on a record ends the leadership if no earlier attempt can have written the record: the stored records
+// then differ from this leader's state in memory.
 func TestConflictOfARecord(t *testing.T) {
 	host, w := newTestWriter(4)
 	w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
 	w.Flush()
 	host.last(t).answer(409, failed("m/1"))
 	if host.ended != EndRecordsDiffer {
-		t.Errorf("ended %q", host.ended)
+		t.Errorf("leadership ended by %q, want %q", host.ended, EndRecordsDiffer)
 	}
 }
 
-// What is called malformed goes out in halves, until the record at fault is found and given up.
-func TestMalformed(t *testing.T) {
+// The writes of a transaction that is rejected as malformed are sent in smaller and smaller transactions until the
+// malformed record is isolated and abandoned. All other records are written.
+func TestMalformedRecord(t *testing.T) {
 	host, w := newTestWriter(20)
 	for i := range 8 {
 		w.QueueWrite(fmt.Sprintf("m/%d", i), PriorityBatch, value("a"), nil)
@@ -225,7 +227,7 @@
 		c.answer(200, applied(revision))
 	}
 	if !slices.Equal(host.abandoned, []string{"m/5"}) {
-		t.Errorf("given up: %v", host.abandoned)
+		t.Errorf("abandoned records %v, want m/5", host.abandoned)
 	}
 	for i := range 8 {
 		if (w.Version(fmt.Sprintf("m/%d", i)) != 0) != (i != 5) {
@@ -234,8 +236,9 @@
 	}
 }
 
-// What an answer means: only those that leave the outcome unknown have the repeat fence off earlier tries.
-func TestRepeats(t *testing.T) {
+// Each failed request is repeated after a delay. The repeated transaction fences off the earlier attempt only if the
+// answer left the outcome unknown.
+func TestRetries(t *testing.T) {
 	undecodable := []byte{0xc1}
 	for _, c := range []struct {
 		name        string
@@ -259,7 +262,7 @@
 			host.last(t).answer(c.status, c.body)
 			w.Flush()
 			if len(host.sent) != 1 || host.unavailable != c.unavailable || host.ended != "" {
-				t.Fatalf("%d requests before the pause, told %d times of an outage, ended %q", len(host.sent), host.unavailable, host.ended)
+				t.Fatalf("%d requests before the delay has passed, OnUnavailable called %d times, leadership ended by %q", len(host.sent), host.unavailable, host.ended)
 			}
 			host.now += host.RetryPause()
 			w.Flush()
@@ -268,50 +271,51 @@
 				want = append(want, "c/leader")
 			}
 			if got := puts(host.last(t)); len(host.sent) != 2 || !slices.Equal(got, want) {
-				t.Errorf("%d requests, repeated as %v, want %v", len(host.sent), got, want)
+				t.Errorf("%d requests, the last one writes %v, want %v", len(host.sent), got, want)
 			}
 		})
 	}
 }
 
-// Limits are met exactly: a value of as many bytes as may be, one more, and one change more.
+// The limits are exact: a value of the maximum size is written, a value of one byte more is abandoned, and a write
+// beyond the maximum number of changes waits for the next transaction.
 func TestLimits(t *testing.T) {
 	host, w := newTestWriter(3)
-	w.QueueWrite("m/fits", PriorityBatch, value(strings.Repeat("x", 98)), nil) // and two quotes
+	w.QueueWrite("m/fits", PriorityBatch, value(strings.Repeat("x", 98)), nil) // 100 bytes as JSON, with the quotes
 	w.QueueWrite("m/large", PriorityBatch, value(strings.Repeat("x", 99)), nil)
 	w.QueueWrite("m/second", PriorityBatch, value(1), nil)
 	w.QueueWrite("m/third", PriorityBatch, value(1), nil)
 	w.Flush()
 	if got := puts(host.last(t)); !slices.Equal(got, []string{"m/fits", "m/second"}) || !slices.Equal(host.abandoned, []string{"m/large"}) {
-		t.Errorf("%v leave, %v are given up", got, host.abandoned)
+		t.Errorf("the transaction writes %v, abandoned records %v", got, host.abandoned)
 	}
 	host.last(t).answer(429, nil)
 	w.Flush()
 	if len(host.sent) != 1 {
-		t.Error("it is repeated without a pause")
+		t.Error("the transaction is repeated without a delay")
 	}
 	host.now += time.Second
 	w.Flush()
 	host.last(t).answer(503, nil)
 	if host.unavailable != 1 {
-		t.Error("users are kept waiting for a service that is down")
+		t.Errorf("OnUnavailable called %d times, want once", host.unavailable)
 	}
 }
 
-// What was never written needs no deletion.
-func TestDeletionOfNothing(t *testing.T) {
+// The deletion of a key that does not exist is complete without a request.
+func TestDeletionOfAbsentKey(t *testing.T) {
 	host, w := newTestWriter(4)
 	done := 0
 	w.QueueWrite("d/1", PriorityBackground, value(nil), func() { done++ })
 	w.Flush()
 	if len(host.sent) != 0 || done != 1 {
-		t.Errorf("%d requests, done %d", len(host.sent), done)
+		t.Errorf("%d requests, %d callbacks", len(host.sent), done)
 	}
 	w.SetVersion("d/2", 7)
 	w.QueueWrite("d/2", PriorityBackground, value(nil), func() { done++ })
 	w.Flush()
 	host.last(t).answer(200, applied(9))
 	if done != 2 || w.Version("d/2") != 0 {
-		t.Errorf("done %d, version %d", done, w.Version("d/2"))
+		t.Errorf("%d callbacks, version %d", done, w.Version("d/2"))
 	}
 }
