--- a/internal/completionjournal/compaction.go
+++ b/internal/completionjournal/compaction.go
@@ -6,17 +6,18 @@
 	"claybarrow/internal/statestore"
 )
 
-// compactionsPerTick bounds the values whose compaction begins in one call of Tick.
+// compactionsPerTick limits the number of values whose compaction begins in one call of Tick.
 const compactionsPerTick = 4
 
-// RecordRendered records that a record was rendered as it is now, with all entries added until now.
+// RecordRendered must be called when a record was rendered from its present state, which contains all entries that
+// were added until now.
 func (j *Journal) RecordRendered(record string) {
 	for _, e := range j.byRecord[record] {
 		e.rendered = true
 	}
 }
 
-// RecordStored records that a record is durable as it was last rendered.
+// RecordStored must be called when a record is durable as it was last rendered.
 func (j *Journal) RecordStored(record string) {
 	entries := j.byRecord[record]
 	if len(entries) == 0 {
@@ -40,7 +41,7 @@
 	}
 }
 
-// markCompacted records that an entry is redundant, as its record has it.
+// markCompacted records that an entry is redundant because its stored record contains it.
 func (j *Journal) markCompacted(e *entryState) {
 	if e.compacted {
 		return
@@ -56,7 +57,8 @@
 	}
 }
 
-// Tick compacts old values, the oldest first, and all of them once the journal is closed or abandoned.
+// Tick begins the compaction of the values that are old enough, the oldest first. Once the journal is closed or
+// abandoned, it compacts all values.
 func (j *Journal) Tick() {
 	if !j.enabled {
 		j.compactPending()
@@ -80,10 +82,11 @@
 	}
 }
 
-// compactPending has the records take the entries that will never be in a value.
+// compactPending requests the compaction of the pending entries, which will not be written to a value once the
+// journal is closed.
 func (j *Journal) compactPending() {
 	if j.writePending {
-		return // a value with them is under way
+		return // a write of a value with these entries is queued or in flight
 	}
 	for _, e := range slices.Clone(j.pending) {
 		if e.compacted {
@@ -98,7 +101,7 @@
 	j.pending = slices.DeleteFunc(j.pending, func(e *entryState) bool { return e.compacted })
 }
 
-// compactValue has the records take all entries of a value.
+// compactValue requests the compaction of all entries of a value.
 func (j *Journal) compactValue(v *valueState) {
 	v.compacting = true
 	if j.tail == v {
@@ -112,7 +115,7 @@
 	}
 }
 
-// requestCompaction calls the compactor for an entry, once.
+// requestCompaction calls the compactor for an entry, unless it was called for this entry before.
 func (j *Journal) requestCompaction(e *entryState, priority statestore.Priority) {
 	if e.compactionRequested {
 		return
@@ -121,8 +124,8 @@
 	j.compactor.Compact(e.entry, e.record, priority)
 }
 
-// compactionPriority is the lowest one until the journal is half full. From then on compaction must not be
-// starved by other writes.
+// compactionPriority returns the background priority until the journal is half full. From then on other writes must
+// not starve compaction.
 func (j *Journal) compactionPriority() statestore.Priority {
 	if j.isHalfFull() {
 		return statestore.PriorityCompletion
@@ -130,10 +133,10 @@
 	return statestore.PriorityBackground
 }
 
-// isHalfFull reports whether more than half of the values that may be stored are.
+// isHalfFull reports whether the journal has more than half of the maximum number of values.
 func (j *Journal) isHalfFull() bool { return len(j.values) > j.limits.Values/2 }
 
-// deleteValue deletes a value whose entries are all compacted.
+// deleteValue queues the deletion of a value of which all entries are compacted.
 func (j *Journal) deleteValue(v *valueState) {
 	if v.deleting {
 		return
--- a/internal/completionjournal/entry.go
+++ b/internal/completionjournal/entry.go
@@ -7,8 +7,8 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// Entry is a completion or a departure. With a machine it says that the attempt has left that machine,
-// without one that the task is done.
+// Entry is a completion or a departure. A completion has no machine and means that the task is done. A departure
+// has a machine and means that the attempt has left that machine.
 type Entry struct {
 	Job     string // UID
 	Index   int    // of the task
@@ -25,11 +25,11 @@
 	)
 }
 
-// Bounds of what is accepted when a value is read, whatever it claims.
+// Limits on the values that are decoded. A value may be damaged and contain any numbers.
 const (
-	// maxTasks is the most tasks that the protocol allows for a job.
+	// maxTasks is the maximum number of tasks of a job that the protocol allows.
 	maxTasks = 100_000
-	// maxEntries bounds the memory that the entries of one value take.
+	// maxEntries limits the memory that the entries of one value take.
 	maxEntries = 1 << 18
 )
 
@@ -39,24 +39,25 @@
 	Departures  []machineDepartures `cbor:"2,keyasint,omitempty"`
 }
 
-// jobCompletions are the completed tasks of a job. It is stored as an array: the order of its fields is the
-// encoding.
+// jobCompletions are the completed tasks of a job. It is encoded as an array, so the order of its fields must not
+// change.
 type jobCompletions struct {
 	_   struct{} `cbor:",toarray"`
 	Job string
-	// Tasks are the tasks' indices as a serialized roaring bitmap.
+	// Tasks is the set of task indices as a serialized roaring bitmap.
 	Tasks []byte
 }
 
-// machineDepartures are the attempts that have left a machine. It is stored as an array: the order of its
-// fields is the encoding.
+// machineDepartures are the attempts that have left a machine. It is encoded as an array, so the order of its
+// fields must not change.
 type machineDepartures struct {
 	_        struct{} `cbor:",toarray"`
 	Machine  string
 	Attempts []departedAttempt
 }
 
-// departedAttempt is stored as an array: the order of its fields is the encoding.
+// departedAttempt is an attempt that has left a machine. It is encoded as an array, so the order of its fields must
+// not change.
 type departedAttempt struct {
 	_      struct{} `cbor:",toarray"`
 	Job    string
@@ -70,7 +71,7 @@
 	var body valueBody
 	tasksByJob := map[string]*roaring.Bitmap{}
 	var jobs []string
-	machines := map[string]int{} // positions in body.Departures
+	positions := map[string]int{} // indices in body.Departures, by machine
 	for _, e := range entries {
 		if e.Machine == "" {
 			if tasksByJob[e.Job] == nil {
@@ -80,14 +81,14 @@
 			tasksByJob[e.Job].Add(uint32(e.Index))
 			continue
 		}
-		at, known := machines[e.Machine]
-		if !known {
-			at = len(body.Departures)
-			machines[e.Machine] = at
+		position, grouped := positions[e.Machine]
+		if !grouped {
+			position = len(body.Departures)
+			positions[e.Machine] = position
 			body.Departures = append(body.Departures, machineDepartures{Machine: e.Machine})
 		}
 		attempt := departedAttempt{Job: e.Job, Index: uint32(e.Index), Number: e.Attempt}
-		body.Departures[at].Attempts = append(body.Departures[at].Attempts, attempt)
+		body.Departures[position].Attempts = append(body.Departures[position].Attempts, attempt)
 	}
 	for _, job := range jobs {
 		body.Completions = append(body.Completions, jobCompletions{Job: job, Tasks: packBitmap(tasksByJob[job])})
@@ -95,7 +96,7 @@
 	return body
 }
 
-// listEntries lists the entries of a body, completions first. Its errors wrap ErrMalformed.
+// listEntries returns the entries of a body, completions first. Its errors wrap ErrMalformed.
 func listEntries(body valueBody) ([]Entry, error) {
 	var entries []Entry
 	for _, completions := range body.Completions {
@@ -104,7 +105,7 @@
 			return nil, fmt.Errorf("%w: tasks of job %q: %w", ErrMalformed, completions.Job, err)
 		}
 		if count := uint64(len(entries)) + tasks.GetCardinality(); count > maxEntries {
-			return nil, fmt.Errorf("%w: %d entries, %d are read", ErrMalformed, count, maxEntries)
+			return nil, fmt.Errorf("%w: %d entries, limit %d", ErrMalformed, count, maxEntries)
 		}
 		for _, index := range tasks.ToArray() {
 			entries = append(entries, Entry{Job: completions.Job, Index: int(index)})
@@ -113,7 +114,7 @@
 	for _, departures := range body.Departures {
 		for _, a := range departures.Attempts {
 			if departures.Machine == "" || a.Index >= maxTasks {
-				return nil, fmt.Errorf("%w: attempt of job %q: machine %q, task %d", ErrMalformed, a.Job, departures.Machine, a.Index)
+				return nil, fmt.Errorf("%w: departure of job %q: machine %q, task index %d", ErrMalformed, a.Job, departures.Machine, a.Index)
 			}
 			entries = append(entries, Entry{Job: a.Job, Index: int(a.Index), Machine: departures.Machine, Attempt: a.Number})
 		}
@@ -125,17 +126,17 @@
 	tasks.RunOptimize()
 	packed, err := tasks.ToBytes()
 	if err != nil {
-		panic(fmt.Sprintf("completionjournal: bitmap: %v", err)) // writing to memory does not fail
+		panic(fmt.Sprintf("completionjournal: bitmap can't be serialized: %v", err)) // writing to memory does not fail
 	}
 	return packed
 }
 
-// readBitmap reads a serialized bitmap. A damaged one must never end the process, so a panic of the library
-// is returned as an error.
+// readBitmap deserializes a bitmap. A damaged bitmap must not crash the process, so a panic of the library is
+// returned as an error.
 func readBitmap(packed []byte) (tasks *roaring.Bitmap, err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("not a bitmap: %v", r)
+			err = fmt.Errorf("invalid bitmap: %v", r)
 		}
 	}()
 	tasks = roaring.New()
@@ -146,7 +147,7 @@
 		return nil, err
 	}
 	if !tasks.IsEmpty() && tasks.Maximum() >= maxTasks {
-		return nil, fmt.Errorf("task %d, a job has %d at most", tasks.Maximum(), maxTasks)
+		return nil, fmt.Errorf("task index %d, a job has at most %d tasks", tasks.Maximum(), maxTasks)
 	}
 	return tasks, nil
 }
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -1,16 +1,14 @@
-// Package completionjournal stores completions of tasks and departures of attempts, many in one value of
-// the state service. A completion says that a task of an array is done, a departure that an attempt has
-// left its machine. Each would otherwise be a write of its own, to the job's completion record or to the
-// machine's record.
+// Package completionjournal stores completions of tasks and departures of attempts, many in one value of the state
+// service. A completion means that a task of an array is done, a departure that an attempt has left its machine.
+// Without the journal each of them would be a separate write of the job's completion record or the machine's record.
 //
-// The journal is written by the leader while the feature gate is open, under the keys
-// g/<token>/<number>. The records take the entries in when they are next written; that is compaction, and
-// a value is deleted once all its entries are compacted. At a failover the new leader reads the records
-// first and the journal after them.
+// The leader writes the journal while the feature gate is open, under the keys g/<token>/<number>. When a record is
+// next written, it includes the entries that belong to it; this is compaction. A value is deleted once all its
+// entries are compacted. At a failover the new leader reads the records first and the journal after them.
 //
-// An entry only repeats what a record is going to say, so reading it twice, or after the record has it,
-// changes nothing. A lost value costs work and breaks no rule: a task is started again and exits as done,
-// and an attempt counts as present until its machine proves otherwise.
+// An entry only anticipates the next contents of a record. Reading an entry twice, or after its record contains it,
+// has no further effect. The loss of a value costs work but violates no invariant: a task is started again and exits
+// as done, and an attempt counts as present until its machine reports otherwise.
 package completionjournal
 
 import (
@@ -20,39 +18,39 @@
 	"claybarrow/internal/statestore"
 )
 
-// Store writes the journal's values; a statestore.Writer is one.
+// Store writes the journal's values. *statestore.Writer implements it.
 type Store interface {
-	// QueueWrite has the key written with what render returns when the transaction is made (nil: deleted),
-	// and then called once that is durable.
+	// QueueWrite queues a write of a key. render is called when the write is added to a transaction and returns
+	// the value, or nil to delete the key. then is called once the write is durable.
 	QueueWrite(key string, priority statestore.Priority, render func() any, then func())
-	// CancelWrite takes a Mark back; false if it was not waiting.
+	// CancelWrite cancels a queued write. It returns false if no write of the key is queued.
 	CancelWrite(key string) bool
-	// IsPending reports whether a Mark waits for its transaction.
+	// IsPending reports whether a write of the key is queued.
 	IsPending(key string) bool
 }
 
 // Compactor owns the records that entries are compacted into.
 type Compactor interface {
-	// Compact has the record that makes an entry redundant written before long. If there is no such
-	// record any more, it tells the journal at once that the record is rendered and stored.
+	// Compact schedules a write of the record that makes an entry redundant. If the record no longer exists, it
+	// calls RecordRendered and RecordStored of the journal at once.
 	Compact(entry Entry, record string, priority statestore.Priority)
 }
 
-// Limits bound the journal.
+// Limits are the limits of the journal's size and age.
 type Limits struct {
-	// MaxValueBytes is the most that a value may take as JSON.
+	// ValueBytes is the maximum size of a value as JSON.
 	ValueBytes int
-	// Values is how many values may be stored at a time. Beyond it entries go to their records.
+	// Values is the maximum number of stored values. Further entries are written to their records instead.
 	Values int
-	// CompactAfter is the age at which a value's entries are compacted.
+	// CompactAfter is the age at which the entries of a value are compacted.
 	CompactAfter time.Duration
 }
 
-// maxValueBytes keeps a value from filling a transaction that other writes wait for.
+// maxValueBytes limits the size of a value so that a transaction has room for other queued writes.
 const maxValueBytes = 24 << 10
 
-// Journal is the journal of one leadership. Entries wait until the next transaction takes all that have
-// accumulated. It is not safe for concurrent use.
+// Journal is the journal of one leadership. Entries accumulate until the next transaction writes as many of them as
+// fit into a value. A Journal is not safe for concurrent use.
 type Journal struct {
 	token     uint64
 	limits    Limits
@@ -61,47 +59,47 @@
 	now       func() time.Duration // the leader's clock
 	enabled   bool
 
-	// pending are the entries that no stored value has.
+	// pending are the entries that no stored value contains.
 	pending []*entryState
-	// hasWaiter: there is a callback for a pending entry, so it is written with priority.
+	// hasWaiter is set if a pending entry has a callback. The tail is then written with a higher priority.
 	hasWaiter bool
 
-	// tail is the value that is written next or was written last; nil: the next write begins one.
+	// tail is the value that is written next or was written last, or nil if the next write begins a new value.
 	tail       *valueState
-	lastNumber uint64 // of the values of this leadership
-	// writePending: the tail's write waits or is under way.
+	lastNumber uint64 // highest number of a value of this leadership
+	// writePending is set while a write of the tail is queued or in flight.
 	writePending bool
-	// renderedEntries are the pending entries that the tail's last rendering took. renderedValue: that
-	// rendering was a value, not a deletion.
+	// renderedEntries are the pending entries that the last rendering of the tail included. renderedValue is set
+	// if that rendering was a value, and not a deletion.
 	renderedEntries []*entryState
 	renderedValue   bool
 
-	// values are all that may be stored, in the order in which they were begun.
+	// values are all values that may be stored, in the order of their creation.
 	values   []*valueState
-	byRecord map[string][]*entryState
+	byRecord map[string][]*entryState // entries that are not compacted, by the key of their record
 }
 
 // entryState is an entry with the record that will make it redundant.
 type entryState struct {
 	entry  Entry
 	record string
-	// onDurable is called once the entry is durable, in a value or in its record; nil: nobody waits.
+	// onDurable is called once the entry is durable, in a value or in its record. It may be nil.
 	onDurable func()
-	// value is the one that has the entry; nil: the entry is pending.
+	// value is the stored value that contains the entry, or nil while the entry is pending.
 	value *valueState
-	// rendered: the record was rendered with the entry. compacted: it was stored so.
+	// rendered is set once the record was rendered with the entry, compacted once that record is stored.
 	rendered, compacted bool
-	// compactionRequested: the compactor was called for it.
+	// compactionRequested is set once the compactor was called for the entry.
 	compactionRequested bool
 }
 
-// needsValue reports whether a pending entry has to be written to a value. One that its record was just
-// rendered with need not, unless somebody waits for it.
+// needsValue reports whether a pending entry must be written to a value. An entry whose record was rendered with it
+// needs no value unless it has a callback.
 func (e *entryState) needsValue() bool {
 	return !e.compacted && (!e.rendered || e.onDurable != nil)
 }
 
-// notifyDurable calls whoever waits for the entry, once.
+// notifyDurable calls the callback of the entry, if any, at most once.
 func (e *entryState) notifyDurable() {
 	if onDurable := e.onDurable; onDurable != nil {
 		e.onDurable = nil
@@ -113,13 +111,13 @@
 type valueState struct {
 	key       string
 	createdAt time.Duration
-	// bodyBytes is the length of the body as last rendered.
+	// bodyBytes is the length of the body as it was last rendered.
 	bodyBytes int
-	// entries are those of the stored value, uncompacted the number of them that are not compacted.
+	// entries are the entries of the stored value, uncompacted is the number of entries that are not compacted.
 	entries     []*entryState
 	uncompacted int
 	stored      bool
-	// compacting: the compactor was called for all entries. deleting: the deletion waits or is under way.
+	// compacting is set once compaction was requested for all entries, deleting once the deletion was queued.
 	compacting, deleting bool
 }
 
@@ -133,7 +131,7 @@
 	return entries
 }
 
-// New makes the journal of the leadership with the fencing token. It takes no entries until it is opened.
+// New returns the journal of the leadership with the fencing token. It accepts no entries until it is opened.
 func New(token uint64, limits Limits, store Store, compactor Compactor, now func() time.Duration) *Journal {
 	limits.ValueBytes = min(limits.ValueBytes, maxValueBytes)
 	return &Journal{
@@ -146,10 +144,10 @@
 	}
 }
 
-// Open lets the journal take entries.
+// Open makes the journal accept entries.
 func (j *Journal) Open() { j.enabled = true }
 
-// Close lets it take no more entries; Tick compacts those that there are.
+// Close makes the journal accept no more entries. Tick then compacts all remaining entries.
 func (j *Journal) Close() {
 	if !j.enabled {
 		return
@@ -163,8 +161,8 @@
 	}
 }
 
-// Abandon gives up a value that the state service refuses in every form. Its entries go to their records,
-// and so do all that come later in this leadership.
+// Abandon discards the tail, which is too large or is rejected by the state service, and closes the journal. The
+// entries of the tail, and all later entries of this leadership, are written to their records.
 func (j *Journal) Abandon() {
 	j.writePending, j.renderedEntries, j.enabled = false, nil, false
 	if j.tail != nil && !j.tail.stored {
@@ -172,11 +170,11 @@
 	}
 }
 
-// Accepts reports whether entries may be added. If not, they have to be written to their records.
+// Accepts reports whether entries may be added. If it returns false, entries must be written to their records.
 func (j *Journal) Accepts() bool { return j.enabled && len(j.values) < j.limits.Values }
 
-// Size returns the number of values, of entries in them that are not compacted, and of entries that wait
-// to be written.
+// Size returns the number of values, the number of their entries that are not compacted, and the number of pending
+// entries.
 func (j *Journal) Size() (values, uncompacted, pending int) {
 	for _, v := range j.values {
 		uncompacted += v.uncompacted
@@ -189,15 +187,14 @@
 	return len(j.values), uncompacted, pending
 }
 
-// IsEmpty reports whether no value of the journal is stored and none is going to be.
+// IsEmpty reports whether no value of the journal is stored or will be stored without further calls of Add.
 func (j *Journal) IsEmpty() bool {
 	_, _, pending := j.Size()
 	return len(j.values) == 0 && pending == 0 && !j.writePending
 }
 
-// Add adds an entry. record is the key of the record that will have it. onDurable is called once the entry
-// is durable; nil: nobody waits for that. The journal has to accept
-// entries at that time.
+// Add adds an entry. record is the key of the record that the entry will be compacted into. onDurable is called once
+// the entry is durable; it may be nil. Add may be called only if Accepts returns true.
 func (j *Journal) Add(entry Entry, record string, onDurable func()) {
 	e := &entryState{entry: entry, record: record, onDurable: onDurable}
 	j.pending = append(j.pending, e)
@@ -206,8 +203,8 @@
 	j.scheduleWrite()
 }
 
-// Adopt adds a value that an earlier leader has stored. missing are the entries of it that some record
-// lacks, with the key of that record.
+// Adopt adds a value that an earlier leader has stored. missing maps each entry of the value that its record lacks to
+// the key of that record.
 func (j *Journal) Adopt(key string, missing map[Entry]string) {
 	v := &valueState{key: key, createdAt: j.now(), stored: true, bodyBytes: j.limits.ValueBytes}
 	j.values = append(j.values, v)
@@ -220,7 +217,7 @@
 	slices.SortFunc(v.entries, func(a, b *entryState) int { return compareEntries(a.entry, b.entry) })
 }
 
-// forget removes a value that is not stored.
+// forget removes a value that was not stored or was deleted.
 func (j *Journal) forget(v *valueState) {
 	j.values = slices.DeleteFunc(j.values, func(other *valueState) bool { return other == v })
 	if j.tail == v {
--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -13,22 +13,22 @@
 	"claybarrow/internal/statestore"
 )
 
-// fakeStore is a writer that stores when the test tells it to, and the owner of the records that entries are
-// compacted into.
+// fakeStore is a Store that writes when the test calls it to, and the Compactor that owns the records that entries
+// are compacted into.
 type fakeStore struct {
 	t       *testing.T
 	journal *Journal
 	now     time.Duration
 	waiting map[string]*fakeWrite
-	order   []string         // the waiting keys, first in first out
+	order   []string         // the queued keys, first in first out
 	stored  map[string]Value // the journal's values
 	// deletions counts the deleted keys.
 	deletions int
-	// current are the records as their owner has them now, records as they were last stored.
+	// current are the records in their present state, records are the records as they were last stored.
 	current, records map[string]map[Entry]bool
 }
 
-// fakeWrite is a write that waits for its transaction.
+// fakeWrite is a queued write.
 type fakeWrite struct {
 	priority statestore.Priority
 	render   func() any
@@ -38,7 +38,7 @@
 // leaderToken is the fencing token of the journal under test.
 const leaderToken = 7
 
-// newFakeStore makes a store with an open journal.
+// newFakeStore returns a store with an open journal.
 func newFakeStore(t *testing.T, limits Limits) *fakeStore {
 	t.Helper()
 	s := &fakeStore{t: t, waiting: map[string]*fakeWrite{}, stored: map[string]Value{},
@@ -62,21 +62,21 @@
 }
 
 func (s *fakeStore) CancelWrite(key string) bool {
-	was := s.waiting[key] != nil
+	queued := s.waiting[key] != nil
 	delete(s.waiting, key)
 	s.order = slices.DeleteFunc(s.order, func(k string) bool { return k == key })
-	return was
+	return queued
 }
 
 func (s *fakeStore) IsPending(key string) bool { return s.waiting[key] != nil }
 
-// Compact is part of Compactor.
+// Compact implements Compactor.
 func (s *fakeStore) Compact(_ Entry, record string, priority statestore.Priority) {
 	s.QueueWrite(record, priority, func() any { return maps.Clone(s.current[record]) }, nil)
 }
 
-// add adds an entry as a controller does: its record's owner knows it from then on, and it is written to the
-// journal or, if that takes none, to the record.
+// add adds an entry as a controller does. The present state of the record contains the entry from then on. The entry
+// is written to the journal or, if the journal accepts no entries, to the record.
 func (s *fakeStore) add(e Entry, then func()) {
 	record := recordOf(e)
 	if s.current[record] == nil {
@@ -104,7 +104,7 @@
 	onStored [][]func()
 }
 
-// compose makes a transaction of up to n waiting writes.
+// compose builds a transaction of up to n queued writes.
 func (s *fakeStore) compose(n int) *transaction {
 	t := &transaction{}
 	for len(s.order) > 0 && len(t.keys) < n {
@@ -127,7 +127,7 @@
 		switch value := t.values[i].(type) {
 		case Value:
 			if text, err := json.Marshal(value); err != nil || len(text) > s.journal.limits.ValueBytes {
-				s.t.Fatalf("a value of %d bytes, %v", len(text), err)
+				s.t.Fatalf("value %s takes %d bytes, limit %d, error %v", key, len(text), s.journal.limits.ValueBytes, err)
 			}
 			s.stored[key] = value
 		case map[Entry]bool:
@@ -149,11 +149,11 @@
 	}
 }
 
-// read returns what a new leader finds at a failover: the entries in the records and in the journal.
+// read returns the entries that a new leader reads at a failover: the entries in the records and in the journal.
 func (s *fakeStore) read() map[Entry]bool {
-	out := map[Entry]bool{}
-	for _, ends := range s.records {
-		maps.Copy(out, ends)
+	found := map[Entry]bool{}
+	for _, recorded := range s.records {
+		maps.Copy(found, recorded)
 	}
 	for _, key := range slices.Sorted(maps.Keys(s.stored)) {
 		entries, err := Decode(key, s.stored[key])
@@ -161,17 +161,17 @@
 			s.t.Fatal(err)
 		}
 		for _, e := range entries {
-			out[e] = true
+			found[e] = true
 		}
 	}
-	return out
+	return found
 }
 
 var usualLimits = Limits{ValueBytes: 1 << 10, Values: 20, CompactAfter: 10 * time.Second}
 
-// At each step of random histories a new leader would find all entries that somebody was told of, and none
-// that did not happen. Once the journal is closed and compacted, the records have all entries and nothing of
-// the journal is left.
+// After each step of a random history, a new leader would read all entries whose callback was called, and no entry
+// that was not added. Once the journal is closed and compacted, the records contain all entries and no value of the
+// journal is stored.
 func TestCompactionOverRandomHistories(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -188,7 +188,7 @@
 			}
 			h.closeJournal()
 			if len(h.told) == 0 || h.deletions == 0 {
-				t.Fatalf("%d entries were told, %d values deleted: the history shows nothing", len(h.told), h.deletions)
+				t.Fatalf("%d entries were acknowledged, %d values deleted: the history covers too little", len(h.told), h.deletions)
 			}
 		})
 	}
@@ -199,12 +199,13 @@
 	*fakeStore
 	random   *rand.Rand
 	inFlight *transaction
-	// future are the entries to come, happened those that were added, told those that somebody was told of.
+	// future are the entries that will be added, happened the entries that were added, told the entries whose
+	// callback was called.
 	future         []Entry
 	happened, told map[Entry]bool
 }
 
-// step adds an entry, composes or applies a transaction, or lets time pass.
+// step adds an entry, composes or applies a transaction, or advances the clock.
 func (h *randomHistory) step() {
 	switch h.random.IntN(6) {
 	case 0, 1, 2:
@@ -235,23 +236,23 @@
 	}
 }
 
-// check compares what a new leader would find with what happened.
+// check compares the entries that a new leader would read with the entries that were added.
 func (h *randomHistory) check() {
 	h.t.Helper()
 	found := h.read()
 	for e := range h.told {
 		if !found[e] {
-			h.t.Fatalf("somebody was told of %+v, a new leader does not find it", e)
+			h.t.Fatalf("entry %+v was acknowledged, but a new leader does not read it", e)
 		}
 	}
 	for e := range found {
 		if !h.happened[e] {
-			h.t.Fatalf("a new leader finds %+v, which did not happen", e)
+			h.t.Fatalf("a new leader reads entry %+v, which was not added", e)
 		}
 	}
 }
 
-// closeJournal closes the journal and has it compacted.
+// closeJournal closes the journal and runs its compaction until nothing should remain.
 func (h *randomHistory) closeJournal() {
 	h.t.Helper()
 	h.journal.Close()
@@ -262,11 +263,11 @@
 		h.check()
 	}
 	if !h.journal.IsEmpty() || len(h.stored) > 0 {
-		h.t.Fatalf("left: %v", slices.Collect(maps.Keys(h.stored)))
+		h.t.Fatalf("values that remain after compaction: %v", slices.Collect(maps.Keys(h.stored)))
 	}
 	for e := range h.happened {
 		if !h.records[recordOf(e)][e] {
-			h.t.Fatalf("no record has %+v", e)
+			h.t.Fatalf("record %s does not contain %+v", recordOf(e), e)
 		}
 	}
 }
@@ -277,8 +278,8 @@
 	return Entry{Job: "j-000001", Index: int(attempt), Machine: machine, Attempt: attempt}
 }
 
-// A short value is written again with the entries that have come since, a full one is followed by another.
-// All entries that wait are written at once, and a value takes as many as its limit allows, to the byte.
+// A short value is rewritten with the entries that were added since; a full value is followed by a new one. One write
+// includes as many pending entries as the limit on the value allows, to the byte.
 func TestValuesAreFilled(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	for i := range 3 {
@@ -286,7 +287,7 @@
 		s.flush()
 	}
 	if keys := slices.Collect(maps.Keys(s.stored)); len(keys) != 1 || keys[0] != Key(leaderToken, 1) {
-		t.Errorf("values %v", keys)
+		t.Errorf("stored values %v, want one", keys)
 	}
 	for i := range 200 {
 		s.add(departureOf(fmt.Sprintf("i-%06d", i), uint64(1000+i)), nil)
@@ -298,39 +299,39 @@
 	}
 	more := Encode(leaderToken, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
 	if have := len(s.stored[Key(leaderToken, 1)].Body) + envelopeBytes; have > usualLimits.ValueBytes || len(more.Body)+envelopeBytes <= usualLimits.ValueBytes {
-		t.Errorf("a value of %d bytes with %d entries, one more would make it %d", have, len(entries), len(more.Body)+envelopeBytes)
+		t.Errorf("the value takes %d bytes with %d entries and would take %d with one more, limit %d", have, len(entries), len(more.Body)+envelopeBytes, usualLimits.ValueBytes)
 	}
 	s.flush()
 	if len(s.read()) != 203 {
-		t.Errorf("%d entries are stored", len(s.read()))
+		t.Errorf("%d entries are stored, want 203", len(s.read()))
 	}
 }
 
-// A record that was rendered before an entry was added does not have it.
+// An entry is not compacted by a record that was rendered before the entry was added.
 func TestRecordRenderedBeforeAnEntry(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	told := 0
 	s.add(completionOf(1), func() { told++ })
 	s.Compact(completionOf(1), recordOf(completionOf(1)), statestore.PriorityBatch)
-	s.CancelWrite(Key(leaderToken, 1)) // have the journal's write wait behind the record's
+	s.CancelWrite(Key(leaderToken, 1)) // queue the write of the journal behind the write of the record
 	s.QueueWrite(Key(leaderToken, 1), statestore.PriorityCompletion, s.journal.renderTail, s.journal.tailStored)
 	inFlight := s.compose(1)
 	if inFlight.keys[0] != recordOf(completionOf(1)) {
-		t.Fatal(inFlight.keys)
+		t.Fatalf("the transaction writes %v, want the record", inFlight.keys)
 	}
 	s.add(completionOf(2), func() { told += 10 })
 	s.apply(inFlight)
 	if told != 1 {
-		t.Errorf("told %d: the record has the first entry only", told)
+		t.Errorf("callbacks sum up to %d, want 1: the record contains the first entry only", told)
 	}
 	s.flush()
 	if told != 11 || !s.read()[completionOf(2)] {
-		t.Errorf("told %d", told)
+		t.Errorf("callbacks sum up to %d, want 11; the second entry is stored: %v", told, s.read()[completionOf(2)])
 	}
 }
 
-// With as many values as are allowed, entries go to their records; from half as many on compaction has
-// priority.
+// When the journal has the maximum number of values, entries are written to their records. When it is more than half
+// full, compaction has a higher priority.
 func TestValuesAreBounded(t *testing.T) {
 	limits := usualLimits
 	limits.Values, limits.ValueBytes = 4, 300
@@ -341,22 +342,22 @@
 			s.apply(s.compose(1))
 		}
 		if n, _, _ := s.journal.Size(); n > limits.Values {
-			t.Fatalf("%d values", n)
+			t.Fatalf("%d values, limit %d", n, limits.Values)
 		}
 	}
 	if s.journal.Accepts() || s.journal.compactionPriority() != statestore.PriorityCompletion {
-		t.Error("a full journal takes entries, or compacts them lazily")
+		t.Error("a full journal accepts entries, or compacts them with the background priority")
 	}
 	for range 20 {
 		s.journal.Tick()
 		s.flush()
 	}
 	if !s.journal.Accepts() {
-		t.Error("a compacted journal takes no entries")
+		t.Error("a compacted journal accepts no entries")
 	}
 }
 
-// All entries of a value that the state service refuses go to the records.
+// All entries of an abandoned value are written to the records.
 func TestAbandonedValue(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	told := false
@@ -366,12 +367,11 @@
 	s.journal.Tick()
 	s.flush()
 	if !told || !s.records[recordOf(completionOf(1))][completionOf(1)] || !s.journal.IsEmpty() || s.journal.Accepts() {
-		t.Errorf("told %v, records %v", told, s.records)
+		t.Errorf("callback called %v, records %v", told, s.records)
 	}
 }
 
-// Values of earlier leaders are compacted and deleted; one that no record lacks an entry of is deleted at
-// once.
+// Values of earlier leaders are compacted and deleted, also a value whose entries are all in their records.
 func TestAdoptedValues(t *testing.T) {
 	s := newFakeStore(t, usualLimits)
 	e := departureOf("i-000001", 1)
@@ -387,6 +387,6 @@
 		s.flush()
 	}
 	if len(s.stored) > 0 || !s.records[recordOf(e)][e] || !s.journal.IsEmpty() {
-		t.Errorf("left %v", s.stored)
+		t.Errorf("values %v remain, or the record does not contain the entry", s.stored)
 	}
 }
--- a/internal/completionjournal/measured_size_test.go
+++ b/internal/completionjournal/measured_size_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// The writer of records measures a value by its JSON with the Go names of the fields, see package clusterstate.
+// The record writer measures a value by its JSON encoding with the Go field names; see the test of the same kind in
+// package clusterstate.
 func TestMeasuredSizeOfValue(t *testing.T) {
 	got, err := json.Marshal(Value{})
 	if err != nil {
--- a/internal/completionjournal/tail.go
+++ b/internal/completionjournal/tail.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// envelopeBytes bounds what a value takes beside its body, as JSON with the fields' Go names, which
-	// is how the writer measures it.
+	// envelopeBytes is an upper bound on the size of a value without its body. The writer measures a value by its
+	// JSON encoding with the Go field names.
 	envelopeBytes = 160
-	// rewriteFraction: the tail is written again with later entries while it is shorter than this
-	// fraction of a full value. Each value that is begun costs another write, its deletion.
+	// rewriteFraction determines when the tail is rewritten with later entries instead of beginning a new value:
+	// while the tail is shorter than the size of a full value divided by rewriteFraction. Each new value costs
+	// another write, its deletion.
 	rewriteFraction = 4
 )
 
-// scheduleWrite marks the tail to be written, with the priority that the pending entries need.
+// scheduleWrite queues a write of the tail, with the priority that the pending entries need.
 func (j *Journal) scheduleWrite() {
 	if !j.enabled || j.writePending && !j.store.IsPending(j.tail.key) {
-		return // a write that is under way is followed by another one, see tailStored
+		return // the tail is being written; tailStored schedules the next write
 	}
 	priority := statestore.PriorityBackground
 	if j.hasWaiter {
@@ -34,7 +35,7 @@
 	j.store.QueueWrite(j.tail.key, priority, j.renderTail, j.tailStored)
 }
 
-// chooseTail keeps the tail while it is short, or begins another value.
+// chooseTail keeps the tail while it is short, and begins a new value otherwise.
 func (j *Journal) chooseTail() {
 	if t := j.tail; t != nil && !t.compacting && !t.deleting && t.bodyBytes < j.limits.ValueBytes/rewriteFraction {
 		return
@@ -48,8 +49,8 @@
 	}
 }
 
-// renderTail renders the tail with the entries that it has and as many pending ones as fit; nil if there
-// are none.
+// renderTail renders the tail with its entries that are not compacted and as many pending entries as fit. It returns
+// nil, which deletes the key, if there are no such entries.
 func (j *Journal) renderTail() any {
 	kept := j.tail.uncompactedEntries()
 	waiting := make([]*entryState, 0, len(j.pending))
@@ -67,7 +68,7 @@
 	j.renderedEntries = waiting[:added]
 	j.tail.bodyBytes = len(value.Body)
 	if added < len(waiting) {
-		j.tail.bodyBytes = j.limits.ValueBytes // it is full
+		j.tail.bodyBytes = j.limits.ValueBytes // the value is full
 	}
 	if j.renderedValue = len(kept)+added > 0; !j.renderedValue {
 		return nil
@@ -93,7 +94,7 @@
 
 func (j *Journal) fits(v Value) bool { return len(v.Body)+envelopeBytes <= j.limits.ValueBytes }
 
-// tailStored records that the tail is durable as it was last rendered.
+// tailStored is called when the tail is durable as it was last rendered.
 func (j *Journal) tailStored() {
 	tail := j.tail
 	j.writePending = false
--- a/internal/completionjournal/value_test.go
+++ b/internal/completionjournal/value_test.go
@@ -14,25 +14,26 @@
 	"claybarrow/internal/protocol"
 )
 
-// randomEntries are n different entries of a few jobs and machines.
+// randomEntries returns n different entries of a few jobs and machines.
 func randomEntries(random *rand.Rand, n int) []Entry {
 	seen := map[Entry]bool{}
-	var out []Entry
-	for len(out) < n {
+	var entries []Entry
+	for len(entries) < n {
 		e := Entry{Job: "j-" + strconv.Itoa(100000+random.IntN(9)), Index: random.IntN(maxTasks)}
 		if random.IntN(2) == 0 {
 			e.Machine, e.Attempt = "i-"+strconv.Itoa(100000+random.IntN(9)), random.Uint64()
 		}
 		if !seen[e] {
 			seen[e] = true
-			out = append(out, e)
+			entries = append(entries, e)
 		}
 	}
-	return out
+	return entries
 }
 
-// Entries are read back as they were written, through the state service's encoding. Their order may change.
-func TestValuesAreReadAsTheyWereWritten(t *testing.T) {
+// Entries are decoded as they were encoded, including the state service's encoding of the value. Their order may
+// change.
+func TestValueRoundTrip(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for n := range 200 {
 		entries := randomEntries(random, n)
@@ -47,22 +48,22 @@
 		slices.SortFunc(entries, compareEntries)
 		slices.SortFunc(got, compareEntries)
 		if !slices.Equal(got, entries) {
-			t.Fatalf("%d entries: %v, want %v", n, got, entries)
+			t.Fatalf("%d entries: decoded %v, want %v", n, got, entries)
 		}
 	}
 }
 
-// The bytes of a value, which every later version has to read.
-func TestBytesOfAValue(t *testing.T) {
+// The encoding of a value is fixed: every later version must be able to decode it.
+func TestEncodingIsFixed(t *testing.T) {
 	v := Encode(41, 2, []Entry{{Job: "j-000412", Index: 3}, {Job: "j-000412", Index: 3, Machine: "i-000231", Attempt: 41<<24 | 5}})
 	want := Value{Form: 1, Token: 41, Number: 2, Sum: 5072850733736187686,
 		Body: "ogGBgmhqLTAwMDQxMlI6MAAAAQAAAAAAAAAQAAAAAwACgYJoaS0wMDAyMzGBg2hqLTAwMDQxMgMaKQAABQ=="}
 	if v != want {
-		t.Errorf("%+v", v)
+		t.Errorf("encoded as %+v, want %+v", v, want)
 	}
 }
 
-// valueWithBody is a value with any body and the right checksum.
+// valueWithBody returns a value with the given body and the matching checksum.
 func valueWithBody(token, number uint64, body []byte) Value {
 	return Value{Form: FormatVersion, Token: token, Number: number, Sum: checksum(token, number, body), Body: base64.StdEncoding.EncodeToString(body)}
 }
@@ -76,7 +77,7 @@
 	return valueWithBody(5, 1, body)
 }
 
-// Each kind of damage is reported with its own error, and never ends the process.
+// Each kind of damage is reported by an error of its kind, and none crashes the process.
 func TestDamagedValues(t *testing.T) {
 	good := Encode(5, 1, []Entry{{Job: "j-000001", Index: 1}, {Job: "j-000001", Index: 2, Machine: "i-000001", Attempt: 9}})
 	change := func(alter func(v *Value)) Value {
@@ -120,7 +121,7 @@
 	}
 }
 
-// FuzzDecode decodes bodies of any kind: none may end the process or give a task index beyond any job.
+// FuzzDecode decodes arbitrary bodies. None may crash the process or give a task index outside the allowed range.
 func FuzzDecode(f *testing.F) {
 	for _, entries := range [][]Entry{nil, {{Job: "j-000001", Index: 1}}, {{Job: "j-000001", Index: 2, Machine: "i-000001", Attempt: 9}}} {
 		body, err := cbor.Marshal(groupEntries(entries))
@@ -132,11 +133,11 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		entries, err := Decode(Key(1, 1), valueWithBody(1, 1, body))
 		if err != nil && entries != nil {
-			t.Error("entries beside an error")
+			t.Errorf("Decode returns both %d entries and the error %v", len(entries), err)
 		}
 		for _, e := range entries {
 			if e.Index < 0 || e.Index >= maxTasks {
-				t.Errorf("%+v", e)
+				t.Errorf("entry %+v has a task index out of range", e)
 			}
 		}
 	})
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,11 +1,11 @@
-// Package featuregate decides when a new version of stored records may be written. While controllers are
-// upgraded one at a time, programs that do not know the version may still lead, so the gate opens only
+// Package featuregate decides when a new version of stored records may be written. During a rolling upgrade of the
+// controllers, a program that does not support the version may still become leader. The gate therefore opens only
 // once every controller has stated that it reads and writes the version. It closes for a rollback.
 //
-// The gate is a deterministic state machine that only the leader runs: statements and the time go in, and
-// it returns which state is to be stored next. The controller stores it in the leader record. A state
-// takes effect only once it is stored; after a failover the new leader begins with the stored state and
-// collects the statements anew. docs/upgrades.md has the reasoning.
+// The gate is a deterministic state machine that only the leader runs. Its inputs are statements and the time; its
+// output is the state that must be stored next. The controller stores this state in the leader record, and the state
+// takes effect only once it is stored. After a failover the new leader begins with the stored state and collects the
+// statements again. docs/upgrades.md gives the reasons.
 //
 // Times are durations on the leader's clock.
 package featuregate
@@ -17,21 +17,21 @@
 	"time"
 )
 
-// StorageVersion numbers a version of the stored records. Every program knows version 0.
+// StorageVersion is the number of a version of the stored records. Every program supports version 0.
 type StorageVersion uint64
 
-// Statement is what a controller says of itself in heartbeats and their answers. A message without one is
-// from a program that has no gate.
+// Statement declares which versions a controller supports. Controllers send it in heartbeats and their answers. A
+// message without a statement comes from a program that has no feature gate.
 type Statement struct {
-	// ReadsUpTo is the highest version that its program reads.
+	// ReadsUpTo is the highest version that the controller's program reads.
 	ReadsUpTo StorageVersion
-	// WritesUpTo is the highest version that its settings ask for.
+	// WritesUpTo is the highest version that the controller's settings enable.
 	WritesUpTo StorageVersion
-	// HoldClosed: its operators hold the gate closed.
+	// HoldClosed is set if the controller's operators hold the gate closed.
 	HoldClosed bool
 }
 
-// String is the statement for logs; nil is that of a program without the gate.
+// String returns the statement for logs. A nil statement stands for a program without the gate.
 func (s *Statement) String() string {
 	if s == nil {
 		return "no statement"
@@ -43,22 +43,23 @@
 	return text
 }
 
-// State is the state of a gate. The numbers are those of the metric claybarrow_feature_gate_state.
+// State is the state of a gate. Its number is the value of the metric claybarrow_feature_gate_state.
 type State int
 
 // The states.
 const (
-	// Closed: records are written as every program knows them.
+	// Closed means that records are written in a version that every program supports.
 	Closed State = iota
-	// Opening: the gate is closed, and its opening is being stored.
+	// Opening means that the gate is closed and the state Open is being stored.
 	Opening
-	// Open: the new version is written, and programs without it can't lead.
+	// Open means that records are written in the new version, and programs without it can't become leader.
 	Open
-	// Closing: nothing is written in the new version any more, and what is stored in it is rewritten.
+	// Closing means that no record is written in the new version any more, and stored records of the new version
+	// are being rewritten.
 	Closing
 )
 
-// String is the state's name in logs and metrics.
+// String returns the state's name in logs and metrics.
 func (s State) String() string {
 	switch s {
 	case Closed:
@@ -73,7 +74,7 @@
 	return fmt.Sprintf("State(%d)", int(s))
 }
 
-// Cause is the reason why a controller keeps the gate from being open. The texts are in logs and in
+// Cause is the reason for which a controller keeps the gate from being open. The texts are logged, and listed in
 // docs/upgrades.md.
 type Cause string
 
@@ -90,13 +91,13 @@
 	ExceedsTransactionLimit Cause = "opening exceeds the state service's limits"
 )
 
-// Obstacle is a cause and the label of the controller that it comes from.
+// Obstacle is a cause together with the label of the controller to which it applies.
 type Obstacle struct {
 	Controller string
 	Cause      Cause
 }
 
-// String is the obstacle for logs; empty if there is none.
+// String returns the obstacle for logs, or "" if there is none.
 func (o Obstacle) String() string {
 	if o.Cause == NoCause {
 		return ""
@@ -104,30 +105,32 @@
 	return o.Controller + " " + string(o.Cause)
 }
 
-// Settings are those of a gate.
+// Settings are the settings of a gate.
 type Settings struct {
-	// Version is the version of the records that the gate is for.
+	// Version is the version of the stored records that the gate enables.
 	Version StorageVersion
 	// Self and Peers are the labels of all controllers in the settings.
 	Self  string
 	Peers []string
 	// Own is the statement of this controller.
 	Own Statement
-	// TransactionsFit: the state service's limits allow the gate's transactions.
+	// TransactionsFit is set if the state service's limits allow the gate's transactions.
 	TransactionsFit bool
-	// SettleTime is how long each controller must have stated the version before the gate opens: a leader's
-	// lease.
+	// SettleTime is the time for which each controller must have stated the version before the gate opens: the
+	// duration of a leader's lease.
 	SettleTime time.Duration
-	// OlderProgramTimeout is how long a program without the gate is heard before the gate closes: a workers' lease.
+	// OlderProgramTimeout is the time for which messages of a program without the gate are received before the
+	// gate closes: the duration of a worker's lease.
 	OlderProgramTimeout time.Duration
-	// BackOff is the least time from a closing to the next opening, and from a refused action to the next try.
+	// BackOff is the minimum time between a closing and the next opening, and between a refused action and the next
+	// attempt.
 	BackOff time.Duration
 }
 
-// Action is what is to be stored next.
+// Action is a change of the stored state that the controller must carry out.
 type Action int
 
-// The actions. The gate has to be told the outcome of each but NoAction.
+// The actions. The outcome of each except NoAction must be reported by ActionStored or ActionRefused.
 const (
 	NoAction Action = iota
 	StoreOpen
@@ -141,30 +144,30 @@
 	state    State
 	obstacle Obstacle
 	peers    map[string]*peer
-	// actionPending: an action was returned and is not answered yet.
+	// actionPending is set while the outcome of the returned action is not reported yet.
 	actionPending bool
-	// closingStored: Closing is stored, so a new leader would go on with it.
+	// closingStored is set once Closing is stored, so that a new leader would continue it.
 	closingStored bool
-	// backingOff: no action before notBefore, after a closing or a refused action.
+	// backingOff is set after a closing or a refused action: no action is returned before notBefore.
 	backingOff bool
 	notBefore  time.Duration
 }
 
-// peer is what the gate knows of another controller.
+// peer records the messages of another controller.
 type peer struct {
 	everHeard   bool
 	lastHeard   time.Duration
-	incarnation string     // of the process that was heard last
-	statement   *Statement // its last one
-	// statedSince is since when the same process states the version without a gap.
+	incarnation string     // incarnation of the process that sent the last message
+	statement   *Statement // statement in the last message
+	// statedSince is the time since which the same process has stated the version without a gap.
 	statedSince time.Duration
-	// lacksStatement: the last message had no statement. lacksStatementSince is since when, not counting
-	// from before a silence that was longer than the time for which such a program is tolerated.
+	// lacksStatement is set if the last message had no statement. lacksStatementSince is the time since which
+	// messages lack a statement; it is reset after a gap longer than OlderProgramTimeout.
 	lacksStatement      bool
 	lacksStatementSince time.Duration
 }
 
-// New makes the gate of a new leader from the stored state: Closed, Open or Closing.
+// New returns the gate of a new leader with the stored state: Closed, Open or Closing.
 func New(settings Settings, stored State) *Gate {
 	g := &Gate{settings: settings, state: stored, peers: map[string]*peer{}, closingStored: stored == Closing}
 	for _, label := range settings.Peers {
@@ -173,17 +176,17 @@
 	return g
 }
 
-// State is the present state.
+// State returns the present state.
 func (g *Gate) State() State { return g.state }
 
 // MayWrite reports whether records of the version may be written.
 func (g *Gate) MayWrite() bool { return g.state == Open }
 
-// Obstacle is why the gate is not open, or is closing, as of its last decision.
+// Obstacle returns the obstacle that keeps the gate closed or closes it, as of the last decision.
 func (g *Gate) Obstacle() Obstacle { return g.obstacle }
 
-// Statements returns the last statements of the other controllers by label, for logs. Those that were not
-// heard are missing; nil is that of a program without the gate.
+// Statements returns the last statements of the other controllers by label, for logs. Controllers from which no
+// message was received are missing. The statement of a program without the gate is nil.
 func (g *Gate) Statements() map[string]*Statement {
 	statements := map[string]*Statement{}
 	for label, p := range g.peers {
@@ -194,8 +197,8 @@
 	return statements
 }
 
-// RecordStatement records a controller's message with its statement; nil: the message had none. Controllers that are
-// not in the settings are ignored.
+// RecordStatement records a message of a controller with its statement, which is nil if the message had none.
+// Messages of controllers that are not in the settings are ignored.
 func (g *Gate) RecordStatement(now time.Duration, label, incarnation string, statement *Statement) {
 	p := g.peers[label]
 	if p == nil {
@@ -215,7 +218,7 @@
 	p.everHeard, p.lastHeard, p.incarnation, p.statement = true, now, incarnation, statement
 }
 
-// NextAction returns the action to carry out next. compacted: no record of the version is stored.
+// NextAction returns the action to carry out next. compacted must be set if no record of the version is stored.
 func (g *Gate) NextAction(now time.Duration, compacted bool) Action {
 	if g.actionPending {
 		return NoAction
@@ -242,13 +245,13 @@
 	case Closing:
 		return g.nextClosingAction(now, compacted)
 	case Opening:
-		// It is Open or Closed once the opening is answered.
+		// The state becomes Open or Closed once the outcome of the opening is reported.
 	}
 	return NoAction
 }
 
-// nextClosingAction stores that the gate is closing before anything else is done for it, so that a new
-// leader goes on with it.
+// nextClosingAction returns StoreClosing before any other action of the closing, so that a new leader continues the
+// closing. It returns StoreClosed only once all records are compacted.
 func (g *Gate) nextClosingAction(now time.Duration, compacted bool) Action {
 	switch {
 	case g.isBackingOff(now):
@@ -281,8 +284,7 @@
 	}
 }
 
-// ActionRefused records that the pending action was refused for good. It is tried again after a
-// back-off.
+// ActionRefused records that the state service rejected the pending action. The gate returns it again after a back-off.
 func (g *Gate) ActionRefused(now time.Duration) {
 	g.actionPending = false
 	if g.state == Opening {
@@ -291,7 +293,7 @@
 	g.backOff(now)
 }
 
-// objection is what a controller's statement has against an open gate.
+// objection returns the cause for which a controller's statement requires a closed gate, or NoCause.
 func (g *Gate) objection(label string, s *Statement) Cause {
 	switch {
 	case s == nil:
@@ -308,8 +310,8 @@
 	return NoCause
 }
 
-// closingObstacle is the first reason to close an open gate. Silence is none: a controller that comes back
-// with an older program is heard then.
+// closingObstacle returns the first reason to close an open gate, if any. A controller that sends no messages is not a
+// reason: if it restarts with an older program, its messages will be one.
 func (g *Gate) closingObstacle(now time.Duration) Obstacle {
 	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
@@ -330,7 +332,7 @@
 	return Obstacle{}
 }
 
-// openingObstacle is the first reason to leave a closed gate closed.
+// openingObstacle returns the first reason to leave a closed gate closed, if any.
 func (g *Gate) openingObstacle(now time.Duration) Obstacle {
 	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
@@ -346,7 +348,8 @@
 	return Obstacle{}
 }
 
-// peerObjection is why a controller does not count as one that has stated the version for long enough.
+// peerObjection returns the cause for which a controller does not count as having stated the version for long enough,
+// or NoCause.
 func (g *Gate) peerObjection(now time.Duration, label string) Cause {
 	p := g.peers[label]
 	if g.isSilent(p, now) {
@@ -361,7 +364,7 @@
 	return NoCause
 }
 
-// isSilent reports whether a controller was not heard for as long as its statement takes to settle.
+// isSilent reports whether no message of a controller was received within SettleTime.
 func (g *Gate) isSilent(p *peer, now time.Duration) bool {
 	return !p.everHeard || now > p.lastHeard+g.settings.SettleTime
 }
