--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -18,8 +18,8 @@
 		SettleTime: settled, OlderProgramTimeout: patience, BackOff: pause}, stored)
 }
 
-// sendHeartbeats has the gate hear each peer's statement three times a second. It returns the end of that
-// time.
+// sendHeartbeats records each peer's statement three times per settle time, for the duration lasts. It returns the end
+// of that period.
 func sendHeartbeats(g *Gate, from, lasts time.Duration, statements map[string]*Statement) time.Duration {
 	for at := from; at < from+lasts; at += settled / 3 {
 		for label, s := range statements {
@@ -31,7 +31,7 @@
 
 func both(s *Statement) map[string]*Statement { return map[string]*Statement{"n1": s, "n2": s} }
 
-// Each cause keeps a closed gate closed, and is reported with the controller that it comes from.
+// Each cause keeps a closed gate closed, and is reported with the label of the controller to which it applies.
 func TestObstaclesOfAClosedGate(t *testing.T) {
 	readsNothing := &Statement{}
 	for _, tc := range []struct {
@@ -40,9 +40,9 @@
 		heard map[string]*Statement
 		want  Obstacle
 	}{
-		{"all state it", ready, both(&ready), Obstacle{}},
+		{"all state the version", ready, both(&ready), Obstacle{}},
 		{"all state later versions too", ready, both(&Statement{ReadsUpTo: 9, WritesUpTo: 9}), Obstacle{}},
-		{"one is silent", ready, map[string]*Statement{"n1": &ready}, Obstacle{"n2", NotHeard}},
+		{"one sends no messages", ready, map[string]*Statement{"n1": &ready}, Obstacle{"n2", NotHeard}},
 		{"one has no statement", ready, map[string]*Statement{"n1": nil, "n2": &ready}, Obstacle{"n1", NoStatement}},
 		{"one does not read the version", ready, map[string]*Statement{"n1": readsNothing, "n2": &ready}, Obstacle{"n1", CannotRead}},
 		{"one has the feature off", ready, map[string]*Statement{"n1": {ReadsUpTo: 1}, "n2": &ready}, Obstacle{"n1", FeatureOff}},
@@ -61,9 +61,9 @@
 	}
 }
 
-// Each controller has to state the version for a whole leader's lease, by the process that runs now and
-// without a gap.
-func TestStatementsHaveToSettle(t *testing.T) {
+// The gate opens only after each controller has stated the version for the settle time, without a gap and by the same
+// process.
+func TestGateOpensAfterSettleTime(t *testing.T) {
 	for name, disturb := range map[string]func(g *Gate, at time.Duration){
 		"a new process": func(g *Gate, at time.Duration) { g.RecordStatement(at, "n1", "second", &ready) },
 		"one statement with hold": func(g *Gate, at time.Duration) {
@@ -77,10 +77,10 @@
 			disturb(g, at)
 			at = sendHeartbeats(g, at+settled/3, settled/3, both(&ready))
 			if g.NextAction(at, true) != NoAction {
-				t.Error("it opens before the statement is settled")
+				t.Error("the gate opens before the statements have settled")
 			}
 			if at = sendHeartbeats(g, at, 2*settled, both(&ready)); g.NextAction(at, true) != StoreOpen {
-				t.Errorf("it never opens: %s", g.Obstacle())
+				t.Errorf("the gate does not open after the settle time: %s", g.Obstacle())
 			}
 		})
 	}
@@ -89,13 +89,13 @@
 		sendHeartbeats(g, 0, settled, both(&ready))
 		at := sendHeartbeats(g, 3*settled, settled/3, both(&ready))
 		if g.NextAction(at, true) != NoAction {
-			t.Error("it opens after a gap")
+			t.Error("the gate opens directly after a gap")
 		}
 	})
 }
 
-// Each state takes effect only once it is stored. The gate does not close before all records are compacted,
-// and the next opening waits for the pause.
+// Each state takes effect only once it is stored. The gate does not close before all records are compacted, and does
+// not open again before the back-off has passed.
 func TestStatesAreStoredInOrder(t *testing.T) {
 	g := newGate(Closed, ready)
 	now := sendHeartbeats(g, 0, 2*settled, both(&ready))
@@ -111,11 +111,11 @@
 		t.Fatal(g.State(), g.Obstacle())
 	}
 	if g.NextAction(now, true) != NoAction {
-		t.Fatal("it closes before its closing is stored")
+		t.Fatal("the gate closes before Closing is stored")
 	}
 	g.ActionStored(now)
 	if g.NextAction(now, false) != NoAction {
-		t.Fatal("it closes before all is compacted")
+		t.Fatal("the gate closes before all records are compacted")
 	}
 	if g.NextAction(now, true) != StoreClosed || g.State() != Closing {
 		t.Fatal(g.State())
@@ -128,87 +128,88 @@
 	}
 	now = sendHeartbeats(g, now, 2*settled, both(&ready))
 	if now < closed+pause || g.NextAction(now, true) != StoreOpen {
-		t.Fatal("it does not open again")
+		t.Fatal("the gate does not open again, or opens before the back-off has passed")
 	}
 	g.ActionRefused(now)
 	if g.State() != Closed || g.NextAction(now, true) != NoAction {
-		t.Fatal("a refused action is tried again at once")
+		t.Fatal("a refused action is returned again without a back-off")
 	}
 }
 
-// A new leader begins with the stored state: an open gate is open, one that was closing goes on closing.
+// A new leader begins with the stored state: an open gate stays open, and a closing is continued.
 func TestFailover(t *testing.T) {
 	t.Run("open", func(t *testing.T) {
 		if !newGate(Open, ready).MayWrite() {
-			t.Error("an open gate is closed")
+			t.Error("the gate is not open after a failover")
 		}
 	})
 	t.Run("closing", func(t *testing.T) {
 		g := newGate(Closing, ready)
 		if g.MayWrite() || g.NextAction(0, false) != NoAction || g.NextAction(0, true) != StoreClosed {
-			t.Error("it does not go on closing")
+			t.Error("the new leader does not continue the closing")
 		}
 	})
 	t.Run("open, to a leader with the feature off", func(t *testing.T) {
 		if g := newGate(Open, Statement{ReadsUpTo: 1}); g.NextAction(0, true) != StoreClosing {
-			t.Error("it stays open")
+			t.Error("the gate stays open")
 		}
 	})
 }
 
-// A program without the gate closes it when it has been heard for longer than the patience. Silence does not
-// close it, and a process that comes and goes is counted from when it came last.
-func TestPatienceWithOlderPrograms(t *testing.T) {
+// The gate closes when messages of a program without the gate have been received for longer than OlderProgramTimeout.
+// A controller that sends no messages does not close it. The time of an older program that stops and starts again is
+// counted from its last start.
+func TestOlderProgramTimeout(t *testing.T) {
 	older := map[string]*Statement{"n1": nil, "n2": &ready}
-	t.Run("heard for longer than the patience", func(t *testing.T) {
+	t.Run("messages for longer than the timeout", func(t *testing.T) {
 		g := newGate(Open, ready)
 		now := sendHeartbeats(g, 0, patience, older)
 		if g.NextAction(now, true) != NoAction {
-			t.Error("it closes early")
+			t.Error("the gate closes before the timeout")
 		}
 		if now = sendHeartbeats(g, now, 2*settled, older); g.NextAction(now, true) != StoreClosing {
-			t.Error("it stays open")
+			t.Error("the gate stays open after the timeout")
 		}
 	})
-	t.Run("comes and goes, then is silent", func(t *testing.T) {
+	t.Run("repeated restarts, then no messages", func(t *testing.T) {
 		g := newGate(Open, ready)
 		now := time.Duration(0)
 		for range 20 {
 			now = sendHeartbeats(g, now, patience/3, older)
 			if g.NextAction(now, true) != NoAction {
-				t.Fatal("it closes although a newer program was heard in between")
+				t.Fatal("the gate closes although a newer program ran in between")
 			}
 			now = sendHeartbeats(g, now, settled, both(&ready))
 		}
 		now = sendHeartbeats(g, now, patience/2, older) + 2*patience
 		if g.NextAction(now, true) != NoAction {
-			t.Error("silence closes it")
+			t.Error("the gate closes although no message was received")
 		}
 		sendHeartbeats(g, now, settled, older)
 		if g.NextAction(now+settled, true) != NoAction {
-			t.Error("the time before its silence counts")
+			t.Error("the time before a gap counts towards the timeout")
 		}
 	})
 }
 
-// A state that is not known is named by its number.
+// The name of an undefined state contains its number.
 func TestUnknownState(t *testing.T) {
 	if got := State(9).String(); got != "State(9)" {
 		t.Error(got)
 	}
 }
 
-// A closing that the state service refuses is tried again, but not before the pause is over.
+// A closing that the state service refuses is returned again, but not before the back-off has passed.
 func TestRefusedClosing(t *testing.T) {
 	g := newGate(Open, Statement{ReadsUpTo: 1})
 	if g.NextAction(0, true) != StoreClosing {
-		t.Fatal("it stays open")
+		t.Fatal("the gate stays open")
 	}
 	g.ActionRefused(0)
 	if g.NextAction(pause-1, true) != NoAction || g.State() != Closing || g.MayWrite() {
-		t.Errorf("before the pause is over: %s", g.State())
+		t.Errorf("the gate is %s before the back-off has passed, or returns an action", g.State())
 	}
 	if g.NextAction(pause, true) != StoreClosing {
-		t.Error("it is never tried again")
+		t.Error("the closing is not returned again after the back-off")
 	}
 }
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// This file is a small model check of the gate together with the leadership keys. There are three
-// controllers of two program versions, which stop, restart in either version and stall, and transactions
-// that are applied late or whose answers are lost. The Gate is the real one; the store's conditions are
-// those of docs/upgrades.md. All states up to a depth are visited.
+// This file is a small model checker of the gate together with the leadership keys. Three controllers of two program
+// versions stop, restart in either version and stall; transactions apply late or lose their answers. The model uses
+// the real Gate, and the conditions of the transactions are those of docs/upgrades.md. It visits all states up to a
+// depth.
 
-// modelStore has the leadership keys and the journal.
+// modelStore is the state service with the leadership keys and the journal.
 type modelStore struct {
-	version       int // of the leader key; 0: there is none
-	last          int // the last version that the key has had
+	version       int // version of the leader key; 0 if the key does not exist
+	last          int // last version that the leader key has had
 	token         int
-	open, closing bool // the gate's state in the leader record
-	lease         int  // token of the leader whose lease lives; 0: none. The lease key or the leader key ends with it.
-	journal       int  // stored values of the journal
+	open, closing bool // state of the gate in the leader record
+	lease         int  // token of the leader whose lease is valid; 0: none. The lease key or the leader key expires with it.
+	journal       int  // number of stored values of the journal
 }
 
-// modelKind is what a transaction does.
+// modelKind is the kind of a transaction.
 type modelKind int
 
 const (
@@ -39,14 +39,14 @@
 	node    int
 	token   int
 	version int // condition on the leader key
-	// fences: it is a retry, and writes the leader key too, so that no earlier try can apply any more.
+	// fences is set for a retry. A retry also writes the leader key, so that no earlier attempt can apply any more.
 	fences bool
 }
 
-// modelLeader is a controller that takes itself for the leader.
+// modelLeader is a controller that assumes it is the leader.
 type modelLeader struct {
 	token, version int
-	gate           *Gate // nil: a program without the gate
+	gate           *Gate // nil for a program without the gate
 	awaitsAnswer   bool
 	kind           modelKind
 	action         Action
@@ -61,7 +61,7 @@
 	now      time.Duration
 }
 
-// modelFaults are faults that are planted in the model, to show that the check finds them.
+// modelFaults are faults that are injected into the model, to show that the checker detects them.
 type modelFaults struct {
 	closesUncompacted, keepsVersion bool
 }
@@ -80,8 +80,8 @@
 }
 
 func (s *modelState) clone() *modelState {
-	out := *s
-	out.inFlight = append([]modelTxn(nil), s.inFlight...)
+	cloned := *s
+	cloned.inFlight = append([]modelTxn(nil), s.inFlight...)
 	for i, leader := range s.leaders {
 		if leader == nil {
 			continue
@@ -91,21 +91,21 @@
 			gate := *leader.gate
 			gate.peers = map[string]*peer{}
 			for label, p := range leader.gate.peers {
-				one := *p
-				gate.peers[label] = &one
+				copiedPeer := *p
+				gate.peers[label] = &copiedPeer
 			}
 			copied.gate = &gate
 		}
-		out.leaders[i] = &copied
+		cloned.leaders[i] = &copied
 	}
-	return &out
+	return &cloned
 }
 
-// age is the time since something happened, capped where more makes no difference to the gate.
+// age returns the time since an event. It is clamped to the range in which it makes a difference to the gate.
 func (s *modelState) age(at time.Duration) int { return int(min(3, max(-2, s.now-at))) }
 
-// key identifies a state. Versions and tokens are relative to the present ones and times to now, so that
-// states that behave alike have the same key.
+// key returns a string that identifies a state. Versions and tokens are relative to the present ones, and times to
+// now, so that equivalent states have the same key.
 func (s *modelState) key() string {
 	var b strings.Builder
 	st := s.store
@@ -130,7 +130,7 @@
 	return b.String()
 }
 
-// elect lets a controller win an election if the store's conditions hold; false if they do not.
+// elect makes a controller the leader if the conditions in the store hold. It returns false if they do not.
 func (s *modelState) elect(node int) bool {
 	st := &s.store
 	if st.lease != 0 || st.open && !s.newer[node] {
@@ -154,7 +154,7 @@
 	return true
 }
 
-// expireLease expires the leader's lease, and deletes the leader key if it is attached to the lease.
+// expireLease expires the leader's lease, and deletes the leader key if the key is attached to the lease.
 func (s *modelState) expireLease() {
 	s.store.lease = 0
 	if !s.store.open {
@@ -162,8 +162,8 @@
 	}
 }
 
-// apply has the store apply a transaction if its conditions hold. It returns the rule that this breaks, if
-// any.
+// apply applies a transaction to the store if the transaction's conditions hold. It returns the invariant that is
+// violated by this, if any.
 func (s *modelState) apply(t modelTxn, faults modelFaults) (applied bool, broken string) {
 	st := &s.store
 	if st.version != t.version {
@@ -174,7 +174,7 @@
 		return false, "" // the sender's lease has expired
 	}
 	if t.token != st.token {
-		return true, "a former leader's transaction is applied"
+		return true, "a transaction of a former leader was applied"
 	}
 	switch t.kind {
 	case modelOpen:
@@ -198,7 +198,7 @@
 	return true, ""
 }
 
-// answer tells the sender the outcome, if it is still the same leader.
+// answer passes the outcome of a transaction to its sender, if the sender still has the same leadership.
 func (s *modelState) answer(t modelTxn, applied bool) {
 	leader := s.leaders[t.node]
 	if leader == nil || leader.token != t.token || !leader.awaitsAnswer {
@@ -206,7 +206,7 @@
 	}
 	leader.awaitsAnswer = false
 	if !applied {
-		s.leaders[t.node] = nil // the key is another leader's
+		s.leaders[t.node] = nil // the leader key belongs to another leader
 		return
 	}
 	leader.version = s.store.version
@@ -216,13 +216,13 @@
 	}
 }
 
-// steps visits each state that may follow, with the rule that the step breaks, if any.
+// steps visits each successor state, with the invariant that the step violates, if any.
 func (s *modelState) steps(faults modelFaults, visit func(*modelState, string)) {
-	step := func(do func(n *modelState) string) {
+	step := func(change func(n *modelState) string) {
 		n := s.clone()
-		visit(n, do(n))
+		visit(n, change(n))
 	}
-	quiet := func(do func(n *modelState)) { step(func(n *modelState) string { do(n); return "" }) }
+	quiet := func(change func(n *modelState)) { step(func(n *modelState) string { change(n); return "" }) }
 	quiet(func(n *modelState) { n.now++ })
 	if s.store.lease != 0 {
 		quiet((*modelState).expireLease)
@@ -245,7 +245,7 @@
 	}
 }
 
-// controllerSteps are those of a controller: it stops, restarts or is elected.
+// controllerSteps passes the steps of a controller to quiet: the controller stops, restarts or is elected.
 func (s *modelState) controllerSteps(i int, quiet func(func(*modelState))) {
 	if !s.alive[i] {
 		for _, newer := range []bool{true, false} {
@@ -259,7 +259,7 @@
 	}
 }
 
-// leaderSteps are those of a leader. That none of them is taken stands for a stalled process.
+// leaderSteps passes the steps of a leader to quiet. Histories without these steps model a stalled process.
 func (s *modelState) leaderSteps(i int, faults modelFaults, quiet func(func(*modelState))) {
 	leader := s.leaders[i]
 	if leader == nil || leader.gate == nil {
@@ -280,8 +280,8 @@
 		return
 	}
 	if leader.awaitsAnswer {
-		// Without an answer the transaction is sent again. Whether an earlier try was applied is found
-		// by reading the leader key, which it has then written.
+		// A transaction without an answer is sent again. The leader determines whether an earlier attempt
+		// applied by reading the leader key, which that attempt would have written.
 		quiet(func(n *modelState) { n.send(i, leader.kind, true) })
 		if s.store.version != leader.version {
 			quiet(func(n *modelState) {
@@ -311,14 +311,14 @@
 	}
 }
 
-// send puts a leader's transaction in flight.
+// send adds a transaction of a leader to the transactions in flight.
 func (s *modelState) send(i int, kind modelKind, again bool) {
 	leader := s.leaders[i]
 	leader.awaitsAnswer, leader.kind = true, kind
 	s.inFlight = append(s.inFlight, modelTxn{kind: kind, node: i, token: leader.token, version: leader.version, fences: again})
 }
 
-// explore visits all states up to a depth, and returns their number and the first broken rule.
+// explore visits all states up to a depth. It returns their number and the first invariant that is violated.
 func explore(starts []*modelState, depth int, faults modelFaults) (visited int, broken string) {
 	seen := map[string]bool{}
 	layer := starts
@@ -343,15 +343,15 @@
 	return len(seen), ""
 }
 
-// modelStarts are states that it takes many steps to reach: closed and about to open, open with a journal,
-// and closing with a journal, each with all programs newer and with one older.
+// modelStarts returns states that take many steps to reach: closed and about to open, open with a journal, and closing
+// with a journal, each with only newer programs and with one older program.
 func modelStarts() []*modelState {
-	var out []*modelState
+	var starts []*modelState
 	for _, stored := range []State{Closed, Open, Closing} {
 		for _, older := range []bool{false, true} {
 			s := &modelState{alive: [3]bool{true, true, true}, newer: [3]bool{true, true, !older}, now: 10}
 			if !s.elect(0) {
-				panic("a start of the model has no leader")
+				panic("no leader can be elected in an initial state of the model")
 			}
 			s.store.open, s.store.closing = stored != Closed, stored == Closing
 			if stored != Closed {
@@ -366,15 +366,15 @@
 				}
 				s.leaders[0].gate.RecordStatement(at, "2", "", statement)
 			}
-			out = append(out, s)
+			starts = append(starts, s)
 		}
 	}
-	return out
+	return starts
 }
 
-// lateJournalWrite is a leader that has compacted the journal and has just stored that the gate is closing,
-// while an earlier write of the journal is still in flight, which it has sent again since and knows to be
-// stored.
+// lateJournalWrite returns a state in which the leader has compacted the journal and has just stored Closing, while an
+// earlier write of the journal is still in flight. The leader has sent this write again in the meantime, and the
+// repeated write was stored.
 func lateJournalWrite(faults modelFaults) *modelState {
 	s := modelStarts()[5] // closing, with an older program
 	s.store.journal = 0
@@ -387,22 +387,22 @@
 	return s
 }
 
-// modelDepth is how many steps are explored from each start.
+// modelDepth is the number of steps that are explored from each initial state.
 const modelDepth = 7
 
 func TestModel(t *testing.T) {
 	visited, broken := explore(append(modelStarts(), lateJournalWrite(modelFaults{})), modelDepth, modelFaults{})
 	t.Logf("%d states", visited)
 	if broken != "" {
-		t.Error(broken)
+		t.Errorf("invariant violated: %s", broken)
 	}
 	if visited < 10_000 {
-		t.Errorf("%d states are few", visited)
+		t.Errorf("the model visits %d states, want at least 10000", visited)
 	}
 }
 
-// The check finds a gate that closes before the journal is compacted, and a leader key that keeps its version
-// when the gate's state changes.
+// The model checker detects a gate that closes before the journal is compacted, and a leader key that keeps its
+// version when the gate's state changes.
 func TestModelFindsPlantedFaults(t *testing.T) {
 	for name, faults := range map[string]modelFaults{
 		"closes before compaction": {closesUncompacted: true},
@@ -412,7 +412,7 @@
 			visited, broken := explore(append(modelStarts(), lateJournalWrite(faults)), modelDepth, faults)
 			t.Logf("%d states: %s", visited, broken)
 			if broken == "" {
-				t.Errorf("the fault is not found in %d states", visited)
+				t.Errorf("the injected fault is not detected in %d states", visited)
 			}
 		})
 	}
