--- a/internal/clusterstate/completion_records.go
+++ b/internal/clusterstate/completion_records.go
@@ -117,7 +117,7 @@
 // LoadCompletions adds the completions of a stored record to its job. It returns false and no error if the
 // state has no such job, because the job is over or was never added. The error names the key and wraps
 // ErrCompletionKey or the error of the base64 decoder.
-func (s *State) LoadCompletions(key string, record CompletionRecord) (known bool, err error) {
+func (s *State) LoadCompletions(key string, record CompletionRecord) (jobExists bool, err error) {
 	uid, number, isChunk, err := parseCompletionKey(key)
 	if err != nil {
 		return true, err
@@ -146,11 +146,11 @@
 
 // parseCompletionKey parses a key in the format of chunkKey or partKey.
 func parseCompletionKey(key string) (uid string, number int, isChunk bool, err error) {
-	rest, isChunk := strings.CutPrefix(key, CompletionPrefix)
+	suffix, isChunk := strings.CutPrefix(key, CompletionPrefix)
 	if !isChunk {
-		rest = strings.TrimPrefix(key, CompletionPartPrefix)
+		suffix = strings.TrimPrefix(key, CompletionPartPrefix)
 	}
-	uid, digits, found := strings.Cut(rest, "/")
+	uid, digits, found := strings.Cut(suffix, "/")
 	number, err = strconv.Atoi(digits)
 	if !found || err != nil || number < 0 || number > maxRecordNumber {
 		return "", 0, false, fmt.Errorf("key %q: %w", key, ErrCompletionKey)
--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -86,8 +86,8 @@
 			successor := New(tc.layout, tc.limit)
 			read := successor.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tc.tasks}, 1)
 			for key, rec := range records {
-				if known, err := successor.LoadCompletions(key, rec); err != nil || !known {
-					t.Fatalf("record %s: job is known %v, error %v", key, known, err)
+				if jobExists, err := successor.LoadCompletions(key, rec); err != nil || !jobExists {
+					t.Fatalf("record %s: job is known %v, error %v", key, jobExists, err)
 				}
 			}
 			older := readAsOlderVersion(t, tc.layout, tc.tasks, records)
@@ -185,8 +185,8 @@
 	if _, err := state.LoadCompletions("p/j-1/0", CompletionRecord{Bits: "?"}); !errors.As(err, &corrupt) {
 		t.Errorf("record with bits that are not base64: error %v", err)
 	}
-	if known, err := state.LoadCompletions("p/j-2/0", CompletionRecord{Bits: "AQ=="}); known || err != nil {
-		t.Errorf("record of an ended job: job is known %v, error %v", known, err)
+	if jobExists, err := state.LoadCompletions("p/j-2/0", CompletionRecord{Bits: "AQ=="}); jobExists || err != nil {
+		t.Errorf("record of an ended job: job is known %v, error %v", jobExists, err)
 	}
 }
 
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -90,21 +90,21 @@
 // number, and each attempt is durable and not to be stopped.
 func TestGangIsCompleteOnlyWithAllTasks(t *testing.T) {
 	for name, change := range map[string]func(*State, *Job, []*Attempt){
-		"one is not durable":   func(_ *State, _ *Job, all []*Attempt) { all[1].Durable = false },
-		"one is to be stopped": func(_ *State, _ *Job, all []*Attempt) { all[1].StopRequested = true },
-		"one is missing":       func(state *State, _ *Job, all []*Attempt) { state.RemoveAttempt(all[1]) },
-		"another number": func(state *State, j *Job, all []*Attempt) {
-			state.RemoveAttempt(all[1])
+		"one is not durable":   func(_ *State, _ *Job, attempts []*Attempt) { attempts[1].Durable = false },
+		"one is to be stopped": func(_ *State, _ *Job, attempts []*Attempt) { attempts[1].StopRequested = true },
+		"one is missing":       func(state *State, _ *Job, attempts []*Attempt) { state.RemoveAttempt(attempts[1]) },
+		"another number": func(state *State, j *Job, attempts []*Attempt) {
+			state.RemoveAttempt(attempts[1])
 			state.AddAttempt(state.AddMachine("i-2"), j, 1, 8, 0).Durable = true
 		},
-		"one twice": func(state *State, j *Job, all []*Attempt) {
-			state.RemoveAttempt(all[1])
+		"one twice": func(state *State, j *Job, attempts []*Attempt) {
+			state.RemoveAttempt(attempts[1])
 			state.AddAttempt(state.AddMachine("i-2"), j, 0, 7, 0).Durable = true
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			state, j, all := placedGang(t)
-			change(state, j, all)
+			state, j, attempts := placedGang(t)
+			change(state, j, attempts)
 			if j.Gang.Complete() {
 				t.Error("the gang counts as complete")
 			}
@@ -114,14 +114,14 @@
 
 // A gang is running once one of its tasks is reported running. Tasks under another attempt number change nothing.
 func TestGangRunsOnceATaskRuns(t *testing.T) {
-	state, j, all := placedGang(t)
-	unanswered := state.AddAttempt(state.AddMachine("i-4"), j, 0, 6, 0)
-	unanswered.SetState(protocol.TaskRunning)
-	all[0].SetState(protocol.TaskWaitingForGang)
+	state, j, attempts := placedGang(t)
+	otherNumber := state.AddAttempt(state.AddMachine("i-4"), j, 0, 6, 0)
+	otherNumber.SetState(protocol.TaskRunning)
+	attempts[0].SetState(protocol.TaskWaitingForGang)
 	if j.Gang.State != GangGathering {
 		t.Errorf("the gang is %v, want %v", j.Gang.State, GangGathering)
 	}
-	all[0].SetState(protocol.TaskRunning)
+	attempts[0].SetState(protocol.TaskRunning)
 	if j.Gang.State != GangRunning {
 		t.Errorf("the gang is %v, want %v", j.Gang.State, GangRunning)
 	}
--- a/internal/clusterstate/images.go
+++ b/internal/clusterstate/images.go
@@ -91,8 +91,8 @@
 		return m.imageSet
 	}
 	name := strings.Join(slices.Sorted(maps.Keys(m.Images)), "\n")
-	number, known := s.imageSets[name]
-	if !known {
+	number, found := s.imageSets[name]
+	if !found {
 		if len(s.imageSets) >= maxImageSets {
 			s.resetImageSets()
 		}
--- a/internal/completionjournal/compaction.go
+++ b/internal/completionjournal/compaction.go
@@ -23,16 +23,16 @@
 	if len(entries) == 0 {
 		return
 	}
-	var missing []*entryState
+	var notRendered []*entryState
 	for _, e := range entries {
 		if !e.rendered {
-			missing = append(missing, e)
+			notRendered = append(notRendered, e)
 		}
 	}
-	if len(missing) == 0 {
+	if len(notRendered) == 0 {
 		delete(j.byRecord, record)
 	} else {
-		j.byRecord[record] = missing
+		j.byRecord[record] = notRendered
 	}
 	for _, e := range entries {
 		if e.rendered {
@@ -63,9 +63,9 @@
 	if !j.enabled {
 		j.compactPending()
 	}
-	begun := 0
+	compactionsBegun := 0
 	for _, v := range slices.Clone(j.values) {
-		if begun == compactionsPerTick {
+		if compactionsBegun == compactionsPerTick {
 			return
 		}
 		if v.deleting || v == j.tail && j.writePending || !v.stored {
@@ -76,7 +76,7 @@
 		case v.uncompacted == 0 && due:
 			j.deleteValue(v)
 		case !v.compacting && (due || j.isHalfFull()):
-			begun++
+			compactionsBegun++
 			j.compactValue(v)
 		}
 	}
--- a/internal/completionjournal/entry.go
+++ b/internal/completionjournal/entry.go
@@ -91,7 +91,7 @@
 		body.Departures[position].Attempts = append(body.Departures[position].Attempts, attempt)
 	}
 	for _, job := range jobs {
-		body.Completions = append(body.Completions, jobCompletions{Job: job, Tasks: packBitmap(tasksByJob[job])})
+		body.Completions = append(body.Completions, jobCompletions{Job: job, Tasks: encodeBitmap(tasksByJob[job])})
 	}
 	return body
 }
@@ -100,7 +100,7 @@
 func listEntries(body valueBody) ([]Entry, error) {
 	var entries []Entry
 	for _, completions := range body.Completions {
-		tasks, err := readBitmap(completions.Tasks)
+		tasks, err := decodeBitmap(completions.Tasks)
 		if err != nil {
 			return nil, fmt.Errorf("%w: tasks of job %q: %w", ErrMalformed, completions.Job, err)
 		}
@@ -122,7 +122,7 @@
 	return entries, nil
 }
 
-func packBitmap(tasks *roaring.Bitmap) []byte {
+func encodeBitmap(tasks *roaring.Bitmap) []byte {
 	tasks.RunOptimize()
 	packed, err := tasks.ToBytes()
 	if err != nil {
@@ -131,9 +131,9 @@
 	return packed
 }
 
-// readBitmap deserializes a bitmap. A damaged bitmap must not crash the process, so a panic of the library is
+// decodeBitmap deserializes a bitmap. A damaged bitmap must not crash the process, so a panic of the library is
 // returned as an error.
-func readBitmap(packed []byte) (tasks *roaring.Bitmap, err error) {
+func decodeBitmap(packed []byte) (tasks *roaring.Bitmap, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("invalid bitmap: %v", r)
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -21,8 +21,8 @@
 // Store writes the journal's values. *statestore.Writer implements it.
 type Store interface {
 	// QueueWrite queues a write of a key. render is called when the write is added to a transaction and returns
-	// the value, or nil to delete the key. then is called once the write is durable.
-	QueueWrite(key string, priority statestore.Priority, render func() any, then func())
+	// the value, or nil to delete the key. onStored is called once the write is durable.
+	QueueWrite(key string, priority statestore.Priority, render func() any, onStored func())
 	// CancelWrite cancels a queued write. It returns false if no write of the key is queued.
 	CancelWrite(key string) bool
 	// IsPending reports whether a write of the key is queued.
@@ -61,8 +61,8 @@
 
 	// pending are the entries that no stored value contains.
 	pending []*entryState
-	// hasWaiter is set if a pending entry has a callback. The tail is then written with a higher priority.
-	hasWaiter bool
+	// hasCallback is set if a pending entry has a callback. The tail is then written with a higher priority.
+	hasCallback bool
 
 	// tail is the value that is written next or was written last, or nil if the next write begins a new value.
 	tail       *valueState
@@ -199,7 +199,7 @@
 	e := &entryState{entry: entry, record: record, onDurable: onDurable}
 	j.pending = append(j.pending, e)
 	j.byRecord[record] = append(j.byRecord[record], e)
-	j.hasWaiter = j.hasWaiter || onDurable != nil
+	j.hasCallback = j.hasCallback || onDurable != nil
 	j.scheduleWrite()
 }
 
--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -48,7 +48,7 @@
 	return s
 }
 
-func (s *fakeStore) QueueWrite(key string, priority statestore.Priority, render func() any, then func()) {
+func (s *fakeStore) QueueWrite(key string, priority statestore.Priority, render func() any, onStored func()) {
 	w := s.waiting[key]
 	if w == nil {
 		w = &fakeWrite{priority: priority}
@@ -56,8 +56,8 @@
 		s.order = append(s.order, key)
 	}
 	w.priority, w.render = min(w.priority, priority), render
-	if then != nil {
-		w.onStored = append(w.onStored, then)
+	if onStored != nil {
+		w.onStored = append(w.onStored, onStored)
 	}
 }
 
@@ -77,17 +77,17 @@
 
 // add adds an entry as a controller does. The present state of the record contains the entry from then on. The entry
 // is written to the journal or, if the journal accepts no entries, to the record.
-func (s *fakeStore) add(e Entry, then func()) {
+func (s *fakeStore) add(e Entry, onDurable func()) {
 	record := recordOf(e)
 	if s.current[record] == nil {
 		s.current[record] = map[Entry]bool{}
 	}
 	s.current[record][e] = true
 	if s.journal.Accepts() {
-		s.journal.Add(e, record, then)
+		s.journal.Add(e, record, onDurable)
 		return
 	}
-	s.QueueWrite(record, statestore.PriorityCompletion, func() any { return maps.Clone(s.current[record]) }, then)
+	s.QueueWrite(record, statestore.PriorityCompletion, func() any { return maps.Clone(s.current[record]) }, onDurable)
 }
 
 func recordOf(e Entry) string {
@@ -167,7 +167,7 @@
 	return found
 }
 
-var usualLimits = Limits{ValueBytes: 1 << 10, Values: 20, CompactAfter: 10 * time.Second}
+var testLimits = Limits{ValueBytes: 1 << 10, Values: 20, CompactAfter: 10 * time.Second}
 
 // After each step of a random history, a new leader would read all entries whose callback was called, and no entry
 // that was not added. Once the journal is closed and compacted, the records contain all entries and no value of the
@@ -176,19 +176,19 @@
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			h := &randomHistory{
-				fakeStore: newFakeStore(t, usualLimits),
-				random:    rand.New(rand.NewPCG(seed, 3)),
-				told:      map[Entry]bool{},
-				happened:  map[Entry]bool{},
+				fakeStore:    newFakeStore(t, testLimits),
+				random:       rand.New(rand.NewPCG(seed, 3)),
+				acknowledged: map[Entry]bool{},
+				added:        map[Entry]bool{},
 			}
-			h.future = randomEntries(h.random, 300)
-			for len(h.future) > 0 {
+			h.remaining = randomEntries(h.random, 300)
+			for len(h.remaining) > 0 {
 				h.step()
 				h.check()
 			}
 			h.closeJournal()
-			if len(h.told) == 0 || h.deletions == 0 {
-				t.Fatalf("%d entries were acknowledged, %d values deleted: the history covers too little", len(h.told), h.deletions)
+			if len(h.acknowledged) == 0 || h.deletions == 0 {
+				t.Fatalf("%d entries were acknowledged, %d values deleted: the history covers too little", len(h.acknowledged), h.deletions)
 			}
 		})
 	}
@@ -199,22 +199,22 @@
 	*fakeStore
 	random   *rand.Rand
 	inFlight *transaction
-	// future are the entries that will be added, happened the entries that were added, told the entries whose
-	// callback was called.
-	future         []Entry
-	happened, told map[Entry]bool
+	// remaining are the entries that will be added, added the entries that were added, acknowledged the entries
+	// whose callback was called.
+	remaining           []Entry
+	added, acknowledged map[Entry]bool
 }
 
 // step adds an entry, composes or applies a transaction, or advances the clock.
 func (h *randomHistory) step() {
 	switch h.random.IntN(6) {
 	case 0, 1, 2:
-		e := h.future[0]
-		h.future = h.future[1:]
-		h.happened[e] = true
+		e := h.remaining[0]
+		h.remaining = h.remaining[1:]
+		h.added[e] = true
 		var onDurable func()
 		if e.Machine == "" {
-			onDurable = func() { h.told[e] = true }
+			onDurable = func() { h.acknowledged[e] = true }
 		}
 		h.add(e, onDurable)
 	case 3:
@@ -240,13 +240,13 @@
 func (h *randomHistory) check() {
 	h.t.Helper()
 	found := h.read()
-	for e := range h.told {
+	for e := range h.acknowledged {
 		if !found[e] {
 			h.t.Fatalf("entry %+v was acknowledged, but a new leader does not read it", e)
 		}
 	}
 	for e := range found {
-		if !h.happened[e] {
+		if !h.added[e] {
 			h.t.Fatalf("a new leader reads entry %+v, which was not added", e)
 		}
 	}
@@ -265,7 +265,7 @@
 	if !h.journal.IsEmpty() || len(h.stored) > 0 {
 		h.t.Fatalf("values that remain after compaction: %v", slices.Collect(maps.Keys(h.stored)))
 	}
-	for e := range h.happened {
+	for e := range h.added {
 		if !h.records[recordOf(e)][e] {
 			h.t.Fatalf("record %s does not contain %+v", recordOf(e), e)
 		}
@@ -281,7 +281,7 @@
 // A short value is rewritten with the entries that were added since; a full value is followed by a new one. One write
 // includes as many pending entries as the limit on the value allows, to the byte.
 func TestValuesAreFilled(t *testing.T) {
-	s := newFakeStore(t, usualLimits)
+	s := newFakeStore(t, testLimits)
 	for i := range 3 {
 		s.add(departureOf("i-000001", uint64(i)), nil)
 		s.flush()
@@ -298,8 +298,8 @@
 		t.Fatal(err)
 	}
 	more := Encode(leaderToken, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
-	if have := len(s.stored[Key(leaderToken, 1)].Body) + envelopeBytes; have > usualLimits.ValueBytes || len(more.Body)+envelopeBytes <= usualLimits.ValueBytes {
-		t.Errorf("the value takes %d bytes with %d entries and would take %d with one more, limit %d", have, len(entries), len(more.Body)+envelopeBytes, usualLimits.ValueBytes)
+	if have := len(s.stored[Key(leaderToken, 1)].Body) + envelopeBytes; have > testLimits.ValueBytes || len(more.Body)+envelopeBytes <= testLimits.ValueBytes {
+		t.Errorf("the value takes %d bytes with %d entries and would take %d with one more, limit %d", have, len(entries), len(more.Body)+envelopeBytes, testLimits.ValueBytes)
 	}
 	s.flush()
 	if len(s.read()) != 203 {
@@ -309,9 +309,9 @@
 
 // An entry is not compacted by a record that was rendered before the entry was added.
 func TestRecordRenderedBeforeAnEntry(t *testing.T) {
-	s := newFakeStore(t, usualLimits)
-	told := 0
-	s.add(completionOf(1), func() { told++ })
+	s := newFakeStore(t, testLimits)
+	callbackSum := 0
+	s.add(completionOf(1), func() { callbackSum++ })
 	s.Compact(completionOf(1), recordOf(completionOf(1)), statestore.PriorityBatch)
 	s.CancelWrite(Key(leaderToken, 1)) // queue the write of the journal behind the write of the record
 	s.QueueWrite(Key(leaderToken, 1), statestore.PriorityCompletion, s.journal.renderTail, s.journal.tailStored)
@@ -319,21 +319,21 @@
 	if inFlight.keys[0] != recordOf(completionOf(1)) {
 		t.Fatalf("the transaction writes %v, want the record", inFlight.keys)
 	}
-	s.add(completionOf(2), func() { told += 10 })
+	s.add(completionOf(2), func() { callbackSum += 10 })
 	s.apply(inFlight)
-	if told != 1 {
-		t.Errorf("callbacks sum up to %d, want 1: the record contains the first entry only", told)
+	if callbackSum != 1 {
+		t.Errorf("callbacks sum up to %d, want 1: the record contains the first entry only", callbackSum)
 	}
 	s.flush()
-	if told != 11 || !s.read()[completionOf(2)] {
-		t.Errorf("callbacks sum up to %d, want 11; the second entry is stored: %v", told, s.read()[completionOf(2)])
+	if callbackSum != 11 || !s.read()[completionOf(2)] {
+		t.Errorf("callbacks sum up to %d, want 11; the second entry is stored: %v", callbackSum, s.read()[completionOf(2)])
 	}
 }
 
 // When the journal has the maximum number of values, entries are written to their records. When it is more than half
 // full, compaction has a higher priority.
 func TestValuesAreBounded(t *testing.T) {
-	limits := usualLimits
+	limits := testLimits
 	limits.Values, limits.ValueBytes = 4, 300
 	s := newFakeStore(t, limits)
 	for i := range 60 {
@@ -359,21 +359,21 @@
 
 // All entries of an abandoned value are written to the records.
 func TestAbandonedValue(t *testing.T) {
-	s := newFakeStore(t, usualLimits)
-	told := false
-	s.add(completionOf(1), func() { told = true })
+	s := newFakeStore(t, testLimits)
+	callbackCalled := false
+	s.add(completionOf(1), func() { callbackCalled = true })
 	s.CancelWrite(Key(leaderToken, 1))
 	s.journal.Abandon()
 	s.journal.Tick()
 	s.flush()
-	if !told || !s.records[recordOf(completionOf(1))][completionOf(1)] || !s.journal.IsEmpty() || s.journal.Accepts() {
-		t.Errorf("callback called %v, records %v", told, s.records)
+	if !callbackCalled || !s.records[recordOf(completionOf(1))][completionOf(1)] || !s.journal.IsEmpty() || s.journal.Accepts() {
+		t.Errorf("callback called %v, records %v", callbackCalled, s.records)
 	}
 }
 
 // Values of earlier leaders are compacted and deleted, also a value whose entries are all in their records.
 func TestAdoptedValues(t *testing.T) {
-	s := newFakeStore(t, usualLimits)
+	s := newFakeStore(t, testLimits)
 	e := departureOf("i-000001", 1)
 	s.current[recordOf(e)] = map[Entry]bool{e: true}
 	for n, missing := range []map[Entry]string{{e: recordOf(e)}, {}} {
@@ -381,7 +381,7 @@
 		s.stored[key] = Encode(5, uint64(n), nil)
 		s.journal.Adopt(key, missing)
 	}
-	s.now += usualLimits.CompactAfter
+	s.now += testLimits.CompactAfter
 	for range 3 {
 		s.journal.Tick()
 		s.flush()
--- a/internal/completionjournal/tail.go
+++ b/internal/completionjournal/tail.go
@@ -23,7 +23,7 @@
 		return // the tail is being written; tailStored schedules the next write
 	}
 	priority := statestore.PriorityBackground
-	if j.hasWaiter {
+	if j.hasCallback {
 		priority = statestore.PriorityCompletion
 	}
 	if j.writePending {
@@ -52,33 +52,33 @@
 // renderTail renders the tail with its entries that are not compacted and as many pending entries as fit. It returns
 // nil, which deletes the key, if there are no such entries.
 func (j *Journal) renderTail() any {
-	kept := j.tail.uncompactedEntries()
-	waiting := make([]*entryState, 0, len(j.pending))
+	existing := j.tail.uncompactedEntries()
+	candidates := make([]*entryState, 0, len(j.pending))
 	for _, e := range j.pending {
 		if e.needsValue() {
-			waiting = append(waiting, e)
+			candidates = append(candidates, e)
 		}
 	}
-	added := len(waiting)
-	value := j.encodeTail(kept, waiting)
+	addedCount := len(candidates)
+	value := j.encodeTail(existing, candidates)
 	if !j.fits(value) {
-		added = sort.Search(added, func(n int) bool { return !j.fits(j.encodeTail(kept, waiting[:n+1])) })
-		value = j.encodeTail(kept, waiting[:added])
+		addedCount = sort.Search(addedCount, func(n int) bool { return !j.fits(j.encodeTail(existing, candidates[:n+1])) })
+		value = j.encodeTail(existing, candidates[:addedCount])
 	}
-	j.renderedEntries = waiting[:added]
+	j.renderedEntries = candidates[:addedCount]
 	j.tail.bodyBytes = len(value.Body)
-	if added < len(waiting) {
+	if addedCount < len(candidates) {
 		j.tail.bodyBytes = j.limits.ValueBytes // the value is full
 	}
-	if j.renderedValue = len(kept)+added > 0; !j.renderedValue {
+	if j.renderedValue = len(existing)+addedCount > 0; !j.renderedValue {
 		return nil
 	}
 	return value
 }
 
-func (j *Journal) encodeTail(kept, added []*entryState) Value {
-	entries := make([]Entry, 0, len(kept)+len(added))
-	for _, e := range kept {
+func (j *Journal) encodeTail(existing, added []*entryState) Value {
+	entries := make([]Entry, 0, len(existing)+len(added))
+	for _, e := range existing {
 		entries = append(entries, e.entry)
 	}
 	for _, e := range added {
@@ -113,7 +113,7 @@
 	for _, e := range durable {
 		e.notifyDurable()
 	}
-	j.hasWaiter = slices.ContainsFunc(j.pending, func(e *entryState) bool { return e.onDurable != nil })
+	j.hasCallback = slices.ContainsFunc(j.pending, func(e *entryState) bool { return e.onDurable != nil })
 	if slices.ContainsFunc(j.pending, (*entryState).needsValue) {
 		j.scheduleWrite()
 	}
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -155,10 +155,10 @@
 
 // peer records the messages of another controller.
 type peer struct {
-	everHeard   bool
-	lastHeard   time.Duration
-	incarnation string     // incarnation of the process that sent the last message
-	statement   *Statement // statement in the last message
+	messageReceived bool
+	lastMessageAt   time.Duration
+	incarnation     string     // incarnation of the process that sent the last message
+	statement       *Statement // statement in the last message
 	// statedSince is the time since which the same process has stated the version without a gap.
 	statedSince time.Duration
 	// lacksStatement is set if the last message had no statement. lacksStatementSince is the time since which
@@ -190,7 +190,7 @@
 func (g *Gate) Statements() map[string]*Statement {
 	statements := map[string]*Statement{}
 	for label, p := range g.peers {
-		if p.everHeard {
+		if p.messageReceived {
 			statements[label] = p.statement
 		}
 	}
@@ -204,18 +204,18 @@
 	if p == nil {
 		return
 	}
-	gap := now - p.lastHeard
+	gap := now - p.lastMessageAt
 	switch {
 	case statement != nil:
 		p.lacksStatement = false
 	case !p.lacksStatement || gap > g.settings.OlderProgramTimeout:
 		p.lacksStatement, p.lacksStatementSince = true, now
 	}
-	continues := p.everHeard && p.incarnation == incarnation && gap <= g.settings.SettleTime
-	if !continues || g.objection(label, p.statement) != NoCause {
+	continues := p.messageReceived && p.incarnation == incarnation && gap <= g.settings.SettleTime
+	if !continues || g.blockingCause(label, p.statement) != NoCause {
 		p.statedSince = now
 	}
-	p.everHeard, p.lastHeard, p.incarnation, p.statement = true, now, incarnation, statement
+	p.messageReceived, p.lastMessageAt, p.incarnation, p.statement = true, now, incarnation, statement
 }
 
 // NextAction returns the action to carry out next. compacted must be set if no record of the version is stored.
@@ -293,8 +293,8 @@
 	g.backOff(now)
 }
 
-// objection returns the cause for which a controller's statement requires a closed gate, or NoCause.
-func (g *Gate) objection(label string, s *Statement) Cause {
+// blockingCause returns the cause for which a controller's statement requires a closed gate, or NoCause.
+func (g *Gate) blockingCause(label string, s *Statement) Cause {
 	switch {
 	case s == nil:
 		return NoStatement
@@ -313,7 +313,7 @@
 // closingObstacle returns the first reason to close an open gate, if any. A controller that sends no messages is not a
 // reason: if it restarts with an older program, its messages will be one.
 func (g *Gate) closingObstacle(now time.Duration) Obstacle {
-	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
+	if cause := g.blockingCause(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
 	for _, label := range slices.Sorted(maps.Keys(g.peers)) {
@@ -321,7 +321,7 @@
 		if g.isSilent(p, now) {
 			continue
 		}
-		cause := g.objection(label, p.statement)
+		cause := g.blockingCause(label, p.statement)
 		if cause == NoStatement && now <= p.lacksStatementSince+g.settings.OlderProgramTimeout {
 			continue
 		}
@@ -334,28 +334,28 @@
 
 // openingObstacle returns the first reason to leave a closed gate closed, if any.
 func (g *Gate) openingObstacle(now time.Duration) Obstacle {
-	if cause := g.objection(g.settings.Self, &g.settings.Own); cause != NoCause {
+	if cause := g.blockingCause(g.settings.Self, &g.settings.Own); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
 	if g.isBackingOff(now) {
 		return Obstacle{g.settings.Self, RecentlyClosed}
 	}
 	for _, label := range slices.Sorted(maps.Keys(g.peers)) {
-		if cause := g.peerObjection(now, label); cause != NoCause {
+		if cause := g.peerBlockingCause(now, label); cause != NoCause {
 			return Obstacle{label, cause}
 		}
 	}
 	return Obstacle{}
 }
 
-// peerObjection returns the cause for which a controller does not count as having stated the version for long enough,
-// or NoCause.
-func (g *Gate) peerObjection(now time.Duration, label string) Cause {
+// peerBlockingCause returns the cause for which a controller does not count as having stated the version for long
+// enough, or NoCause.
+func (g *Gate) peerBlockingCause(now time.Duration, label string) Cause {
 	p := g.peers[label]
 	if g.isSilent(p, now) {
 		return NotHeard
 	}
-	if cause := g.objection(label, p.statement); cause != NoCause {
+	if cause := g.blockingCause(label, p.statement); cause != NoCause {
 		return cause
 	}
 	if now < p.statedSince+g.settings.SettleTime {
@@ -366,5 +366,5 @@
 
 // isSilent reports whether no message of a controller was received within SettleTime.
 func (g *Gate) isSilent(p *peer, now time.Duration) bool {
-	return !p.everHeard || now > p.lastHeard+g.settings.SettleTime
+	return !p.messageReceived || now > p.lastMessageAt+g.settings.SettleTime
 }
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	settled  = time.Second
-	patience = 10 * time.Second
-	pause    = 60 * time.Second
+	settleTime          = time.Second
+	olderProgramTimeout = 10 * time.Second
+	backOffTime         = 60 * time.Second
 )
 
 var ready = Statement{ReadsUpTo: 1, WritesUpTo: 1}
 
 func newGate(stored State, own Statement) *Gate {
 	return New(Settings{Version: 1, Self: "n0", Peers: []string{"n1", "n2"}, Own: own, TransactionsFit: true,
-		SettleTime: settled, OlderProgramTimeout: patience, BackOff: pause}, stored)
+		SettleTime: settleTime, OlderProgramTimeout: olderProgramTimeout, BackOff: backOffTime}, stored)
 }
 
 // sendHeartbeats records each peer's statement three times per settle time, for the duration lasts. It returns the end
 // of that period.
 func sendHeartbeats(g *Gate, from, lasts time.Duration, statements map[string]*Statement) time.Duration {
-	for at := from; at < from+lasts; at += settled / 3 {
+	for at := from; at < from+lasts; at += settleTime / 3 {
 		for label, s := range statements {
 			g.RecordStatement(at, label, "first", s)
 		}
@@ -35,10 +35,10 @@
 func TestObstaclesOfAClosedGate(t *testing.T) {
 	readsNothing := &Statement{}
 	for _, tc := range []struct {
-		name  string
-		own   Statement
-		heard map[string]*Statement
-		want  Obstacle
+		name       string
+		own        Statement
+		statements map[string]*Statement
+		want       Obstacle
 	}{
 		{"all state the version", ready, both(&ready), Obstacle{}},
 		{"all state later versions too", ready, both(&Statement{ReadsUpTo: 9, WritesUpTo: 9}), Obstacle{}},
@@ -52,8 +52,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := newGate(Closed, tc.own)
-			now := sendHeartbeats(g, 0, settled+settled/3, tc.heard)
-			action := g.NextAction(now-settled/3, true)
+			now := sendHeartbeats(g, 0, settleTime+settleTime/3, tc.statements)
+			action := g.NextAction(now-settleTime/3, true)
 			if g.Obstacle() != tc.want || (action == StoreOpen) != (tc.want == Obstacle{}) {
 				t.Errorf("obstacle %q, want %q; action %d", g.Obstacle(), tc.want, action)
 			}
@@ -73,21 +73,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGate(Closed, ready)
-			at := sendHeartbeats(g, 0, settled-settled/3, both(&ready))
+			at := sendHeartbeats(g, 0, settleTime-settleTime/3, both(&ready))
 			disturb(g, at)
-			at = sendHeartbeats(g, at+settled/3, settled/3, both(&ready))
+			at = sendHeartbeats(g, at+settleTime/3, settleTime/3, both(&ready))
 			if g.NextAction(at, true) != NoAction {
 				t.Error("the gate opens before the statements have settled")
 			}
-			if at = sendHeartbeats(g, at, 2*settled, both(&ready)); g.NextAction(at, true) != StoreOpen {
+			if at = sendHeartbeats(g, at, 2*settleTime, both(&ready)); g.NextAction(at, true) != StoreOpen {
 				t.Errorf("the gate does not open after the settle time: %s", g.Obstacle())
 			}
 		})
 	}
 	t.Run("a gap", func(t *testing.T) {
 		g := newGate(Closed, ready)
-		sendHeartbeats(g, 0, settled, both(&ready))
-		at := sendHeartbeats(g, 3*settled, settled/3, both(&ready))
+		sendHeartbeats(g, 0, settleTime, both(&ready))
+		at := sendHeartbeats(g, 3*settleTime, settleTime/3, both(&ready))
 		if g.NextAction(at, true) != NoAction {
 			t.Error("the gate opens directly after a gap")
 		}
@@ -98,7 +98,7 @@
 // not open again before the back-off has passed.
 func TestStatesAreStoredInOrder(t *testing.T) {
 	g := newGate(Closed, ready)
-	now := sendHeartbeats(g, 0, 2*settled, both(&ready))
+	now := sendHeartbeats(g, 0, 2*settleTime, both(&ready))
 	if g.NextAction(now, true) != StoreOpen || g.State() != Opening || g.MayWrite() || g.NextAction(now, true) != NoAction {
 		t.Fatal(g.State())
 	}
@@ -106,7 +106,7 @@
 	if !g.MayWrite() || g.NextAction(now, false) != NoAction {
 		t.Fatal(g.State())
 	}
-	now = sendHeartbeats(g, now, 2*settled, map[string]*Statement{"n1": &ready, "n2": {ReadsUpTo: 1, WritesUpTo: 1, HoldClosed: true}})
+	now = sendHeartbeats(g, now, 2*settleTime, map[string]*Statement{"n1": &ready, "n2": {ReadsUpTo: 1, WritesUpTo: 1, HoldClosed: true}})
 	if g.NextAction(now, false) != StoreClosing || g.MayWrite() || g.Obstacle() != (Obstacle{"n2", HeldClosed}) {
 		t.Fatal(g.State(), g.Obstacle())
 	}
@@ -122,12 +122,12 @@
 	}
 	g.ActionStored(now)
 	closed := now
-	now = sendHeartbeats(g, now, pause-settled, both(&ready))
+	now = sendHeartbeats(g, now, backOffTime-settleTime, both(&ready))
 	if g.State() != Closed || g.NextAction(now, true) != NoAction || g.Obstacle().Cause != RecentlyClosed {
 		t.Fatal(g.State(), g.Obstacle())
 	}
-	now = sendHeartbeats(g, now, 2*settled, both(&ready))
-	if now < closed+pause || g.NextAction(now, true) != StoreOpen {
+	now = sendHeartbeats(g, now, 2*settleTime, both(&ready))
+	if now < closed+backOffTime || g.NextAction(now, true) != StoreOpen {
 		t.Fatal("the gate does not open again, or opens before the back-off has passed")
 	}
 	g.ActionRefused(now)
@@ -163,11 +163,11 @@
 	older := map[string]*Statement{"n1": nil, "n2": &ready}
 	t.Run("messages for longer than the timeout", func(t *testing.T) {
 		g := newGate(Open, ready)
-		now := sendHeartbeats(g, 0, patience, older)
+		now := sendHeartbeats(g, 0, olderProgramTimeout, older)
 		if g.NextAction(now, true) != NoAction {
 			t.Error("the gate closes before the timeout")
 		}
-		if now = sendHeartbeats(g, now, 2*settled, older); g.NextAction(now, true) != StoreClosing {
+		if now = sendHeartbeats(g, now, 2*settleTime, older); g.NextAction(now, true) != StoreClosing {
 			t.Error("the gate stays open after the timeout")
 		}
 	})
@@ -175,18 +175,18 @@
 		g := newGate(Open, ready)
 		now := time.Duration(0)
 		for range 20 {
-			now = sendHeartbeats(g, now, patience/3, older)
+			now = sendHeartbeats(g, now, olderProgramTimeout/3, older)
 			if g.NextAction(now, true) != NoAction {
 				t.Fatal("the gate closes although a newer program ran in between")
 			}
-			now = sendHeartbeats(g, now, settled, both(&ready))
+			now = sendHeartbeats(g, now, settleTime, both(&ready))
 		}
-		now = sendHeartbeats(g, now, patience/2, older) + 2*patience
+		now = sendHeartbeats(g, now, olderProgramTimeout/2, older) + 2*olderProgramTimeout
 		if g.NextAction(now, true) != NoAction {
 			t.Error("the gate closes although no message was received")
 		}
-		sendHeartbeats(g, now, settled, older)
-		if g.NextAction(now+settled, true) != NoAction {
+		sendHeartbeats(g, now, settleTime, older)
+		if g.NextAction(now+settleTime, true) != NoAction {
 			t.Error("the time before a gap counts towards the timeout")
 		}
 	})
@@ -206,10 +206,10 @@
 		t.Fatal("the gate stays open")
 	}
 	g.ActionRefused(0)
-	if g.NextAction(pause-1, true) != NoAction || g.State() != Closing || g.MayWrite() {
+	if g.NextAction(backOffTime-1, true) != NoAction || g.State() != Closing || g.MayWrite() {
 		t.Errorf("the gate is %s before the back-off has passed, or returns an action", g.State())
 	}
-	if g.NextAction(pause, true) != StoreClosing {
+	if g.NextAction(backOffTime, true) != StoreClosing {
 		t.Error("the closing is not returned again after the back-off")
 	}
 }
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -121,8 +121,8 @@
 		if g := t.gate; g != nil {
 			fmt.Fprint(&b, g.state, g.actionPending, g.closingStored, g.backingOff, s.age(g.notBefore))
 			for n := range 3 {
-				if p := g.peers[fmt.Sprint(n)]; p != nil && p.everHeard {
-					fmt.Fprint(&b, ":", n, p.statement != nil, p.lacksStatement, s.age(p.lastHeard), s.age(p.statedSince), s.age(p.lacksStatementSince))
+				if p := g.peers[fmt.Sprint(n)]; p != nil && p.messageReceived {
+					fmt.Fprint(&b, ":", n, p.statement != nil, p.lacksStatement, s.age(p.lastMessageAt), s.age(p.statedSince), s.age(p.lacksStatementSince))
 				}
 			}
 		}
@@ -164,7 +164,7 @@
 
 // apply applies a transaction to the store if the transaction's conditions hold. It returns the invariant that is
 // violated by this, if any.
-func (s *modelState) apply(t modelTxn, faults modelFaults) (applied bool, broken string) {
+func (s *modelState) apply(t modelTxn, faults modelFaults) (applied bool, violation string) {
 	st := &s.store
 	if st.version != t.version {
 		return false, ""
@@ -222,52 +222,52 @@
 		n := s.clone()
 		visit(n, change(n))
 	}
-	quiet := func(change func(n *modelState)) { step(func(n *modelState) string { change(n); return "" }) }
-	quiet(func(n *modelState) { n.now++ })
+	validStep := func(change func(n *modelState)) { step(func(n *modelState) string { change(n); return "" }) }
+	validStep(func(n *modelState) { n.now++ })
 	if s.store.lease != 0 {
-		quiet((*modelState).expireLease)
+		validStep((*modelState).expireLease)
 	}
 	for i := range 3 {
-		s.controllerSteps(i, quiet)
-		s.leaderSteps(i, faults, quiet)
+		s.controllerSteps(i, validStep)
+		s.leaderSteps(i, faults, validStep)
 	}
 	for i, t := range s.inFlight {
 		for _, answered := range []bool{true, false} {
 			step(func(n *modelState) string {
 				n.inFlight = append(n.inFlight[:i:i], n.inFlight[i+1:]...)
-				applied, broken := n.apply(t, faults)
+				applied, violation := n.apply(t, faults)
 				if answered {
 					n.answer(t, applied)
 				}
-				return broken
+				return violation
 			})
 		}
 	}
 }
 
-// controllerSteps passes the steps of a controller to quiet: the controller stops, restarts or is elected.
-func (s *modelState) controllerSteps(i int, quiet func(func(*modelState))) {
+// controllerSteps passes the steps of a controller to validStep: the controller stops, restarts or is elected.
+func (s *modelState) controllerSteps(i int, validStep func(func(*modelState))) {
 	if !s.alive[i] {
 		for _, newer := range []bool{true, false} {
-			quiet(func(n *modelState) { n.alive[i], n.newer[i] = true, newer })
+			validStep(func(n *modelState) { n.alive[i], n.newer[i] = true, newer })
 		}
 		return
 	}
-	quiet(func(n *modelState) { n.alive[i], n.leaders[i] = false, nil })
+	validStep(func(n *modelState) { n.alive[i], n.leaders[i] = false, nil })
 	if s.leaders[i] == nil {
-		quiet(func(n *modelState) { n.elect(i) })
+		validStep(func(n *modelState) { n.elect(i) })
 	}
 }
 
-// leaderSteps passes the steps of a leader to quiet. Histories without these steps model a stalled process.
-func (s *modelState) leaderSteps(i int, faults modelFaults, quiet func(func(*modelState))) {
+// leaderSteps passes the steps of a leader to validStep. Histories without these steps model a stalled process.
+func (s *modelState) leaderSteps(i int, faults modelFaults, validStep func(func(*modelState))) {
 	leader := s.leaders[i]
 	if leader == nil || leader.gate == nil {
 		return
 	}
 	for k := range 3 {
 		if k != i && s.alive[k] {
-			quiet(func(n *modelState) {
+			validStep(func(n *modelState) {
 				statement := &ready
 				if !n.newer[k] {
 					statement = nil
@@ -282,15 +282,15 @@
 	if leader.awaitsAnswer {
 		// A transaction without an answer is sent again. The leader determines whether an earlier attempt
 		// applied by reading the leader key, which that attempt would have written.
-		quiet(func(n *modelState) { n.send(i, leader.kind, true) })
+		validStep(func(n *modelState) { n.send(i, leader.kind, true) })
 		if s.store.version != leader.version {
-			quiet(func(n *modelState) {
+			validStep(func(n *modelState) {
 				n.answer(modelTxn{node: i, token: leader.token}, n.store.version != 0 && n.store.token == leader.token)
 			})
 		}
 		return
 	}
-	quiet(func(n *modelState) {
+	validStep(func(n *modelState) {
 		t := n.leaders[i]
 		t.action = t.gate.NextAction(n.now, n.store.journal == 0 || faults.closesUncompacted)
 		switch t.action {
@@ -304,38 +304,38 @@
 		}
 	})
 	if leader.gate.MayWrite() {
-		quiet(func(n *modelState) { n.send(i, modelJournal, false) })
+		validStep(func(n *modelState) { n.send(i, modelJournal, false) })
 	}
 	if leader.gate.State() == Closing {
-		quiet(func(n *modelState) { n.send(i, modelCompact, false) })
+		validStep(func(n *modelState) { n.send(i, modelCompact, false) })
 	}
 }
 
 // send adds a transaction of a leader to the transactions in flight.
-func (s *modelState) send(i int, kind modelKind, again bool) {
+func (s *modelState) send(i int, kind modelKind, isRetry bool) {
 	leader := s.leaders[i]
 	leader.awaitsAnswer, leader.kind = true, kind
-	s.inFlight = append(s.inFlight, modelTxn{kind: kind, node: i, token: leader.token, version: leader.version, fences: again})
+	s.inFlight = append(s.inFlight, modelTxn{kind: kind, node: i, token: leader.token, version: leader.version, fences: isRetry})
 }
 
 // explore visits all states up to a depth. It returns their number and the first invariant that is violated.
-func explore(starts []*modelState, depth int, faults modelFaults) (visited int, broken string) {
+func explore(starts []*modelState, depth int, faults modelFaults) (visited int, violation string) {
 	seen := map[string]bool{}
 	layer := starts
 	for range depth {
 		var next []*modelState
 		for _, s := range layer {
 			s.steps(faults, func(n *modelState, rule string) {
-				if broken == "" {
-					broken = rule
+				if violation == "" {
+					violation = rule
 				}
 				if key := n.key(); !seen[key] {
 					seen[key] = true
 					next = append(next, n)
 				}
 			})
-			if broken != "" {
-				return len(seen), broken
+			if violation != "" {
+				return len(seen), violation
 			}
 		}
 		layer = next
@@ -391,10 +391,10 @@
 const modelDepth = 7
 
 func TestModel(t *testing.T) {
-	visited, broken := explore(append(modelStarts(), lateJournalWrite(modelFaults{})), modelDepth, modelFaults{})
+	visited, violation := explore(append(modelStarts(), lateJournalWrite(modelFaults{})), modelDepth, modelFaults{})
 	t.Logf("%d states", visited)
-	if broken != "" {
-		t.Errorf("invariant violated: %s", broken)
+	if violation != "" {
+		t.Errorf("invariant violated: %s", violation)
 	}
 	if visited < 10_000 {
 		t.Errorf("the model visits %d states, want at least 10000", visited)
@@ -403,15 +403,15 @@
 
 // The model checker detects a gate that closes before the journal is compacted, and a leader key that keeps its
 // version when the gate's state changes.
-func TestModelFindsPlantedFaults(t *testing.T) {
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	for name, faults := range map[string]modelFaults{
 		"closes before compaction": {closesUncompacted: true},
 		"keeps the key's version":  {keepsVersion: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			visited, broken := explore(append(modelStarts(), lateJournalWrite(faults)), modelDepth, faults)
-			t.Logf("%d states: %s", visited, broken)
-			if broken == "" {
+			visited, violation := explore(append(modelStarts(), lateJournalWrite(faults)), modelDepth, faults)
+			t.Logf("%d states: %s", visited, violation)
+			if violation == "" {
 				t.Errorf("the injected fault is not detected in %d states", visited)
 			}
 		})
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -14,7 +14,7 @@
 	change.Entry = testEntry("permanent", 0)
 	change.OnApplied = func() { *outcome = "applied" }
 	change.OnRefused = func() { *outcome = "refused" }
-	w.QueueWrite("m/other", PriorityBatch, value("other"), nil)
+	w.QueueWrite("m/other", PriorityBatch, renderValue("other"), nil)
 	w.ChangeLeader(change)
 	w.Flush()
 	return host, w, outcome
@@ -24,7 +24,7 @@
 	return &LeaderChange{Puts: []protocol.Change{{Put: "c/lease", Value: "lease", Lease: 3}}}
 }
 
-func item(version uint64, v any) []byte {
+func encodedItem(version uint64, v any) []byte {
 	return protocol.Encode(protocol.KeyValue{Value: protocol.Encode(v), Version: version})
 }
 
@@ -32,23 +32,23 @@
 // known versions. All later transactions are conditional on the new version of the leader key.
 func TestLeaderChange(t *testing.T) {
 	host, w, outcome := newLeaderChangeWriter(openingChange())
-	txn := host.last(t).body.(protocol.Transaction)
-	if !slices.Equal(puts(host.last(t)), []string{"c/lease", "c/leader"}) || txn.Then[1].Lease != 0 || txn.Then[0].Lease != 3 {
+	txn := host.lastRequest(t).body.(protocol.Transaction)
+	if !slices.Equal(changedKeys(host.lastRequest(t)), []string{"c/lease", "c/leader"}) || txn.Then[1].Lease != 0 || txn.Then[0].Lease != 3 {
 		t.Fatalf("transaction %+v", txn)
 	}
 	if !slices.Equal(txn.If, []protocol.Condition{{Key: "c/leader", Version: 5}, {Key: "c/lease", Version: 0}}) {
 		t.Errorf("conditions %+v", txn.If)
 	}
-	host.last(t).answer(200, applied(9))
+	host.lastRequest(t).answer(200, appliedReply(9))
 	w.Flush()
-	if next := host.last(t).body.(protocol.Transaction); *outcome != "applied" || next.If[0].Version != 9 || next.Then[0].Put != "m/other" {
+	if next := host.lastRequest(t).body.(protocol.Transaction); *outcome != "applied" || next.If[0].Version != 9 || next.Then[0].Put != "m/other" {
 		t.Errorf("outcome %q, next transaction %+v", *outcome, next)
 	}
 	// A fence writes the entry that is stored now.
-	host.last(t).answer(0, nil)
+	host.lastRequest(t).answer(0, nil)
 	host.now += host.RetryPause()
 	w.Flush()
-	if fence := host.last(t).body.(protocol.Transaction).Then[1]; fence.Put != "c/leader" || fence.Value != "permanent" || fence.Lease != 0 {
+	if fence := host.lastRequest(t).body.(protocol.Transaction).Then[1]; fence.Put != "c/leader" || fence.Value != "permanent" || fence.Lease != 0 {
 		t.Errorf("the fence is %+v", fence)
 	}
 }
@@ -76,23 +76,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			host, w, outcome := newLeaderChangeWriter(c.change)
-			host.last(t).answer(0, nil)
+			host.lastRequest(t).answer(0, nil)
 			host.now += host.RetryPause()
 			w.Flush()
 			if c.status == 409 {
-				host.last(t).answer(409, failed(c.conflict))
+				host.lastRequest(t).answer(409, conflictReply(c.conflict))
 			} else {
-				host.last(t).answer(c.status, nil)
+				host.lastRequest(t).answer(c.status, nil)
 			}
 			w.Flush()
-			if host.last(t).method == "GET" {
-				if host.last(t).path != "/store/c/leader" {
-					t.Errorf("the request reads %s, want /store/c/leader", host.last(t).path)
+			if host.lastRequest(t).method == "GET" {
+				if host.lastRequest(t).path != "/store/c/leader" {
+					t.Errorf("the request reads %s, want /store/c/leader", host.lastRequest(t).path)
 				}
 				if c.version == 0 {
-					host.last(t).answer(404, nil)
+					host.lastRequest(t).answer(404, nil)
 				} else {
-					host.last(t).answer(200, item(c.version, c.record))
+					host.lastRequest(t).answer(200, encodedItem(c.version, c.record))
 				}
 			}
 			if *outcome != c.outcome || host.ended != c.ended {
@@ -106,9 +106,9 @@
 // queued writes are sent next.
 func TestRefusedLeaderChange(t *testing.T) {
 	host, w, outcome := newLeaderChangeWriter(openingChange())
-	host.last(t).answer(400, nil)
+	host.lastRequest(t).answer(400, nil)
 	w.Flush()
-	if next := host.last(t).body.(protocol.Transaction); *outcome != "refused" || host.ended != "" || next.If[0].Version != 5 || next.Then[0].Put != "m/other" {
+	if next := host.lastRequest(t).body.(protocol.Transaction); *outcome != "refused" || host.ended != "" || next.If[0].Version != 5 || next.Then[0].Put != "m/other" {
 		t.Errorf("outcome %q, leadership ended by %q, next transaction %+v", *outcome, host.ended, next)
 	}
 }
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -89,7 +89,7 @@
 	// RetryPause returns the delay before a request is retried.
 	RetryPause() time.Duration
 	// EndLeadership ends the leadership.
-	EndLeadership(why EndReason)
+	EndLeadership(reason EndReason)
 	HasEnded() bool
 	// OnUnavailable is called when the state service does not execute requests. The host should refuse the user
 	// requests that wait for a write instead of leaving them without an answer.
@@ -141,10 +141,10 @@
 	latencies *hdrhistogram.Histogram
 }
 
-// NewWriter returns the writer of a new leadership. changes limits the rate of changes to the state service.
-func NewWriter(host Host, client *stateclient.Client, log *slog.Logger, limits Limits, changes *ratelimit.TokenBucket, leader LeaderKey) *Writer {
+// NewWriter returns the writer of a new leadership. changeBudget limits the rate of changes to the state service.
+func NewWriter(host Host, client *stateclient.Client, log *slog.Logger, limits Limits, changeBudget *ratelimit.TokenBucket, leader LeaderKey) *Writer {
 	return &Writer{
-		host: host, client: client, log: log, limits: limits, changeBudget: changes, leader: leader,
+		host: host, client: client, log: log, limits: limits, changeBudget: changeBudget, leader: leader,
 		versions: map[string]uint64{}, pending: map[string]*write{},
 		latencies: hdrhistogram.New(1, maxLatencyMillis, latencyDigits), maxWrites: unlimitedWrites,
 	}
@@ -166,9 +166,9 @@
 func (w *Writer) Latencies() *hdrhistogram.Histogram { return w.latencies }
 
 // QueueWrite queues a write of the record of a key. render is called when the write is added to a transaction and
-// returns the record, or nil to delete the key. then is called once the write is durable; it may be nil. If a write
-// of the key is queued already, both are combined in one write with the more urgent priority.
-func (w *Writer) QueueWrite(key string, priority Priority, render func() any, then func()) {
+// returns the record, or nil to delete the key. onStored is called once the write is durable; it may be nil. If a
+// write of the key is queued already, both are combined in one write with the more urgent priority.
+func (w *Writer) QueueWrite(key string, priority Priority, render func() any, onStored func()) {
 	pending := w.pending[key]
 	if pending == nil {
 		pending = &write{key: key, priority: priority}
@@ -180,8 +180,8 @@
 		w.queues[priority] = append(w.queues[priority], pending)
 	}
 	pending.render = render
-	if then != nil {
-		pending.onStored = append(pending.onStored, then)
+	if onStored != nil {
+		pending.onStored = append(pending.onStored, onStored)
 	}
 }
 
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -32,17 +32,17 @@
 func (h *fakeHost) Call(method, path string, body any, _ time.Duration, then func(int, []byte)) {
 	h.sent = append(h.sent, sentRequest{method, path, body, then})
 }
-func (h *fakeHost) MayRequest() bool            { return true }
-func (h *fakeHost) RetryPause() time.Duration   { return 100 * time.Millisecond }
-func (h *fakeHost) EndLeadership(why EndReason) { h.ended = why }
-func (h *fakeHost) HasEnded() bool              { return h.ended != "" }
-func (h *fakeHost) OnUnavailable()              { h.unavailable++ }
-func (h *fakeHost) OnRendered(string)           {}
-func (h *fakeHost) OnStored(string)             {}
-func (h *fakeHost) OnAbandoned(key string)      { h.abandoned = append(h.abandoned, key) }
+func (h *fakeHost) MayRequest() bool               { return true }
+func (h *fakeHost) RetryPause() time.Duration      { return 100 * time.Millisecond }
+func (h *fakeHost) EndLeadership(reason EndReason) { h.ended = reason }
+func (h *fakeHost) HasEnded() bool                 { return h.ended != "" }
+func (h *fakeHost) OnUnavailable()                 { h.unavailable++ }
+func (h *fakeHost) OnRendered(string)              {}
+func (h *fakeHost) OnStored(string)                {}
+func (h *fakeHost) OnAbandoned(key string)         { h.abandoned = append(h.abandoned, key) }
 
-// last returns the request that was sent last.
-func (h *fakeHost) last(t *testing.T) sentRequest {
+// lastRequest returns the request that was sent last.
+func (h *fakeHost) lastRequest(t *testing.T) sentRequest {
 	t.Helper()
 	if len(h.sent) == 0 {
 		t.Fatal("no request was sent")
@@ -68,15 +68,17 @@
 	}}
 }
 
-func value(v any) func() any { return func() any { return v } }
+func renderValue(v any) func() any { return func() any { return v } }
 
-func applied(revision uint64) []byte {
+func appliedReply(revision uint64) []byte {
 	return protocol.Encode(protocol.TransactionReply{Revision: revision})
 }
 
-func failed(keys ...string) []byte { return protocol.Encode(protocol.TransactionReply{Failed: keys}) }
+func conflictReply(keys ...string) []byte {
+	return protocol.Encode(protocol.TransactionReply{Failed: keys})
+}
 
-func puts(c sentRequest) []string {
+func changedKeys(c sentRequest) []string {
 	var keys []string
 	for _, change := range c.body.(protocol.Transaction).Then {
 		keys = append(keys, change.Put+change.Delete)
@@ -89,7 +91,7 @@
 	host, w := newTestWriter(4)
 	done := map[string]int{}
 	queue := func(key string, priority Priority) {
-		w.QueueWrite(key, priority, value(key), func() { done[key]++ })
+		w.QueueWrite(key, priority, renderValue(key), func() { done[key]++ })
 	}
 	queue("k/lazy", PriorityBackground)
 	queue("m/batch", PriorityBatch)
@@ -98,18 +100,18 @@
 	queue("m/batch", PriorityReplica) // raises the priority of the queued write
 	w.Flush()
 	w.Flush()
-	if len(host.sent) != 1 || !slices.Equal(puts(host.sent[0]), []string{"j/user", "m/replica", "m/batch"}) {
-		t.Fatalf("%d requests, the first one writes %v", len(host.sent), puts(host.sent[0]))
+	if len(host.sent) != 1 || !slices.Equal(changedKeys(host.sent[0]), []string{"j/user", "m/replica", "m/batch"}) {
+		t.Fatalf("%d requests, the first one writes %v", len(host.sent), changedKeys(host.sent[0]))
 	}
 	if condition := host.sent[0].body.(protocol.Transaction).If[0]; condition.Key != "c/leader" || condition.Version != 5 {
 		t.Errorf("the first condition is %+v", condition)
 	}
-	host.sent[0].answer(200, applied(9))
+	host.sent[0].answer(200, appliedReply(9))
 	if done["m/batch"] != 2 || done["j/user"] != 1 || done["k/lazy"] != 0 || w.Version("m/batch") != 9 || w.Busy() {
 		t.Errorf("callbacks by key %v, m/batch has version %d, busy %v", done, w.Version("m/batch"), w.Busy())
 	}
 	w.Flush()
-	if got := puts(host.last(t)); !slices.Equal(got, []string{"k/lazy"}) {
+	if got := changedKeys(host.lastRequest(t)); !slices.Equal(got, []string{"k/lazy"}) {
 		t.Errorf("the next transaction writes %v, want k/lazy", got)
 	}
 }
@@ -117,11 +119,11 @@
 // A queued write can be cancelled once. A write that was sent can't be cancelled.
 func TestCancelWrite(t *testing.T) {
 	_, w := newTestWriter(4)
-	w.QueueWrite("j/1", PriorityUser, value(1), nil)
+	w.QueueWrite("j/1", PriorityUser, renderValue(1), nil)
 	if !w.CancelWrite("j/1") || w.CancelWrite("j/1") || w.IsPending("j/1") {
 		t.Error("a queued write is not cancelled, or is cancelled twice")
 	}
-	w.QueueWrite("j/1", PriorityUser, value(1), nil)
+	w.QueueWrite("j/1", PriorityUser, renderValue(1), nil)
 	w.Flush()
 	if w.CancelWrite("j/1") {
 		t.Error("a write that was sent is cancelled")
@@ -133,24 +135,24 @@
 func TestLostAnswer(t *testing.T) {
 	host, w := newTestWriter(4)
 	done := 0
-	w.QueueWrite("m/1", PriorityBatch, value("a"), func() { done++ })
+	w.QueueWrite("m/1", PriorityBatch, renderValue("a"), func() { done++ })
 	w.Flush()
-	host.last(t).answer(0, nil)
+	host.lastRequest(t).answer(0, nil)
 	w.Flush()
 	if len(host.sent) != 1 {
 		t.Error("the transaction is repeated without a delay")
 	}
 	host.now += time.Second
 	w.Flush()
-	if got := puts(host.last(t)); !slices.Equal(got, []string{"m/1", "c/leader"}) {
+	if got := changedKeys(host.lastRequest(t)); !slices.Equal(got, []string{"m/1", "c/leader"}) {
 		t.Errorf("the repeated transaction writes %v, want m/1 and c/leader", got)
 	}
-	host.last(t).answer(409, failed("m/1"))
+	host.lastRequest(t).answer(409, conflictReply("m/1"))
 	w.Flush()
-	if c := host.last(t); c.method != "GET" || c.path != "/store/m/1" {
+	if c := host.lastRequest(t); c.method != "GET" || c.path != "/store/m/1" {
 		t.Fatalf("the request is %s %s, want GET /store/m/1", c.method, c.path)
 	}
-	host.last(t).answer(200, protocol.Encode(protocol.KeyValue{Key: "m/1", Version: 12}))
+	host.lastRequest(t).answer(200, protocol.Encode(protocol.KeyValue{Key: "m/1", Version: 12}))
 	if done != 1 || w.Version("m/1") != 12 || host.ended != "" {
 		t.Errorf("%d callbacks, version %d, leadership ended by %q", done, w.Version("m/1"), host.ended)
 	}
@@ -159,9 +161,9 @@
 // A conflict on the leader key ends the leadership, unless an earlier attempt of this leader wrote the key.
 func TestConflictsOfTheLeaderKey(t *testing.T) {
 	host, w := newTestWriter(4)
-	w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
+	w.QueueWrite("m/1", PriorityBatch, renderValue("a"), nil)
 	w.Flush()
-	host.last(t).answer(409, failed("c/leader"))
+	host.lastRequest(t).answer(409, conflictReply("c/leader"))
 	if host.ended != EndOtherLeader {
 		t.Errorf("leadership ended by %q, want %q", host.ended, EndOtherLeader)
 	}
@@ -175,17 +177,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			host, w := newTestWriter(4)
-			w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
+			w.QueueWrite("m/1", PriorityBatch, renderValue("a"), nil)
 			w.Flush()
-			host.last(t).answer(0, nil)
+			host.lastRequest(t).answer(0, nil)
 			host.now += time.Second
 			w.Flush()
-			host.last(t).answer(0, nil) // the repeated transaction, which writes the leader key, has no answer either
+			host.lastRequest(t).answer(0, nil) // the repeated transaction, which writes the leader key, has no answer either
 			host.now += time.Second
 			w.Flush()
-			host.last(t).answer(409, failed("c/leader"))
+			host.lastRequest(t).answer(409, conflictReply("c/leader"))
 			w.Flush()
-			host.last(t).answer(200, protocol.Encode(map[string]any{"k": "c/leader", "data": c.record, "stamp": 20}))
+			host.lastRequest(t).answer(200, protocol.Encode(map[string]any{"k": "c/leader", "data": c.record, "stamp": 20}))
 			if host.ended != c.ended || w.Version("m/1") != c.version {
 				t.Errorf("leadership ended by %q, want %q; version %d, want %d", host.ended, c.ended, w.Version("m/1"), c.version)
 			}
@@ -197,9 +199,9 @@
 // then differ from this leader's state in memory.
 func TestConflictOfARecord(t *testing.T) {
 	host, w := newTestWriter(4)
-	w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
+	w.QueueWrite("m/1", PriorityBatch, renderValue("a"), nil)
 	w.Flush()
-	host.last(t).answer(409, failed("m/1"))
+	host.lastRequest(t).answer(409, conflictReply("m/1"))
 	if host.ended != EndRecordsDiffer {
 		t.Errorf("leadership ended by %q, want %q", host.ended, EndRecordsDiffer)
 	}
@@ -210,7 +212,7 @@
 func TestMalformedRecord(t *testing.T) {
 	host, w := newTestWriter(20)
 	for i := range 8 {
-		w.QueueWrite(fmt.Sprintf("m/%d", i), PriorityBatch, value("a"), nil)
+		w.QueueWrite(fmt.Sprintf("m/%d", i), PriorityBatch, renderValue("a"), nil)
 	}
 	revision := uint64(10)
 	for range 40 {
@@ -218,13 +220,13 @@
 		if !w.Busy() {
 			break
 		}
-		c := host.last(t)
-		if slices.Contains(puts(c), "m/5") {
+		c := host.lastRequest(t)
+		if slices.Contains(changedKeys(c), "m/5") {
 			c.answer(400, nil)
 			continue
 		}
 		revision++
-		c.answer(200, applied(revision))
+		c.answer(200, appliedReply(revision))
 	}
 	if !slices.Equal(host.abandoned, []string{"m/5"}) {
 		t.Errorf("abandoned records %v, want m/5", host.abandoned)
@@ -257,9 +259,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			host, w := newTestWriter(4)
-			w.QueueWrite("m/1", PriorityBatch, value("a"), nil)
+			w.QueueWrite("m/1", PriorityBatch, renderValue("a"), nil)
 			w.Flush()
-			host.last(t).answer(c.status, c.body)
+			host.lastRequest(t).answer(c.status, c.body)
 			w.Flush()
 			if len(host.sent) != 1 || host.unavailable != c.unavailable || host.ended != "" {
 				t.Fatalf("%d requests before the delay has passed, OnUnavailable called %d times, leadership ended by %q", len(host.sent), host.unavailable, host.ended)
@@ -270,7 +272,7 @@
 			if c.fence {
 				want = append(want, "c/leader")
 			}
-			if got := puts(host.last(t)); len(host.sent) != 2 || !slices.Equal(got, want) {
+			if got := changedKeys(host.lastRequest(t)); len(host.sent) != 2 || !slices.Equal(got, want) {
 				t.Errorf("%d requests, the last one writes %v, want %v", len(host.sent), got, want)
 			}
 		})
@@ -281,22 +283,22 @@
 // beyond the maximum number of changes waits for the next transaction.
 func TestLimits(t *testing.T) {
 	host, w := newTestWriter(3)
-	w.QueueWrite("m/fits", PriorityBatch, value(strings.Repeat("x", 98)), nil) // 100 bytes as JSON, with the quotes
-	w.QueueWrite("m/large", PriorityBatch, value(strings.Repeat("x", 99)), nil)
-	w.QueueWrite("m/second", PriorityBatch, value(1), nil)
-	w.QueueWrite("m/third", PriorityBatch, value(1), nil)
+	w.QueueWrite("m/fits", PriorityBatch, renderValue(strings.Repeat("x", 98)), nil) // 100 bytes as JSON, with the quotes
+	w.QueueWrite("m/large", PriorityBatch, renderValue(strings.Repeat("x", 99)), nil)
+	w.QueueWrite("m/second", PriorityBatch, renderValue(1), nil)
+	w.QueueWrite("m/third", PriorityBatch, renderValue(1), nil)
 	w.Flush()
-	if got := puts(host.last(t)); !slices.Equal(got, []string{"m/fits", "m/second"}) || !slices.Equal(host.abandoned, []string{"m/large"}) {
+	if got := changedKeys(host.lastRequest(t)); !slices.Equal(got, []string{"m/fits", "m/second"}) || !slices.Equal(host.abandoned, []string{"m/large"}) {
 		t.Errorf("the transaction writes %v, abandoned records %v", got, host.abandoned)
 	}
-	host.last(t).answer(429, nil)
+	host.lastRequest(t).answer(429, nil)
 	w.Flush()
 	if len(host.sent) != 1 {
 		t.Error("the transaction is repeated without a delay")
 	}
 	host.now += time.Second
 	w.Flush()
-	host.last(t).answer(503, nil)
+	host.lastRequest(t).answer(503, nil)
 	if host.unavailable != 1 {
 		t.Errorf("OnUnavailable called %d times, want once", host.unavailable)
 	}
@@ -306,15 +308,15 @@
 func TestDeletionOfAbsentKey(t *testing.T) {
 	host, w := newTestWriter(4)
 	done := 0
-	w.QueueWrite("d/1", PriorityBackground, value(nil), func() { done++ })
+	w.QueueWrite("d/1", PriorityBackground, renderValue(nil), func() { done++ })
 	w.Flush()
 	if len(host.sent) != 0 || done != 1 {
 		t.Errorf("%d requests, %d callbacks", len(host.sent), done)
 	}
 	w.SetVersion("d/2", 7)
-	w.QueueWrite("d/2", PriorityBackground, value(nil), func() { done++ })
+	w.QueueWrite("d/2", PriorityBackground, renderValue(nil), func() { done++ })
 	w.Flush()
-	host.last(t).answer(200, applied(9))
+	host.lastRequest(t).answer(200, appliedReply(9))
 	if done != 2 || w.Version("d/2") != 0 {
 		t.Errorf("%d callbacks, version %d", done, w.Version("d/2"))
 	}
