--- a/internal/clusterstate/agent_state_test.go
+++ b/internal/clusterstate/agent_state_test.go
@@ -29,7 +29,7 @@
 			agent.RecordMessage(newest, 5, time.Second, 10*time.Second)
 			agent.ExpiredEpoch = tc.expiredEpoch
 			if got := agent.IsNewest(HeartbeatHeader{Epoch: tc.epoch, Sequence: tc.sequence}); got != tc.want {
-				t.Errorf("IsNewest returns %v, want %v", got, tc.want)
+				t.Errorf("IsNewest returns %v", got)
 			}
 		})
 	}
--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -87,16 +87,16 @@
 			read := successor.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: tc.tasks}, 1)
 			for key, rec := range records {
 				if jobExists, err := successor.LoadCompletions(key, rec); err != nil || !jobExists {
-					t.Fatalf("record %s: job is known %v, error %v", key, jobExists, err)
+					t.Fatalf("record %s was not loaded, error %v", key, err)
 				}
 			}
 			older := readAsOlderVersion(t, tc.layout, tc.tasks, records)
 			for i := range tc.tasks {
 				if read.IsDone(i) != j.IsDone(i) {
-					t.Fatalf("task %d: read as done %v, want %v", i, read.IsDone(i), j.IsDone(i))
+					t.Fatalf("task %d: wrongly read as done %v", i, read.IsDone(i))
 				}
 				if older[i] && !j.IsDone(i) || tc.olderReadAll && older[i] != j.IsDone(i) {
-					t.Fatalf("task %d: an older version reads done %v, want %v", i, older[i], j.IsDone(i))
+					t.Fatalf("task %d: an older version wrongly reads done %v", i, older[i])
 				}
 			}
 		})
@@ -138,7 +138,7 @@
 		}
 	}
 	if read.CompletedTasks != tasks-1 || read.IsDone(tasks-2) {
-		t.Errorf("%d tasks are read as done, want %d; task %d is done: %v", read.CompletedTasks, tasks-1, tasks-2, read.IsDone(tasks-2))
+		t.Errorf("%d tasks are read as done, want all except one, which is still open", read.CompletedTasks)
 	}
 }
 
@@ -200,6 +200,6 @@
 		t.Errorf("task 2999 is stored in %s, want d/j-1/0", key)
 	}
 	if n := len(protocol.Encode(state.CompletionRecord(j, 2999))); n > 2<<10 {
-		t.Errorf("the record takes %d bytes, limit %d", n, 2<<10)
+		t.Errorf("the record takes %d bytes, limit 2048", n)
 	}
 }
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -26,7 +26,7 @@
 				}
 				g := &Gang{State: state}
 				if changed := g.Apply(event); g.State != next || changed != (next != state) {
-					t.Errorf("event %d leads to state %v, want %v; Apply returns %v", event, g.State, next, changed)
+					t.Errorf("event %d leads to state %v, Apply returns %v, want state %v", event, g.State, changed, next)
 				}
 			}
 		})
@@ -119,10 +119,10 @@
 	otherNumber.SetState(protocol.TaskRunning)
 	attempts[0].SetState(protocol.TaskWaitingForGang)
 	if j.Gang.State != GangGathering {
-		t.Errorf("the gang is %v, want %v", j.Gang.State, GangGathering)
+		t.Errorf("the gang is %v, want gathering", j.Gang.State)
 	}
 	attempts[0].SetState(protocol.TaskRunning)
 	if j.Gang.State != GangRunning {
-		t.Errorf("the gang is %v, want %v", j.Gang.State, GangRunning)
+		t.Errorf("the gang is %v, want running", j.Gang.State)
 	}
 }
--- a/internal/clusterstate/images_test.go
+++ b/internal/clusterstate/images_test.go
@@ -20,7 +20,7 @@
 	m.UseImage("new", 30, 130)
 	for name, want := range map[string]bool{"needed": true, "old": true, "recent": false, "old-but-used": true, "new": true} {
 		if m.Images[name] != want {
-			t.Errorf("image %s is cached: %v, want %v", name, m.Images[name], want)
+			t.Errorf("image %s is wrongly cached or evicted, cached: %v", name, m.Images[name])
 		}
 	}
 	m.UseImage("huge", 200, 130)
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -12,8 +12,8 @@
 )
 
 // Job is a job that has not ended. Its spec, its submission time and its cancellation are stored in a JobRecord,
-// and the completions of its tasks in CompletionRecords. At a failover the new leader rebuilds the other fields
-// from the records or resets them.
+// and the completions of its tasks in records of type CompletionRecord. At a failover the new leader rebuilds the
+// other fields from the records or resets them.
 type Job struct {
 	Spec *protocol.JobSpec
 	// Submitted is the time of submission in ms since the epoch, on the wall clock of the controller that
--- a/internal/clusterstate/records_test.go
+++ b/internal/clusterstate/records_test.go
@@ -55,7 +55,7 @@
 				t.Errorf("decoded record differs (-want +got):\n%s", diff)
 			}
 			if got := hex.EncodeToString(protocol.Encode(tc.want)); got != tc.wrote {
-				t.Errorf("encoded as %s, want %s", got, tc.wrote)
+				t.Errorf("encoded to other bytes: %s", got)
 			}
 		})
 	}
--- a/internal/completionjournal/entry.go
+++ b/internal/completionjournal/entry.go
@@ -114,7 +114,7 @@
 	for _, departures := range body.Departures {
 		for _, a := range departures.Attempts {
 			if departures.Machine == "" || a.Index >= maxTasks {
-				return nil, fmt.Errorf("%w: departure of job %q: machine %q, task index %d", ErrMalformed, a.Job, departures.Machine, a.Index)
+				return nil, fmt.Errorf("%w: departed attempt of job %q: machine %q, task index %d", ErrMalformed, a.Job, departures.Machine, a.Index)
 			}
 			entries = append(entries, Entry{Job: a.Job, Index: int(a.Index), Machine: departures.Machine, Attempt: a.Number})
 		}
--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -127,7 +127,7 @@
 		switch value := t.values[i].(type) {
 		case Value:
 			if text, err := json.Marshal(value); err != nil || len(text) > s.journal.limits.ValueBytes {
-				s.t.Fatalf("value %s takes %d bytes, limit %d, error %v", key, len(text), s.journal.limits.ValueBytes, err)
+				s.t.Fatalf("a value of %d bytes exceeds the limit, or its encoding fails: %v", len(text), err)
 			}
 			s.stored[key] = value
 		case map[Entry]bool:
@@ -267,7 +267,7 @@
 	}
 	for e := range h.added {
 		if !h.records[recordOf(e)][e] {
-			h.t.Fatalf("record %s does not contain %+v", recordOf(e), e)
+			h.t.Fatalf("the record of entry %+v does not contain it", e)
 		}
 	}
 }
@@ -299,7 +299,7 @@
 	}
 	more := Encode(leaderToken, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
 	if have := len(s.stored[Key(leaderToken, 1)].Body) + envelopeBytes; have > testLimits.ValueBytes || len(more.Body)+envelopeBytes <= testLimits.ValueBytes {
-		t.Errorf("the value takes %d bytes with %d entries and would take %d with one more, limit %d", have, len(entries), len(more.Body)+envelopeBytes, testLimits.ValueBytes)
+		t.Errorf("the value takes %d bytes with %d entries and would take %d with one more, limit 1024", have, len(entries), len(more.Body)+envelopeBytes)
 	}
 	s.flush()
 	if len(s.read()) != 203 {
@@ -317,7 +317,7 @@
 	s.QueueWrite(Key(leaderToken, 1), statestore.PriorityCompletion, s.journal.renderTail, s.journal.tailStored)
 	inFlight := s.compose(1)
 	if inFlight.keys[0] != recordOf(completionOf(1)) {
-		t.Fatalf("the transaction writes %v, want the record", inFlight.keys)
+		t.Fatal(inFlight.keys)
 	}
 	s.add(completionOf(2), func() { callbackSum += 10 })
 	s.apply(inFlight)
@@ -326,7 +326,7 @@
 	}
 	s.flush()
 	if callbackSum != 11 || !s.read()[completionOf(2)] {
-		t.Errorf("callbacks sum up to %d, want 11; the second entry is stored: %v", callbackSum, s.read()[completionOf(2)])
+		t.Errorf("callbacks sum up to %d, want 11, or the second entry is not stored", callbackSum)
 	}
 }
 
@@ -342,7 +342,7 @@
 			s.apply(s.compose(1))
 		}
 		if n, _, _ := s.journal.Size(); n > limits.Values {
-			t.Fatalf("%d values, limit %d", n, limits.Values)
+			t.Fatalf("%d values, limit 4", n)
 		}
 	}
 	if s.journal.Accepts() || s.journal.compactionPriority() != statestore.PriorityCompletion {
--- a/internal/completionjournal/value.go
+++ b/internal/completionjournal/value.go
@@ -22,9 +22,9 @@
 // Errors that Decode wraps if a value can't be decoded.
 var (
 	// ErrFormatVersion means that a later version of the program wrote the value.
-	ErrFormatVersion = errors.New("unsupported format version")
+	ErrFormatVersion = errors.New("value has a later format version")
 	// ErrWrongKey means that the value was written under another key.
-	ErrWrongKey = errors.New("value belongs to another key")
+	ErrWrongKey = errors.New("value was written under another key")
 	// ErrChecksum means that the value was altered or truncated.
 	ErrChecksum = errors.New("checksum mismatch")
 	// ErrMalformed means that the key or the value does not have the format that this package writes.
--- a/internal/completionjournal/value_test.go
+++ b/internal/completionjournal/value_test.go
@@ -59,7 +59,7 @@
 	want := Value{Form: 1, Token: 41, Number: 2, Sum: 5072850733736187686,
 		Body: "ogGBgmhqLTAwMDQxMlI6MAAAAQAAAAAAAAAQAAAAAwACgYJoaS0wMDAyMzGBg2hqLTAwMDQxMgMaKQAABQ=="}
 	if v != want {
-		t.Errorf("encoded as %+v, want %+v", v, want)
+		t.Errorf("encoded to another value: %+v", v)
 	}
 }
 
@@ -133,7 +133,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		entries, err := Decode(Key(1, 1), valueWithBody(1, 1, body))
 		if err != nil && entries != nil {
-			t.Errorf("Decode returns both %d entries and the error %v", len(entries), err)
+			t.Error("Decode returns both entries and an error")
 		}
 		for _, e := range entries {
 			if e.Index < 0 || e.Index >= maxTasks {
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -394,7 +394,7 @@
 	visited, violation := explore(append(modelStarts(), lateJournalWrite(modelFaults{})), modelDepth, modelFaults{})
 	t.Logf("%d states", visited)
 	if violation != "" {
-		t.Errorf("invariant violated: %s", violation)
+		t.Error(violation)
 	}
 	if visited < 10_000 {
 		t.Errorf("the model visits %d states, want at least 10000", visited)
--- a/internal/stateclient/client_test.go
+++ b/internal/stateclient/client_test.go
@@ -145,7 +145,7 @@
 			t.Run(c.name+"/"+operation, func(t *testing.T) {
 				err := answer(operation, c.status, c.body).err
 				if err == nil || apicall.StatusOf(err) != c.status {
-					t.Fatalf("error %v, want an error with status %d", err, c.status)
+					t.Fatalf("no error with the status of the answer: %v", err)
 				}
 				checkReason(t, err, c.reason)
 			})
@@ -159,7 +159,7 @@
 	for _, reason := range []error{apicall.ErrNoAnswer, apicall.ErrMalformedAnswer, apicall.ErrInvalidRequest, apicall.ErrRateLimited,
 		apicall.ErrUnavailable, ErrNotFound, ErrConflict, ErrLeaseExpired} {
 		if errors.Is(err, reason) != errors.Is(want, reason) {
-			t.Errorf("error %v: matches %q: %v, want %v", err, reason, errors.Is(err, reason), errors.Is(want, reason))
+			t.Errorf("error %v: wrongly matches %q or not: %v", err, reason, errors.Is(err, reason))
 		}
 	}
 }
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -96,7 +96,7 @@
 				}
 			}
 			if *outcome != c.outcome || host.ended != c.ended {
-				t.Errorf("outcome %q, want %q; leadership ended by %q, want %q", *outcome, c.outcome, host.ended, c.ended)
+				t.Errorf("outcome %q, leadership ended by %q", *outcome, host.ended)
 			}
 		})
 	}
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -108,7 +108,7 @@
 	}
 	host.sent[0].answer(200, appliedReply(9))
 	if done["m/batch"] != 2 || done["j/user"] != 1 || done["k/lazy"] != 0 || w.Version("m/batch") != 9 || w.Busy() {
-		t.Errorf("callbacks by key %v, m/batch has version %d, busy %v", done, w.Version("m/batch"), w.Busy())
+		t.Errorf("wrong version, still busy, or wrong number of callbacks: %v", done)
 	}
 	w.Flush()
 	if got := changedKeys(host.lastRequest(t)); !slices.Equal(got, []string{"k/lazy"}) {
@@ -165,7 +165,7 @@
 	w.Flush()
 	host.lastRequest(t).answer(409, conflictReply("c/leader"))
 	if host.ended != EndOtherLeader {
-		t.Errorf("leadership ended by %q, want %q", host.ended, EndOtherLeader)
+		t.Errorf("leadership ended by %q, want the reason of another leader", host.ended)
 	}
 	for _, c := range []struct {
 		name, record string
@@ -189,7 +189,7 @@
 			w.Flush()
 			host.lastRequest(t).answer(200, protocol.Encode(map[string]any{"k": "c/leader", "data": c.record, "stamp": 20}))
 			if host.ended != c.ended || w.Version("m/1") != c.version {
-				t.Errorf("leadership ended by %q, want %q; version %d, want %d", host.ended, c.ended, w.Version("m/1"), c.version)
+				t.Errorf("leadership ended by %q, version %d", host.ended, w.Version("m/1"))
 			}
 		})
 	}
@@ -203,7 +203,7 @@
 	w.Flush()
 	host.lastRequest(t).answer(409, conflictReply("m/1"))
 	if host.ended != EndRecordsDiffer {
-		t.Errorf("leadership ended by %q, want %q", host.ended, EndRecordsDiffer)
+		t.Errorf("leadership ended by %q, want the reason of differing records", host.ended)
 	}
 }
 
@@ -300,7 +300,7 @@
 	w.Flush()
 	host.lastRequest(t).answer(503, nil)
 	if host.unavailable != 1 {
-		t.Errorf("OnUnavailable called %d times, want once", host.unavailable)
+		t.Error("OnUnavailable was not called exactly once")
 	}
 }
 
