--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -8,8 +8,8 @@
 // All times are on the leader's own clock (Controller.now), not on the agent's.
 type AgentState struct {
 	// Epoch, Sequence and Token are the epoch, sequence number and fencing token of the newest message. An
-	// agent whose lease has expired continues under a higher epoch. Token is the highest leader fencing token
-	// that the agent had received when it sent the message.
+	// agent whose lease has expired continues under a higher epoch. Token is the leader fencing token that the
+	// agent held when it sent the message.
 	Epoch, Sequence, Token uint64
 	// HeartbeatSequence is the sequence number of the newest heartbeat.
 	HeartbeatSequence uint64
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -90,14 +90,14 @@
 // number, and each attempt is durable and not to be stopped.
 func TestGangIsCompleteOnlyWithAllTasks(t *testing.T) {
 	for name, change := range map[string]func(*State, *Job, []*Attempt){
-		"one is not durable":   func(_ *State, _ *Job, attempts []*Attempt) { attempts[1].Durable = false },
-		"one is to be stopped": func(_ *State, _ *Job, attempts []*Attempt) { attempts[1].StopRequested = true },
-		"one is missing":       func(state *State, _ *Job, attempts []*Attempt) { state.RemoveAttempt(attempts[1]) },
-		"another number": func(state *State, j *Job, attempts []*Attempt) {
+		"one attempt is not durable":   func(_ *State, _ *Job, attempts []*Attempt) { attempts[1].Durable = false },
+		"one attempt is to be stopped": func(_ *State, _ *Job, attempts []*Attempt) { attempts[1].StopRequested = true },
+		"one task has no attempt":      func(state *State, _ *Job, attempts []*Attempt) { state.RemoveAttempt(attempts[1]) },
+		"one attempt has another number": func(state *State, j *Job, attempts []*Attempt) {
 			state.RemoveAttempt(attempts[1])
 			state.AddAttempt(state.AddMachine("i-2"), j, 1, 8, 0).Durable = true
 		},
-		"one twice": func(state *State, j *Job, attempts []*Attempt) {
+		"one task has two attempts": func(state *State, j *Job, attempts []*Attempt) {
 			state.RemoveAttempt(attempts[1])
 			state.AddAttempt(state.AddMachine("i-2"), j, 0, 7, 0).Durable = true
 		},
--- a/internal/clusterstate/views_test.go
+++ b/internal/clusterstate/views_test.go
@@ -104,12 +104,12 @@
 		do   func()
 		want bool
 	}{
-		{"both placed", func() {}, true},
-		{"one running", func() { first.SetState(protocol.TaskRunning) }, true},
-		{"the other fetching its image", func() { second.SetState(protocol.TaskFetchingImage) }, true},
-		{"the other gone", func() { state.RemoveAttempt(second) }, false},
-		{"the first one gone", func() { state.RemoveAttempt(first) }, false},
-		{"the first one removed again", func() { state.RemoveAttempt(first) }, false},
+		{"both attempts placed", func() {}, true},
+		{"the first attempt running", func() { first.SetState(protocol.TaskRunning) }, true},
+		{"the second attempt fetching its image", func() { second.SetState(protocol.TaskFetchingImage) }, true},
+		{"the second attempt removed", func() { state.RemoveAttempt(second) }, false},
+		{"the first attempt removed", func() { state.RemoveAttempt(first) }, false},
+		{"the first attempt removed again", func() { state.RemoveAttempt(first) }, false},
 	} {
 		step.do()
 		if m.HasStartingAttempts() != step.want {
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -31,8 +31,8 @@
 
 // Compactor owns the records that entries are compacted into.
 type Compactor interface {
-	// Compact schedules a write of the record that makes an entry redundant. If the record no longer exists, it
-	// calls RecordRendered and RecordStored of the journal at once.
+	// Compact schedules the write or deletion of the record that makes an entry redundant. If the record no longer
+	// exists, Compact calls RecordRendered and RecordStored of the journal at once.
 	Compact(entry Entry, record string, priority statestore.Priority)
 }
 
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -68,11 +68,11 @@
 	}{
 		{"applied", openingChange(), 409, "c/leader", 7, "permanent", "applied", ""},
 		{"another leader's", openingChange(), 409, "c/leader", 7, "another's", "", EndOtherLeader},
-		{"gone", openingChange(), 409, "c/leader", 0, "", "", EndRecordsDiffer},
+		{"the leader key does not exist", openingChange(), 409, "c/leader", 0, "", "", EndRecordsDiffer},
 		{"refused, not applied", openingChange(), 400, "", 5, ourRecord, "refused", ""},
 		{"refused, applied before", openingChange(), 400, "", 7, "permanent", "applied", ""},
 		{"no other keys, refused", &LeaderChange{}, 400, "", 5, ourRecord, "refused", ""},
-		{"the lease's key is gone", &LeaderChange{Deletes: []string{"c/lease"}}, 409, "c/lease", 5, ourRecord, "", EndRecordsDiffer},
+		{"the lease's key does not exist", &LeaderChange{Deletes: []string{"c/lease"}}, 409, "c/lease", 5, ourRecord, "", EndRecordsDiffer},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			host, w, outcome := newLeaderChangeWriter(c.change)
