--- a/internal/ratelimit/token_bucket.go
+++ b/internal/ratelimit/token_bucket.go
@@ -1,23 +1,23 @@
 // Package ratelimit implements a token bucket that limits requests, writes and calls per second. The caller
-// passes the time in, so that the bucket works under a simulated clock.
+// passes the current time to each method, so the bucket also works with a simulated clock.
 package ratelimit
 
 import "time"
 
-// TokenBucket is a token bucket. The zero value holds nothing and never fills; use New. It is not safe for
-// concurrent use.
+// TokenBucket is a token bucket. The zero value holds no tokens and never refills; use New. A TokenBucket is not safe
+// for concurrent use.
 type TokenBucket struct {
 	rate, burst, level float64 // tokens per second, and tokens
 	filledAt           time.Duration
 }
 
-// New makes a full bucket that is filled with rate tokens per second and holds burst tokens, at least one.
+// New returns a full bucket with a refill rate in tokens per second and a capacity of burst tokens, at least one.
 func New(rate, burst float64) TokenBucket {
 	burst = max(1, burst)
 	return TokenBucket{rate: rate, burst: burst, level: burst}
 }
 
-// fill adds the tokens for the time since the last call. now is on any clock, always the same one.
+// fill adds the tokens for the time since the last call. All calls must read now from the same clock.
 func (b *TokenBucket) fill(now time.Duration) {
 	b.level = min(b.burst, b.level+b.rate*(now-b.filledAt).Seconds())
 	b.filledAt = now
@@ -29,18 +29,18 @@
 	return b.level >= n
 }
 
-// Take takes n tokens. The level may fall below zero, which delays what comes later.
+// Take removes n tokens. The level may fall below zero, which delays later requests.
 func (b *TokenBucket) Take(now time.Duration, n float64) {
 	b.fill(now)
 	b.level -= n
 }
 
-// Burst is the most tokens that the bucket holds.
+// Burst returns the capacity of the bucket in tokens.
 func (b *TokenBucket) Burst() float64 { return b.burst }
 
-// Drain takes all tokens that are left, as the other side has refused a request for exceeding its limit. A
-// level below zero stays.
+// Drain removes all remaining tokens. Callers use it after the server has rejected a request for exceeding the server's
+// rate limit. A level below zero stays unchanged.
 func (b *TokenBucket) Drain() { b.level = min(b.level, 0) }
 
-// Refill makes the bucket full again.
+// Refill fills the bucket to its capacity.
 func (b *TokenBucket) Refill() { b.level = b.burst }
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// expensiveShare is slightly below one: where all types cost the same every machine counts as
-// expensive. Sums of like prices round up or down, which once kept a fleet of one type from being
-// emptied at all.
+// expensiveShare is the share of the average price from which a machine counts as expensive. It is slightly below one
+// so that every machine of a fleet with a single price is expensive: sums of equal prices round up or down, and with a
+// share of one consolidation never emptied a machine of a fleet with one machine type.
 const expensiveShare = 0.999
 
-// IsExpensive says whether a machine costs at least what the fleet's machines do on average.
+// IsExpensive reports whether a machine costs at least as much as the average machine of the snapshot.
 func (s *Snapshot) IsExpensive(m *Machine) bool {
 	if s.pricedMachines != len(s.Machines) {
 		s.totalPrice, s.pricedMachines = 0, len(s.Machines)
@@ -16,10 +16,10 @@
 	return m.Type.Price*float64(len(s.Machines)) >= expensiveShare*s.totalPrice
 }
 
-// WithoutMachine is the snapshot after a machine's tasks have been moved at next to no cost: to
-// machines in use that have the replicas' images, leaving room for as many expected tasks as
-// before. It returns nil if that can't be done. The jobs in moved have one task each to move;
-// expected returns the expected tasks anew at each call, as counting them uses them up.
+// WithoutMachine returns a copy of the snapshot without the machine id, after its tasks have moved to machines in use
+// that already have the replicas' images. It returns nil if a task has no such target, or if the copy has headroom for
+// fewer expected tasks than the snapshot. Each job in moved has one task to move. expected must return new jobs at each
+// call, because counting the headroom consumes their waiting tasks.
 func (s *Snapshot) WithoutMachine(id string, moved []*Job, expected func() []*Job) *Snapshot {
 	rest := s.clone(id)
 	s.MachinesExamined += len(rest.Machines) * (len(moved) + 1)
@@ -40,7 +40,7 @@
 	return rest
 }
 
-// bestTargetFor is the best machine in use to move a task to, nil if there is none.
+// bestTargetFor returns the machine in use with the lowest score for a task to move, or nil if no machine accepts it.
 func (s *Snapshot) bestTargetFor(j *Job) *Machine {
 	var best *Machine
 	bestScore := 0.0
@@ -55,14 +55,14 @@
 	return best
 }
 
-// mayMoveTo says whether a task may be moved to a machine. A replica moves only to where its
-// image is, as it would be away for the time of a fetch otherwise.
+// mayMoveTo reports whether a task may be moved to a machine. A replica moves only to a machine that has its image:
+// elsewhere the replica would be unavailable while the image is fetched.
 func (j *Job) mayMoveTo(m *Machine) bool {
 	return m.Used && m.ReservedFor == "" && m.TaskCapacity > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) &&
 		j.Request.Fits(m.Free) && j.MayRunOn(m)
 }
 
-// countHeadroom counts for how many of the expected tasks there is room, and takes it.
+// countHeadroom reserves room for the expected tasks and returns how many of them found room.
 func (s *Snapshot) countHeadroom(expected []*Job) int {
 	placed := 0
 	for _, j := range expected {
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,26 +1,25 @@
-// Package scheduler decides which task runs on which machine, which running tasks give way to
-// others, and which machines to rent. The order of jobs follows GREEN (Xu et al., "GREEN:
-// Carbon-efficient Resource Scheduling for Machine Learning Clusters"); docs/design.md lists what
-// is kept of the paper and each exception to it. The package does no input or output and reads no
-// clock: a Snapshot goes in, decisions come out, and the same snapshot always gives the same
-// decisions.
+// Package scheduler decides on which machine each task runs, which running tasks are preempted, and which machines to
+// rent. The order of jobs follows GREEN (Xu et al., "GREEN: Carbon-efficient Resource Scheduling for Machine Learning
+// Clusters"); docs/design.md lists which parts of the paper the package implements and each exception to it. The
+// package performs no I/O and reads no clock: its input is a Snapshot, its output are decisions, and the same snapshot
+// always gives the same decisions.
 //
 // There are three kinds of pass over a snapshot:
 //
-//   - A fill (Snapshot.Fill) starts waiting tasks on the free room of machines and stops nothing.
-//     It places services first, then one task of each starved batch and whole starved gangs, then
-//     sets room aside for expected replicas, and then makes several passes over batches and gangs:
-//     within guarantees, within slots, interrupted tasks, spare room.
-//   - A round (Snapshot.Preempt) comes after a fill at fixed intervals. For tasks that found no room
-//     it works out which lower-ranked tasks to preempt, and reserves the room that they leave.
-//     The stops for a task, or for a whole gang, are all or nothing.
-//   - A plan (Snapshot.Plan) places what still waits on free and booting machines, and scales out:
-//     where these don't do it names the machines to rent. Machines that it leaves unused may be
-//     returned by the caller.
+//   - A fill (Snapshot.Fill) starts waiting tasks on free resources and stops no task. It places services first, then
+//     one task of each starved batch and whole starved gangs. Then it reserves headroom for expected replicas. Finally
+//     it makes four passes over batches: within guarantees, within slots, interrupted tasks, spare room. Gangs take
+//     part in the first two.
+//   - A round (Snapshot.Preempt) follows a fill at fixed intervals. For tasks that found no room it selects
+//     lower-ranked tasks to preempt, and reserves the resources that they free. The stops for one task, or for a whole
+//     gang, are all or nothing.
+//   - A plan (Snapshot.Plan) places the remaining waiting tasks on free and booting machines. Where these lack room,
+//     the plan scales out: it lists the machines to rent. The caller may return the machines that the plan leaves
+//     unused.
 //
-// Consolidation (Snapshot.WithoutMachine) works out whether an expensive machine can be emptied.
+// Consolidation (Snapshot.WithoutMachine) determines whether an expensive machine can be emptied.
 //
-// A machine for a task is chosen by bin packing: each machine that accepts the task has a score,
-// and the lowest wins. machineIndex finds that machine without scoring the others, which keeps
-// fills affordable for fleets of thousands of machines (docs/scale.md).
+// Machines are chosen by bin packing: each machine that accepts a task has a score, and the lowest score wins.
+// machineIndex finds that machine without scoring all others, which keeps the cost of a fill low for fleets of
+// thousands of machines (docs/scale.md).
 package scheduler
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -12,29 +12,29 @@
 	Machine *Machine
 }
 
-// fillPass is one of the passes of a fill over batches and gangs.
+// fillPass identifies one of the passes that a fill makes over batches and gangs.
 type fillPass int
 
 const (
-	withinGuarantees fillPass = iota // within their teams' guarantees
-	withinSlots                      // within slots, the upper queue under its cap
-	interrupted                      // what a machine's end interrupted
-	spareRoom                        // whatever room is left
+	withinGuarantees fillPass = iota // tasks within the guarantees of their teams
+	withinSlots                      // tasks within the slots of their jobs, the upper queue up to its cap
+	interrupted                      // tasks that were interrupted when their machine ended
+	spareRoom                        // any tasks that the remaining resources can hold
 )
 
-// fillPasses are all passes in their order.
+// fillPasses lists all passes in their order.
 var fillPasses = [...]fillPass{withinGuarantees, withinSlots, interrupted, spareRoom}
 
-// filler is a fill at work.
+// filler holds the state of a running fill.
 type filler struct {
 	snapshot   *Snapshot
 	placements []Placement
 }
 
-// Fill starts waiting tasks in rank order: services, those within their team's guarantee first;
-// then one task of each starved batch and whole starved gangs; then the room reserved for expected
-// replicas; then batches, first within guarantees, then within slots (the upper queue under its
-// cap), then what was interrupted, then whatever room is spare.
+// Fill assigns waiting tasks to free resources, in rank order within each step. Services come first, those within
+// their team's guarantee before the others. Next come one task of each starved batch and whole starved gangs. Then
+// Fill reserves headroom for expected replicas. Batches come last, in the order of fillPasses; gangs take part in the
+// first two passes.
 func (s *Snapshot) Fill() []Placement {
 	s.useIndex()
 	Order(s.Jobs)
@@ -62,7 +62,7 @@
 	return f.placements
 }
 
-// placeServices starts replicas, those within their teams' guarantees first.
+// placeServices starts replicas, first those within the guarantees of their teams.
 func (f *filler) placeServices() {
 	for _, guaranteed := range []bool{true, false} {
 		for _, j := range f.snapshot.Jobs {
@@ -73,9 +73,9 @@
 	}
 }
 
-// placeStarvedBatches gives each batch that has waited for longer than a boot one task. Headroom
-// and what batches leave of a quota are no reason for a batch to go without a single task for as
-// long as there is no other.
+// placeStarvedBatches starts one task of each batch that has had no task for longer than a machine takes to boot.
+// Otherwise headroom for expected replicas and the quota's ServiceReserve could keep the batch from starting its
+// first task.
 func (f *filler) placeStarvedBatches() {
 	s := f.snapshot
 	for _, j := range s.Jobs {
@@ -92,9 +92,9 @@
 	}
 }
 
-// placeStarvedGangs places gangs that have waited for longer than a boot, the oldest first. If one
-// does not fit, what there is of its room is held back from all others: small jobs would take it
-// again and again. Nothing of that outlives the snapshot, so gangs can't block one another.
+// placeStarvedGangs places gangs that have waited for longer than a machine takes to boot, the oldest first. If a gang
+// does not fit, the free room for part of its tasks is reserved, because small jobs would take that room again in each
+// fill. The reservation ends with the snapshot, so gangs can't block one another.
 func (f *filler) placeStarvedGangs() {
 	s := f.snapshot
 	var starved []*Job
@@ -107,7 +107,7 @@
 	withinMaximum := func(quota *Quota, whole Resources) bool { return quota.WithinMaximum(whole) }
 	for _, j := range starved {
 		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
-			continue // its team's own work has to end first
+			continue // the gang waits until other tasks of its team end
 		}
 		placed := s.placeGang(j, withinMaximum)
 		f.placements = append(f.placements, placed...)
@@ -118,21 +118,21 @@
 	}
 }
 
-// orderBeyondSlots sorts jobs for the room beyond slots. There the upper queue has no precedence,
-// as its cap has been used up. Jobs with a deadline go by the time they have left, and those that
-// can't meet theirs go last: least attained service spreads a full team's quota over all its
-// jobs, and then all of them are late.
+// orderBeyondSlots sorts jobs for the passes beyond slots, where the upper queue has no precedence because it has used
+// up its cap. Jobs are ordered by the time left until their deadlines, then by rank. Jobs that can't meet their
+// deadlines come last. Ordering by attained service alone would spread an exhausted team quota over all jobs of the
+// team, and then all of them would miss their deadlines.
 func orderBeyondSlots(jobs []*Job) {
 	slices.SortStableFunc(jobs, func(x, y *Job) int {
 		return cmp.Or(compareBool(x.DeadlineMissed, y.DeadlineMissed), cmp.Compare(x.UntilDeadlineS, y.UntilDeadlineS), cmp.Compare(x.Rank(), y.Rank()))
 	})
 }
 
-// placeBatches is one pass over batches and gangs. Gangs have no slots to go beyond, so they take
-// part in the first two passes only.
+// placeBatches makes one pass over batches and gangs. Gangs have no slots, so they take part only in the first two
+// passes.
 func (f *filler) placeBatches(pass fillPass) {
 	s := f.snapshot
-	upperShare := 0.0 // of the fleet, that slots of the upper queue have in this pass
+	upperShare := 0.0 // share of the fleet that the upper queue's slots cover so far in this pass
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang && pass > withinSlots {
 			continue
@@ -152,7 +152,7 @@
 	}
 }
 
-// mayPlaceBatch says whether a batch may start one more task in a pass.
+// mayPlaceBatch reports whether a batch may start one more task in a pass.
 func (s *Snapshot) mayPlaceBatch(j *Job, quota *Quota, pass fillPass, upperShare float64) bool {
 	switch pass {
 	case withinGuarantees:
@@ -160,8 +160,8 @@
 	case withinSlots:
 		return j.Assigned < j.Slots && (!j.InUpperQueue || upperShare <= s.UpperQueueCap || j.Assigned == 0)
 	case interrupted:
-		// Interrupted tasks had been placed by rank, and go on before new tasks take the room:
-		// large jobs have attained most, and each of their interrupted tasks waited for a boot.
+		// Interrupted tasks were placed by rank before and resume ahead of new tasks. Large jobs have the most attained
+		// service: by rank, each of their interrupted tasks waited until a new machine had booted.
 		return j.Interrupted > 0
 	case spareRoom:
 		return true
@@ -169,7 +169,8 @@
 	return true
 }
 
-// placeTasks starts a job's tasks while its team's quota, the given condition and the room allow.
+// placeTasks starts waiting tasks of a job until its team's quota, the given condition or the lack of a suitable
+// machine prevents it.
 func (f *filler) placeTasks(j *Job, allowed func(*Quota) bool) {
 	s := f.snapshot
 	quota := s.Quotas[j.Team]
@@ -188,28 +189,27 @@
 	}
 }
 
-// reservedNeed is what was freed for the job by preemption and it has not taken yet.
+// reservedNeed returns the resources that preemption freed for the job and that its tasks do not use yet.
 func (j *Job) reservedNeed() Resources {
 	return j.Request.Times(float64(min(j.Reserved, len(j.Waiting))))
 }
 
-// chargeReserved counts the job's reserved need as used, so that the team's other batches don't
-// take the part of the quota that was freed for it.
+// chargeReserved adds the job's reserved need to the used quota, so that other batches of the team don't take the quota
+// that was freed for the job.
 func (s *Snapshot) chargeReserved(j *Job) {
 	if quota := s.Quotas[j.Team]; quota != nil {
 		quota.Used = quota.Used.Plus(j.reservedNeed())
 	}
 }
 
-// refundReserved takes chargeReserved back for the job's own turn.
+// refundReserved reverts chargeReserved while the job's own tasks are placed.
 func (s *Snapshot) refundReserved(j *Job) {
 	if quota := s.Quotas[j.Team]; quota != nil {
 		quota.Used = quota.Used.Minus(j.reservedNeed())
 	}
 }
 
-// reserve takes room for the job's waiting tasks on machines that are up, as far as there is any,
-// without making the machines count as used.
+// reserve assigns as many of the job's waiting tasks as find room, but does not mark the machines as used.
 func (s *Snapshot) reserve(j *Job) {
 	if len(j.Waiting) == 0 {
 		return
@@ -229,8 +229,8 @@
 	}
 }
 
-// TryPlaceAll says whether there is room for a task of each of the jobs, and takes it if there is for
-// all. Quotas are not checked: the jobs' teams use that much already.
+// TryPlaceAll places one task of each of the jobs and reports whether all found room. If any did not, the machines of
+// the snapshot stay unchanged. Quotas are not checked, because the tasks already count in the quotas of their teams.
 func (s *Snapshot) TryPlaceAll(jobs []*Job) bool {
 	rest := s.clone("")
 	for _, j := range jobs {
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Fleet keeps machines in order from one snapshot to the next, so that a snapshot that is given
-// one need not index its machines anew.
+// Fleet keeps the machine index from one snapshot to the next. A snapshot with a Fleet does not index its machines
+// again.
 type Fleet struct{ index *machineIndex }
 
-// NewFleet makes a fleet without machines.
+// NewFleet returns a fleet without machines.
 func NewFleet() *Fleet { return &Fleet{newMachineIndex(nil)} }
 
-// Update adds a machine, or follows its changes. Of machines with equal scores the one with the
-// lowest position is chosen; the position must not change while the machine is in the fleet.
+// Update adds a machine to the index, or indexes its current state. Among machines with equal scores, the one with the
+// lowest position is chosen. The position must not change while the machine is in the fleet.
 func (f *Fleet) Update(m *Machine, position int) {
 	m.position, m.Dirty = position, false
 	f.index.update(m)
 }
 
-// Remove takes a machine out.
+// Remove deletes a machine from the index.
 func (f *Fleet) Remove(m *Machine) { f.index.remove(m) }
 
-// IsCurrent says whether the fleet has the machine as it is now.
+// IsCurrent reports whether the index holds the current state of the machine.
 func (f *Fleet) IsCurrent(m *Machine) bool {
 	indexed := f.index.machines[m]
 	if indexed == nil || indexed.free != m.Free || indexed.room != m.TaskCapacity || indexed.reservedFor != m.ReservedFor ||
@@ -33,7 +33,7 @@
 		indexed.imagesMatch(m)
 }
 
-// imagesMatch says whether the machine has the images that it was indexed with.
+// imagesMatch reports whether the machine has and fetches the same images as when it was indexed.
 func (i *indexedMachine) imagesMatch(m *Machine) bool {
 	var present, fetching []string
 	for image, has := range m.Images {
@@ -49,7 +49,7 @@
 	return sameElements(present, i.withImages) && sameElements(fetching, i.fetchingImages)
 }
 
-// sameElements compares two lists in any order.
+// sameElements reports whether two lists are equal apart from their order.
 func sameElements(a, b []string) bool {
 	a, b = slices.Clone(a), slices.Clone(b)
 	slices.Sort(a)
--- a/internal/scheduler/gang_placement.go
+++ b/internal/scheduler/gang_placement.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// wholeNeed is what all waiting tasks of the job need together.
+// wholeNeed returns the total request of all waiting tasks of the job.
 func (j *Job) wholeNeed() Resources { return j.Request.Times(float64(len(j.Waiting))) }
 
-// fleetCanHold says whether the machines there are could hold the whole gang if they were empty. A
-// gang that they can't hold waits for rented machines, and must not hold room back from others.
+// fleetCanHold reports whether the existing machines could hold the whole gang if they were empty. If not, the gang
+// waits for machines to be rented and must not reserve room meanwhile.
 func (s *Snapshot) fleetCanHold(j *Job) bool {
 	tasksByZone, all := map[string]float64{}, 0.0
 	for _, m := range s.Machines {
@@ -33,8 +33,8 @@
 	}
 }
 
-// placeGang starts all tasks of a gang, or none. A gang that must be in one zone is tried in one
-// after the other, as the best machine for its first task may be in a zone without room for all.
+// placeGang starts all tasks of a gang, or none. For a gang that must be in one zone it tries the zones one by one,
+// because the best machine for the first task may be in a zone without room for the whole gang.
 func (s *Snapshot) placeGang(j *Job, allowed func(quota *Quota, whole Resources) bool) []Placement {
 	quota := s.Quotas[j.Team]
 	if len(j.Waiting) == 0 || quota == nil || !allowed(quota, j.wholeNeed()) {
@@ -53,14 +53,14 @@
 	return nil
 }
 
-// gangAssignment is what undoing the assignment of a gang's task has to restore.
+// gangAssignment records the state of a machine before a task of a gang was assigned to it, for unassign to restore.
 type gangAssignment struct {
 	machine     *Machine
 	wasUsed     bool
 	wasFetching bool
 }
 
-// tryPlaceGang places all waiting tasks of a gang, or takes everything back.
+// tryPlaceGang places all waiting tasks of a gang. If one finds no room, it reverts all assignments and returns false.
 func (s *Snapshot) tryPlaceGang(j *Job) ([]Placement, bool) {
 	var out []Placement
 	var assigned []gangAssignment
@@ -81,7 +81,8 @@
 	return out, true
 }
 
-// unassign takes the last assignment of a task of the job back, but for the job's own counts.
+// unassign reverts the assignment of one task of the job, except for the job's Waiting and Assigned, which the caller
+// restores. Assignments must be reverted in reverse order.
 func (s *Snapshot) unassign(j *Job, a gangAssignment) {
 	m := a.machine
 	m.Free, m.Used = m.Free.Plus(j.Request), a.wasUsed
@@ -96,11 +97,11 @@
 	}
 }
 
-// maxTasksPerMachine bounds a count that is infinite for tasks that need nothing.
+// maxTasksPerMachine bounds the number of tasks counted per machine, which is infinite for tasks with an empty request.
 const maxTasksPerMachine = 1e6
 
-// gangZones lists the zones whose free room may hold the whole gang, those with the most room for
-// it first.
+// gangZones lists the zones whose free resources may hold the whole gang, sorted by the number of tasks that they can
+// hold, the largest first.
 func (s *Snapshot) gangZones(j *Job) []string {
 	room := map[string]int{}
 	for _, m := range s.Machines {
--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// maxGangMachinesExamined bounds how many machines one round examines for gangs: a leader with
-// hundreds of waiting gangs must renew its lease meanwhile. What is left comes with the next
-// round.
+// maxGangMachinesExamined bounds how many machines one round examines for gangs, so that a leader with hundreds of
+// waiting gangs can renew its lease in time. The next round examines the remaining gangs.
 const maxGangMachinesExamined = 100_000
 
-// gangRequirements is what decides where a gang may get room, but for its size.
+// gangRequirements holds the properties that determine on which machines a gang can be placed, except for the number of
+// its tasks.
 type gangRequirements struct {
 	team, zone, types     string
 	need                  Resources
@@ -24,8 +24,8 @@
 		priority: j.Priority, spot: j.Spot, oneZone: j.OneZone, spread: j.Spread}
 }
 
-// preemptForGang makes room for all waiting tasks of a gang. The bound on a round's stops does not
-// hold for its first ones: a gang that needs more would wait for ever.
+// preemptForGang makes room for all waiting tasks of a gang. The first stops of a round may exceed maxStops: otherwise
+// a gang that needs more stops would never start.
 func (r *preemptionRound) preemptForGang(j *Job) {
 	if len(j.Waiting) == 0 || r.snapshot.Quotas[j.Team] == nil || r.snapshot.gangMachinesExamined > maxGangMachinesExamined {
 		return
@@ -48,7 +48,7 @@
 	r.preemptWith(preemption)
 }
 
-// preemptWith carries a gang's preemption out.
+// preemptWith applies a gang's preemption to the snapshot.
 func (r *preemptionRound) preemptWith(preemption *gangPreemption) {
 	j := preemption.job
 	for _, stop := range preemption.stops {
@@ -64,20 +64,20 @@
 	}
 }
 
-// gangPreemption is a way to make room for all waiting tasks of a gang: where they go, and what
-// has to stop for them. While it is being worked out nothing of the snapshot changes, as stops
-// that don't lead to a start only cost work.
+// gangPreemption is a way to make room for all waiting tasks of a gang: the machines that they are placed on and the
+// stops that they need. The search does not change the snapshot, because tasks must not be stopped, and their work
+// lost, for a gang that can't start.
 type gangPreemption struct {
 	round      *preemptionRound
 	job        *Job
 	guaranteed bool            // the whole gang is within its team's guarantee
-	gangTasks  map[*Job][]Stop // of running gangs, which stop whole
+	gangTasks  map[*Job][]Stop // the tasks of each running gang, which are all stopped together
 
-	free        map[*Machine]Resources // of machines where something stops or was placed
+	free        map[*Machine]Resources // free resources of the machines that this preemption changes
 	placed      map[*Machine]int       // tasks of the gang by machine
 	freedByTeam map[string]Resources
 	stopped     map[taskKey]bool
-	inZone      map[string]int // tasks of the gang by zone, with those that run
+	inZone      map[string]int // tasks of the gang by zone, including the running ones
 	stops       []Stop
 	cost        float64
 }
@@ -87,8 +87,8 @@
 	index int
 }
 
-// cheapestGangPreemption finds the cheapest way, in each zone in turn if the gang must be in one.
-// Nil: there is none.
+// cheapestGangPreemption returns the cheapest preemption for a gang, or nil if there is none. If the gang must be in
+// one zone, it compares the preemptions of all zones.
 func (r *preemptionRound) cheapestGangPreemption(j *Job) *gangPreemption {
 	zones := []string{j.Zone}
 	if j.OneZone && j.Zone == "" {
@@ -115,7 +115,7 @@
 		guaranteed: r.snapshot.Quotas[j.Team].WithinGuarantee(j.wholeNeed())}
 }
 
-// zones lists the zones of the machines.
+// zones returns the zones of all machines, sorted by name.
 func (r *preemptionRound) zones() []string {
 	seen := map[string]bool{}
 	for _, m := range r.snapshot.Machines {
@@ -124,8 +124,8 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// find places the tasks one by one where the next costs least, and then frees the team's quota. It
-// returns false if there is no room for some of them.
+// find places the waiting tasks one by one, each on the machine where it costs least, and then frees the team's quota.
+// It returns false if a task finds no room or the quota can't be freed.
 func (g *gangPreemption) find(zone string) bool {
 	machines := g.eligibleMachines(zone)
 	options := make([]*taskOption, len(machines))
@@ -137,14 +137,14 @@
 		option := options[best]
 		g.place(machines[best], option)
 		if slices.ContainsFunc(option.stops, func(stop Stop) bool { return stop.Victim.Job.Gang }) {
-			clear(options) // a gang that stops frees room on other machines too
+			clear(options) // stopping a gang also frees resources on other machines
 		}
 		options[best] = nil
 	}
 	return g.freeQuota()
 }
 
-// eligibleMachines lists the machines that the gang may use in a zone, or in any if it is empty.
+// eligibleMachines lists the machines in a zone that the gang may use. An empty zone stands for all zones.
 func (g *gangPreemption) eligibleMachines(zone string) []*Machine {
 	allowed := *g.job
 	allowed.Zone = zone
@@ -158,8 +158,8 @@
 	return machines
 }
 
-// cheapestOption is the number of the machine where the next task costs least, -1 if there is
-// none. It works out the options that are nil.
+// cheapestOption returns the index of the machine where the next task costs least, or -1 if there is none. It computes
+// the options that are nil.
 func (g *gangPreemption) cheapestOption(machines []*Machine, options []*taskOption) int {
 	best := -1
 	for i, m := range machines {
@@ -179,14 +179,14 @@
 	return after.ZoneOpen(zone)
 }
 
-// taskOption is what one more task of the gang costs on a machine.
+// taskOption holds the stops, and their cost, that one more task of the gang needs on a machine.
 type taskOption struct {
 	possible bool
 	stops    []Stop
 	cost     float64
 }
 
-// optionOn works out what has to stop on a machine for one more task there.
+// optionOn computes which tasks must be stopped on a machine for one more task of the gang.
 func (g *gangPreemption) optionOn(m *Machine) *taskOption {
 	g.round.snapshot.gangMachinesExamined++
 	j := g.job
@@ -201,7 +201,7 @@
 			break
 		}
 		if task.Job.Priority >= j.Priority && !g.stillExceedsGuarantee(task.Job.Team, freedByTeam) {
-			continue // its team has returned all that it had borrowed
+			continue // the stops so far have brought its team back within its guarantee
 		}
 		option.stops = append(option.stops, Stop{Victim: task, Machine: m})
 		free = free.Plus(task.Job.Request)
@@ -212,8 +212,8 @@
 	return option
 }
 
-// preemptibleOn lists the tasks on a machine that may be stopped for the gang and that are not to
-// be stopped already, what costs least first.
+// preemptibleOn lists the tasks on a machine that may be stopped for the gang, the cheapest first. It omits the tasks
+// that this preemption already stops.
 func (g *gangPreemption) preemptibleOn(m *Machine) []RunningTask {
 	var tasks []RunningTask
 	for _, task := range m.Running {
@@ -225,8 +225,8 @@
 	return tasks
 }
 
-// withoutNeedless leaves out the stops that larger ones after them made needless. It returns the
-// others and their cost.
+// withoutNeedless removes the stops that larger stops after them made unnecessary. It returns the remaining stops and
+// their cost.
 func (g *gangPreemption) withoutNeedless(m *Machine, stops []Stop) ([]Stop, float64) {
 	free := g.freeOn(m)
 	for _, stop := range stops {
@@ -252,7 +252,7 @@
 	return m.Free
 }
 
-// stillExceedsGuarantee says whether the team would use more than its guarantee after the stops.
+// stillExceedsGuarantee reports whether the team would use more than its guarantee after the stops.
 func (g *gangPreemption) stillExceedsGuarantee(team string, freedByTeam map[string]Resources) bool {
 	quota := g.round.snapshot.Quotas[team]
 	if quota == nil {
@@ -263,7 +263,7 @@
 	return after.ExceedsGuarantee()
 }
 
-// place gives a task of the gang its place on the machine.
+// place places one task of the gang on the machine, with the stops of the option.
 func (g *gangPreemption) place(m *Machine, option *taskOption) {
 	for _, stop := range option.stops {
 		g.addStop(stop)
@@ -274,7 +274,7 @@
 	g.inZone[m.Zone]++
 }
 
-// addStop notes a task that is to stop, with all of its gang.
+// addStop adds the stop of a task to the preemption. If the task belongs to a gang, all tasks of that gang are stopped.
 func (g *gangPreemption) addStop(stop Stop) {
 	all := []Stop{stop}
 	if stop.Victim.Job.Gang {
@@ -293,8 +293,8 @@
 	}
 }
 
-// freeQuota stops the team's own work of lower priority until its quota has room for the whole
-// gang. It returns false if that can't be.
+// freeQuota stops tasks of the same team with lower priority until the team's quota admits the whole gang. It returns
+// false if stopping all of them does not free enough.
 func (g *gangPreemption) freeQuota() bool {
 	j := g.job
 	quota := *g.round.snapshot.Quotas[j.Team]
--- a/internal/scheduler/green.go
+++ b/internal/scheduler/green.go
@@ -1,33 +1,34 @@
 package scheduler
 
-// ScaleUp is a batch job's state in GREEN's scale-up: its queue, its slots, and the figures from
-// which its degradation comes (§5.1 and §6.1 of the paper).
+// ScaleUp is the state of a batch job in GREEN's scale-up: its queue, its slots, and the values from which its
+// degradation is computed (§5.1 and §6.1 of the paper).
 type ScaleUp struct {
-	InUpperQueue bool // in the upper queue
+	InUpperQueue bool
 	Slots        int
-	// Attained is the service that the job has attained: the seconds for which it held resources,
-	// times the share of the fleet that these are.
+	// Attained is the attained service of the job: the seconds for which it held resources, times their share of the
+	// fleet.
 	Attained float64
-	// DoneAt and AttainedAt are the finished tasks and Attained at the last scale-up.
+	// DoneAt is the number of finished tasks, and AttainedAt the value of Attained, at the last scale-up.
 	DoneAt     int
 	AttainedAt float64
-	// InitialEfficiency is the efficiency at minimum size, zero until it is known: the share of the job's tasks
-	// that was finished, by attained service.
+	// InitialEfficiency is the efficiency at minimum size: the share of the job's tasks that finished per unit of
+	// attained service. It is zero until the first measurement.
 	InitialEfficiency float64
-	// Degradation is the degradation: the present efficiency over First, from degradationFloor to 1.
+	// Degradation is the current efficiency divided by InitialEfficiency, limited to the range from degradationFloor
+	// to 1.
 	Degradation float64
 }
 
-// NewScaleUp is the state of a new job: minimum size, in the upper queue.
+// NewScaleUp returns the state of a new job: minimum size, in the upper queue.
 func NewScaleUp() ScaleUp { return ScaleUp{InUpperQueue: true, Slots: 1, Degradation: 1} }
 
-// degradationFloor keeps a poor efficiency from pushing a job back without end.
+// degradationFloor bounds how far a low efficiency can move a job back in the order of ranks.
 const degradationFloor = 0.5
 
-// EndRound judges the job at a round boundary, by how many of its tasks are done. It gains a slot
-// while degradation stays at or above gamma and each slot has finished a task since the last
-// scale-up, else it drops to the lower queue at its size. Until the slots have finished their tasks
-// there is nothing to judge by, and it stays as it is.
+// EndRound updates the state at the end of a scale-up round from the number of finished tasks. The job gains a slot if
+// its degradation is at or above gamma; otherwise it moves to the lower queue and keeps its slots. Until as many tasks
+// as there are slots have finished since the last scale-up, the efficiency is unknown and the state stays unchanged. A
+// job with a slot for each of its tasks moves to the lower queue.
 func (s *ScaleUp) EndRound(done, tasks int, gamma float64) {
 	if !s.InUpperQueue {
 		return
--- a/internal/scheduler/index_search.go
+++ b/internal/scheduler/index_search.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// scoredMachine is a machine for a task, with its score: the lowest is the best, and of equal ones
-// the first in the snapshot.
+// scoredMachine is a candidate machine for a task and its score. The lowest score is the best; among equal scores, the
+// first machine in the snapshot is.
 type scoredMachine struct {
 	machine *Machine
 	score   float64
@@ -11,7 +11,7 @@
 
 func noMachine() scoredMachine { return scoredMachine{score: math.Inf(1)} }
 
-// betterThan says whether it is to be taken before another one.
+// betterThan reports whether the candidate is preferred to another one.
 func (s scoredMachine) betterThan(other scoredMachine) bool {
 	switch {
 	case s.machine == nil:
@@ -22,8 +22,8 @@
 	return s.machine.position < other.machine.position
 }
 
-// indexSearch picks machines for one task of a job after the other by the index. What it found in
-// a pool stays true until a machine of the pool is assigned something.
+// indexSearch selects machines for the tasks of a job, one after the other, with the index. The best machine of a pool
+// stays valid until a task is assigned to a machine of that pool.
 type indexSearch struct {
 	snapshot *Snapshot
 	job      *Job
@@ -31,21 +31,20 @@
 	pools    []poolBest
 }
 
-// poolBest is the best machine of a pool. It is searched for when it is first asked for, and again
-// once stale.
+// poolBest caches the best machine of a pool. The pool is searched again when the cached result is stale.
 type poolBest struct {
 	pool  *poolIndex
 	best  scoredMachine
 	stale bool
 }
 
-// searchIndex is nil if the index does not tell which machine is best for the job: for headroom
-// that is reserved where several images are, and for tasks that need memory alone.
+// searchIndex returns a search for the job, or nil if the index can't determine the best machine: for headroom whose
+// expected tasks need different images, and for tasks that request only memory.
 func (s *Snapshot) searchIndex(j *Job) *indexSearch {
 	if s.index == nil || j.IsHeadroom && len(j.Images) > 0 || j.Request.Cores <= 0 && j.Request.Accel <= 0 {
 		return nil
 	}
-	// Searches don't overlap, so each takes over the memory of the one before.
+	// Searches don't overlap, so each one reuses the memory of the previous one.
 	search := &s.search
 	*search = indexSearch{snapshot: s, job: j, rule: s.coreRuleFor(j), pools: search.pools[:0]}
 	for _, pool := range s.index.poolList {
@@ -56,7 +55,7 @@
 	return search
 }
 
-// coreRuleFor says which cores a task of the job may take now.
+// coreRuleFor returns the rule for which cores a task of the job may take in the current pass.
 func (s *Snapshot) coreRuleFor(j *Job) coreRule {
 	if s.reserveAcceleratorCores && j.AvoidsAccelerators && j.Request.Accel <= 0 {
 		return leaveAcceleratorCores
@@ -64,7 +63,7 @@
 	return anyCores
 }
 
-// best is part of machineSelector.
+// best implements machineSelector.
 func (is *indexSearch) best() *Machine {
 	best := is.bestReserved()
 	for i := range is.pools {
@@ -82,7 +81,7 @@
 	return best.machine
 }
 
-// bestReserved is the best of the machines that are reserved for the job.
+// bestReserved returns the best machine among those reserved for the job.
 func (is *indexSearch) bestReserved() scoredMachine {
 	best := noMachine()
 	for _, m := range is.snapshot.index.reserved[is.job.ID] {
@@ -95,18 +94,18 @@
 	return best
 }
 
-// assigned is part of machineSelector.
+// assigned implements machineSelector.
 func (is *indexSearch) assigned(m *Machine) { is.invalidate(m) }
 
-// added is part of machineSelector.
+// added implements machineSelector.
 func (is *indexSearch) added(m *Machine, _ int) {
 	if !is.invalidate(m) {
 		is.pools = append(is.pools, poolBest{pool: is.snapshot.index.poolFor(m), stale: true})
 	}
 }
 
-// invalidate has a machine's pool searched again; false: it is not among those that the job may
-// use.
+// invalidate marks the cached result of a machine's pool as stale. It returns false if the pool is not part of the
+// search.
 func (is *indexSearch) invalidate(m *Machine) bool {
 	key := m.poolKey()
 	for i := range is.pools {
@@ -118,10 +117,10 @@
 	return false
 }
 
-// scoreSlack is by how much rounding may put a score below its lower bound.
+// scoreSlack is the largest amount by which rounding may put a score below its lower bound.
 const scoreSlack = 1e-3
 
-// bestInPool is the best machine of a pool for a task of the job.
+// bestInPool returns the best machine of a pool for a task of the job.
 func (is *indexSearch) bestInPool(pool *poolIndex) scoredMachine {
 	j := is.job
 	best := noMachine()
@@ -140,8 +139,8 @@
 		}
 		is.searchBucket(class.withImage[j.Image], pool, class, bound, &best)
 		is.searchBucket(class.fetchingImage[j.Image], pool, class, bound+fetchingImageScore, &best)
-		// Machines that have the image are in this bucket too, and score better than the bound;
-		// they have been searched already.
+		// This bucket also holds the machines that have the image or fetch it. Their scores may be below the bound,
+		// but the two searches above have covered them.
 		is.searchBucket(&class.machines, pool, class, bound+missingImage+fetchInProgressScore*float64(class.fetching), &best)
 	}
 	if best.machine == nil && len(j.AvoidMachines) == 0 {
@@ -150,7 +149,7 @@
 	return best
 }
 
-// leastScore is the lower bound of the scores of a class's machines, the image apart.
+// leastScore returns a lower bound of the scores of a class's machines, without the part for the image.
 func leastScore(j *Job, pool *poolIndex, class *equivalenceClass) float64 {
 	least := 0.0
 	if class.booting {
@@ -168,20 +167,21 @@
 	return least
 }
 
-// searchBucket looks for a better machine in a bucket, unless the lower bound of its scores shows
-// that there is none.
+// searchBucket searches a bucket for a better machine, unless the lower bound of the bucket's scores shows that it
+// holds none.
 func (is *indexSearch) searchBucket(bucket *machineBucket, pool *poolIndex, class *equivalenceClass, bound float64, best *scoredMachine) {
 	if bucket == nil || bucket.len() == 0 || bound-scoreSlack > best.score {
 		return
 	}
 	j := is.job
 	if j.Request.Accel > 0 && class.accel-j.Request.Accel > 0 {
-		// What is left of the accelerators decides, and is the same all along the bucket.
+		// The score depends on the accelerators that stay free, which are the same for all machines of the bucket.
 		bucket.byPosition.Scan(func(entry bucketEntry) bool { return !is.consider(entry.machine, best) })
 		return
 	}
 	if j.Request.Accel <= 0 && pool.typ.Size.Accel > 0 {
-		// From about here on a task without accelerators takes no cores that free ones need.
+		// On machines with at least about this many free cores, a task without accelerators takes no cores that free
+		// accelerators need.
 		enough := j.Request.Cores + acceleratorCoreReserve*pool.typ.Size.Cores*max(0, class.accel)/pool.typ.Size.Accel
 		if is.scanFrom(bucket, enough*(1-1e-9), leaveAcceleratorCores, best) || is.rule == leaveAcceleratorCores {
 			return
@@ -190,8 +190,8 @@
 	is.scanFrom(bucket, j.Request.Cores-eps, anyCores, best)
 }
 
-// scanFrom considers the first machine of the bucket, from a number of free cores on, that accepts
-// the task under the rule. It returns false if there is none.
+// scanFrom considers the first machine of the bucket that has at least the given number of free cores and accepts the
+// task under the rule. It returns false if there is none.
 func (is *indexSearch) scanFrom(bucket *machineBucket, cores float64, rule coreRule, best *scoredMachine) bool {
 	found := false
 	bucket.byFreeCores.Ascend(bucketEntry{cores: cores, position: math.MinInt}, func(entry bucketEntry) bool {
@@ -204,7 +204,7 @@
 	return found
 }
 
-// consider takes a machine for the best if it is, and says whether it accepts the task.
+// consider replaces best by the machine if that is better, and reports whether the machine accepts the task.
 func (is *indexSearch) consider(m *Machine, best *scoredMachine) bool {
 	is.snapshot.MachinesExamined++
 	if !is.snapshot.accepts(is.job, m) {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -6,51 +6,51 @@
 	"strings"
 )
 
-// Job is a job with its waiting tasks.
+// Job is a job as the scheduler sees it, with its waiting tasks.
 type Job struct {
 	ID, Class, Team, Image string
 	ImageGB                float64
-	StartObjectiveS        float64 // the users' shortest objective for a start, in seconds; 0: none
+	StartObjectiveS        float64 // shortest start-time objective of its users, in seconds; 0: none
 	Service                bool
-	Gang                   bool // all its tasks are placed, or none
+	Gang                   bool // its tasks are placed all together or not at all
 	Priority               int
 	Submitted              int64
 	Request                Resources       // of one task
 	Spot                   bool            // may run on spot machines
-	SaveS                  float64         // seconds that its tasks need to save when stopped
+	SaveS                  float64         // seconds that its tasks need to save their state when stopped
 	Types                  map[string]bool // machine types that it may use; nil: any
-	AvoidMachines          map[string]bool // IDs of machines where it failed
-	Zone                   string          // that it must run in; empty: any
-	OneZone, Spread        bool            // all tasks in one zone; no more than half of them in one
+	AvoidMachines          map[string]bool // IDs of machines on which its tasks failed
+	Zone                   string          // the only zone that it may use; empty: any
+	OneZone, Spread        bool            // OneZone: all tasks in one zone; Spread: at most half of them in each zone
 	Tasks                  int
-	Waiting                []int          // indices of the tasks that wait
+	Waiting                []int          // indices of the waiting tasks
 	InZone                 map[string]int // tasks on machines, by zone
 	Assigned               int            // tasks on machines
 	InUpperQueue           bool           // in GREEN's upper queue
-	Slots                  int            // tasks that it may run before spare room is shared out
-	Attained, Degradation  float64        // see Scale
-	// IsHeadroom: its tasks are expected, not submitted. They hold room for replicas to come.
+	Slots                  int            // tasks that it may run before the passes beyond slots
+	Attained, Degradation  float64        // see ScaleUp
+	// IsHeadroom is set if its tasks are expected rather than submitted. They reserve room for future replicas.
 	IsHeadroom bool
 	// UntilDeadlineS is the time left until its deadline in seconds, infinite if it has none.
 	UntilDeadlineS float64
-	// DeadlineMissed: it can't meet its deadline any more.
+	// DeadlineMissed is set if the job can no longer meet its deadline.
 	DeadlineMissed bool
-	// Interrupted is how many of the waiting tasks, listed first, ran before and were interrupted by
-	// their machine's end rather than by rank.
+	// Interrupted is the number of waiting tasks that were interrupted when their machine ended, rather than preempted
+	// by rank. They come first in Waiting.
 	Interrupted int
-	// Reserved is for how many of its tasks others were preempted and have not all gone yet.
+	// Reserved is the number of its tasks for which other tasks were preempted that have not all stopped yet.
 	Reserved int
-	// Images are the images that expected tasks may need, with the share of each.
+	// Images lists the images that expected tasks may need, with the share of each.
 	Images []ImageShare
-	// AvoidsAccelerators: a batch for machines without accelerators, see CanAvoidAccelerators.
+	// AvoidsAccelerators is set for a batch that should run on machines without accelerators, see CanAvoidAccelerators.
 	AvoidsAccelerators bool
-	// WaitedTwoBoots: it has waited so long that no rented machine will come.
+	// WaitedTwoBoots is set once the job has waited for so long that no machine can be expected to be rented for it.
 	WaitedTwoBoots bool
-	// Starved: it has had no task anywhere for longer than a boot.
+	// Starved is set once the job has had no task on any machine for longer than a machine takes to boot.
 	Starved bool
 
 	missingShares map[int]float64 // by image set, see missingShare
-	rankPosition  int             // among the jobs of a round, by rank
+	rankPosition  int             // position among the jobs of a round, by rank
 }
 
 // ImageShare is the share of expected tasks that need an image.
@@ -59,10 +59,10 @@
 	Share float64
 }
 
-// Rank is attained service over degradation: the lowest goes first.
+// Rank returns the attained service divided by the degradation. Jobs with a low rank go first.
 func (j *Job) Rank() float64 { return j.Attained / j.Degradation }
 
-// Classes of jobs in the order of ranks.
+// Classes of jobs, in the order in which they are scheduled.
 const (
 	rankService = iota
 	rankHeadroom
@@ -82,12 +82,11 @@
 	return rankLower
 }
 
-// Order sorts by rank: services first (by priority, then age), then the expected replicas, then
-// the upper queue first come first served, then the lower queue by Rank. Jobs that are in order
-// already cost little.
+// Order sorts jobs by rank: services by priority and then age, expected replicas, the upper queue first come, first
+// served, and the lower queue by Rank. Sorting jobs that are already in order is cheap.
 func Order(jobs []*Job) { slices.SortFunc(jobs, compareRanks) }
 
-// compareRanks is a total order, as IDs differ.
+// compareRanks defines the order of jobs. It is a total order, because IDs are unique.
 func compareRanks(x, y *Job) int {
 	class := x.rankClass()
 	if c := cmp.Compare(class, y.rankClass()); c != 0 {
@@ -107,17 +106,17 @@
 	return strings.Compare(x.ID, y.ID)
 }
 
-// AllowedOn says whether the job's own constraints allow this type, zone and kind.
+// AllowedOn reports whether the job's constraints allow machines of the type, in the zone, spot or not.
 func (j *Job) AllowedOn(typ, zone string, spot bool) bool {
 	return (!spot || j.Spot) && (j.Zone == "" || j.Zone == zone) && (j.Types == nil || j.Types[typ])
 }
 
-// MayRunOn says whether the job may have a task on the machine, if there is room.
+// MayRunOn reports whether the job's constraints allow one more task on the machine. It does not check for room.
 func (j *Job) MayRunOn(m *Machine) bool {
 	return j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.ZoneOpen(m.Zone) && !j.AvoidMachines[m.ID]
 }
 
-// ZoneOpen says whether one more task may go to the zone, given where the others are.
+// ZoneOpen reports whether OneZone and Spread allow one more task in the zone, given the zones of the other tasks.
 func (j *Job) ZoneOpen(zone string) bool {
 	if j.OneZone {
 		for z, n := range j.InZone {
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -6,35 +6,35 @@
 	"github.com/tidwall/btree"
 )
 
-// machineIndex keeps the machines that have room sorted by all that a task's score depends on, so
-// that the best machine for a task is found without scoring the others. Machines that differ only
-// in their free cores, their memory and their names share a bucket; the score of a task rises with
-// the free cores along a bucket, or is the same all along it.
+// machineIndex keeps the machines with free resources sorted by the properties that determine a task's score, so that
+// the best machine for a task is found without scoring all others. Machines that differ only in their free cores,
+// memory and IDs share a bucket. Within a bucket, the score of a task rises with the number of free cores or is
+// constant.
 //
-// It must be told of each change of a machine (update) and be searched between changes only. Both
-// take time that grows with the logarithm of the number of machines.
+// update must be called after each change of a machine and before the next search. An update and a search take time
+// logarithmic in the number of machines.
 type machineIndex struct {
 	pools    map[poolKey]*poolIndex
-	poolList []*poolIndex // in the order in which they were first seen
-	// reserved are the machines that are reserved for a job, by its ID. They are in no bucket.
+	poolList []*poolIndex // in the order of creation
+	// reserved lists the machines that are reserved for a job, by the ID of the job. They are in no bucket.
 	reserved map[string][]*Machine
 	machines map[*Machine]*indexedMachine
 }
 
-// poolKey is what the constraints of a job may exclude.
+// poolKey holds the machine properties that the constraints of a job may exclude.
 type poolKey struct {
 	typ  *Type
 	zone string
 	spot bool
 }
 
-// coreRule says whether a task may take the cores that free accelerators need.
+// coreRule determines whether a task may take the cores that free accelerators need.
 type coreRule int
 
 const (
 	anyCores coreRule = iota
 	leaveAcceleratorCores
-	coreRules // their number
+	coreRules // number of rules
 )
 
 // poolIndex holds the machines of one type, zone and kind (spot or not).
@@ -42,28 +42,28 @@
 	poolKey
 	classes   map[classKey]*equivalenceClass
 	classList []*equivalenceClass
-	// infeasible are needs that no machine of the pool has room for, by the rule for cores. They
-	// are forgotten when a machine gains room.
+	// infeasible lists, by the rule for cores, requests for which no machine of the pool has room. A list is cleared
+	// when a machine may have gained room.
 	infeasible [coreRules][]Resources
 }
 
-// classKey is what a task's score depends on beside the image and the free cores.
+// classKey holds the machine properties that determine a task's score, except for images and free cores.
 type classKey struct {
 	booting, used bool
 	fetching      int // number of images being fetched
 	accel         float64
 }
 
-// equivalenceClass is the machines of a pool that are alike in classKey.
+// equivalenceClass holds the machines of a pool that have the same classKey.
 type equivalenceClass struct {
 	classKey
-	machines machineBucket // all of them
-	// The machines that have an image, and those that are fetching it, by the image.
+	machines machineBucket // all machines of the class
+	// withImage holds the machines that have an image, and fetchingImage the machines that fetch it, by image.
 	withImage, fetchingImage map[string]*machineBucket
 }
 
-// machineBucket holds machines by their free cores, and by their position: of equal scores the
-// first machine of the snapshot wins.
+// machineBucket holds machines sorted by free cores, and sorted by position: among equal scores, the machine with the
+// lowest position wins.
 type machineBucket struct {
 	byFreeCores, byPosition *btree.BTreeG[bucketEntry]
 }
@@ -74,10 +74,10 @@
 	machine  *Machine
 }
 
-// indexedMachine is a machine's state when it was indexed, and thereby where the index has it.
+// indexedMachine records the state with which a machine was indexed. The state determines the machine's buckets.
 type indexedMachine struct {
 	pool           *poolIndex
-	class          *equivalenceClass // nil: in no bucket, as it is full or reserved
+	class          *equivalenceClass // nil: in no bucket, because the machine is full or reserved
 	entry          bucketEntry
 	withImages     []string
 	fetchingImages []string
@@ -105,7 +105,7 @@
 func lessByPosition(a, b bucketEntry) bool { return a.position < b.position }
 
 func newMachineBucket() machineBucket {
-	options := btree.Options{NoLocks: true} // one goroutine uses the index
+	options := btree.Options{NoLocks: true} // only one goroutine uses the index
 	return machineBucket{btree.NewBTreeGOptions(lessByCores, options), btree.NewBTreeGOptions(lessByPosition, options)}
 }
 
@@ -131,7 +131,7 @@
 	return bucket
 }
 
-// update moves a machine to where it belongs now, or adds it.
+// update indexes the current state of a machine. It adds the machine if it is new.
 func (index *machineIndex) update(m *Machine) {
 	indexed, known := index.machines[m]
 	if known {
@@ -152,13 +152,13 @@
 	index.link(indexed, m)
 }
 
-// gainedRoom says whether the machine may have room now for a task that it had none for before.
+// gainedRoom reports whether the machine may now have room for a task that did not fit before.
 func (i *indexedMachine) gainedRoom(m *Machine) bool {
 	return i.free.Cores < m.Free.Cores || i.free.Accel < m.Free.Accel || i.free.Mem < m.Free.Mem ||
 		i.room <= 0 && m.TaskCapacity > 0 || i.reservedFor != m.ReservedFor
 }
 
-// link puts a machine into the buckets for its state, or among those reserved for a job.
+// link adds a machine to the buckets for its state, or to the list of machines reserved for a job.
 func (index *machineIndex) link(indexed *indexedMachine, m *Machine) {
 	if m.ReservedFor != "" {
 		index.reserved[m.ReservedFor] = append(index.reserved[m.ReservedFor], m)
@@ -185,12 +185,12 @@
 	}
 }
 
-// isFull says whether the machine has no room for any task with cores or accelerators.
+// isFull reports whether the machine has no room for any task that requests cores or accelerators.
 func (m *Machine) isFull() bool {
 	return m.TaskCapacity <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
 }
 
-// remove takes a machine out.
+// remove deletes a machine from the index.
 func (index *machineIndex) remove(m *Machine) {
 	if indexed := index.machines[m]; indexed != nil {
 		index.unlink(indexed)
@@ -198,7 +198,7 @@
 	}
 }
 
-// unlink takes a machine out of its buckets, or from those reserved for a job.
+// unlink removes a machine from its buckets, or from the list of machines reserved for a job.
 func (index *machineIndex) unlink(indexed *indexedMachine) {
 	if indexed.reservedFor != "" {
 		index.unlinkReserved(indexed)
@@ -221,8 +221,8 @@
 	}
 }
 
-// Empty classes and buckets are kept for the next machine while there are few. Without a bound
-// they would add up, as amounts of accelerators and names of images come and go over the months.
+// Bounds on the empty classes and buckets that are kept for reuse. Without a bound they would accumulate over months of
+// operation, as numbers of free accelerators and names of images change.
 const (
 	maxEmptyClasses = 64
 	maxEmptyBuckets = 256
@@ -288,15 +288,16 @@
 	return class
 }
 
-// isInfeasible says whether it is known that no machine of the pool has room for a need.
+// isInfeasible reports whether a recorded infeasible request shows that no machine of the pool has room for the need.
 func (p *poolIndex) isInfeasible(need Resources, rule coreRule) bool {
 	return slices.ContainsFunc(p.infeasible[rule], func(known Resources) bool { return known.isAtMost(need) })
 }
 
-// maxInfeasible bounds how many needs are kept; jobs of a class mostly need the same.
+// maxInfeasible bounds the length of a list of infeasible requests. A short list is enough, because most jobs of a
+// class have the same request.
 const maxInfeasible = 16
 
-// recordInfeasible keeps a need that no machine of the pool had room for, in place of larger ones.
+// recordInfeasible records a need for which no machine of the pool has room. It replaces recorded larger needs.
 func (p *poolIndex) recordInfeasible(need Resources, rule coreRule) {
 	kept := p.infeasible[rule][:0]
 	for _, known := range p.infeasible[rule] {
--- a/internal/scheduler/preemptible_tasks.go
+++ b/internal/scheduler/preemptible_tasks.go
@@ -8,26 +8,27 @@
 	"strings"
 )
 
-// preemptibleTasks are the running tasks that a round may stop, in the orders in which they are
-// looked for: by machine with what costs least to stop first, and by team and priority with the
-// youngest first. They are listed once in a round and follow its stops.
+// preemptibleTasks holds the running tasks that a round may stop, in two orders: by machine with the cheapest to stop
+// first, and by team and priority with the youngest first. The lists are built once per round and updated with each
+// stop.
 type preemptibleTasks struct {
 	snapshot *Snapshot
-	// byMachine has a machine's tasks as sortPreemptible sorts them, once they were asked for.
+	// byMachine caches a machine's tasks in the order of sortPreemptible.
 	byMachine map[*Machine][]RunningTask
-	// byTeam is built when a team's own tasks are first asked for.
+	// byTeam is built at the first search for the youngest task of a team.
 	byTeam  map[teamPriority][]teamTask
 	stopped map[taskOnMachine]bool
 	// lowestPriority is the lowest priority of any running task.
 	lowestPriority int
-	// borrowingTeams use more than their guarantees.
+	// borrowingTeams holds the teams that use more than their guarantees.
 	borrowingTeams map[string]bool
-	gangs          map[*Job][]Stop // see runningGangs; nil: to be listed anew
-	// infeasible are needs for which no machine has enough to stop, by what decides that.
+	gangs          map[*Job][]Stop // cache of runningGangs; nil: not built
+	// infeasible lists the needs for which no machine has enough preemptible tasks, by the other properties of a job
+	// that determine this.
 	infeasible map[preemptionKey][]Resources
-	// sharedCosts are the costs of jobs that are alike.
+	// sharedCosts caches the preemption costs that replicas of equal sharedCostsKey share.
 	sharedCosts map[sharedCostsKey]*preemptionCosts
-	// version changes when costs that were worked out before may have become wrong.
+	// version increases when costs computed before may have become invalid.
 	version int
 }
 
@@ -36,7 +37,7 @@
 	priority int
 }
 
-// taskOnMachine names a task on its machine.
+// taskOnMachine identifies a task on a machine.
 type taskOnMachine struct {
 	machine *Machine
 	job     *Job
@@ -45,8 +46,8 @@
 
 func (s *Stop) key() taskOnMachine { return taskOnMachine{s.Machine, s.Victim.Job, s.Victim.Index} }
 
-// preemptionKey is what decides which tasks may be stopped for a job, and where, but for its need
-// and rank.
+// preemptionKey holds the properties of a job that determine which tasks may be stopped for it, and on which machines,
+// except for its request and rank.
 type preemptionKey struct {
 	team, zone, types                          string
 	priority                                   int
@@ -70,9 +71,9 @@
 	return p
 }
 
-// taskStopped follows a stop of a task for a job. Costs have to be worked out anew if other tasks
-// may be stopped or what they cost has changed; room elsewhere than where the job goes may help
-// other jobs.
+// taskStopped updates the lists after the stop of a task for a job. costsChanged is set if the stop changed which other
+// tasks may be stopped, or their costs; the costs are then computed again. They are also computed again if the stop may
+// free resources that the job does not use, because other jobs may use these.
 func (p *preemptibleTasks) taskStopped(m *Machine, task RunningTask, j *Job, costsChanged bool) {
 	delete(p.byMachine, m)
 	p.stopped[taskOnMachine{m, task.Job, task.Index}] = true
@@ -84,15 +85,15 @@
 		p.version++
 	}
 	if task.Job.Team == j.Team || task.Job.Gang || j.Gang {
-		// It may leave room that the job does not take: it was stopped for its team's quota, or
-		// with all of its gang.
+		// The stop may free resources that the job does not use: the task was stopped to free the quota of its team,
+		// or together with its gang.
 		p.version++
 		clear(p.infeasible)
 	}
 }
 
-// taskAssigned follows the assignment of a task: its team may use more than its guarantee now, or
-// the job have more than its slots, so that its other tasks may be stopped for others.
+// taskAssigned updates the lists after the assignment of a task. If its team now exceeds its guarantee, or the job its
+// slots, further tasks become preemptible.
 func (p *preemptibleTasks) taskAssigned(j *Job) {
 	quota := p.snapshot.Quotas[j.Team]
 	startsToBorrow := quota != nil && !p.borrowingTeams[j.Team] && quota.ExceedsGuarantee()
@@ -105,7 +106,7 @@
 	}
 }
 
-// on lists a machine's tasks, what costs least to stop first.
+// on lists a machine's tasks, the cheapest to stop first.
 func (p *preemptibleTasks) on(m *Machine) []RunningTask {
 	list, known := p.byMachine[m]
 	if !known {
@@ -116,7 +117,7 @@
 	return list
 }
 
-// anyFor says whether there may be any task to stop for a job.
+// anyFor reports whether any running task may be preemptible for a job.
 func (p *preemptibleTasks) anyFor(j *Job, guaranteed bool) bool {
 	if p.lowestPriority < j.Priority {
 		return true
@@ -124,7 +125,7 @@
 	return guaranteed && (len(p.borrowingTeams) > 1 || len(p.borrowingTeams) == 1 && !p.borrowingTeams[j.Team])
 }
 
-// typeNames names the types that the job may use; empty: any.
+// typeNames returns a key for the set of types that the job may use. It is empty if the job may use any type.
 func (j *Job) typeNames() string {
 	if j.Types == nil {
 		return ""
@@ -137,14 +138,14 @@
 		guaranteed: guaranteed, service: j.Service, patient: j.WaitedTwoBoots}
 }
 
-// isInfeasible says whether a job that ranks before this one and differs in nothing else that
-// matters found no machine with enough to stop for as little.
+// isInfeasible reports whether preemption was already infeasible for a job with the same key,
+// an earlier rank and a need that is at most this one.
 func (p *preemptibleTasks) isInfeasible(key preemptionKey, need Resources) bool {
 	return slices.ContainsFunc(p.infeasible[key], func(known Resources) bool { return known.isAtMost(need) })
 }
 
-// recordInfeasible keeps a need that was looked for in vain, unless the job's own zones or
-// failures may be the reason.
+// recordInfeasible records that no machine has enough preemptible tasks for the job's need. It records nothing if the
+// reason may be specific to the job: the zones of its other tasks or the machines on which it failed.
 func (p *preemptibleTasks) recordInfeasible(j *Job, key preemptionKey) {
 	if len(j.AvoidMachines) > 0 || j.OneZone || j.Spread || len(p.infeasible[key]) >= maxInfeasible {
 		return
@@ -152,11 +153,11 @@
 	p.infeasible[key] = append(p.infeasible[key], j.Request)
 }
 
-// LowestPriority is the lowest priority that a job may have.
+// LowestPriority is the lowest valid job priority.
 const LowestPriority = 0
 
-// youngestOfTeam is the task of the job's team and of lower priority that has been on its machine
-// for the least time, and is not among those to stop already. The machine is nil if there is none.
+// youngestOfTeam returns the task that was assigned to its machine most recently among the running tasks of the job's
+// team with lower priority, with its machine. It leaves out tasks in except. The machine is nil if there is none.
 func (p *preemptibleTasks) youngestOfTeam(j *Job, except []Stop) (*Machine, RunningTask) {
 	p.buildTeamLists()
 	var youngest *teamTask
@@ -188,13 +189,13 @@
 	return slices.ContainsFunc(stops, func(s Stop) bool { return s.Victim.Job == task.Job && s.Victim.Index == task.Index })
 }
 
-// teamTask is a running task of a team, numbered in the order of the machines.
+// teamTask is a running task of a team. Its number reflects the order of the machines.
 type teamTask struct {
 	Stop
 	number int
 }
 
-// youngerThan says whether it is to be stopped before another one.
+// youngerThan reports whether the task was assigned to its machine later than another one.
 func (t *teamTask) youngerThan(other *teamTask) bool {
 	if t.Victim.RunningS != other.Victim.RunningS {
 		return t.Victim.RunningS < other.Victim.RunningS
@@ -202,7 +203,7 @@
 	return t.number < other.number
 }
 
-// buildTeamLists lists the teams' tasks, unless that has been done.
+// buildTeamLists builds byTeam if it does not exist yet.
 func (p *preemptibleTasks) buildTeamLists() {
 	if p.byTeam != nil {
 		return
@@ -223,7 +224,7 @@
 	}
 }
 
-// runningGangs lists the tasks of each gang that runs.
+// runningGangs returns the running tasks of each gang.
 func (p *preemptibleTasks) runningGangs() map[*Job][]Stop {
 	if p.gangs != nil {
 		return p.gangs
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -5,48 +5,48 @@
 	"slices"
 )
 
-// Stop is a task to stop, to make room for another job.
+// Stop is a running task to stop, to make room for another job.
 type Stop struct {
 	Victim  RunningTask
-	Machine *Machine // of the victim
+	Machine *Machine // the victim's machine
 	For     *Job
 }
 
-// Reservation is room on a machine that is kept for tasks of a job until they start there.
+// Reservation reserves room on a machine for tasks of a job until they start there.
 type Reservation struct {
 	Job     *Job
 	Machine *Machine
 	Tasks   int
 }
 
-// Preemption is what a round stops, and the room that it reserves for the jobs it does so for.
+// Preemption is the result of a round: the tasks to stop, and the reservations for the jobs that need their room.
 type Preemption struct {
 	Stops        []Stop
 	Reservations []Reservation
 }
 
-// maxTaskMachinesExamined bounds how many machines one round examines for single tasks: a leader
-// with thousands of machines must renew its lease meanwhile. The next round goes on from there.
+// maxTaskMachinesExamined bounds how many machines one round examines for single tasks, so that a leader with thousands
+// of machines can renew its lease in time. The next round continues with the remaining jobs.
 const maxTaskMachinesExamined = 200_000
 
-// preemptionRound is a round at work.
+// preemptionRound holds the state of a running round.
 type preemptionRound struct {
 	snapshot *Snapshot
 	tasks    *preemptibleTasks
 	maxStops int
 	plan     Preemption
-	// infeasibleGangs is, by what decides where a gang may get room, the smallest number of tasks
-	// for which a gang found none in this round: gangs like it that rank later find none either.
+	// infeasibleGangs holds, by gangRequirements, the smallest gang that this round found no room for. Gangs with the
+	// same requirements that are at least as large and rank later can't be placed either.
 	infeasibleGangs map[gangRequirements]int
 }
 
-// Preempt works out a round's preemption: for tasks that wait within their slots and found no room,
-// lower-ranked tasks give way, as far as the protocol's section "Preemption" lets them. A round
-// stops most tasks at most.
+// Preempt computes the preemption of one round. For waiting tasks within the slots of their jobs that found no room, it
+// selects lower-ranked tasks to stop, according to the rules in the protocol's section "Preemption". The parameter most
+// bounds the number of stops; only a gang whose stops are the first of the round may exceed it.
 //
-// Jobs in searched, by their ID, are left out: earlier rounds, whose work was bounded, examined
-// them in vain. Those that this round examines in vain are added; once all jobs have been
-// examined the map is emptied.
+// The map searched holds the IDs of jobs for which earlier rounds found no preemption. Because the work of a round is
+// bounded, these jobs are skipped until all other jobs have been examined. Preempt adds the jobs for which it finds no
+// preemption, and clears the map at the end of a round that did not reach the bound on its work.
 func (s *Snapshot) Preempt(most int, searched map[string]bool) Preemption {
 	s.useIndex()
 	Order(s.Jobs)
@@ -68,16 +68,16 @@
 	return &preemptionRound{snapshot: s, tasks: newPreemptibleTasks(s), maxStops: maxStops, infeasibleGangs: map[gangRequirements]int{}}
 }
 
-// run makes room for one job after the other. It returns false if jobs are left for the next round
-// because this one has examined as many machines as it may.
+// run makes room for the jobs one by one. It returns false if it reached maxTaskMachinesExamined and left jobs for the
+// next round.
 func (r *preemptionRound) run(searched map[string]bool) bool {
 	for _, j := range r.snapshot.Jobs {
 		switch {
 		case len(r.plan.Stops) >= r.maxStops:
-			return true // nothing more can come of it
+			return true // no further stops are allowed
 		case j.IsHeadroom, searched[j.ID]:
 		case j.Reserved > 0:
-			// What was stopped for this job before is still on its way out.
+			// Tasks stopped for this job in an earlier round have not ended yet.
 		case j.Gang:
 			r.preemptForGang(j)
 		case r.snapshot.taskMachinesExamined > maxTaskMachinesExamined:
@@ -91,13 +91,13 @@
 	return true
 }
 
-// wantsPreemption says whether any of its waiting tasks is worth a stop.
+// wantsPreemption reports whether the job has waiting tasks for which other tasks may be stopped.
 func (j *Job) wantsPreemption() bool {
 	return len(j.Waiting) > 0 && !j.IsHeadroom && j.Reserved == 0 && (j.Service || j.Gang || j.Assigned < j.Slots)
 }
 
-// preemptForTasks makes room for the waiting tasks of a job that it has slots for, one after the
-// other.
+// preemptForTasks makes room for the waiting tasks of a job, one by one: for all replicas of a service, and for the
+// tasks of a batch within its slots.
 func (r *preemptionRound) preemptForTasks(j *Job) {
 	held := j.Assigned
 	var costs *preemptionCosts
@@ -117,9 +117,9 @@
 	}
 }
 
-// preemptionForTask finds a machine for one task of the job and all that must stop for it, for
-// room and for the team's quota alike: all of it or nothing, as stops that don't lead to a start
-// only cost work.
+// preemptionForTask finds a machine for one task of the job and the tasks that must be stopped for it, both to free
+// resources and to free the team's quota. It returns nil if either can't be freed, because stopping only some of the
+// tasks would lose their work without starting the new one.
 func (r *preemptionRound) preemptionForTask(j *Job, costs **preemptionCosts) (*Machine, []Stop) {
 	quota := r.snapshot.Quotas[j.Team]
 	var stops []Stop
@@ -150,7 +150,7 @@
 	return m, stops
 }
 
-// stop takes a task off its machine for a job, and adds it to the round's stops.
+// stop removes a task from its machine to make room for a job, and adds the stop to the round's plan.
 func (r *preemptionRound) stop(stop Stop, j *Job) {
 	victim := stop.Victim
 	exceeded, beyondSlots := r.exceedsGuarantee(victim.Job.Team), victim.Job.Assigned > victim.Job.Slots
@@ -161,33 +161,32 @@
 	r.plan.Stops = append(r.plan.Stops, Stop{Victim: victim, Machine: stop.Machine, For: j})
 }
 
-// exceedsGuarantee says whether a team uses more than its guarantee; a team without quota does not.
+// exceedsGuarantee reports whether a team uses more than its guarantee. It returns false for a team without a quota.
 func (r *preemptionRound) exceedsGuarantee(team string) bool {
 	quota := r.snapshot.Quotas[team]
 	return quota != nil && quota.ExceedsGuarantee()
 }
 
-// assign gives the job's first waiting task its place on a machine.
+// assign assigns the job's first waiting task to a machine.
 func (r *preemptionRound) assign(j *Job, m *Machine) {
 	r.snapshot.assign(j, m)
 	r.tasks.taskAssigned(j)
 }
 
-// reserve keeps a machine for the tasks of a job that were assigned to it, so that no other job's
-// stops count on its room.
+// reserve reserves a machine for the tasks of a job that were assigned to it, so that stops for other
+// jobs don't count on its resources.
 func (r *preemptionRound) reserve(j *Job, m *Machine, tasks int) {
 	m.ReservedFor = j.ID
 	r.snapshot.machineChanged(m)
 	r.plan.Reservations = append(r.plan.Reservations, Reservation{Job: j, Machine: m, Tasks: tasks})
 }
 
-// isPreemptible says whether a victim's tasks may be stopped for a job: as far as the protocol's
-// section "Preemption" lets them, and only if the victim ranks after the job or has more than its
-// slots.
+// isPreemptible reports whether a victim's tasks may be stopped for a job. The rules are those of the protocol's
+// section "Preemption"; in addition, the victim must rank after the job or exceed its slots.
 func (r *preemptionRound) isPreemptible(victim, j *Job, guaranteed bool) bool {
 	if victim.Priority >= j.Priority {
-		// One replica for another is no gain, and the stopped one fetches its image
-		// anew; a machine may be on its way.
+		// Stopping one replica to start another gains nothing, and the stopped replica has to fetch its image again.
+		// It is done only after a long wait, because a machine may already be booting.
 		if !guaranteed || victim.Team == j.Team || victim.Service && !j.WaitedTwoBoots {
 			return false
 		}
@@ -198,8 +197,8 @@
 	return victim.rankPosition > j.rankPosition || !victim.Service && victim.Assigned > victim.Slots
 }
 
-// sortPreemptible puts first what costs least to stop: replicas last, gangs before them as they
-// stop whole, and the youngest of each.
+// sortPreemptible sorts tasks by the cost of stopping them: first other batch tasks, then gangs, because all tasks of a
+// gang are stopped together, and replicas last. The youngest tasks of each kind come first.
 func sortPreemptible(tasks []RunningTask) {
 	if len(tasks) < 2 {
 		return
@@ -209,7 +208,7 @@
 	})
 }
 
-// compareBool puts false first.
+// compareBool compares two values, with false before true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -223,14 +222,14 @@
 // Parts of the cost of a stop, in machine-seconds.
 const (
 	stopBaseCost    = 5
-	replicaStopCost = 1000 // a replica outweighs a machine full of batches
+	replicaStopCost = 1000 // more than the cost of stopping a machine full of batch tasks
 )
 
-// stopCost is the work that a stop loses, and the trouble that it makes.
+// stopCost returns the cost of a stop in machine-seconds: the work that it loses, and fixed costs.
 func stopCost(task RunningTask, m *Machine) float64 {
 	lost := task.RunningS*Share(task.Job.Request, m.Type.Size) + stopBaseCost
 	if task.Job.Gang {
-		lost *= max(1, float64(task.Job.Assigned)) // the others of the gang stop too
+		lost *= max(1, float64(task.Job.Assigned)) // all tasks of the gang are stopped
 	}
 	if task.Job.Service {
 		lost += replicaStopCost
--- a/internal/scheduler/preemption_costs.go
+++ b/internal/scheduler/preemption_costs.go
@@ -2,25 +2,25 @@
 
 import "container/heap"
 
-// preemptionCosts are the machines on which tasks could stop for one task of a job, by zone and by
-// what that costs. Within one version of the preemptible tasks room only shrinks and costs only
-// rise, so that the cheapest machine is found by working out the first ones anew.
+// preemptionCosts holds the machines on which preemption could make room for one task of a job, by zone and sorted by
+// cost. While the version of the preemptible tasks stays the same, free resources only shrink and costs only rise, so
+// the cheapest machine is found by updating only the entries at the top of the heap.
 type preemptionCosts struct {
 	zones      map[string]*costHeap
 	version    int
 	guaranteed bool // the task was within its team's guarantee
-	// roomForLess: somewhere nothing has to stop, and the machine takes no more tasks all the
-	// same. For a larger task something would have to stop, and leave.
+	// roomForLess is set if some machine has free resources for the task without a stop but does not accept it. A
+	// larger task would need stops there and could then be placed, so the need must not be recorded as infeasible.
 	roomForLess bool
 }
 
-// costHeap has the cheapest machine first, and of equal ones the first in the snapshot.
+// costHeap is a heap of machines, the cheapest first. Among equal costs, the first machine in the snapshot comes first.
 type costHeap []machineCost
 
 type machineCost struct {
 	machine *Machine
 	cost    float64
-	free    Resources // for which the cost was worked out
+	free    Resources // free resources of the machine when the cost was computed
 }
 
 func (c *machineCost) before(other *machineCost) bool {
@@ -50,18 +50,17 @@
 	return x
 }
 
-// sharedCostsKey is what decides which tasks may be stopped for a replica, and where. All that
-// gives way to a replica for its priority ranks after it, and so do the batches with which other
-// teams exceed their guarantees. So its own rank does not matter, and jobs that are alike share
-// their costs.
+// sharedCostsKey holds the properties that determine which tasks may be stopped for a replica, and on which machines.
+// The rank of the replica is not among them: every task that it may preempt ranks after it, both the tasks of lower
+// priority and the batch tasks of teams that exceed their guarantees. So replicas with equal keys share their costs.
 type sharedCostsKey struct {
 	need                      Resources
-	types, zone, reclaimingBy string // reclaimingBy: the team, if within its guarantee
+	types, zone, reclaimingBy string // reclaimingBy: the job's team if within its guarantee, else empty
 	spot, guaranteed          bool
 	priority                  int
 }
 
-// sharedCostsKey returns false if the job has costs of its own.
+// sharedCostsKey returns the key of the job's preemption costs. It returns false if the job can't share its costs.
 func (j *Job) sharedCostsKey(guaranteed bool) (sharedCostsKey, bool) {
 	if !j.Service || len(j.AvoidMachines) > 0 || guaranteed && j.WaitedTwoBoots {
 		return sharedCostsKey{}, false
@@ -73,8 +72,8 @@
 	return key, true
 }
 
-// cheapestPreemption finds the machine on which room for one task costs least, and what has to
-// stop there. The costs are those of the job's earlier tasks, and are replaced if out of date.
+// cheapestPreemption returns the machine on which making room for one task costs least, and the tasks to stop there.
+// costs holds the costs computed for earlier tasks of the job and is replaced if out of date.
 func (r *preemptionRound) cheapestPreemption(j *Job, guaranteed bool, costs **preemptionCosts) (*Machine, []RunningTask) {
 	if !r.tasks.anyFor(j, guaranteed) {
 		return nil, nil
@@ -106,8 +105,8 @@
 	return cheapest.machine, victims
 }
 
-// cheapestOf is the cheapest machine of a zone, nil if there is none. The cost of a machine that
-// has less room than before is worked out anew.
+// cheapestOf returns the cheapest machine of a zone, or nil if there is none. If the free resources of a machine have
+// changed, it computes the cost again.
 func (r *preemptionRound) cheapestOf(j *Job, guaranteed bool, h *costHeap) *machineCost {
 	for len(*h) > 0 {
 		first := &(*h)[0]
@@ -129,8 +128,7 @@
 	return nil
 }
 
-// costsFor works out what a preemption costs on each machine, or takes what was worked out for
-// another job like this one.
+// costsFor computes the cost of a preemption on each machine, or returns the costs shared by jobs with the same key.
 func (r *preemptionRound) costsFor(j *Job, guaranteed bool) *preemptionCosts {
 	key, shared := j.sharedCostsKey(guaranteed)
 	if shared {
@@ -159,7 +157,7 @@
 	return costs
 }
 
-// add appends a machine to its zone's heap, which has to be put in order afterwards.
+// add appends a machine to the list of its zone. The caller must call heap.Init afterwards.
 func (p *preemptionCosts) add(c machineCost) {
 	zone := c.machine.Zone
 	if p.zones[zone] == nil {
@@ -168,15 +166,15 @@
 	*p.zones[zone] = append(*p.zones[zone], c)
 }
 
-// mayPreemptOn says whether stops on a machine could make room for a task of the job, as far as
-// its zone's other tasks and the machine's running ones don't matter.
+// mayPreemptOn reports whether preemption on a machine could make room for a task of the job. It checks neither which
+// of the running tasks are preemptible nor the zones of the job's other tasks.
 func (j *Job) mayPreemptOn(m *Machine) bool {
 	return !m.Booting && m.ReservedFor == "" && len(m.Running) > 0 && j.Request.Fits(m.Type.Size) &&
 		j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.AvoidMachines[m.ID]
 }
 
-// preemptionOn works out what has to stop on a machine for one task of the job: the victims, if
-// they are wanted, and their cost.
+// preemptionOn computes which tasks must be stopped on a machine for one task of the job, and the cost of the stops. It
+// lists the victims only if wantVictims is set.
 func (r *preemptionRound) preemptionOn(j *Job, m *Machine, guaranteed, wantVictims bool) (victims []RunningTask, cost float64, possible bool) {
 	free, stops := m.Free, 0
 	for _, task := range r.tasks.on(m) {
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -1,11 +1,11 @@
 package scheduler
 
-// Quota is a team's guarantee, maximum and use. A zero resource in Guaranteed or Maximum is not
-// bounded.
+// Quota is a team's guarantee, maximum and usage. A resource that is zero in Guaranteed or Maximum is not limited by
+// it.
 type Quota struct {
 	Guaranteed, Maximum, Used Resources
-	// ServiceReserve is what the team's batches leave of the maximum for services that arrive
-	// before a round could preempt one of them.
+	// ServiceReserve is the part of the maximum that the team's batches leave free, for services that are submitted
+	// before the next round can preempt batches.
 	ServiceReserve Resources
 }
 
@@ -14,10 +14,10 @@
 	return ok(used.Cores, bound.Cores) && ok(used.Accel, bound.Accel)
 }
 
-// WithinMaximum says whether the team may use n more.
+// WithinMaximum reports whether the team stays within its maximum if it uses n more.
 func (q *Quota) WithinMaximum(n Resources) bool { return within(q.Used.Plus(n), q.Maximum) }
 
-// Admits says whether the team may use what a task of the job needs.
+// Admits reports whether the quota admits one more task of the job.
 func (q *Quota) Admits(j *Job) bool {
 	if j.Service {
 		return q.WithinMaximum(j.Request)
@@ -25,16 +25,16 @@
 	return q.WithinMaximum(j.Request.Plus(q.ServiceReserve))
 }
 
-// HasGuarantee says whether anything is guaranteed to the team.
+// HasGuarantee reports whether the team has a guarantee for any resource.
 func (q *Quota) HasGuarantee() bool { return q.Guaranteed.Cores > 0 || q.Guaranteed.Accel > 0 }
 
-// WithinGuarantee says whether n more stays within the guarantee.
+// WithinGuarantee reports whether the team stays within its guarantee if it uses n more.
 func (q *Quota) WithinGuarantee(n Resources) bool {
 	return q.HasGuarantee() && within(q.Used.Plus(n), q.Guaranteed)
 }
 
-// ExceedsGuarantee says whether the team now uses more than its guarantee. A team without one
-// always does.
+// ExceedsGuarantee reports whether the team uses more than its guarantee. It is always true for a team without a
+// guarantee.
 func (q *Quota) ExceedsGuarantee() bool {
 	return !q.HasGuarantee() || !within(q.Used, q.Guaranteed)
 }
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -5,34 +5,34 @@
 // Resources is an amount of a machine's resources: cores, accelerators and gigabytes of memory.
 type Resources struct{ Cores, Accel, Mem float64 }
 
-// eps is by how much sums of amounts may differ by rounding.
+// eps is the tolerance for rounding errors in sums of resources.
 const eps = 1e-6
 
-// Fits says whether n is covered by free, rounding apart.
+// Fits reports whether n is at most free in each resource, within the tolerance eps.
 func (n Resources) Fits(free Resources) bool {
 	return n.Cores <= free.Cores+eps && n.Accel <= free.Accel+eps && n.Mem <= free.Mem+eps
 }
 
-// isAtMost says whether n is at most another need in each resource. It has no tolerance, as it
-// compares needs of jobs rather than sums.
+// isAtMost reports whether n is at most other in each resource. It needs no tolerance, because it compares requests of
+// jobs rather than sums.
 func (n Resources) isAtMost(other Resources) bool {
 	return n.Cores <= other.Cores && n.Accel <= other.Accel && n.Mem <= other.Mem
 }
 
-// Plus adds.
+// Plus returns the sum n + o.
 func (n Resources) Plus(o Resources) Resources {
 	return Resources{n.Cores + o.Cores, n.Accel + o.Accel, n.Mem + o.Mem}
 }
 
-// Minus subtracts.
+// Minus returns the difference n - o.
 func (n Resources) Minus(o Resources) Resources {
 	return Resources{n.Cores - o.Cores, n.Accel - o.Accel, n.Mem - o.Mem}
 }
 
-// Times multiplies.
+// Times returns n multiplied by k.
 func (n Resources) Times(k float64) Resources { return Resources{n.Cores * k, n.Accel * k, n.Mem * k} }
 
-// Share is the part of a whole that n takes: of its accelerators if n has any, else of its cores.
+// Share returns the share of whole that n takes: of the accelerators if n includes any, otherwise of the cores.
 func Share(n, whole Resources) float64 {
 	if n.Accel > 0 {
 		return n.Accel / math.Max(whole.Accel, n.Accel)
@@ -40,7 +40,8 @@
 	return n.Cores / math.Max(whole.Cores, math.Max(n.Cores, eps))
 }
 
-// perMachine is how many tasks of a need fit a size, at least one; infinite if they need nothing.
+// perMachine returns how many tasks with request n fit on a machine of the given size, at least one. It is infinite for
+// an empty request.
 func perMachine(n, size Resources) float64 {
 	k := math.Inf(1)
 	for _, p := range [][2]float64{{n.Cores, size.Cores}, {n.Accel, size.Accel}, {n.Mem, size.Mem}} {
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// Pool is a type, zone and kind of machine that can be rented.
+// Pool is a pool of rentable machines: their type, their zone, and whether they are spot machines.
 type Pool struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Launch is a number of machines wanted from a pool.
+// Launch is a number of machines to rent from a pool.
 type Launch struct {
 	Pool
 	Count int
 }
 
-// scaleOutPlanner is a plan at work.
+// scaleOutPlanner holds the state of a running plan.
 type scaleOutPlanner struct {
 	snapshot       *Snapshot
 	types          []*Type
 	blocked        func(Pool) bool
 	maxLaunches    int
 	machinesByZone map[string]int
-	launched       int // machines, of all pools
+	launched       int // machines of all pools
 	countByPool    map[Pool]int
-	pools          []Pool // in the order in which they were chosen
+	pools          []Pool // in the order in which their first machines were planned
 }
 
-// Plan places what still waits on free, booting and, where these don't do, new machines. It
-// returns what to rent, maxNew machines at most, and marks (Used) the machines that the waiting
-// and expected work needs. Nothing is rented from blocked pools.
+// Plan places the waiting tasks on free and booting machines, and on new machines where those lack room. It returns the
+// machines to rent, at most maxNew and none from blocked pools. It sets Used on all machines that waiting or expected
+// tasks need.
 func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
 	s.useIndex()
 	Order(s.Jobs)
@@ -53,7 +53,7 @@
 	return out
 }
 
-// plan places the job's waiting tasks; later are the job and those that rank after it.
+// plan places the job's waiting tasks. later holds the job and all jobs that rank after it.
 func (p *scaleOutPlanner) plan(j *Job, later []*Job) {
 	if len(j.Waiting) == 0 || j.Gang && p.placeGang(j, later) {
 		return
@@ -76,8 +76,8 @@
 	}
 }
 
-// placeGang places a gang whole. It returns false if machines have to be rented for it. A gang
-// beyond its team's quota waits for the team's own work to end.
+// placeGang places all tasks of a gang on existing machines. It returns false if machines must be rented for it. It
+// returns true without placing a gang that exceeds its team's quota: the gang waits until other tasks of the team end.
 func (p *scaleOutPlanner) placeGang(j *Job, later []*Job) bool {
 	quota := p.snapshot.Quotas[j.Team]
 	if quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
@@ -87,7 +87,7 @@
 		return true
 	}
 	if j.OneZone && j.Zone == "" {
-		// What is missing has to be rented in a zone where that can be done.
+		// All machines must be in one zone, so choose a zone where machines can be rented.
 		if pool, typ := p.cheapestPool(j, later); typ != nil {
 			j.Zone = pool.Zone
 		}
@@ -95,11 +95,12 @@
 	return false
 }
 
-// recordRoom is how many tasks a machine to be rented may hold: its record is empty, so resources
-// decide.
+// recordRoom is the task capacity assumed for a machine to be rented. Its stored record is still empty, so only its
+// resources limit the number of tasks.
 const recordRoom = 1 << 20
 
-// launch adds a machine to be rented for the job, nil if there is none or no more may be rented.
+// launch adds a machine to be rented for the job and returns it. It returns nil if no pool is open to the job or
+// maxLaunches is reached.
 func (p *scaleOutPlanner) launch(j *Job, later []*Job) *Machine {
 	if p.launched >= p.maxLaunches {
 		return nil
@@ -119,12 +120,12 @@
 	return m
 }
 
-// zoneBalanceWeight raises the cost of a pool for each machine in its zone, so that equal prices go
-// to the zone with fewer machines.
+// zoneBalanceWeight raises the cost of a pool for each machine in its zone, so that among equal prices the zone with
+// fewer machines is chosen.
 const zoneBalanceWeight = 0.001
 
-// cheapestPool is where a machine for a task of the job costs least per task. Jobs that rank later
-// count, as they may use the rest of the machine. The type is nil if no pool is open.
+// cheapestPool returns the pool with the lowest price per task for the job. The price of a machine is divided among all
+// waiting tasks that could share it, including those of jobs that rank later. The type is nil if no pool is open.
 func (p *scaleOutPlanner) cheapestPool(j *Job, later []*Job) (Pool, *Type) {
 	var cheapest Pool
 	var cheapestType *Type
@@ -134,7 +135,7 @@
 			continue
 		}
 		fit := perMachine(j.Request, t.Size)
-		alike := -1 // to be counted if any pool of the type is open
+		alike := -1 // not counted yet; it is counted only if a pool of the type is open
 		for pool := range p.openPools(j, t) {
 			if alike < 0 {
 				alike = tasksAlike(j, later, t)
@@ -153,7 +154,7 @@
 	return cheapest, cheapestType
 }
 
-// openPools are the pools of a type that the job may use and that machines can be rented from.
+// openPools yields the pools of a type that the job may use and that are not blocked.
 func (p *scaleOutPlanner) openPools(j *Job, t *Type) iter.Seq[Pool] {
 	return func(yield func(Pool) bool) {
 		for _, zone := range t.Zones {
@@ -170,20 +171,20 @@
 	}
 }
 
-// mayUse says whether a task of the job fits the type and is allowed on it.
+// mayUse reports whether a task of the job fits a machine of the type and is allowed on the type.
 func (j *Job) mayUse(t *Type) bool {
 	return j.Request.Fits(t.Size) && (j.Types == nil || j.Types[t.Name])
 }
 
-// CanAvoidAccelerators says whether the job is a batch without accelerators that may use a type without them.
-// Then no machine with accelerators is rented for it, and it leaves the cores that free
+// CanAvoidAccelerators reports whether the job is a batch that requests no accelerators and may use a type without
+// accelerators. No machine with accelerators is rented for such a job, and it leaves free the cores that free
 // accelerators need.
 func (j *Job) CanAvoidAccelerators(types []*Type) bool {
 	return !j.Service && j.Request.Accel == 0 &&
 		slices.ContainsFunc(types, func(t *Type) bool { return t.Size.Accel == 0 && j.mayUse(t) })
 }
 
-// tasksAlike counts the waiting tasks that could share a machine of the type with the job's.
+// tasksAlike counts the waiting tasks that could share a machine of the type with tasks of the job.
 func tasksAlike(j *Job, later []*Job, t *Type) int {
 	alike := 0
 	for _, other := range later {
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -2,33 +2,34 @@
 
 import "math"
 
-// Parts of a score. They only order preferences: a ready machine before a booting one, then no
-// accelerators blocked by tasks that have no use for them, the image there, spot for jobs that may
-// use it, a tight fit, and machines in use before empty ones, so that these can be returned.
+// Parts of a score. Their values only define an order of preferences, from the strongest to the weakest: a ready
+// machine rather than a booting one, no accelerators blocked by tasks that don't use them, a machine that has the
+// image, a spot machine for jobs that may use one, a tight fit, and a used machine rather than an empty one, so that
+// empty machines can be returned.
 const (
 	bootingScore             = 1000
 	blocksAcceleratorsScore  = 400
-	missingImageScore        = 60 // times Job.fetchWeight
+	missingImageScore        = 60 // multiplied by Job.fetchWeight
 	notSpotScore             = 50
 	fetchInProgressScore     = 40 // for each other image that the machine is fetching
 	unneededAcceleratorScore = 30
-	looseFitScore            = 25 // times the share of the machine that stays free
+	looseFitScore            = 25 // multiplied by the share of the machine that stays free
 	fetchingImageScore       = 20
 	unusedScore              = 15
 )
 
-// acceleratorCoreReserve is the part of its share of the cores that a free accelerator keeps from
-// plain batches (docs/design.md, exception 16).
+// acceleratorCoreReserve is the part of its proportional share of the cores that each free accelerator reserves, so
+// that batches without accelerators don't take these cores (docs/design.md, exception 16).
 const acceleratorCoreReserve = 0.75
 
-// accepts says whether the machine may be given a task of the job now.
+// accepts reports whether a task of the job can be assigned to the machine now.
 func (s *Snapshot) accepts(j *Job, m *Machine) bool {
 	return (m.ReservedFor == "" || m.ReservedFor == j.ID) && m.TaskCapacity > 0 && j.Request.Fits(m.Free) && j.MayRunOn(m) &&
 		(!s.reserveAcceleratorCores || !j.AvoidsAccelerators || !j.blocksAccelerators(m))
 }
 
-// blocksAccelerators says whether a task without accelerators would take cores that the machine's
-// free accelerators need.
+// blocksAccelerators reports whether a task without accelerators would take cores that the free accelerators of the
+// machine need.
 func (j *Job) blocksAccelerators(m *Machine) bool {
 	if j.Request.Accel > 0 || m.Type.Size.Accel <= 0 {
 		return false
@@ -37,7 +38,7 @@
 	return left.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
 }
 
-// score rates a machine for a task of the job: lower is better.
+// score returns the score of a machine for a task of the job. Lower is better.
 func (s *Snapshot) score(j *Job, m *Machine) float64 {
 	score := 0.0
 	if m.Booting {
@@ -45,8 +46,8 @@
 	}
 	switch {
 	case j.IsHeadroom && len(j.Images) > 0:
-		// Expected replicas get room where their images are: elsewhere each replica began with
-		// a fetch.
+		// Headroom for expected replicas is preferred on machines that have their images. On other machines each
+		// replica would start by fetching its image.
 		score += missingImageScore * j.fetchWeight(m.Type) * j.missingShare(m)
 	case j.Image == "" || m.Images[j.Image]:
 	case m.Fetching[j.Image]:
@@ -74,7 +75,7 @@
 	return score
 }
 
-// missingShare is the share of expected tasks whose image the machine lacks.
+// missingShare returns the share of expected tasks whose image the machine does not have.
 func (j *Job) missingShare(m *Machine) float64 {
 	if share, known := j.missingShares[m.ImageSet]; known {
 		return share
@@ -95,15 +96,16 @@
 	return share
 }
 
-// Bounds of Job.fetchWeight: an image neither outweighs a booting machine nor counts for nothing.
+// Bounds of Job.fetchWeight. The upper bound keeps a missing image from outweighing a booting machine, and the lower
+// bound keeps it from being ignored.
 const (
 	minFetchWeight = 0.25
 	maxFetchWeight = 4
 )
 
-// fetchWeight is how much a missing image matters on a machine type: the time of its fetch over
-// the time in which users want the task started. Small images on slow machines miss a start
-// within a second, while a more expensive machine has them at once.
+// fetchWeight returns the weight of a missing image on a machine type: the duration of the fetch divided by the
+// start-time objective. On a machine type with low bandwidth, fetching even a small image misses an objective of one
+// second, which a more expensive type meets.
 func (j *Job) fetchWeight(t *Type) float64 {
 	if j.StartObjectiveS <= 0 || t.FetchGBPerS <= 0 {
 		return 1
--- a/internal/scheduler/selector.go
+++ b/internal/scheduler/selector.go
@@ -5,17 +5,17 @@
 	"math"
 )
 
-// machineSelector picks the machines for the tasks of a job, one after the other.
+// machineSelector selects machines for the tasks of a job, one after the other.
 type machineSelector interface {
-	// best is the best machine for the next task, nil if none has room.
+	// best returns the best machine for the next task, or nil if none accepts it.
 	best() *Machine
-	// assigned must be called when the machine that best returned was given a task.
+	// assigned must be called after a task was assigned to the machine that best returned.
 	assigned(m *Machine)
-	// added must be called when a machine was added to the snapshot, with its position there.
+	// added must be called after a machine was added to the snapshot, with its position in the snapshot's list.
 	added(m *Machine, position int)
 }
 
-// selectorFor picks machines for the job's waiting tasks.
+// selectorFor returns a selector for the job's waiting tasks.
 func (s *Snapshot) selectorFor(j *Job) machineSelector {
 	if search := s.searchIndex(j); search != nil {
 		return search
@@ -26,11 +26,11 @@
 	return fullScan{s, j}
 }
 
-// worthRanking says whether enough tasks wait for it to pay to put all machines in order. Where
-// the zones of the job's other tasks count, each task needs an order of its own.
+// worthRanking reports whether enough tasks wait for building a heap of all machines to be cheaper than scoring them
+// for each task. With OneZone or Spread each assignment may close a zone, so a heap would not stay valid.
 func (j *Job) worthRanking() bool { return len(j.Waiting) > 2 && !j.OneZone && !j.Spread }
 
-// bestMachine is the best machine for one task of the job, nil if none has room.
+// bestMachine returns the best machine for one task of the job, or nil if none accepts it.
 func (s *Snapshot) bestMachine(j *Job) *Machine {
 	if search := s.searchIndex(j); search != nil {
 		return search.best()
@@ -38,7 +38,7 @@
 	return s.scanForBest(j)
 }
 
-// scanForBest scores all machines.
+// scanForBest scores all machines that may have room and returns the best one, or nil if none accepts the task.
 func (s *Snapshot) scanForBest(j *Job) *Machine {
 	var best *Machine
 	bestScore := math.Inf(1)
@@ -55,7 +55,7 @@
 	return best
 }
 
-// fullScan scores all machines anew for each task.
+// fullScan is a machineSelector that scores all machines again for each task.
 type fullScan struct {
 	snapshot *Snapshot
 	job      *Job
@@ -67,10 +67,10 @@
 
 func (f fullScan) added(*Machine, int) {}
 
-// candidateHeap has the machines that may take a task of one job, the best first. Tasks of a job
-// are alike, so an assignment changes the score of its machine alone. For an array of thousands in
-// a fleet of hundreds, scoring all machines for each task took a quarter of a second of a
-// controller's share of a core.
+// candidateHeap is a machineSelector that holds the machines that accept a task of one job, the best first. All tasks
+// of a job have the same request, so an assignment changes only the score of its own machine. For a job with thousands
+// of tasks and a fleet of hundreds of machines, scoring all machines for each task took a quarter of a second of the
+// CPU time that a controller gets.
 type candidateHeap struct {
 	snapshot *Snapshot
 	job      *Job
@@ -80,10 +80,10 @@
 type candidate struct {
 	machine  *Machine
 	score    float64
-	position int // in the snapshot's list: of equal scores the lowest wins
+	position int // in the snapshot's list; among equal scores the lowest wins
 }
 
-// candidateHeapFor scores the machines that have room for a task of the job.
+// candidateHeapFor returns a heap of the machines that accept a task of the job.
 func (s *Snapshot) candidateHeapFor(j *Job) *candidateHeap {
 	c := &candidateHeap{snapshot: s, job: j}
 	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
@@ -104,8 +104,8 @@
 	return c.list[0].machine
 }
 
-// assigned scores the machine again. It is the first of the heap: it was the best, or was added
-// just now and is.
+// assigned updates the score of the machine, or removes the machine if it accepts no further task. The machine must be
+// at the top of the heap: best returned it, or it was just added and became the best.
 func (c *candidateHeap) assigned(m *Machine) {
 	if len(c.list) == 0 || c.list[0].machine != m {
 		return
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -5,37 +5,38 @@
 	"math"
 )
 
-// Type is a machine type that the cloud rents out.
+// Type is a machine type that can be rented from the cloud.
 type Type struct {
 	Name             string
 	Size             Resources
 	Price, SpotPrice float64 // per machine and unit of time, in the cloud's currency
 	Zones            []string
 	BootS            float64 // seconds from the rental request until the machine is ready
-	FetchGBPerS      float64 // gigabytes of an image fetched per second
+	FetchGBPerS      float64 // bandwidth for fetching images
 }
 
-// Machine is a machine with its free resources. Those of a booting machine are all free.
+// Machine is a machine with its free resources. All resources of a booting machine are free.
 type Machine struct {
 	ID           string
 	Type         *Type
 	Zone         string
 	Spot         bool
 	Free         Resources
-	TaskCapacity int // further tasks that its stored record can hold
-	// ReservedFor names the job that tasks were preempted for here. No other job may take the
-	// freed room, or each round would stop the same tasks again. Empty: not reserved.
+	TaskCapacity int // number of further tasks that its stored record can hold
+	// ReservedFor is the ID of the job for which tasks were preempted on this machine. No other job may use the freed
+	// resources: otherwise each round would stop the same tasks again. It is empty if the machine is not reserved.
 	ReservedFor string
 	Images      map[string]bool
 	Fetching    map[string]bool
 	Booting     bool
 	Used        bool // holds tasks, or was assigned one in this snapshot
-	// Dirty is set by each decision that changes the machine. Whoever keeps the machine
-	// between snapshots clears it.
+	// Dirty is set by each decision that changes the machine. A caller that reuses the machine in later snapshots must
+	// clear it.
 	Dirty bool
-	// ImageSet is the same number for machines that have the same images; 0: not known.
+	// ImageSet identifies the set of images that the machine has: machines with the same images have the same number.
+	// 0 means unknown.
 	ImageSet int
-	// position is the machine's place in the snapshot's list. Of equal scores the lowest wins.
+	// position is the machine's position in the snapshot's list. Among equal scores, the lowest position wins.
 	position int
 	Running  []RunningTask
 }
@@ -47,41 +48,42 @@
 	RunningS float64 // seconds since it was assigned to the machine
 }
 
-// Snapshot is what the decisions of a pass are made from. Each decision updates it, so that the
-// next one counts with it.
+// Snapshot is the state on which a pass bases its decisions. Each decision updates the snapshot, so that later
+// decisions take it into account.
 type Snapshot struct {
 	Machines      []*Machine
 	Jobs          []*Job
 	Quotas        map[string]*Quota // by team
-	UpperQueueCap float64           // share of the ready fleet that the upper queue may take
-	// Draining is set while replicas of drained machines move to others. Batches don't start
-	// meanwhile, as they would take the replicas' room.
+	UpperQueueCap float64           // share of the ready fleet that the upper queue may use
+	// Draining is set while replicas of drained machines move to other machines. No batches start meanwhile, because
+	// they would take the room that the replicas need.
 	Draining bool
-	Capacity Resources // of ready machines
-	// MachinesExamined counts the machines that were examined so far. It measures the work of a pass
-	// where a time would make decisions depend on the speed of the host.
+	Capacity Resources // total resources of the ready machines
+	// MachinesExamined counts the machines examined so far. Limits on the work of a pass use this count rather than
+	// elapsed time, which would make decisions depend on the speed of the host.
 	MachinesExamined int
-	// Fleet keeps the machines in order from one snapshot to the next; nil: the first pass
-	// builds an index of its own.
+	// Fleet keeps the machine index from one snapshot to the next. If it is nil, the first pass builds an index for
+	// this snapshot.
 	Fleet *Fleet
 
-	// reserveAcceleratorCores makes plain batches leave the cores that free accelerators need.
+	// reserveAcceleratorCores is set while batches with AvoidsAccelerators must leave free the cores that free
+	// accelerators need.
 	reserveAcceleratorCores bool
-	// gangMachinesExamined and taskMachinesExamined count the machines that a round examined
-	// for gangs and for single tasks.
+	// gangMachinesExamined and taskMachinesExamined count the machines that a round has examined for gangs and for
+	// single tasks.
 	gangMachinesExamined int
 	taskMachinesExamined int
-	// withRoom caches the machines with free cores and those with free accelerators, as most of a
-	// busy fleet is full. Nil: to be collected anew.
+	// withRoom caches the list of machines with free cores and the list of those with free accelerators, because most
+	// machines of a busy fleet are full. A nil list is collected at the next use.
 	withRoom [2][]*Machine
-	// index finds the best machine without scoring all; nil: all are scored.
+	// index finds the best machine without scoring all machines. If it is nil, all machines are scored.
 	index *machineIndex
-	// search is the memory that one index search leaves to the next.
+	// search is the memory that successive index searches reuse.
 	search indexSearch
-	// totalPrice is the sum over the first pricedMachines machines, see IsExpensive.
+	// totalPrice caches the sum of the prices of the first pricedMachines machines, see IsExpensive.
 	totalPrice     float64
 	pricedMachines int
-	// headroom is for how many expected tasks there is room, once WithoutMachine has counted.
+	// headroom caches the number of expected tasks for which there is room. It is valid if headroomKnown is set.
 	headroom      int
 	headroomKnown bool
 }
@@ -89,13 +91,13 @@
 // AddMachine adds a machine that was not in the snapshot before.
 func (s *Snapshot) AddMachine(m *Machine) {
 	s.useIndex()
-	m.position = math.MaxInt/2 + len(s.Machines) // behind all that were there
+	m.position = math.MaxInt/2 + len(s.Machines) // after all existing machines
 	s.Machines = append(s.Machines, m)
 	s.withRoom = [2][]*Machine{}
 	s.machineChanged(m)
 }
 
-// assign gives the job's first waiting task its place on a machine.
+// assign assigns the job's first waiting task to a machine.
 func (s *Snapshot) assign(j *Job, m *Machine) {
 	j.Waiting = j.Waiting[1:]
 	j.Interrupted = max(0, j.Interrupted-1)
@@ -119,7 +121,7 @@
 	s.machineChanged(m)
 }
 
-// removeTask takes a running task off its machine.
+// removeTask removes a running task from its machine.
 func (s *Snapshot) removeTask(m *Machine, task RunningTask) {
 	m.Free = m.Free.Plus(task.Job.Request)
 	s.withRoom = [2][]*Machine{}
@@ -134,7 +136,8 @@
 	m.Running = without(m.Running, task)
 }
 
-// without returns a new list that lacks one task: callers may still read the old one.
+// without returns a copy of the list without one task. The original list stays unchanged, because callers may still
+// read it.
 func without(list []RunningTask, removed RunningTask) []RunningTask {
 	var rest []RunningTask
 	for _, task := range list {
@@ -145,7 +148,7 @@
 	return rest
 }
 
-// machineChanged must be called after each change of a machine, so that the index follows it.
+// machineChanged updates the index. It must be called after each change of a machine.
 func (s *Snapshot) machineChanged(m *Machine) {
 	m.Dirty = true
 	if s.index != nil {
@@ -153,7 +156,7 @@
 	}
 }
 
-// useIndex takes the fleet's index, or builds one if there is no fleet.
+// useIndex sets index to the index of Fleet, or builds a new one if there is no Fleet.
 func (s *Snapshot) useIndex() {
 	switch {
 	case s.index != nil:
@@ -164,12 +167,12 @@
 	}
 }
 
-// machinesWithRoom lists the machines that may have room for a task that needs accelerators, or
-// cores. Machines that have filled up since the list was collected stay in it; whatever frees
-// room or adds a machine drops the list.
+// machinesWithRoom lists the machines that may have room for a task that needs accelerators or cores. Machines that
+// have become full since the list was collected stay in it. The list is dropped when resources are freed or a machine
+// is added.
 func (s *Snapshot) machinesWithRoom(accel, cores bool) []*Machine {
 	if !accel && !cores {
-		return s.Machines // the task needs memory alone
+		return s.Machines // the task requests only memory
 	}
 	list := &s.withRoom[0]
 	if accel {
@@ -186,8 +189,8 @@
 	return *list
 }
 
-// clone copies what placing tasks changes, leaving out the machine with the given ID. The copy has
-// neither jobs nor quotas nor an index.
+// clone copies the state that placing tasks changes, without the machine with the given ID. The copy has neither jobs
+// nor quotas nor an index.
 func (s *Snapshot) clone(withoutID string) *Snapshot {
 	out := &Snapshot{UpperQueueCap: s.UpperQueueCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
 	for _, m := range s.Machines {
