--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -1,9 +1,9 @@
 package scheduler
 
-// expensiveShare is the share of the average price from which a machine counts as expensive. It is slightly below one
-// so that every machine of a fleet with a single price is expensive: sums of equal prices round up or down, and with a
-// share of one consolidation never emptied a machine of a fleet with one machine type.
-const expensiveShare = 0.999
+// expensivePriceShare is the share of the average price from which a machine counts as expensive. It is slightly below
+// one so that every machine of a fleet with a single price is expensive: sums of equal prices round up or down, and
+// with a share of one consolidation never emptied a machine of a fleet with one machine type.
+const expensivePriceShare = 0.999
 
 // IsExpensive reports whether a machine costs at least as much as the average machine of the snapshot.
 func (s *Snapshot) IsExpensive(m *Machine) bool {
@@ -13,7 +13,7 @@
 			s.totalPrice += other.Type.Price
 		}
 	}
-	return m.Type.Price*float64(len(s.Machines)) >= expensiveShare*s.totalPrice
+	return m.Type.Price*float64(len(s.Machines)) >= expensivePriceShare*s.totalPrice
 }
 
 // WithoutMachine returns a copy of the snapshot without the machine id, after its tasks have moved to machines in use
@@ -21,23 +21,23 @@
 // fewer expected tasks than the snapshot. Each job in moved has one task to move. expected must return new jobs at each
 // call, because counting the headroom consumes their waiting tasks.
 func (s *Snapshot) WithoutMachine(id string, moved []*Job, expected func() []*Job) *Snapshot {
-	rest := s.clone(id)
-	s.MachinesExamined += len(rest.Machines) * (len(moved) + 1)
+	remaining := s.clone(id)
+	s.MachinesExamined += len(remaining.Machines) * (len(moved) + 1)
 	for _, j := range moved {
-		m := rest.bestTargetFor(j)
+		m := remaining.bestTargetFor(j)
 		if m == nil {
 			return nil
 		}
-		rest.assign(j, m)
+		remaining.assign(j, m)
 	}
 	if !s.headroomKnown {
 		s.headroom, s.headroomKnown = s.clone("").countHeadroom(expected()), true
 	}
-	if rest.headroom = rest.clone("").countHeadroom(expected()); rest.headroom < s.headroom {
+	if remaining.headroom = remaining.clone("").countHeadroom(expected()); remaining.headroom < s.headroom {
 		return nil
 	}
-	rest.headroomKnown, rest.MachinesExamined = true, s.MachinesExamined
-	return rest
+	remaining.headroomKnown, remaining.MachinesExamined = true, s.MachinesExamined
+	return remaining
 }
 
 // bestTargetFor returns the machine in use with the lowest score for a task to move, or nil if no machine accepts it.
@@ -66,9 +66,9 @@
 func (s *Snapshot) countHeadroom(expected []*Job) int {
 	placed := 0
 	for _, j := range expected {
-		waiting := len(j.Waiting)
+		waitingBefore := len(j.Waiting)
 		s.reserve(j)
-		placed += waiting - len(j.Waiting)
+		placed += waitingBefore - len(j.Waiting)
 	}
 	return placed
 }
--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -13,7 +13,7 @@
 		m.Used, m.Images = true, map[string]bool{"img": true}
 		m.Free = Resources{Cores: 4, Mem: 16}
 	}
-	return snap(ms)
+	return newSnapshot(ms)
 }
 
 // Consolidation moves replicas only to used machines that have their images, and only if the headroom for expected
@@ -56,7 +56,7 @@
 	s := halfFullFleet()
 	s.Draining = true
 	s.Jobs = []*Job{batch("b", 3, nil), batch("web", 1, func(j *Job) { j.Service = true })}
-	if d := cmp.Diff(map[string]int{"web": 1}, started(s.Fill())); d != "" {
+	if d := cmp.Diff(map[string]int{"web": 1}, startedByJob(s.Fill())); d != "" {
 		t.Error(d)
 	}
 }
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -18,12 +18,12 @@
 const (
 	withinGuarantees fillPass = iota // tasks within the guarantees of their teams
 	withinSlots                      // tasks within the slots of their jobs, the upper queue up to its cap
-	interrupted                      // tasks that were interrupted when their machine ended
-	spareRoom                        // any tasks that the remaining resources can hold
+	interruptedTasks                 // tasks that were interrupted when their machine ended
+	spareResources                   // any tasks that the remaining resources can hold
 )
 
 // fillPasses lists all passes in their order.
-var fillPasses = [...]fillPass{withinGuarantees, withinSlots, interrupted, spareRoom}
+var fillPasses = [...]fillPass{withinGuarantees, withinSlots, interruptedTasks, spareResources}
 
 // filler holds the state of a running fill.
 type filler struct {
@@ -52,8 +52,8 @@
 		return f.placements
 	}
 	for _, pass := range fillPasses {
-		s.reserveAcceleratorCores = pass == spareRoom
-		if pass == interrupted {
+		s.reserveAcceleratorCores = pass == spareResources
+		if pass == interruptedTasks {
 			orderBeyondSlots(s.Jobs)
 		}
 		f.placeBatches(pass)
@@ -106,7 +106,7 @@
 	slices.SortStableFunc(starved, func(a, b *Job) int { return cmp.Compare(a.Submitted, b.Submitted) })
 	withinMaximum := func(quota *Quota, whole Resources) bool { return quota.WithinMaximum(whole) }
 	for _, j := range starved {
-		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
+		if quota := s.Quotas[j.Team]; quota == nil || !quota.WithinMaximum(j.totalRequest()) {
 			continue // the gang waits until other tasks of its team end
 		}
 		placed := s.placeGang(j, withinMaximum)
@@ -159,11 +159,11 @@
 		return quota.WithinGuarantee(j.Request)
 	case withinSlots:
 		return j.Assigned < j.Slots && (!j.InUpperQueue || upperShare <= s.UpperQueueCap || j.Assigned == 0)
-	case interrupted:
+	case interruptedTasks:
 		// Interrupted tasks were placed by rank before and resume ahead of new tasks. Large jobs have the most attained
 		// service: by rank, each of their interrupted tasks waited until a new machine had booted.
 		return j.Interrupted > 0
-	case spareRoom:
+	case spareResources:
 		return true
 	}
 	return true
@@ -189,8 +189,8 @@
 	}
 }
 
-// reservedNeed returns the resources that preemption freed for the job and that its tasks do not use yet.
-func (j *Job) reservedNeed() Resources {
+// reservedRequest returns the resources that preemption freed for the job and that its tasks do not use yet.
+func (j *Job) reservedRequest() Resources {
 	return j.Request.Times(float64(min(j.Reserved, len(j.Waiting))))
 }
 
@@ -198,14 +198,14 @@
 // that was freed for the job.
 func (s *Snapshot) chargeReserved(j *Job) {
 	if quota := s.Quotas[j.Team]; quota != nil {
-		quota.Used = quota.Used.Plus(j.reservedNeed())
+		quota.Used = quota.Used.Plus(j.reservedRequest())
 	}
 }
 
 // refundReserved reverts chargeReserved while the job's own tasks are placed.
 func (s *Snapshot) refundReserved(j *Job) {
 	if quota := s.Quotas[j.Team]; quota != nil {
-		quota.Used = quota.Used.Minus(j.reservedNeed())
+		quota.Used = quota.Used.Minus(j.reservedRequest())
 	}
 }
 
@@ -232,14 +232,14 @@
 // TryPlaceAll places one task of each of the jobs and reports whether all found room. If any did not, the machines of
 // the snapshot stay unchanged. Quotas are not checked, because the tasks already count in the quotas of their teams.
 func (s *Snapshot) TryPlaceAll(jobs []*Job) bool {
-	rest := s.clone("")
+	trial := s.clone("")
 	for _, j := range jobs {
-		m := rest.bestMachine(j)
+		m := trial.bestMachine(j)
 		if m == nil {
 			return false
 		}
-		rest.assign(j, m)
+		trial.assign(j, m)
 	}
-	s.Machines, s.withRoom, s.index, s.Fleet = rest.Machines, [2][]*Machine{}, nil, nil
+	s.Machines, s.withRoom, s.index, s.Fleet = trial.Machines, [2][]*Machine{}, nil, nil
 	return true
 }
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -22,7 +22,7 @@
 // IsCurrent reports whether the index holds the current state of the machine.
 func (f *Fleet) IsCurrent(m *Machine) bool {
 	indexed := f.index.machines[m]
-	if indexed == nil || indexed.free != m.Free || indexed.room != m.TaskCapacity || indexed.reservedFor != m.ReservedFor ||
+	if indexed == nil || indexed.free != m.Free || indexed.taskCapacity != m.TaskCapacity || indexed.reservedFor != m.ReservedFor ||
 		indexed.pool != f.index.pools[m.poolKey()] {
 		return false
 	}
--- a/internal/scheduler/gang_placement.go
+++ b/internal/scheduler/gang_placement.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// wholeNeed returns the total request of all waiting tasks of the job.
-func (j *Job) wholeNeed() Resources { return j.Request.Times(float64(len(j.Waiting))) }
+// totalRequest returns the total request of all waiting tasks of the job.
+func (j *Job) totalRequest() Resources { return j.Request.Times(float64(len(j.Waiting))) }
 
 // fleetCanHold reports whether the existing machines could hold the whole gang if they were empty. If not, the gang
 // waits for machines to be rented and must not reserve room meanwhile.
 func (s *Snapshot) fleetCanHold(j *Job) bool {
-	tasksByZone, all := map[string]float64{}, 0.0
+	tasksByZone, totalTasks := map[string]float64{}, 0.0
 	for _, m := range s.Machines {
 		if j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.Request.Fits(m.Type.Size) {
-			n := perMachine(j.Request, m.Type.Size)
+			n := tasksPerMachine(j.Request, m.Type.Size)
 			tasksByZone[m.Zone] += n
-			all += n
+			totalTasks += n
 		}
 	}
-	most := 0.0
+	maxTasksInZone := 0.0
 	for _, n := range tasksByZone {
-		most = max(most, n)
+		maxTasksInZone = max(maxTasksInZone, n)
 	}
 	switch tasks := float64(len(j.Waiting)); {
 	case j.Spread:
-		return len(tasksByZone) > 1 && all >= 2*tasks
+		return len(tasksByZone) > 1 && totalTasks >= 2*tasks
 	case j.OneZone:
-		return most >= tasks
+		return maxTasksInZone >= tasks
 	default:
-		return all >= tasks
+		return totalTasks >= tasks
 	}
 }
 
@@ -37,7 +37,7 @@
 // because the best machine for the first task may be in a zone without room for the whole gang.
 func (s *Snapshot) placeGang(j *Job, allowed func(quota *Quota, whole Resources) bool) []Placement {
 	quota := s.Quotas[j.Team]
-	if len(j.Waiting) == 0 || quota == nil || !allowed(quota, j.wholeNeed()) {
+	if len(j.Waiting) == 0 || quota == nil || !allowed(quota, j.totalRequest()) {
 		return nil
 	}
 	if !j.OneZone || j.Zone != "" {
@@ -62,23 +62,23 @@
 
 // tryPlaceGang places all waiting tasks of a gang. If one finds no room, it reverts all assignments and returns false.
 func (s *Snapshot) tryPlaceGang(j *Job) ([]Placement, bool) {
-	var out []Placement
+	var placements []Placement
 	var assigned []gangAssignment
-	waiting, held := j.Waiting, j.Assigned
+	waitingBefore, assignedBefore := j.Waiting, j.Assigned
 	for len(j.Waiting) > 0 {
 		m := s.bestMachine(j)
 		if m == nil {
 			for _, a := range slices.Backward(assigned) {
 				s.unassign(j, a)
 			}
-			j.Waiting, j.Assigned = waiting, held
+			j.Waiting, j.Assigned = waitingBefore, assignedBefore
 			return nil, false
 		}
 		assigned = append(assigned, gangAssignment{m, m.Used, m.Fetching[j.Image]})
-		out = append(out, Placement{j, j.Waiting[0], m})
+		placements = append(placements, Placement{j, j.Waiting[0], m})
 		s.assign(j, m)
 	}
-	return out, true
+	return placements, true
 }
 
 // unassign reverts the assignment of one task of the job, except for the job's Waiting and Assigned, which the caller
@@ -106,7 +106,7 @@
 	room := map[string]int{}
 	for _, m := range s.Machines {
 		if (m.ReservedFor == "" || m.ReservedFor == j.ID) && j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && !j.AvoidMachines[m.ID] {
-			if n := min(perMachine(j.Request, m.Free), float64(m.TaskCapacity)); n >= 1 {
+			if n := min(tasksPerMachine(j.Request, m.Free), float64(m.TaskCapacity)); n >= 1 {
 				room[m.Zone] += int(min(n, maxTasksPerMachine))
 			}
 		}
--- a/internal/scheduler/gang_placement_test.go
+++ b/internal/scheduler/gang_placement_test.go
@@ -12,7 +12,7 @@
 	}
 	ms := machines(box, "a", "b", "b")
 	ms[0].Used, ms[0].Images = true, map[string]bool{"": true}
-	s := snap(ms, gang(4))
+	s := newSnapshot(ms, gang(4))
 	ps := s.Fill()
 	if len(ps) != 4 {
 		t.Fatalf("%d tasks of the gang are placed, want 4", len(ps))
@@ -23,8 +23,8 @@
 		}
 	}
 	ms = machines(box, "a", "b")
-	s = snap(ms, gang(3), batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false }))
-	if got := started(s.Fill()); got["g"] != 0 || got["x"] != 16 {
+	s = newSnapshot(ms, gang(3), batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false }))
+	if got := startedByJob(s.Fill()); got["g"] != 0 || got["x"] != 16 {
 		t.Errorf("started tasks by job: %v, want 0 of g, which does not fit whole, and 16 of x", got)
 	}
 }
@@ -40,14 +40,14 @@
 	small := batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false })
 	ms := machines(box, "a", "b")
 	ms[1].Free = Resources{} // full for now
-	if got := started(snap(ms, small, gang("g", 3, 1)).Fill()); got["x"] != 0 || got["g"] != 0 {
+	if got := startedByJob(newSnapshot(ms, small, gang("g", 3, 1)).Fill()); got["x"] != 0 || got["g"] != 0 {
 		t.Errorf("started tasks by job: %v, want none: the free room is reserved for the starved gang", got)
 	}
 	small = batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false })
-	if got := started(snap(machines(box, "a"), small, gang("g", 3, 1)).Fill()); got["x"] != 8 {
+	if got := startedByJob(newSnapshot(machines(box, "a"), small, gang("g", 3, 1)).Fill()); got["x"] != 8 {
 		t.Errorf("started tasks by job: %v, want 8 of x: nothing is reserved for a gang that the machines can't hold", got)
 	}
-	if got := started(snap(machines(box, "a"), gang("young", 2, 2), gang("old", 2, 1)).Fill()); got["old"] != 2 || got["young"] != 0 {
+	if got := startedByJob(newSnapshot(machines(box, "a"), gang("young", 2, 2), gang("old", 2, 1)).Fill()); got["old"] != 2 || got["young"] != 0 {
 		t.Errorf("started tasks by job: %v, want 2 of old and 0 of young", got)
 	}
 }
--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -14,13 +14,13 @@
 // its tasks.
 type gangRequirements struct {
 	team, zone, types     string
-	need                  Resources
+	request               Resources
 	priority              int
 	spot, oneZone, spread bool
 }
 
 func (j *Job) gangRequirements() gangRequirements {
-	return gangRequirements{team: j.Team, zone: j.Zone, types: strings.Join(slices.Sorted(maps.Keys(j.Types)), ","), need: j.Request,
+	return gangRequirements{team: j.Team, zone: j.Zone, types: strings.Join(slices.Sorted(maps.Keys(j.Types)), ","), request: j.Request,
 		priority: j.Priority, spot: j.Spot, oneZone: j.OneZone, spread: j.Spread}
 }
 
@@ -31,7 +31,7 @@
 		return
 	}
 	requirements := j.gangRequirements()
-	if tasks, known := r.infeasibleGangs[requirements]; known && len(j.Waiting) >= tasks && j.Assigned == 0 {
+	if smallestInfeasible, recorded := r.infeasibleGangs[requirements]; recorded && len(j.Waiting) >= smallestInfeasible && j.Assigned == 0 {
 		return
 	}
 	preemption := r.cheapestGangPreemption(j)
@@ -45,11 +45,11 @@
 	if len(preemption.stops) == 0 || stops > 0 && stops+len(preemption.stops) > r.maxStops {
 		return
 	}
-	r.preemptWith(preemption)
+	r.applyGangPreemption(preemption)
 }
 
-// preemptWith applies a gang's preemption to the snapshot.
-func (r *preemptionRound) preemptWith(preemption *gangPreemption) {
+// applyGangPreemption applies a gang's preemption to the snapshot.
+func (r *preemptionRound) applyGangPreemption(preemption *gangPreemption) {
 	j := preemption.job
 	for _, stop := range preemption.stops {
 		r.stop(stop, j)
@@ -98,7 +98,7 @@
 	var cheapest *gangPreemption
 	for _, zone := range zones {
 		preemption := r.newGangPreemption(j, gangTasks)
-		if preemption.find(zone) && (cheapest == nil || preemption.cost < cheapest.cost) {
+		if preemption.search(zone) && (cheapest == nil || preemption.cost < cheapest.cost) {
 			cheapest = preemption
 		}
 	}
@@ -112,7 +112,7 @@
 	}
 	return &gangPreemption{round: r, job: j, gangTasks: gangTasks, free: map[*Machine]Resources{}, placed: map[*Machine]int{},
 		freedByTeam: map[string]Resources{}, stopped: map[taskKey]bool{}, inZone: inZone,
-		guaranteed: r.snapshot.Quotas[j.Team].WithinGuarantee(j.wholeNeed())}
+		guaranteed: r.snapshot.Quotas[j.Team].WithinGuarantee(j.totalRequest())}
 }
 
 // zones returns the zones of all machines, sorted by name.
@@ -124,9 +124,9 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// find places the waiting tasks one by one, each on the machine where it costs least, and then frees the team's quota.
-// It returns false if a task finds no room or the quota can't be freed.
-func (g *gangPreemption) find(zone string) bool {
+// search places the waiting tasks one by one, each on the machine where it costs least, and then frees the team's
+// quota. It returns false if a task finds no room or the quota can't be freed.
+func (g *gangPreemption) search(zone string) bool {
 	machines := g.eligibleMachines(zone)
 	options := make([]*taskOption, len(machines))
 	for range g.job.Waiting {
@@ -207,7 +207,7 @@
 		free = free.Plus(task.Job.Request)
 		freedByTeam[task.Job.Team] = freedByTeam[task.Job.Team].Plus(task.Job.Request)
 	}
-	option.stops, option.cost = g.withoutNeedless(m, option.stops)
+	option.stops, option.cost = g.removeUnneededStops(m, option.stops)
 	option.possible = j.Request.Fits(free) && m.TaskCapacity > g.placed[m]
 	return option
 }
@@ -225,9 +225,9 @@
 	return tasks
 }
 
-// withoutNeedless removes the stops that larger stops after them made unnecessary. It returns the remaining stops and
-// their cost.
-func (g *gangPreemption) withoutNeedless(m *Machine, stops []Stop) ([]Stop, float64) {
+// removeUnneededStops removes the stops that larger stops after them made unnecessary. It returns the remaining stops
+// and their cost.
+func (g *gangPreemption) removeUnneededStops(m *Machine, stops []Stop) ([]Stop, float64) {
 	free := g.freeOn(m)
 	for _, stop := range stops {
 		free = free.Plus(stop.Victim.Job.Request)
@@ -276,19 +276,19 @@
 
 // addStop adds the stop of a task to the preemption. If the task belongs to a gang, all tasks of that gang are stopped.
 func (g *gangPreemption) addStop(stop Stop) {
-	all := []Stop{stop}
+	stops := []Stop{stop}
 	if stop.Victim.Job.Gang {
-		all = g.gangTasks[stop.Victim.Job]
+		stops = g.gangTasks[stop.Victim.Job]
 	}
-	for _, one := range all {
-		victim := one.Victim
+	for _, added := range stops {
+		victim := added.Victim
 		key := taskKey{victim.Job, victim.Index}
 		if g.stopped[key] {
 			continue
 		}
 		g.stopped[key] = true
-		g.stops = append(g.stops, one)
-		g.free[one.Machine] = g.freeOn(one.Machine).Plus(victim.Job.Request)
+		g.stops = append(g.stops, added)
+		g.free[added.Machine] = g.freeOn(added.Machine).Plus(victim.Job.Request)
 		g.freedByTeam[victim.Job.Team] = g.freedByTeam[victim.Job.Team].Plus(victim.Job.Request)
 	}
 }
@@ -298,7 +298,7 @@
 func (g *gangPreemption) freeQuota() bool {
 	j := g.job
 	quota := *g.round.snapshot.Quotas[j.Team]
-	whole := j.wholeNeed().Plus(quota.ServiceReserve)
+	whole := j.totalRequest().Plus(quota.ServiceReserve)
 	for {
 		after := quota
 		after.Used = quota.Used.Minus(g.freedByTeam[j.Team])
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -97,7 +97,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ms, jobs := tc.fleet()
-			s := snap(ms, append(jobs, waitingGang(tc.tasks, tc.gang))...)
+			s := newSnapshot(ms, append(jobs, waitingGang(tc.tasks, tc.gang))...)
 			round := s.Preempt(10, map[string]bool{})
 			if len(round.Stops) != tc.stops {
 				t.Fatalf("the round made %d stops, want %d", len(round.Stops), tc.stops)
@@ -107,7 +107,7 @@
 			}
 			for _, reservation := range round.Reservations {
 				if tc.inZone != "" && reservation.Machine.Zone != tc.inZone {
-					t.Errorf("resources are reserved in zone %s, want zone %s", reservation.Machine.Zone, tc.inZone)
+					t.Errorf("resources are reserved in zone %s, which is not the expected zone", reservation.Machine.Zone)
 				}
 			}
 		})
@@ -128,7 +128,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ms := machines(box, "a")
 			blue := runningOn("blue", inTeamBlue, ms[0], ms[0])
-			s := snap(ms, blue, waitingGang(2, lowPriority))
+			s := newSnapshot(ms, blue, waitingGang(2, lowPriority))
 			s.Quotas["red"].Guaranteed = Resources{Cores: 8}
 			s.Quotas["blue"].Guaranteed = Resources{Cores: tc.guaranteed}
 			s.Quotas["blue"].Used = Resources{Cores: 8}
@@ -143,7 +143,7 @@
 // machines have room.
 func TestGangFreesItsTeamsQuota(t *testing.T) {
 	ms := machines(box, "a", "b")
-	s := snap(ms, runningOn("low", lowPriority, ms[0], ms[0]), waitingGang(2, nil))
+	s := newSnapshot(ms, runningOn("low", lowPriority, ms[0], ms[0]), waitingGang(2, nil))
 	s.Quotas["red"].Maximum, s.Quotas["red"].Used = Resources{Cores: 8}, Resources{Cores: 8}
 	if round := s.Preempt(10, map[string]bool{}); len(round.Stops) != 2 || reservedTasks(round) != 2 {
 		t.Errorf("%d stops, and resources are reserved for %d tasks, want 2 and 2", len(round.Stops), reservedTasks(round))
@@ -157,18 +157,18 @@
 		ms := machines(box, "a", "b")
 		first := waitingGang(2, func(j *Job) { j.ID, j.Reserved, j.Submitted = "first", reserved, 1 })
 		second := waitingGang(2, func(j *Job) { j.ID, j.Submitted = "second", 2 })
-		return snap(ms, runningOn("low", lowPriority, ms[0], ms[0], ms[1], ms[1]), first, second)
+		return newSnapshot(ms, runningOn("low", lowPriority, ms[0], ms[0], ms[1], ms[1]), first, second)
 	}
 	for _, tc := range []struct {
-		name                  string
-		reserved, most, stops int
+		name                      string
+		reserved, maxStops, stops int
 	}{
 		{"both gangs", 0, 10, 4},
 		{"the first gang exceeds the bound", 0, 1, 2},
 		{"the first gang has a reservation", 2, 10, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			round := build(tc.reserved).Preempt(tc.most, map[string]bool{})
+			round := build(tc.reserved).Preempt(tc.maxStops, map[string]bool{})
 			if len(round.Stops) != tc.stops {
 				t.Errorf("the round made %d stops, want %d", len(round.Stops), tc.stops)
 			}
@@ -187,9 +187,9 @@
 // not examined. If all gangs have different requirements, the round leaves the remaining gangs to the next one.
 func TestGangPreemptionWorkIsBounded(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		alike bool
-		most  int // machines examined
+		name        string
+		alike       bool
+		maxExamined int // machines examined
 	}{
 		{"gangs that are alike", true, 2 * 800},
 		{"gangs that all differ", false, maxGangMachinesExamined + 800},
@@ -211,11 +211,11 @@
 					}
 				}))
 			}
-			s := snap(ms, jobs...)
+			s := newSnapshot(ms, jobs...)
 			s.Quotas["red"].Maximum = Resources{}
 			s.Preempt(200, map[string]bool{})
-			if s.gangMachinesExamined > tc.most {
-				t.Errorf("%d machines examined for 500 gangs on a fleet of 800, want at most %d", s.gangMachinesExamined, tc.most)
+			if s.gangMachinesExamined > tc.maxExamined {
+				t.Errorf("%d machines examined for 500 gangs on a fleet of 800, want at most %d", s.gangMachinesExamined, tc.maxExamined)
 			}
 		})
 	}
--- a/internal/scheduler/green_test.go
+++ b/internal/scheduler/green_test.go
@@ -4,7 +4,7 @@
 
 // A job in GREEN's scale-up gains one slot per round while its degradation is at or above gamma. The efficiency is
 // evaluated only after as many tasks as there are slots have finished.
-func TestScale(t *testing.T) {
+func TestScaleUp(t *testing.T) {
 	s := NewScaleUp()
 	s.Attained = 10
 	s.EndRound(0, 100, 0.9)
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -8,11 +8,11 @@
 
 // machines returns an empty machine of the type for each of the zones.
 func machines(t *Type, zones ...string) []*Machine {
-	var out []*Machine
+	var list []*Machine
 	for i, z := range zones {
-		out = append(out, &Machine{ID: fmt.Sprintf("%s-%d", t.Name, i), Type: t, Zone: z, Free: t.Size, TaskCapacity: 100})
+		list = append(list, &Machine{ID: fmt.Sprintf("%s-%d", t.Name, i), Type: t, Zone: z, Free: t.Size, TaskCapacity: 100})
 	}
-	return out
+	return list
 }
 
 // batch returns a batch job in the upper queue with n waiting tasks of one core each. change may modify it.
@@ -27,8 +27,8 @@
 	return j
 }
 
-// snap returns a snapshot with two teams: red, and blue, which has a guarantee.
-func snap(list []*Machine, jobs ...*Job) *Snapshot {
+// newSnapshot returns a snapshot with two teams: red, and blue, which has a guarantee.
+func newSnapshot(list []*Machine, jobs ...*Job) *Snapshot {
 	s := &Snapshot{Machines: list, Jobs: jobs, UpperQueueCap: 0.3, Quotas: map[string]*Quota{
 		"red": {Maximum: Resources{Cores: 100}}, "blue": {Maximum: Resources{Cores: 100}, Guaranteed: Resources{Cores: 4}}}}
 	for _, m := range list {
@@ -37,11 +37,11 @@
 	return s
 }
 
-// started counts placements by job ID.
-func started(ps []Placement) map[string]int {
-	out := map[string]int{}
+// startedByJob counts placements by job ID.
+func startedByJob(ps []Placement) map[string]int {
+	counts := map[string]int{}
 	for _, p := range ps {
-		out[p.Job.ID]++
+		counts[p.Job.ID]++
 	}
-	return out
+	return counts
 }
--- a/internal/scheduler/index_search.go
+++ b/internal/scheduler/index_search.go
@@ -129,10 +129,10 @@
 	}
 	missingImage := missingImageScore * j.fetchWeight(pool.typ)
 	for _, class := range pool.classList {
-		if class.machines.len() == 0 || class.accel+eps < j.Request.Accel {
+		if class.machines.len() == 0 || class.accel+roundingTolerance < j.Request.Accel {
 			continue
 		}
-		bound := leastScore(j, pool, class)
+		bound := scoreLowerBound(j, pool, class)
 		if j.Image == "" {
 			is.searchBucket(&class.machines, pool, class, bound, &best)
 			continue
@@ -149,8 +149,8 @@
 	return best
 }
 
-// leastScore returns a lower bound of the scores of a class's machines, without the part for the image.
-func leastScore(j *Job, pool *poolIndex, class *equivalenceClass) float64 {
+// scoreLowerBound returns a lower bound of the scores of a class's machines, without the part for the image.
+func scoreLowerBound(j *Job, pool *poolIndex, class *equivalenceClass) float64 {
 	least := 0.0
 	if class.booting {
 		least += bootingScore
@@ -187,7 +187,7 @@
 			return
 		}
 	}
-	is.scanFrom(bucket, j.Request.Cores-eps, anyCores, best)
+	is.scanFrom(bucket, j.Request.Cores-roundingTolerance, anyCores, best)
 }
 
 // scanFrom considers the first machine of the bucket that has at least the given number of free cores and accepts the
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -82,7 +82,7 @@
 	withImages     []string
 	fetchingImages []string
 	free           Resources
-	room           int
+	taskCapacity   int
 	reservedFor    string
 }
 
@@ -133,8 +133,8 @@
 
 // update indexes the current state of a machine. It adds the machine if it is new.
 func (index *machineIndex) update(m *Machine) {
-	indexed, known := index.machines[m]
-	if known {
+	indexed, wasIndexed := index.machines[m]
+	if wasIndexed {
 		index.unlink(indexed)
 	} else {
 		indexed = &indexedMachine{}
@@ -142,12 +142,12 @@
 	}
 	pool := index.poolFor(m)
 	switch {
-	case !known || indexed.gainedRoom(m):
+	case !wasIndexed || indexed.gainedRoom(m):
 		pool.infeasible = [coreRules][]Resources{}
 	case indexed.free.Accel != m.Free.Accel:
 		pool.infeasible[leaveAcceleratorCores] = nil // fewer free accelerators need fewer cores
 	}
-	*indexed = indexedMachine{pool: pool, free: m.Free, room: m.TaskCapacity, reservedFor: m.ReservedFor,
+	*indexed = indexedMachine{pool: pool, free: m.Free, taskCapacity: m.TaskCapacity, reservedFor: m.ReservedFor,
 		withImages: indexed.withImages[:0], fetchingImages: indexed.fetchingImages[:0]}
 	index.link(indexed, m)
 }
@@ -155,7 +155,7 @@
 // gainedRoom reports whether the machine may now have room for a task that did not fit before.
 func (i *indexedMachine) gainedRoom(m *Machine) bool {
 	return i.free.Cores < m.Free.Cores || i.free.Accel < m.Free.Accel || i.free.Mem < m.Free.Mem ||
-		i.room <= 0 && m.TaskCapacity > 0 || i.reservedFor != m.ReservedFor
+		i.taskCapacity <= 0 && m.TaskCapacity > 0 || i.reservedFor != m.ReservedFor
 }
 
 // link adds a machine to the buckets for its state, or to the list of machines reserved for a job.
@@ -187,7 +187,7 @@
 
 // isFull reports whether the machine has no room for any task that requests cores or accelerators.
 func (m *Machine) isFull() bool {
-	return m.TaskCapacity <= 0 || m.Free.Cores <= eps && m.Free.Accel <= eps
+	return m.TaskCapacity <= 0 || m.Free.Cores <= roundingTolerance && m.Free.Accel <= roundingTolerance
 }
 
 // remove deletes a machine from the index.
@@ -290,7 +290,7 @@
 
 // isInfeasible reports whether a recorded infeasible request shows that no machine of the pool has room for the need.
 func (p *poolIndex) isInfeasible(need Resources, rule coreRule) bool {
-	return slices.ContainsFunc(p.infeasible[rule], func(known Resources) bool { return known.isAtMost(need) })
+	return slices.ContainsFunc(p.infeasible[rule], func(recorded Resources) bool { return recorded.isAtMost(need) })
 }
 
 // maxInfeasible bounds the length of a list of infeasible requests. A short list is enough, because most jobs of a
@@ -299,14 +299,14 @@
 
 // recordInfeasible records a need for which no machine of the pool has room. It replaces recorded larger needs.
 func (p *poolIndex) recordInfeasible(need Resources, rule coreRule) {
-	kept := p.infeasible[rule][:0]
-	for _, known := range p.infeasible[rule] {
-		if !need.isAtMost(known) {
-			kept = append(kept, known)
+	retained := p.infeasible[rule][:0]
+	for _, recorded := range p.infeasible[rule] {
+		if !need.isAtMost(recorded) {
+			retained = append(retained, recorded)
 		}
 	}
-	if len(kept) >= maxInfeasible {
-		kept = kept[1:]
+	if len(retained) >= maxInfeasible {
+		retained = retained[1:]
 	}
-	p.infeasible[rule] = append(kept, need)
+	p.infeasible[rule] = append(retained, need)
 }
--- a/internal/scheduler/machine_index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -102,44 +102,44 @@
 	return jobs
 }
 
-// places formats the placements of a fill, in their order.
-func places(ps []Placement) (out []string) {
+// formatPlacements formats the placements of a fill, in their order.
+func formatPlacements(ps []Placement) (out []string) {
 	for _, p := range ps {
 		out = append(out, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Index, p.Machine.ID))
 	}
 	return out
 }
 
-// stopped formats the stops and reservations of a round, in their order.
-func stopped(p Preemption) (out []string) {
+// formatPreemption formats the stops and reservations of a round, in their order.
+func formatPreemption(p Preemption) (out []string) {
 	for _, st := range p.Stops {
 		out = append(out, fmt.Sprintf("stop %s/%d on %s for %s", st.Victim.Job.ID, st.Victim.Index, st.Machine.ID, st.For.ID))
 	}
-	for _, k := range p.Reservations {
-		out = append(out, fmt.Sprintf("reserve %s for %d of %s", k.Machine.ID, k.Tasks, k.Job.ID))
+	for _, reservation := range p.Reservations {
+		out = append(out, fmt.Sprintf("reserve %s for %d of %s", reservation.Machine.ID, reservation.Tasks, reservation.Job.ID))
 	}
 	return out
 }
 
 // The decisions with the index are the same as those of the oracle, which scores all machines. The test compares fills,
 // the preemption of a round after a fill, and the launches of a plan, for random fleets.
-func TestIndexDecidesAsFullScan(t *testing.T) {
+func TestIndexMatchesFullScan(t *testing.T) {
 	placed, stops, rented := 0, 0, 0
 	for seed := range uint64(3000) {
 		got, want := randomSnapshot(seed), &oracle{Snapshot: randomSnapshot(seed)}
-		a, b := places(got.Fill()), places(want.Fill())
+		a, b := formatPlacements(got.Fill()), formatPlacements(want.Fill())
 		placed += len(a)
 		if !slices.Equal(a, b) {
 			t.Fatalf("seed %d: fill decided\n%v\nwant\n%v", seed, a, b)
 		}
-		a, b = stopped(got.Preempt(20, map[string]bool{})), stopped(want.Stops(20))
+		a, b = formatPreemption(got.Preempt(20, map[string]bool{})), formatPreemption(want.Stops(20))
 		stops += len(a)
 		if !slices.Equal(a, b) {
 			t.Fatalf("seed %d: round decided\n%v\nwant\n%v", seed, a, b)
 		}
-		short := func(p Pool) bool { return p.Zone == "b" && p.Spot }
+		blocked := func(p Pool) bool { return p.Zone == "b" && p.Spot }
 		got, want = randomSnapshot(seed), &oracle{Snapshot: randomSnapshot(seed)}
-		x, y := got.Plan(randomTypes, short, 20), want.Plan(randomTypes, short, 20)
+		x, y := got.Plan(randomTypes, blocked, 20), want.Plan(randomTypes, blocked, 20)
 		rented += len(x)
 		if !slices.Equal(x, y) {
 			t.Fatalf("seed %d: plan launches %v, want %v", seed, x, y)
@@ -152,17 +152,17 @@
 
 // The decisions with an index that is updated while machines change, are added and are removed are the same as those of
 // the oracle, which scores all machines.
-func TestKeptIndexFollowsChanges(t *testing.T) {
+func TestUpdatedIndexMatchesFullScan(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		s := randomSnapshot(seed)
 		s.useIndex()
 		for step := range 12 {
 			for range 1 + rng.IntN(6) {
-				changeOne(rng, s, seed*100+uint64(step))
+				changeRandomMachine(rng, s, seed*100+uint64(step))
 			}
 			fresh := copySnapshot(s)
-			a, b := places(s.Fill()), places((&oracle{Snapshot: fresh}).Fill())
+			a, b := formatPlacements(s.Fill()), formatPlacements((&oracle{Snapshot: fresh}).Fill())
 			if !slices.Equal(a, b) {
 				t.Fatalf("seed %d, step %d: fill with the updated index decided\n%v\nwant\n%v", seed, step, a, b)
 			}
@@ -171,8 +171,8 @@
 	}
 }
 
-// changeOne changes, adds or removes one machine.
-func changeOne(rng *rand.Rand, s *Snapshot, seed uint64) {
+// changeRandomMachine changes, adds or removes one machine.
+func changeRandomMachine(rng *rand.Rand, s *Snapshot, seed uint64) {
 	i := rng.IntN(len(s.Machines))
 	m := s.Machines[i]
 	switch rng.IntN(7) {
@@ -204,11 +204,11 @@
 
 // copySnapshot returns a copy of the state that a fill changes, without running tasks.
 func copySnapshot(s *Snapshot) *Snapshot {
-	out := s.clone("")
-	out.Draining = s.Draining
+	copiedSnapshot := s.clone("")
+	copiedSnapshot.Draining = s.Draining
 	for name, team := range s.Quotas {
 		copied := *team
-		out.Quotas[name] = &copied
+		copiedSnapshot.Quotas[name] = &copied
 	}
 	for _, j := range s.Jobs {
 		copied := *j
@@ -217,10 +217,10 @@
 		for zone, n := range j.InZone {
 			copied.InZone[zone] = n
 		}
-		out.Jobs = append(out.Jobs, &copied)
+		copiedSnapshot.Jobs = append(copiedSnapshot.Jobs, &copied)
 	}
-	for _, m := range out.Machines {
+	for _, m := range copiedSnapshot.Machines {
 		m.Running = nil
 	}
-	return out
+	return copiedSnapshot
 }
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -22,7 +22,7 @@
 func (s *oracle) Fill() []Placement {
 	Order(s.Jobs)
 	out := s.placeServices(nil)
-	out = s.placeStarved(out)
+	out = s.placeStarvedBatches(out)
 	out = s.placeStarvedGangs(out)
 	for _, j := range s.Jobs {
 		if j.IsHeadroom {
@@ -34,8 +34,8 @@
 		return out
 	}
 	for _, pass := range fillPasses {
-		s.reserveAcceleratorCores = pass == spareRoom
-		if pass == interrupted {
+		s.reserveAcceleratorCores = pass == spareResources
+		if pass == interruptedTasks {
 			orderBeyondSlots(s.Jobs)
 		}
 		out = s.placeBatches(out, pass)
@@ -49,15 +49,15 @@
 	for _, guaranteed := range []bool{true, false} {
 		for _, j := range s.Jobs {
 			if j.Service && !j.IsHeadroom {
-				out = s.place(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Request) })
+				out = s.placeTasks(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Request) })
 			}
 		}
 	}
 	return out
 }
 
-// placeStarved starts one task of each batch that has had no task for longer than a machine takes to boot.
-func (s *oracle) placeStarved(out []Placement) []Placement {
+// placeStarvedBatches starts one task of each batch that has had no task for longer than a machine takes to boot.
+func (s *oracle) placeStarvedBatches(out []Placement) []Placement {
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang || !j.Starved || j.Assigned > 0 || len(j.Waiting) == 0 {
 			continue
@@ -90,29 +90,29 @@
 			if j.InUpperQueue && pass == withinSlots {
 				upper += Share(j.Request, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
-			out = s.place(out, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
+			out = s.placeTasks(out, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
 		}
 		s.chargeReserved(j)
 	}
 	return out
 }
 
-// place starts waiting tasks of a job until its team's quota, the given condition or the lack of a suitable machine
-// prevents it.
-func (s *oracle) place(out []Placement, j *Job, may func(*Quota) bool) []Placement {
+// placeTasks starts waiting tasks of a job until its team's quota, the given condition or the lack of a suitable
+// machine prevents it.
+func (s *oracle) placeTasks(out []Placement, j *Job, allowed func(*Quota) bool) []Placement {
 	team := s.Quotas[j.Team]
-	if len(j.Waiting) == 0 || !team.Admits(j) || !may(team) {
+	if len(j.Waiting) == 0 || !team.Admits(j) || !allowed(team) {
 		return out
 	}
-	choice := s.selectorFor(j)
-	for len(j.Waiting) > 0 && team.Admits(j) && may(team) {
-		m := choice.best()
+	selector := s.selectorFor(j)
+	for len(j.Waiting) > 0 && team.Admits(j) && allowed(team) {
+		m := selector.best()
 		if m == nil {
 			break
 		}
 		out = append(out, Placement{j, j.Waiting[0], m})
 		s.assign(j, m)
-		choice.assigned(m)
+		selector.assigned(m)
 	}
 	return out
 }
@@ -122,16 +122,16 @@
 	if len(j.Waiting) == 0 {
 		return
 	}
-	choice := s.selectorFor(j)
+	selector := s.selectorFor(j)
 	for len(j.Waiting) > 0 {
-		m := choice.best()
+		m := selector.best()
 		if m == nil {
 			return
 		}
 		used := m.Used
 		s.assign(j, m)
 		m.Used = used
-		choice.assigned(m)
+		selector.assigned(m)
 	}
 }
 
@@ -160,26 +160,26 @@
 // machinesWithRoom lists the machines that may have room. Machines that have become full since the list was collected
 // stay in it. The list is dropped when resources are freed or a machine is added.
 func (s *oracle) machinesWithRoom(accel, cores bool) []*Machine {
-	k := 0
+	kind := 0
 	if !accel && !cores {
 		return s.Machines // the task requests only memory
 	}
 	if accel {
-		k = 1
+		kind = 1
 	}
-	if s.listsWithRoom[k] == nil {
-		s.listsWithRoom[k] = make([]*Machine, 0, len(s.Machines))
+	if s.listsWithRoom[kind] == nil {
+		s.listsWithRoom[kind] = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
-			if m.TaskCapacity > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
-				s.listsWithRoom[k] = append(s.listsWithRoom[k], m)
+			if m.TaskCapacity > 0 && (accel && m.Free.Accel > roundingTolerance || !accel && m.Free.Cores > roundingTolerance) {
+				s.listsWithRoom[kind] = append(s.listsWithRoom[kind], m)
 			}
 		}
 	}
-	return s.listsWithRoom[k]
+	return s.listsWithRoom[kind]
 }
 
 func (s *oracle) bestMachine(j *Job) *Machine {
-	var pick *Machine
+	var best *Machine
 	bestScore := math.Inf(1)
 	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
 	s.MachinesExamined += len(list)
@@ -187,11 +187,11 @@
 		if !s.accepts(j, m) {
 			continue
 		}
-		if sc := s.score(j, m); sc < bestScore {
-			pick, bestScore = m, sc
+		if score := s.score(j, m); score < bestScore {
+			best, bestScore = m, score
 		}
 	}
-	return pick
+	return best
 }
 
 // placeStarvedGangs places gangs that have waited for longer than a machine takes to boot, the oldest first. If a gang
@@ -221,9 +221,9 @@
 
 // placeGang starts all tasks of a gang, or none. For a gang that must be in one zone it tries the zones one by one,
 // because the best machine for the first task may be in a zone without room for the whole gang.
-func (s *oracle) placeGang(out []Placement, j *Job, may func(*Quota, Resources) bool) []Placement {
+func (s *oracle) placeGang(out []Placement, j *Job, allowed func(*Quota, Resources) bool) []Placement {
 	team := s.Quotas[j.Team]
-	if len(j.Waiting) == 0 || team == nil || !may(team, j.Request.Times(float64(len(j.Waiting)))) {
+	if len(j.Waiting) == 0 || team == nil || !allowed(team, j.Request.Times(float64(len(j.Waiting)))) {
 		return out
 	}
 	if !j.OneZone || j.Zone != "" {
@@ -241,8 +241,8 @@
 
 // tryPlaceGang places all waiting tasks of a gang. If one finds no room, it reverts all assignments and returns false.
 func (s *oracle) tryPlaceGang(j *Job) ([]Placement, bool) {
-	var out []Placement
-	waiting, held := j.Waiting, j.Assigned
+	var placements []Placement
+	waitingBefore, assignedBefore := j.Waiting, j.Assigned
 	type before struct {
 		m        *Machine
 		used     bool
@@ -263,20 +263,20 @@
 					t.Used = t.Used.Minus(j.Request)
 				}
 			}
-			j.Waiting, j.Assigned = waiting, held
+			j.Waiting, j.Assigned = waitingBefore, assignedBefore
 			return nil, false
 		}
 		undo = append(undo, before{m, m.Used, m.Fetching[j.Image]})
-		out = append(out, Placement{j, j.Waiting[0], m})
+		placements = append(placements, Placement{j, j.Waiting[0], m})
 		s.assign(j, m)
 	}
-	return out, true
+	return placements, true
 }
 
 // Plan places the waiting tasks on free and booting machines, and on new machines where those lack room. It returns the
-// machines to rent, at most maxNew and none from blocked pools, and sets Used on all machines that waiting or expected
-// tasks need.
-func (s *oracle) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
+// machines to rent, at most maxLaunches and none from blocked pools, and sets Used on all machines that waiting or
+// expected tasks need.
+func (s *oracle) Plan(types []*Type, blocked func(Pool) bool, maxLaunches int) []Launch {
 	Order(s.Jobs)
 	s.reserveAcceleratorCores = true
 	want := map[Pool]int{}
@@ -289,14 +289,14 @@
 		if len(j.Waiting) == 0 {
 			continue
 		}
-		choice := s.selectorFor(j)
+		selector := s.selectorFor(j)
 		for len(j.Waiting) > 0 {
 			if t := s.Quotas[j.Team]; t != nil && !t.Admits(j) && !j.IsHeadroom {
 				break
 			}
-			m := choice.best()
+			m := selector.best()
 			if m == nil {
-				if created >= maxNew {
+				if created >= maxLaunches {
 					break
 				}
 				p, typ := s.cheapestPool(j, s.Jobs[ji:], types, blocked)
@@ -306,7 +306,7 @@
 				m = &Machine{Type: typ, Zone: p.Zone, Spot: p.Spot, Free: typ.Size, TaskCapacity: 1 << 20, Booting: true}
 				s.Machines = append(s.Machines, m)
 				s.listsWithRoom = [2][]*Machine{}
-				choice.added(m, len(s.Machines))
+				selector.added(m, len(s.Machines))
 				if want[p] == 0 {
 					order = append(order, p)
 				}
@@ -314,14 +314,14 @@
 				created++
 			}
 			s.assign(j, m)
-			choice.assigned(m)
+			selector.assigned(m)
 		}
 	}
-	var out []Launch
+	var launches []Launch
 	for _, p := range order {
-		out = append(out, Launch{p, want[p]})
+		launches = append(launches, Launch{p, want[p]})
 	}
-	return out
+	return launches
 }
 
 // planGang places all tasks of a gang on existing machines. It returns false if machines must be rented for it.
@@ -343,13 +343,13 @@
 
 // Stops computes the preemption of one round. For waiting tasks within the slots of their jobs that found no room, it
 // selects lower-ranked tasks to stop, according to the rules in the protocol's section "Preemption".
-func (s *oracle) Stops(most int) Preemption {
+func (s *oracle) Stops(maxStops int) Preemption {
 	Order(s.Jobs)
 	rank := map[*Job]int{}
 	for i, j := range s.Jobs {
 		rank[j] = i
 	}
-	var out Preemption
+	var plan Preemption
 	infeasible := map[gangRequirements]int{}
 	s.gangMachinesExamined = 0
 	for _, j := range s.Jobs {
@@ -358,31 +358,31 @@
 		case j.Reserved > 0:
 			// Tasks stopped for this job in an earlier round have not ended yet.
 		case j.Gang:
-			s.preemptForGang(j, rank, &out, most, infeasible)
+			s.preemptForGang(j, rank, &plan, maxStops, infeasible)
 		default:
-			s.preemptForTasks(j, rank, &out, most)
+			s.preemptForTasks(j, rank, &plan, maxStops)
 		}
 	}
-	return out
+	return plan
 }
 
 // preemptForTasks makes room for the waiting tasks of a job, one by one: for all replicas of a service, and for the
 // tasks of a batch within its slots.
-func (s *oracle) preemptForTasks(j *Job, rank map[*Job]int, out *Preemption, most int) {
-	held := j.Assigned
-	for len(j.Waiting) > 0 && (j.Service || held < j.Slots) {
-		m, set := s.preemptionForTask(j, rank)
-		if m == nil || len(out.Stops)+len(set) > most {
+func (s *oracle) preemptForTasks(j *Job, rank map[*Job]int, plan *Preemption, maxStops int) {
+	assigned := j.Assigned
+	for len(j.Waiting) > 0 && (j.Service || assigned < j.Slots) {
+		m, stops := s.preemptionForTask(j, rank)
+		if m == nil || len(plan.Stops)+len(stops) > maxStops {
 			return
 		}
-		for _, v := range set {
-			out.Stops = append(out.Stops, s.stop(v.Machine, v.Victim, j))
+		for _, v := range stops {
+			plan.Stops = append(plan.Stops, s.stop(v.Machine, v.Victim, j))
 		}
 		s.assign(j, m)
-		held++
-		if len(set) > 0 {
+		assigned++
+		if len(stops) > 0 {
 			m.ReservedFor = j.ID // stops for other jobs must not count on its resources
-			out.Reservations = append(out.Reservations, Reservation{Job: j, Machine: m, Tasks: 1})
+			plan.Reservations = append(plan.Reservations, Reservation{Job: j, Machine: m, Tasks: 1})
 		}
 	}
 }
@@ -392,7 +392,7 @@
 // tasks would lose their work without starting the new one.
 func (s *oracle) preemptionForTask(j *Job, rank map[*Job]int) (*Machine, []Stop) {
 	team := s.Quotas[j.Team]
-	var set []Stop
+	var stops []Stop
 	m := s.bestMachine(j)
 	if m == nil {
 		var victims []RunningTask
@@ -400,24 +400,24 @@
 			return nil, nil
 		}
 		for _, v := range victims {
-			set = append(set, Stop{Victim: v, Machine: m})
+			stops = append(stops, Stop{Victim: v, Machine: m})
 		}
 	}
 	after := *team
-	for _, v := range set {
+	for _, v := range stops {
 		if v.Victim.Job.Team == j.Team {
 			after.Used = after.Used.Minus(v.Victim.Job.Request)
 		}
 	}
 	for !after.WithinMaximum(j.Request) {
-		on, v := s.youngest(j, set)
+		on, v := s.youngest(j, stops)
 		if on == nil {
 			return nil, nil
 		}
-		set = append(set, Stop{Victim: v, Machine: on})
+		stops = append(stops, Stop{Victim: v, Machine: on})
 		after.Used = after.Used.Minus(v.Job.Request)
 	}
-	return m, set
+	return m, stops
 }
 
 // oracleCandidateHeap holds the machines that accept a task of one job, the best first. All tasks of a job have the
@@ -460,7 +460,7 @@
 
 // selectorFor returns a selector for the job's waiting tasks.
 func (s *oracle) selectorFor(j *Job) oracleMachineSelector {
-	if j.worthRanking() {
+	if j.worthBuildingHeap() {
 		return s.candidateHeapFor(j)
 	}
 	return oracleFullScan{s, j}
@@ -546,32 +546,32 @@
 
 // preemptForGang uses the algorithm of the package, because no earlier algorithm exists for comparison. It lists the
 // running tasks again for each gang.
-func (s *oracle) preemptForGang(j *Job, rank map[*Job]int, out *Preemption, most int, infeasible map[gangRequirements]int) {
+func (s *oracle) preemptForGang(j *Job, rank map[*Job]int, plan *Preemption, maxStops int, infeasible map[gangRequirements]int) {
 	for job, i := range rank {
 		job.rankPosition = i
 	}
-	round := newPreemptionRound(s.Snapshot, most)
-	round.plan, round.infeasibleGangs = *out, infeasible
+	round := newPreemptionRound(s.Snapshot, maxStops)
+	round.plan, round.infeasibleGangs = *plan, infeasible
 	round.preemptForGang(j)
-	*out = round.plan
+	*plan = round.plan
 	s.listsWithRoom = [2][]*Machine{}
 }
 
 // youngest returns the task that was assigned to its machine most recently among the running tasks of the job's team
-// with lower priority, with its machine. It leaves out tasks in but.
-func (s *oracle) youngest(j *Job, but []Stop) (*Machine, RunningTask) {
-	var pick *Machine
-	var held RunningTask
+// with lower priority, with its machine. It leaves out tasks in except.
+func (s *oracle) youngest(j *Job, except []Stop) (*Machine, RunningTask) {
+	var machine *Machine
+	var youngest RunningTask
 	for _, m := range s.Machines {
-		for _, h := range m.Running {
-			if h.Job.Team != j.Team || h.Job.Priority >= j.Priority || (pick != nil && h.RunningS >= held.RunningS) ||
-				slices.ContainsFunc(but, func(b Stop) bool { return b.Victim.Job == h.Job && b.Victim.Index == h.Index }) {
+		for _, task := range m.Running {
+			if task.Job.Team != j.Team || task.Job.Priority >= j.Priority || (machine != nil && task.RunningS >= youngest.RunningS) ||
+				slices.ContainsFunc(except, func(b Stop) bool { return b.Victim.Job == task.Job && b.Victim.Index == task.Index }) {
 				continue
 			}
-			pick, held = m, h
+			machine, youngest = m, task
 		}
 	}
-	return pick, held
+	return machine, youngest
 }
 
 // isPreemptible reports whether a victim's tasks may be stopped for a job. The rules are those of the protocol's
@@ -591,46 +591,46 @@
 
 // cheapestPreemption returns the machine on which making room for one task costs least, and the tasks to stop there.
 func (s *oracle) cheapestPreemption(j *Job, guaranteed bool, rank map[*Job]int) (*Machine, []RunningTask) {
-	var pick *Machine
-	var chosen []RunningTask
+	var best *Machine
+	var cheapestVictims []RunningTask
 	cheapest := math.Inf(1)
 	for _, m := range s.Machines {
 		if m.Booting || m.ReservedFor != "" || !j.Request.Fits(m.Type.Size) || !j.MayRunOn(m) {
 			continue
 		}
-		var may []RunningTask
-		for _, h := range m.Running {
-			if s.isPreemptible(h.Job, j, guaranteed, rank) {
-				may = append(may, h)
+		var preemptible []RunningTask
+		for _, task := range m.Running {
+			if s.isPreemptible(task.Job, j, guaranteed, rank) {
+				preemptible = append(preemptible, task)
 			}
 		}
-		oracleSortPreemptible(may)
+		oracleSortPreemptible(preemptible)
 		free, cost := m.Free, 0.0
-		var set []RunningTask
-		for _, h := range may {
+		var victims []RunningTask
+		for _, task := range preemptible {
 			if j.Request.Fits(free) {
 				break
 			}
-			set = append(set, h)
-			free = free.Plus(h.Job.Request)
-			cost += stopCost(h, m)
+			victims = append(victims, task)
+			free = free.Plus(task.Job.Request)
+			cost += stopCost(task, m)
 		}
-		if j.Request.Fits(free) && len(set) > 0 && cost < cheapest {
-			pick, chosen, cheapest = m, set, cost
+		if j.Request.Fits(free) && len(victims) > 0 && cost < cheapest {
+			best, cheapestVictims, cheapest = m, victims, cost
 		}
 	}
-	return pick, chosen
+	return best, cheapestVictims
 }
 
 func (s *oracle) cheapestPool(j *Job, later []*Job, types []*Type, blocked func(Pool) bool) (Pool, *Type) {
-	var pick Pool
+	var cheapest Pool
 	var typ *Type
-	best := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, t := range types {
 		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
 			continue
 		}
-		fit := perMachine(j.Request, t.Size)
+		fit := tasksPerMachine(j.Request, t.Size)
 		alike := 0
 		for _, o := range later {
 			if (o.Request.Accel > 0) == (j.Request.Accel > 0) && (o.Types == nil || o.Types[t.Name]) && o.Request.Fits(t.Size) {
@@ -659,13 +659,13 @@
 				cost := price / math.Min(fit, math.Max(1, float64(alike)))
 				// Among equal prices, choose the zone with fewer machines.
 				cost *= 1 + 0.001*float64(inZone)
-				if cost < best {
-					pick, typ, best = p, t, cost
+				if cost < lowest {
+					cheapest, typ, lowest = p, t, cost
 				}
 			}
 		}
 	}
-	return pick, typ
+	return cheapest, typ
 }
 
 // oracleSortPreemptible sorts tasks by the cost of stopping them, the cheapest first: batch tasks, then tasks of gangs,
--- a/internal/scheduler/preemptible_tasks.go
+++ b/internal/scheduler/preemptible_tasks.go
@@ -52,7 +52,7 @@
 	team, zone, types                          string
 	priority                                   int
 	spot, oneZone, spread, guaranteed, service bool
-	patient                                    bool
+	waitedTwoBoots                             bool
 }
 
 func newPreemptibleTasks(s *Snapshot) *preemptibleTasks {
@@ -106,10 +106,10 @@
 	}
 }
 
-// on lists a machine's tasks, the cheapest to stop first.
-func (p *preemptibleTasks) on(m *Machine) []RunningTask {
-	list, known := p.byMachine[m]
-	if !known {
+// tasksOn lists a machine's tasks, the cheapest to stop first.
+func (p *preemptibleTasks) tasksOn(m *Machine) []RunningTask {
+	list, cached := p.byMachine[m]
+	if !cached {
 		list = slices.Clone(m.Running)
 		sortPreemptible(list)
 		p.byMachine[m] = list
@@ -117,8 +117,8 @@
 	return list
 }
 
-// anyFor reports whether any running task may be preemptible for a job.
-func (p *preemptibleTasks) anyFor(j *Job, guaranteed bool) bool {
+// anyPreemptibleFor reports whether any running task may be preemptible for a job.
+func (p *preemptibleTasks) anyPreemptibleFor(j *Job, guaranteed bool) bool {
 	if p.lowestPriority < j.Priority {
 		return true
 	}
@@ -135,13 +135,13 @@
 
 func (j *Job) preemptionKey(guaranteed bool) preemptionKey {
 	return preemptionKey{team: j.Team, zone: j.Zone, types: j.typeNames(), priority: j.Priority, spot: j.Spot, oneZone: j.OneZone, spread: j.Spread,
-		guaranteed: guaranteed, service: j.Service, patient: j.WaitedTwoBoots}
+		guaranteed: guaranteed, service: j.Service, waitedTwoBoots: j.WaitedTwoBoots}
 }
 
 // isInfeasible reports whether preemption was already infeasible for a job with the same key,
 // an earlier rank and a need that is at most this one.
 func (p *preemptibleTasks) isInfeasible(key preemptionKey, need Resources) bool {
-	return slices.ContainsFunc(p.infeasible[key], func(known Resources) bool { return known.isAtMost(need) })
+	return slices.ContainsFunc(p.infeasible[key], func(recorded Resources) bool { return recorded.isAtMost(need) })
 }
 
 // recordInfeasible records that no machine has enough preemptible tasks for the job's need. It records nothing if the
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -41,13 +41,13 @@
 }
 
 // Preempt computes the preemption of one round. For waiting tasks within the slots of their jobs that found no room, it
-// selects lower-ranked tasks to stop, according to the rules in the protocol's section "Preemption". The parameter most
-// bounds the number of stops; only a gang whose stops are the first of the round may exceed it.
+// selects lower-ranked tasks to stop, according to the rules in the protocol's section "Preemption". maxStops bounds
+// the number of stops; only a gang whose stops are the first of the round may exceed it.
 //
-// The map searched holds the IDs of jobs for which earlier rounds found no preemption. Because the work of a round is
-// bounded, these jobs are skipped until all other jobs have been examined. Preempt adds the jobs for which it finds no
-// preemption, and clears the map at the end of a round that did not reach the bound on its work.
-func (s *Snapshot) Preempt(most int, searched map[string]bool) Preemption {
+// The map searchedJobs holds the IDs of jobs for which earlier rounds found no preemption. Because the work of a round
+// is bounded, these jobs are skipped until all other jobs have been examined. Preempt adds the jobs for which it finds
+// no preemption, and clears the map at the end of a round that did not reach the bound on its work.
+func (s *Snapshot) Preempt(maxStops int, searchedJobs map[string]bool) Preemption {
 	s.useIndex()
 	Order(s.Jobs)
 	for i, j := range s.Jobs {
@@ -57,9 +57,9 @@
 		return Preemption{}
 	}
 	s.gangMachinesExamined, s.taskMachinesExamined = 0, 0
-	round := newPreemptionRound(s, most)
-	if complete := round.run(searched); complete {
-		clear(searched)
+	round := newPreemptionRound(s, maxStops)
+	if complete := round.run(searchedJobs); complete {
+		clear(searchedJobs)
 	}
 	return round.plan
 }
@@ -70,12 +70,12 @@
 
 // run makes room for the jobs one by one. It returns false if it reached maxTaskMachinesExamined and left jobs for the
 // next round.
-func (r *preemptionRound) run(searched map[string]bool) bool {
+func (r *preemptionRound) run(searchedJobs map[string]bool) bool {
 	for _, j := range r.snapshot.Jobs {
 		switch {
 		case len(r.plan.Stops) >= r.maxStops:
 			return true // no further stops are allowed
-		case j.IsHeadroom, searched[j.ID]:
+		case j.IsHeadroom, searchedJobs[j.ID]:
 		case j.Reserved > 0:
 			// Tasks stopped for this job in an earlier round have not ended yet.
 		case j.Gang:
@@ -84,7 +84,7 @@
 			return false
 		default:
 			if r.preemptForTasks(j); len(j.Waiting) > 0 {
-				searched[j.ID] = true
+				searchedJobs[j.ID] = true
 			}
 		}
 	}
@@ -99,9 +99,9 @@
 // preemptForTasks makes room for the waiting tasks of a job, one by one: for all replicas of a service, and for the
 // tasks of a batch within its slots.
 func (r *preemptionRound) preemptForTasks(j *Job) {
-	held := j.Assigned
+	assigned := j.Assigned
 	var costs *preemptionCosts
-	for len(j.Waiting) > 0 && (j.Service || held < j.Slots) {
+	for len(j.Waiting) > 0 && (j.Service || assigned < j.Slots) {
 		m, stops := r.preemptionForTask(j, &costs)
 		if m == nil || len(r.plan.Stops)+len(stops) > r.maxStops {
 			return
@@ -110,7 +110,7 @@
 			r.stop(stop, j)
 		}
 		r.assign(j, m)
-		held++
+		assigned++
 		if len(stops) > 0 {
 			r.reserve(j, m, 1)
 		}
--- a/internal/scheduler/preemption_costs.go
+++ b/internal/scheduler/preemption_costs.go
@@ -9,9 +9,9 @@
 	zones      map[string]*costHeap
 	version    int
 	guaranteed bool // the task was within its team's guarantee
-	// roomForLess is set if some machine has free resources for the task without a stop but does not accept it. A
+	// fitsWithoutStop is set if some machine has free resources for the task without a stop but does not accept it. A
 	// larger task would need stops there and could then be placed, so the need must not be recorded as infeasible.
-	roomForLess bool
+	fitsWithoutStop bool
 }
 
 // costHeap is a heap of machines, the cheapest first. Among equal costs, the first machine in the snapshot comes first.
@@ -54,10 +54,10 @@
 // The rank of the replica is not among them: every task that it may preempt ranks after it, both the tasks of lower
 // priority and the batch tasks of teams that exceed their guarantees. So replicas with equal keys share their costs.
 type sharedCostsKey struct {
-	need                      Resources
-	types, zone, reclaimingBy string // reclaimingBy: the job's team if within its guarantee, else empty
-	spot, guaranteed          bool
-	priority                  int
+	request                     Resources
+	types, zone, reclaimingTeam string // reclaimingTeam: the job's team if within its guarantee, else empty
+	spot, guaranteed            bool
+	priority                    int
 }
 
 // sharedCostsKey returns the key of the job's preemption costs. It returns false if the job can't share its costs.
@@ -65,9 +65,9 @@
 	if !j.Service || len(j.AvoidMachines) > 0 || guaranteed && j.WaitedTwoBoots {
 		return sharedCostsKey{}, false
 	}
-	key := sharedCostsKey{need: j.Request, types: j.typeNames(), zone: j.Zone, spot: j.Spot, guaranteed: guaranteed, priority: j.Priority}
+	key := sharedCostsKey{request: j.Request, types: j.typeNames(), zone: j.Zone, spot: j.Spot, guaranteed: guaranteed, priority: j.Priority}
 	if guaranteed {
-		key.reclaimingBy = j.Team
+		key.reclaimingTeam = j.Team
 	}
 	return key, true
 }
@@ -75,7 +75,7 @@
 // cheapestPreemption returns the machine on which making room for one task costs least, and the tasks to stop there.
 // costs holds the costs computed for earlier tasks of the job and is replaced if out of date.
 func (r *preemptionRound) cheapestPreemption(j *Job, guaranteed bool, costs **preemptionCosts) (*Machine, []RunningTask) {
-	if !r.tasks.anyFor(j, guaranteed) {
+	if !r.tasks.anyPreemptibleFor(j, guaranteed) {
 		return nil, nil
 	}
 	current := *costs
@@ -85,7 +85,7 @@
 			return nil, nil
 		}
 		current = r.costsFor(j, guaranteed)
-		if *costs = current; len(current.zones) == 0 && !current.roomForLess {
+		if *costs = current; len(current.zones) == 0 && !current.fitsWithoutStop {
 			r.tasks.recordInfeasible(j, key)
 		}
 	}
@@ -145,7 +145,7 @@
 		if _, cost, possible := r.preemptionOn(j, m, guaranteed, false); possible {
 			costs.add(machineCost{m, cost, m.Free})
 		} else if j.Request.Fits(m.Free) {
-			costs.roomForLess = true
+			costs.fitsWithoutStop = true
 		}
 	}
 	for _, h := range costs.zones {
@@ -177,7 +177,7 @@
 // lists the victims only if wantVictims is set.
 func (r *preemptionRound) preemptionOn(j *Job, m *Machine, guaranteed, wantVictims bool) (victims []RunningTask, cost float64, possible bool) {
 	free, stops := m.Free, 0
-	for _, task := range r.tasks.on(m) {
+	for _, task := range r.tasks.tasksOn(m) {
 		if j.Request.Fits(free) {
 			break
 		}
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -6,7 +6,7 @@
 )
 
 // The stops of a round follow the rules of the protocol's section "Preemption".
-func TestStops(t *testing.T) {
+func TestPreemptionRules(t *testing.T) {
 	full := func(victim *Job, n int) []*Machine {
 		m := machines(box, "a")
 		victim.Waiting, victim.Assigned, victim.Slots = nil, n, n
@@ -18,10 +18,10 @@
 		return m
 	}
 	for _, tc := range []struct {
-		name     string
-		job, vic func(*Job)
-		teams    map[string]*Quota
-		stops    int
+		name                    string
+		changeJob, changeVictim func(*Job)
+		teams                   map[string]*Quota
+		stops                   int
 	}{
 		{"lower priority is preempted", func(j *Job) { j.Service, j.Priority = true, 2 }, func(j *Job) { j.InUpperQueue = false }, nil, 1},
 		{"the same priority is not preempted", func(j *Job) { j.Service = true }, func(j *Job) { j.InUpperQueue = false }, nil, 0},
@@ -38,8 +38,8 @@
 			map[string]*Quota{"red": {Maximum: Resources{Cores: 8}, Used: Resources{Cores: 8}}}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			vic := batch("victim", 8, tc.vic)
-			s := snap(full(vic, 8), batch("j", 1, tc.job), vic)
+			victim := batch("victim", 8, tc.changeVictim)
+			s := newSnapshot(full(victim, 8), batch("j", 1, tc.changeJob), victim)
 			if tc.teams != nil {
 				s.Quotas = tc.teams
 			}
@@ -58,9 +58,9 @@
 // stopped for a job while its earlier victims have not all ended.
 func TestPreemptionMakesRoomForWholeJob(t *testing.T) {
 	typ := &Type{Name: "m", Size: Resources{Cores: 8, Mem: 99}}
-	build := func(claims int) *Snapshot {
+	build := func(reserved int) *Snapshot {
 		web := &Job{ID: "j-web", Team: "red", Service: true, Priority: 3, Request: Resources{Cores: 8}, Tasks: 3, Degradation: 1,
-			Reserved: claims, Waiting: []int{0, 1, 2}}
+			Reserved: reserved, Waiting: []int{0, 1, 2}}
 		s := &Snapshot{Jobs: []*Job{web}, Quotas: map[string]*Quota{"red": {}, "blue": {}}}
 		for i := range 4 {
 			b := &Job{ID: "j-" + string(rune('a'+i)), Team: "blue", Request: Resources{Cores: 8}, Tasks: 1, Assigned: 1, Slots: 1, Degradation: 1,
@@ -124,7 +124,7 @@
 				hold(ms[1], array, 1)
 				jobs = append(jobs, array)
 			}
-			stops := snap(ms, jobs...).Preempt(10, map[string]bool{}).Stops
+			stops := newSnapshot(ms, jobs...).Preempt(10, map[string]bool{}).Stops
 			if len(stops) != 1 || stops[0].Victim.Job.Gang != tc.alone {
 				t.Errorf("stops %v, want one stop, of a gang task = %v", stops, tc.alone)
 			}
@@ -140,7 +140,7 @@
 		for i := range 2_000 {
 			ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", TaskCapacity: 10})
 		}
-		s := snap(ms)
+		s := newSnapshot(ms)
 		s.Quotas = map[string]*Quota{"low": {}}
 		low := batch("low", 0, func(j *Job) {
 			j.Team, j.Assigned, j.InUpperQueue, j.Request = "low", len(ms), false, Resources{Cores: 1, Mem: 1}
@@ -169,7 +169,7 @@
 		s := build()
 		got := s.Preempt(10, searched).Stops
 		if s.taskMachinesExamined > maxTaskMachinesExamined+len(s.Machines) {
-			t.Fatalf("a round examined %d machines for single tasks, want at most %d", s.taskMachinesExamined, maxTaskMachinesExamined+len(s.Machines))
+			t.Fatalf("a round examined %d machines for single tasks, which exceeds the bound", s.taskMachinesExamined)
 		}
 		if len(got) > 0 {
 			if got[0].For.ID != "last" {
@@ -188,13 +188,13 @@
 
 // Replicas with equal requests share the preemption costs, which are computed once, and each replica still gets a
 // machine of its own.
-func TestAlikeReplicasSharePreemptionCosts(t *testing.T) {
+func TestEqualReplicasSharePreemptionCosts(t *testing.T) {
 	const count = 400
 	var ms []*Machine
 	for i := range 3 * count {
 		ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", TaskCapacity: 10})
 	}
-	s := snap(ms)
+	s := newSnapshot(ms)
 	low := batch("low", 0, func(j *Job) { j.Assigned, j.InUpperQueue, j.Request = len(ms), false, Resources{Cores: 8, Mem: 1} })
 	for i, m := range ms {
 		m.Running = []RunningTask{{Job: low, Index: i, RunningS: float64(i % 7)}}
@@ -211,7 +211,7 @@
 		seen[reservation.Machine.ID] = true
 	}
 	if len(round.Stops) != count || len(seen) != count || s.taskMachinesExamined > 3*len(ms) {
-		t.Errorf("%d stops and %d reserved machines, want %d of each; %d machines examined, want at most %d",
-			len(round.Stops), len(seen), count, s.taskMachinesExamined, 3*len(ms))
+		t.Errorf("%d stops and %d reserved machines, want one of each per replica; %d machines examined, want at most 3 times the fleet",
+			len(round.Stops), len(seen), s.taskMachinesExamined)
 	}
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -10,7 +10,7 @@
 }
 
 func within(used, bound Resources) bool {
-	ok := func(u, b float64) bool { return b == 0 || u <= b+eps }
+	ok := func(u, b float64) bool { return b == 0 || u <= b+roundingTolerance }
 	return ok(used.Cores, bound.Cores) && ok(used.Accel, bound.Accel)
 }
 
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -5,12 +5,12 @@
 // Resources is an amount of a machine's resources: cores, accelerators and gigabytes of memory.
 type Resources struct{ Cores, Accel, Mem float64 }
 
-// eps is the tolerance for rounding errors in sums of resources.
-const eps = 1e-6
+// roundingTolerance is the tolerance for rounding errors in sums of resources.
+const roundingTolerance = 1e-6
 
-// Fits reports whether n is at most free in each resource, within the tolerance eps.
+// Fits reports whether n is at most free in each resource, within roundingTolerance.
 func (n Resources) Fits(free Resources) bool {
-	return n.Cores <= free.Cores+eps && n.Accel <= free.Accel+eps && n.Mem <= free.Mem+eps
+	return n.Cores <= free.Cores+roundingTolerance && n.Accel <= free.Accel+roundingTolerance && n.Mem <= free.Mem+roundingTolerance
 }
 
 // isAtMost reports whether n is at most other in each resource. It needs no tolerance, because it compares requests of
@@ -37,16 +37,16 @@
 	if n.Accel > 0 {
 		return n.Accel / math.Max(whole.Accel, n.Accel)
 	}
-	return n.Cores / math.Max(whole.Cores, math.Max(n.Cores, eps))
+	return n.Cores / math.Max(whole.Cores, math.Max(n.Cores, roundingTolerance))
 }
 
-// perMachine returns how many tasks with request n fit on a machine of the given size, at least one. It is infinite for
-// an empty request.
-func perMachine(n, size Resources) float64 {
+// tasksPerMachine returns how many tasks with request n fit on a machine of the given size, at least one. It is
+// infinite for an empty request.
+func tasksPerMachine(n, size Resources) float64 {
 	k := math.Inf(1)
 	for _, p := range [][2]float64{{n.Cores, size.Cores}, {n.Accel, size.Accel}, {n.Mem, size.Mem}} {
 		if p[0] > 0 {
-			k = math.Min(k, math.Floor(p[1]/p[0]+eps))
+			k = math.Min(k, math.Floor(p[1]/p[0]+roundingTolerance))
 		}
 	}
 	return math.Max(k, 1)
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -32,13 +32,13 @@
 }
 
 // Plan places the waiting tasks on free and booting machines, and on new machines where those lack room. It returns the
-// machines to rent, at most maxNew and none from blocked pools. It sets Used on all machines that waiting or expected
-// tasks need.
-func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
+// machines to rent, at most maxLaunches and none from blocked pools. It sets Used on all machines that waiting or
+// expected tasks need.
+func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxLaunches int) []Launch {
 	s.useIndex()
 	Order(s.Jobs)
 	s.reserveAcceleratorCores = true
-	p := &scaleOutPlanner{snapshot: s, types: types, blocked: blocked, maxLaunches: maxNew,
+	p := &scaleOutPlanner{snapshot: s, types: types, blocked: blocked, maxLaunches: maxLaunches,
 		machinesByZone: map[string]int{}, countByPool: map[Pool]int{}}
 	for _, m := range s.Machines {
 		p.machinesByZone[m.Zone]++
@@ -46,11 +46,11 @@
 	for i, j := range s.Jobs {
 		p.plan(j, s.Jobs[i:])
 	}
-	var out []Launch
+	var launches []Launch
 	for _, pool := range p.pools {
-		out = append(out, Launch{pool, p.countByPool[pool]})
+		launches = append(launches, Launch{pool, p.countByPool[pool]})
 	}
-	return out
+	return launches
 }
 
 // plan places the job's waiting tasks. later holds the job and all jobs that rank after it.
@@ -80,7 +80,7 @@
 // returns true without placing a gang that exceeds its team's quota: the gang waits until other tasks of the team end.
 func (p *scaleOutPlanner) placeGang(j *Job, later []*Job) bool {
 	quota := p.snapshot.Quotas[j.Team]
-	if quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
+	if quota == nil || !quota.WithinMaximum(j.totalRequest()) {
 		return true
 	}
 	if p.snapshot.placeGang(j, func(*Quota, Resources) bool { return true }) != nil {
@@ -95,9 +95,9 @@
 	return false
 }
 
-// recordRoom is the task capacity assumed for a machine to be rented. Its stored record is still empty, so only its
-// resources limit the number of tasks.
-const recordRoom = 1 << 20
+// emptyRecordCapacity is the task capacity assumed for a machine to be rented. Its stored record is still empty, so
+// only its resources limit the number of tasks.
+const emptyRecordCapacity = 1 << 20
 
 // launch adds a machine to be rented for the job and returns it. It returns nil if no pool is open to the job or
 // maxLaunches is reached.
@@ -109,7 +109,7 @@
 	if typ == nil {
 		return nil
 	}
-	m := &Machine{Type: typ, Zone: pool.Zone, Spot: pool.Spot, Free: typ.Size, TaskCapacity: recordRoom, Booting: true}
+	m := &Machine{Type: typ, Zone: pool.Zone, Spot: pool.Spot, Free: typ.Size, TaskCapacity: emptyRecordCapacity, Booting: true}
 	p.snapshot.AddMachine(m)
 	p.machinesByZone[m.Zone]++
 	if p.countByPool[pool] == 0 {
@@ -134,17 +134,17 @@
 		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
 			continue
 		}
-		fit := perMachine(j.Request, t.Size)
-		alike := -1 // not counted yet; it is counted only if a pool of the type is open
+		fit := tasksPerMachine(j.Request, t.Size)
+		compatible := -1 // not counted yet; it is counted only if a pool of the type is open
 		for pool := range p.openPools(j, t) {
-			if alike < 0 {
-				alike = tasksAlike(j, later, t)
+			if compatible < 0 {
+				compatible = countCompatibleTasks(j, later, t)
 			}
 			price := t.Price
 			if pool.Spot {
 				price = t.SpotPrice
 			}
-			cost := price / math.Min(fit, math.Max(1, float64(alike)))
+			cost := price / math.Min(fit, math.Max(1, float64(compatible)))
 			cost *= 1 + zoneBalanceWeight*float64(p.machinesByZone[pool.Zone])
 			if cost < lowest {
 				cheapest, cheapestType, lowest = pool, t, cost
@@ -184,13 +184,13 @@
 		slices.ContainsFunc(types, func(t *Type) bool { return t.Size.Accel == 0 && j.mayUse(t) })
 }
 
-// tasksAlike counts the waiting tasks that could share a machine of the type with tasks of the job.
-func tasksAlike(j *Job, later []*Job, t *Type) int {
-	alike := 0
+// countCompatibleTasks counts the waiting tasks that could share a machine of the type with tasks of the job.
+func countCompatibleTasks(j *Job, later []*Job, t *Type) int {
+	compatible := 0
 	for _, other := range later {
 		if (other.Request.Accel > 0) == (j.Request.Accel > 0) && other.mayUse(t) {
-			alike += len(other.Waiting)
+			compatible += len(other.Waiting)
 		}
 	}
-	return alike
+	return compatible
 }
--- a/internal/scheduler/scale_out_test.go
+++ b/internal/scheduler/scale_out_test.go
@@ -12,19 +12,19 @@
 	types := []*Type{gpu, box}
 	open := func(Pool) bool { return false }
 	t.Run("cheapest pool", func(t *testing.T) {
-		got := snap(nil, batch("j", 8, func(j *Job) { j.Spot = true })).Plan(types, open, 10)
+		got := newSnapshot(nil, batch("j", 8, func(j *Job) { j.Spot = true })).Plan(types, open, 10)
 		if d := cmp.Diff([]Launch{{Pool{"box", "a", true}, 1}}, got); d != "" {
 			t.Error(d)
 		}
 	})
 	t.Run("blocked pools are not used", func(t *testing.T) {
-		got := snap(nil, batch("j", 8, nil)).Plan(types, func(p Pool) bool { return p.Zone == "a" }, 10)
+		got := newSnapshot(nil, batch("j", 8, nil)).Plan(types, func(p Pool) bool { return p.Zone == "a" }, 10)
 		if d := cmp.Diff([]Launch{{Pool{"box", "b", false}, 1}}, got); d != "" {
 			t.Error(d)
 		}
 	})
 	t.Run("up to the team's maximum", func(t *testing.T) {
-		s := snap(nil, batch("j", 400, nil))
+		s := newSnapshot(nil, batch("j", 400, nil))
 		s.Quotas["red"].Maximum.Cores = 16
 		rented := 0
 		for _, launch := range s.Plan(types, open, 64) {
@@ -42,16 +42,16 @@
 	plain := func(types ...*Type) *Snapshot {
 		j := batch("guests", 8, nil)
 		j.AvoidsAccelerators = j.CanAvoidAccelerators(types)
-		return snap(nil, j)
+		return newSnapshot(nil, j)
 	}
 	s := plain(gpu, box)
 	for _, want := range s.Plan([]*Type{gpu, box}, open, 10) {
 		if want.Type != box.Name {
-			t.Errorf("the plan rents %+v, want only machines of type %s", want, box.Name)
+			t.Errorf("the plan rents %+v, want only machines without accelerators", want)
 		}
 	}
-	short := func(p Pool) bool { return p.Type == box.Name }
-	if got := plain(gpu, box).Plan([]*Type{gpu, box}, short, 10); len(got) > 0 {
+	blocked := func(p Pool) bool { return p.Type == box.Name }
+	if got := plain(gpu, box).Plan([]*Type{gpu, box}, blocked, 10); len(got) > 0 {
 		t.Errorf("the plan rents %+v while the type without accelerators is blocked, want none", got)
 	}
 	if got := plain(gpu).Plan([]*Type{gpu}, open, 10); len(got) == 0 {
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -34,8 +34,8 @@
 	if j.Request.Accel > 0 || m.Type.Size.Accel <= 0 {
 		return false
 	}
-	left := m.Free.Minus(j.Request)
-	return left.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
+	remaining := m.Free.Minus(j.Request)
+	return remaining.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
 }
 
 // score returns the score of a machine for a task of the job. Lower is better.
@@ -64,11 +64,11 @@
 		}
 		score += unneededAcceleratorScore
 	}
-	left := Share(m.Free.Minus(j.Request), m.Type.Size)
+	freeShare := Share(m.Free.Minus(j.Request), m.Type.Size)
 	if j.Request.Accel == 0 {
-		left = (m.Free.Cores - j.Request.Cores) / math.Max(m.Type.Size.Cores, eps)
+		freeShare = (m.Free.Cores - j.Request.Cores) / math.Max(m.Type.Size.Cores, roundingTolerance)
 	}
-	score += looseFitScore * left
+	score += looseFitScore * freeShare
 	if !m.Used {
 		score += unusedScore
 	}
@@ -77,7 +77,7 @@
 
 // missingShare returns the share of expected tasks whose image the machine does not have.
 func (j *Job) missingShare(m *Machine) float64 {
-	if share, known := j.missingShares[m.ImageSet]; known {
+	if share, cached := j.missingShares[m.ImageSet]; cached {
 		return share
 	}
 	share := 0.0
--- a/internal/scheduler/selector.go
+++ b/internal/scheduler/selector.go
@@ -20,15 +20,15 @@
 	if search := s.searchIndex(j); search != nil {
 		return search
 	}
-	if j.worthRanking() {
+	if j.worthBuildingHeap() {
 		return s.candidateHeapFor(j)
 	}
 	return fullScan{s, j}
 }
 
-// worthRanking reports whether enough tasks wait for building a heap of all machines to be cheaper than scoring them
-// for each task. With OneZone or Spread each assignment may close a zone, so a heap would not stay valid.
-func (j *Job) worthRanking() bool { return len(j.Waiting) > 2 && !j.OneZone && !j.Spread }
+// worthBuildingHeap reports whether enough tasks wait for building a heap of all machines to be cheaper than scoring
+// them for each task. With OneZone or Spread each assignment may close a zone, so a heap would not stay valid.
+func (j *Job) worthBuildingHeap() bool { return len(j.Waiting) > 2 && !j.OneZone && !j.Spread }
 
 // bestMachine returns the best machine for one task of the job, or nil if none accepts it.
 func (s *Snapshot) bestMachine(j *Job) *Machine {
--- a/internal/scheduler/selector_test.go
+++ b/internal/scheduler/selector_test.go
@@ -7,7 +7,7 @@
 )
 
 // A candidateHeap selects the same machines as a fullScan, which scores all machines for each task.
-func TestCandidateHeapPicksAsFullScan(t *testing.T) {
+func TestCandidateHeapMatchesFullScan(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for round := range 200 {
 		var fleet []*Machine
@@ -26,10 +26,10 @@
 		j := batch("work", 3+rng.IntN(60), func(j *Job) {
 			j.Image, j.Request, j.Spot, j.AvoidsAccelerators = "img", Resources{Cores: 1 + float64(rng.IntN(3)), Accel: float64(rng.IntN(2)), Mem: 1}, true, rng.IntN(2) == 0
 		})
-		s := snap(fleet, j)
+		s := newSnapshot(fleet, j)
 		s.reserveAcceleratorCores = rng.IntN(2) == 0
-		one, other := s.clone(""), s.clone("")
-		one.reserveAcceleratorCores, other.reserveAcceleratorCores = s.reserveAcceleratorCores, s.reserveAcceleratorCores
+		forHeap, forScan := s.clone(""), s.clone("")
+		forHeap.reserveAcceleratorCores, forScan.reserveAcceleratorCores = s.reserveAcceleratorCores, s.reserveAcceleratorCores
 		places := func(s *Snapshot, c machineSelector, j Job) (out []string) {
 			for len(j.Waiting) > 0 {
 				m := c.best()
@@ -42,8 +42,8 @@
 			}
 			return out
 		}
-		a := places(one, one.candidateHeapFor(j), *j)
-		b := places(other, fullScan{other, j}, *j)
+		a := places(forHeap, forHeap.candidateHeapFor(j), *j)
+		b := places(forScan, fullScan{forScan, j}, *j)
 		if fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Fatalf("round %d: candidateHeap selected\n%v\nwant, as fullScan selected,\n%v", round, a, b)
 		}
@@ -52,9 +52,9 @@
 
 // In a fill for a job with thousands of tasks, each assignment scores only its own machine again, not all machines.
 func TestFillWorkOfALargeArray(t *testing.T) {
-	s := snap(machines(box, make([]string, 800)...), batch("work", 5000, func(j *Job) { j.InUpperQueue = false }))
+	s := newSnapshot(machines(box, make([]string, 800)...), batch("work", 5000, func(j *Job) { j.InUpperQueue = false }))
 	s.Quotas["red"].Maximum = Resources{}
-	if got := started(s.Fill())["work"]; got != 5000 {
+	if got := startedByJob(s.Fill())["work"]; got != 5000 {
 		t.Fatalf("%d tasks started, want 5000", got)
 	}
 	if s.MachinesExamined > 20_000 {
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -133,12 +133,12 @@
 		task.Job.InZone[m.Zone]--
 	}
 	task.Job.Assigned--
-	m.Running = without(m.Running, task)
+	m.Running = withoutTask(m.Running, task)
 }
 
-// without returns a copy of the list without one task. The original list stays unchanged, because callers may still
+// withoutTask returns a copy of the list without one task. The original list stays unchanged, because callers may still
 // read it.
-func without(list []RunningTask, removed RunningTask) []RunningTask {
+func withoutTask(list []RunningTask, removed RunningTask) []RunningTask {
 	var rest []RunningTask
 	for _, task := range list {
 		if task.Job != removed.Job || task.Index != removed.Index {
@@ -181,7 +181,7 @@
 	if *list == nil {
 		*list = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
-			if m.TaskCapacity > 0 && (accel && m.Free.Accel > eps || !accel && m.Free.Cores > eps) {
+			if m.TaskCapacity > 0 && (accel && m.Free.Accel > roundingTolerance || !accel && m.Free.Cores > roundingTolerance) {
 				*list = append(*list, m)
 			}
 		}
@@ -192,13 +192,13 @@
 // clone copies the state that placing tasks changes, without the machine with the given ID. The copy has neither jobs
 // nor quotas nor an index.
 func (s *Snapshot) clone(withoutID string) *Snapshot {
-	out := &Snapshot{UpperQueueCap: s.UpperQueueCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
+	copied := &Snapshot{UpperQueueCap: s.UpperQueueCap, Capacity: s.Capacity, Quotas: map[string]*Quota{}}
 	for _, m := range s.Machines {
 		if m.ID != withoutID {
 			c := *m
 			c.Fetching = maps.Clone(m.Fetching)
-			out.Machines = append(out.Machines, &c)
+			copied.Machines = append(copied.Machines, &c)
 		}
 	}
-	return out
+	return copied
 }
