--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -2,7 +2,7 @@
 
 // expensivePriceShare is the share of the average price from which a machine counts as expensive. It is slightly below
 // one so that every machine of a fleet with a single price is expensive: sums of equal prices round up or down, and
-// with a share of one consolidation never emptied a machine of a fleet with one machine type.
+// with a share of one, consolidation never emptied a machine of a fleet with one machine type.
 const expensivePriceShare = 0.999
 
 // IsExpensive reports whether a machine costs at least as much as the average machine of the snapshot.
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,8 +1,8 @@
 // Package scheduler decides on which machine each task runs, which running tasks are preempted, and which machines to
 // rent. The order of jobs follows GREEN (Xu et al., "GREEN: Carbon-efficient Resource Scheduling for Machine Learning
 // Clusters"); docs/design.md lists which parts of the paper the package implements and each exception to it. The
-// package performs no I/O and reads no clock: its input is a Snapshot, its output are decisions, and the same snapshot
-// always gives the same decisions.
+// package performs no I/O and reads no clock: it takes a Snapshot and returns decisions, and the same snapshot always
+// gives the same decisions.
 //
 // There are three kinds of pass over a snapshot:
 //
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -128,8 +128,8 @@
 	})
 }
 
-// placeBatches makes one pass over batches and gangs. Gangs have no slots, so they take part only in the first two
-// passes.
+// placeBatches makes one pass over batches and gangs. All tasks of a gang are within its slots, so gangs take part only
+// in the first two passes.
 func (f *filler) placeBatches(pass fillPass) {
 	s := f.snapshot
 	upperShare := 0.0 // share of the fleet that the upper queue's slots cover so far in this pass
@@ -194,8 +194,8 @@
 	return j.Request.Times(float64(min(j.Reserved, len(j.Waiting))))
 }
 
-// chargeReserved adds the job's reserved need to the used quota, so that other batches of the team don't take the quota
-// that was freed for the job.
+// chargeReserved adds the job's reserved request to the used quota, so that other batches of the team don't take the
+// quota that was freed for the job.
 func (s *Snapshot) chargeReserved(j *Job) {
 	if quota := s.Quotas[j.Team]; quota != nil {
 		quota.Used = quota.Used.Plus(j.reservedRequest())
--- a/internal/scheduler/fill_test.go
+++ b/internal/scheduler/fill_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// Resources and quota that preemption freed for a job are not used by other jobs while the preempted tasks end one by
-// one. Otherwise each round stops further tasks for the job: in a recorded day, 2,000 tasks were stopped for three jobs
-// that never started.
+// Resources and quota that preemption frees for a job are not used by other jobs while the preempted tasks end one by
+// one. Otherwise other jobs take them and each round stops the same tasks again: on a recorded day there were 2,000
+// stops for three jobs that never started.
 func TestReservedRoomStaysReserved(t *testing.T) {
 	m := machines(box, "a", "a")
 	m[0].Free, m[0].ReservedFor = Resources{Cores: 5, Mem: 32}, "web"
--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -174,9 +174,9 @@
 }
 
 func (g *gangPreemption) zoneOpen(zone string) bool {
-	after := *g.job
-	after.InZone = g.inZone
-	return after.ZoneOpen(zone)
+	placedJob := *g.job
+	placedJob.InZone = g.inZone
+	return placedJob.ZoneOpen(zone)
 }
 
 // taskOption holds the stops, and their cost, that one more task of the gang needs on a machine.
@@ -235,8 +235,8 @@
 	var needed []Stop
 	cost := 0.0
 	for _, stop := range stops {
-		if less := free.Minus(stop.Victim.Job.Request); g.job.Request.Fits(less) {
-			free = less
+		if freeWithoutStop := free.Minus(stop.Victim.Job.Request); g.job.Request.Fits(freeWithoutStop) {
+			free = freeWithoutStop
 			continue
 		}
 		needed = append(needed, stop)
@@ -258,9 +258,9 @@
 	if quota == nil {
 		return false
 	}
-	after := *quota
-	after.Used = after.Used.Minus(freedByTeam[team])
-	return after.ExceedsGuarantee()
+	quotaAfter := *quota
+	quotaAfter.Used = quotaAfter.Used.Minus(freedByTeam[team])
+	return quotaAfter.ExceedsGuarantee()
 }
 
 // place places one task of the gang on the machine, with the stops of the option.
@@ -300,9 +300,9 @@
 	quota := *g.round.snapshot.Quotas[j.Team]
 	whole := j.totalRequest().Plus(quota.ServiceReserve)
 	for {
-		after := quota
-		after.Used = quota.Used.Minus(g.freedByTeam[j.Team])
-		if after.WithinMaximum(whole) {
+		quotaAfter := quota
+		quotaAfter.Used = quota.Used.Minus(g.freedByTeam[j.Team])
+		if quotaAfter.WithinMaximum(whole) {
 			return true
 		}
 		m, youngest := g.round.tasks.youngestOfTeam(j, g.stops)
--- a/internal/scheduler/green.go
+++ b/internal/scheduler/green.go
@@ -41,8 +41,8 @@
 	if finished < s.Slots {
 		return
 	}
-	if spent := s.Attained - s.AttainedAt; spent > 0 {
-		efficiency := float64(finished) / float64(tasks) / spent
+	if attainedSince := s.Attained - s.AttainedAt; attainedSince > 0 {
+		efficiency := float64(finished) / float64(tasks) / attainedSince
 		if s.InitialEfficiency == 0 {
 			s.InitialEfficiency = efficiency
 		}
--- a/internal/scheduler/index_search.go
+++ b/internal/scheduler/index_search.go
@@ -127,7 +127,7 @@
 	if pool.isInfeasible(j.Request, is.rule) {
 		return best
 	}
-	missingImage := missingImageScore * j.fetchWeight(pool.typ)
+	missingImagePenalty := missingImageScore * j.fetchWeight(pool.typ)
 	for _, class := range pool.classList {
 		if class.machines.len() == 0 || class.accel+roundingTolerance < j.Request.Accel {
 			continue
@@ -141,7 +141,7 @@
 		is.searchBucket(class.fetchingImage[j.Image], pool, class, bound+fetchingImageScore, &best)
 		// This bucket also holds the machines that have the image or fetch it. Their scores may be below the bound,
 		// but the two searches above have covered them.
-		is.searchBucket(&class.machines, pool, class, bound+missingImage+fetchInProgressScore*float64(class.fetching), &best)
+		is.searchBucket(&class.machines, pool, class, bound+missingImagePenalty+fetchInProgressScore*float64(class.fetching), &best)
 	}
 	if best.machine == nil && len(j.AvoidMachines) == 0 {
 		pool.recordInfeasible(j.Request, is.rule)
@@ -182,8 +182,8 @@
 	if j.Request.Accel <= 0 && pool.typ.Size.Accel > 0 {
 		// On machines with at least about this many free cores, a task without accelerators takes no cores that free
 		// accelerators need.
-		enough := j.Request.Cores + acceleratorCoreReserve*pool.typ.Size.Cores*max(0, class.accel)/pool.typ.Size.Accel
-		if is.scanFrom(bucket, enough*(1-1e-9), leaveAcceleratorCores, best) || is.rule == leaveAcceleratorCores {
+		minCores := j.Request.Cores + acceleratorCoreReserve*pool.typ.Size.Cores*max(0, class.accel)/pool.typ.Size.Accel
+		if is.scanFrom(bucket, minCores*(1-1e-9), leaveAcceleratorCores, best) || is.rule == leaveAcceleratorCores {
 			return
 		}
 	}
--- a/internal/scheduler/machine_index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -206,8 +206,8 @@
 func copySnapshot(s *Snapshot) *Snapshot {
 	copiedSnapshot := s.clone("")
 	copiedSnapshot.Draining = s.Draining
-	for name, team := range s.Quotas {
-		copied := *team
+	for name, quota := range s.Quotas {
+		copied := *quota
 		copiedSnapshot.Quotas[name] = &copied
 	}
 	for _, j := range s.Jobs {
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -73,8 +73,8 @@
 	return out
 }
 
-// placeBatches makes one pass over batches and gangs. Gangs have no slots, so they take part only in the first two
-// passes.
+// placeBatches makes one pass over batches and gangs. All tasks of a gang are within its slots, so gangs take part only
+// in the first two passes.
 func (s *oracle) placeBatches(out []Placement, pass fillPass) []Placement {
 	upper := 0.0 // share of the fleet that the upper queue's slots cover so far in this pass
 	for _, j := range s.Jobs {
@@ -100,12 +100,12 @@
 // placeTasks starts waiting tasks of a job until its team's quota, the given condition or the lack of a suitable
 // machine prevents it.
 func (s *oracle) placeTasks(out []Placement, j *Job, allowed func(*Quota) bool) []Placement {
-	team := s.Quotas[j.Team]
-	if len(j.Waiting) == 0 || !team.Admits(j) || !allowed(team) {
+	quota := s.Quotas[j.Team]
+	if len(j.Waiting) == 0 || !quota.Admits(j) || !allowed(quota) {
 		return out
 	}
 	selector := s.selectorFor(j)
-	for len(j.Waiting) > 0 && team.Admits(j) && allowed(team) {
+	for len(j.Waiting) > 0 && quota.Admits(j) && allowed(quota) {
 		m := selector.best()
 		if m == nil {
 			break
@@ -222,8 +222,8 @@
 // placeGang starts all tasks of a gang, or none. For a gang that must be in one zone it tries the zones one by one,
 // because the best machine for the first task may be in a zone without room for the whole gang.
 func (s *oracle) placeGang(out []Placement, j *Job, allowed func(*Quota, Resources) bool) []Placement {
-	team := s.Quotas[j.Team]
-	if len(j.Waiting) == 0 || team == nil || !allowed(team, j.Request.Times(float64(len(j.Waiting)))) {
+	quota := s.Quotas[j.Team]
+	if len(j.Waiting) == 0 || quota == nil || !allowed(quota, j.Request.Times(float64(len(j.Waiting)))) {
 		return out
 	}
 	if !j.OneZone || j.Zone != "" {
@@ -375,8 +375,8 @@
 		if m == nil || len(plan.Stops)+len(stops) > maxStops {
 			return
 		}
-		for _, v := range stops {
-			plan.Stops = append(plan.Stops, s.stop(v.Machine, v.Victim, j))
+		for _, stop := range stops {
+			plan.Stops = append(plan.Stops, s.stop(stop.Machine, stop.Victim, j))
 		}
 		s.assign(j, m)
 		assigned++
@@ -391,31 +391,31 @@
 // resources and to free the team's quota. It returns nil if either can't be freed, because stopping only some of the
 // tasks would lose their work without starting the new one.
 func (s *oracle) preemptionForTask(j *Job, rank map[*Job]int) (*Machine, []Stop) {
-	team := s.Quotas[j.Team]
+	quota := s.Quotas[j.Team]
 	var stops []Stop
 	m := s.bestMachine(j)
 	if m == nil {
 		var victims []RunningTask
-		if m, victims = s.cheapestPreemption(j, team.WithinGuarantee(j.Request), rank); m == nil {
+		if m, victims = s.cheapestPreemption(j, quota.WithinGuarantee(j.Request), rank); m == nil {
 			return nil, nil
 		}
-		for _, v := range victims {
-			stops = append(stops, Stop{Victim: v, Machine: m})
+		for _, victim := range victims {
+			stops = append(stops, Stop{Victim: victim, Machine: m})
 		}
 	}
-	after := *team
-	for _, v := range stops {
-		if v.Victim.Job.Team == j.Team {
-			after.Used = after.Used.Minus(v.Victim.Job.Request)
+	quotaAfter := *quota
+	for _, stop := range stops {
+		if stop.Victim.Job.Team == j.Team {
+			quotaAfter.Used = quotaAfter.Used.Minus(stop.Victim.Job.Request)
 		}
 	}
-	for !after.WithinMaximum(j.Request) {
-		on, v := s.youngest(j, stops)
-		if on == nil {
+	for !quotaAfter.WithinMaximum(j.Request) {
+		victimMachine, victim := s.youngest(j, stops)
+		if victimMachine == nil {
 			return nil, nil
 		}
-		stops = append(stops, Stop{Victim: v, Machine: on})
-		after.Used = after.Used.Minus(v.Job.Request)
+		stops = append(stops, Stop{Victim: victim, Machine: victimMachine})
+		quotaAfter.Used = quotaAfter.Used.Minus(victim.Job.Request)
 	}
 	return m, stops
 }
@@ -578,8 +578,8 @@
 // section "Preemption"; in addition, the victim must rank after the job or exceed its slots.
 func (s *oracle) isPreemptible(victim, j *Job, guaranteed bool, rank map[*Job]int) bool {
 	lower := victim.Priority < j.Priority
-	team := s.Quotas[victim.Team]
-	borrowed := guaranteed && victim.Team != j.Team && team != nil && team.ExceedsGuarantee()
+	quota := s.Quotas[victim.Team]
+	borrowed := guaranteed && victim.Team != j.Team && quota != nil && quota.ExceedsGuarantee()
 	if victim.Service && !lower && !j.WaitedTwoBoots {
 		// Stopping one replica to start another gains nothing, and the stopped replica has to fetch its image again.
 		// It is done only after a long wait, because a machine may already be booting.
@@ -630,7 +630,7 @@
 		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
 			continue
 		}
-		fit := tasksPerMachine(j.Request, t.Size)
+		capacity := tasksPerMachine(j.Request, t.Size)
 		alike := 0
 		for _, o := range later {
 			if (o.Request.Accel > 0) == (j.Request.Accel > 0) && (o.Types == nil || o.Types[t.Name]) && o.Request.Fits(t.Size) {
@@ -656,7 +656,7 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				cost := price / math.Min(fit, math.Max(1, float64(alike)))
+				cost := price / math.Min(capacity, math.Max(1, float64(alike)))
 				// Among equal prices, choose the zone with fewer machines.
 				cost *= 1 + 0.001*float64(inZone)
 				if cost < lowest {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -133,19 +133,19 @@
 			stops = append(stops, Stop{Victim: victim, Machine: m})
 		}
 	}
-	after := *quota
+	quotaAfter := *quota
 	for _, stop := range stops {
 		if stop.Victim.Job.Team == j.Team {
-			after.Used = after.Used.Minus(stop.Victim.Job.Request)
+			quotaAfter.Used = quotaAfter.Used.Minus(stop.Victim.Job.Request)
 		}
 	}
-	for !after.WithinMaximum(j.Request) {
-		on, victim := r.tasks.youngestOfTeam(j, stops)
-		if on == nil {
+	for !quotaAfter.WithinMaximum(j.Request) {
+		victimMachine, victim := r.tasks.youngestOfTeam(j, stops)
+		if victimMachine == nil {
 			return nil, nil
 		}
-		stops = append(stops, Stop{Victim: victim, Machine: on})
-		after.Used = after.Used.Minus(victim.Job.Request)
+		stops = append(stops, Stop{Victim: victim, Machine: victimMachine})
+		quotaAfter.Used = quotaAfter.Used.Minus(victim.Job.Request)
 	}
 	return m, stops
 }
--- a/internal/scheduler/quota.go
+++ b/internal/scheduler/quota.go
@@ -10,8 +10,8 @@
 }
 
 func within(used, bound Resources) bool {
-	ok := func(u, b float64) bool { return b == 0 || u <= b+roundingTolerance }
-	return ok(used.Cores, bound.Cores) && ok(used.Accel, bound.Accel)
+	amountWithin := func(u, b float64) bool { return b == 0 || u <= b+roundingTolerance }
+	return amountWithin(used.Cores, bound.Cores) && amountWithin(used.Accel, bound.Accel)
 }
 
 // WithinMaximum reports whether the team stays within its maximum if it uses n more.
--- a/internal/scheduler/resources.go
+++ b/internal/scheduler/resources.go
@@ -43,11 +43,11 @@
 // tasksPerMachine returns how many tasks with request n fit on a machine of the given size, at least one. It is
 // infinite for an empty request.
 func tasksPerMachine(n, size Resources) float64 {
-	k := math.Inf(1)
+	count := math.Inf(1)
 	for _, p := range [][2]float64{{n.Cores, size.Cores}, {n.Accel, size.Accel}, {n.Mem, size.Mem}} {
 		if p[0] > 0 {
-			k = math.Min(k, math.Floor(p[1]/p[0]+roundingTolerance))
+			count = math.Min(count, math.Floor(p[1]/p[0]+roundingTolerance))
 		}
 	}
-	return math.Max(k, 1)
+	return math.Max(count, 1)
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Pool is a pool of rentable machines: their type, their zone, and whether they are spot machines.
+// Pool identifies a set of rentable machines: their type, their zone, and whether they are spot machines.
 type Pool struct {
 	Type string
 	Zone string
@@ -134,7 +134,7 @@
 		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
 			continue
 		}
-		fit := tasksPerMachine(j.Request, t.Size)
+		capacity := tasksPerMachine(j.Request, t.Size)
 		compatible := -1 // not counted yet; it is counted only if a pool of the type is open
 		for pool := range p.openPools(j, t) {
 			if compatible < 0 {
@@ -144,7 +144,7 @@
 			if pool.Spot {
 				price = t.SpotPrice
 			}
-			cost := price / math.Min(fit, math.Max(1, float64(compatible)))
+			cost := price / math.Min(capacity, math.Max(1, float64(compatible)))
 			cost *= 1 + zoneBalanceWeight*float64(p.machinesByZone[pool.Zone])
 			if cost < lowest {
 				cheapest, cheapestType, lowest = pool, t, cost
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -139,13 +139,13 @@
 // withoutTask returns a copy of the list without one task. The original list stays unchanged, because callers may still
 // read it.
 func withoutTask(list []RunningTask, removed RunningTask) []RunningTask {
-	var rest []RunningTask
+	var remaining []RunningTask
 	for _, task := range list {
 		if task.Job != removed.Job || task.Index != removed.Index {
-			rest = append(rest, task)
+			remaining = append(remaining, task)
 		}
 	}
-	return rest
+	return remaining
 }
 
 // machineChanged updates the index. It must be called after each change of a machine.
