--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -7,7 +7,8 @@
 )
 
 // maxGangMachinesExamined bounds how many machines one round examines for gangs, so that a leader with hundreds of
-// waiting gangs can renew its lease in time. The next round examines the remaining gangs.
+// waiting gangs can renew its lease in time. The remaining gangs wait for a later round, which starts again with the
+// first gang.
 const maxGangMachinesExamined = 100_000
 
 // gangRequirements holds the properties that determine on which machines a gang can be placed, except for the number of
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -185,7 +185,7 @@
 
 // The work of a round for many waiting gangs is bounded. If a gang finds no room, gangs with the same requirements and
 // at least as many tasks are not examined. If all gangs have different requirements, the round leaves the remaining
-// gangs to the next one.
+// gangs to a later one.
 func TestGangPreemptionWorkIsBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
