--- a/internal/scheduler/machine_index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// randomTypes are three types of machine, one with accelerators.
+// randomTypes lists the machine types of random snapshots, one of them with accelerators.
 var randomTypes = []*Type{
 	{Name: "small", Size: Resources{Cores: 4, Mem: 8}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b", "c"}, BootS: 10, FetchGBPerS: 0.5},
 	{Name: "large", Size: Resources{Cores: 32, Mem: 128}, Price: 6, SpotPrice: 2, Zones: []string{"a", "b"}, BootS: 10, FetchGBPerS: 2},
 	{Name: "accel", Size: Resources{Cores: 64, Accel: 8, Mem: 384}, Price: 20, SpotPrice: 8, Zones: []string{"a", "c"}, BootS: 20, FetchGBPerS: 2},
 }
 
-// randomSnapshot makes the same snapshot for the same seed. Amounts are multiples of a quarter,
-// so that sums and differences of them are exact.
+// randomSnapshot returns a random snapshot, the same for the same seed. Resources are multiples of a quarter, so that
+// their sums and differences are exact.
 func randomSnapshot(seed uint64) *Snapshot {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	quarter := func(n int) float64 { return float64(rng.IntN(n)) / 4 }
@@ -50,7 +50,7 @@
 	return s
 }
 
-// runRandomTasks puts tasks on a machine that a round may stop.
+// runRandomTasks adds running tasks to a machine, as candidates for preemption.
 func runRandomTasks(rng *rand.Rand, m *Machine, jobs []*Job, first int) {
 	for i := range rng.IntN(4) {
 		j := jobs[rng.IntN(len(jobs))]
@@ -102,77 +102,77 @@
 	return jobs
 }
 
-// places lists what a fill decided, in its order.
-func places(ps []Placement) (out []string) {
+// formatPlacements formats the placements of a fill, in their order.
+func formatPlacements(ps []Placement) (out []string) {
 	for _, p := range ps {
 		out = append(out, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Index, p.Machine.ID))
 	}
 	return out
 }
 
-// stopped lists what a round decided, in its order.
-func stopped(p Preemption) (out []string) {
+// formatPreemption formats the stops and reservations of a round, in their order.
+func formatPreemption(p Preemption) (out []string) {
 	for _, st := range p.Stops {
 		out = append(out, fmt.Sprintf("stop %s/%d on %s for %s", st.Victim.Job.ID, st.Victim.Index, st.Machine.ID, st.For.ID))
 	}
-	for _, k := range p.Reservations {
-		out = append(out, fmt.Sprintf("reserve %s for %d of %s", k.Machine.ID, k.Tasks, k.Job.ID))
+	for _, reservation := range p.Reservations {
+		out = append(out, fmt.Sprintf("reserve %s for %d of %s", reservation.Machine.ID, reservation.Tasks, reservation.Job.ID))
 	}
 	return out
 }
 
-// With the index the decisions are the same as when all machines were scored: fills, the preemption
-// of a round after one, and what a plan rents, over fleets of all kinds.
-func TestIndexDecidesAsFullScan(t *testing.T) {
+// The decisions with the index are the same as those of the oracle, which scores all machines. The test compares fills,
+// the preemption of a round after a fill, and the launches of a plan, for random fleets.
+func TestIndexMatchesFullScan(t *testing.T) {
 	placed, stops, rented := 0, 0, 0
 	for seed := range uint64(3000) {
 		got, want := randomSnapshot(seed), &oracle{Snapshot: randomSnapshot(seed)}
-		a, b := places(got.Fill()), places(want.Fill())
+		a, b := formatPlacements(got.Fill()), formatPlacements(want.Fill())
 		placed += len(a)
 		if !slices.Equal(a, b) {
-			t.Fatalf("seed %d: a fill decides\n%v\nand not\n%v", seed, a, b)
+			t.Fatalf("seed %d: fill decided\n%v\nwant\n%v", seed, a, b)
 		}
-		a, b = stopped(got.Preempt(20, map[string]bool{})), stopped(want.Stops(20))
+		a, b = formatPreemption(got.Preempt(20, map[string]bool{})), formatPreemption(want.Stops(20))
 		stops += len(a)
 		if !slices.Equal(a, b) {
-			t.Fatalf("seed %d: a round decides\n%v\nand not\n%v", seed, a, b)
+			t.Fatalf("seed %d: round decided\n%v\nwant\n%v", seed, a, b)
 		}
-		short := func(p Pool) bool { return p.Zone == "b" && p.Spot }
+		blocked := func(p Pool) bool { return p.Zone == "b" && p.Spot }
 		got, want = randomSnapshot(seed), &oracle{Snapshot: randomSnapshot(seed)}
-		x, y := got.Plan(randomTypes, short, 20), want.Plan(randomTypes, short, 20)
+		x, y := got.Plan(randomTypes, blocked, 20), want.Plan(randomTypes, blocked, 20)
 		rented += len(x)
 		if !slices.Equal(x, y) {
-			t.Fatalf("seed %d: a plan rents %v and not %v", seed, x, y)
+			t.Fatalf("seed %d: plan launches %v, want %v", seed, x, y)
 		}
 	}
 	if placed < 1000 || stops < 1000 || rented < 1000 {
-		t.Errorf("the fleets test too little: %d placed, %d stops, %d rentals", placed, stops, rented)
+		t.Errorf("the random fleets give too few decisions: %d placements, %d stops, %d launches, want 1000 of each", placed, stops, rented)
 	}
 }
 
-// With an index that is kept while its machines change, come and go the decisions are the same as
-// when all machines are scored.
-func TestKeptIndexFollowsChanges(t *testing.T) {
+// The decisions with an index that is updated while machines change, are added and are removed are the same as those of
+// the oracle, which scores all machines.
+func TestUpdatedIndexMatchesFullScan(t *testing.T) {
 	for seed := range uint64(150) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		s := randomSnapshot(seed)
 		s.useIndex()
 		for step := range 12 {
 			for range 1 + rng.IntN(6) {
-				changeOne(rng, s, seed*100+uint64(step))
+				changeRandomMachine(rng, s, seed*100+uint64(step))
 			}
 			fresh := copySnapshot(s)
-			a, b := places(s.Fill()), places((&oracle{Snapshot: fresh}).Fill())
+			a, b := formatPlacements(s.Fill()), formatPlacements((&oracle{Snapshot: fresh}).Fill())
 			if !slices.Equal(a, b) {
-				t.Fatalf("seed %d, step %d: the kept index decides\n%v\nand not\n%v", seed, step, a, b)
+				t.Fatalf("seed %d, step %d: fill with the updated index decided\n%v\nwant\n%v", seed, step, a, b)
 			}
 			s.Jobs = randomJobs(rng, func(n int) float64 { return float64(rng.IntN(n)) / 4 }, len(s.Quotas))
 		}
 	}
 }
 
-// changeOne changes a machine, or has one come or go.
-func changeOne(rng *rand.Rand, s *Snapshot, seed uint64) {
+// changeRandomMachine changes, adds or removes one machine.
+func changeRandomMachine(rng *rand.Rand, s *Snapshot, seed uint64) {
 	i := rng.IntN(len(s.Machines))
 	m := s.Machines[i]
 	switch rng.IntN(7) {
@@ -202,13 +202,13 @@
 	s.withRoom = [2][]*Machine{}
 }
 
-// copySnapshot copies what a pass changes.
+// copySnapshot returns a copy of the state that a fill changes, without running tasks.
 func copySnapshot(s *Snapshot) *Snapshot {
-	out := s.clone("")
-	out.Draining = s.Draining
-	for name, team := range s.Quotas {
-		copied := *team
-		out.Quotas[name] = &copied
+	copiedSnapshot := s.clone("")
+	copiedSnapshot.Draining = s.Draining
+	for name, quota := range s.Quotas {
+		copied := *quota
+		copiedSnapshot.Quotas[name] = &copied
 	}
 	for _, j := range s.Jobs {
 		copied := *j
@@ -217,10 +217,10 @@
 		for zone, n := range j.InZone {
 			copied.InZone[zone] = n
 		}
-		out.Jobs = append(out.Jobs, &copied)
+		copiedSnapshot.Jobs = append(copiedSnapshot.Jobs, &copied)
 	}
-	for _, m := range out.Machines {
+	for _, m := range copiedSnapshot.Machines {
 		m.Running = nil
 	}
-	return out
+	return copiedSnapshot
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -6,39 +6,39 @@
 	"slices"
 )
 
-// Pool is a type, zone and kind of machine that can be rented.
+// Pool identifies a set of rentable machines: their type, their zone, and whether they are spot machines.
 type Pool struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// Launch is a number of machines wanted from a pool.
+// Launch is a number of machines to rent from a pool.
 type Launch struct {
 	Pool
 	Count int
 }
 
-// scaleOutPlanner is a plan at work.
+// scaleOutPlanner holds the state of a running plan.
 type scaleOutPlanner struct {
 	snapshot       *Snapshot
 	types          []*Type
 	blocked        func(Pool) bool
 	maxLaunches    int
 	machinesByZone map[string]int
-	launched       int // machines, of all pools
+	launched       int // machines of all pools
 	countByPool    map[Pool]int
-	pools          []Pool // in the order in which they were chosen
+	pools          []Pool // in the order in which their first machines were planned
 }
 
-// Plan places what still waits on free, booting and, where these don't do, new machines. It
-// returns what to rent, maxNew machines at most, and marks (Used) the machines that the waiting
-// and expected work needs. Nothing is rented from blocked pools.
-func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxNew int) []Launch {
+// Plan places the waiting tasks on free and booting machines, and on new machines where those lack room. It returns the
+// machines to rent, at most maxLaunches and none from blocked pools. It sets Used on all machines that waiting or
+// expected tasks need.
+func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxLaunches int) []Launch {
 	s.useIndex()
 	Order(s.Jobs)
 	s.reserveAcceleratorCores = true
-	p := &scaleOutPlanner{snapshot: s, types: types, blocked: blocked, maxLaunches: maxNew,
+	p := &scaleOutPlanner{snapshot: s, types: types, blocked: blocked, maxLaunches: maxLaunches,
 		machinesByZone: map[string]int{}, countByPool: map[Pool]int{}}
 	for _, m := range s.Machines {
 		p.machinesByZone[m.Zone]++
@@ -46,14 +46,14 @@
 	for i, j := range s.Jobs {
 		p.plan(j, s.Jobs[i:])
 	}
-	var out []Launch
+	var launches []Launch
 	for _, pool := range p.pools {
-		out = append(out, Launch{pool, p.countByPool[pool]})
+		launches = append(launches, Launch{pool, p.countByPool[pool]})
 	}
-	return out
+	return launches
 }
 
-// plan places the job's waiting tasks; later are the job and those that rank after it.
+// plan places the job's waiting tasks. later holds the job and all jobs that rank after it.
 func (p *scaleOutPlanner) plan(j *Job, later []*Job) {
 	if len(j.Waiting) == 0 || j.Gang && p.placeGang(j, later) {
 		return
@@ -76,18 +76,18 @@
 	}
 }
 
-// placeGang places a gang whole. It returns false if machines have to be rented for it. A gang
-// beyond its team's quota waits for the team's own work to end.
+// placeGang places all tasks of a gang on existing machines. It returns false if machines must be rented for it. It
+// returns true without placing a gang that exceeds its team's quota: the gang waits until other tasks of the team end.
 func (p *scaleOutPlanner) placeGang(j *Job, later []*Job) bool {
 	quota := p.snapshot.Quotas[j.Team]
-	if quota == nil || !quota.WithinMaximum(j.wholeNeed()) {
+	if quota == nil || !quota.WithinMaximum(j.totalRequest()) {
 		return true
 	}
 	if p.snapshot.placeGang(j, func(*Quota, Resources) bool { return true }) != nil {
 		return true
 	}
 	if j.OneZone && j.Zone == "" {
-		// What is missing has to be rented in a zone where that can be done.
+		// All machines must be in one zone, so choose a zone where machines can be rented.
 		if pool, typ := p.cheapestPool(j, later); typ != nil {
 			j.Zone = pool.Zone
 		}
@@ -95,11 +95,12 @@
 	return false
 }
 
-// recordRoom is how many tasks a machine to be rented may hold: its record is empty, so resources
-// decide.
-const recordRoom = 1 << 20
+// emptyRecordCapacity is the task capacity assumed for a machine to be rented. Its stored record is still empty, so
+// only its resources limit the number of tasks.
+const emptyRecordCapacity = 1 << 20
 
-// launch adds a machine to be rented for the job, nil if there is none or no more may be rented.
+// launch adds a machine to be rented for the job and returns it. It returns nil if no pool is open to the job or
+// maxLaunches is reached.
 func (p *scaleOutPlanner) launch(j *Job, later []*Job) *Machine {
 	if p.launched >= p.maxLaunches {
 		return nil
@@ -108,7 +109,7 @@
 	if typ == nil {
 		return nil
 	}
-	m := &Machine{Type: typ, Zone: pool.Zone, Spot: pool.Spot, Free: typ.Size, TaskCapacity: recordRoom, Booting: true}
+	m := &Machine{Type: typ, Zone: pool.Zone, Spot: pool.Spot, Free: typ.Size, TaskCapacity: emptyRecordCapacity, Booting: true}
 	p.snapshot.AddMachine(m)
 	p.machinesByZone[m.Zone]++
 	if p.countByPool[pool] == 0 {
@@ -119,12 +120,12 @@
 	return m
 }
 
-// zoneBalanceWeight raises the cost of a pool for each machine in its zone, so that equal prices go
-// to the zone with fewer machines.
+// zoneBalanceWeight raises the cost of a pool for each machine in its zone, so that among equal prices the zone with
+// fewer machines is chosen.
 const zoneBalanceWeight = 0.001
 
-// cheapestPool is where a machine for a task of the job costs least per task. Jobs that rank later
-// count, as they may use the rest of the machine. The type is nil if no pool is open.
+// cheapestPool returns the pool with the lowest price per task for the job. The price of a machine is divided among all
+// waiting tasks that could share it, including those of jobs that rank later. The type is nil if no pool is open.
 func (p *scaleOutPlanner) cheapestPool(j *Job, later []*Job) (Pool, *Type) {
 	var cheapest Pool
 	var cheapestType *Type
@@ -133,17 +134,17 @@
 		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
 			continue
 		}
-		fit := perMachine(j.Request, t.Size)
-		alike := -1 // to be counted if any pool of the type is open
+		capacity := tasksPerMachine(j.Request, t.Size)
+		compatible := -1 // not counted yet; it is counted only if a pool of the type is open
 		for pool := range p.openPools(j, t) {
-			if alike < 0 {
-				alike = tasksAlike(j, later, t)
+			if compatible < 0 {
+				compatible = countCompatibleTasks(j, later, t)
 			}
 			price := t.Price
 			if pool.Spot {
 				price = t.SpotPrice
 			}
-			cost := price / math.Min(fit, math.Max(1, float64(alike)))
+			cost := price / math.Min(capacity, math.Max(1, float64(compatible)))
 			cost *= 1 + zoneBalanceWeight*float64(p.machinesByZone[pool.Zone])
 			if cost < lowest {
 				cheapest, cheapestType, lowest = pool, t, cost
@@ -153,7 +154,7 @@
 	return cheapest, cheapestType
 }
 
-// openPools are the pools of a type that the job may use and that machines can be rented from.
+// openPools yields the pools of a type that the job may use and that are not blocked.
 func (p *scaleOutPlanner) openPools(j *Job, t *Type) iter.Seq[Pool] {
 	return func(yield func(Pool) bool) {
 		for _, zone := range t.Zones {
@@ -170,26 +171,26 @@
 	}
 }
 
-// mayUse says whether a task of the job fits the type and is allowed on it.
+// mayUse reports whether a task of the job fits a machine of the type and is allowed on the type.
 func (j *Job) mayUse(t *Type) bool {
 	return j.Request.Fits(t.Size) && (j.Types == nil || j.Types[t.Name])
 }
 
-// CanAvoidAccelerators says whether the job is a batch without accelerators that may use a type without them.
-// Then no machine with accelerators is rented for it, and it leaves the cores that free
+// CanAvoidAccelerators reports whether the job is a batch that requests no accelerators and may use a type without
+// accelerators. No machine with accelerators is rented for such a job, and it leaves free the cores that free
 // accelerators need.
 func (j *Job) CanAvoidAccelerators(types []*Type) bool {
 	return !j.Service && j.Request.Accel == 0 &&
 		slices.ContainsFunc(types, func(t *Type) bool { return t.Size.Accel == 0 && j.mayUse(t) })
 }
 
-// tasksAlike counts the waiting tasks that could share a machine of the type with the job's.
-func tasksAlike(j *Job, later []*Job, t *Type) int {
-	alike := 0
+// countCompatibleTasks counts the waiting tasks that could share a machine of the type with tasks of the job.
+func countCompatibleTasks(j *Job, later []*Job, t *Type) int {
+	compatible := 0
 	for _, other := range later {
 		if (other.Request.Accel > 0) == (j.Request.Accel > 0) && other.mayUse(t) {
-			alike += len(other.Waiting)
+			compatible += len(other.Waiting)
 		}
 	}
-	return alike
+	return compatible
 }
