--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -5,10 +5,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// attemptTracker stops attempts, and removes those that are proved to be no longer on their machines.
+// attemptTracker requests the stop of attempts, and removes attempts that are proven to have left their machines.
 //
-// It has no state of its own: the attempts are in the cluster state. After a failover the next leader reads
-// them from the stored records, and learns from the workers' heartbeats which of them are there.
+// It has no state of its own: the attempts are in the cluster state. After a failover the next leader loads them from
+// the stored records, and learns from the workers' heartbeats which of them are still on their machines.
 type attemptTracker struct {
 	completions *completionRecorder
 	dispatcher  *commandDispatcher
@@ -19,7 +19,7 @@
 	state       *clusterstate.State
 }
 
-// absenceProof is what proves that an attempt is no longer on its machine.
+// absenceProof is the kind of evidence that an attempt is not on its machine any more.
 type absenceProof string
 
 // Proofs of absence.
@@ -34,7 +34,8 @@
 	machineUnlisted     absenceProof = "machine no longer listed"
 )
 
-// requestStop has an attempt stopped, and with it all of its gang. The tasks have grace seconds to save.
+// requestStop requests the stop of an attempt, or of all attempts of its gang. grace is the time in seconds that each
+// task has to save a checkpoint.
 func (t *attemptTracker) requestStop(a *clusterstate.Attempt, grace float64, reason stopReason) {
 	if a.Job.Gang != nil && !a.Job.Finalizing {
 		t.requestGangStop(a.Job, a.Number, grace, reason)
@@ -43,8 +44,8 @@
 	t.requestAttemptStop(a, grace, reason)
 }
 
-// requestAttemptStop has one attempt stopped. A repeated request counts only if it shortens the grace period.
-// An attempt whose run command was never sent is removed at once.
+// requestAttemptStop requests the stop of one attempt. A repeated request takes effect only if it shortens the grace
+// period. A durable attempt whose run command was never sent is removed at once.
 func (t *attemptTracker) requestAttemptStop(a *clusterstate.Attempt, grace float64, reason stopReason) {
 	if a.StopRequested && grace >= a.GraceSeconds {
 		return
@@ -61,7 +62,7 @@
 	}
 }
 
-// removeAttempt takes an attempt that is proved to be no longer on its machine out of the cluster state.
+// removeAttempt removes an attempt that is proven to have left its machine from the cluster state.
 func (t *attemptTracker) removeAttempt(a *clusterstate.Attempt, proof absenceProof) {
 	m, j := a.Machine, a.Job
 	t.state.RemoveAttempt(a)
@@ -81,8 +82,8 @@
 	t.placement.fillPending = true
 }
 
-// wasInterrupted reports whether a batch task ended before it was done, through no doing of its own or of the
-// scheduler.
+// wasInterrupted reports whether an attempt of a batch task, after its run command was sent, ended before the task was
+// done, for a reason other than the task's own failure, a lack of resources on the machine, or preemption.
 func wasInterrupted(a *clusterstate.Attempt) bool {
 	if a.Job.Spec.Service || !a.Sent || a.Preempted || a.Job.IsDone(a.Index) {
 		return false
--- a/internal/controller/call_limiter.go
+++ b/internal/controller/call_limiter.go
@@ -7,31 +7,32 @@
 	"claybarrow/internal/ratelimit"
 )
 
-// The processor bounds the direct calls beside the sockets: each costs a tenth of a millisecond of a core,
-// and the renewal of the leader's lease waits in turn with them. A new leader of 5,500 workers, which called
-// all of them at once, lost its lease that way.
+// The direct calls are bounded by CPU time as well as by sockets. Each call costs a tenth of a millisecond of a core,
+// and the renewal of the leader's lease queues behind the calls. A new leader that called all of its 5,500 workers at
+// once lost its lease that way.
 const (
 	callsPerCore       = 1024 // in flight at once
 	callsPerCoreSecond = 4000
 	callsPerCoreBurst  = 128
 )
 
-// minLimiterCores is the least number of cores that the limits are computed with. A deployment with less
-// than a core has a fleet too small to need limits below those of a whole one.
+// minLimiterCores is a lower bound for the number of cores in the computation of the limits. A deployment with less
+// than one core has a fleet so small that it needs no limits below those of one core.
 const minLimiterCores = 1
 
-// descriptorsPerCall is how many file descriptors the process has for each direct call in flight. The rest
-// is for what must not wait for the workers: users' requests, heartbeats and the state service.
+// descriptorsPerCall is the number of the process's file descriptors for each direct call in flight. The descriptors
+// that the calls do not use are reserved for users' requests, heartbeats and the state service, which must not wait for
+// calls to workers.
 const descriptorsPerCall = 8
 
-// callLimiter bounds the direct calls to workers, by their number in flight and by the rate at which they
-// start. A call waits for its turn before anything is recorded as sent. A failover with hundreds of machines,
-// or a partitioned zone whose calls all hang, must not take all sockets, and calls that will be answered must
-// not wait for calls that hang.
+// callLimiter bounds the direct calls to workers, by their number in flight and by the rate at which they start. The
+// limiter is checked before any command is recorded as sent. A failover with hundreds of machines, or a partitioned
+// zone whose calls all hang, must not exhaust the sockets, and calls to responsive workers must not wait for calls that
+// hang.
 type callLimiter struct {
 	maxInFlight     int
 	inFlight        int
-	mayHangInFlight int // those of inFlight whose worker may not answer
+	mayHangInFlight int // the calls in flight to workers that may not answer
 	startRate       ratelimit.TokenBucket
 }
 
@@ -54,11 +55,11 @@
 	return l.startRate.Allows(now, 1)
 }
 
-// maxMayHang is how many of the calls in flight may be to workers that may not answer. The other third stays
-// free for workers that do.
+// maxMayHang bounds the calls in flight to workers that may not answer, at two thirds of maxInFlight. The remaining
+// third is reserved for responsive workers.
 func (l *callLimiter) maxMayHang() int { return l.maxInFlight * 2 / 3 }
 
-// begin counts a call that starts.
+// begin records the start of a call.
 func (l *callLimiter) begin(now time.Duration, mayHang bool) {
 	l.inFlight++
 	l.startRate.Take(now, 1)
@@ -67,7 +68,7 @@
 	}
 }
 
-// end counts a call that is over; mayHang is what begin was given.
+// end records the end of a call; mayHang must have the value that was passed to begin.
 func (l *callLimiter) end(mayHang bool) {
 	l.inFlight--
 	if mayHang {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -12,11 +12,11 @@
 )
 
 // commandDispatcher sends commands to the workers, in direct calls or in the replies to their heartbeats, and
-// repeats them until a worker is known to have received them.
+// repeats them until the workers have acknowledged them.
 //
-// It owns the calls in flight, by its limiter. What was sent to a worker is kept with the machine and its
-// attempts in the cluster state. Both end with the leadership: after a failover the next leader learns from
-// the workers' heartbeats what they received.
+// It owns the limiter that counts the calls in flight. The cluster state records with each machine and attempt which
+// commands were sent. Both are discarded when the leadership ends: after a failover the next leader learns from the
+// workers' heartbeats which commands they have received.
 type commandDispatcher struct {
 	env        *environment
 	heartbeats *heartbeatReceiver
@@ -30,27 +30,26 @@
 	callLimiter callLimiter
 }
 
-// commandTimeout bounds a direct call to a worker: one that takes longer is as good as unanswered, however
-// long the workers' lease is.
+// commandTimeout bounds the duration of a direct call to a worker, independently of the workers' lease. A call
+// without a reply after that time counts as failed.
 const commandTimeout = 1600 * time.Millisecond
 
-// maxCallBackoffFactor bounds how many times the retry pause a worker is left alone after failed calls.
+// maxCallBackoffFactor bounds the back-off after failed calls, as a multiple of callRetryPause.
 const maxCallBackoffFactor = 4
 
-// callTimeout is how long a direct call may take: commandTimeout, and a tenth of the workers' lease at the
-// most.
+// callTimeout is the timeout of a direct call: commandTimeout or a tenth of the workers' lease, whichever is shorter.
 func (d *commandDispatcher) callTimeout() time.Duration {
 	return min(d.env.cfg.WorkerLease()/10, commandTimeout)
 }
 
-// callRetryPause is how long a worker is left alone after its first failed call; after more in a row the
-// pause is longer, up to maxCallBackoffFactor times.
+// callRetryPause is the back-off after the first failed call to a worker. It grows with each consecutive failure, up
+// to maxCallBackoffFactor times.
 func (d *commandDispatcher) callRetryPause() time.Duration {
 	return min(d.env.cfg.WorkerHeartbeatInterval()/2, d.env.cfg.LeaderLease()*2/3)
 }
 
-// epochRetryPause is how long after a refusal for its agent epoch a worker is called again with the epoch
-// that it named.
+// epochRetryPause is the delay after a worker has rejected a call because of its agent epoch, until the worker is
+// called again with the epoch of its reply.
 func (d *commandDispatcher) epochRetryPause() time.Duration {
 	return d.env.cfg.WorkerHeartbeatInterval() / 20
 }
@@ -58,8 +57,8 @@
 // directCall is a call to a worker that is in flight.
 type directCall struct {
 	machine  *clusterstate.Machine
-	epoch    uint64                  // the agent epoch that the call names
-	attempts []*clusterstate.Attempt // those whose run commands it carries
+	epoch    uint64                  // the agent epoch that the call is addressed to
+	attempts []*clusterstate.Attempt // the attempts whose run commands the call carries
 	sentAt   time.Duration
 	mayHang  bool
 }
@@ -81,7 +80,8 @@
 	d.sendCommands(m, commands)
 }
 
-// canCall reports whether a direct call to the machine is possible at all now.
+// canCall reports whether a direct call to the machine is possible now: its address is known, no call is in flight or
+// backed off, and this controller leads with all records loaded.
 func (d *commandDispatcher) canCall(m *clusterstate.Machine) bool {
 	if m.CallInFlight || m.Addr == "" || d.env.now < m.NextCallAt {
 		return false
@@ -89,7 +89,7 @@
 	return d.loader.ready && !d.lease.ended && !d.lease.verifiesLease()
 }
 
-// sendCommands makes the direct call; without commands it is a probe.
+// sendCommands starts a direct call with the commands; a call without commands is a probe.
 func (d *commandDispatcher) sendCommands(m *clusterstate.Machine, commands []protocol.Command) {
 	call := &directCall{machine: m, epoch: m.Epoch, sentAt: d.env.now, mayHang: d.mayHang(m)}
 	for _, command := range commands {
@@ -103,7 +103,7 @@
 	body := workerclient.NewCommands(d.lease.token, m.Epoch, commands)
 	validUntil := time.Duration(0)
 	if len(call.attempts) > 0 {
-		// A run command must not leave once another leader may be elected.
+		// A run command must not be sent once another leader may have been elected.
 		validUntil = d.lease.holdsLeaseUntil()
 		d.trace.noteFirstPlacement()
 	}
@@ -115,7 +115,7 @@
 		})
 }
 
-// onCommandReply handles the response to a direct call, or its absence.
+// onCommandReply handles the result of a direct call: the worker's reply, or the failure of the call.
 func (d *commandDispatcher) onCommandReply(call *directCall, res Result) {
 	m := call.machine
 	m.CallInFlight = false
@@ -144,7 +144,7 @@
 		return
 	}
 	if reply.Outcome == workerclient.Rejected {
-		// The worker has another agent epoch than the call named. The response says which.
+		// The call was addressed to another agent epoch than the worker's. The reply carries the worker's epoch.
 		m.Probed = false
 		m.NextCallAt = d.env.now + d.epochRetryPause()
 		if reply.Heartbeat.Epoch == call.epoch {
@@ -154,7 +154,7 @@
 	d.dispatchCommands(m)
 }
 
-// backOffCalls delays the next direct call to a worker after one that failed.
+// backOffCalls delays the next direct call to a worker after a failed call.
 func (d *commandDispatcher) backOffCalls(call *directCall, res Result) {
 	m := call.machine
 	m.FailedCalls++
@@ -163,8 +163,8 @@
 	m.NextCallAt = d.env.now + d.callRetryPause()*time.Duration(min(m.FailedCalls, maxCallBackoffFactor))
 }
 
-// settleRuns notes what became of the run commands that the call carried. Without a response a copy of them
-// may still be executed; with a conflict none was.
+// settleRuns records the outcome of the run commands that the call carried. After a call without a usable reply, a
+// copy of the commands may still be executed; after a rejection the worker has executed none of them.
 func (call *directCall) settleRuns(outcome workerclient.Outcome) {
 	for _, a := range call.attempts {
 		a.RunsInFlight--
@@ -178,33 +178,34 @@
 	}
 }
 
-// mayHang reports whether a direct call to the machine may well hang.
+// mayHang reports whether a direct call to the machine may hang until its timeout: the machine has not acknowledged
+// this leader's token, or the last call to it failed.
 func (d *commandDispatcher) mayHang(m *clusterstate.Machine) bool {
 	return !m.TokenAcknowledged || m.FailedCalls > 0
 }
 
-// needsProbe reports whether an empty call to the machine is worthwhile. It brings the leader's token to a
-// machine that may be up, and shows whether direct calls work again. A machine that still boots would only
-// let it time out.
+// needsProbe reports whether the machine should get a call without commands. Such a probe sends the leader's token to
+// a machine that may be up, and shows whether direct calls succeed again. A machine that is still booting is not
+// probed, because the call would only time out.
 func (d *commandDispatcher) needsProbe(m *clusterstate.Machine) bool {
 	unheard := !m.TokenAcknowledged && !m.Probed && (m.EverReported || m.ListedRunning)
 	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && d.env.now > m.LastSeen+d.overdueAfter()
-	// probesReachability comes last, as it counts what it is asked: other machines did not answer, so this
-	// one is asked whether the fault is theirs or the leader's.
+	// probesReachability comes last because it counts the probes that it permits. While other machines do not
+	// answer, the probe shows whether the fault is with those machines or with the leader.
 	return unheard || m.FailedCalls > 0 || overdue || d.reach.probesReachability(m)
 }
 
-// overdueAfter is how long after its last message a worker is probed: half an interval after the heartbeat
-// that is missing was due.
+// overdueAfter is the time without messages after which a worker is probed: half an interval after its next heartbeat
+// was due.
 func (d *commandDispatcher) overdueAfter() time.Duration {
 	return d.env.cfg.WorkerHeartbeatInterval() * 3 / 2
 }
 
-// hasNoCommands reports whether the machine has no pending commands, as most machines of a fleet, without
-// building any list: every machine is looked at at every tick. Commands sent less than a heartbeat interval
-// ago, and exits whose outcome is not durable yet, don't count either. During an array of thousands of short
-// tasks most machines had some of these, and the lists built for them at every tick took a fifth of a
-// leader's time.
+// hasNoCommands reports whether the machine has no pending commands. It allocates no lists: it runs for every machine
+// on every tick, and most machines of a fleet have no commands. Commands that were sent less than a heartbeat interval
+// ago, and exits whose outcome is not durable yet, do not count as pending. During an array job of thousands of short
+// tasks most machines had some of these, and the lists built for them on every tick took a fifth of a leader's CPU
+// time.
 func (d *commandDispatcher) hasNoCommands(m *clusterstate.Machine) bool {
 	if len(m.UnknownTasks) > 0 {
 		return false
@@ -227,9 +228,9 @@
 	return true
 }
 
-// pendingCommands lists what the worker has to do now, and marks it as sent. Run commands go once, in a direct
-// call; the reply to a heartbeat (inReply) carries them only where direct calls fail. The order is that of
-// the attempts, then the stops of unknown tasks, then the clears.
+// pendingCommands returns the commands to send to the worker now, and marks them as sent. The reply to a heartbeat
+// (inReply) carries run commands only if direct calls to the worker fail. The commands of the attempts come first, in
+// the order of the attempts, then the stops of unknown tasks, then the clears.
 func (d *commandDispatcher) pendingCommands(m *clusterstate.Machine, inReply bool) []protocol.Command {
 	if inReply && m.CallInFlight || d.hasNoCommands(m) {
 		return nil
@@ -247,9 +248,9 @@
 	return d.appendClears(commands, m)
 }
 
-// mayRun reports whether the attempt's run command may be sent: its record is durable, the worker is not known
-// to have the attempt, and nobody else can have become leader. A gang's run commands leave together, once all
-// of its placements are durable.
+// mayRun reports whether the attempt's run command may be sent: its record is durable, the worker has not
+// acknowledged the attempt, and no other controller can have become leader. The run commands of a gang are sent
+// together, once all of its placements are durable.
 func (d *commandDispatcher) mayRun(m *clusterstate.Machine, a *clusterstate.Attempt) bool {
 	if !a.Durable || a.Acknowledged || a.Loaded || m.Releasing || !d.lease.holdsLease() {
 		return false
@@ -257,7 +258,7 @@
 	return a.Job.Gang == nil || a.StopRequested || a.Job.Gang.Complete()
 }
 
-// appendRun adds the attempt's run command and notes that it is sent.
+// appendRun appends the attempt's run command and marks it as sent.
 func (d *commandDispatcher) appendRun(commands []protocol.Command, m *clusterstate.Machine, a *clusterstate.Attempt, inReply bool) []protocol.Command {
 	a.Sent, a.Epoch = true, m.Epoch
 	if inReply {
@@ -268,15 +269,15 @@
 	return append(commands, protocol.Command{Verb: protocol.VerbRun, Task: a.Key().Task, Attempt: a.Number})
 }
 
-// appendStop adds the stop command of an attempt that is to be stopped, unless it was sent lately.
+// appendStop appends the stop command of an attempt whose stop was requested, unless it was sent recently.
 func (d *commandDispatcher) appendStop(commands []protocol.Command, m *clusterstate.Machine, a *clusterstate.Attempt, inReply bool) []protocol.Command {
 	if !d.stopIsDue(a) {
 		return commands
 	}
 	if a.RunLost && !a.Acknowledged {
-		// A run command that had no response may have been lost, or may still arrive. Repeating it, with
-		// the stop right behind it, makes certain that the worker has the attempt and stops it. No user
-		// has been told yet that the job is cancelled.
+		// A run command without a reply may have been lost, or may still arrive. The worker gets the run command
+		// again, followed by the stop, so that it certainly has the attempt and stops it. If the job is being
+		// cancelled, its cancellation has not been confirmed to a user yet.
 		if !d.mayRun(m, a) {
 			return commands
 		}
@@ -284,14 +285,14 @@
 	}
 	grace := a.GraceSeconds
 	if a.State == protocol.TaskSavingCheckpoint {
-		grace = 0 // the time to save is over, see stopIsDue
+		grace = 0 // the grace period is over, see stopIsDue
 	}
 	a.StopSentAt = d.env.now
 	return append(commands, protocol.Command{Verb: protocol.VerbStop, Task: a.Key().Task, Attempt: a.Number, GraceS: grace})
 }
 
-// stopIsDue reports whether the stop command is to be sent, for the first time or again. A task that is saving
-// has its grace period, and two heartbeat intervals for its exit to be reported.
+// stopIsDue reports whether the stop command should be sent, for the first time or again. For a task that is saving a
+// checkpoint, it is repeated only after the grace period and two heartbeat intervals for the report of the exit.
 func (d *commandDispatcher) stopIsDue(a *clusterstate.Attempt) bool {
 	interval := d.env.cfg.WorkerHeartbeatInterval()
 	if a.State == protocol.TaskSavingCheckpoint && d.env.now < a.StopSentAt+seconds(a.GraceSeconds)+2*interval {
@@ -300,7 +301,7 @@
 	return a.StopSentAt <= 0 || d.env.now >= a.StopSentAt+interval
 }
 
-// appendUnknownTaskStops adds stop commands for tasks of jobs that the cluster state does not have.
+// appendUnknownTaskStops appends stop commands for the tasks of jobs that the cluster state lacks.
 func (d *commandDispatcher) appendUnknownTaskStops(commands []protocol.Command, m *clusterstate.Machine) []protocol.Command {
 	for _, key := range slices.SortedFunc(maps.Keys(m.UnknownTasks), compareAttemptKeys) {
 		if d.env.now >= m.UnknownTasks[key]+d.env.cfg.WorkerHeartbeatInterval() {
@@ -311,8 +312,8 @@
 	return commands
 }
 
-// appendClears adds clear commands for exited tasks, with which the worker forgets them. Before the worker
-// shows the leader's token, a command of an earlier leader may still arrive, and nothing may be cleared.
+// appendClears appends clear commands for exited tasks, on which the worker drops its record of them. Until the worker
+// has acknowledged the leader's token, run commands of an earlier leader may still arrive, so no task is cleared.
 func (d *commandDispatcher) appendClears(commands []protocol.Command, m *clusterstate.Machine) []protocol.Command {
 	if !m.TokenAcknowledged {
 		return commands
@@ -328,8 +329,8 @@
 	return commands
 }
 
-// clearIsDue reports whether an exited task may be cleared now. After the clear a repeated run command would
-// start the task again, so none may be on its way.
+// clearIsDue reports whether the clear command of an exited task should be sent now. A run command that arrives after
+// the clear would start the task again, so no run command of the attempt may be in flight.
 func (d *commandDispatcher) clearIsDue(m *clusterstate.Machine, exited *clusterstate.ExitedTask) bool {
 	if !exited.Clearable || exited.ClearSentAt > 0 && d.env.now < exited.ClearSentAt+d.env.cfg.WorkerHeartbeatInterval() {
 		return false
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -6,16 +6,16 @@
 	"claybarrow/internal/clusterstate"
 )
 
-// Tasks fail because their machine is faulty, or because their job was submitted with a mistake and fails
-// everywhere. What tells the two apart is evidence: a job that fails on several machines is at fault itself; a
-// machine where several jobs fail, or where a job fails that completes its tasks elsewhere, is faulty. When the
-// failures were counted by tasks, one job with a mistake had good machines released, and others given no work for
-// 100 leases (inc-5ccc).
+// Tasks fail because their machine is faulty, or because their job has a fault and fails on every machine. The two
+// cases are distinguished as follows: a job that fails on several machines is itself at fault; a machine is faulty if
+// several jobs fail on it, or if a job fails on it that completes tasks on other machines. When failures were counted
+// per task, a single faulty job caused the release of good machines, and other machines got no tasks for 100 leases
+// (inc-5ccc).
 
-// failureTracker tells faulty machines from jobs that fail everywhere, and delays failing jobs.
+// failureTracker distinguishes faulty machines from jobs that fail on every machine, and delays failing jobs.
 //
-// It has no state of its own: a job's failures are kept with the job, and the evidence against a machine with the
-// machine.
+// It has no state of its own: a job's failures are stored in the Job, and the evidence against a machine in the
+// Machine.
 type failureTracker struct {
 	catalog *machineCatalog
 	env     *environment
@@ -23,13 +23,13 @@
 	views   *schedulerViews
 }
 
-// maxRetryDoublings bounds the doublings of the delay of a failing job.
+// maxRetryDoublings bounds how often the retry delay of a failing job is doubled.
 const maxRetryDoublings = 8
 
-// onTaskError handles a task that exited with an error. The attempt is nil if the cluster state does not have it.
+// onTaskError handles a task that exited with an error. a is nil if the cluster state lacks the attempt.
 func (f *failureTracker) onTaskError(m *clusterstate.Machine, j *clusterstate.Job, a *clusterstate.Attempt, key clusterstate.AttemptKey) {
 	if a != nil && j.Spec.Service && f.env.now > a.AddedAt+seconds(f.catalog.longestBootS()) {
-		f.noteTaskSuccess(j, nil) // a service's task that ran for that long had succeeded
+		f.noteTaskSuccess(j, nil) // a service task that ran for longer than a boot has succeeded before it failed
 	}
 	f.env.log.Debug("task failed", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
 	if j.Failures.Backoffs == 0 || a != nil && a.AddedAt > j.Failures.LastBackoffAt {
@@ -40,14 +40,15 @@
 		f.env.log.Info("job failing on every machine tried", "job", j.Spec.UID, "class", j.Spec.Class, "team", j.Spec.Team, "machines", len(j.Failures.Machines))
 		f.withdrawFailures(j)
 	case j.Failures.IsJobFault:
-		// The job's own fault, which says nothing of the machine.
+		// The failure is the job's own fault and no evidence against the machine.
 	case m.Faults.AddSuspect(j.Spec.UID):
 		f.logFaultyMachine(m)
 	}
 }
 
-// noteTaskSuccess notes that a task of the job has succeeded, on a machine unless that is nil. The job's failures
-// then confirm the suspicion against the other machines where it failed.
+// noteTaskSuccess records that a task of the job has succeeded on the machine; m is nil if the success is not
+// attributed to a machine. The success confirms the suspicion against the other machines on which tasks of the job
+// failed.
 func (f *failureTracker) noteTaskSuccess(j *clusterstate.Job, m *clusterstate.Machine) {
 	if m != nil {
 		m.Faults.Clear()
@@ -73,7 +74,7 @@
 	j.Failures = clusterstate.JobFailures{}
 }
 
-// withdrawFailures withdraws the evidence that a job's failures were against the machines.
+// withdrawFailures removes a job's failures from the evidence against the machines.
 func (f *failureTracker) withdrawFailures(j *clusterstate.Job) {
 	for id := range j.Failures.Machines {
 		if m := f.state.Machines[id]; m != nil {
@@ -87,8 +88,8 @@
 	f.env.log.Info("machine quarantined", "machine", m.ID, "type", m.Type, "zone", m.Zone, "failed_jobs", len(m.Faults.SuspectJobs)+m.Faults.ConfirmedJobs)
 }
 
-// backOffJob delays a failing job, and counts the delay as attained service: otherwise a job whose tasks fail at
-// once would keep the top rank for ever.
+// backOffJob delays a failing job, and counts the delay as attained service. Otherwise a job whose tasks fail
+// immediately would keep the highest rank indefinitely.
 func (f *failureTracker) backOffJob(j *clusterstate.Job) {
 	j.Failures.Backoffs++
 	j.Failures.LastBackoffAt = f.env.now
@@ -97,9 +98,9 @@
 	j.Scale.Attained += delay.Seconds() * capacityShare(j, f.views.readyCapacity())
 }
 
-// retryDelay is a heartbeat interval after the first wave of failures, and doubles with each further one. It is a
-// lease at the most, as a job that waits for longer beside free room is stuck. For a job that fails everywhere it
-// may be as long as a cancellation may take.
+// retryDelay is the delay before a failing job starts tasks again. It is a heartbeat interval after the first back-off
+// and doubles with each further one. It is at most a worker lease, because a job that waits longer while resources are
+// free counts as stuck. For a job that fails on every machine it may be as long as the cancellation timeout.
 func (f *failureTracker) retryDelay(j *clusterstate.Job) time.Duration {
 	longest := f.env.cfg.WorkerLease()
 	if j.Failures.IsJobFault {
@@ -109,8 +110,8 @@
 	return min(delay, longest)
 }
 
-// noteProbingStart notes the start of a task of a job that is tried with one task at a time: the next one waits for
-// the outcome.
+// noteProbingStart records the start of a task of a job that may start only one task at a time because of its failures.
+// The next start is delayed until the outcome of this task is likely to be known.
 func (f *failureTracker) noteProbingStart(j *clusterstate.Job) {
 	if j.Failures.IsProbing() && j.Gang == nil {
 		j.NotBefore = max(j.NotBefore, f.env.now+f.retryDelay(j))
--- a/internal/controller/fetch_warning.go
+++ b/internal/controller/fetch_warning.go
@@ -6,8 +6,9 @@
 	"claybarrow/internal/clusterstate"
 )
 
-// warnOfSlowFetch warns the operators, once a class and process, that the images of a class take longer to fetch than
-// its wait objective. The settings alone don't show that: the sizes come with the jobs, the rates from the cloud.
+// warnOfSlowFetch logs a warning, once per job class and process, if the image of a job takes longer to fetch than the
+// wait objective of the job's class. A check of the settings cannot detect that: the image sizes come with the jobs,
+// and the fetch rates from the cloud.
 func (f *demandForecast) warnOfSlowFetch(j *clusterstate.Job) {
 	class, objective := j.Spec.Class, f.views.waitObjective(j.Spec.Class)
 	if objective <= 0 || f.catalog.warnedOfFetch[class] {
@@ -22,8 +23,8 @@
 		"class", class, "within_s", objective, "fetch_s", math.Round(fetchS*10)/10, "image_gb", j.Spec.ImageGB)
 }
 
-// shortestFetchS is how long a job's image takes to fetch, in seconds, on the fastest of the types that the job may
-// use; 0 if the rates of these are not known.
+// shortestFetchS is the time in seconds to fetch a job's image on the machine type with the highest fetch rate among
+// the types that the job may use. It is 0 if no fetch rates are known.
 func (m *machineCatalog) shortestFetchS(j *clusterstate.Job) float64 {
 	fastest := 0.0
 	for _, t := range m.types {
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -10,24 +10,26 @@
 	"claybarrow/internal/ratelimit"
 )
 
-// With failure detection, the controller that serves a machine's heartbeats is a function of the live controllers
-// of its zone, the leader among them: rendezvous hashing, so that a controller's end moves its own machines
-// alone, each to one of the others. The leader tells a worker where to send its heartbeats, as nobody else's
-// view counts. It sends none to a controller that is suspected, out of contact, or back for too short a time,
-// and takes none from one that is only suspected.
+// With failure detection, the machines of a zone are assigned to the live controllers of the zone, including the
+// leader, by rendezvous hashing: when a controller ends, only its own machines move, and each of them moves to one of
+// the remaining controllers.
+//
+// Only the leader decides the assignment and redirects workers by it. It redirects no machine to a controller that is
+// suspected, out of contact, or that has rejoined too recently. A suspected controller keeps its machines: suspicion
+// alone moves none.
 
-// assignments are the owners of machines by zone, in the failure detector's view.
+// assignments holds which controller owns each machine, by zone, in the failure detector's view.
 type assignments struct {
 	zones map[string]*membership.Assignment
-	// ownRoute is the workers' route to the leader itself.
+	// ownRoute is the workers' direct route to the leader.
 	ownRoute heartbeatRoute
-	// redirectBudget is how many machines may be redirected now: all of a fleet's within a lease, and in small
-	// fleets minRedirectsPerHeartbeat in each heartbeat interval.
+	// redirectBudget limits the rate of redirects: it allows the whole fleet to be redirected within one worker
+	// lease, and at least minRedirectsPerHeartbeat machines in each heartbeat interval.
 	redirectBudget ratelimit.TokenBucket
 }
 
-// minRedirectsPerHeartbeat is how many machines may be redirected in a heartbeat interval, however small the
-// fleet is.
+// minRedirectsPerHeartbeat is the number of machines that may be redirected in a heartbeat interval even in the
+// smallest fleet.
 const minRedirectsPerHeartbeat = 4
 
 func newAssignments(cfg *config.Config) assignments {
@@ -36,8 +38,8 @@
 	return assignments{zones: map[string]*membership.Assignment{}, redirectBudget: ratelimit.New(perSecond, perSecond*interval)}
 }
 
-// assignedRedirect names the controller that the worker is to send its heartbeats to instead of the one that this
-// heartbeat came by. It is empty if the worker stays there.
+// assignedRedirect returns the label of the controller that the worker is redirected to, which is the machine's owner.
+// It is empty if the worker keeps the controller that received this heartbeat.
 func (r *heartbeatRouter) assignedRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
 	servedBy := r.env.cfg.Label
 	if from.relayed {
@@ -69,8 +71,8 @@
 	return owner
 }
 
-// takeRedirect takes a redirect of the machine from the budget, if it may be redirected by that route now. The
-// route is asked last, as its answer starts a trial.
+// takeRedirect reports whether the machine may be redirected to the route now, and if so takes one redirect from the
+// budget. It calls route.accepts last because that call may begin a trial of the route.
 func (r *heartbeatRouter) takeRedirect(m *clusterstate.Machine, route *heartbeatRoute) bool {
 	if r.env.now < m.NoRedirectUntil || !r.assignments.redirectBudget.Allows(r.env.now, 1) {
 		return false
@@ -82,7 +84,8 @@
 	return true
 }
 
-// ownerOf is the controller that the machine's heartbeats are assigned to, or empty if its zone has none.
+// ownerOf returns the label of the controller that the machine is assigned to. It is empty if no controller of the
+// machine's zone may serve machines.
 func (r *heartbeatRouter) ownerOf(m *clusterstate.Machine) string {
 	assignment := r.assignments.zones[m.Zone]
 	if assignment == nil {
@@ -92,7 +95,7 @@
 	return assignment.Owner(m.ID, r.zoneServers(m.Zone))
 }
 
-// zoneServers are the controllers of a zone that may serve machines, sorted.
+// zoneServers returns the sorted labels of the zone's controllers that may serve machines.
 func (r *heartbeatRouter) zoneServers(zone string) []string {
 	var labels []string
 	if r.env.cfg.Zone == zone {
@@ -107,8 +110,8 @@
 	return labels
 }
 
-// isInContact reports whether machines may be redirected to a controller now: it is not suspected, and what it
-// forwards reaches the leader.
+// isInContact reports whether machines may be redirected to a controller now: the controller is the leader itself, or
+// its heartbeats reach the leader and the failure detector accepts it for new work.
 func (r *heartbeatRouter) isInContact(label string) bool {
 	if label == r.env.cfg.Label {
 		return true
@@ -117,9 +120,8 @@
 	return p != nil && r.heardLately(p) && r.detection.detector.AcceptsWork(label, r.env.now)
 }
 
-// routeTo is the workers' route to a controller, and the incarnation of that controller's process. A machine that
-// came back from there can't reach it, and is left alone for a while; what it could not reach of an earlier
-// process with the same label does not count.
+// routeTo returns the workers' route to the controller with the label, and the incarnation of that controller's
+// process. Failed redirects count only against the incarnation for which they were recorded.
 func (r *heartbeatRouter) routeTo(label string) (*heartbeatRoute, string) {
 	if p := r.peers[label]; p != nil {
 		return &p.route, p.incarnation
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -9,21 +9,23 @@
 	"claybarrow/internal/protocol"
 )
 
-// Workers send their heartbeats to a controller of their own zone, which forwards them to the leader, so that
-// no worker has to look for a controller when the zone is partitioned. A controller that is in contact with the
-// leader may still be unreachable for the workers. So the leader first redirects a single worker to it, and
-// more only while heartbeats come by it: a leader that had stepped down because it could not reach the workers
-// was once sent all the workers of its zone, who waited 4 s for it each time, and their tasks were moved or
-// lost.
+// Workers send their heartbeats to a controller of their own zone, which forwards them to the leader, so that no
+// worker has to search for a controller when the zone is partitioned.
 //
-// Without failure detection this file decides alone. With it, heartbeat_assignment.go names the controller, and
-// the routes here say whether a worker may be redirected to it now.
+// A controller that is in contact with the leader may still be unreachable from the workers. The leader therefore
+// redirects a single worker to such a controller as a trial, and redirects others only while forwarded heartbeats
+// arrive from it. Without the trial, a leader that stepped down because it could not reach the workers was then
+// assigned all workers of its zone. Each worker waited 4 s for every heartbeat to that controller, and tasks were
+// moved or lost.
+//
+// Without failure detection, this file alone selects the controller. With failure detection, heartbeat_assignment.go
+// selects it, and the routes of this file limit when a worker may be redirected to it.
 
 // heartbeatRouter decides which controller each worker sends its heartbeats to.
 //
-// It owns the assignments of machines to controllers; the routes by the other controllers are kept with its
-// peers, and a machine's own redirects with the machine. All of them end with the leadership: the next leader
-// tries each route anew.
+// It owns the assignments of machines to controllers. The route through each other controller is stored in its peer,
+// and the redirects of a machine in its Machine. All of this state is discarded when the leadership ends: the next
+// leader tries each route again.
 type heartbeatRouter struct {
 	detection *failureDetection
 	env       *environment
@@ -33,41 +35,42 @@
 	assignments assignments
 }
 
-// The worker's side of a heartbeat.
+// Timeouts of the worker for its heartbeats.
 const (
 	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatRetryPause is how long it then waits before it tries the next controller.
+	// heartbeatRetryPause is how long a worker waits after that timeout before it tries the next controller.
 	heartbeatRetryPause = time.Second
 )
 
 const (
-	// maxBackoffDoublings bounds the doublings of the time between two trials of a route.
+	// maxBackoffDoublings bounds how often the back-off between two trials of a route is doubled.
 	maxBackoffDoublings = 5
-	// routeFreshHeartbeats is for how many heartbeat intervals a forwarded heartbeat shows that a route works.
+	// routeFreshHeartbeats is the number of heartbeat intervals for which a forwarded heartbeat proves that a route
+	// works.
 	routeFreshHeartbeats = 3
-	// settledLeases is after how many leases a worker that comes back from a controller is taken to have been
-	// served there: its return is then no sign against the route.
+	// settledLeases is the number of worker leases after which a redirect counts as successful. If the worker leaves
+	// the controller later than that, its earlier failed redirects are no longer counted.
 	settledLeases = 3
 )
 
-// heartbeatRoute is what a leader knows of the workers' route to it by one controller.
+// heartbeatRoute is the state of the workers' route to the leader through one controller.
 type heartbeatRoute struct {
-	// lastForwardedAt is when a heartbeat last came by it; 0: none since a worker came back from there.
+	// lastForwardedAt is when a heartbeat last arrived by this route; 0: none has since a redirect to it failed.
 	lastForwardedAt time.Duration
-	// nextProbeAt is when a worker may be redirected there though no heartbeats come by it; failures counts
-	// the workers in a row that came back.
+	// nextProbeAt is the earliest time of the next trial, which is a redirect to this route while no heartbeats
+	// arrive by it. failures counts consecutive failed redirects.
 	nextProbeAt time.Duration
 	failures    int
 }
 
-// noteForwarded notes that a worker's heartbeat came by the controller.
+// noteForwarded records that a worker's heartbeat arrived by this route.
 func (r *heartbeatRoute) noteForwarded(now time.Duration) {
 	r.lastForwardedAt, r.failures = now, 0
 }
 
-// noteReturn notes that a worker came back from the controller. A heartbeat of another worker that comes by it
-// right now proves that the fault was the worker's own.
+// noteReturn records a failed redirect: a worker that was redirected to this route uses another one. If a heartbeat
+// of another worker arrived by this route at the same time, the route itself works, so lastForwardedAt is kept.
 func (r *heartbeatRoute) noteReturn(now, lease time.Duration) {
 	if r.lastForwardedAt < now {
 		r.lastForwardedAt = 0
@@ -76,8 +79,8 @@
 	r.failures++
 }
 
-// accepts reports whether a worker may be redirected there now. Unless heartbeats come by it that is a trial,
-// and the next trial has to wait for its outcome.
+// accepts reports whether a worker may be redirected to this route now. If no heartbeat has arrived by it recently,
+// the redirect is a trial, and accepts delays the next trial until the outcome of this one is known.
 func (r *heartbeatRoute) accepts(now, heartbeatInterval time.Duration) bool {
 	if r.lastForwardedAt > 0 && now < r.lastForwardedAt+routeFreshHeartbeats*heartbeatInterval {
 		return true
@@ -89,15 +92,15 @@
 	return true
 }
 
-// redirectBackoff is how long nothing is redirected after a number of failures in a row: half a lease after the
-// first, and twice as long after each further one.
+// redirectBackoff is the delay before the next redirect after another failure; failures is the number of consecutive
+// ones before it. The delay is half a lease after the first failure and doubles with each further one.
 func redirectBackoff(lease time.Duration, failures int) time.Duration {
 	return lease / 2 << min(failures, maxBackoffDoublings)
 }
 
-// redirectTarget names the controller that the worker is to send its heartbeats to: one of its own zone that is
-// in contact with the leader. It is empty if the worker stays where it is. A worker that comes back from there
-// can't reach it, and is left alone for a while.
+// redirectTarget returns the label of the controller that the worker is redirected to: a controller of the worker's
+// zone that is in contact with the leader. It is empty if the worker is not redirected. A worker that has left the
+// controller that it was redirected to could probably not reach it, and is not redirected during a back-off.
 func (r *heartbeatRouter) redirectTarget(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
 	if r.detection.enabled() {
 		return r.assignedRedirect(m, msg, from)
@@ -110,9 +113,9 @@
 		return ""
 	}
 	p := r.peers[label]
-	// A redirect to an earlier process of the controller does not count: on a day of rolling restarts the
-	// workers of a zone were left with the leader, and lost in a partition. As the end of a process may not be
-	// known yet, the first return from one counts for little.
+	// A failed redirect to an earlier process of the controller does not count. When it did, rolling restarts left
+	// all workers of a zone with the leader, and a later partition cut them off. The leader may learn late that a
+	// process has ended, so the back-off after the first failed redirect is short.
 	if m.RedirectedProcess != p.incarnation {
 		m.FailedRedirects = 0
 	} else if m.RedirectedAt > 0 {
@@ -126,13 +129,13 @@
 	return label
 }
 
-// mayRedirect reports whether a worker may be redirected at all: its zone is known, it has the leader's token,
-// and half a lease has passed since the election.
+// mayRedirect reports whether the worker satisfies the conditions of every redirect: its zone is known, it has the
+// leader's token, and half a lease has passed since the election.
 func (r *heartbeatRouter) mayRedirect(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) bool {
 	return m.Zone != "" && msg.Token == r.lease.token && r.env.now >= r.lease.electedAt+r.env.cfg.WorkerLease()/2
 }
 
-// onWorkerReturned notes that a worker sends its heartbeats elsewhere though it was redirected to a controller.
+// onWorkerReturned records that a worker does not send its heartbeats to the controller that it was redirected to.
 func (r *heartbeatRouter) onWorkerReturned(m *clusterstate.Machine, route *heartbeatRoute) {
 	lease := r.env.cfg.WorkerLease()
 	if r.env.now > m.RedirectedAt+settledLeases*lease {
@@ -144,8 +147,9 @@
 	route.noteReturn(r.env.now, lease)
 }
 
-// nearestController is the controller of a zone that is in contact with the leader, if any. Of several it is the
-// one after which a worker tries the next controller of the same zone soonest.
+// nearestController returns a controller of the zone that is in contact with the leader, or "" if there is none. Of
+// several controllers it returns the one with the fewest controllersBetween: if that controller ends, a worker reaches
+// another one of the zone soonest.
 func (r *heartbeatRouter) nearestController(zone string) string {
 	var candidates []string
 	for _, sibling := range r.env.cfg.Siblings {
@@ -161,17 +165,18 @@
 	})
 }
 
-// peerContactLimit is how long after a heartbeat of another controller that one counts as in contact: an eighth of
-// the workers' lease.
+// peerContactLimit is how long another controller counts as in contact after its last heartbeat: an eighth of the
+// workers' lease.
 func (e *environment) peerContactLimit() time.Duration { return e.cfg.WorkerLease() / 8 }
 
-// heardLately reports whether the controller is in contact with the leader.
+// heardLately reports whether the controller is in contact with the leader: its last heartbeat is younger than
+// peerContactLimit.
 func (r *heartbeatRouter) heardLately(p *peer) bool {
 	return p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.peerContactLimit()
 }
 
-// noteForwardedBy notes which controller forwarded a heartbeat. Older versions don't say which: then it is the
-// controller of the worker's zone, if that has only one.
+// noteForwardedBy records which controller forwarded a heartbeat. Controllers of older versions don't send their
+// label; such a heartbeat is attributed to the other controller of the worker's zone if there is exactly one.
 func (r *heartbeatRouter) noteForwardedBy(label, zone string) {
 	p := r.peers[label]
 	if label == "" {
@@ -182,7 +187,7 @@
 	}
 }
 
-// onlyPeerIn is the single other controller of a zone, or nil if there are none or several.
+// onlyPeerIn returns the other controller of the zone if there is exactly one, and nil otherwise.
 func (r *heartbeatRouter) onlyPeerIn(zone string) *peer {
 	var only *peer
 	for _, p := range r.peers {
@@ -197,9 +202,9 @@
 	return only
 }
 
-// controllersBetween is how many controllers a worker tries from this one to the next of the same zone, should
-// this one end. Workers try them in the order of their labels, and each that is unreachable costs 4 s of a
-// lease.
+// controllersBetween is the number of controllers that a worker tries after the one with the label has ended until
+// it reaches the next controller of the same zone. Workers try the controllers in the order of their labels, and each
+// unreachable controller costs 4 s of the worker's lease.
 func (e *environment) controllersBetween(label string) int {
 	type controller struct{ label, zone string }
 	all := []controller{{e.cfg.Label, e.cfg.Zone}}
--- a/internal/controller/job_completion.go
+++ b/internal/controller/job_completion.go
@@ -5,8 +5,8 @@
 	"claybarrow/internal/statestore"
 )
 
-// jobCompletion stores the final states of jobs. It has no state of its own: a failover finds the final states among
-// the stored records, and completes anew what was not stored.
+// jobCompletion stores the final states of jobs. It has no state of its own: after a failover the next leader loads the
+// stored final states, and repeats the completion of jobs whose final state was not stored.
 type jobCompletion struct {
 	completions  *completionRecorder
 	env          *environment
@@ -16,10 +16,10 @@
 	userRequests *userRequests
 }
 
-// completeCancellation stores the end of a cancelled job once its last task is proved to have ended; its user is
-// answered once that is stored. A follower in a zone that is cut off may keep a task alive for longer than cancel_s,
-// but only of a job whose user has not been answered. The request to cancel is stored at once: a user who gets no
-// answer asks again, but gives up after a while, and the job must not run on after a failover.
+// completeCancellation stores the final state of a cancelled job once its last task is proven to have ended; the user
+// gets the reply once that state is durable. A follower in a partitioned zone may keep a task alive for longer than
+// cancel_s, but only while the cancellation is unconfirmed. The request to cancel is stored at once: a user without a
+// reply repeats the request only for a limited time, and the job must not continue to run after a failover.
 func (c *jobCompletion) completeCancellation(j *clusterstate.Job) {
 	if !j.Cancelling || j.Finalizing || j.ActiveAttempts > 0 {
 		return
@@ -29,8 +29,8 @@
 	c.storeTerminalState(j, clusterstate.TerminalState{Cancelled: true})
 }
 
-// completeJob stores the end of a job whose tasks are all done; its user is answered once that is stored. A job that
-// was done before it could be cancelled counts as done.
+// completeJob stores the final state of a job whose tasks are all done; users who wait for its cancellation get the
+// reply once that state is durable. A job whose tasks were done before its cancellation completed counts as done.
 func (c *jobCompletion) completeJob(j *clusterstate.Job) {
 	if j.Finalizing {
 		return
@@ -39,8 +39,8 @@
 	c.storeTerminalState(j, clusterstate.TerminalState{Tasks: j.Spec.Tasks})
 }
 
-// storeTerminalState stores a job's final state. Once that is durable the job and its records of completions are
-// removed, and the users who wait for its cancellation are answered.
+// storeTerminalState stores a job's final state. Once that is durable, the job and its completion records are removed,
+// and the users who wait for its cancellation get the reply.
 func (c *jobCompletion) storeTerminalState(j *clusterstate.Job, terminal clusterstate.TerminalState) {
 	uid := j.Spec.UID
 	c.store.QueueWrite(clusterstate.JobPrefix+uid, statestore.PriorityUser, func() any { return j.Record() }, func() {
@@ -55,7 +55,7 @@
 	})
 }
 
-// deleteCompletionRecords has the records of a job's completed tasks deleted, as its final state replaces them.
+// deleteCompletionRecords queues the deletion of a job's completion records, which the final state replaces.
 func (c *jobCompletion) deleteCompletionRecords(j *clusterstate.Job) {
 	for _, key := range c.state.CompletionKeys(j) {
 		if c.store.Version(key) != 0 || c.store.IsPending(key) {
--- a/internal/controller/machine_catalog.go
+++ b/internal/controller/machine_catalog.go
@@ -7,22 +7,20 @@
 	"claybarrow/internal/scheduler"
 )
 
-// machineCatalog holds the cloud's machine types with their current prices. Every controller keeps it, leader
-// or not, so that a new leader can place tasks at once.
+// machineCatalog holds the cloud's machine types with their current prices. Followers keep it too, so that a new leader
+// can place tasks at once.
 type machineCatalog struct {
 	env    *environment
 	outbox *outbox
 
 	types    []*scheduler.Type
-	typeInfo map[string]protocol.MachineType // by name; also of types that the cloud no longer offers
-	// typesRefreshAt is when the types are fetched next.
+	typeInfo map[string]protocol.MachineType // by name, including types that the cloud no longer offers
+	// typesRefreshAt is when the next fetch of the types is due.
 	typesRefreshAt time.Duration
 	typesInFlight  bool
-	// typesGeneration counts the lists that were received, so that what was computed from an older one can be
-	// recognized.
+	// typesGeneration counts the received lists of types. Values computed from an older list are recognized by it.
 	typesGeneration int
-	// warnedOfFetch are the job classes whose images or models are known, and logged, to take longer to fetch
-	// than their tasks may wait.
+	// warnedOfFetch is the set of job classes for which warnOfSlowFetch has logged its warning.
 	warnedOfFetch map[string]bool
 }
 
@@ -31,11 +29,11 @@
 		typeInfo: map[string]protocol.MachineType{}, warnedOfFetch: map[string]bool{}}
 }
 
-// catalogRefreshLeases of the workers' lease lie between two fetches of the machine types.
+// catalogRefreshLeases is the interval between two fetches of the machine types, in worker leases.
 const catalogRefreshLeases = 12
 
-// refreshMachineTypes fetches the machine types at the start and then at intervals, as the current prices come
-// with them.
+// refreshMachineTypes fetches the machine types when a fetch is due. They are fetched regularly because they include
+// the current prices.
 func (m *machineCatalog) refreshMachineTypes() {
 	if m.typesInFlight || m.env.now < m.typesRefreshAt || !m.outbox.cloudRequests.Allows(m.env.now, 1) {
 		return
@@ -52,7 +50,7 @@
 	})
 }
 
-// replaceTypes takes over a list of machine types from the cloud.
+// replaceTypes replaces the offered machine types by a list from the cloud.
 func (m *machineCatalog) replaceTypes(types []protocol.MachineType) {
 	m.types = m.types[:0]
 	m.typesGeneration++
@@ -70,7 +68,7 @@
 	}
 }
 
-// machineType returns the type of a name; nil if the cloud does not offer it (any more).
+// machineType returns the type with the name, or nil if the cloud does not currently offer it.
 func (m *machineCatalog) machineType(name string) *scheduler.Type {
 	for _, t := range m.types {
 		if t.Name == name {
@@ -80,7 +78,7 @@
 	return nil
 }
 
-// longestBootS is the longest usual boot time of all machine types, in seconds; 0 while none are known.
+// longestBootS is the longest usual boot time of all machine types, in seconds, or 0 if no types are known.
 func (m *machineCatalog) longestBootS() float64 {
 	boot := 0.0
 	for _, t := range m.types {
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -8,12 +8,12 @@
 	"claybarrow/internal/machinepool"
 )
 
-// machineHealth judges machines by their heartbeats: which may be given tasks, which lose theirs, and whose lease
-// has expired.
+// machineHealth decides by the heartbeats of the machines which of them may get tasks, which have to be evacuated, and
+// whose worker lease has expired.
 //
-// It has no state of its own. What is known of a machine's heartbeats is kept with the machine, and of the other
-// controllers with the peers; after a failover the next leader learns both anew, and until then it trusts no
-// expiry that an earlier leader's replies may have prevented.
+// It has no state of its own. The state of the heartbeats is stored in the Machine and, for the other controllers, in
+// the peers. After a failover the next leader has to collect both again. Until then it does not treat a lease as
+// expired if a reply of an earlier leader may have renewed it.
 type machineHealth struct {
 	attempts   *attemptTracker
 	dispatcher *commandDispatcher
@@ -27,57 +27,59 @@
 	state      *clusterstate.State
 }
 
-// How long a machine may be silent is counted in the worker's lease: a worker whose heartbeats nobody answers for
-// a lease kills its tasks.
+// The time limits for silent machines are fractions of the worker lease, because a worker kills its tasks when its
+// heartbeats have not been answered for a lease.
 
-// maxUnseenAnswers is how many answered heartbeats in a row may show an old token, and maxFailedCalls how many
-// direct calls in a row may fail, before a machine gets no more tasks.
+// maxUnseenAnswers is the number of consecutive answered heartbeats that may still show an old token, and
+// maxFailedCalls the number of consecutive direct calls that may fail, before a machine gets no more tasks.
 const (
 	maxUnseenAnswers = 1
 	maxFailedCalls   = 1
 )
 
-// freshFor is how long after its last message a machine may be given tasks: a quarter of a lease, and two
-// heartbeat intervals.
+// freshFor is how long after its last message a machine may get tasks: a quarter of a lease plus two heartbeat
+// intervals.
 func (h *machineHealth) freshFor() time.Duration {
 	return h.env.cfg.WorkerLease()/4 + 2*h.env.cfg.WorkerHeartbeatInterval()
 }
 
-// maxUnanswered is how long a machine's heartbeats may be unanswered until it gets no more tasks: half a lease.
+// maxUnanswered is how long a machine's heartbeats may go unanswered before it gets no more tasks: half a lease.
 func (h *machineHealth) maxUnanswered() time.Duration { return h.env.cfg.WorkerLease() / 2 }
 
-// exchangeTime is how long a command and the worker's word for its effect may take where all is well: two
-// heartbeat intervals, and a tenth of a lease.
+// exchangeTime is how long a command and the worker's report of its effect may take in normal operation: two heartbeat
+// intervals plus a tenth of a lease.
 func (h *machineHealth) exchangeTime() time.Duration {
 	return 2*h.env.cfg.WorkerHeartbeatInterval() + h.env.cfg.WorkerLease()/10
 }
 
-// isSilent reports whether a machine has not been heard for two fifths of its lease: several heartbeats are missing.
+// isSilent reports whether no message of a machine has arrived for two fifths of its lease, so that several heartbeats
+// are missing.
 func (h *machineHealth) isSilent(m *clusterstate.Machine) bool {
 	return h.silentFor(m) > h.env.cfg.WorkerLease()*2/5
 }
 
-// evacuationStart is the earliest that tasks leave a machine that reaches no controller: 0.55 of a lease after
-// its last answered heartbeat.
+// evacuationStart is the earliest time, after its last answered heartbeat, at which tasks are moved from a machine that
+// cannot reach any controller: 0.55 of a lease.
 func (h *machineHealth) evacuationStart() time.Duration { return h.env.cfg.WorkerLease() * 11 / 20 }
 
-// evacuationEnd is the latest that they leave it, 0.8 of a lease, which is shortly before the lease expires.
+// evacuationEnd is the latest such time: 0.8 of a lease, shortly before the lease expires.
 func (h *machineHealth) evacuationEnd() time.Duration { return h.env.cfg.WorkerLease() * 4 / 5 }
 
-// leaseWithMargin is the worker's lease with the drift of the clocks, and a fiftieth of it to be safe.
+// leaseWithMargin is the worker's lease plus the maximum clock drift and a safety margin of a fiftieth of the lease.
 func (h *machineHealth) leaseWithMargin() time.Duration {
 	return config.WithClockDrift(h.env.cfg.WorkerLease()) + h.env.cfg.WorkerLease()/50
 }
 
-// isSchedulable reports whether tasks may be started on the machine: it has lately shown this leader's token, and
-// nothing speaks against it.
+// isSchedulable reports whether tasks may be started on the machine: it is open to tasks, has acknowledged this
+// leader's token, sent a message recently, and its replies and direct calls are not being lost.
 func (h *machineHealth) isSchedulable(m *clusterstate.Machine) bool {
 	return h.isOpenToTasks(m) && m.TokenAcknowledged &&
 		m.UnseenAnswers <= maxUnseenAnswers && m.FailedCalls <= maxFailedCalls &&
 		h.env.now < m.LastSeen+h.freshFor() && !h.heartbeatUnanswered(m, h.maxUnanswered())
 }
 
-// isOpenToTasks reports whether the machine is meant to be given tasks, whatever its heartbeats say.
+// isOpenToTasks reports whether the machine may get tasks, regardless of its heartbeats: it is not being released,
+// reclaimed, quarantined or drained, its size is known, and it runs no unknown tasks.
 func (h *machineHealth) isOpenToTasks(m *clusterstate.Machine) bool {
 	if m.Releasing || m.ReclaimNotice || m.Faults.Faulty || h.env.now < m.QuarantinedUntil || h.env.now < m.DrainUntil {
 		return false
@@ -85,15 +87,15 @@
 	return m.Size.Cores > 0 && len(m.UnknownTasks) == 0
 }
 
-// heartbeatUnanswered reports whether no heartbeat of the machine has been answered for a duration, whatever it
-// answers to direct calls: those don't renew its lease, and it is about to kill all its tasks. Such a machine
-// was filled anew after each lease.
+// heartbeatUnanswered reports whether this leader has answered no heartbeat of the machine for a duration. Replies of
+// the machine to direct calls do not count: direct calls do not renew its lease, so it will soon kill all its tasks.
+// When they counted, such a machine got new tasks after each expired lease.
 func (h *machineHealth) heartbeatUnanswered(m *clusterstate.Machine, duration time.Duration) bool {
 	return h.env.now > max(m.LastAnswered, m.TokenAcknowledgedAt)+duration
 }
 
-// leaseUnrenewed reports whether nobody is known to have renewed the machine's lease for a duration: neither this
-// leader by answering a heartbeat, nor a controller of its zone for the leader.
+// leaseUnrenewed reports whether no controller is known to have renewed the machine's lease for a duration: neither
+// this leader by answering a heartbeat, nor a follower in the machine's zone on behalf of the leader.
 func (h *machineHealth) leaseUnrenewed(m *clusterstate.Machine, duration time.Duration) bool {
 	renewed := h.heartbeats.leaseOnlyReplyAt
 	for _, p := range h.peers {
@@ -104,8 +106,8 @@
 	return h.heartbeatUnanswered(m, duration) && h.env.now > renewed+duration
 }
 
-// cannotReachControllers reports whether a machine answers direct calls but can reach no controller, as far as
-// can be known: those of its zone are in contact with the leader, so none renews its lease for the leader there.
+// cannotReachControllers reports whether a machine answers direct calls but presumably cannot reach any controller: its
+// heartbeats are unanswered, and the controllers of its zone are in contact with the leader and have renewed no lease.
 func (h *machineHealth) cannotReachControllers(m *clusterstate.Machine) bool {
 	if !m.TokenAcknowledged || m.FailedCalls > 0 {
 		return false
@@ -114,8 +116,9 @@
 		return false
 	}
 	for _, p := range h.peers {
-		// A peer's statement counts from the reading of this leader's clock that it echoes: a heartbeat that was
-		// held up in a partition told of the time before the partition when it came, and 125 tasks were stopped.
+		// A peer's report is valid up to the reading of this leader's clock that it echoes, not up to its arrival. A
+		// peer heartbeat that was delayed by a partition describes the time before the partition; when it counted from
+		// its arrival, 125 tasks were stopped.
 		if p.zone == m.Zone && h.env.now > p.servedKnownUntil+h.env.peerContactLimit()+h.env.cfg.PeerHeartbeatInterval() {
 			return false
 		}
@@ -123,16 +126,16 @@
 	return true
 }
 
-// evacuateAfter is how long after the last answered heartbeat a task leaves a machine that reaches no controller:
-// with time to save, and shortly before the lease expires. The worker may still be looking for a controller,
-// 5 s for each that has ended: tasks that left earlier were mostly moved in vain, 200 of them at once after a
-// failover.
+// evacuateAfter is the time after the last answered heartbeat at which a task is moved from a machine that cannot reach
+// any controller. It leaves the task enough time to save a checkpoint before the lease expires, but is as late as
+// possible, because the worker may still find a controller; it needs 5 s for each one that has ended. With an earlier
+// evacuation most tasks were moved unnecessarily, 200 of them at once after a failover.
 func (h *machineHealth) evacuateAfter(a *clusterstate.Attempt) time.Duration {
 	return max(h.evacuationStart(), h.evacuationEnd()-seconds(a.Job.Spec.SaveS))
 }
 
-// fleetReported reports whether the cloud has listed the machines and each one with tasks has shown this leader's
-// token. Until then a scheduling round stops nothing.
+// fleetReported reports whether the cloud has listed the machines and every machine with tasks has acknowledged this
+// leader's token. Until then a scheduling round stops no tasks.
 func (h *machineHealth) fleetReported() bool {
 	if !h.pool.HasList() {
 		return false
@@ -145,19 +148,19 @@
 	return true
 }
 
-// silentFor is how long nothing new was heard of a machine, counted from the election at the earliest, and from
-// when its zone was last found to be partitioned no longer.
+// silentFor is the time since the machine's newest message. It counts from the election, or from the end of the last
+// partition of the machine's zone, if that was later.
 func (h *machineHealth) silentFor(m *clusterstate.Machine) time.Duration {
 	return h.env.now - max(m.LastSeen, h.lease.electedAt, h.partitions.reconnectedAt[m.Zone])
 }
 
-// isOverdue reports whether a machine is late and can't be reached, so that its tasks will probably be needed
-// elsewhere.
+// isOverdue reports whether a machine is silent, does not answer direct calls, and is not in a partitioned zone, so
+// that its tasks will probably have to be placed on other machines.
 func (h *machineHealth) isOverdue(m *clusterstate.Machine) bool {
 	return m.FailedCalls > maxFailedCalls && h.isSilent(m) && !h.partitions.isPartitioned(m.Zone)
 }
 
-// watchMachines does what becomes due by time alone: evacuations, direct calls and the expiry of leases.
+// watchMachines starts the actions that become due as time passes: evacuations, direct calls and lease expiries.
 func (h *machineHealth) watchMachines() {
 	for _, m := range h.machines.sortedMachines() {
 		if m.ReclaimNotice {
@@ -179,7 +182,8 @@
 	}
 }
 
-// evacuateBeforeReclaim has tasks with checkpoints saved before the cloud reclaims a spot machine.
+// evacuateBeforeReclaim stops the tasks that save checkpoints early enough to save one before the cloud reclaims the
+// spot machine.
 func (h *machineHealth) evacuateBeforeReclaim(m *clusterstate.Machine) {
 	for _, a := range m.SortedAttempts() {
 		spec := a.Job.Spec
@@ -192,8 +196,8 @@
 	}
 }
 
-// evacuateUnreachable stops tasks on a machine whose lease will expire because it reaches no controller, so that
-// they go on elsewhere sooner.
+// evacuateUnreachable stops tasks on a machine whose lease will expire because it cannot reach any controller, so that
+// they can restart on other machines before the expiry.
 func (h *machineHealth) evacuateUnreachable(m *clusterstate.Machine) {
 	for _, a := range m.SortedAttempts() {
 		if h.leaseUnrenewed(m, h.evacuateAfter(a)) {
@@ -202,7 +206,8 @@
 	}
 }
 
-// expireLease removes all that was on a machine whose lease is proved to have expired: the worker has killed it.
+// expireLease removes all attempts from a machine whose lease is proven to have expired: the worker has killed its
+// tasks.
 func (h *machineHealth) expireLease(m *clusterstate.Machine) {
 	if m.Seen {
 		m.ExpiredEpoch = m.Epoch
@@ -216,8 +221,8 @@
 	clear(m.UnknownTasks)
 }
 
-// isLeaseExpired reports whether the worker's lease is proved to have expired: nobody can have answered a
-// heartbeat of it for that long.
+// isLeaseExpired reports whether the worker's lease is proven to have expired: no controller can have answered one of
+// its heartbeats for the length of the lease plus the margin.
 func (h *machineHealth) isLeaseExpired(m *clusterstate.Machine) bool {
 	lease := h.leaseWithMargin()
 	expiry := h.lastPossibleAnswer(m) + lease
@@ -225,7 +230,8 @@
 		return false
 	}
 	for _, p := range h.peers {
-		// A controller that may serve the machine has to have said since that it did not.
+		// A controller that may serve the machine must have reported, for the time up to the expiry, that it renewed
+		// no lease.
 		if mayServe(p, m) && p.servedKnownUntil <= expiry {
 			return false
 		}
@@ -233,8 +239,8 @@
 	return true
 }
 
-// lastPossibleAnswer is the latest time at which anybody may have answered a heartbeat of the machine, as far as is
-// known. An earlier leadership of this controller may have done so until the election.
+// lastPossibleAnswer is the latest time at which any controller may have answered a heartbeat of the machine. It is not
+// before the election, because an earlier leadership of this controller may have answered until then.
 func (h *machineHealth) lastPossibleAnswer(m *clusterstate.Machine) time.Duration {
 	last := max(m.LastAnswered, m.TokenAcknowledgedAt, h.lease.electedAt, h.heartbeats.leaseOnlyReplyAt)
 	for _, p := range h.peers {
@@ -244,8 +250,8 @@
 		if m.TokenAcknowledgedAt > 0 {
 			continue
 		}
-		// The worker has not shown this leader's token. An earlier leader may have answered it, until this one
-		// heard from that controller, or for as long as that one could coast without the state service.
+		// The worker has not acknowledged this leader's token, so the peer may have answered it as an earlier leader:
+		// until its first heartbeat to this leader, or else for as long as it may coast without the state service.
 		if p.firstHeard > 0 {
 			last = max(last, p.firstHeard)
 		} else {
@@ -255,6 +261,6 @@
 	return last
 }
 
-// mayServe reports whether a controller may renew the machine's lease for the leader: it is in the machine's zone,
-// or that zone is not known.
+// mayServe reports whether a controller may renew the machine's lease for the leader: it is in the machine's zone, or
+// the machine's zone is unknown.
 func mayServe(p *peer, m *clusterstate.Machine) bool { return p.zone == m.Zone || m.Zone == "" }
--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -9,17 +9,18 @@
 	"claybarrow/internal/statestore"
 )
 
-// poolHost adapts a leadership to machinepool.Host, which its machine pool works with.
+// poolHost adapts a leadership to machinepool.Host for its machine pool.
 type poolHost struct{ leader *leadership }
 
 var _ machinepool.Host = poolHost{}
 
 // Limits of how often the cloud's machines are listed.
 const (
-	// listLagDivisor: they are listed every half of the list's usual lag, as more often shows little new.
+	// listLagDivisor divides the list's usual lag into the interval between two lists. More frequent lists would show
+	// few changes.
 	listLagDivisor = 2
-	// requestsPerList: a list is requested at the most once in the time that the cloud's limit allows four
-	// requests, so that most of them are left for launches and deletions.
+	// requestsPerList is the minimum interval between two lists, as the number of requests that the cloud's rate limit
+	// allows in that time. Most of the allowed requests thus remain for launches and deletions.
 	requestsPerList = 4
 )
 
@@ -59,7 +60,7 @@
 	h.leader.machines.removeUnlisted(asked, names)
 }
 
-// MachinesToDelete implements machinepool.Host: machines whose release is durable, in the order of their names.
+// MachinesToDelete implements machinepool.Host: it returns the machines whose release is durable, sorted by name.
 func (h poolHost) MachinesToDelete(most int) []string {
 	var names []string
 	for _, m := range h.leader.machines.sortedMachines() {
@@ -86,7 +87,8 @@
 	h.leader.machines.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
-// SetExhausted implements machinepool.Host: a new shortage has the scaling planned again at once, with other pools.
+// SetExhausted implements machinepool.Host: a new shortage makes the scheduler plan the scaling again at once, with
+// other pools.
 func (h poolHost) SetExhausted(pool scheduler.Pool, short bool) {
 	h.leader.scaler.onPoolShortage(pool, short)
 	if short {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -12,10 +12,10 @@
 	"claybarrow/internal/statestore"
 )
 
-// machineRegistry adds machines to the cluster state and removes them from it, and has their records stored.
+// machineRegistry adds machines to the cluster state, removes them from it, and stores their records.
 //
-// It has no state of its own. After a failover the next leader reads the machines from their records, and finds
-// those without one in the cloud's list and by their heartbeats.
+// It has no state of its own. After a failover the next leader loads the machines from their records, and discovers
+// machines without a record from the cloud's list and from heartbeats.
 type machineRegistry struct {
 	attempts *attemptTracker
 	catalog  *machineCatalog
@@ -25,24 +25,24 @@
 	store    *statestore.Writer
 }
 
-// Bounds of the age of a cloud list: it describes a moment at most twice the usual lag before it was asked for,
-// and a fifth of the lag is added to be safe.
+// Bounds of the staleness of a cloud list: the state that it describes is at most twice the usual lag older than the
+// request for the list. A fifth of the lag is added as a safety margin.
 const (
 	maxListLags       = 2
 	listLagMarginPart = 5
 )
 
-// machineStateRunning and machineStateFailed are the states of a listed machine that matter here.
+// machineStateRunning and machineStateFailed are the states in the cloud's list that the registry acts on.
 const (
 	machineStateRunning = "running"
 	machineStateFailed  = "failed"
 )
 
-// sortedMachines lists the machines in a fixed order, so that a run can be replayed.
+// sortedMachines returns the machines in a fixed order, which keeps simulation runs reproducible.
 func (r *machineRegistry) sortedMachines() []*clusterstate.Machine { return r.state.SortedMachines() }
 
-// storeMachine marks the machine's record to be written, or to be deleted once the machine is removed; then is
-// called when that is durable.
+// storeMachine queues a write of the machine's record, or its deletion if the machine has been removed; then is called
+// once that is durable.
 func (r *machineRegistry) storeMachine(m *clusterstate.Machine, priority statestore.Priority, then func()) {
 	r.store.QueueWrite(clusterstate.MachinePrefix+m.ID, priority, func() any {
 		if r.state.Machines[m.ID] != m {
@@ -53,12 +53,12 @@
 	}, then)
 }
 
-// noteImageUse notes that the image of the job's tasks is on the machine, and was used now.
+// noteImageUse records that the machine has the image of the job's tasks in its cache, and used it now.
 func (r *machineRegistry) noteImageUse(m *clusterstate.Machine, j *clusterstate.Job) {
 	m.UseImage(j.Spec.Image, j.Spec.ImageGB, r.catalog.typeInfo[m.Type].CacheGB)
 }
 
-// machineSize is what a machine of the type offers; nothing if the catalog does not have the type.
+// machineSize returns the resources of a machine of the type, or zero resources if the catalog lacks the type.
 func (r *machineRegistry) machineSize(typeName string) scheduler.Resources {
 	if info, ok := r.catalog.typeInfo[typeName]; ok {
 		return scheduler.Resources{Cores: info.Cores, Accel: info.Accelerators, Mem: info.MemoryGB}
@@ -66,8 +66,8 @@
 	return scheduler.Resources{}
 }
 
-// onListed applies what the cloud's list says of a machine. One that is not known yet is added, and one that has
-// failed is released.
+// onListed applies a machine's entry in the cloud's list. An unknown machine is added, and a failed machine is
+// released.
 func (r *machineRegistry) onListed(listed *protocol.ListedMachine) {
 	m := r.state.Machines[listed.ID]
 	if m == nil {
@@ -88,7 +88,7 @@
 	}
 	m.ListedRunning = listed.State == machineStateRunning
 	if listed.State == machineStateFailed && !m.Releasing {
-		r.env.log.Info("machine failed in the cloud's list", "machine", m.ID, "tasks", len(m.Attempts))
+		r.env.log.Info("cloud lists the machine as failed", "machine", m.ID, "tasks", len(m.Attempts))
 		for _, a := range m.SortedAttempts() {
 			r.attempts.removeAttempt(a, machineFailed)
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-// removeUnlisted removes machines that no longer exist: one that surely existed at the moment that the list
-// describes would be in it. askedAt is when the list was asked for.
+// removeUnlisted removes machines that no longer exist. A machine counts as deleted if it is missing from a list that
+// certainly describes a later time than the machine's KnownToExistAt. askedAt is when the list was requested.
 func (r *machineRegistry) removeUnlisted(askedAt time.Duration, listed map[string]bool) {
 	lag := r.env.cfg.CloudListLag()
 	for _, m := range r.sortedMachines() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// removeMachine removes a machine that is proved to exist no longer from the cluster state, with its attempts.
+// removeMachine removes a machine that is proven not to exist any more from the cluster state, with its attempts.
 func (r *machineRegistry) removeMachine(m *clusterstate.Machine, proof absenceProof) {
 	if r.state.Machines[m.ID] != m {
 		return
@@ -121,8 +121,8 @@
 	r.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
-// releaseMachine has a machine deleted. Its record says so durably before the deletion is requested, so that a
-// deletion that is executed late hits nothing in use.
+// releaseMachine marks a machine for deletion. The mark is durable in the machine's record before the deletion is
+// requested, so that no later leader places tasks on the machine and a deletion that is executed late kills none.
 func (r *machineRegistry) releaseMachine(m *clusterstate.Machine, reason releaseReason) {
 	if m.Releasing {
 		return
@@ -132,7 +132,8 @@
 	r.storeMachine(m, statestore.PriorityCompletion, func() { m.ReleaseStored = true })
 }
 
-// abandonMachine removes the attempts that were to be started on a machine whose record the state service rejects.
+// abandonMachine removes the attempts that are not durable from a machine whose record the state service rejects, and
+// quarantines the machine for a worker lease.
 func (r *machineRegistry) abandonMachine(m *clusterstate.Machine) {
 	m.QuarantinedUntil = r.env.now + r.env.cfg.WorkerLease()
 	for _, a := range m.SortedAttempts() {
@@ -140,9 +141,10 @@
 			r.attempts.removeAttempt(a, notRecorded)
 		}
 	}
-	// A record that was stored under a higher limit may not fit any more. The mark only keeps a later leader
-	// from using the machine until the deletion is executed, which costs its tasks as any end of a machine does.
-	// Without the deletion an unreachable machine would be waited for without end.
+	// A record that was stored under a higher size limit may exceed the current limit, so the mark for deletion cannot
+	// be stored, and the machine is deleted without it. The mark only keeps a later leader from using the machine until
+	// the deletion is executed; tasks placed there in the meantime end as with any loss of a machine. Without the
+	// deletion, the leader would wait for an unreachable machine indefinitely.
 	m.ReleaseStored = m.ReleaseStored || m.Releasing
 }
 
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -6,42 +6,44 @@
 	"claybarrow/internal/clusterstate"
 )
 
-// partitionDetector tells which zones are partitioned from the leader.
+// partitionDetector detects which zones are partitioned from the leader.
 //
-// It owns since when each zone is, and when zones were last found to be so no longer. Both end with the
-// leadership: after a failover the next leader counts every silence from its own election.
+// It owns the start times of the current partitions and the end times of earlier ones. Both are discarded when the
+// leadership ends: after a failover the next leader measures every silence from its own election.
 type partitionDetector struct {
 	env   *environment
 	lease *leaderLease
 	peers map[string]*peer
 	state *clusterstate.State
 
-	partitioned   map[string]time.Duration // since when, by zone
-	reconnectedAt map[string]time.Duration // when a zone was last found to be partitioned no longer
+	partitioned   map[string]time.Duration // start of the current partition, by zone
+	reconnectedAt map[string]time.Duration // end of the last partition, by zone
 }
 
-// minEndedControllers is how many controllers, this one included, have to have ended with the previous leader before
-// the partitioned zone's own is taken for ended too.
+// minEndedControllers is the number of controllers, including this one, that must have ended together with the previous
+// leader before the controller of the partitioned zone is assumed to have ended too.
 const minEndedControllers = 2
 
-// machineSilence is how long a machine sends nothing until it counts as silent.
+// machineSilence is the time without messages after which a machine counts as silent.
 func (d *partitionDetector) machineSilence() time.Duration { return d.env.cfg.WorkerLease() * 3 / 10 }
 
-// controllerSilence is how long the controllers of a zone send nothing until the zone may be partitioned. By the
-// same time, an end before the election counts as one together with the previous leader.
+// controllerSilence is the time without heartbeats of a zone's controllers after which the zone may be partitioned. It
+// is also the longest time before the election at which the restart of a controller counts as together with the end of
+// the previous leader.
 func (d *partitionDetector) controllerSilence() time.Duration { return d.env.cfg.WorkerLease() / 4 }
 
-// zoneCount counts the machines of a zone that are up, and those of them that are silent.
+// zoneCount counts the machines of a zone that are up, and how many of these are silent.
 type zoneCount struct{ up, silent int }
 
-// mostlyHeard reports whether most machines of the zone are heard.
+// mostlyHeard reports whether less than half of the zone's machines are silent.
 func (z zoneCount) mostlyHeard() bool { return z.silent*2 < z.up }
 
 // nearlyAllSilent reports whether at least four fifths of the zone's machines are silent.
 func (z zoneCount) nearlyAllSilent() bool { return z.silent*5 >= z.up*4 }
 
-// detectPartitions looks for zones that are partitioned from the leader: nearly all machines there are silent,
-// those of other zones are not, and a controller of the zone, silent too, may be renewing their leases.
+// detectPartitions updates which zones are partitioned from the leader. In such a zone nearly all machines are silent
+// while those of another zone are not, and the zone has controllers that are silent too and may be renewing the leases
+// of the machines.
 func (d *partitionDetector) detectPartitions() {
 	zones := d.countMachines()
 	otherZoneHeard := false
@@ -77,7 +79,8 @@
 	return zones
 }
 
-// controllersHeardAt is when any controller of each other zone was last heard, the election at the earliest.
+// controllersHeardAt returns, for each other zone, when the last heartbeat of one of its controllers arrived, or the
+// time of the election if that was later.
 func (d *partitionDetector) controllersHeardAt() map[string]time.Duration {
 	heardAt := map[string]time.Duration{}
 	for _, p := range d.peers {
@@ -87,9 +90,10 @@
 	return heardAt
 }
 
-// partitionedSince reports whether a zone with silent controllers is partitioned, and since when. Once it is, it
-// stays so until something there is heard, or for as long as its follower may act for the leader: its silent
-// machines may have been released meanwhile.
+// partitionedSince reports whether a zone with silent controllers is partitioned, and since when. The zone stays
+// partitioned until messages of its controllers or of enough of its machines arrive, but no longer than its follower
+// may act for the leader. The silent machines may be released during the partition, so it continues even if no machines
+// are left to count.
 func (d *partitionDetector) partitionedSince(zone string, count zoneCount, otherZoneHeard bool) (time.Duration, bool) {
 	if !count.nearlyAllSilent() {
 		return 0, false
@@ -100,7 +104,7 @@
 	return d.env.now, otherZoneHeard && count.silent > 0
 }
 
-// notePartitions replaces the partitioned zones, and notes which are reconnected.
+// notePartitions replaces the set of partitioned zones, and records which partitions have healed.
 func (d *partitionDetector) notePartitions(partitioned map[string]time.Duration, zones map[string]zoneCount) {
 	for zone := range partitioned {
 		if !d.isPartitioned(zone) {
@@ -110,8 +114,8 @@
 	for zone := range d.partitioned {
 		if _, still := partitioned[zone]; !still {
 			d.env.log.Info("zone partition healed", "zone", zone)
-			// Its workers need a moment to find the leader again: they were once all released as silent when a
-			// partition had ended.
+			// The zone's workers need some time to find the leader again. Without reconnectedAt, all of them were
+			// released as silent after a partition had healed.
 			d.reconnectedAt[zone] = d.env.now
 		}
 	}
@@ -124,11 +128,12 @@
 	return is
 }
 
-// controllerLost reports whether a partitioned zone has most probably lost its tasks: it has a single controller,
-// was silent when this leader was elected, and all other controllers ended with the previous leader, so that the
-// zone's own has most probably ended too. Its workers then went through all the others before it was back, which
-// takes longer than a lease. Its machines are released, as their tasks can go on elsewhere only with the cloud's
-// word.
+// controllerLost reports whether a partitioned zone has most probably lost its tasks, because its controller has ended.
+// The zone has a single controller, none of its machines has acknowledged this leader's token, and all other
+// controllers ended together with the previous leader, so the zone's controller has most probably ended too. The zone's
+// workers then tried all other controllers before theirs restarted, which takes longer than a lease. The machines of
+// such a zone are released, because their tasks may restart on other machines only once the cloud confirms the
+// deletion.
 func (d *partitionDetector) controllerLost(zone string) bool {
 	if !d.isPartitioned(zone) || d.env.now < d.lease.electedAt+d.env.cfg.WorkerLease() {
 		return false
@@ -136,24 +141,24 @@
 	if !d.onlyControllerEnded(zone) {
 		return false
 	}
-	// Going through all the others and the wait for the next heartbeat must take longer than the lease. Where it
-	// does not, the zone's workers found their controller again, which renews their leases for the leader: the
-	// machines of a zone of 158 were once released with all that ran on them.
+	// Trying all other controllers, plus the wait for the next heartbeat, must take longer than the lease. Otherwise
+	// the zone's workers have found their controller again, which renews their leases for the leader. Without this
+	// check, all 158 machines of a zone were released with the tasks that ran on them.
 	if d.env.workerFailoverTime() <= d.env.cfg.WorkerLease() {
 		return false
 	}
 	return !d.heardInZone(zone)
 }
 
-// onlyControllerEnded reports whether the zone has a single controller, and all other controllers that are heard
-// ended with the previous leader.
+// onlyControllerEnded reports whether the zone has a single controller that has presumably ended: all controllers of
+// other zones that sent heartbeats to this leader ended together with the previous leader.
 func (d *partitionDetector) onlyControllerEnded(zone string) bool {
 	controllers, heard, ended := 0, 0, 0
-	// Controllers that ended with the previous leader started again about when this one was elected, or later. An
-	// end some time before the partition is no sign.
+	// Controllers that ended together with the previous leader have restarted around the election or later. A restart
+	// some time before the partition is no evidence.
 	endedTogetherFrom := d.lease.electedAt - d.controllerSilence()
 	if endedTogetherFrom < 0 {
-		ended++ // this process itself started then
+		ended++ // this process started within controllerSilence before the election
 	}
 	for _, p := range d.peers {
 		switch {
@@ -170,7 +175,7 @@
 	return controllers == 1 && heard > 0 && ended >= minEndedControllers
 }
 
-// heardInZone reports whether any machine of the zone has shown this leader's token.
+// heardInZone reports whether any machine of the zone has acknowledged this leader's token.
 func (d *partitionDetector) heardInZone(zone string) bool {
 	for _, m := range d.state.Machines {
 		if m.Zone == zone && m.TokenAcknowledgedAt > 0 {
--- a/internal/controller/pending_requests.go
+++ b/internal/controller/pending_requests.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// requester is the sender of a Request, who gets its Reply.
+// requester identifies the sender of a Request, which gets the Reply.
 type requester struct {
-	id uint64 // of the Request
-	// relayed: another controller relayed the request, and gets the answer as a protocol.ForwardedReply.
+	id uint64 // the Request's ID
+	// relayed is true if another controller relayed the request; that controller gets the reply as a
+	// protocol.ForwardedReply.
 	relayed bool
-	// forwardedBy is the controller that forwarded a worker's heartbeat; empty: the worker sent it here,
-	// or the controller does not name itself.
+	// forwardedBy is the label of the controller that forwarded a worker's heartbeat. It is empty if the worker sent
+	// the heartbeat directly, or if the controller did not send its label.
 	forwardedBy string
 }
 
-// pendingTable holds the requesters whose answer waits for something that is under way: a stored record,
-// or the leader's answer. Each is answered by its deadline at the latest. At the end of a leadership all of
-// them are refused.
+// pendingTable holds the requesters whose reply waits for a write to the state service or for the leader's reply to a
+// relayed request. Each requester gets its reply by its deadline. When a leadership ends, all requesters are refused.
 type pendingTable struct {
 	env    *environment
 	outbox *outbox
@@ -27,23 +27,22 @@
 	pendingRequests map[uint64]*pendingRequest // by the Request's ID
 }
 
-// pendingRequest is a requester who waits, and until when.
+// pendingRequest is a waiting requester with its deadline.
 type pendingRequest struct {
 	from     requester
 	deadline time.Duration
 }
 
-// decisionTimeout is how long a request may wait for its answer. Users wait 5 s for a submission or a
-// cancellation and 2 s for a poll, by the users' protocol; this is well inside both, so that they are told to
-// come back rather than left without an answer.
+// decisionTimeout is how long a request may wait for its reply. By the users' protocol, clients time out after 5 s for
+// a submission or a cancellation and after 2 s for a poll. This timeout is well below both, so that clients are told
+// to retry before they time out.
 const decisionTimeout = 1500 * time.Millisecond
 
-// pendingSocketShare is the share of the process's file descriptors, as a divisor, that requests may hold
-// open while they wait.
+// pendingSocketShare is a divisor: waiting requests may use at most the process's file descriptors divided by it.
 const pendingSocketShare = 2
 
-// add has the requester wait for an answer. It returns false, and has refused the request, if too many wait
-// already.
+// add adds the requester to the table until it gets its reply. If too many requesters wait already, add refuses the
+// request with status 429 and returns false.
 func (p *pendingTable) add(from requester) bool {
 	if p.isFull() {
 		p.outbox.reply(from, http.StatusTooManyRequests, nil, retryAfterSeconds)
@@ -53,13 +52,13 @@
 	return true
 }
 
-// start has the requester wait for an answer, however many wait already.
+// start adds the requester to the table without a check of the limit.
 func (p *pendingTable) start(from requester) {
 	p.pendingRequests[from.id] = &pendingRequest{from: from, deadline: p.env.now + decisionTimeout}
 }
 
-// take ends the wait of a requester who is about to be answered. It returns false if the requester does not
-// wait any more, as it has been refused meanwhile: nothing may be sent to it then.
+// take removes a requester from the table before its reply is sent. It returns false if the requester has been refused
+// in the meantime; no second reply may be sent to it.
 func (p *pendingTable) take(from requester) bool {
 	if !p.isWaiting(from) {
 		return false
@@ -77,19 +76,19 @@
 	}
 }
 
-// refuseAll refuses all that wait, so that the users come back at once rather than at their own timeouts.
+// refuseAll refuses all waiting requests, so that the users retry at once instead of after their own timeouts.
 func (p *pendingTable) refuseAll() {
 	for _, id := range p.sortedIDs() {
 		p.refuse(p.pendingRequests[id])
 	}
 }
 
-// isFull reports whether no more requests may wait.
+// isFull reports whether the limit of waiting requests is reached.
 func (p *pendingTable) isFull() bool {
 	return len(p.pendingRequests) >= p.env.cfg.Cluster.Resources.FDs/pendingSocketShare
 }
 
-// isWaiting reports whether the requester still waits for its answer.
+// isWaiting reports whether the requester still waits for its reply.
 func (p *pendingTable) isWaiting(from requester) bool { return p.pendingRequests[from.id] != nil }
 
 func (p *pendingTable) refuse(pending *pendingRequest) {
@@ -97,5 +96,5 @@
 	p.outbox.replyUnavailable(pending.from)
 }
 
-// sortedIDs returns the waiting requests in the order in which they came, so that runs of a simulation repeat.
+// sortedIDs returns the IDs of the waiting requests in order of arrival, which keeps simulation runs reproducible.
 func (p *pendingTable) sortedIDs() []uint64 { return slices.Sorted(maps.Keys(p.pendingRequests)) }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -6,39 +6,38 @@
 	"claybarrow/internal/clusterstate"
 )
 
-// A leader that can't reach the workers while other controllers can is of no use to them: its commands don't
-// arrive, and the workers of its own zone go round all controllers, are redirected to the leader each time, and
-// lose their leases (with the leader's zone apart, on both fleets: a quarter to half of all replicas). So it
-// steps down.
+// A leader steps down if it cannot reach the workers while other controllers can. Its commands do not arrive, and the
+// workers of its own zone try all controllers in turn, are redirected to the leader by each, and lose their leases.
+// With the leader's zone partitioned, a quarter to half of all replicas were lost that way, on both fleets.
 //
-// Only what can't be the workers' fault counts as evidence: machines whose heartbeats came by another controller
-// while a direct call to them went unanswered, and no machine at all that answered, or sent a heartbeat directly,
-// meanwhile. If only a few machines get no answers, calling the others as well shows it.
+// The evidence must exclude a fault of the workers. A machine is counted if its heartbeat arrived through another
+// controller while a direct call to it was unanswered. The count restarts whenever any machine answers a direct call
+// or sends a heartbeat directly. Probes of the other machines show whether only a few machines are affected.
 
-// reachability is what a leader knows of its own way to the workers. It ends with the leadership; how long this
-// controller then stands back from elections is kept by the election.
+// reachability is a leader's evidence of whether it can reach the workers itself. It is discarded when the leadership
+// ends; the election keeps how long this controller then stays out of elections.
 type reachability struct {
 	detection *failureDetection
 	election  *election
 	env       *environment
 
-	lastReachedAt  time.Duration   // last direct sign of life of any worker
-	missedMachines map[string]bool // machines missed since
-	firstMissedAt  time.Duration   // when the first of them was
-	// sampledAt and samples count the machines that were lately probed though none was missed.
+	lastReachedAt  time.Duration   // when a worker last answered a direct call or sent a heartbeat directly
+	missedMachines map[string]bool // the machines missed since then
+	firstMissedAt  time.Duration   // when the first of these was missed
+	// samples counts the machines probed since sampledAt although none was missed.
 	sampledAt time.Duration
 	samples   int
 }
 
-// minMissedMachines is how many machines have to be missed before a leader steps down: one or two may be
-// unreachable themselves.
+// minMissedMachines is the number of missed machines from which a leader may step down: one or two machines may be
+// unreachable through their own fault.
 const minMissedMachines = 3
 
-// stepDownBackoffLeases is for how many leases a leader that has stepped down stays out of elections, as long as
-// the others have a chance to win one.
+// stepDownBackoffLeases is the number of worker leases for which a leader that has stepped down stays out of
+// elections while another controller may win one.
 const stepDownBackoffLeases = 4
 
-// noteReached notes a direct sign of life of a worker.
+// noteReached records that a worker answered a direct call or sent a heartbeat directly.
 func (r *reachability) noteReached(now time.Duration) {
 	r.lastReachedAt = now
 	if len(r.missedMachines) > 0 {
@@ -46,7 +45,8 @@
 	}
 }
 
-// noteMissed notes a machine whose heartbeat came by another controller while a direct call went unanswered.
+// noteMissed records a machine whose heartbeat arrived through another controller while a direct call to it was
+// unanswered.
 func (r *reachability) noteMissed(id string, now time.Duration) {
 	if r.missedMachines == nil {
 		r.missedMachines, r.firstMissedAt = map[string]bool{}, now
@@ -54,15 +54,16 @@
 	r.missedMachines[id] = true
 }
 
-// probeTime is the twentieth of a lease in which a worker that can be reached answers a probe.
+// probeTime is how long a reachable worker may take to answer a probe: a twentieth of the workers' lease.
 func (r *reachability) probeTime() time.Duration { return r.env.cfg.WorkerLease() / 20 }
 
-// suspiciousSilence is how long no worker gives a direct sign of life before the leader doubts its own way to
-// them.
+// suspiciousSilence is the time without direct heartbeats and answers of any worker after which the leader checks
+// whether it can reach the workers: a tenth of the workers' lease.
 func (r *reachability) suspiciousSilence() time.Duration { return r.env.cfg.WorkerLease() / 10 }
 
-// probesReachability reports whether a machine is probed because others did not answer though they are up: it is
-// one whose heartbeat lately came by another controller. It counts the samples that it grants.
+// probesReachability reports whether the machine should be probed to find out whether the leader can reach the
+// workers. The machine must be up: its last message is younger than two heartbeat intervals. Machines are probed while
+// others are missed, or as samples, which samplesReachability counts.
 func (r *reachability) probesReachability(m *clusterstate.Machine) bool {
 	if r.missedMachines[m.ID] || !m.TokenAcknowledged || r.env.now >= m.LastSeen+2*r.env.cfg.WorkerHeartbeatInterval() {
 		return false
@@ -73,9 +74,9 @@
 	return r.samplesReachability()
 }
 
-// samplesReachability reports whether one more machine is probed because none has given a direct sign of life for
-// a while. A leader that had no commands for its workers did not notice that it couldn't reach them, and those
-// that sent their heartbeats to it lost their leases.
+// samplesReachability reports whether one more machine is probed because no worker has answered directly for longer
+// than suspiciousSilence. Without these samples, a leader without commands for its workers did not notice that it
+// could not reach them, and the workers that sent their heartbeats to it lost their leases.
 func (r *reachability) samplesReachability() bool {
 	if !r.detection.enabled() || r.env.now <= r.lastReachedAt+r.suspiciousSilence() {
 		return false
@@ -87,10 +88,10 @@
 	return r.samples <= minMissedMachines
 }
 
-// cannotReachWorkers reports whether the workers are up for other controllers and not for this leader. Several
-// machines that get no answers themselves may be missed at once while there were no commands for others: those
-// that can be reached answer a probe well within probeTime. Once a leader has stepped down, the others have had
-// their chance before it does so again.
+// cannotReachWorkers reports whether other controllers can reach the workers and this leader cannot. Several machines
+// with a fault of their own may be missed at once while the leader calls no others; probeTime gives the reachable
+// machines enough time to answer a probe. A leader that has stepped down does not do so again before the end of its
+// election back-off, during which the other controllers could be elected.
 func (r *reachability) cannotReachWorkers() bool {
 	return len(r.missedMachines) >= minMissedMachines &&
 		r.env.now > r.lastReachedAt+r.suspiciousSilence() &&
@@ -98,8 +99,8 @@
 		r.env.now >= r.election.electionBackoffUntil
 }
 
-// stepDown ends the leadership and revokes its lease, so that another controller is elected at once. This one
-// stays out of elections as long as the others have a chance.
+// stepDown ends the leadership and revokes its lease, so that another controller can be elected at once. This
+// controller stays out of elections during its election back-off while another controller may win.
 func (l *leadership) stepDown() {
 	env, election := l.controller.env, l.controller.election
 	env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reach.missedMachines))
--- a/internal/controller/reasons.go
+++ b/internal/controller/reasons.go
@@ -1,7 +1,7 @@
 package controller
 
-// endReason is why a leadership ended, as it is logged. A leadership that its store ends is logged with the
-// store's own reasons.
+// endReason is the logged reason for the end of a leadership. A leadership that is ended by its store has a reason that
+// the store defines.
 type endReason string
 
 // Reasons for the end of a leadership.
@@ -15,10 +15,10 @@
 	endShutdown           endReason = "shutdown"
 )
 
-// stopReason is why an attempt is requested to stop, as it is logged.
+// stopReason is the logged reason for the stop request of an attempt.
 type stopReason string
 
-// Reasons to stop an attempt.
+// Reasons for the stop of an attempt.
 const (
 	stopPreempted      stopReason = "preempted"
 	stopConsolidation  stopReason = "consolidation"
@@ -31,12 +31,12 @@
 	stopGangTaskLost   stopReason = "gang lost a task"
 )
 
-// releaseReason is why a machine is released, as it is logged.
+// releaseReason is the logged reason for the release of a machine.
 type releaseReason string
 
-// Reasons to release a machine.
+// Reasons for the release of a machine.
 const (
-	// keepMachine is the absence of a reason: the machine is not released.
+	// keepMachine means that the machine is not released.
 	keepMachine              releaseReason = ""
 	releaseControllerLost    releaseReason = "zone partitioned and its controller lost"
 	releaseBootTimedOut      releaseReason = "boot timed out"
@@ -50,12 +50,12 @@
 	releaseFailed            releaseReason = "failed in the cloud's list"
 )
 
-// infeasibility is why a job can never run on this cluster, as it is logged when the submission is rejected.
+// infeasibility is the reason why a job can never run on this cluster, which is logged when its submission is rejected.
 type infeasibility string
 
 // Reasons why a job can never run.
 const (
-	// feasible is the absence of a reason: the job can run.
+	// feasible means that the job can run.
 	feasible            infeasibility = ""
 	unknownTeam         infeasibility = "unknown team"
 	noMachineTypeFits   infeasibility = "a task fits no allowed machine type"
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -5,32 +5,30 @@
 	"claybarrow/internal/protocol"
 )
 
-// reconciliationHandler acts on the differences that reconciliation finds between a machine's message and the
-// cluster state.
+// reconciliationHandler handles the differences between a machine's message and the cluster state.
 type reconciliationHandler interface {
 	// onExit handles a task that the machine reports as exited.
 	onExit(m *clusterstate.Machine, key clusterstate.AttemptKey, status protocol.TaskStatus)
 	// onRunning handles an attempt that has begun to run.
 	onRunning(m *clusterstate.Machine, a *clusterstate.Attempt)
-	// adoptUnknownAttempt handles a task that the cluster state does not have on the machine. It returns the
-	// attempt that it adds, or nil if the task's job is unknown.
+	// adoptUnknownAttempt handles a reported task that the cluster state does not have on the machine. It returns
+	// the attempt that it adds, or nil if the task's job is unknown.
 	adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt
-	// onAbsent handles an attempt that is proved to be no longer on the machine.
+	// onAbsent handles an attempt that is proven to have left the machine.
 	onAbsent(a *clusterstate.Attempt, proof absenceProof)
 }
 
-// reconciliation compares a machine's newest message with what the cluster state has on the machine. It lasts
-// for one message.
+// reconciliation compares one message of a machine, its newest, with the machine's attempts in the cluster state.
 type reconciliation struct {
 	machine *clusterstate.Machine
-	// showsToken: the message shows the leader's token, so no command of an earlier leader can follow it.
+	// showsToken is true if the message carries the leader's token: the worker then rejects commands of earlier
+	// leaders.
 	showsToken bool
 	handler    reconciliationHandler
 	reported   map[clusterstate.AttemptKey]bool
 }
 
-// reconcile compares the newest message of a machine with the cluster state, and has the handler act on the
-// differences.
+// reconcile compares the newest message of a machine with the cluster state, and passes the differences to the handler.
 func reconcile(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, showsToken bool, handler reconciliationHandler) {
 	r := &reconciliation{machine: m, showsToken: showsToken, handler: handler, reported: map[clusterstate.AttemptKey]bool{}}
 	for _, status := range msg.Tasks {
@@ -66,10 +64,11 @@
 	}
 }
 
-// removeAbsent finds the attempts whose absence from the message proves that they are no longer on the machine.
+// removeAbsent passes to the handler the attempts whose absence from the message proves that they have left the
+// machine.
 func (r *reconciliation) removeAbsent() {
 	if !r.lacksSentAttempt() {
-		return // the usual case, which needs no sorted list
+		return // the common case, without the cost of a sorted list
 	}
 	for _, a := range r.machine.SortedAttempts() {
 		if !r.reported[a.Key()] && a.Sent && r.provesAbsence(a) {
@@ -78,7 +77,7 @@
 	}
 }
 
-// lacksSentAttempt reports whether any attempt whose run command was sent is not in the message.
+// lacksSentAttempt reports whether the message lacks an attempt whose run command was sent.
 func (r *reconciliation) lacksSentAttempt() bool {
 	for key, a := range r.machine.Attempts {
 		if !r.reported[key] && a.Sent {
@@ -88,14 +87,14 @@
 	return false
 }
 
-// provesAbsence reports whether the message, which lacks the attempt, proves that it is not on the machine. One
-// proof is a later agent epoch than any run command of it named. The other is the leader's token, once a run
-// command of it was answered; without the token the message may be old, and a run command of an earlier
-// leader may be on its way.
+// provesAbsence reports whether the message, which lacks the attempt, proves that the attempt is not on the machine.
+// One proof is an agent epoch later than the epoch to which the attempt's run commands were addressed. The other proof
+// is the leader's token in the message, after the worker has acknowledged the attempt. Without the token the message
+// may be old, and a run command of an earlier leader may be in flight.
 //
-// For an attempt that is to be stopped it is also enough that no run command of it can be on its way: none was
-// lost, and the worker has sent a heartbeat after the last reply that carried one. Without this rule a task
-// whose run commands had all been refused was waited for until its machine's agent epoch ended.
+// If the stop of the attempt was requested, it also suffices that no run command of the attempt can be in flight: none
+// was lost, and the worker has sent a heartbeat after the last reply that carried one. Without this rule, an attempt
+// whose run commands had all been rejected stayed in the cluster state until the agent epoch of its machine ended.
 func (r *reconciliation) provesAbsence(a *clusterstate.Attempt) bool {
 	if !a.Loaded && a.Epoch < r.machine.Epoch {
 		return true
@@ -107,7 +106,7 @@
 	return a.Acknowledged || a.Loaded || neverBegins
 }
 
-// forgetUnreported forgets the exited and unknown tasks that the machine no longer reports.
+// forgetUnreported deletes the exited and unknown tasks that the machine no longer reports.
 func (r *reconciliation) forgetUnreported() {
 	for key := range r.machine.Exited {
 		if r.showsToken && !r.reported[key] {
@@ -115,7 +114,7 @@
 		}
 	}
 	for key := range r.machine.UnknownTasks {
-		// A machine with unknown tasks gets no work, so those that have exited are forgotten too.
+		// Exited unknown tasks are deleted too, because a machine with unknown tasks gets no new tasks.
 		if r.machine.Exited[key] != nil || r.showsToken && !r.reported[key] {
 			delete(r.machine.UnknownTasks, key)
 		}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -6,17 +6,17 @@
 	"claybarrow/internal/protocol"
 )
 
-// A user's request passes these steps:
+// A user's request is handled in these steps:
 //
-//  1. onRequest takes it from the transport, and refuses it if the process has just been paused.
-//  2. onUserRequest hands it to the leader's userRequests, or to leaderRelay where another controller leads. The
-//     leader gets it there as an OpRelay, in onRelayedRequest.
-//  3. userRequests answers at once, or notes the requester in the pendingTable while the record is stored that
-//     the answer depends on.
-//  4. Once it is stored the requester is taken from the table and answered. One that waits for longer than
-//     decisionTimeout, or whose leader ends, is told to come back: requests are idempotent.
+//  1. onRequest receives it from the transport, and refuses it if the process has just been paused.
+//  2. onUserRequest passes it to userRequests if this controller leads, and otherwise to leaderRelay, which sends it to
+//     the leader. The leader receives a relayed request as an OpRelay, in onRelayedRequest.
+//  3. userRequests answers at once, or adds the requester to the pendingTable while the record that the answer depends
+//     on is being stored.
+//  4. Once the record is durable, the requester is removed from the table and gets the reply. A requester that waits
+//     longer than decisionTimeout, or whose leader's leadership ends, is told to retry: requests are idempotent.
 
-// onRequest takes a request and answers it, now or by its deadline.
+// onRequest handles a request and answers it, at once or by its deadline.
 func (c *Controller) onRequest(request Request) {
 	from := requester{id: request.ID}
 	if c.pause.isRecovering() && request.Op.needsLeader() {
@@ -40,12 +40,12 @@
 	case OpSubmit, OpPoll, OpCancel:
 		c.onUserRequest(from, request)
 	default:
-		c.onUserRequest(from, request) // the leader refuses what it doesn't know
+		c.onUserRequest(from, request) // the leader refuses unsupported operations
 	}
 }
 
-// needsLeader reports whether a request can be answered only by the leader or with its help. Workers'
-// heartbeats need it too, but onWorkerHeartbeat refuses those itself.
+// needsLeader reports whether a request is refused during the recovery from a process pause because its answer depends
+// on the leader. Workers' heartbeats depend on the leader too, but onWorkerHeartbeat refuses them itself.
 func (op Op) needsLeader() bool {
 	switch op {
 	case OpReady, OpPeerHeartbeat, OpProbe, OpWorkerHeartbeat:
@@ -56,7 +56,7 @@
 	return true
 }
 
-// onUserRequest decides a user's request, or relays it to the leader.
+// onUserRequest handles a user's request as the leader, or relays it to the leader.
 func (c *Controller) onUserRequest(from requester, request Request) {
 	if c.leadership == nil {
 		c.relay.relayFromUser(from, request)
@@ -65,8 +65,8 @@
 	c.leadership.userRequests.handle(from, request.Op, request.UID, request.Body)
 }
 
-// onRelayedRequest decides a user's request that another controller relayed, or relays it once more for a
-// controller that does not reach the leader.
+// onRelayedRequest handles a user's request that another controller relayed. A controller that does not lead relays it
+// on behalf of the other controller, which cannot reach the leader.
 func (c *Controller) onRelayedRequest(from requester, body []byte) {
 	var relay protocol.ForwardedRequest
 	if protocol.DecodePeer(body, &relay) != nil {
@@ -81,8 +81,8 @@
 	c.leadership.userRequests.handle(from, Op(relay.Operation), relay.UID, relay.Body)
 }
 
-// onForwardedHeartbeat takes a worker's heartbeat that another controller forwarded, or forwards it once more
-// for a controller that does not reach the leader.
+// onForwardedHeartbeat handles a worker's heartbeat that another controller forwarded. A controller that does not lead
+// forwards it on behalf of the other controller, which cannot reach the leader.
 func (c *Controller) onForwardedHeartbeat(from requester, body []byte) {
 	from.relayed = true
 	var relay protocol.ForwardedRequest
@@ -98,7 +98,7 @@
 	c.onWorkerHeartbeat(from, relay.Body)
 }
 
-// onReadinessCheck answers the load balancer.
+// onReadinessCheck answers the load balancer's readiness check.
 func (c *Controller) onReadinessCheck(from requester) {
 	if !c.isReady() {
 		c.outbox.replyUnavailable(from)
@@ -107,9 +107,10 @@
 	c.outbox.reply(from, http.StatusOK, nil, 0)
 }
 
-// isReady reports whether the load balancer should send requests here. It must not flap, as the load balancer
-// doubles its pause at each removal: a controller is ready while it knows a leader, or has lost the last one
-// only a moment ago. What can't be decided in that time is refused at once with status 503.
+// isReady reports whether the load balancer should send requests to this controller. The result must not flap, because
+// the load balancer doubles its pause with each removal. A controller is therefore ready while a leader is known, and
+// for a short time after the last leader was lost; requests that need a leader are refused at once with status 503
+// during that time.
 func (c *Controller) isReady() bool {
 	if l := c.leadership; l != nil {
 		return l.loader.ready || c.env.now < l.lease.electedAt+c.env.cfg.WorkerLease()
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -13,8 +13,8 @@
 // completionRecorder stores the completions of tasks and the departures of attempts from their machines: in the
 // completion journal while the feature gate is open, and in the records of jobs and machines otherwise.
 //
-// It owns the journal and what was found when it was loaded. A successor loads the values of the journal after
-// the records, and compacts them as its own.
+// It owns the journal and the counts of what was loaded into it. After a failover the next leader loads the values of
+// the journal after the records, and compacts them like values of its own.
 type completionRecorder struct {
 	env      *environment
 	lease    *leaderLease
@@ -23,33 +23,34 @@
 	store    *statestore.Writer
 
 	journal *completionjournal.Journal
-	// What load found: values that it read, values that it could not read, and entries whose records had
-	// them already.
+	// The results of loading the journal: the number of values that were decoded, of values that could not be decoded,
+	// and of entries that their records already contained.
 	values, unreadable, redundantEntries int
-	// sizeObservedAt is when the observer was last given the journal's size.
+	// sizeObservedAt is when the journal's size was last reported to the observer.
 	sizeObservedAt time.Duration
 }
 
 // Limits of the journal.
 const (
-	// compactionLeases is how many workers' leases a value may be stored before its entries are compacted
-	// into the records.
+	// compactionLeases is the age, in worker leases, at which the entries of a stored value are compacted into the
+	// records.
 	compactionLeases = 2
-	// journalPages is how many requests of a failover the journal may take to load.
+	// journalPages bounds the requests to the state service that loading the journal takes at a failover.
 	journalPages = 4
-	// pageBytes is the most that the state service returns to one request.
+	// pageBytes is the maximum size of a reply of the state service.
 	pageBytes = 512 << 10
 )
 
-// JournalSize is what the completion journal holds, in numbers.
+// JournalSize holds the numbers of values and entries of the completion journal.
 type JournalSize struct {
 	Values     int // stored values
-	Entries    int // completions and departures in them that are not compacted yet
-	Waiting    int // those that wait to be stored
+	Entries    int // completions and departures in stored values that are not compacted yet
+	Waiting    int // completions and departures that wait to be stored
 	Unreadable int // stored values that could not be decoded at the failover
 }
 
-// newCompletionRecorder returns the recorder of a leadership, whose gate decides on the use of the journal.
+// newCompletionRecorder returns the recorder of a leadership. It opens the journal if the leadership's feature gate
+// permits writes to it.
 func (l *leadership) newCompletionRecorder() *completionRecorder {
 	cfg := l.controller.env.cfg
 	limits := completionjournal.Limits{
@@ -64,24 +65,24 @@
 	return &completionRecorder{journal: journal}
 }
 
-// open directs completions and departures to the journal from now on.
+// open directs completions and departures to the journal.
 func (r *completionRecorder) open() { r.journal.Open() }
 
-// close directs them to the records from now on.
+// close directs completions and departures to the records of jobs and machines.
 func (r *completionRecorder) close() { r.journal.Close() }
 
-// abandon gives up the journal after the state service has rejected a value for good: its entries go to the
-// records.
+// abandon disables the journal after the state service has permanently rejected a value. The entries of that value are
+// written to the records of jobs and machines.
 func (r *completionRecorder) abandon() {
 	r.env.log.Error("completion journal disabled for this leadership: the state service rejects a value")
 	r.journal.Abandon()
 }
 
-// isCompacted reports whether nothing is stored that older versions of the program can't read. Unreadable values
-// do not count: no version reads them, and nothing is lost by that but work.
+// isCompacted reports whether the journal is empty, so that all that is stored can be read by older versions of the
+// program. Unreadable values do not count: no version can read them, and their loss costs only repeated work.
 func (r *completionRecorder) isCompacted() bool { return r.journal.IsEmpty() }
 
-// tick compacts what is due, and gives the observer the journal's size once in a worker's lease.
+// tick compacts the journal's due values, and reports its size to the observer once per worker lease.
 func (r *completionRecorder) tick() {
 	r.journal.Tick()
 	if r.env.now < r.sizeObservedAt+r.env.cfg.WorkerLease() {
@@ -92,7 +93,7 @@
 	r.env.observer.JournalSized(JournalSize{Values: values, Entries: ends, Waiting: waiting, Unreadable: r.unreadable})
 }
 
-// recordCompletion stores the completion of a task; then is called once it is durable.
+// recordCompletion stores the completion of a task; then is called once the completion is durable.
 func (r *completionRecorder) recordCompletion(j *clusterstate.Job, index int, then func()) {
 	if r.journal.Accepts() {
 		r.journal.Add(completionjournal.Entry{Job: j.Spec.UID, Index: index}, r.state.CompletionKey(j, index), then)
@@ -101,8 +102,9 @@
 	r.storeCompletions(j, index, statestore.PriorityCompletion, then)
 }
 
-// recordDeparture stores that an attempt has left its machine. The attempts of a gang share one number, under
-// which a replaced task may return to the machine: its departures are stored in the records in any case.
+// recordDeparture stores that an attempt has left its machine. Departures of a gang's attempts are always stored in the
+// records: the attempts of a gang share one number, so a task that is placed again could return to the machine under
+// the same number.
 func (r *completionRecorder) recordDeparture(a *clusterstate.Attempt) {
 	m := a.Machine
 	if !m.HasRecord {
@@ -116,7 +118,7 @@
 	r.machines.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
-// storeCompletions has the completion record that covers a task written.
+// storeCompletions queues a write of the completion record that covers a task.
 func (r *completionRecorder) storeCompletions(j *clusterstate.Job, index int, priority statestore.Priority, then func()) {
 	r.store.QueueWrite(r.state.CompletionKey(j, index), priority, func() any { return r.state.CompletionRecord(j, index) }, then)
 }
@@ -131,7 +133,8 @@
 	}
 }
 
-// releaseRecord releases the journal entries that wait for a record to be written: it is not needed any more.
+// releaseRecord releases the journal entries that wait for a write of the record with the key, because the record is
+// no longer needed.
 func (r *completionRecorder) releaseRecord(key string) {
 	r.journal.RecordRendered(key)
 	r.journal.RecordStored(key)
@@ -142,7 +145,7 @@
 
 var _ completionjournal.Compactor = compactionHost{}
 
-// Compact implements completionjournal.Compactor: it has the record written that an entry belongs to.
+// Compact implements completionjournal.Compactor: it queues a write of the record that the entry belongs to.
 func (h compactionHost) Compact(entry completionjournal.Entry, key string, priority statestore.Priority) {
 	if entry.Machine != "" {
 		h.compactDeparture(entry.Machine, key, priority)
@@ -151,11 +154,11 @@
 	if j := h.leader.state.Jobs[entry.Job]; j != nil {
 		h.leader.completions.storeCompletions(j, entry.Index, priority, nil)
 	} else {
-		h.leader.completions.releaseRecord(key) // the job is over
+		h.leader.completions.releaseRecord(key) // the job is done or cancelled
 	}
 }
 
-// compactDeparture has the record of a machine written, or deleted if the machine is.
+// compactDeparture queues a write of the machine's record, or its deletion if the machine was removed.
 func (h compactionHost) compactDeparture(machine, key string, priority statestore.Priority) {
 	m := h.leader.state.Machines[machine]
 	switch {
@@ -168,8 +171,8 @@
 	}
 }
 
-// loadValue loads a value of the journal at a failover, after the records. A value that can't be decoded is left in
-// the state service and counted.
+// loadValue loads a value of the journal at a failover, after the records. A value that cannot be decoded is counted
+// and left in the state service.
 func (r *completionRecorder) loadValue(item protocol.KeyValue) error {
 	entries, err := decodeJournalValue(item)
 	if err != nil {
@@ -189,7 +192,7 @@
 	return nil
 }
 
-// decodeJournalValue returns the entries of a stored value of the journal.
+// decodeJournalValue returns the entries of a stored journal value.
 func decodeJournalValue(item protocol.KeyValue) ([]completionjournal.Entry, error) {
 	var value completionjournal.Value
 	if err := protocol.Decode(item.Value, &value); err != nil {
@@ -198,9 +201,9 @@
 	return completionjournal.Decode(item.Key, value)
 }
 
-// apply applies an entry of a value with a version to the cluster state. It returns the key of the record that
-// lacks the entry, if one does: a record that was written later than the value, or together with it, has all
-// that the value says and may be newer.
+// apply applies an entry to the cluster state; version is the version of the entry's value in the state service. If the
+// entry's record lacks it, apply returns the key of that record and true. A record whose version is not lower than that
+// of the value contains the entry already and may be newer.
 func (r *completionRecorder) apply(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
 	if entry.Machine != "" {
 		return r.applyDeparture(entry, version)
@@ -212,7 +215,8 @@
 	return r.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
 }
 
-// applyDeparture removes an attempt that has left its machine.
+// applyDeparture applies the departure of an attempt from its machine to the cluster state. Its results are those of
+// apply.
 func (r *completionRecorder) applyDeparture(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
 	m, key := r.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
 	if m == nil || r.state.Jobs[entry.Job] == nil || r.store.Version(key) >= version {
@@ -226,7 +230,7 @@
 	return key, true
 }
 
-// logLoaded logs what the journal held, once all records are loaded.
+// logLoaded logs the size of the journal, once all records are loaded.
 func (r *completionRecorder) logLoaded() {
 	if r.values+r.unreadable == 0 {
 		return
@@ -236,5 +240,5 @@
 		"redundant", r.redundantEntries, "unreadable", r.unreadable)
 }
 
-// isJournalKey reports whether a key is one of the journal's.
+// isJournalKey reports whether the key belongs to the completion journal.
 func isJournalKey(key string) bool { return strings.HasPrefix(key, completionjournal.Prefix) }
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -6,18 +6,18 @@
 	"claybarrow/internal/statestore"
 )
 
-// taskExit is the first report of a task's exit, for a task whose job is known.
+// taskExit is the first report of the exit of a task whose job is known.
 type taskExit struct {
 	machine *clusterstate.Machine
 	job     *clusterstate.Job
-	index   int // of the task in its job
+	index   int // the task's index in its job
 	key     clusterstate.AttemptKey
 	record  *clusterstate.ExitedTask
 	cause   protocol.ExitCause
 }
 
-// onExit handles a task that a machine reports as exited. A worker reports it until it receives the clear
-// command; only the first report counts.
+// onExit handles a task that a machine reports as exited. The worker repeats the report until it receives the clear
+// command; only the first report is handled.
 func (h *heartbeatReceiver) onExit(m *clusterstate.Machine, key clusterstate.AttemptKey, status protocol.TaskStatus) {
 	if m.Exited[key] != nil {
 		return
@@ -37,7 +37,7 @@
 	}
 }
 
-// applyExitCause does what the cause of a task's exit means for its job and its machine.
+// applyExitCause updates the task's job and machine according to the cause of the exit.
 func (h *heartbeatReceiver) applyExitCause(exit taskExit) {
 	m, j := exit.machine, exit.job
 	switch exit.cause {
@@ -47,23 +47,23 @@
 	case protocol.CauseError:
 		h.failures.onTaskError(m, j, exit.record.Attempt, exit.key)
 	case protocol.CauseInsufficientResources, protocol.CauseBusy:
-		// The machine knows better than the cluster state what is on it. It gets no tasks for a heartbeat
-		// interval.
+		// The worker's view of the machine's free resources is more accurate than the cluster state. The machine
+		// gets no tasks for a heartbeat interval.
 		m.QuarantinedUntil = max(m.QuarantinedUntil, h.env.now+h.env.cfg.WorkerHeartbeatInterval())
 	case protocol.CauseStopped, protocol.CausePeersLost:
-		// The job is not to blame.
+		// The exit is not the job's fault.
 	case protocol.CauseIncomplete:
 		if h.env.now >= j.NotBefore {
 			h.failures.backOffJob(j) // once for all tasks of the gang
 		}
 	default:
-		// A cause that this version does not know.
+		// The worker sent a cause that this version of the controller does not support.
 		h.failures.backOffJob(j)
 	}
 }
 
-// onTaskDone handles the completion of a task. The exit may be cleared only once the completion is durable: the
-// worker's report is its only record until then.
+// onTaskDone handles the completion of a task. The exit may be cleared only once the completion is durable, because
+// until then the worker's report is the only record of the completion.
 func (h *heartbeatReceiver) onTaskDone(exit taskExit) {
 	j, record := exit.job, exit.record
 	if j.Spec.Service || j.Cancelling && j.Finalizing {
@@ -77,11 +77,11 @@
 	ready := func() { record.Clearable = true }
 	switch {
 	case j.Gang != nil:
-		// If one task of a gang is done, all are.
+		// The completion of one task of a gang completes the whole gang.
 		h.attempts.completeGang(j)
 		h.storeCompletedJob(j, ready)
 	case j.CompletedTasks == j.Spec.Tasks:
-		// Also if the job's cancellation was under way.
+		// This applies also to a job that is being cancelled.
 		h.jobs.completeJob(j)
 		h.storeCompletedJob(j, ready)
 	default:
@@ -89,7 +89,7 @@
 	}
 }
 
-// storeCompletedJob marks the job's record to be written; then is called once it is durable.
+// storeCompletedJob queues a write of the job's record; then is called once the record is durable.
 func (h *heartbeatReceiver) storeCompletedJob(j *clusterstate.Job, then func()) {
 	h.store.QueueWrite(clusterstate.JobPrefix+j.Spec.UID, statestore.PriorityUser, func() any { return j.Record() }, then)
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -10,9 +10,9 @@
 	"claybarrow/internal/statestore"
 )
 
-// userRequests decides users' requests as the leader. It holds the submissions whose records are being stored and
-// the users who wait for the end of a cancelled job. At the end of the leadership all of them are refused, come back
-// and ask the next leader: an id names the same job there.
+// userRequests handles users' requests as the leader. It holds the submissions whose records are being stored, and the
+// users who wait for a cancellation to complete. When the leadership ends, all of these requests are refused with a
+// retry, and users repeat them with the next leader: requests are idempotent by the job's ID.
 type userRequests struct {
 	attempts  *attemptTracker
 	catalog   *machineCatalog
@@ -28,8 +28,8 @@
 	state     *clusterstate.State
 	store     *statestore.Writer
 
-	pendingSubmissions map[string]*pendingSubmission // by job
-	cancelWaiters      map[string][]requester        // by job
+	pendingSubmissions map[string]*pendingSubmission // by job ID
+	cancelWaiters      map[string][]requester        // by job ID
 }
 
 // pendingSubmission is a submission whose record is being stored.
@@ -42,7 +42,7 @@
 	return &userRequests{pendingSubmissions: map[string]*pendingSubmission{}, cancelWaiters: map[string][]requester{}}
 }
 
-// handle answers a user's request, at once or when what it asks for is durable.
+// handle answers a user's request, either at once or when its effect is durable.
 func (u *userRequests) handle(from requester, op Op, uid string, body []byte) {
 	switch op {
 	case OpSubmit:
@@ -52,12 +52,12 @@
 	case OpCancel:
 		u.cancel(from, uid)
 	default:
-		// A relayed request may name any operation.
+		// A relayed request may contain an unsupported operation.
 		u.outbox.reply(from, http.StatusBadRequest, nil, 0)
 	}
 }
 
-// submit accepts a job, or rejects it. It may be repeated: a job that has been accepted is answered with its status.
+// submit accepts or rejects a job. A repeated submission of an accepted job is answered with the job's status.
 func (u *userRequests) submit(from requester, body []byte) {
 	uid, spec, err := protocol.ParseSubmission(body)
 	if u.replyToKnownJob(from, uid) {
@@ -75,7 +75,7 @@
 		return
 	}
 	if len(u.catalog.types) == 0 {
-		u.outbox.replyUnavailable(from) // feasibility can't be decided yet
+		u.outbox.replyUnavailable(from) // feasibility depends on the machine types, which are not loaded yet
 		return
 	}
 	if reason := u.infeasibleReason(spec); reason != feasible {
@@ -88,8 +88,9 @@
 	}
 }
 
-// replyToKnownJob answers a submission that can be answered by its id alone: a job accepted before is answered
-// first, whatever its repetition holds, and a controller that is not certain to be the leader decides nothing.
+// replyToKnownJob answers a submission if the job's ID suffices for that, and reports whether it did. A job that was
+// accepted before is answered with its status, even if the repeated submission is malformed. The request is refused if
+// this controller is not certain to be the leader.
 func (u *userRequests) replyToKnownJob(from requester, uid string) bool {
 	if status, ok := u.terminalStatus(uid); ok {
 		u.outbox.replyStatus(from, http.StatusOK, status)
@@ -120,7 +121,7 @@
 	if spec.Gang && spec.Spread && spec.Tasks > 1 && (spec.OneZone || len(zones) == 1) {
 		return gangCannotSpread
 	}
-	// Services and gangs run all their tasks at the same time, other jobs may run one by one.
+	// Services and gangs run all their tasks at the same time; the tasks of other jobs may run one after another.
 	atOnce := need
 	if spec.Service || spec.Gang {
 		atOnce = need.Times(float64(spec.Tasks))
@@ -131,7 +132,8 @@
 	return feasible
 }
 
-// feasibleZones returns the zones that have a machine type which the job may use and a task of it fits on.
+// feasibleZones returns the zones that the job may use and that offer a machine type which the job may use and which is
+// large enough for one of its tasks.
 func (u *userRequests) feasibleZones(spec *protocol.JobSpec, need scheduler.Resources) map[string]bool {
 	zones := map[string]bool{}
 	for _, t := range u.catalog.types {
@@ -148,7 +150,8 @@
 	return zones
 }
 
-// storeSubmission has a job's record stored; its users are answered, and its tasks placed, once it is durable.
+// storeSubmission queues a write of the job's record. Once the record is durable, the waiting users get the reply and
+// the job's tasks may be placed.
 func (u *userRequests) storeSubmission(from requester, uid string, spec *protocol.JobSpec) {
 	j := u.state.AddJob(spec, u.env.wall)
 	submission := &pendingSubmission{job: j, waiters: []requester{from}}
@@ -174,8 +177,8 @@
 	}
 }
 
-// dropAbandonedSubmissions drops the submissions that nobody waits for any more, unless their record is on its way to
-// the state service: their users were told to come back.
+// dropAbandonedSubmissions drops the submissions without a waiting request, unless the write of their record is already
+// in flight. Their users have been told to retry.
 func (u *userRequests) dropAbandonedSubmissions() {
 	for _, uid := range sortedKeys(u.pendingSubmissions) {
 		if slices.ContainsFunc(u.pendingSubmissions[uid].waiters, u.pending.isWaiting) {
@@ -188,8 +191,7 @@
 	}
 }
 
-// abandonSubmission gives up a submission whose record the state service refuses to store in any form. Its users are
-// told to come back.
+// abandonSubmission drops a submission whose record the state service permanently rejects. Its users are told to retry.
 func (u *userRequests) abandonSubmission(uid string) {
 	submission := u.pendingSubmissions[uid]
 	if submission == nil {
@@ -204,25 +206,26 @@
 	u.state.RemoveJob(uid)
 }
 
-// poll answers with a job's status. A job that is about to be done or cancelled is reported so once that is durable;
-// until then its status before is still true for its user.
+// poll answers with a job's status. A final state is reported only once it is durable; until then the reply contains
+// the status before it.
 func (u *userRequests) poll(from requester, uid string) {
 	if j := u.findActiveJob(from, uid); j != nil {
 		u.replyAsLeader(from, http.StatusOK, u.activeStatus(j))
 	}
 }
 
-// cancel stops a job's tasks; its user is answered once the last one is proved to have ended.
+// cancel requests the stop of a job's tasks. The user gets the reply once the last task is proven to have ended and the
+// final state is durable.
 func (u *userRequests) cancel(from requester, uid string) {
 	j := u.findActiveJob(from, uid)
 	if j == nil || !u.pending.add(from) {
 		return
 	}
-	// Users who were refused meanwhile ask again, and would pile up here.
+	// Requests that were refused in the meantime are removed: their users retry, so the list would grow without bound.
 	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(waiter requester) bool { return !u.pending.isWaiting(waiter) })
 	u.cancelWaiters[uid] = append(waiting, from)
 	if j.Cancelling || j.Finalizing {
-		return // answered when that is durable
+		return // the reply follows once the final state is durable
 	}
 	u.env.log.Info("job cancellation accepted", "job", uid)
 	j.Cancelling = true
@@ -231,7 +234,7 @@
 	u.jobs.completeCancellation(j)
 }
 
-// stopAttempts requests all attempts of a job to stop without grace, as nothing that they still do is of use.
+// stopAttempts requests the stop of all attempts of a job, without a grace period: a cancelled job needs no checkpoint.
 func (u *userRequests) stopAttempts(j *clusterstate.Job) {
 	for _, m := range u.machines.sortedMachines() {
 		for _, a := range m.SortedAttempts() {
@@ -253,9 +256,9 @@
 	delete(u.cancelWaiters, uid)
 }
 
-// findActiveJob returns an accepted job that is not over. In all other cases it answers the request and returns nil.
-// Final states never change, so even a controller that can't know whether it still leads may state them; everything
-// else only one that does, with all records loaded.
+// findActiveJob returns an accepted job that is neither done nor cancelled. In all other cases it answers the request
+// and returns nil. Final states never change, so a controller may report them even if it is not certain to still be the
+// leader. All other answers require a leader with a valid lease and all records loaded.
 func (u *userRequests) findActiveJob(from requester, uid string) *clusterstate.Job {
 	if status, ok := u.terminalStatus(uid); ok {
 		u.outbox.replyStatus(from, http.StatusOK, status)
@@ -268,7 +271,7 @@
 	case j == nil:
 		u.outbox.replyUntil(from, http.StatusNotFound, nil, 0, u.lease.holdsLeaseUntil())
 	case !j.Stored:
-		u.outbox.replyUnavailable(from) // about to be accepted, but not durable yet
+		u.outbox.replyUnavailable(from) // the job's record is not durable yet
 	default:
 		return j
 	}
@@ -278,7 +281,7 @@
 // canDecide reports whether this controller has loaded all records and is certain to be the leader.
 func (u *userRequests) canDecide() bool { return u.loader.ready && u.lease.holdsLease() }
 
-// terminalStatus returns the final state of a job; false: the job is not over, or not known.
+// terminalStatus returns the final status of a job. It returns false if the job is unknown or has no final state yet.
 func (u *userRequests) terminalStatus(uid string) (protocol.JobStatus, bool) {
 	terminal, ok := u.state.TerminalJobs[uid]
 	if !ok {
@@ -290,7 +293,7 @@
 	return protocol.JobStatus{UID: uid, State: protocol.JobDone, Done: terminal.Tasks}, true
 }
 
-// activeStatus is the status of a job that is not over.
+// activeStatus returns the status of a job that is neither done nor cancelled.
 func (u *userRequests) activeStatus(j *clusterstate.Job) protocol.JobStatus {
 	status := protocol.JobStatus{UID: j.Spec.UID, State: protocol.JobPending, Done: j.CompletedTasks, Running: j.RunningTasks}
 	if j.RunningTasks > 0 {
@@ -299,8 +302,8 @@
 	return status
 }
 
-// replyAsLeader answers with what only a leader may state. The answer is sent only while this controller is certain
-// to lead.
+// replyAsLeader answers with a job status that only the leader may report. The reply is sent only while this controller
+// is certain to be the leader.
 func (u *userRequests) replyAsLeader(to requester, status int, job protocol.JobStatus) {
 	u.outbox.replyUntil(to, status, protocol.Encode(job), 0, u.lease.holdsLeaseUntil())
 }
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -10,11 +10,11 @@
 	"claybarrow/internal/statestore"
 )
 
-// heartbeatReceiver takes the workers' heartbeats, and the responses to direct calls, which have the same form,
-// and applies them to the cluster state.
+// heartbeatReceiver applies the workers' heartbeats, and the replies to direct calls, which have the same form, to
+// the cluster state.
 //
-// Its own state is only when it last renewed a worker's lease without commands. It ends with the leadership:
-// after a failover every worker is heard anew.
+// Its only own state is leaseOnlyReplyAt, which is discarded when the leadership ends: after a failover the next
+// leader waits for a new heartbeat of every worker.
 type heartbeatReceiver struct {
 	attempts    *attemptTracker
 	completions *completionRecorder
@@ -32,10 +32,11 @@
 	state       *clusterstate.State
 	store       *statestore.Writer
 
-	leaseOnlyReplyAt time.Duration // when a worker was last answered without commands
+	leaseOnlyReplyAt time.Duration // when a worker's lease was last renewed by a reply without commands
 }
 
-// maxSpotNoticeS bounds the notice of a spot reclaim, in seconds, so that a wrong value can't overflow a time.
+// maxSpotNoticeS bounds the notice period of a spot reclaim, in seconds. Larger values, which a faulty worker could
+// send, would overflow a time.Duration.
 const maxSpotNoticeS = 1e6
 
 // onWorkerHeartbeat answers a worker's heartbeat, as the leader or as a follower.
@@ -46,7 +47,7 @@
 		return
 	}
 	if c.pause.isRecovering() {
-		// After a process pause it knows nothing yet, not even whether it leads.
+		// After a process pause this controller's view is stale: another controller may have become leader.
 		c.outbox.replyUnavailable(from)
 		return
 	}
@@ -57,8 +58,8 @@
 	c.leadership.onWorkerHeartbeat(from, &msg)
 }
 
-// onWorkerHeartbeat answers a worker's heartbeat while this controller does not lead: it renews the worker's
-// lease for the leader, forwards the heartbeat to the leader, or redirects the worker there.
+// onWorkerHeartbeat answers a worker's heartbeat as a follower: the follower renews the worker's lease for the
+// leader, forwards the heartbeat to the leader, or redirects the worker to the leader.
 func (f *follower) onWorkerHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
 	if f.tryRenewLeaseForLeader(msg) {
 		f.replyLeaseOnly(from, msg)
@@ -85,8 +86,8 @@
 	}
 	m, newest := l.heartbeats.applyHeartbeat(msg, true)
 	if l.lease.ended || !newest {
-		// What is not newest is a late copy, or from a machine that was removed. It is neither evidence nor a
-		// sign of life, and nobody waits for the answer.
+		// Without newest the message is a late copy, or its machine was removed. Such a message proves neither
+		// the state of a task nor that the machine is up, and no worker waits for the reply.
 		outbox.replyUnavailable(from)
 		return
 	}
@@ -104,16 +105,16 @@
 	l.heartbeats.replyWithCommands(from, l.dispatcher.pendingCommands(m, true))
 }
 
-// replyWithCommands answers a heartbeat under the leader's token, which renews the worker's lease.
+// replyWithCommands answers a heartbeat with the leader's token and commands, which renews the worker's lease.
 func (h *heartbeatReceiver) replyWithCommands(to requester, commands []protocol.Command) {
 	reply := protocol.WorkerHeartbeatReply{Token: h.lease.token, Commands: commands}
 	h.outbox.reply(to, http.StatusOK, protocol.Encode(reply), 0)
 }
 
-// answerForwardedHeartbeat answers a heartbeat that this controller forwarded as a follower to another leader,
-// which did not answer, now that it leads itself. If it refused the worker, the worker would look for the
-// leader elsewhere and wait for each controller that has ended. The worker may have answered a direct call
-// since: then the heartbeat is no evidence, but its lease is renewed all the same.
+// answerForwardedHeartbeat answers a heartbeat that this controller forwarded to the previous leader as a follower,
+// when this controller has been elected before the request completed. A refusal would make the worker try the other
+// controllers, and wait for the timeout of each one that has ended. If the worker has since answered a direct call,
+// the heartbeat is out of date and is not applied to the cluster state, but the reply still renews the worker's lease.
 func (h *heartbeatReceiver) answerForwardedHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
 	m := h.state.Machines[msg.Machine]
 	if !h.loader.ready || m == nil || m.Epoch != msg.Epoch || msg.Sequence > m.Sequence || msg.Token > h.lease.token {
@@ -124,10 +125,10 @@
 	h.replyWithCommands(from, []protocol.Command{})
 }
 
-// renewWithoutCommands renews the lease of a worker whose heartbeat comes while the stored records are being
-// read, or after a process pause before the leader knows whether it still leads. As a follower does, it sends
-// no commands and the token that the worker shows. A worker that is refused waits for each controller that has
-// ended.
+// renewWithoutCommands renews the lease of a worker whose heartbeat arrives while the leader loads the stored
+// records, or while it verifies its own lease after a process pause. Like the reply of a follower, the reply has no
+// commands and repeats the token that the worker sent. A refusal would make the worker try the other controllers,
+// and wait for the timeout of each one that has ended.
 func (h *heartbeatReceiver) renewWithoutCommands(from requester, msg *protocol.WorkerHeartbeat) {
 	if msg.Token > h.lease.token {
 		h.controller.endLeadership(endWorkerSawLater)
@@ -140,9 +141,9 @@
 	h.follower.replyLeaseOnly(from, msg)
 }
 
-// applyHeartbeat applies a worker's message to the cluster state: a heartbeat (isHeartbeat), or the response to
-// a direct call. It returns false for what is not the machine's newest message. A message with a later token
-// ends the leadership.
+// applyHeartbeat applies a worker's message to the cluster state. The message is a heartbeat if isHeartbeat is true,
+// and the reply to a direct call otherwise. A message that is not the machine's newest is not applied, and the result
+// is false. A message with a higher token than the leader's ends the leadership.
 func (h *heartbeatReceiver) applyHeartbeat(msg *protocol.WorkerHeartbeat, isHeartbeat bool) (*clusterstate.Machine, bool) {
 	if msg.Token > h.lease.token {
 		h.controller.endLeadership(endWorkerSawLater)
@@ -165,7 +166,7 @@
 	observation := m.RecordMessage(header, h.lease.token, h.env.now, h.env.cfg.WorkerLease())
 	m.EverReported = true
 	if observation.AnswersLost {
-		h.env.log.Info("machine receives no answers", "machine", m.ID, "epoch", msg.Epoch)
+		h.env.log.Info("worker does not receive the leader's replies", "machine", m.ID, "epoch", msg.Epoch)
 	}
 	if observation.LeaseExpired {
 		h.env.log.Info("agent epoch expired", "machine", m.ID, "epoch", msg.Epoch)
@@ -176,8 +177,9 @@
 	return m, true
 }
 
-// sender is the machine that a message comes from, with what the message says of its type and address. One
-// that nobody expected is added: it is used, or released when it is idle.
+// sender returns the machine that sent the message, and updates its address and, if unknown, its type and zone from
+// the message. A machine that the cluster state lacks is added: it gets tasks like any other, or is released when it
+// is idle.
 func (h *heartbeatReceiver) sender(msg *protocol.WorkerHeartbeat) *clusterstate.Machine {
 	m := h.state.Machines[msg.Machine]
 	if m == nil {
@@ -195,8 +197,8 @@
 	return m
 }
 
-// noteSpotNotice notes when the cloud will reclaim a spot machine, as its worker says. Of several notices the
-// earliest counts.
+// noteSpotNotice records when the cloud will reclaim a spot machine according to its worker. The earliest of several
+// notices applies.
 func (h *heartbeatReceiver) noteSpotNotice(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
 	if msg.SpotNoticeS == nil {
 		return
@@ -210,19 +212,20 @@
 	m.ReclaimedBy = min(m.ReclaimedBy, reclaimedBy)
 }
 
-// onRunning handles an attempt that has begun to run, so that its image is on the machine.
+// onRunning handles an attempt that has begun to run, which shows that the machine has fetched its image.
 func (h *heartbeatReceiver) onRunning(m *clusterstate.Machine, a *clusterstate.Attempt) {
 	h.machines.noteImageUse(m, a.Job)
 	h.env.log.Debug("task running", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
 }
 
-// onAbsent handles an attempt that is proved to be no longer on the machine.
+// onAbsent handles an attempt that is proven to have left the machine.
 func (h *heartbeatReceiver) onAbsent(a *clusterstate.Attempt, proof absenceProof) {
 	h.attempts.removeAttempt(a, proof)
 }
 
-// adoptUnknownAttempt adds an attempt that the cluster state did not have on that machine. While it is there,
-// the task is not started a second time; it is stopped. The result is nil if the task's job is unknown.
+// adoptUnknownAttempt adds an attempt that the worker reports and the cluster state lacks, and requests its stop.
+// The added attempt keeps the scheduler from starting the task a second time meanwhile. The result is nil if the
+// task's job is unknown.
 func (h *heartbeatReceiver) adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
 	uid, index, ok := clusterstate.ParseTaskName(key.Task)
 	if !ok {
@@ -241,7 +244,8 @@
 	return a
 }
 
-// noteUnknownTask notes a task whose job the cluster state does not have. The dispatcher stops it.
+// noteUnknownTask records a reported task whose job the cluster state lacks. The dispatcher then sends stop commands
+// for it.
 func (h *heartbeatReceiver) noteUnknownTask(m *clusterstate.Machine, key clusterstate.AttemptKey) {
 	if m.UnknownTasks == nil {
 		m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{}
