--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -126,7 +126,7 @@
 	} else if m.LastSeen > call.sentAt {
 		d.reach.noteMissed(m.ID, d.env.now)
 	}
-	call.settleRuns(reply.Outcome)
+	call.recordRunOutcome(reply.Outcome)
 	if d.state.Machines[m.ID] != m {
 		return
 	}
@@ -163,9 +163,9 @@
 	m.NextCallAt = d.env.now + d.callRetryPause()*time.Duration(min(m.FailedCalls, maxCallBackoffFactor))
 }
 
-// settleRuns records the outcome of the run commands that the call carried. After a call without a usable reply, a
-// copy of the commands may still be executed; after a rejection the worker has executed none of them.
-func (call *directCall) settleRuns(outcome workerclient.Outcome) {
+// recordRunOutcome records the outcome of the run commands that the call carried. After a call without a usable reply,
+// a copy of the commands may still be executed; after a rejection the worker has executed none of them.
+func (call *directCall) recordRunOutcome(outcome workerclient.Outcome) {
 	for _, a := range call.attempts {
 		a.RunsInFlight--
 		switch outcome {
@@ -188,11 +188,11 @@
 // a machine that may be up, and shows whether direct calls succeed again. A machine that is still booting is not
 // probed, because the call would only time out.
 func (d *commandDispatcher) needsProbe(m *clusterstate.Machine) bool {
-	unheard := !m.TokenAcknowledged && !m.Probed && (m.EverReported || m.ListedRunning)
+	unacknowledged := !m.TokenAcknowledged && !m.Probed && (m.EverReported || m.ListedRunning)
 	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && d.env.now > m.LastSeen+d.overdueAfter()
 	// probesReachability comes last because it counts the probes that it permits. While other machines do not
 	// answer, the probe shows whether the fault is with those machines or with the leader.
-	return unheard || m.FailedCalls > 0 || overdue || d.reach.probesReachability(m)
+	return unacknowledged || m.FailedCalls > 0 || overdue || d.reach.probesReachability(m)
 }
 
 // overdueAfter is the time without messages after which a worker is probed: half an interval after its next heartbeat
@@ -340,8 +340,8 @@
 		return true
 	}
 	inReply := a.RunSequence > 0 && m.HeartbeatSequence <= a.RunSequence
-	onItsWay := a.RunsInFlight > 0 || a.RunLost || inReply
-	return !onItsWay
+	runInFlight := a.RunsInFlight > 0 || a.RunLost || inReply
+	return !runInFlight
 }
 
 func compareAttemptKeys(a, b clusterstate.AttemptKey) int {
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -60,15 +60,15 @@
 		f.env.log.Info("job no longer failing", "job", j.Spec.UID)
 	}
 	for id := range j.Failures.Machines {
-		other := f.state.Machines[id]
-		if other == nil || other == m {
+		otherMachine := f.state.Machines[id]
+		if otherMachine == nil || otherMachine == m {
 			continue
 		}
 		switch {
-		case other.Faults.ConfirmSuspect(j.Spec.UID):
-			f.logFaultyMachine(other)
-		case other.Faults.ConfirmedJobs > 0:
-			other.QuarantinedUntil = max(other.QuarantinedUntil, f.env.now+f.env.cfg.WorkerLease())
+		case otherMachine.Faults.ConfirmSuspect(j.Spec.UID):
+			f.logFaultyMachine(otherMachine)
+		case otherMachine.Faults.ConfirmedJobs > 0:
+			otherMachine.QuarantinedUntil = max(otherMachine.QuarantinedUntil, f.env.now+f.env.cfg.WorkerLease())
 		}
 	}
 	j.Failures = clusterstate.JobFailures{}
@@ -102,12 +102,12 @@
 // and doubles with each further one. It is at most a worker lease, because a job that waits longer while resources are
 // free counts as stuck. For a job that fails on every machine it may be as long as the cancellation timeout.
 func (f *failureTracker) retryDelay(j *clusterstate.Job) time.Duration {
-	longest := f.env.cfg.WorkerLease()
+	maxDelay := f.env.cfg.WorkerLease()
 	if j.Failures.IsJobFault {
-		longest = max(longest, f.env.cfg.CancelTimeout())
+		maxDelay = max(maxDelay, f.env.cfg.CancelTimeout())
 	}
 	delay := f.env.cfg.WorkerHeartbeatInterval() << min(max(j.Failures.Backoffs-1, 0), maxRetryDoublings)
-	return min(delay, longest)
+	return min(delay, maxDelay)
 }
 
 // noteProbingStart records the start of a task of a job that may start only one task at a time because of its failures.
--- a/internal/controller/fetch_warning.go
+++ b/internal/controller/fetch_warning.go
@@ -11,14 +11,14 @@
 // and the fetch rates from the cloud.
 func (f *demandForecast) warnOfSlowFetch(j *clusterstate.Job) {
 	class, objective := j.Spec.Class, f.views.waitObjective(j.Spec.Class)
-	if objective <= 0 || f.catalog.warnedOfFetch[class] {
+	if objective <= 0 || f.catalog.slowFetchWarned[class] {
 		return
 	}
 	fetchS := f.catalog.shortestFetchS(j)
 	if fetchS <= objective {
 		return
 	}
-	f.catalog.warnedOfFetch[class] = true
+	f.catalog.slowFetchWarned[class] = true
 	f.env.log.Warn("settings: cluster.objectives: within_s is shorter than the image fetch: tasks start in time only where the image is cached",
 		"class", class, "within_s", objective, "fetch_s", math.Round(fetchS*10)/10, "image_gb", j.Spec.ImageGB)
 }
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -21,8 +21,8 @@
 // assignments holds which controller owns each machine, by zone, in the failure detector's view.
 type assignments struct {
 	zones map[string]*membership.Assignment
-	// ownRoute is the workers' direct route to the leader.
-	ownRoute heartbeatRoute
+	// directRoute is the workers' direct route to the leader.
+	directRoute heartbeatRoute
 	// redirectBudget limits the rate of redirects: it allows the whole fleet to be redirected within one worker
 	// lease, and at least minRedirectsPerHeartbeat machines in each heartbeat interval.
 	redirectBudget ratelimit.TokenBucket
@@ -50,14 +50,14 @@
 	}
 	owner := r.ownerOf(m)
 	if servedBy == r.env.cfg.Label {
-		r.assignments.ownRoute.noteForwarded(r.env.now)
+		r.assignments.directRoute.noteForwarded(r.env.now)
 	}
 	if owner == "" || owner == servedBy || !r.isInContact(owner) {
 		return ""
 	}
 	route, process := r.routeTo(owner)
 	if m.RedirectedTo == owner && m.RedirectedProcess == process && m.RedirectedAt > 0 {
-		r.onWorkerReturned(m, route)
+		r.onRedirectFailed(m, route)
 		return ""
 	}
 	if m.RedirectedProcess != process {
@@ -117,7 +117,7 @@
 		return true
 	}
 	p := r.peers[label]
-	return p != nil && r.heardLately(p) && r.detection.detector.AcceptsWork(label, r.env.now)
+	return p != nil && r.hasRecentHeartbeat(p) && r.detection.detector.AcceptsWork(label, r.env.now)
 }
 
 // routeTo returns the workers' route to the controller with the label, and the incarnation of that controller's
@@ -126,5 +126,5 @@
 	if p := r.peers[label]; p != nil {
 		return &p.route, p.incarnation
 	}
-	return &r.assignments.ownRoute, r.env.incarnation
+	return &r.assignments.directRoute, r.env.incarnation
 }
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -49,9 +49,9 @@
 	// routeFreshHeartbeats is the number of heartbeat intervals for which a forwarded heartbeat proves that a route
 	// works.
 	routeFreshHeartbeats = 3
-	// settledLeases is the number of worker leases after which a redirect counts as successful. If the worker leaves
-	// the controller later than that, its earlier failed redirects are no longer counted.
-	settledLeases = 3
+	// redirectSuccessLeases is the number of worker leases after which a redirect counts as successful. If the worker
+	// leaves the controller later than that, its earlier failed redirects are no longer counted.
+	redirectSuccessLeases = 3
 )
 
 // heartbeatRoute is the state of the workers' route to the leader through one controller.
@@ -69,8 +69,9 @@
 	r.lastForwardedAt, r.failures = now, 0
 }
 
-// noteReturn records a failed redirect: a worker that was redirected to this route uses another one. If a heartbeat
-// of another worker arrived by this route at the same time, the route itself works, so lastForwardedAt is kept.
+// noteReturn records a failed redirect: a worker that was redirected to this route sends its heartbeats by another
+// route. If a heartbeat of a different worker arrived by this route at the same time, the route itself works, so
+// lastForwardedAt is kept.
 func (r *heartbeatRoute) noteReturn(now, lease time.Duration) {
 	if r.lastForwardedAt < now {
 		r.lastForwardedAt = 0
@@ -93,7 +94,7 @@
 }
 
 // redirectBackoff is the delay before the next redirect after another failure; failures is the number of consecutive
-// ones before it. The delay is half a lease after the first failure and doubles with each further one.
+// failures before that one. The delay is half a lease after the first failure and doubles with each further one.
 func redirectBackoff(lease time.Duration, failures int) time.Duration {
 	return lease / 2 << min(failures, maxBackoffDoublings)
 }
@@ -119,7 +120,7 @@
 	if m.RedirectedProcess != p.incarnation {
 		m.FailedRedirects = 0
 	} else if m.RedirectedAt > 0 {
-		r.onWorkerReturned(m, &p.route)
+		r.onRedirectFailed(m, &p.route)
 		return ""
 	}
 	if r.env.now < m.NoRedirectUntil || !p.route.accepts(r.env.now, r.env.cfg.WorkerHeartbeatInterval()) {
@@ -135,10 +136,10 @@
 	return m.Zone != "" && msg.Token == r.lease.token && r.env.now >= r.lease.electedAt+r.env.cfg.WorkerLease()/2
 }
 
-// onWorkerReturned records that a worker does not send its heartbeats to the controller that it was redirected to.
-func (r *heartbeatRouter) onWorkerReturned(m *clusterstate.Machine, route *heartbeatRoute) {
+// onRedirectFailed records that a worker does not send its heartbeats to the controller that it was redirected to.
+func (r *heartbeatRouter) onRedirectFailed(m *clusterstate.Machine, route *heartbeatRoute) {
 	lease := r.env.cfg.WorkerLease()
-	if r.env.now > m.RedirectedAt+settledLeases*lease {
+	if r.env.now > m.RedirectedAt+redirectSuccessLeases*lease {
 		m.FailedRedirects = 0
 	}
 	m.NoRedirectUntil = r.env.now + redirectBackoff(lease, m.FailedRedirects)
@@ -153,7 +154,7 @@
 func (r *heartbeatRouter) nearestController(zone string) string {
 	var candidates []string
 	for _, sibling := range r.env.cfg.Siblings {
-		if sibling.Zone == zone && r.heardLately(r.peers[sibling.Label]) {
+		if sibling.Zone == zone && r.hasRecentHeartbeat(r.peers[sibling.Label]) {
 			candidates = append(candidates, sibling.Label)
 		}
 	}
@@ -169,9 +170,9 @@
 // workers' lease.
 func (e *environment) peerContactLimit() time.Duration { return e.cfg.WorkerLease() / 8 }
 
-// heardLately reports whether the controller is in contact with the leader: its last heartbeat is younger than
+// hasRecentHeartbeat reports whether the controller is in contact with the leader: its last heartbeat is younger than
 // peerContactLimit.
-func (r *heartbeatRouter) heardLately(p *peer) bool {
+func (r *heartbeatRouter) hasRecentHeartbeat(p *peer) bool {
 	return p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.peerContactLimit()
 }
 
@@ -202,23 +203,23 @@
 	return only
 }
 
-// controllersBetween is the number of controllers that a worker tries after the one with the label has ended until
-// it reaches the next controller of the same zone. Workers try the controllers in the order of their labels, and each
+// controllersBetween is the number of controllers that a worker tries until it reaches the next controller of the same
+// zone, if the controller with the label ends. Workers try the controllers in the order of their labels, and each
 // unreachable controller costs 4 s of the worker's lease.
 func (e *environment) controllersBetween(label string) int {
 	type controller struct{ label, zone string }
-	all := []controller{{e.cfg.Label, e.cfg.Zone}}
+	controllers := []controller{{e.cfg.Label, e.cfg.Zone}}
 	for _, sibling := range e.cfg.Siblings {
-		all = append(all, controller{sibling.Label, sibling.Zone})
+		controllers = append(controllers, controller{sibling.Label, sibling.Zone})
 	}
-	slices.SortFunc(all, func(a, b controller) int {
+	slices.SortFunc(controllers, func(a, b controller) int {
 		return cmp.Or(cmp.Compare(len(a.label), len(b.label)), cmp.Compare(a.label, b.label))
 	})
-	at := slices.IndexFunc(all, func(c controller) bool { return c.label == label })
-	for i := 1; i < len(all); i++ {
-		if all[(at+i)%len(all)].zone == all[at].zone {
+	position := slices.IndexFunc(controllers, func(c controller) bool { return c.label == label })
+	for i := 1; i < len(controllers); i++ {
+		if controllers[(position+i)%len(controllers)].zone == controllers[position].zone {
 			return i
 		}
 	}
-	return len(all)
+	return len(controllers)
 }
--- a/internal/controller/machine_catalog.go
+++ b/internal/controller/machine_catalog.go
@@ -20,13 +20,13 @@
 	typesInFlight  bool
 	// typesGeneration counts the received lists of types. Values computed from an older list are recognized by it.
 	typesGeneration int
-	// warnedOfFetch is the set of job classes for which warnOfSlowFetch has logged its warning.
-	warnedOfFetch map[string]bool
+	// slowFetchWarned is the set of job classes for which warnOfSlowFetch has logged its warning.
+	slowFetchWarned map[string]bool
 }
 
 func newMachineCatalog(env *environment, outbox *outbox) *machineCatalog {
 	return &machineCatalog{env: env, outbox: outbox,
-		typeInfo: map[string]protocol.MachineType{}, warnedOfFetch: map[string]bool{}}
+		typeInfo: map[string]protocol.MachineType{}, slowFetchWarned: map[string]bool{}}
 }
 
 // catalogRefreshLeases is the interval between two fetches of the machine types, in worker leases.
@@ -80,9 +80,9 @@
 
 // longestBootS is the longest usual boot time of all machine types, in seconds, or 0 if no types are known.
 func (m *machineCatalog) longestBootS() float64 {
-	boot := 0.0
+	longest := 0.0
 	for _, t := range m.types {
-		boot = max(boot, t.BootS)
+		longest = max(longest, t.BootS)
 	}
-	return boot
+	return longest
 }
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -8,11 +8,11 @@
 	"claybarrow/internal/machinepool"
 )
 
-// machineHealth decides by the heartbeats of the machines which of them may get tasks, which have to be evacuated, and
+// machineHealth decides by the heartbeats of the machines which of them may get tasks, which are evacuated, and
 // whose worker lease has expired.
 //
 // It has no state of its own. The state of the heartbeats is stored in the Machine and, for the other controllers, in
-// the peers. After a failover the next leader has to collect both again. Until then it does not treat a lease as
+// the peers. After a failover the next leader collects both again. Until then it does not treat a lease as
 // expired if a reply of an earlier leader may have renewed it.
 type machineHealth struct {
 	attempts   *attemptTracker
@@ -37,18 +37,18 @@
 	maxFailedCalls   = 1
 )
 
-// freshFor is how long after its last message a machine may get tasks: a quarter of a lease plus two heartbeat
+// maxMessageAge is how long after its last message a machine may get tasks: a quarter of a lease plus two heartbeat
 // intervals.
-func (h *machineHealth) freshFor() time.Duration {
+func (h *machineHealth) maxMessageAge() time.Duration {
 	return h.env.cfg.WorkerLease()/4 + 2*h.env.cfg.WorkerHeartbeatInterval()
 }
 
 // maxUnanswered is how long a machine's heartbeats may go unanswered before it gets no more tasks: half a lease.
 func (h *machineHealth) maxUnanswered() time.Duration { return h.env.cfg.WorkerLease() / 2 }
 
-// exchangeTime is how long a command and the worker's report of its effect may take in normal operation: two heartbeat
-// intervals plus a tenth of a lease.
-func (h *machineHealth) exchangeTime() time.Duration {
+// commandRoundTrip is how long a command and the worker's report of its effect may take in normal operation: two
+// heartbeat intervals plus a tenth of a lease.
+func (h *machineHealth) commandRoundTrip() time.Duration {
 	return 2*h.env.cfg.WorkerHeartbeatInterval() + h.env.cfg.WorkerLease()/10
 }
 
@@ -75,7 +75,7 @@
 func (h *machineHealth) isSchedulable(m *clusterstate.Machine) bool {
 	return h.isOpenToTasks(m) && m.TokenAcknowledged &&
 		m.UnseenAnswers <= maxUnseenAnswers && m.FailedCalls <= maxFailedCalls &&
-		h.env.now < m.LastSeen+h.freshFor() && !h.heartbeatUnanswered(m, h.maxUnanswered())
+		h.env.now < m.LastSeen+h.maxMessageAge() && !h.heartbeatUnanswered(m, h.maxUnanswered())
 }
 
 // isOpenToTasks reports whether the machine may get tasks, regardless of its heartbeats: it is not being released,
@@ -97,13 +97,13 @@
 // leaseUnrenewed reports whether no controller is known to have renewed the machine's lease for a duration: neither
 // this leader by answering a heartbeat, nor a follower in the machine's zone on behalf of the leader.
 func (h *machineHealth) leaseUnrenewed(m *clusterstate.Machine, duration time.Duration) bool {
-	renewed := h.heartbeats.leaseOnlyReplyAt
+	lastRenewed := h.heartbeats.leaseOnlyReplyAt
 	for _, p := range h.peers {
 		if p.zone == m.Zone {
-			renewed = max(renewed, p.lastServed)
+			lastRenewed = max(lastRenewed, p.lastServed)
 		}
 	}
-	return h.heartbeatUnanswered(m, duration) && h.env.now > renewed+duration
+	return h.heartbeatUnanswered(m, duration) && h.env.now > lastRenewed+duration
 }
 
 // cannotReachControllers reports whether a machine answers direct calls but presumably cannot reach any controller: its
@@ -112,7 +112,7 @@
 	if !m.TokenAcknowledged || m.FailedCalls > 0 {
 		return false
 	}
-	if m.LastSeen < h.env.now-h.exchangeTime() || !h.leaseUnrenewed(m, h.evacuationStart()) {
+	if m.LastSeen < h.env.now-h.commandRoundTrip() || !h.leaseUnrenewed(m, h.evacuationStart()) {
 		return false
 	}
 	for _, p := range h.peers {
@@ -190,7 +190,7 @@
 		if spec.CheckpointS <= 0 {
 			continue
 		}
-		if h.env.now > m.ReclaimedBy-seconds(spec.SaveS)-h.exchangeTime() {
+		if h.env.now > m.ReclaimedBy-seconds(spec.SaveS)-h.commandRoundTrip() {
 			h.attempts.requestStop(a, spec.SaveS+1, stopSpotReclaim)
 		}
 	}
@@ -230,8 +230,8 @@
 		return false
 	}
 	for _, p := range h.peers {
-		// A controller that may serve the machine must have reported, for the time up to the expiry, that it renewed
-		// no lease.
+		// A controller that may serve the machine must have reported its lease renewals for the whole time up to the
+		// expiry.
 		if mayServe(p, m) && p.servedKnownUntil <= expiry {
 			return false
 		}
--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -47,7 +47,7 @@
 func (h poolHost) RetryPause() time.Duration { return h.leader.controller.env.retryPause() }
 
 // RunAt implements machinepool.Host.
-func (h poolHost) RunAt(at time.Duration, do func()) { h.leader.timers.runAt(at, do) }
+func (h poolHost) RunAt(at time.Duration, run func()) { h.leader.timers.runAt(at, run) }
 
 // HasEnded implements machinepool.Host.
 func (h poolHost) HasEnded() bool { return h.leader.lease.ended }
@@ -56,15 +56,15 @@
 func (h poolHost) OnListed(listed *protocol.ListedMachine) { h.leader.machines.onListed(listed) }
 
 // OnListRead implements machinepool.Host.
-func (h poolHost) OnListRead(asked time.Duration, names map[string]bool) {
-	h.leader.machines.removeUnlisted(asked, names)
+func (h poolHost) OnListRead(requestedAt time.Duration, listed map[string]bool) {
+	h.leader.machines.removeUnlisted(requestedAt, listed)
 }
 
 // MachinesToDelete implements machinepool.Host: it returns the machines whose release is durable, sorted by name.
-func (h poolHost) MachinesToDelete(most int) []string {
+func (h poolHost) MachinesToDelete(limit int) []string {
 	var names []string
 	for _, m := range h.leader.machines.sortedMachines() {
-		if m.ReleaseStored && len(names) < most {
+		if m.ReleaseStored && len(names) < limit {
 			names = append(names, m.ID)
 		}
 	}
@@ -79,19 +79,19 @@
 }
 
 // OnLaunched implements machinepool.Host.
-func (h poolHost) OnLaunched(pool scheduler.Pool, name string, asked time.Duration) {
+func (h poolHost) OnLaunched(pool scheduler.Pool, name string, requestedAt time.Duration) {
 	m := h.leader.state.AddMachine(name)
 	m.Type, m.Zone, m.Spot = pool.Type, pool.Zone, pool.Spot
 	m.Size = h.leader.machines.machineSize(m.Type)
-	m.KnownToExistAt, m.LaunchedAt = h.leader.controller.env.now, asked
+	m.KnownToExistAt, m.LaunchedAt = h.leader.controller.env.now, requestedAt
 	h.leader.machines.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
 // SetExhausted implements machinepool.Host: a new shortage makes the scheduler plan the scaling again at once, with
 // other pools.
-func (h poolHost) SetExhausted(pool scheduler.Pool, short bool) {
-	h.leader.scaler.onPoolShortage(pool, short)
-	if short {
+func (h poolHost) SetExhausted(pool scheduler.Pool, exhausted bool) {
+	h.leader.scaler.onPoolShortage(pool, exhausted)
+	if exhausted {
 		h.leader.placement.planAt = h.leader.controller.env.now
 	}
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -28,8 +28,8 @@
 // Bounds of the staleness of a cloud list: the state that it describes is at most twice the usual lag older than the
 // request for the list. A fifth of the lag is added as a safety margin.
 const (
-	maxListLags       = 2
-	listLagMarginPart = 5
+	maxListLags          = 2
+	listLagMarginDivisor = 5
 )
 
 // machineStateRunning and machineStateFailed are the states in the cloud's list that the registry acts on.
@@ -41,16 +41,16 @@
 // sortedMachines returns the machines in a fixed order, which keeps simulation runs reproducible.
 func (r *machineRegistry) sortedMachines() []*clusterstate.Machine { return r.state.SortedMachines() }
 
-// storeMachine queues a write of the machine's record, or its deletion if the machine has been removed; then is called
-// once that is durable.
-func (r *machineRegistry) storeMachine(m *clusterstate.Machine, priority statestore.Priority, then func()) {
+// storeMachine queues a write of the machine's record, or its deletion if the machine has been removed; onDurable
+// is called once that is durable.
+func (r *machineRegistry) storeMachine(m *clusterstate.Machine, priority statestore.Priority, onDurable func()) {
 	r.store.QueueWrite(clusterstate.MachinePrefix+m.ID, priority, func() any {
 		if r.state.Machines[m.ID] != m {
 			return nil
 		}
 		m.HasRecord = true
 		return m.Record()
-	}, then)
+	}, onDurable)
 }
 
 // noteImageUse records that the machine has the image of the job's tasks in its cache, and used it now.
@@ -80,8 +80,8 @@
 		m.Type, m.Zone, m.Spot = listed.Type, listed.Zone, listed.Spot
 		m.Size = r.machineSize(m.Type)
 	}
-	if age := r.env.now - seconds(listed.AgeS); age < m.LaunchedAt {
-		m.LaunchedAt = age
+	if launchedAt := r.env.now - seconds(listed.AgeS); launchedAt < m.LaunchedAt {
+		m.LaunchedAt = launchedAt
 	}
 	if listed.Addr != "" {
 		m.Addr = listed.Addr
@@ -101,7 +101,7 @@
 func (r *machineRegistry) removeUnlisted(askedAt time.Duration, listed map[string]bool) {
 	lag := r.env.cfg.CloudListLag()
 	for _, m := range r.sortedMachines() {
-		if !listed[m.ID] && askedAt > m.KnownToExistAt+maxListLags*lag+lag/listLagMarginPart {
+		if !listed[m.ID] && askedAt > m.KnownToExistAt+maxListLags*lag+lag/listLagMarginDivisor {
 			r.removeMachine(m, machineUnlisted)
 		}
 	}
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -27,16 +27,16 @@
 // machineSilence is the time without messages after which a machine counts as silent.
 func (d *partitionDetector) machineSilence() time.Duration { return d.env.cfg.WorkerLease() * 3 / 10 }
 
-// controllerSilence is the time without heartbeats of a zone's controllers after which the zone may be partitioned. It
-// is also the longest time before the election at which the restart of a controller counts as together with the end of
-// the previous leader.
+// controllerSilence is the time without heartbeats of a zone's controllers after which the zone may be partitioned. A
+// controller that restarted no earlier than this time before the election counts as having ended together with the
+// previous leader.
 func (d *partitionDetector) controllerSilence() time.Duration { return d.env.cfg.WorkerLease() / 4 }
 
 // zoneCount counts the machines of a zone that are up, and how many of these are silent.
 type zoneCount struct{ up, silent int }
 
-// mostlyHeard reports whether less than half of the zone's machines are silent.
-func (z zoneCount) mostlyHeard() bool { return z.silent*2 < z.up }
+// mostlyReporting reports whether less than half of the zone's machines are silent.
+func (z zoneCount) mostlyReporting() bool { return z.silent*2 < z.up }
 
 // nearlyAllSilent reports whether at least four fifths of the zone's machines are silent.
 func (z zoneCount) nearlyAllSilent() bool { return z.silent*5 >= z.up*4 }
@@ -46,16 +46,16 @@
 // of the machines.
 func (d *partitionDetector) detectPartitions() {
 	zones := d.countMachines()
-	otherZoneHeard := false
+	otherZoneReporting := false
 	for _, count := range zones {
-		otherZoneHeard = otherZoneHeard || count.mostlyHeard()
+		otherZoneReporting = otherZoneReporting || count.mostlyReporting()
 	}
 	partitioned := map[string]time.Duration{}
-	for zone, heardAt := range d.controllersHeardAt() {
-		if d.env.now <= heardAt+d.controllerSilence() {
+	for zone, lastHeartbeat := range d.lastControllerHeartbeats() {
+		if d.env.now <= lastHeartbeat+d.controllerSilence() {
 			continue
 		}
-		if since, is := d.partitionedSince(zone, zones[zone], otherZoneHeard); is {
+		if since, isPartitioned := d.partitionedSince(zone, zones[zone], otherZoneReporting); isPartitioned {
 			partitioned[zone] = since
 		}
 	}
@@ -79,29 +79,29 @@
 	return zones
 }
 
-// controllersHeardAt returns, for each other zone, when the last heartbeat of one of its controllers arrived, or the
-// time of the election if that was later.
-func (d *partitionDetector) controllersHeardAt() map[string]time.Duration {
-	heardAt := map[string]time.Duration{}
+// lastControllerHeartbeats returns, for each other zone, when the last heartbeat of one of its controllers arrived, or
+// the time of the election if that was later.
+func (d *partitionDetector) lastControllerHeartbeats() map[string]time.Duration {
+	lastHeartbeats := map[string]time.Duration{}
 	for _, p := range d.peers {
-		heardAt[p.zone] = max(heardAt[p.zone], p.lastHeard, d.lease.electedAt)
+		lastHeartbeats[p.zone] = max(lastHeartbeats[p.zone], p.lastHeard, d.lease.electedAt)
 	}
-	delete(heardAt, d.env.cfg.Zone)
-	return heardAt
+	delete(lastHeartbeats, d.env.cfg.Zone)
+	return lastHeartbeats
 }
 
 // partitionedSince reports whether a zone with silent controllers is partitioned, and since when. The zone stays
 // partitioned until messages of its controllers or of enough of its machines arrive, but no longer than its follower
 // may act for the leader. The silent machines may be released during the partition, so it continues even if no machines
 // are left to count.
-func (d *partitionDetector) partitionedSince(zone string, count zoneCount, otherZoneHeard bool) (time.Duration, bool) {
+func (d *partitionDetector) partitionedSince(zone string, count zoneCount, otherZoneReporting bool) (time.Duration, bool) {
 	if !count.nearlyAllSilent() {
 		return 0, false
 	}
-	if since, was := d.partitioned[zone]; was {
+	if since, wasPartitioned := d.partitioned[zone]; wasPartitioned {
 		return since, d.env.now < since+d.env.cfg.OutageTolerance()
 	}
-	return d.env.now, otherZoneHeard && count.silent > 0
+	return d.env.now, otherZoneReporting && count.silent > 0
 }
 
 // notePartitions replaces the set of partitioned zones, and records which partitions have healed.
@@ -112,7 +112,7 @@
 		}
 	}
 	for zone := range d.partitioned {
-		if _, still := partitioned[zone]; !still {
+		if _, stillPartitioned := partitioned[zone]; !stillPartitioned {
 			d.env.log.Info("zone partition healed", "zone", zone)
 			// The zone's workers need some time to find the leader again. Without reconnectedAt, all of them were
 			// released as silent after a partition had healed.
@@ -124,8 +124,8 @@
 
 // isPartitioned reports whether the zone is partitioned from the leader.
 func (d *partitionDetector) isPartitioned(zone string) bool {
-	_, is := d.partitioned[zone]
-	return is
+	_, partitioned := d.partitioned[zone]
+	return partitioned
 }
 
 // controllerLost reports whether a partitioned zone has most probably lost its tasks, because its controller has ended.
@@ -147,13 +147,13 @@
 	if d.env.workerFailoverTime() <= d.env.cfg.WorkerLease() {
 		return false
 	}
-	return !d.heardInZone(zone)
+	return !d.tokenAcknowledgedInZone(zone)
 }
 
 // onlyControllerEnded reports whether the zone has a single controller that has presumably ended: all controllers of
 // other zones that sent heartbeats to this leader ended together with the previous leader.
 func (d *partitionDetector) onlyControllerEnded(zone string) bool {
-	controllers, heard, ended := 0, 0, 0
+	controllers, reporting, ended := 0, 0, 0
 	// Controllers that ended together with the previous leader have restarted around the election or later. A restart
 	// some time before the partition is no evidence.
 	endedTogetherFrom := d.lease.electedAt - d.controllerSilence()
@@ -168,15 +168,15 @@
 			if p.startedAt <= endedTogetherFrom {
 				return false
 			}
-			heard++
+			reporting++
 			ended++
 		}
 	}
-	return controllers == 1 && heard > 0 && ended >= minEndedControllers
+	return controllers == 1 && reporting > 0 && ended >= minEndedControllers
 }
 
-// heardInZone reports whether any machine of the zone has acknowledged this leader's token.
-func (d *partitionDetector) heardInZone(zone string) bool {
+// tokenAcknowledgedInZone reports whether any machine of the zone has acknowledged this leader's token.
+func (d *partitionDetector) tokenAcknowledgedInZone(zone string) bool {
 	for _, m := range d.state.Machines {
 		if m.Zone == zone && m.TokenAcknowledgedAt > 0 {
 			return true
--- a/internal/controller/pending_requests.go
+++ b/internal/controller/pending_requests.go
@@ -38,8 +38,8 @@
 // to retry before they time out.
 const decisionTimeout = 1500 * time.Millisecond
 
-// pendingSocketShare is a divisor: waiting requests may use at most the process's file descriptors divided by it.
-const pendingSocketShare = 2
+// pendingSocketDivisor is a divisor: waiting requests may use at most the process's file descriptors divided by it.
+const pendingSocketDivisor = 2
 
 // add adds the requester to the table until it gets its reply. If too many requesters wait already, add refuses the
 // request with status 429 and returns false.
@@ -85,7 +85,7 @@
 
 // isFull reports whether the limit of waiting requests is reached.
 func (p *pendingTable) isFull() bool {
-	return len(p.pendingRequests) >= p.env.cfg.Cluster.Resources.FDs/pendingSocketShare
+	return len(p.pendingRequests) >= p.env.cfg.Cluster.Resources.FDs/pendingSocketDivisor
 }
 
 // isWaiting reports whether the requester still waits for its reply.
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -21,21 +21,21 @@
 // reconciliation compares one message of a machine, its newest, with the machine's attempts in the cluster state.
 type reconciliation struct {
 	machine *clusterstate.Machine
-	// showsToken is true if the message carries the leader's token: the worker then rejects commands of earlier
+	// hasLeaderToken is true if the message carries the leader's token: the worker then rejects commands of earlier
 	// leaders.
-	showsToken bool
-	handler    reconciliationHandler
-	reported   map[clusterstate.AttemptKey]bool
+	hasLeaderToken bool
+	handler        reconciliationHandler
+	reported       map[clusterstate.AttemptKey]bool
 }
 
 // reconcile compares the newest message of a machine with the cluster state, and passes the differences to the handler.
-func reconcile(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, showsToken bool, handler reconciliationHandler) {
-	r := &reconciliation{machine: m, showsToken: showsToken, handler: handler, reported: map[clusterstate.AttemptKey]bool{}}
+func reconcile(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, hasLeaderToken bool, handler reconciliationHandler) {
+	r := &reconciliation{machine: m, hasLeaderToken: hasLeaderToken, handler: handler, reported: map[clusterstate.AttemptKey]bool{}}
 	for _, status := range msg.Tasks {
 		r.reconcileTask(status)
 	}
 	r.removeAbsent()
-	r.forgetUnreported()
+	r.deleteUnreported()
 }
 
 // reconcileTask compares one reported task with the cluster state.
@@ -99,23 +99,23 @@
 	if !a.Loaded && a.Epoch < r.machine.Epoch {
 		return true
 	}
-	if !r.showsToken || a.RunsInFlight != 0 {
+	if !r.hasLeaderToken || a.RunsInFlight != 0 {
 		return false
 	}
-	neverBegins := a.StopRequested && !a.RunLost && r.machine.HeartbeatSequence > a.RunSequence
-	return a.Acknowledged || a.Loaded || neverBegins
+	neverStarts := a.StopRequested && !a.RunLost && r.machine.HeartbeatSequence > a.RunSequence
+	return a.Acknowledged || a.Loaded || neverStarts
 }
 
-// forgetUnreported deletes the exited and unknown tasks that the machine no longer reports.
-func (r *reconciliation) forgetUnreported() {
+// deleteUnreported deletes the exited and unknown tasks that the machine no longer reports.
+func (r *reconciliation) deleteUnreported() {
 	for key := range r.machine.Exited {
-		if r.showsToken && !r.reported[key] {
+		if r.hasLeaderToken && !r.reported[key] {
 			delete(r.machine.Exited, key)
 		}
 	}
 	for key := range r.machine.UnknownTasks {
 		// Exited unknown tasks are deleted too, because a machine with unknown tasks gets no new tasks.
-		if r.machine.Exited[key] != nil || r.showsToken && !r.reported[key] {
+		if r.machine.Exited[key] != nil || r.hasLeaderToken && !r.reported[key] {
 			delete(r.machine.UnknownTasks, key)
 		}
 	}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -68,34 +68,34 @@
 // onRelayedRequest handles a user's request that another controller relayed. A controller that does not lead relays it
 // on behalf of the other controller, which cannot reach the leader.
 func (c *Controller) onRelayedRequest(from requester, body []byte) {
-	var relay protocol.ForwardedRequest
-	if protocol.DecodePeer(body, &relay) != nil {
+	var forwarded protocol.ForwardedRequest
+	if protocol.DecodePeer(body, &forwarded) != nil {
 		c.outbox.reply(from, http.StatusBadRequest, nil, 0)
 		return
 	}
 	from.relayed = true
 	if c.leadership == nil {
-		c.relay.relayFromPeer(from, relayPath, relay)
+		c.relay.relayFromPeer(from, relayPath, forwarded)
 		return
 	}
-	c.leadership.userRequests.handle(from, Op(relay.Operation), relay.UID, relay.Body)
+	c.leadership.userRequests.handle(from, Op(forwarded.Operation), forwarded.UID, forwarded.Body)
 }
 
 // onForwardedHeartbeat handles a worker's heartbeat that another controller forwarded. A controller that does not lead
 // forwards it on behalf of the other controller, which cannot reach the leader.
 func (c *Controller) onForwardedHeartbeat(from requester, body []byte) {
 	from.relayed = true
-	var relay protocol.ForwardedRequest
-	if protocol.DecodePeer(body, &relay) != nil {
+	var forwarded protocol.ForwardedRequest
+	if protocol.DecodePeer(body, &forwarded) != nil {
 		c.outbox.replyUnavailable(from)
 		return
 	}
 	if c.leadership == nil {
-		c.relay.relayFromPeer(from, forwardedHeartbeatPath, relay)
+		c.relay.relayFromPeer(from, forwardedHeartbeatPath, forwarded)
 		return
 	}
-	from.forwardedBy = relay.From
-	c.onWorkerHeartbeat(from, relay.Body)
+	from.forwardedBy = forwarded.From
+	c.onWorkerHeartbeat(from, forwarded.Body)
 }
 
 // onReadinessCheck answers the load balancer's readiness check.
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -23,11 +23,11 @@
 	store    *statestore.Writer
 
 	journal *completionjournal.Journal
-	// The results of loading the journal: the number of values that were decoded, of values that could not be decoded,
-	// and of entries that their records already contained.
-	values, unreadable, redundantEntries int
-	// sizeObservedAt is when the journal's size was last reported to the observer.
-	sizeObservedAt time.Duration
+	// Counts from the loading of the journal: the numbers of values that were decoded, of values that could not be
+	// decoded, and of entries that their records already contained.
+	loadedValues, unreadable, redundantEntries int
+	// sizeReportedAt is when the journal's size was last reported to the observer.
+	sizeReportedAt time.Duration
 }
 
 // Limits of the journal.
@@ -78,28 +78,28 @@
 	r.journal.Abandon()
 }
 
-// isCompacted reports whether the journal is empty, so that all that is stored can be read by older versions of the
-// program. Unreadable values do not count: no version can read them, and their loss costs only repeated work.
+// isCompacted reports whether the journal is empty, so that older versions of the program can read all stored data.
+// Unreadable values do not count: no version can read them, and their loss costs only repeated work.
 func (r *completionRecorder) isCompacted() bool { return r.journal.IsEmpty() }
 
 // tick compacts the journal's due values, and reports its size to the observer once per worker lease.
 func (r *completionRecorder) tick() {
 	r.journal.Tick()
-	if r.env.now < r.sizeObservedAt+r.env.cfg.WorkerLease() {
+	if r.env.now < r.sizeReportedAt+r.env.cfg.WorkerLease() {
 		return
 	}
-	r.sizeObservedAt = r.env.now
-	values, ends, waiting := r.journal.Size()
-	r.env.observer.JournalSized(JournalSize{Values: values, Entries: ends, Waiting: waiting, Unreadable: r.unreadable})
+	r.sizeReportedAt = r.env.now
+	values, entries, waiting := r.journal.Size()
+	r.env.observer.JournalSized(JournalSize{Values: values, Entries: entries, Waiting: waiting, Unreadable: r.unreadable})
 }
 
-// recordCompletion stores the completion of a task; then is called once the completion is durable.
-func (r *completionRecorder) recordCompletion(j *clusterstate.Job, index int, then func()) {
+// recordCompletion stores the completion of a task; onDurable is called once the completion is durable.
+func (r *completionRecorder) recordCompletion(j *clusterstate.Job, index int, onDurable func()) {
 	if r.journal.Accepts() {
-		r.journal.Add(completionjournal.Entry{Job: j.Spec.UID, Index: index}, r.state.CompletionKey(j, index), then)
+		r.journal.Add(completionjournal.Entry{Job: j.Spec.UID, Index: index}, r.state.CompletionKey(j, index), onDurable)
 		return
 	}
-	r.storeCompletions(j, index, statestore.PriorityCompletion, then)
+	r.storeCompletions(j, index, statestore.PriorityCompletion, onDurable)
 }
 
 // recordDeparture stores that an attempt has left its machine. Departures of a gang's attempts are always stored in the
@@ -118,9 +118,10 @@
 	r.machines.storeMachine(m, statestore.PriorityBackground, nil)
 }
 
-// storeCompletions queues a write of the completion record that covers a task.
-func (r *completionRecorder) storeCompletions(j *clusterstate.Job, index int, priority statestore.Priority, then func()) {
-	r.store.QueueWrite(r.state.CompletionKey(j, index), priority, func() any { return r.state.CompletionRecord(j, index) }, then)
+// storeCompletions queues a write of the completion record that covers a task; onDurable is called once the record is
+// durable.
+func (r *completionRecorder) storeCompletions(j *clusterstate.Job, index int, priority statestore.Priority, onDurable func()) {
+	r.store.QueueWrite(r.state.CompletionKey(j, index), priority, func() any { return r.state.CompletionRecord(j, index) }, onDurable)
 }
 
 // releaseJobEntries releases all journal entries of a job whose final state is durable.
@@ -179,11 +180,11 @@
 		r.unreadable++
 		return err
 	}
-	r.values++
+	r.loadedValues++
 	missing := map[completionjournal.Entry]string{}
 	for _, entry := range entries {
-		if record, lacks := r.apply(entry, item.Version); lacks {
-			missing[entry] = record
+		if recordKey, isMissing := r.apply(entry, item.Version); isMissing {
+			missing[entry] = recordKey
 		} else {
 			r.redundantEntries++
 		}
@@ -204,7 +205,7 @@
 // apply applies an entry to the cluster state; version is the version of the entry's value in the state service. If the
 // entry's record lacks it, apply returns the key of that record and true. A record whose version is not lower than that
 // of the value contains the entry already and may be newer.
-func (r *completionRecorder) apply(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
+func (r *completionRecorder) apply(entry completionjournal.Entry, version uint64) (recordKey string, isMissing bool) {
 	if entry.Machine != "" {
 		return r.applyDeparture(entry, version)
 	}
@@ -217,7 +218,7 @@
 
 // applyDeparture applies the departure of an attempt from its machine to the cluster state. Its results are those of
 // apply.
-func (r *completionRecorder) applyDeparture(entry completionjournal.Entry, version uint64) (record string, lacks bool) {
+func (r *completionRecorder) applyDeparture(entry completionjournal.Entry, version uint64) (recordKey string, isMissing bool) {
 	m, key := r.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
 	if m == nil || r.state.Jobs[entry.Job] == nil || r.store.Version(key) >= version {
 		return "", false
@@ -232,11 +233,11 @@
 
 // logLoaded logs the size of the journal, once all records are loaded.
 func (r *completionRecorder) logLoaded() {
-	if r.values+r.unreadable == 0 {
+	if r.loadedValues+r.unreadable == 0 {
 		return
 	}
-	values, ends, _ := r.journal.Size()
-	r.env.log.Info("completion journal loaded", "token", r.lease.token, "values", values, "completions", ends,
+	values, entries, _ := r.journal.Size()
+	r.env.log.Info("completion journal loaded", "token", r.lease.token, "values", values, "completions", entries,
 		"redundant", r.redundantEntries, "unreadable", r.unreadable)
 }
 
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -74,22 +74,22 @@
 		return
 	}
 	record.Clearable = false
-	ready := func() { record.Clearable = true }
+	markClearable := func() { record.Clearable = true }
 	switch {
 	case j.Gang != nil:
 		// The completion of one task of a gang completes the whole gang.
 		h.attempts.completeGang(j)
-		h.storeCompletedJob(j, ready)
+		h.storeCompletedJob(j, markClearable)
 	case j.CompletedTasks == j.Spec.Tasks:
 		// This applies also to a job that is being cancelled.
 		h.jobs.completeJob(j)
-		h.storeCompletedJob(j, ready)
+		h.storeCompletedJob(j, markClearable)
 	default:
-		h.completions.recordCompletion(j, exit.index, ready)
+		h.completions.recordCompletion(j, exit.index, markClearable)
 	}
 }
 
-// storeCompletedJob queues a write of the job's record; then is called once the record is durable.
-func (h *heartbeatReceiver) storeCompletedJob(j *clusterstate.Job, then func()) {
-	h.store.QueueWrite(clusterstate.JobPrefix+j.Spec.UID, statestore.PriorityUser, func() any { return j.Record() }, then)
+// storeCompletedJob queues a write of the job's record; onDurable is called once the record is durable.
+func (h *heartbeatReceiver) storeCompletedJob(j *clusterstate.Job, onDurable func()) {
+	h.store.QueueWrite(clusterstate.JobPrefix+j.Spec.UID, statestore.PriorityUser, func() any { return j.Record() }, onDurable)
 }
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -113,8 +113,8 @@
 	if quota == nil {
 		return unknownTeam
 	}
-	need := scheduler.Resources{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB}
-	zones := u.feasibleZones(spec, need)
+	taskDemand := scheduler.Resources{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB}
+	zones := u.feasibleZones(spec, taskDemand)
 	if len(zones) == 0 {
 		return noMachineTypeFits
 	}
@@ -122,11 +122,11 @@
 		return gangCannotSpread
 	}
 	// Services and gangs run all their tasks at the same time; the tasks of other jobs may run one after another.
-	atOnce := need
+	concurrentDemand := taskDemand
 	if spec.Service || spec.Gang {
-		atOnce = need.Times(float64(spec.Tasks))
+		concurrentDemand = taskDemand.Times(float64(spec.Tasks))
 	}
-	if !(&scheduler.Quota{Maximum: quota.Maximum}).WithinMaximum(atOnce) {
+	if !(&scheduler.Quota{Maximum: quota.Maximum}).WithinMaximum(concurrentDemand) {
 		return exceedsQuotaMaximum
 	}
 	return feasible
@@ -134,11 +134,11 @@
 
 // feasibleZones returns the zones that the job may use and that offer a machine type which the job may use and which is
 // large enough for one of its tasks.
-func (u *userRequests) feasibleZones(spec *protocol.JobSpec, need scheduler.Resources) map[string]bool {
+func (u *userRequests) feasibleZones(spec *protocol.JobSpec, taskDemand scheduler.Resources) map[string]bool {
 	zones := map[string]bool{}
 	for _, t := range u.catalog.types {
 		allowed := spec.Types == nil || slices.Contains(spec.Types, t.Name)
-		if !allowed || !need.Fits(t.Size) {
+		if !allowed || !taskDemand.Fits(t.Size) {
 			continue
 		}
 		for _, zone := range t.Zones {
@@ -222,8 +222,8 @@
 		return
 	}
 	// Requests that were refused in the meantime are removed: their users retry, so the list would grow without bound.
-	waiting := slices.DeleteFunc(u.cancelWaiters[uid], func(waiter requester) bool { return !u.pending.isWaiting(waiter) })
-	u.cancelWaiters[uid] = append(waiting, from)
+	waiters := slices.DeleteFunc(u.cancelWaiters[uid], func(waiter requester) bool { return !u.pending.isWaiting(waiter) })
+	u.cancelWaiters[uid] = append(waiters, from)
 	if j.Cancelling || j.Finalizing {
 		return // the reply follows once the final state is durable
 	}
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -166,7 +166,7 @@
 	observation := m.RecordMessage(header, h.lease.token, h.env.now, h.env.cfg.WorkerLease())
 	m.EverReported = true
 	if observation.AnswersLost {
-		h.env.log.Info("worker does not receive the leader's replies", "machine", m.ID, "epoch", msg.Epoch)
+		h.env.log.Info("machine does not receive the leader's answers", "machine", m.ID, "epoch", msg.Epoch)
 	}
 	if observation.LeaseExpired {
 		h.env.log.Info("agent epoch expired", "machine", m.ID, "epoch", msg.Epoch)
@@ -224,7 +224,7 @@
 }
 
 // adoptUnknownAttempt adds an attempt that the worker reports and the cluster state lacks, and requests its stop.
-// The added attempt keeps the scheduler from starting the task a second time meanwhile. The result is nil if the
+// The added attempt keeps the scheduler from starting the task a second time while it runs. The result is nil if the
 // task's job is unknown.
 func (h *heartbeatReceiver) adoptUnknownAttempt(m *clusterstate.Machine, key clusterstate.AttemptKey) *clusterstate.Attempt {
 	uid, index, ok := clusterstate.ParseTaskName(key.Task)
