--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -30,8 +30,8 @@
 	callLimiter callLimiter
 }
 
-// commandTimeout bounds the duration of a direct call to a worker, independently of the workers' lease. A call
-// without a reply after that time counts as failed.
+// commandTimeout is the upper bound of callTimeout: with a long worker lease, a call without a reply after this time
+// counts as failed too.
 const commandTimeout = 1600 * time.Millisecond
 
 // maxCallBackoffFactor bounds the back-off after failed calls, as a multiple of callRetryPause.
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -128,8 +128,9 @@
 
 // evacuateAfter is the time after the last answered heartbeat at which a task is moved from a machine that cannot reach
 // any controller. It leaves the task enough time to save a checkpoint before the lease expires, but is as late as
-// possible, because the worker may still find a controller; it needs 5 s for each one that has ended. With an earlier
-// evacuation most tasks were moved unnecessarily, 200 of them at once after a failover.
+// possible, and not before evacuationStart, because the worker may still find a controller. The search takes 5 s for
+// each controller that has ended. With an earlier evacuation most tasks were moved unnecessarily, 200 of them at once
+// after a failover.
 func (h *machineHealth) evacuateAfter(a *clusterstate.Attempt) time.Duration {
 	return max(h.evacuationStart(), h.evacuationEnd()-seconds(a.Job.Spec.SaveS))
 }
@@ -182,7 +183,7 @@
 	}
 }
 
-// evacuateBeforeReclaim stops the tasks that save checkpoints early enough to save one before the cloud reclaims the
+// evacuateBeforeReclaim stops tasks with checkpoints, early enough for them to save one before the cloud reclaims the
 // spot machine.
 func (h *machineHealth) evacuateBeforeReclaim(m *clusterstate.Machine) {
 	for _, a := range m.SortedAttempts() {
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -86,8 +86,8 @@
 	}
 	m, newest := l.heartbeats.applyHeartbeat(msg, true)
 	if l.lease.ended || !newest {
-		// Without newest the message is a late copy, or its machine was removed. Such a message proves neither
-		// the state of a task nor that the machine is up, and no worker waits for the reply.
+		// If newest is false, the message is a late copy, is of an expired epoch, or its machine was removed. Such a
+		// message proves neither the state of a task nor that the machine is up, and no worker waits for the reply.
 		outbox.replyUnavailable(from)
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 // answerForwardedHeartbeat answers a heartbeat that this controller forwarded to the previous leader as a follower,
-// when this controller has been elected before the request completed. A refusal would make the worker try the other
+// if this controller was elected before the request completed. A refusal would make the worker try the other
 // controllers, and wait for the timeout of each one that has ended. If the worker has since answered a direct call,
 // the heartbeat is out of date and is not applied to the cluster state, but the reply still renews the worker's lease.
 func (h *heartbeatReceiver) answerForwardedHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
