--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -6,17 +6,17 @@
 	"claybarrow/internal/scheduler"
 )
 
-// reservation keeps a machine for the job that tasks there were preempted for, until as many of the job's
-// tasks have started on it, or until its time is over. Without it the freed room would go to others, and
-// each round would preempt for the job anew.
+// reservation reserves a machine for the job for which tasks on it were preempted, until the reserved number of the
+// job's tasks have started there or the reservation expires. Without it the freed capacity would go to other jobs, and
+// each round would preempt tasks for the same job again.
 type reservation struct {
-	job   string // id
-	tasks int
-	until time.Duration
+	job   string        // the job's id
+	tasks int           // tasks of the job that have yet to start on the machine
+	until time.Duration // when the reservation expires, on the steady clock
 }
 
-// reserve keeps machines for the jobs that a round has preempted tasks for: until the preempted tasks have had
-// the time that they may take to stop (stopTimes, by job), and for a worker's lease longer.
+// reserve reserves machines for the jobs for which a round has preempted tasks. A reservation expires one worker lease
+// after the time that the preempted tasks may take to stop (stopTimes, by job id).
 func (t *taskScheduler) reserve(reserved []scheduler.Reservation, stopTimes map[string]time.Duration) {
 	for _, added := range reserved {
 		r := t.reservations[added.Machine.ID]
@@ -27,8 +27,8 @@
 	}
 }
 
-// useReservation counts one task of a job that starts on a machine against the machine's reservation, if that is
-// the job's.
+// useReservation subtracts a task that starts on a machine from the machine's reservation if the machine is reserved
+// for the task's job.
 func (t *taskScheduler) useReservation(machineID, jobID string) {
 	r := t.reservations[machineID]
 	if r.job != jobID {
@@ -41,8 +41,8 @@
 	}
 }
 
-// activeReservations counts the tasks that machines are kept for, by job id, and drops the reservations that are
-// over: their time has passed, or their job or machine has ended.
+// activeReservations counts the reserved tasks by job id, and drops the reservations that have expired or whose job
+// or machine no longer exists.
 func (t *taskScheduler) activeReservations() map[string]int {
 	reservedTasks := map[string]int{}
 	for machineID, r := range t.reservations {
@@ -55,7 +55,7 @@
 	return reservedTasks
 }
 
-// dropReservations ends all reservations of a job.
+// dropReservations drops all reservations of a job.
 func (t *taskScheduler) dropReservations(jobID string) {
 	for machineID, r := range t.reservations {
 		if r.job == jobID {
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -5,18 +5,18 @@
 	"claybarrow/internal/scheduler"
 )
 
-// schedulerCache keeps the scheduler's view of the machines and the waiting jobs from one fill to the next. A fill
-// follows each transaction, many times a second: building the view of all machines and jobs anew for each took
-// longer than the leader's lease in a fleet of thousands.
+// schedulerCache caches the scheduler's views of the machines and the waiting jobs between fills. A fill follows each
+// transaction, many times a second. Rebuilding the views of all machines and jobs for each fill took longer than the
+// leader's lease in a fleet of thousands.
 //
-// The tasks on a machine and the waiting tasks of a job are followed by the revisions that the cluster state
-// counts for them. Whether a machine may be given tasks depends on the time too, so each snapshot checks that for
-// all machines, at a few comparisons each. The cache decides nothing that the cluster state does not say when a
-// fill begins: a cancellation, the loss of a machine or a lower quota need no invalidation of their own.
+// The views of a machine's tasks and of a job's waiting tasks are refreshed when their revision in the cluster state
+// changes. Whether a machine is schedulable also depends on the time, so each snapshot checks that for all machines,
+// with a few comparisons each. Each snapshot reads all other state from the cluster state, so a cancellation, the loss
+// of a machine or a lower quota needs no explicit invalidation.
 //
-// It is empty after an election, and filled from the cluster state by the first snapshot. Its parts: machines in
-// scheduler_cache_machines.go, waiting jobs in scheduler_cache_jobs.go, the comparison with the cluster state
-// in scheduler_cache_verify.go.
+// The cache is empty after an election, and the first snapshot fills it from the cluster state. The code for machines
+// is in scheduler_cache_machines.go, for waiting jobs in scheduler_cache_jobs.go, and for the comparison with the
+// cluster state in scheduler_cache_verify.go.
 type schedulerCache struct {
 	catalog   *machineCatalog
 	env       *environment
@@ -30,45 +30,46 @@
 	fleet *scheduler.Fleet
 	// typesGeneration is the generation of the machine types that the machines' views refer to.
 	typesGeneration int
-	// machineList is the list of machines that the cache was last brought up to date with, cachedMachines the
-	// cached ones in the same order, machineOf the same by machine.
+	// machineList is the cluster state's list of machines at the last synchronization. cachedMachines holds the cached
+	// machines in the same order; machineOf holds them by machine.
 	machineList    []*clusterstate.Machine
 	cachedMachines []*cachedMachine
 	machineOf      map[*clusterstate.Machine]*cachedMachine
 
-	// cachedJobs are the jobs that may have waiting tasks, waitingOrder the same in the order in which they
-	// came to wait.
+	// cachedJobs holds the jobs that may have waiting tasks; waitingOrder lists the same jobs in the order in which they
+	// were added.
 	cachedJobs   map[*clusterstate.Job]*cachedJob
 	waitingOrder []*clusterstate.Job
 
-	// quotas are those of the cluster state with the part that is reserved for services, by team.
+	// quotas are copies of the cluster state's quotas with the part that is reserved for services, by team.
 	quotas map[string]*scheduler.Quota
 
-	// machineBuffer and jobBuffer are the lists of the last snapshot, whose memory the next one uses.
+	// machineBuffer and jobBuffer are the lists of the last snapshot, whose memory the next snapshot reuses.
 	machineBuffer []*scheduler.Machine
 	jobBuffer     []*scheduler.Job
-	// schedulableCount is how many machines of a plan's snapshot are schedulable; booting ones follow them.
+	// schedulableCount is the number of schedulable machines in a plan's snapshot; the booting machines follow them in
+	// the list.
 	schedulableCount int
 
-	// nextVerified is the index of the machine that the next verification begins with.
+	// nextVerified is the index of the first machine that the next verification compares.
 	nextVerified int
-	// driftLogged: a difference from the cluster state has been logged.
+	// driftLogged is set once a difference from the cluster state has been logged.
 	driftLogged bool
 }
 
-// newSchedulerCache makes an empty cache. It must be rebuilt once its dependencies are set.
+// newSchedulerCache returns an empty cache. The caller must set its dependencies and then call rebuild.
 func newSchedulerCache() *schedulerCache {
 	return &schedulerCache{quotas: map[string]*scheduler.Quota{}, cachedJobs: map[*clusterstate.Job]*cachedJob{}}
 }
 
-// rebuild drops all cached machines: the next snapshot takes them from the cluster state.
+// rebuild drops all cached machines; the next snapshot reads them again from the cluster state.
 func (c *schedulerCache) rebuild() {
 	c.fleet, c.machineOf = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
 	c.machineList, c.cachedMachines = nil, nil
 	c.typesGeneration = c.catalog.typesGeneration
 }
 
-// snapshotForFill is what a fill decides from; nil if no job waits or no machine is schedulable.
+// snapshotForFill returns the snapshot for a fill, or nil if no job is waiting or no machine is schedulable.
 func (c *schedulerCache) snapshotForFill() *scheduler.Snapshot {
 	snapshot := c.emptySnapshot()
 	if snapshot.Jobs = c.waitingJobs(c.placement.activeReservations()); len(snapshot.Jobs) == 0 {
@@ -81,7 +82,7 @@
 	return snapshot
 }
 
-// fullSnapshot is like snapshotForFill, and never nil.
+// fullSnapshot is like snapshotForFill but never returns nil.
 func (c *schedulerCache) fullSnapshot() *scheduler.Snapshot {
 	snapshot := c.emptySnapshot()
 	snapshot.Jobs = c.waitingJobs(c.placement.activeReservations())
@@ -89,8 +90,8 @@
 	return snapshot
 }
 
-// snapshotForPlan is what a scaling plan decides from: a full snapshot with the booting machines after the
-// schedulable ones. endPlan must follow.
+// snapshotForPlan returns the snapshot for a scaling plan: a full snapshot with the booting machines after the
+// schedulable machines. The caller must call endPlan afterwards.
 func (c *schedulerCache) snapshotForPlan() *scheduler.Snapshot {
 	snapshot := c.fullSnapshot()
 	c.schedulableCount = len(snapshot.Machines)
@@ -107,7 +108,7 @@
 	return snapshot
 }
 
-// endPlan removes the machines from the fleet that the plan has added.
+// endPlan removes from the fleet the machines that snapshotForPlan and the plan have added.
 func (c *schedulerCache) endPlan(plan *scheduler.Snapshot) {
 	for _, m := range plan.Machines[c.schedulableCount:] {
 		c.fleet.Remove(m)
@@ -115,14 +116,14 @@
 	c.machineBuffer = plan.Machines[:c.schedulableCount]
 }
 
-// snapshotForRound is what a round decides from: all stored jobs, and the running tasks that may be preempted.
-// endRound must follow.
+// snapshotForRound returns the snapshot for a round: all stored jobs, and the running tasks that may be preempted.
+// The caller must call endRound afterwards.
 func (c *schedulerCache) snapshotForRound() *scheduler.Snapshot {
 	snapshot := c.emptySnapshot()
 	reservedTasks := c.placement.activeReservations()
 	c.syncFleet(snapshot)
 	viewOf := make(map[*clusterstate.Job]*scheduler.Job, len(c.state.Jobs))
-	views := make([]scheduler.Job, len(c.state.Jobs)) // one allocation for all
+	views := make([]scheduler.Job, len(c.state.Jobs)) // one allocation for the views of all jobs
 	for i, j := range c.state.SortedJobs() {
 		if !j.Stored {
 			continue
@@ -156,15 +157,15 @@
 	}
 }
 
-// endRound drops the lists of running tasks, which only a round needs.
+// endRound clears the lists of running tasks, which only a round needs.
 func (c *schedulerCache) endRound() {
 	for _, e := range c.cachedMachines {
 		e.view.Running = nil
 	}
 }
 
-// emptySnapshot is a snapshot without jobs and machines. It rebuilds the cache if there are new machine types,
-// which the views of machines point to.
+// emptySnapshot returns a snapshot without jobs and machines. It rebuilds the cache if the machine types have changed,
+// as the views of machines point to them.
 func (c *schedulerCache) emptySnapshot() *scheduler.Snapshot {
 	if c.typesGeneration != c.catalog.typesGeneration {
 		c.rebuild()
@@ -172,7 +173,8 @@
 	return &scheduler.Snapshot{Quotas: c.quotas, UpperQueueCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
 }
 
-// syncFleet brings machines and quotas up to date with the cluster state, and has the snapshot refer to them.
+// syncFleet updates the cached machines and quotas from the cluster state, and adds the machines and the capacity to the
+// snapshot.
 func (c *schedulerCache) syncFleet(snapshot *scheduler.Snapshot) {
 	c.syncMachineList()
 	c.syncMachines(snapshot)
--- a/internal/controller/scheduler_cache_jobs.go
+++ b/internal/controller/scheduler_cache_jobs.go
@@ -7,20 +7,20 @@
 
 // cachedJob is a job that may have waiting tasks.
 type cachedJob struct {
-	// view is the job as the scheduler saw it last.
+	// view is the job's view in the last snapshot that contained the job.
 	view scheduler.Job
-	// filled: waiting and resume are those of the job's revision. The first resume tasks of waiting were
-	// interrupted.
+	// filled is set once waiting and resume hold the job's waiting tasks at the given revision. The first resume tasks
+	// of waiting were interrupted.
 	filled   bool
 	revision uint64
 	waiting  []int
 	resume   int
-	// inZoneRevision is the job's revision when its tasks were last counted by zone.
+	// inZoneRevision is the job's revision at the last count of its tasks by zone.
 	inZoneRevision uint64
 }
 
-// waitingJobs lists the jobs with tasks that may be started now. reservedTasks counts the tasks that machines are
-// reserved for, by job id.
+// waitingJobs lists the jobs with tasks that may be started now. reservedTasks counts the tasks for which machines are
+// reserved, by job id.
 func (c *schedulerCache) waitingJobs(reservedTasks map[string]int) []*scheduler.Job {
 	for _, j := range c.state.TakeJobsToSchedule() {
 		c.addJob(j)
@@ -37,7 +37,7 @@
 			waiting, resume = c.waitingTasks(j, cached)
 		}
 		if j.Stored && len(waiting) == 0 && j.ActiveAttempts > 0 && j.OpenTasks() == 0 {
-			delete(c.cachedJobs, j) // the cluster state names it again once it loses a task
+			delete(c.cachedJobs, j) // TakeJobsToSchedule returns the job again after an attempt of it is removed
 			continue
 		}
 		order = append(order, j)
@@ -49,7 +49,7 @@
 	return list
 }
 
-// addJob adds a job to those that each snapshot looks at.
+// addJob adds a job to the cached jobs, which each snapshot examines for waiting tasks.
 func (c *schedulerCache) addJob(j *clusterstate.Job) {
 	if c.cachedJobs[j] == nil {
 		c.cachedJobs[j] = &cachedJob{}
@@ -57,8 +57,8 @@
 	}
 }
 
-// waitingTasks is schedulerViews.waitingTasks, from the cache if the job is unchanged. Those of gangs are never
-// cached: they depend on the gang's state too.
+// waitingTasks returns the result of schedulerViews.waitingTasks, from the cache if the job's revision is unchanged.
+// The waiting tasks of gangs are not cached, as they also depend on the gang's state.
 func (c *schedulerCache) waitingTasks(j *clusterstate.Job, cached *cachedJob) (waiting []int, resume int) {
 	if j.Gang != nil || !cached.filled || cached.revision != j.Revision() {
 		cached.filled, cached.revision = true, j.Revision()
@@ -67,9 +67,10 @@
 	return c.views.limitStartable(j, cached.waiting, cached.resume)
 }
 
-// refreshJob brings the view of a job up to date. Amounts that change with time are always computed anew; its
-// tasks by zone are counted again only if its tasks have changed. A plan, or a gang that found no room for all of
-// its tasks, has changed that count for itself only: the view then holds more tasks than the cluster state.
+// refreshJob updates the view of a job. Values that change with time are always recomputed. The tasks by zone are
+// counted again only if the job's tasks have changed, or if the scheduler has changed the count in the view without
+// starting a task: a plan does that, and so does a gang for which not all tasks found room. In that case the number of
+// assigned tasks in the view differs from the cluster state.
 func (c *schedulerCache) refreshJob(j *clusterstate.Job, cached *cachedJob, waiting []int, resume, reservedTasks int) *scheduler.Job {
 	inZone := cached.view.InZone
 	if inZone == nil || j.Gang != nil || cached.inZoneRevision != j.Revision() || cached.view.Assigned != j.ActiveAttempts {
--- a/internal/controller/scheduler_cache_machines.go
+++ b/internal/controller/scheduler_cache_machines.go
@@ -10,24 +10,25 @@
 // cachedMachine is a machine of the cluster state with its view for the scheduler.
 type cachedMachine struct {
 	machine *clusterstate.Machine
-	// view is the machine as the scheduler saw it last, of this revision and size.
+	// view is the machine's view in the last snapshot that contained the machine, made at the given revision and size.
 	view     scheduler.Machine
 	revision uint64
 	size     scheduler.Resources
-	// position orders the machine in the fleet, once hasPosition is set.
+	// position is the machine's position in the order of the fleet. It is valid if hasPosition is set.
 	position    int
 	hasPosition bool
-	// inFleet: the machine was schedulable at the last snapshot, and its view is in the fleet.
+	// inFleet is set while the view is in the fleet: the machine was schedulable at the last snapshot.
 	inFleet bool
-	// stillListed is used by syncMachineList alone: the machine is in the new list.
+	// stillListed is set if the machine is in the new list of machines. Only syncMachineList uses it.
 	stillListed bool
 }
 
-// positionGap is left between the positions of neighbours, for machines that come between them.
+// positionGap is the gap between the positions of neighbours; machines that are added between them get positions in
+// the gap.
 const positionGap = 1 << 20
 
-// syncMachineList adds new machines to the cache and drops those that were removed from the cluster state, which
-// makes a new list whenever its machines change.
+// syncMachineList adds new machines to the cache and drops machines that were removed from the cluster state. The
+// cluster state returns the same list until its set of machines changes.
 func (c *schedulerCache) syncMachineList() {
 	list := c.machines.sortedMachines()
 	if len(list) == len(c.machineList) && (len(list) == 0 || &list[0] == &c.machineList[0]) {
@@ -57,7 +58,8 @@
 	c.assignPositions()
 }
 
-// assignPositions gives new machines positions between their neighbours, or renumbers all if there is no gap left.
+// assignPositions assigns new machines positions between their neighbours. If a gap is used up it renumbers all
+// machines.
 func (c *schedulerCache) assignPositions() {
 	last := 0
 	for i, e := range c.cachedMachines {
@@ -78,7 +80,8 @@
 	}
 }
 
-// renumberPositions takes all machines out of the fleet, as it is ordered by position, and numbers them anew.
+// renumberPositions assigns new positions to all machines. It first removes them from the fleet, which is ordered by
+// position.
 func (c *schedulerCache) renumberPositions() {
 	for _, e := range c.cachedMachines {
 		c.removeFromFleet(e)
@@ -88,7 +91,7 @@
 	}
 }
 
-// removeFromFleet takes a machine out of the scheduler's fleet, if it is in it.
+// removeFromFleet removes a machine from the fleet if the fleet contains it.
 func (c *schedulerCache) removeFromFleet(e *cachedMachine) {
 	if e.inFleet {
 		c.fleet.Remove(&e.view)
@@ -96,8 +99,8 @@
 	}
 }
 
-// syncMachines refreshes the views of changed machines, and lists the schedulable machines in the snapshot with
-// the capacity of all that are up.
+// syncMachines refreshes the views of changed machines. It sets the snapshot's list of schedulable machines, adds up the
+// capacity of the machines that are up, and sets Draining if a draining machine still has replicas.
 func (c *schedulerCache) syncMachines(snapshot *scheduler.Snapshot) {
 	now := c.env.now
 	list := c.machineBuffer[:0]
@@ -126,14 +129,14 @@
 	c.machineBuffer, snapshot.Machines = list, list
 }
 
-// isStale says whether a machine has changed since its view was made, or a decision has changed the view.
+// isStale reports whether the machine has changed since its view was made, or the scheduler has changed the view.
 func (c *schedulerCache) isStale(e *cachedMachine) bool {
 	m := e.machine
 	return !e.inFleet || e.view.Dirty || e.revision != m.Revision() || e.size != m.Size ||
 		e.view.ReservedFor != c.placement.reservations[m.ID].job
 }
 
-// refreshMachine makes the view of a machine anew from the cluster state.
+// refreshMachine recreates the view of a machine from the cluster state.
 func (c *schedulerCache) refreshMachine(e *cachedMachine, t *scheduler.Type) {
 	m := e.machine
 	e.view = c.views.machineView(m, t)
@@ -142,7 +145,7 @@
 	c.fleet.Update(&e.view, e.position)
 }
 
-// movesReplicas says whether a draining machine still has replicas, which need room on others.
+// movesReplicas reports whether a draining machine still has replicas, which need capacity on other machines.
 func movesReplicas(m *clusterstate.Machine) bool {
 	for _, a := range m.Attempts {
 		if a.Job.Spec.Service {
--- a/internal/controller/scheduler_cache_verify.go
+++ b/internal/controller/scheduler_cache_verify.go
@@ -1,11 +1,11 @@
 package controller
 
-// machinesPerVerification is how many machines a verification compares, so that its cost does not grow with the
-// fleet.
+// machinesPerVerification is the number of machines that a verification compares. A fixed number keeps its cost
+// independent of the fleet's size.
 const machinesPerVerification = 32
 
-// verify compares the next few machines with the cluster state. A difference is a fault of this program: the first
-// one is logged, and the cache is rebuilt.
+// verify compares the cached views of the next few machines with the cluster state. A difference is a bug in the cache's
+// invalidation: verify logs the first difference and rebuilds the cache.
 func (c *schedulerCache) verify() {
 	if len(c.cachedMachines) == 0 {
 		return
@@ -25,8 +25,8 @@
 	c.nextVerified = (c.nextVerified + machinesPerVerification) % len(c.cachedMachines)
 }
 
-// matchesState says whether a machine's view is as the cluster state has it. A view that the next snapshot refreshes
-// anyway counts as matching.
+// matchesState reports whether a machine's view agrees with the cluster state. A stale view, which the next snapshot
+// refreshes, counts as a match.
 func (c *schedulerCache) matchesState(e *cachedMachine) bool {
 	if c.typesGeneration != c.catalog.typesGeneration || c.isStale(e) {
 		return true
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -8,7 +8,7 @@
 	"claybarrow/internal/scheduler"
 )
 
-// schedulerViews describes jobs and machines of the cluster state in the scheduler's terms. It owns no state.
+// schedulerViews converts jobs and machines of the cluster state to the types of package scheduler. It owns no state.
 type schedulerViews struct {
 	catalog    *machineCatalog
 	env        *environment
@@ -18,7 +18,8 @@
 	state      *clusterstate.State
 }
 
-// capacityShare is the share of a capacity that one task of the job needs: of the accelerators where it needs any.
+// capacityShare is the share of a capacity that one task of the job needs: the share of the accelerators if the task
+// needs any.
 func capacityShare(j *clusterstate.Job, capacity scheduler.Resources) float64 {
 	return scheduler.Share(j.Need, capacity)
 }
@@ -40,14 +41,14 @@
 	return total
 }
 
-// newJobView makes a view of a job, without its tasks.
+// newJobView returns a view of a job without its tasks.
 func newJobView(j *clusterstate.Job) *scheduler.Job {
 	view := &scheduler.Job{}
 	describeJob(view, j)
 	return view
 }
 
-// describeJob overwrites a view with the job as it is now, without its tasks.
+// describeJob overwrites a view with the job's current state, without its tasks.
 func describeJob(view *scheduler.Job, j *clusterstate.Job) {
 	s := j.Spec
 	*view = scheduler.Job{
@@ -59,23 +60,24 @@
 		Attained: j.Scale.Attained, Degradation: j.Scale.Degradation,
 	}
 	if j.Gang != nil {
-		// Gangs skip the upper queue, with degradation 1, and their number of slots does not change.
+		// Gangs are not scaled up: they skip the upper queue, and their degradation is always 1 and their slots are
+		// always all of their tasks.
 		view.Gang, view.InUpperQueue, view.Slots, view.Degradation = true, false, s.Tasks, 1
 	}
 }
 
-// maxWaitingTasks bounds how many waiting tasks of a job a snapshot holds, and with it the work of a fill.
+// maxWaitingTasks limits the waiting tasks of a job in a snapshot, and thereby the work of a fill.
 const maxWaitingTasks = 512
 
-// waitingTasks lists the tasks of a job that may be started now. The first resume of them ran before and were
-// interrupted.
+// waitingTasks lists the tasks of a job that may be started now. The first resume tasks of the list ran before and
+// were interrupted.
 func (v *schedulerViews) waitingTasks(j *clusterstate.Job) (waiting []int, resume int) {
 	waiting, resume = j.WaitingTasks(maxWaitingTasks)
 	return v.limitStartable(j, waiting, resume)
 }
 
-// limitStartable limits waiting tasks to those that may be started now: none for a while after failures, and one at
-// a time while the job is probed for whether it still fails. It notes since when the job has had no task anywhere.
+// limitStartable limits waiting tasks to those that may be started now: none during the retry back-off after failures,
+// and one while a probe of the job finds out whether it still fails. It also updates the job's WaitingSince.
 func (v *schedulerViews) limitStartable(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
 	if j.Cancelling || j.Finalizing || v.env.now < j.NotBefore {
 		waiting, resume = nil, 0
@@ -87,7 +89,8 @@
 	return waiting, resume
 }
 
-// noteWaitingSince notes when a job came to be without any task on a machine, and forgets it once it has one or ends.
+// noteWaitingSince sets WaitingSince when a job has no task on a machine, and clears it when the job has such a task
+// or ends.
 func (v *schedulerViews) noteWaitingSince(j *clusterstate.Job) {
 	if j.ActiveAttempts > 0 || j.Cancelling || j.Finalizing {
 		j.WaitingSince = 0
@@ -96,11 +99,12 @@
 	}
 }
 
-// patienceBoots is after how many boot times a waiting job is taken for one that no machine will be launched for.
+// patienceBoots is the number of boot times after which the scheduler assumes that no machine will be launched for a
+// waiting job.
 const patienceBoots = 2
 
-// updateJobView overwrites a view with the job as it is now, apart from its tasks by zone. reservedTasks is how many
-// of its tasks machines are reserved for.
+// updateJobView overwrites a view with the job's current state, except for its tasks by zone. reservedTasks is the
+// number of the job's tasks for which machines are reserved.
 func (v *schedulerViews) updateJobView(view *scheduler.Job, j *clusterstate.Job, waiting []int, resume, reservedTasks int) {
 	describeJob(view, j)
 	view.Waiting, view.Interrupted = waiting, resume
@@ -113,7 +117,8 @@
 	view.Reserved = min(reservedTasks, len(view.Waiting))
 }
 
-// bootingType is the type of a machine that is booting and will most probably be up soon, or nil.
+// bootingType is the type of a machine that is booting and has not exceeded the usual boot time; nil for any other
+// machine and for machines in partitioned zones.
 func (v *schedulerViews) bootingType(m *clusterstate.Machine) *scheduler.Type {
 	if m.EverReported || m.Releasing || v.partitions.isPartitioned(m.Zone) {
 		return nil
@@ -124,9 +129,9 @@
 	return nil
 }
 
-// machineView is a view of a machine, without its images and tasks.
+// machineView returns a view of a machine without its images and tasks.
 func (v *schedulerViews) machineView(m *clusterstate.Machine, t *scheduler.Type) scheduler.Machine {
-	maxAttempts := v.env.cfg.MaxValueBytes() / clusterstate.MaxEntryBytes // that fit into the machine's record
+	maxAttempts := v.env.cfg.MaxValueBytes() / clusterstate.MaxEntryBytes // the machine's record holds no more
 	return scheduler.Machine{
 		ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot,
 		Free: m.Size.Minus(m.Used), TaskCapacity: maxAttempts - len(m.Attempts), Used: len(m.Attempts) > 0,
@@ -134,7 +139,7 @@
 	}
 }
 
-// setImages sets the images that a machine has cached, and those that it is fetching.
+// setImages sets the images that a machine has cached and the images that it is fetching.
 func setImages(view *scheduler.Machine, m *clusterstate.Machine) {
 	view.Images = m.Images
 	if !m.HasStartingAttempts() {
@@ -152,8 +157,8 @@
 	}
 }
 
-// appendRunningTasks appends a machine's tasks that may be preempted: those of the jobs in viewOf that are not
-// requested to stop yet.
+// appendRunningTasks appends the tasks of a machine that may be preempted: the tasks of the jobs in viewOf whose stop
+// has not been requested.
 func (v *schedulerViews) appendRunningTasks(
 	list []scheduler.RunningTask, m *clusterstate.Machine, viewOf map[*clusterstate.Job]*scheduler.Job,
 ) []scheduler.RunningTask {
@@ -165,18 +170,18 @@
 	return list
 }
 
-// serviceReserveRounds is for how many rounds the arrivals of services are reserved within their teams' quotas.
+// serviceReserveRounds is the number of rounds for whose expected service arrivals each team's quota is reserved.
 const serviceReserveRounds = 3
 
-// reserveServiceQuota reserves a part of each team's maximum quota for its services: as much as arrives in
-// serviceReserveRounds rounds. Where batch jobs use a quota up, each new replica has to wait for a round's
-// preemption and for a checkpoint to be saved, and some wait objectives are a second.
+// reserveServiceQuota reserves a part of each team's maximum quota for the team's services: the expected arrivals of
+// serviceReserveRounds rounds. If batch jobs used up the whole quota, each new replica would wait for a round to
+// preempt a task and for that task to save a checkpoint, which is too long for wait objectives of one second.
 func (v *schedulerViews) reserveServiceQuota(quotas map[string]*scheduler.Quota) {
 	windowS, from := v.forecast.arrivalWindow()
 	if windowS == 0 {
 		return
 	}
-	reserved := serviceReserveRounds * v.env.cfg.Operator.Green.RoundS / windowS // as a part of the window's arrivals
+	reserved := serviceReserveRounds * v.env.cfg.Operator.Green.RoundS / windowS // as a fraction of the window's arrivals
 	for _, history := range v.forecast.arrivals {
 		for _, second := range history.recent(from) {
 			reserveArrivals(quotas, second.services, reserved)
@@ -184,7 +189,7 @@
 	}
 }
 
-// reserveArrivals reserves a part of what arrived, by team.
+// reserveArrivals reserves a fraction of the arrived need in the quota of each team.
 func reserveArrivals(quotas map[string]*scheduler.Quota, arrived map[string]scheduler.Resources, part float64) {
 	for team, need := range arrived {
 		if quota := quotas[team]; quota != nil {
@@ -193,7 +198,7 @@
 	}
 }
 
-// waitObjective is the shortest of the service-level objectives for the waiting time of a class, in seconds; 0 if it
+// waitObjective is the shortest service-level objective for the waiting time of a class, in seconds; 0 if the class
 // has none.
 func (v *schedulerViews) waitObjective(class string) float64 {
 	shortest := 0.0
@@ -205,9 +210,10 @@
 	return shortest
 }
 
-// deadlineSlack is the time in seconds that a batch job with a deadline has left until the next time that an
-// objective counts, if its tasks start now and run for half of their owner's estimate, as estimates are often wrong
-// by half. It is infinite for jobs without a deadline. late: none of those times can be met any more.
+// deadlineSlack is the slack of a batch job with a deadline in seconds: the time between its expected end and the next
+// deadline multiple that its class's objectives count. The expected end assumes that the tasks start now and run for
+// half of the owner's estimate, as estimates are often wrong by half. The slack is infinite for jobs without a
+// deadline. late is set if the job can't meet any of the deadline multiples.
 func (v *schedulerViews) deadlineSlack(j *clusterstate.Job) (left float64, late bool) {
 	left = math.Inf(1)
 	if j.Spec.Service || j.Spec.DeadlineS <= 0 {
@@ -223,7 +229,7 @@
 	return left, late
 }
 
-// deadlineMultiples are the multiples of a class's deadlines that its objectives count: one, and those of the
+// deadlineMultiples are the multiples of a deadline that the objectives of a class count: 1 and the multiples in the
 // settings.
 func (v *schedulerViews) deadlineMultiples(class string) []float64 {
 	multiples := []float64{1}
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -9,10 +9,13 @@
 	"claybarrow/internal/statestore"
 )
 
-// taskScheduler starts and preempts tasks. It runs the scheduler's fills, which place waiting tasks in free room,
-// and its rounds, which preempt tasks where there is none, and calls what else is due at regular intervals.
-// It owns the times at which these are next due, the reservations, and the memory of the bounded search for
-// preemptions. All of it is lost at a failover: the next leader's first round preempts and reserves anew.
+// taskScheduler starts and preempts tasks. It runs the scheduler's fills, which place waiting tasks on machines with
+// free capacity, and the scheduler's rounds, which preempt tasks for jobs that find no free capacity. It also calls
+// the other periodic duties of the leader.
+//
+// It owns the times at which the periodic duties are next due, the reservations, and the list of jobs that the bounded
+// search for preemptions has already examined. This state is not stored: after a failover the first round of the new
+// leader preempts tasks and reserves machines again.
 type taskScheduler struct {
 	accounting     *serviceAccounting
 	attemptNumbers *attemptNumbers
@@ -33,20 +36,20 @@
 	summary        *fleetSummary
 	userRequests   *userRequests
 
-	// fillPending: something has changed that a fill may place tasks by. The fill itself runs after the event that
-	// is being handled, as soon as no transaction is under way.
+	// fillPending is set when a change may allow a fill to place tasks. The fill runs after the current event has been
+	// handled, as soon as no transaction is in flight.
 	fillPending bool
-	// Times at which each periodic duty is next due.
+	// The times at which the periodic duties are next due.
 	fillAt     time.Duration
 	roundAt    time.Duration
 	countersAt time.Duration
 	summaryAt  time.Duration
 	planAt     time.Duration
 
-	// reservations are the machines that are kept for a job, by machine id.
+	// reservations holds the reservations of machines for jobs, by machine id.
 	reservations map[string]reservation
-	// searchedJobs are the jobs, by id, that rounds of bounded work have found no preemption for;
-	// see scheduler.Snapshot.Preempt.
+	// searchedJobs holds the ids of the jobs for which earlier rounds, each of which examines a limited number of
+	// machines, found no preemption; see scheduler.Snapshot.Preempt.
 	searchedJobs map[string]bool
 }
 
@@ -61,7 +64,7 @@
 	}
 }
 
-// runScheduling runs what is due of the scheduling. It is called at every tick.
+// runScheduling runs the periodic duties that are due. It is called at every tick.
 func (t *taskScheduler) runScheduling() {
 	cfg, green := t.env.cfg, t.env.cfg.Operator.Green
 	t.accounting.accrueService()
@@ -69,7 +72,7 @@
 	if t.isDue(&t.fillAt, seconds(green.FillS)) {
 		t.fillPending = true
 	}
-	// A round that is due before the fleet has reported stays due.
+	// A round that is due before the workers have reported to this leader is delayed until they have.
 	if t.env.now >= t.roundAt && t.health.fleetReported() {
 		t.roundAt = t.env.now + seconds(green.RoundS)
 		t.runRound()
@@ -85,12 +88,12 @@
 	if t.isDue(&t.planAt, cfg.LeaderLease()*2/3) {
 		t.partitions.detectPartitions()
 		t.scaler.watchBootTimes()
-		t.fillPending = true // the retry delays of failed jobs and the quarantine of machines end with time alone
+		t.fillPending = true // no event marks the end of a failed job's retry delay or of a machine's quarantine
 		t.scaler.planScaling()
 	}
 }
 
-// isDue says whether the time of a periodic duty has come, and if so sets when it is due next.
+// isDue reports whether a periodic duty is due at the time at, and if so sets at to the next due time.
 func (t *taskScheduler) isDue(at *time.Duration, interval time.Duration) bool {
 	if t.env.now < *at {
 		return false
@@ -99,8 +102,8 @@
 	return true
 }
 
-// runFill starts waiting tasks as rank and free room allow. A start is sent to its worker only once it is durable
-// in the state service.
+// runFill starts waiting tasks in rank order on machines with free capacity. A run command is sent to a worker only
+// after the state service has stored the attempt durably.
 func (t *taskScheduler) runFill() {
 	t.fillPending = false
 	if !t.lease.holdsLease() || len(t.catalog.types) == 0 || !t.attemptNumbers.enough() {
@@ -111,21 +114,21 @@
 		return
 	}
 	if slices.ContainsFunc(snapshot.Jobs, func(j *scheduler.Job) bool { return !j.Service }) {
-		// Headroom is kept from batch jobs only: replicas rank before it.
+		// Headroom keeps capacity free from batch jobs only: replicas of services rank before headroom jobs.
 		snapshot.Jobs = t.forecast.appendHeadroom(snapshot.Jobs)
 	}
 	t.startPlacements(snapshot.Fill())
 }
 
-// startPlacements starts the tasks that a fill has placed, and ends the reservations of the gangs among them.
+// startPlacements starts the tasks that a fill has placed, and drops the reservations of the gangs that it has placed.
 func (t *taskScheduler) startPlacements(placements []scheduler.Placement) {
-	numbers := map[*clusterstate.Job]uint64{} // of each job's latest attempt: all tasks of a gang share one
+	numbers := map[*clusterstate.Job]uint64{} // the latest attempt number by job; all tasks of a gang share one number
 	for _, p := range placements {
 		j := t.state.Jobs[p.Job.ID]
 		switch {
 		case j.Gang != nil && numbers[j] != 0:
 		case j.Gang != nil && j.Gang.State == clusterstate.GangGathering:
-			numbers[j] = j.Gang.Number // this task replaces a lost one while the others wait at the gang barrier
+			numbers[j] = j.Gang.Number // this task replaces a lost task while its peers wait at the gang barrier
 		default:
 			numbers[j] = t.attemptNumbers.take()
 		}
@@ -133,13 +136,13 @@
 	}
 	for j := range numbers {
 		if j.Gang != nil {
-			t.dropReservations(j.Spec.UID) // the whole gang is placed, on the reserved machines or elsewhere
+			t.dropReservations(j.Spec.UID) // the whole gang is placed, on the reserved machines or on others
 		}
 	}
 }
 
-// startTask adds an attempt to the cluster state and has it stored. The worker gets its start once the machine's
-// record is durable; an attempt that was requested to stop before then is removed without having been sent.
+// startTask adds an attempt to the cluster state and stores the machine's record. The run command is sent to the
+// worker once the record is durable. An attempt whose stop was requested before that is removed without a run command.
 func (t *taskScheduler) startTask(j *clusterstate.Job, index int, m *clusterstate.Machine, number uint64) {
 	t.useReservation(m.ID, j.Spec.UID)
 	a := t.state.AddAttempt(m, j, index, number, t.env.now)
@@ -163,11 +166,11 @@
 	})
 }
 
-// preemptionFleetDivisor bounds the preemptions of a round by the fleet's size: one for each four machines.
+// preemptionFleetDivisor limits the preemptions of a round by the fleet's size: one preemption per four machines.
 const preemptionFleetDivisor = 4
 
-// runRound is a round of GREEN: jobs gain slots for their progress, and tasks that rank past the capacity are
-// preempted for tasks that rank before them.
+// runRound runs a round of the GREEN scheduling policy: it adjusts the slots of batch jobs by their progress, and
+// preempts running tasks for waiting tasks that rank before them and find no free capacity.
 func (t *taskScheduler) runRound() {
 	for _, j := range t.state.Jobs {
 		if !j.Spec.Service && j.Gang == nil {
@@ -179,13 +182,13 @@
 	}
 	snapshot := t.cache.snapshotForRound()
 	defer t.cache.endRound()
-	// Headroom that a fill keeps from waiting tasks must not count as room here either: rounds once
-	// took a gang to fit into it, one after the other, and the gang waited for a machine to boot.
+	// Capacity that a fill keeps free as headroom must not count as free here either. Otherwise each round considers
+	// a gang to fit into the headroom and preempts nothing for it, and the gang waits until a machine has booted.
 	snapshot.Jobs = t.forecast.appendHeadroom(snapshot.Jobs)
-	snapshot.Fill() // a task that finds room needs no preemption
+	snapshot.Fill() // a task that fits into free capacity needs no preemption
 	most := max(t.env.cfg.Cluster.State.TxnOps, len(snapshot.Machines)/preemptionFleetDivisor)
 	preemption := snapshot.Preempt(most, t.searchedJobs)
-	stopTimes := map[string]time.Duration{} // by job: how long the slowest of the tasks preempted for it may take
+	stopTimes := map[string]time.Duration{} // by job id: the longest stop duration of the tasks preempted for the job
 	for _, stop := range preemption.Stops {
 		stopTimes[stop.For.ID] = max(stopTimes[stop.For.ID], t.stopDuration(stop.Victim.Job))
 		t.preempt(stop)
@@ -193,8 +196,8 @@
 	t.reserve(preemption.Reservations, stopTimes)
 }
 
-// stopDuration is how long a task may take to stop gracefully: to save a checkpoint, and in a gang to
-// wait for its peers.
+// stopDuration is how long a task may take to stop gracefully: the time to save a checkpoint and, in a gang, the time
+// to wait for its peers.
 func (t *taskScheduler) stopDuration(victim *scheduler.Job) time.Duration {
 	if victim.Gang {
 		return seconds(victim.SaveS) + t.env.cfg.GangPeerTimeout()
@@ -202,7 +205,7 @@
 	return seconds(victim.SaveS)
 }
 
-// preempt requests a task to stop for a job that ranks before its own.
+// preempt requests the stop of a task in favour of a job that ranks before the task's own job.
 func (t *taskScheduler) preempt(stop scheduler.Stop) {
 	m := t.state.Machines[stop.Machine.ID]
 	for _, a := range m.SortedAttempts() {
