--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -8,29 +8,29 @@
 	"claybarrow/internal/statestore"
 )
 
-// serviceAccounting accounts for the service that jobs attain, by which the scheduler orders them, and stores
-// it for a successor.
+// serviceAccounting accrues the attained service of jobs, by which the scheduler orders them, and stores it for the
+// next leader.
 //
-// It owns the time of the last accounting; the sums are in the jobs. A successor loads the stored counters and
-// adds what was attained since (see stateLoader.loadCounters).
+// It owns the time of the last accrual; the sums are in the jobs. The next leader loads the stored counters and adds
+// the service that was attained since they were stored (see stateLoader.loadCounters).
 type serviceAccounting struct {
 	env   *environment
 	state *clusterstate.State
 	store *statestore.Writer
 	views *schedulerViews
 
-	accrueAt time.Duration // up to when the attained service is accounted for
+	accrueAt time.Duration // the time up to which the attained service has been accrued
 }
 
 const (
-	// accrualDivisor: service is accounted for at the most every twentieth of a worker's lease, as each time
-	// goes through all jobs.
+	// accrualDivisor sets the shortest interval between two accruals to a twentieth of a worker lease, as each accrual
+	// iterates over all jobs.
 	accrualDivisor = 20
-	// counterRowEntries is the size of a row of counters in units of clusterstate.MaxEntryBytes.
+	// counterRowEntries is the largest size of a row of counters in units of clusterstate.MaxEntryBytes.
 	counterRowEntries = 2
 )
 
-// accrueService accounts for the service attained since the last time.
+// accrueService adds the service that was attained since the last accrual.
 func (a *serviceAccounting) accrueService() {
 	elapsed := (a.env.now - a.accrueAt).Seconds()
 	if elapsed < a.env.cfg.WorkerLease().Seconds()/accrualDivisor {
@@ -45,7 +45,7 @@
 	}
 }
 
-// writeCounters stores the attained service for a successor, in as few records as the limit on a value allows.
+// writeCounters stores the attained service for the next leader, in as few records as the size limit on a value allows.
 func (a *serviceAccounting) writeCounters() {
 	batches := a.counterBatches()
 	storedAt := a.env.wall
@@ -53,14 +53,14 @@
 		record := clusterstate.Counters{At: storedAt, Jobs: jobs}
 		a.store.QueueWrite(counterKey(i), statestore.PriorityCounters, func() any { return record }, nil)
 	}
-	// Records of earlier, larger batches would bring back old values at a failover.
+	// Records that are not needed any more are deleted: at a failover their outdated values would be loaded.
 	for i := len(batches); a.store.Version(counterKey(i)) != 0; i++ {
 		a.store.QueueWrite(counterKey(i), statestore.PriorityCounters, func() any { return nil }, nil)
 	}
 }
 
-// counterBatches returns the rows of counters by job, split into records. Jobs that are not stored, are being
-// cancelled or run as a service have none.
+// counterBatches returns the rows of counters by job id, split into records. Services, and jobs that are not stored or
+// are being cancelled, have no row.
 func (a *serviceAccounting) counterBatches() []map[string]clusterstate.CounterRow {
 	limit := a.env.cfg.MaxValueBytes() / (counterRowEntries * clusterstate.MaxEntryBytes)
 	var batches []map[string]clusterstate.CounterRow
@@ -79,5 +79,5 @@
 	return batches
 }
 
-// counterKey is the key of a record of counters.
+// counterKey is the key of the counters record with index i.
 func counterKey(i int) string { return clusterstate.CounterPrefix + strconv.Itoa(i) }
--- a/internal/controller/conditions.go
+++ b/internal/controller/conditions.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// loggedCondition is a lasting state of the service that operators tell their users of. It is logged when it begins
-// and when it ends, not in between.
+// loggedCondition is a lasting condition of the service, such as late machine boots, that operators report to their
+// users. It is logged when it begins and when it ends.
 type loggedCondition struct {
 	active bool
 	since  time.Duration
@@ -17,8 +17,8 @@
 	begin, end string
 }
 
-// update notes whether the condition is active now, and logs a change with the given attributes; its end with its
-// duration too.
+// update sets whether the condition is active, and logs a change with the given attributes. The message at its end also
+// contains its duration.
 func (c *loggedCondition) update(active bool, now time.Duration, log *slog.Logger, messages conditionMessages, attributes ...any) {
 	if active == c.active {
 		return
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -11,8 +11,8 @@
 	"claybarrow/internal/scheduler"
 )
 
-// consolidator drains expensive machines with few tasks, whose tasks can go on elsewhere at once. It owns only the
-// time of its next attempt, which a new leader does not need.
+// consolidator drains expensive machines with few tasks if these tasks can resume on other machines at once. It owns
+// only the time of its next run, which a new leader does not need.
 type consolidator struct {
 	attempts   *attemptTracker
 	cache      *schedulerCache
@@ -24,36 +24,37 @@
 	pool       *machinepool.Pool
 	state      *clusterstate.State
 
-	drainAt time.Duration // no machine is drained before
+	drainAt time.Duration // no machine is drained before this time
 }
 
-// maxConsolidationWork bounds what one consolidation looks at, in machines: it copies the fleet for each candidate,
-// and the leader of thousands of machines must renew its lease meanwhile.
+// maxConsolidationWork limits the machines that one consolidation examines. A consolidation copies the fleet for each
+// candidate, and the leader must renew its lease in time even with thousands of machines.
 const maxConsolidationWork = 100_000
 
 // Limits of a consolidation.
 const (
-	// A consolidation drains one machine, and one more for each ten of the fleet.
+	// A consolidation drains at most one machine, and one more per ten machines of the fleet.
 	drainFleetDivisor = 10
-	// candidatesPerDrain is how many candidates are tried for each machine that may be drained.
+	// candidatesPerDrain is the number of candidates that are examined per machine that may be drained.
 	candidatesPerDrain = 2
-	// minFreeShare is the free share of a machine from which on it is worth draining.
+	// minFreeShare is the smallest free share of a machine that is drained.
 	minFreeShare = 0.25
-	// minFreeShareToMoveBatches is the free share from which on tasks of batch jobs are moved too.
+	// minFreeShareToMoveBatches is the smallest free share of a machine whose batch tasks are moved too.
 	minFreeShareToMoveBatches = 0.5
-	// batchSettledBoots is how long a batch task must have run before it is moved, in boot times; replicas one.
+	// batchSettledBoots is how long a batch task must have run before it is moved, in boot times. A replica must have
+	// run for one boot time.
 	batchSettledBoots = 0.7
-	// drainPauseLeases is how many leases pass between two consolidations that drain machines.
+	// drainPauseLeases is the number of worker leases between two consolidations that drain machines.
 	drainPauseLeases = 3
-	// A kind of machine is in demand if more than one in twenty is still to come.
+	// A kind of machine is in demand if more than one machine is booting or being launched per twenty that are up.
 	demandedKindDivisor = 20
-	// unresponsiveDivisor: more than one busy machine in fifty not answering is many.
+	// No machine is drained while more than one in fifty busy machines is unresponsive.
 	unresponsiveDivisor = 50
 )
 
-// consolidate drains expensive machines whose tasks can go on at once elsewhere, on machines with their images.
+// consolidate drains expensive machines whose tasks can resume at once on other machines that have their images cached.
 // Otherwise long-lived replicas, and the last tasks of batch jobs when the load falls, would keep expensive machines up
-// for a few tasks each. The larger the fleet, the more machines are drained at a time.
+// for a few tasks each. The number of machines that are drained at a time grows with the fleet.
 func (c *consolidator) consolidate() {
 	if c.env.now < c.drainAt || !c.lease.holdsLease() || c.manyUnresponsive() {
 		return
@@ -68,7 +69,7 @@
 	snapshot.MachinesExamined = 0
 	for _, candidate := range candidates[:min(len(candidates), candidatesPerDrain*left)] {
 		if snapshot.MachinesExamined > maxConsolidationWork {
-			break // the next consolidation looks at the rest
+			break // a later consolidation examines the remaining candidates
 		}
 		rest := snapshot.WithoutMachine(candidate.machineID, candidate.tasks, c.forecast.forecastDemand)
 		if rest == nil {
@@ -82,7 +83,7 @@
 	}
 }
 
-// replicaIsWaiting says whether a replica waits for room that its team's quota allows.
+// replicaIsWaiting reports whether a replica that fits into its team's quota is waiting for free capacity.
 func replicaIsWaiting(s *scheduler.Snapshot) bool {
 	return slices.ContainsFunc(s.Jobs, func(j *scheduler.Job) bool {
 		return len(j.Waiting) > 0 && j.Service && s.Quotas[j.Team].WithinMaximum(j.Request)
@@ -92,11 +93,12 @@
 // drainCandidate is a machine that may be drained.
 type drainCandidate struct {
 	machineID string
-	freeCost  float64 // what its free room costs, in the unit of prices
-	tasks     []*scheduler.Job
+	freeCost  float64          // the price of its free capacity
+	tasks     []*scheduler.Job // its tasks, as jobs of one task each
 }
 
-// drainCandidates lists the expensive machines with much free room, those with the most costly free room first.
+// drainCandidates lists the expensive machines with enough free capacity, in descending order of the price of that
+// capacity.
 func (c *consolidator) drainCandidates(s *scheduler.Snapshot) []drainCandidate {
 	demanded := c.kindsInDemand()
 	var candidates []drainCandidate
@@ -119,13 +121,14 @@
 	return candidates
 }
 
-// machineKind is a machine type, on demand or spot.
+// machineKind is a machine type as on-demand or spot.
 type machineKind struct {
 	typ  string
 	spot bool
 }
 
-// kindsInDemand are the kinds of machines of which many are booting or being launched, compared with those that are up.
+// kindsInDemand returns the kinds of machines of which many are booting or being launched, relative to the number that
+// are up.
 func (c *consolidator) kindsInDemand() map[machineKind]bool {
 	coming, up := map[machineKind]int{}, map[machineKind]int{}
 	for _, request := range c.pool.LaunchesInFlight() {
@@ -147,7 +150,8 @@
 	return demanded
 }
 
-// drainMachine requests all tasks of a machine to stop, and keeps new ones away from it until they have moved.
+// drainMachine requests the stop of all tasks of a machine, and excludes the machine from scheduling for one worker
+// lease, in which its tasks move to other machines.
 func (c *consolidator) drainMachine(m *clusterstate.Machine, tasks int) {
 	c.env.log.Info("draining machine", "machine", m.ID, "type", m.Type, "tasks", tasks)
 	c.drainAt = c.env.now + drainPauseLeases*c.env.cfg.WorkerLease()
@@ -157,9 +161,9 @@
 	}
 }
 
-// manyUnresponsive says whether more than one machine with tasks in fifty does not answer. The room that other machines
-// have to spare is about to be needed then: thirty machines were once drained while 54 hung, ten seconds before the
-// leases of these expired.
+// manyUnresponsive reports whether more than one in fifty of the machines with tasks do not answer calls. Their tasks
+// will soon need the free capacity of the other machines: in one run thirty machines were drained while 54 hung, ten
+// seconds before the leases of the hanging machines expired.
 func (c *consolidator) manyUnresponsive() bool {
 	unresponsive, busy := 0, 0
 	for _, m := range c.state.Machines {
@@ -174,7 +178,7 @@
 	return unresponsive*unresponsiveDivisor > busy
 }
 
-// movableTasks lists a machine's tasks as jobs of one task each, or nil if any of them can't be moved.
+// movableTasks lists a machine's tasks as jobs of one task each. It returns nil if any of them can't be moved.
 func (c *consolidator) movableTasks(m *clusterstate.Machine, free float64) []*scheduler.Job {
 	var tasks []*scheduler.Job
 	for _, a := range m.SortedAttempts() {
@@ -186,8 +190,9 @@
 	return tasks
 }
 
-// isMovable says whether the task of an attempt can be moved: a replica that has run for a while or, on a machine that
-// is half free, a task of a batch job that saves checkpoints. free is the free share of its machine.
+// isMovable reports whether the task of an attempt can be moved. Movable tasks are replicas and, on a machine that is
+// at least half free, tasks of batch jobs that save checkpoints; both must have run for a minimum time. free is the
+// free share of the machine.
 func (c *consolidator) isMovable(a *clusterstate.Attempt, free float64) bool {
 	if a.Job.Gang != nil || a.Job.Cancelling || a.StopRequested || a.State != protocol.TaskRunning {
 		return false
@@ -202,7 +207,7 @@
 	return a.Job.Spec.Service || a.Job.Spec.CheckpointS > 0 && free >= minFreeShareToMoveBatches
 }
 
-// singleTaskView is a view of an attempt's task as a job of one task that is to start on another machine.
+// singleTaskView returns a view of an attempt's task as a job with one waiting task, to be placed on another machine.
 func singleTaskView(a *clusterstate.Attempt) *scheduler.Job {
 	view := newJobView(a.Job)
 	view.InZone, view.Waiting = a.Job.AttemptsByZone(), []int{a.Index}
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -9,8 +9,8 @@
 )
 
 // demandForecast predicts the tasks that will arrive while a machine boots, and describes them to the scheduler as
-// headroom jobs: jobs that keep room free and are never started. It owns the recent arrivals by class. A new leader
-// records the arrivals again as it reads the stored jobs.
+// headroom jobs: jobs that keep capacity free and are never started. It owns the recent arrivals by class. A new leader
+// records the arrivals again while it loads the stored jobs.
 type demandForecast struct {
 	catalog  *machineCatalog
 	env      *environment
@@ -21,18 +21,18 @@
 	arrivals map[string]*arrivalHistory
 }
 
-// Prefixes of the ids of headroom jobs, which keep them apart from the ids of users' jobs.
+// Prefixes of the ids of headroom jobs, which distinguish them from the ids of users' jobs.
 const (
-	demandIDPrefix      = "~" // before the class whose arrivals are expected
-	replacementIDPrefix = "^" // before the key of the task that may have to be replaced
+	demandIDPrefix      = "~" // followed by the class whose arrivals are expected
+	replacementIDPrefix = "^" // followed by the key of the task that may need a replacement
 )
 
 // Limits of the forecast, in boot times of the slowest machine type.
 const (
-	// arrivalWindowBoots is the length of the window of recent arrivals that the forecast is made from.
+	// arrivalWindowBoots is the length of the window of recent arrivals on which the forecast is based.
 	arrivalWindowBoots = 4
-	// maxHeadroomObjectiveBoots is the longest wait objective that headroom is kept for: tasks that may wait longer
-	// start in time on machines that are launched when they arrive.
+	// maxHeadroomObjectiveBoots is the longest wait objective of a class with headroom. Tasks that may wait longer start
+	// in time on machines that are launched when they arrive.
 	maxHeadroomObjectiveBoots = 2
 )
 
@@ -53,8 +53,8 @@
 	return append(jobs, f.forecastReplacements()...)
 }
 
-// forecastDemand makes headroom jobs of the tasks that are expected to arrive while a machine boots, for classes of
-// services whose wait objective is too short to launch machines for them then.
+// forecastDemand returns headroom jobs for the tasks that are expected to arrive while a machine boots. It covers the
+// classes of services whose wait objective is too short to launch machines when the tasks arrive.
 func (f *demandForecast) forecastDemand() []*scheduler.Job {
 	bootS := f.catalog.longestBootS()
 	windowS, from := f.arrivalWindow()
@@ -76,8 +76,8 @@
 	return jobs
 }
 
-// forecastReplacements makes headroom jobs of the replicas on overdue machines, so that the machines that may replace
-// those boot while the proof that the replicas are gone is still awaited.
+// forecastReplacements returns headroom jobs for the replicas on overdue machines, so that replacement machines boot
+// before it is proved that these replicas have ended.
 func (f *demandForecast) forecastReplacements() []*scheduler.Job {
 	var jobs []*scheduler.Job
 	for _, m := range f.machines.sortedMachines() {
@@ -93,14 +93,14 @@
 	return jobs
 }
 
-// arrivalWindow is the window of recent arrivals that the forecast is made from: its length in seconds, and the Unix
+// arrivalWindow is the window of recent arrivals on which the forecast is based: its length in seconds, and the Unix
 // time in seconds at which it begins.
 func (f *demandForecast) arrivalWindow() (lengthS float64, from int64) {
 	lengthS = arrivalWindowBoots * f.catalog.longestBootS()
 	return lengthS, (f.env.wall - int64(lengthS*1000)) / 1000
 }
 
-// expectedJob makes a headroom job of as many tasks as are expected of a class, each like the tasks of a sample job.
+// expectedJob returns a headroom job with the expected number of tasks of a class, each like the tasks of a sample job.
 func expectedJob(class string, sample *clusterstate.Job, tasks int) *scheduler.Job {
 	spec := sample.Spec
 	job := &scheduler.Job{
@@ -114,7 +114,7 @@
 	return job
 }
 
-// replacementJob makes a headroom job of the task of an attempt that is probably gone.
+// replacementJob returns a headroom job for the task of an attempt that is probably lost.
 func replacementJob(a *clusterstate.Attempt) *scheduler.Job {
 	job := newJobView(a.Job)
 	job.ID, job.IsHeadroom, job.Spread, job.OneZone = replacementIDPrefix+a.Key().Task, true, false, false
@@ -122,7 +122,7 @@
 	return job
 }
 
-// imageShares is the share of the tasks that need each image, in a fixed order, so that runs can be replayed.
+// imageShares returns the share of the tasks that need each image. The order is fixed so that runs can be replayed.
 func imageShares(tasksByImage map[string]float64, tasks int) []scheduler.ImageShare {
 	var shares []scheduler.ImageShare
 	for _, image := range sortedKeys(tasksByImage) {
@@ -131,12 +131,12 @@
 	return shares
 }
 
-// arrivalHistory are the recent arrivals of a class, added up by the second, oldest first.
+// arrivalHistory holds the recent arrivals of a class, summed up per second, oldest first.
 type arrivalHistory struct {
 	seconds []arrivalSecond
 }
 
-// arrivalSecond is what arrived within one second.
+// arrivalSecond is the sum of the arrivals within one second.
 type arrivalSecond struct {
 	at     int64 // Unix time, s
 	tasks  int
@@ -146,11 +146,11 @@
 	services map[string]scheduler.Resources
 }
 
-// arrivalHistorySeconds bounds how many seconds with arrivals are kept of a class. It is far more than
+// arrivalHistorySeconds limits the number of entries in the history of a class. It is far larger than the window of
 // arrivalWindowBoots boot times.
 const arrivalHistorySeconds = 3600
 
-// add counts the arrival of a job. After a failover they come in any order.
+// add counts the arrival of a job. Arrivals are not in order of time while a new leader loads the stored jobs.
 func (h *arrivalHistory) add(j *clusterstate.Job) {
 	s := h.secondAt(j.Submitted / 1000)
 	if s == nil {
@@ -164,8 +164,8 @@
 	}
 }
 
-// secondAt is the entry of a second, which is added if there is none. It is nil if the second is older than all that
-// are kept.
+// secondAt returns the entry of a second, and adds one if there is none. It returns nil if the history is full and the
+// second is older than all of its entries.
 func (h *arrivalHistory) secondAt(at int64) *arrivalSecond {
 	i, found := h.search(at)
 	if found {
@@ -182,18 +182,18 @@
 	return &h.seconds[i]
 }
 
-// search is the index at which a second is or would be inserted.
+// search returns the index at which a second is or would be inserted.
 func (h *arrivalHistory) search(at int64) (i int, found bool) {
 	return slices.BinarySearchFunc(h.seconds, at, func(s arrivalSecond, at int64) int { return cmp.Compare(s.at, at) })
 }
 
-// recent is what arrived from a second on.
+// recent returns the entries from a second on.
 func (h *arrivalHistory) recent(from int64) []arrivalSecond {
 	i, _ := h.search(from)
 	return h.seconds[i:]
 }
 
-// since adds up what arrived from a second on. sample is the latest job, nil if there was none.
+// since sums up the arrivals from a second on. sample is the latest job, or nil if none arrived.
 func (h *arrivalHistory) since(from int64) (tasks int, images map[string]float64, sample *clusterstate.Job) {
 	images = map[string]float64{}
 	for _, s := range h.recent(from) {
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -10,36 +10,36 @@
 	"claybarrow/internal/statestore"
 )
 
-// The storage versions, in order: forms of the stored records. A version of the program reads all up to its
-// newest.
+// Storage versions, which number the formats of the stored records. A version of the program reads all storage versions
+// up to its newest.
 const (
-	completionJournalVersion featuregate.StorageVersion = 1 // with the completion journal
+	completionJournalVersion featuregate.StorageVersion = 1 // adds the completion journal
 	newestStorageVersion                                = completionJournalVersion
 )
 
-// gatePauseLeases is how many workers' leases pass at the least between a closing of the gate and the next
-// opening, so that a process that comes and goes does not make the gate flap.
+// gatePauseLeases is the minimum number of worker leases between a closing of the gate and the next opening. It keeps a
+// process that restarts repeatedly from making the gate flap.
 const gatePauseLeases = 6
 
-// gateKeeper is the leader's part in the feature gate: it collects what the controllers state that they support,
-// and stores the gate's state in the leader key. The version of that key is a condition of all that any leader
-// writes, so that what was sent under an earlier state of the gate and arrives late is refused.
+// gateKeeper operates the feature gate on the leader: it collects the version statements of the controllers, and stores
+// the gate's state in the leader key. Each write of any leader is conditional on the version of that key, so the state
+// service refuses writes that were sent under an earlier state of the gate and arrive late.
 //
-// It owns the leader record and the gate. A successor takes the state of the gate over from the stored record;
-// the statements are collected anew.
+// It owns the leader record and the gate. The next leader takes the gate's state from the stored record and collects
+// the version statements again.
 type gateKeeper struct {
 	completions *completionRecorder
 	env         *environment
 	lease       *leaderLease
 	store       *statestore.Writer
 
-	// storedRecord is the leader record as it is durably stored; the gate decides on its storage version.
+	// storedRecord is the leader record as durably stored. Its storage version and Closing flag are set by the gate.
 	storedRecord leaderRecord
 	gate         *featuregate.Gate
 	gateLogged   gateLog
 }
 
-// newGate returns the gate of a leadership, in the state of the record that the election stored.
+// newGate returns the gate of a leadership, in the state of the leader record that the election has stored.
 func (l *leadership) newGate() *featuregate.Gate {
 	cfg := l.controller.env.cfg
 	settings := featuregate.Settings{
@@ -57,7 +57,7 @@
 	return featuregate.New(settings, l.gating.storedRecord.gateState())
 }
 
-// versionStatement is what this controller states that it supports.
+// versionStatement returns this controller's statement of the storage versions that it supports.
 func (c *Controller) versionStatement() *protocol.VersionStatement {
 	statement := &protocol.VersionStatement{Reads: uint64(newestStorageVersion), Hold: c.env.cfg.Operator.Upgrade.Hold}
 	if c.env.cfg.Operator.EndJournal.Enabled {
@@ -66,8 +66,8 @@
 	return statement
 }
 
-// readVersionStatement converts what a peer's message states. It returns nil for a message without a statement,
-// which is from a version of the program without the gate.
+// readVersionStatement converts the version statement of a peer's message. It returns nil for a message without a
+// statement, which comes from a version of the program without the gate.
 func readVersionStatement(statement *protocol.VersionStatement) *featuregate.Statement {
 	if statement == nil {
 		return nil
@@ -79,13 +79,13 @@
 	}
 }
 
-// onVersionStatement hands the statement in a controller's heartbeat to the gate.
+// onVersionStatement passes the statement in a controller's heartbeat to the gate.
 func (g *gateKeeper) onVersionStatement(heartbeat *protocol.PeerHeartbeat) {
 	g.gate.RecordStatement(g.env.now, heartbeat.From, heartbeat.Incarnation, readVersionStatement(heartbeat.Versions))
 }
 
-// tick carries out what the gate decides. Nothing is decided while it is uncertain whether this
-// controller still leads.
+// tick executes the gate's next action. It does nothing while this controller does not hold the leader's lease for
+// certain.
 func (g *gateKeeper) tick() {
 	if !g.lease.holdsLease() {
 		return
@@ -99,8 +99,8 @@
 	g.carryOut(action)
 }
 
-// carryOut stores the state of the gate that an action asks for. With the opening the key of the lease comes
-// into being, with the closing it is deleted.
+// carryOut stores the gate's state that an action requests. Opening the gate also creates the key of the lease, and
+// completing its closing deletes that key.
 func (g *gateKeeper) carryOut(action featuregate.Action) {
 	record := g.storedRecord
 	switch action {
@@ -118,7 +118,8 @@
 	}
 }
 
-// storeGate stores the leader key with another state of the gate. The journal is used once that is durable.
+// storeGate stores the leader key with a new state of the gate. The completion journal is opened once the open gate is
+// durable.
 func (g *gateKeeper) storeGate(record leaderRecord, change *statestore.LeaderChange) {
 	change.Entry = g.leaderEntry(record)
 	change.OnApplied = func() {
@@ -138,7 +139,7 @@
 	g.store.ChangeLeader(change)
 }
 
-// gateLog is what was last logged of the gate, and when.
+// gateLog is the obstacle that was last logged for the gate, and the time of that log record.
 type gateLog struct {
 	obstacle featuregate.Obstacle
 	at       time.Duration
@@ -149,15 +150,15 @@
 	Token    uint64        // of the leader
 	At       time.Duration // on the steady clock
 	From, To featuregate.State
-	// Reason is what keeps the gate from being open; "" if nothing does.
+	// Reason is the obstacle that keeps the gate from being open; "" if there is none.
 	Reason string
-	// Statements are the last statements of the other controllers, by label, for example
+	// Statements holds the last statements of the other controllers by label, for example
 	// "reads 1, writes 1".
 	Statements map[string]string
 }
 
-// noteGateState logs a change of the gate's state and hands it to the observer. It also logs a new obstacle to the
-// opening of a gate that operators have enabled, at the most once in a worker's lease.
+// noteGateState logs a change of the gate's state and reports it to the observer. It also logs a new obstacle to
+// opening a gate that operators have enabled, at most once per worker lease.
 func (g *gateKeeper) noteGateState(before featuregate.State) {
 	state, obstacle := g.gate.State(), g.gate.Obstacle()
 	enabled := g.env.cfg.Operator.EndJournal.Enabled
--- a/internal/controller/fleet_summary.go
+++ b/internal/controller/fleet_summary.go
@@ -9,7 +9,7 @@
 	"claybarrow/internal/statestore"
 )
 
-// fleetSummary logs the state of the fleet now and then, for those who follow an incident. It owns no state
+// fleetSummary logs the state of the fleet periodically, for operators who investigate an incident. It owns no state,
 // but resets the store's latency histogram with each summary.
 type fleetSummary struct {
 	env   *environment
@@ -18,10 +18,10 @@
 	store *statestore.Writer
 }
 
-// loggedQuantile is the quantile of the transactions' latency that is logged, in percent.
+// loggedQuantile is the logged quantile of the transaction latency, in percent.
 const loggedQuantile = 99
 
-// logFleetSummary logs machines by what they do, jobs by class, load by machine type and use by team.
+// logFleetSummary logs the machines by activity, the jobs by class, the load by machine type and the usage by team.
 func (f *fleetSummary) logFleetSummary() {
 	latency := f.store.Latencies()
 	machines := f.countMachines()
@@ -34,7 +34,7 @@
 	latency.Reset()
 }
 
-// machineCounts counts the machines that are kept by what they do.
+// machineCounts counts the machines that are not being released, by activity.
 type machineCounts struct{ busy, idle, booting int }
 
 func (f *fleetSummary) countMachines() machineCounts {
@@ -53,7 +53,8 @@
 	return counts
 }
 
-// classAttributes are the log attributes of the jobs: by class the tasks with an attempt, then those without.
+// classAttributes returns the log attributes of the jobs: per class the number of tasks with an attempt, then the
+// number of waiting tasks.
 func (f *fleetSummary) classAttributes() []any {
 	waiting, active := map[string]int{}, map[string]int{}
 	for _, j := range f.state.Jobs {
@@ -69,14 +70,14 @@
 	return args
 }
 
-// typeLoad is the load of the machines of one type: how many are up, and how many of them are in use, counted
-// in fractions of a machine.
+// typeLoad is the load of the machines of one type: the number of machines that are up, and the sum of their used
+// fractions.
 type typeLoad struct {
 	machines int
 	used     float64
 }
 
-// loadAttributes are the log attributes of the load by machine type, spot machines apart.
+// loadAttributes returns the log attributes of the load by machine type, with spot machines as types of their own.
 func (f *fleetSummary) loadAttributes() []any {
 	loads := map[string]*typeLoad{}
 	for _, m := range f.state.Machines {
@@ -98,7 +99,7 @@
 	return args
 }
 
-// machineTypeLabel names a machine's type in the log.
+// machineTypeLabel returns the log attribute key of a machine's type.
 func machineTypeLabel(m *clusterstate.Machine) string {
 	if m.Spot {
 		return m.Type + "/spot"
@@ -106,8 +107,7 @@
 	return m.Type
 }
 
-// usedFraction is the fraction of a machine that is in use: of its accelerators if it has any, else of its
-// cores.
+// usedFraction is the used fraction of a machine's accelerators or, if it has none, of its cores.
 func usedFraction(m *clusterstate.Machine) float64 {
 	switch {
 	case m.Size.Accel > 0:
@@ -115,11 +115,11 @@
 	case m.Size.Cores > 0:
 		return m.Used.Cores / m.Size.Cores
 	default:
-		return 0 // its type is not known
+		return 0 // the machine's type is unknown, so it has no size
 	}
 }
 
-// quotaAttributes are the log attributes of the teams that use cores: cores and accelerators.
+// quotaAttributes returns the log attributes of the teams that use cores: the used cores and accelerators.
 func (f *fleetSummary) quotaAttributes() []any {
 	var args []any
 	for _, team := range sortedKeys(f.state.Quotas) {
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -5,9 +5,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// verifyGang checks a gang that a new leader has read. Only one whose tasks all have recorded placements under
-// one attempt number goes on. Any other is stopped and starts anew, as nobody knows which of its tasks an
-// earlier leader, or an older version that starts them one by one, has sent.
+// verifyGang checks a gang that a new leader has loaded. A gang continues only if all its tasks have recorded
+// placements under one attempt number. Any other gang is stopped and restarted, as the records do not show which run
+// commands an earlier leader has sent. An older version of the program, which starts the tasks of a gang one by one,
+// may have sent some of them.
 func (t *attemptTracker) verifyGang(j *clusterstate.Job) {
 	if j.Gang == nil || j.ActiveAttempts == 0 || j.Gang.Complete() {
 		return
@@ -16,7 +17,7 @@
 	t.abortGang(j, stopGangIncomplete)
 }
 
-// startGang sends the run commands of a gang once the last of its placements is durable.
+// startGang sends the run commands of a gang once all its placements are durable.
 func (t *attemptTracker) startGang(j *clusterstate.Job) {
 	if j.Gang == nil || !j.Gang.Complete() {
 		return
@@ -26,7 +27,7 @@
 	}
 }
 
-// completeGang marks all tasks of a gang as done, as one of them is.
+// completeGang marks all tasks of a gang as done after one of them has completed.
 func (t *attemptTracker) completeGang(j *clusterstate.Job) {
 	j.Gang.Apply(clusterstate.TaskDone)
 	for i := range j.Spec.Tasks {
@@ -35,7 +36,8 @@
 	t.jobs.completeJob(j)
 }
 
-// onGangTaskRemoved decides what the removal of one task's attempt means for the rest of its gang.
+// onGangTaskRemoved applies the removal of one task's attempt to the state of its gang, and aborts the gang if the task
+// can't be replaced.
 func (t *attemptTracker) onGangTaskRemoved(a *clusterstate.Attempt, proof absenceProof) {
 	g := a.Job.Gang
 	if g == nil || a.Number != g.Number || g.State == clusterstate.GangDone || stoppedAsRequested(a, proof) {
@@ -43,8 +45,8 @@
 	}
 	event := clusterstate.TaskLost
 	if proof != reportedExited && a.Durable && !a.Loaded && g.MayReplaceTasks() {
-		// The attempt is proved absent and the worker does not know its number. After an exit the worker would
-		// take a repeated run command for one that it has executed.
+		// The attempt is proved absent, and the worker has not recorded its number. After an exit the worker would
+		// ignore a repeated run command with the same number as already executed.
 		event = clusterstate.TaskReplaceable
 	}
 	if g.Apply(event) && g.State == clusterstate.GangBroken {
@@ -52,8 +54,8 @@
 	}
 }
 
-// stoppedAsRequested reports whether a task that was requested to stop has ended as requested, so that the
-// others of its gang go on saving.
+// stoppedAsRequested reports whether a task has ended because its stop was requested. The other tasks of its gang then
+// continue to save their checkpoints.
 func stoppedAsRequested(a *clusterstate.Attempt, proof absenceProof) bool {
 	switch proof {
 	case neverSent, absentFromHeartbeat:
@@ -61,20 +63,20 @@
 	case reportedExited:
 		return a.StopRequested && a.ExitCause == protocol.CauseStopped
 	case notRecorded, leaseExpired, machineFailed, machineDeleted, machineUnlisted:
-		return false // the task was lost, whatever was requested of it
+		return false // the task was lost, even if its stop had been requested
 	}
 	return false
 }
 
-// abortGang stops all that may be left of a gang's attempts at once, without a grace period.
+// abortGang requests the immediate stop of all remaining attempts of a gang, without a grace period.
 func (t *attemptTracker) abortGang(j *clusterstate.Job, reason stopReason) {
 	for _, a := range j.Gang.Attempts() {
 		t.requestAttemptStop(a, 0, reason)
 	}
 }
 
-// requestGangStop stops all tasks under one attempt number together and with the same grace period, which
-// leaves them time to wait for one another after saving.
+// requestGangStop requests the stop of all tasks of a gang under one attempt number, with the same grace period. A
+// grace period above 0 is extended by the time for which tasks wait for their peers after saving.
 func (t *attemptTracker) requestGangStop(j *clusterstate.Job, number uint64, grace float64, reason stopReason) {
 	if number == j.Gang.Number {
 		j.Gang.Apply(clusterstate.StopRequested)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -1,6 +1,6 @@
 // Package controller implements a controller: leader election, worker heartbeats, scheduling,
-// scaling and users' requests. It is a deterministic state machine: events and clock readings go
-// in, effects come out, and package transport carries the effects out. The package does no I/O and
+// scaling and users' requests. It is a deterministic state machine: it takes events and clock
+// readings and returns effects, which package transport executes. The package does no I/O and
 // starts no goroutines, so every failure can be replayed in a test.
 package controller
 
@@ -10,11 +10,11 @@
 
 // Clock is one reading of both clocks of a process.
 type Clock struct {
-	// Steady is the time since the process started. It never goes back; all deadlines and leases
-	// are computed from it.
+	// Steady is the time since the process started. It is monotonic; all deadlines and leases are
+	// computed from it.
 	Steady time.Duration
-	// Wall is the time of day in Unix milliseconds, for what is compared between processes. No lease
-	// depends on it.
+	// Wall is the time of day in Unix milliseconds, for times that processes compare with one
+	// another. No lease depends on it.
 	Wall int64
 }
 
@@ -43,7 +43,7 @@
 	probePath              = "/probe"
 )
 
-// Event is what Controller.Handle takes: a Request, a Result, a Tick or a Shutdown.
+// Event is an input of Controller.Handle: a Request, a Result, a Tick or a Shutdown.
 type Event interface{ isEvent() }
 
 // Request is a message from a user, a worker, another controller or the load balancer. It is
@@ -60,17 +60,17 @@
 // Result is the outcome of a Call.
 type Result struct {
 	ID uint64
-	// Status is the HTTP status; 0: no response came.
+	// Status is the HTTP status; 0: no response arrived.
 	Status int
 	Body   []byte
-	// ConnectionFailed: not even a connection could be made, so the request cannot have arrived.
+	// ConnectionFailed is set if no connection could be made, so that the request cannot have arrived.
 	ConnectionFailed bool
 }
 
-// Tick reports that time has passed. It comes at the interval of config.Config.Tick.
+// Tick reports that time has passed. It arrives at the interval of config.Config.Tick.
 type Tick struct{}
 
-// Shutdown tells the controller that its process ends. The effects of this event are its last ones.
+// Shutdown reports that the controller's process is about to exit. No effects follow those of this event.
 type Shutdown struct{}
 
 func (Request) isEvent()  {}
@@ -78,7 +78,7 @@
 func (Tick) isEvent()     {}
 func (Shutdown) isEvent() {}
 
-// Effect is what Controller.Handle wants carried out: a Reply or a Call.
+// Effect is an output of Controller.Handle that the caller executes: a Reply or a Call.
 type Effect interface{ isEffect() }
 
 // Reply answers a Request.
@@ -86,10 +86,10 @@
 	ID     uint64
 	Status int // of HTTP
 	Body   []byte
-	// RetryAfter is when the requester should come back, in seconds; 0: not stated.
+	// RetryAfter is the delay after which the requester should retry, in seconds; 0: not stated.
 	RetryAfter int
-	// ValidUntil is the steady time up to which the answer is certainly true; 0: for ever. A process
-	// that was paused after the decision must not send it later.
+	// ValidUntil is the steady time up to which the answer is certain to be valid; 0: no limit. A
+	// process that was paused after the decision must not send it later.
 	ValidUntil time.Duration
 }
 
@@ -104,8 +104,7 @@
 	ToPeer                 // another controller
 )
 
-// Call is a request of the controller to another process. Its outcome comes back as a Result with
-// its ID.
+// Call is a request of the controller to another process. Its outcome is a Result with its ID.
 type Call struct {
 	ID      uint64
 	Target  Target
@@ -115,7 +114,7 @@
 	Body    []byte
 	Timeout time.Duration
 	// ValidUntil is the steady time after which the request must not be sent; 0: no limit. A process
-	// that was paused after the decision must not act on it.
+	// that was paused after the decision must not send it later.
 	ValidUntil time.Duration
 }
 
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -10,10 +10,9 @@
 	"claybarrow/internal/stateclient"
 )
 
-// outbox collects the effects of the event that is being handled, and holds what is to be done with the
-// results of the calls that are under way. It counts the requests to the state service and the cloud against
-// their limits. It belongs to the process: calls of a leadership that has ended still get their results, and
-// their callbacks must check whether they still matter.
+// outbox collects the effects of the current event, and holds the callbacks of the calls in flight. It counts the
+// requests to the state service and the cloud against their rate limits. It exists for the lifetime of the process: a
+// call receives its result even after the leadership that made it has ended, so its callback must check for that.
 type outbox struct {
 	// state and cloud are the clients of the state service and the cloud.
 	state *stateclient.Client
@@ -23,17 +22,17 @@
 	pause *pauseRecovery
 
 	effects  []Effect
-	lastCall uint64 // the last ID given to a call
-	calls    map[uint64]func(Result)
+	lastCall uint64                  // the ID of the latest call
+	calls    map[uint64]func(Result) // the callbacks of the calls in flight, by the call's ID
 
 	stateRequests ratelimit.TokenBucket
 	stateChanges  ratelimit.TokenBucket
 	cloudRequests ratelimit.TokenBucket
 }
 
-// Shares of the limits of the state service and the cloud that a controller uses. Most of the state service's
-// is the leader's; the rest is left to the other controllers and to requests that are counted at another
-// moment here than there.
+// Shares of the rate limits of the state service and the cloud that a controller may use. The leader uses most of the
+// state service's limits. The rest is for the other controllers, and for requests that the state service counts at a
+// different time than this process.
 const (
 	stateRequestShare = 0.8
 	stateChangeShare  = 0.9
@@ -41,7 +40,7 @@
 	cloudRequestShare = 0.8
 )
 
-// retryAfterSeconds is when a requester that is refused should come back.
+// retryAfterSeconds is the delay after which a refused requester should retry.
 const retryAfterSeconds = 1
 
 func newOutbox(env *environment) *outbox {
@@ -55,13 +54,13 @@
 	return o
 }
 
-// call sends a request and has then called with its result. A body that is no []byte is encoded as the users'
-// protocol has it.
+// call sends a request and calls then with its result. A body of any type other than []byte is encoded in the users'
+// protocol.
 func (o *outbox) call(target Target, addr, method, path string, body any, timeout time.Duration, then func(Result)) {
 	o.callUntil(target, addr, method, path, body, timeout, 0, then)
 }
 
-// callUntil is call for a request that must not be sent after a steady time; 0: no limit.
+// callUntil is like call for a request that must not be sent after the steady time until; 0: no limit.
 func (o *outbox) callUntil(
 	target Target, addr, method, path string, body any, timeout, until time.Duration, then func(Result),
 ) {
@@ -76,8 +75,8 @@
 	o.effects = append(o.effects, call)
 }
 
-// stateCall sends a request to the state service. Its answer proves after a process pause that this controller
-// is in contact again.
+// stateCall sends a request to the state service. Any answer ends the recovery from a process pause, as it proves that
+// this controller has contact with the state service again.
 func (o *outbox) stateCall(method, path string, body any, timeout time.Duration, then func(Result)) {
 	o.stateRequests.Take(o.env.now, 1)
 	sent := o.env.now
@@ -99,12 +98,12 @@
 	o.call(ToPeer, o.env.peerAddr(label), http.MethodPost, path, body, timeout, then)
 }
 
-// revokeLease ends a lease at the state service ahead of its time. If the request fails the lease expires.
+// revokeLease revokes a lease at the state service before it expires. If the request fails the lease expires later.
 func (o *outbox) revokeLease(lease uint64) {
 	o.state.RevokeLease(lease, o.env.cfg.LeaderLease()/stateCallTimeoutDivisor, func(error) {})
 }
 
-// deliver hands the result of a call to the function that waits for it.
+// deliver passes the result of a call to the call's callback.
 func (o *outbox) deliver(res Result) {
 	if then, ok := o.calls[res.ID]; ok {
 		delete(o.calls, res.ID)
@@ -117,9 +116,9 @@
 	o.replyUntil(to, status, body, retryAfter, 0)
 }
 
-// replyUntil is reply for an answer that must not be sent after a steady time; 0: no limit. What was relayed is
-// answered with status 200 and the real answer inside, so that the relaying controller can tell the leader's
-// refusal from a failure on the way.
+// replyUntil is like reply for an answer that must not be sent after the steady time until; 0: no limit. A relayed
+// request is answered with status 200 and the actual answer in the body, so that the relaying controller can
+// distinguish the leader's refusal from a failure between the two controllers.
 func (o *outbox) replyUntil(to requester, status int, body []byte, retryAfter int, until time.Duration) {
 	if to.relayed {
 		body = protocol.EncodePeer(protocol.ForwardedReply{Status: status, Body: body, RetryAfter: retryAfter})
@@ -128,7 +127,7 @@
 	o.effects = append(o.effects, Reply{ID: to.id, Status: status, Body: body, RetryAfter: retryAfter, ValidUntil: until})
 }
 
-// replyUnavailable refuses a request that can't be decided here and now, and says when to come back.
+// replyUnavailable refuses a request that this controller can't decide now, and states when to retry.
 func (o *outbox) replyUnavailable(to requester) {
 	o.reply(to, http.StatusServiceUnavailable, nil, retryAfterSeconds)
 }
--- a/internal/controller/record_preload.go
+++ b/internal/controller/record_preload.go
@@ -6,41 +6,41 @@
 	"claybarrow/internal/protocol"
 )
 
-// recordPreload is the stored records of a suspected leader, read page by page ahead of the election. They are
-// as they were at some revision each.
+// recordPreload holds the stored records of a suspected leader, read page by page ahead of the election. Each page was
+// read at a revision of its own.
 type recordPreload struct {
 	token uint64 // of the suspected leader
-	// order is the prefixes to be read, prefixes what was read of the first of them; the last of prefixes is
-	// being read.
+	// order lists the prefixes to read. prefixes holds the records under the first of them in the same order; the last
+	// entry of prefixes is still being read until the preload is finished.
 	order    []string
 	prefixes []preloadedPrefix
-	after    string // the key after which the next page begins; "": the prefix's first page
+	after    string // the key after which the next page begins; "": the next page is the prefix's first
 	bytes    int    // encoded size of all pages
-	inFlight bool   // a page was requested
-	finished bool   // all prefixes are read, or the preload was abandoned
+	inFlight bool   // a request for a page is in flight
+	finished bool   // all prefixes have been read, or the preload was abandoned
 }
 
-// preloadedPrefix is the records under one prefix.
+// preloadedPrefix holds the records under one prefix.
 type preloadedPrefix struct {
 	items []protocol.KeyValue
-	// revision is that of the first page: catchUp needs the changes after it.
+	// revision is the revision of the first page; catchUp needs the changes after it.
 	revision uint64
 	complete bool
 }
 
-// recordsPerPage is how many records the state service returns in one page. A prefix with fewer is not kept:
-// to read it after the election takes one request, as many as to ask what has changed.
+// recordsPerPage is the number of records in a full page of the state service. Prefixes with fewer records are not
+// kept: reading them after the election takes one request, as does requesting their changes.
 const recordsPerPage = 1000
 
-// newRecordPreload begins a preload of the records of the leader with a token.
+// newRecordPreload returns an empty preload of the records of the leader with the given token.
 func newRecordPreload(token uint64, order []string) *recordPreload {
 	return &recordPreload{token: token, order: order, prefixes: make([]preloadedPrefix, 1, len(order))}
 }
 
-// currentPrefix is the prefix that is being read.
+// currentPrefix is the prefix that is currently being read.
 func (p *recordPreload) currentPrefix() string { return p.order[len(p.prefixes)-1] }
 
-// addPage adds a page of the current prefix. After its last page the next prefix is begun.
+// addPage adds a page of the current prefix. After the last page of a prefix it continues with the next prefix.
 func (p *recordPreload) addPage(page protocol.KeyValuePage) {
 	current := &p.prefixes[len(p.prefixes)-1]
 	if p.after == "" {
@@ -63,8 +63,8 @@
 	p.prefixes = append(p.prefixes, preloadedPrefix{})
 }
 
-// recordsUnder returns what was preloaded under a prefix, or nil if it has to be read whole. The preload may be
-// nil: there was none.
+// recordsUnder returns the preloaded records under a prefix, or nil if the prefix must be read in full. It may be
+// called on a nil preload.
 func (p *recordPreload) recordsUnder(prefix string) *preloadedPrefix {
 	if p == nil {
 		return nil
@@ -76,8 +76,7 @@
 	return &p.prefixes[number]
 }
 
-// catchUp applies the changes since the preload and returns the records as the state service has them now, in
-// the order of their keys.
+// catchUp applies the changes since the preload and returns the current records in the order of their keys.
 func (p *preloadedPrefix) catchUp(events []protocol.WatchEvent) []protocol.KeyValue {
 	current := make(map[string]protocol.KeyValue, len(p.items))
 	for _, item := range p.items {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -10,25 +10,27 @@
 
 // Limits of scaling in.
 const (
-	// Many silent machines at once are a sign of trouble with our own network: more than silentMachinesMin, and more
-	// than a third of those that are up.
+	// More than silentMachinesMin silent machines that are also more than a third of the machines that are up indicate a
+	// fault in the leader's own network.
 	silentMachinesMin     = 2
 	silentMachinesDivisor = 3
-	// silentLeases is after how many leases of silence a machine is released whatever the proof.
+	// silentLeases is the number of worker leases of silence after which a machine with failed calls is released without
+	// further evidence.
 	silentLeases = 3
-	// failedCallsMin is how many calls in a row must have failed before a machine is taken for unreachable: a single
-	// one may have been lost.
+	// failedCallsMin is the number of consecutive failed calls from which a machine counts as unreachable. A single call
+	// may have been lost.
 	failedCallsMin = 2
-	// unseenAnswersMin is how many heartbeats in a row, though answered, must still have shown an older token before
-	// a machine is taken to hear no answers. An expired worker lease counts as several, see clusterstate.
+	// unseenAnswersMin is the number of consecutive answered heartbeats with an older token from which the leader's
+	// answers count as not reaching the machine. An expired worker lease counts as several of them; see
+	// clusterstate.AgentState.
 	unseenAnswersMin = 3
-	// A zone is heard from once a tenth of its machines have been heard, and two at least.
+	// A zone counts as heard once a tenth of its machines, and at least two, have been heard.
 	heardMachinesMin     = 2
 	heardMachinesDivisor = 10
 )
 
-// scaleIn releases the machines that are of no use any more. needed are the ids of those that waiting and expected
-// tasks will be placed on.
+// scaleIn releases the machines that are not needed any more or probably lost. needed holds the ids of the machines on
+// which waiting and expected tasks will be placed.
 func (a *autoscaler) scaleIn(needed map[string]bool) {
 	pass := a.newScaleInPass(needed)
 	for _, m := range a.machines.sortedMachines() {
@@ -41,17 +43,18 @@
 	}
 }
 
-// isUnreachable says whether a machine is most probably lost with all its tasks: it is silent and no connection to it
-// can be made, while other machines of its zone have been heard since and we reach all that others hear. The cloud's
-// deletion proves that it is gone much sooner than its lease. Hanging machines accept connections and are left alone,
-// as they may go on within their lease.
+// isUnreachable reports whether a machine is most probably lost with all its tasks: connections to it fail, other
+// machines of its zone have been heard since the last failed call, and the leader reaches all machines whose heartbeats
+// other controllers forward. Its deletion by the cloud proves that its tasks have ended much sooner than the expiry of
+// its lease does. A hanging machine still accepts connections and is not released, as it may resume within its lease.
 func (a *autoscaler) isUnreachable(m *clusterstate.Machine, heardByZone map[string]time.Duration) bool {
 	return m.ConnectionFailed && m.FailedCalls >= failedCallsMin && len(a.reach.missedMachines) == 0 &&
 		!a.partitions.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt && a.restartsQuickly(m)
 }
 
-// restartsQuickly says whether a machine's replicas fetch their images in less than a lease. The machine may only be
-// partitioned, and come back with them: a wrong guess costs the fetch, a right one saves the rest of the lease.
+// restartsQuickly reports whether the images of a machine's replicas can be fetched in less than a lease. The machine
+// may only be partitioned and reconnect with its cached images: releasing such a machine costs the fetches, releasing a
+// lost one saves the wait for the rest of its lease.
 func (a *autoscaler) restartsQuickly(m *clusterstate.Machine) bool {
 	t := a.catalog.machineType(m.Type)
 	if t == nil {
@@ -65,8 +68,8 @@
 	return true
 }
 
-// zonesHeardSince is, by zone, a time since which a tenth of its machines, and two at least, have been heard. A zone
-// that has just been partitioned has none after the partition began.
+// zonesHeardSince returns by zone the latest time since which a tenth of the zone's machines, and at least two, have
+// been heard. For a partitioned zone this time is before the beginning of the partition.
 func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
 	heard := map[string][]time.Duration{}
 	for _, m := range a.state.Machines {
@@ -84,11 +87,11 @@
 	return since
 }
 
-// scaleInPass decides for each machine of the fleet at one moment whether it is released.
+// scaleInPass decides for each machine of the fleet whether it is released, based on the state at one time.
 type scaleInPass struct {
 	scaler *autoscaler
-	needed map[string]bool // ids of the machines that waiting and expected tasks will be placed on
-	// manySilent: so many machines are silent that our own network is the likely cause.
+	needed map[string]bool // ids of the machines on which waiting and expected tasks will be placed
+	// manySilent is set if so many machines are silent that a fault in the leader's own network is the likely cause.
 	manySilent     bool
 	controllerLost map[string]bool          // partitioned zones that have lost their controller
 	heardSince     map[string]time.Duration // by zone, see zonesHeardSince
@@ -119,17 +122,17 @@
 	return pass
 }
 
-// releaseReason is why a machine is released now, or keepMachine. Where something keeps the machine for now, it is
-// noted as in use, so that it is not released as idle right after.
+// releaseReason returns the reason for releasing a machine now, or keepMachine. A machine that is kept for a reason
+// other than its idle timeout has its idle time restarted, so that it is not released as idle when that reason ends.
 func (p *scaleInPass) releaseReason(m *clusterstate.Machine) releaseReason {
 	now := p.scaler.env.now
 	switch {
 	case p.controllerLost[m.Zone] && len(m.Attempts) > 0:
 		return releaseControllerLost
 	case p.scaler.partitions.isPartitioned(m.Zone) && m.EverReported:
-		// A follower in the zone may be renewing its lease. Even without one, tasks that
-		// must be spread wait for this zone, and for the time of a partition a
-		// machine with cached images is worth more than a new one.
+		// A follower in the zone may be renewing the machine's lease. Even without a follower, tasks that
+		// must be spread over zones wait for this zone, and for the duration of a partition keeping a
+		// machine with cached images is cheaper than launching a new one.
 		m.IdleSince = now
 		return keepMachine
 	case !m.EverReported:
@@ -139,22 +142,22 @@
 		return reason
 	}
 	if p.scaler.health.isSilent(m) {
-		// It may hang or be partitioned, and come back with its images; a dead machine is
-		// soon listed as failed by the cloud. Machines were once released as idle when
-		// their leases had expired, seconds before they would have come back.
+		// The machine may hang or be partitioned, and resume with its cached images. The cloud soon lists a
+		// failed machine as failed. Without this rule machines were released as idle when their leases had
+		// expired, seconds before they would have resumed.
 		m.IdleSince = now
 		return keepMachine
 	}
 	return p.idleReleaseReason(m)
 }
 
-// bootingReleaseReason is why a machine that is not up is released: it has taken too long to boot.
+// bootingReleaseReason returns releaseBootTimedOut if a machine that has not reported has exceeded its boot timeout.
 func (p *scaleInPass) bootingReleaseReason(m *clusterstate.Machine) releaseReason {
 	scaler := p.scaler
 	bootTimeout := m.LaunchedAt + seconds(scaler.catalog.machineType(m.Type).BootS*bootTimeoutFactor)
-	// Not at once after a failover: idle machines that have long been up have no stored
-	// record, and asking thousands of them takes a while (scale run with 5,500 workers: 107
-	// were released within the first second).
+	// Boot timeouts are not enforced directly after a failover. Idle machines that are already up have no
+	// stored record, and calling thousands of them takes time: in a scale run with 5,500 workers, 107
+	// such machines were released within the first second after the election.
 	askedBy := scaler.lease.electedAt + scaler.env.cfg.WorkerLease()/2
 	if scaler.env.now > max(bootTimeout, askedBy) {
 		return releaseBootTimedOut
@@ -165,7 +168,8 @@
 	return keepMachine
 }
 
-// silentReleaseReason is why a machine that does not answer is released.
+// silentReleaseReason returns the reason for releasing a machine that is silent or does not receive the leader's
+// answers, or keepMachine.
 func (p *scaleInPass) silentReleaseReason(m *clusterstate.Machine) releaseReason {
 	switch {
 	case !p.manySilent && p.isReplaceable(m):
@@ -180,30 +184,30 @@
 	return keepMachine
 }
 
-// isReplaceable says whether a machine is most probably lost, and all its tasks have room elsewhere.
+// isReplaceable reports whether a machine is most probably lost and all its tasks have room on other machines.
 func (p *scaleInPass) isReplaceable(m *clusterstate.Machine) bool {
 	return p.scaler.isUnreachable(m, p.heardSince) && p.scaler.health.isSilent(m) && p.spare.absorbs(m)
 }
 
-// isUnheardSinceFailover says whether a machine has been silent since this leader was elected. The proof by the
-// worker's lease is far away then, and the cloud's word that the machine is gone comes sooner. A machine that this
-// leader has heard is left alone: if it hangs or is partitioned, its tasks go on until its lease ends, and it may come
-// back.
+// isUnheardSinceFailover reports whether a machine has been silent since this leader was elected. Deletion by the cloud
+// then proves that its tasks have ended sooner than the expiry of its lease, which is counted from the election or
+// later. A machine that this leader has heard is not released: if it hangs or is partitioned, its tasks run until its
+// lease expires, and it may reconnect before that.
 func (p *scaleInPass) isUnheardSinceFailover(m *clusterstate.Machine) bool {
 	return m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
 		p.scaler.health.silentFor(m) > p.scaler.env.cfg.WorkerLease()/2
 }
 
-// hearsNoAnswer says whether a machine with tasks sends heartbeats that never show our token. It hears none of our
-// answers, so its lease has expired, but no message of it can prove that the tasks which an earlier leader started
-// there are gone.
+// hearsNoAnswer reports whether a machine with tasks sends heartbeats that never contain this leader's token. The
+// leader's answers do not reach the machine, so its lease has expired, but none of its messages can prove that the
+// tasks which an earlier leader started there have ended.
 func (p *scaleInPass) hearsNoAnswer(m *clusterstate.Machine) bool {
 	return m.UnseenAnswers >= unseenAnswersMin && m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
 		len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+p.scaler.env.cfg.WorkerLease()
 }
 
-// idleReleaseReason is why a machine that answers is released: it has no tasks, and is quarantined, drained or idle
-// for too long.
+// idleReleaseReason returns the reason for releasing a machine that reports and has no tasks (it is quarantined,
+// drained, or has exceeded its idle timeout), or keepMachine.
 func (p *scaleInPass) idleReleaseReason(m *clusterstate.Machine) releaseReason {
 	now := p.scaler.env.now
 	boot := seconds(p.scaler.catalog.machineType(m.Type).BootS)
@@ -220,19 +224,20 @@
 	return keepMachine
 }
 
-// spareCapacity is the room that ready machines have left beside all waiting tasks, for the tasks of machines that
-// are most probably lost.
+// spareCapacity is the capacity of schedulable machines that remains free after placing all waiting tasks. It is used
+// for the tasks of machines that are most probably lost.
 type spareCapacity struct {
 	cache *schedulerCache
-	left  *scheduler.Snapshot // nil until it is first needed
+	left  *scheduler.Snapshot // the fleet after placing all waiting tasks; nil until first needed
 }
 
-// absorbs says whether all tasks of a machine have room elsewhere now, and takes that room. Where they have none, an
-// early deletion gains nothing, and the machine may only be partitioned and come back: 25 of 270 machines were once
-// deleted so, and gangs waited for others to boot, up to 50 s, for longer than the partition lasted.
+// absorbs reports whether all tasks of a machine have room on other machines now, and if so takes that room. Without
+// such room an early deletion gains nothing, and the machine may only be partitioned and reconnect: in one run 25 of
+// 270 machines were deleted during a partition, and gangs waited up to 50 s for new machines to boot, longer than the
+// partition lasted.
 func (s *spareCapacity) absorbs(m *clusterstate.Machine) bool {
 	if len(m.Attempts) == 0 {
-		return false // nothing is gained
+		return false // without tasks to move an early release gains nothing
 	}
 	if s.left == nil {
 		s.left = s.cache.fullSnapshot()
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -7,8 +7,8 @@
 )
 
 // autoscaler scales the fleet out and in: it launches machines for waiting and predicted tasks, and releases machines
-// that are not needed or probably lost. It owns only the conditions that it logs, which a new leader begins to watch
-// anew; what it decides is in the cluster state and the machine pool.
+// that are not needed or probably lost. It owns only the conditions that it logs, which a new leader evaluates from
+// scratch. Its decisions are recorded in the cluster state and the machine pool.
 type autoscaler struct {
 	cache      *schedulerCache
 	catalog    *machineCatalog
@@ -33,21 +33,22 @@
 	poolShortageMessages = conditionMessages{begin: "machine pool short of capacity", end: "machine pool has capacity again"}
 )
 
-// Boots are late once a quarter of the booting machines, and two at least, have taken longer than usual. They are on
-// time again once none or less than an eighth has: the gap keeps the condition from flapping.
+// Boots are logged as late when at least two machines and at least a quarter of the booting machines have exceeded the
+// usual boot time, and as on time again when no machine or less than an eighth of them has. The two thresholds keep the
+// condition from flapping.
 const (
 	minLateBoots          = 2
 	lateBootsBeginDivisor = 4
 	lateBootsEndDivisor   = 8
 )
 
-// Boot times, as multiples of the boot time that the cloud names for the type.
+// Limits on boot times, as multiples of the machine type's boot time as given by the cloud.
 const (
 	usualBootFactor   = 1.6 // the longest usual boot
-	bootTimeoutFactor = 2.5 // the longest boot that is waited for
+	bootTimeoutFactor = 2.5 // the boot timeout
 )
 
-// watchBootTimes logs when machines begin to boot late, and when that is over.
+// watchBootTimes logs when machine boots become late and when they are on time again.
 func (a *autoscaler) watchBootTimes() {
 	booting, late := 0, 0
 	for _, m := range a.state.Machines {
@@ -67,7 +68,7 @@
 	a.lateBoots.update(active, a.env.now, a.env.log, lateBootMessages, "late", late, "booting", booting)
 }
 
-// onPoolShortage logs when a pool begins to have too few machines for what was launched, and when that is over.
+// onPoolShortage logs when a pool begins to lack capacity for the requested launches, and when the shortage ends.
 func (a *autoscaler) onPoolShortage(p scheduler.Pool, short bool) {
 	condition := a.shortPools[p]
 	if condition == nil {
@@ -77,8 +78,9 @@
 	condition.update(short, a.env.now, a.env.log, poolShortageMessages, "type", p.Type, "zone", p.Zone, "spot", p.Spot)
 }
 
-// A plan launches a limited number of machines, so that those that come up meanwhile are used first: 64, or a
-// thirty-second of the fleet. A fleet of any size is launched within 32 plans.
+// A plan launches a limited number of machines, so that machines that finish booting before the next plan are used
+// first. The limit is 64 or a thirty-second of the fleet, whichever is larger, so 32 plans can launch a fleet of any
+// size.
 const (
 	minLaunches        = 64
 	launchFleetDivisor = 32
@@ -88,7 +90,7 @@
 	return max(minLaunches, a.env.cfg.FleetSize()/launchFleetDivisor)
 }
 
-// planScaling launches machines for waiting and expected tasks, and releases those that neither needs.
+// planScaling launches machines for waiting and expected tasks, and releases machines that none of these tasks need.
 func (a *autoscaler) planScaling() {
 	if len(a.catalog.types) == 0 || !a.pool.HasList() || !a.lease.holdsLease() {
 		return
@@ -97,7 +99,7 @@
 	plan.Jobs = a.forecast.appendHeadroom(plan.Jobs)
 	inFlight := a.addLaunching(plan)
 	blocked := func(p scheduler.Pool) bool {
-		// A machine that boots in a partitioned zone can't reach us, and costs all the same.
+		// A machine that boots in a partitioned zone can't reach the leader but is charged for.
 		return a.partitions.isPartitioned(p.Zone) || a.pool.IsBackingOff(p) || inFlight[p] > 0
 	}
 	a.launch(plan.Plan(a.catalog.types, blocked, a.maxLaunches()))
@@ -109,11 +111,11 @@
 	a.scaleIn(needed)
 }
 
-// launchingMachineRoom is how many tasks the record of a machine that is still being launched is taken to hold: more
+// launchingMachineRoom is the task capacity that is assumed for a machine whose launch request is in flight: more tasks
 // than fit into any machine.
 const launchingMachineRoom = 1 << 20
 
-// addLaunching adds the machines of launch requests under way to a plan, and counts them by pool.
+// addLaunching adds the machines of in-flight launch requests to a plan, and counts them by pool.
 func (a *autoscaler) addLaunching(plan *scheduler.Snapshot) map[scheduler.Pool]int {
 	inFlight := map[scheduler.Pool]int{}
 	for _, request := range a.pool.LaunchesInFlight() {
@@ -130,7 +132,7 @@
 	return inFlight
 }
 
-// launch asks the cloud for machines, as far as its rate limit allows now. The next plan asks for the rest.
+// launch requests machines from the cloud within the cloud's rate limit. The next plan requests the remaining machines.
 func (a *autoscaler) launch(launches []scheduler.Launch) {
 	for _, l := range launches {
 		if !a.outbox.cloudRequests.Allows(a.env.now, 1) {
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -173,8 +173,8 @@
 	return &scheduler.Snapshot{Quotas: c.quotas, UpperQueueCap: c.env.cfg.Operator.Green.UpperCap, Fleet: c.fleet}
 }
 
-// syncFleet updates the cached machines and quotas from the cluster state, and adds the machines and the capacity to the
-// snapshot.
+// syncFleet updates the cached machines and quotas from the cluster state, and adds the machines and the capacity to
+// the snapshot.
 func (c *schedulerCache) syncFleet(snapshot *scheduler.Snapshot) {
 	c.syncMachineList()
 	c.syncMachines(snapshot)
--- a/internal/controller/scheduler_cache_machines.go
+++ b/internal/controller/scheduler_cache_machines.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// syncMachines refreshes the views of changed machines. It sets the snapshot's list of schedulable machines, adds up the
-// capacity of the machines that are up, and sets Draining if a draining machine still has replicas.
+// syncMachines refreshes the views of changed machines. It sets the snapshot's list of schedulable machines, adds up
+// the capacity of the machines that are up, and sets Draining if a draining machine still has replicas.
 func (c *schedulerCache) syncMachines(snapshot *scheduler.Snapshot) {
 	now := c.env.now
 	list := c.machineBuffer[:0]
--- a/internal/controller/scheduler_cache_verify.go
+++ b/internal/controller/scheduler_cache_verify.go
@@ -4,8 +4,8 @@
 // independent of the fleet's size.
 const machinesPerVerification = 32
 
-// verify compares the cached views of the next few machines with the cluster state. A difference is a bug in the cache's
-// invalidation: verify logs the first difference and rebuilds the cache.
+// verify compares the cached views of the next few machines with the cluster state. A difference is a bug in this
+// program: verify logs the first difference and rebuilds the cache.
 func (c *schedulerCache) verify() {
 	if len(c.cachedMachines) == 0 {
 		return
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -181,7 +181,7 @@
 	if windowS == 0 {
 		return
 	}
-	reserved := serviceReserveRounds * v.env.cfg.Operator.Green.RoundS / windowS // as a fraction of the window's arrivals
+	reserved := serviceReserveRounds * v.env.cfg.Operator.Green.RoundS / windowS // fraction of the window's arrivals
 	for _, history := range v.forecast.arrivals {
 		for _, second := range history.recent(from) {
 			reserveArrivals(quotas, second.services, reserved)
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -13,10 +13,10 @@
 	"claybarrow/internal/statestore"
 )
 
-// stateLoader reads all stored records after the election was won: whatever earlier leaders wrote is stored by
-// then, and they can write nothing more, as their writes are fenced.
+// stateLoader loads all stored records after the election has been won. By then the writes of earlier leaders are
+// either stored or refused, as the new fencing token invalidates them.
 //
-// It owns the progress of the loading. Each leadership loads anew, apart from what was preloaded.
+// It owns the progress of the loading. Each leadership loads all records again, except for preloaded records.
 type stateLoader struct {
 	attempts    *attemptTracker
 	completions *completionRecorder
@@ -35,25 +35,25 @@
 	views       *schedulerViews
 
 	ready   bool           // all records are loaded
-	preload *recordPreload // what was read ahead of the election; nil: nothing
-	// loadCapacity is the fleet's capacity while the counters are loaded (see loadedCapacity).
+	preload *recordPreload // the records that were read ahead of the election; nil if there are none
+	// loadCapacity caches the fleet's capacity while the counters are loaded (see loadedCapacity).
 	loadCapacity *scheduler.Resources
-	// orphanedCompletions are the keys of completion records whose job is over. An earlier leader has left
-	// them, or a version of the program that does not know them.
+	// orphanedCompletions holds the keys of completion records whose job has ended. They were left behind by an earlier
+	// leader, or by a version of the program that does not use such records.
 	orphanedCompletions []string
 }
 
-// recordKind is the stored records under one prefix and how they are loaded.
+// recordKind describes the stored records under one prefix and how they are loaded.
 type recordKind struct {
 	prefix string
-	// since is the storage version from which on such records exist.
+	// since is the first storage version with such records.
 	since featuregate.StorageVersion
 	load  func(*stateLoader, protocol.KeyValue) error
 }
 
-// recordKinds are the kinds of a leader's records in the order in which they are loaded. Completions refer to
-// jobs, machines to jobs and their completions. The completion journal changes what jobs and machines hold;
-// it exists only while the feature gate is not closed. The counters need the capacity of the machines.
+// recordKinds lists the kinds of a leader's records in load order. Completions refer to jobs, and machines refer to
+// jobs and their completions. The entries of the completion journal are applied to jobs and machines; the journal
+// exists only while the feature gate is not closed. The counters need the capacity of the machines.
 var recordKinds = []recordKind{
 	{prefix: clusterstate.JobPrefix, load: decoded((*stateLoader).applyJob)},
 	{prefix: clusterstate.CompletionPrefix, load: decoded((*stateLoader).applyCompletions)},
@@ -63,7 +63,7 @@
 	{prefix: clusterstate.CounterPrefix, load: decoded((*stateLoader).applyCounters)},
 }
 
-// decoded makes the loader of a kind from a function that applies a decoded record.
+// decoded returns a load function that decodes a record and passes it to apply.
 func decoded[Record any](apply func(s *stateLoader, key string, record Record) error) func(*stateLoader, protocol.KeyValue) error {
 	return func(s *stateLoader, item protocol.KeyValue) error {
 		var record Record
@@ -74,8 +74,7 @@
 	}
 }
 
-// loadOrder returns the prefixes of a leader's records in the order in which they are loaded, for records of a
-// storage version.
+// loadOrder returns the prefixes of a leader's records of a storage version, in load order.
 func loadOrder(version featuregate.StorageVersion) []string {
 	var order []string
 	for _, kind := range recordKinds {
@@ -86,13 +85,13 @@
 	return order
 }
 
-// loadState loads all stored records, and begins the leader's work after the last.
+// loadState loads all stored records, and starts the leader's work once they are loaded.
 func (s *stateLoader) loadState() {
 	s.loadPage(0, "")
 }
 
-// loadPage loads the page of records after a key, and then all pages that follow. step counts the prefixes of
-// loadOrder.
+// loadPage loads the page of records after a key, and then all following pages. step is the index of the page's prefix
+// in loadOrder.
 func (s *stateLoader) loadPage(step int, after string) {
 	order := loadOrder(s.gating.storedRecord.storageVersion())
 	if step == len(order) {
@@ -116,7 +115,7 @@
 	})
 }
 
-// onPage loads the records of a page and requests the next. A request that failed is repeated after a pause.
+// onPage loads the records of a page and requests the next page. A failed request is retried after a pause.
 func (s *stateLoader) onPage(step int, after string, page stateclient.Page, err error) {
 	if err != nil {
 		s.timers.runAt(s.env.now+s.env.retryPause(), func() { s.loadPage(step, after) })
@@ -131,8 +130,8 @@
 	s.loadPage(step+1, "")
 }
 
-// requestChanges requests what has changed under a preloaded prefix since it was read. It does so after the
-// election, when earlier leaders can write nothing more.
+// requestChanges requests the changes under a preloaded prefix since the preload. It is called after the election, when
+// earlier leaders can no longer write.
 func (s *stateLoader) requestChanges(step int, prefix string, preloaded *preloadedPrefix) {
 	const doNotBlock = 0
 	s.outbox.state.Watch(prefix, preloaded.revision, doNotBlock, s.env.cfg.LeaderLease(), func(events protocol.WatchReply, err error) {
@@ -142,8 +141,8 @@
 	})
 }
 
-// onChanges loads the preloaded records with their changes. Without a usable answer (too much may have changed
-// for the state service to tell) the whole preload is dropped and all is read again.
+// onChanges loads the preloaded records with their changes. On an error (for example if the state service no longer
+// holds all changes since the preload) the whole preload is dropped and the records are read again.
 func (s *stateLoader) onChanges(step int, preloaded *preloadedPrefix, events protocol.WatchReply, err error) {
 	if err != nil {
 		s.preload = nil
@@ -156,7 +155,7 @@
 	s.loadPage(step+1, "")
 }
 
-// loadRecords loads records. One that is unreadable is logged and left out: the others must not wait for it.
+// loadRecords loads records. An unreadable record is logged and skipped, so that it does not block the other records.
 func (s *stateLoader) loadRecords(items []protocol.KeyValue) {
 	for _, item := range items {
 		s.store.SetVersion(item.Key, item.Version)
@@ -166,7 +165,7 @@
 	}
 }
 
-// loadRecord loads a record by the kind that its key's prefix names. Others are ignored.
+// loadRecord loads a record with the load function of its key's prefix. Records with other prefixes are ignored.
 func (s *stateLoader) loadRecord(item protocol.KeyValue) error {
 	for i := range recordKinds {
 		if strings.HasPrefix(item.Key, recordKinds[i].prefix) {
@@ -176,7 +175,7 @@
 	return nil
 }
 
-// applyJob adds a job, or the final state of one that is over.
+// applyJob adds a job, or the terminal state of a job that has ended.
 func (s *stateLoader) applyJob(key string, record clusterstate.JobRecord) error {
 	uid := strings.TrimPrefix(key, clusterstate.JobPrefix)
 	switch record.State {
@@ -186,7 +185,7 @@
 		s.state.TerminalJobs[uid] = clusterstate.TerminalState{Cancelled: true}
 	default:
 		if record.Spec == nil {
-			return fmt.Errorf("state %q without a job", record.State)
+			return fmt.Errorf("job record in state %q has no job specification", record.State)
 		}
 		j := s.state.AddJob(record.Spec, record.Submitted)
 		j.Stored, j.Cancelling = true, record.State == clusterstate.Cancelling
@@ -220,7 +219,7 @@
 	for _, entry := range record.Attempts {
 		j := s.state.Jobs[entry.Job]
 		if j == nil {
-			continue // the job is over: all its attempts were proved absent before
+			continue // the job has ended, which requires that all its attempts were proved absent
 		}
 		if entry.Index >= j.Spec.Tasks || entry.Index < 0 {
 			continue
@@ -243,8 +242,9 @@
 	return nil
 }
 
-// loadCounters loads the stored counters and adds the service that was attained since they were stored. Without
-// that, a job that held its slots meanwhile would look younger than it is and have others preempted.
+// loadCounters loads the stored counters and adds the service that was attained since they were stored. Without this
+// addition a job that has kept running since then would have too little attained service, rank too high, and cause
+// tasks of other jobs to be preempted.
 func (s *stateLoader) loadCounters(record clusterstate.Counters) {
 	ageSeconds := max(0, float64(s.env.wall-record.At)/1000)
 	capacity := s.loadedCapacity()
@@ -262,9 +262,9 @@
 	}
 }
 
-// loadedCapacity is the fleet's capacity by the records of the machines, which are loaded before the counters. It
-// is computed once: going through the fleet for each job took a new leader of 3,600 machines and 1,700 jobs
-// two seconds of half a core in one go, which is longer than its lease, and so on for each leader after it.
+// loadedCapacity is the fleet's capacity by the records of the machines, which are loaded before the counters. It is
+// computed once. Iterating over the fleet for each job blocked a new leader of 3,600 machines and 1,700 jobs for two
+// seconds on half a core. That is longer than its lease, so each leader lost its lease while loading.
 func (s *stateLoader) loadedCapacity() scheduler.Resources {
 	if s.loadCapacity == nil {
 		capacity := s.views.readyCapacity()
@@ -285,8 +285,8 @@
 	s.trace.noteStateLoaded()
 }
 
-// reviewLoadedJobs completes what the former leader left incomplete: jobs whose tasks are all completed, gangs
-// of which some attempts are missing, and cancellations.
+// reviewLoadedJobs finishes the operations that the previous leader left unfinished: it completes jobs whose tasks are
+// all completed, aborts gangs with missing attempts, and completes cancellations.
 func (s *stateLoader) reviewLoadedJobs() {
 	for _, uid := range sortedKeys(s.state.Jobs) {
 		j := s.state.Jobs[uid]
@@ -294,7 +294,7 @@
 		case j.CompletedTasks == j.Spec.Tasks:
 			s.jobs.completeJob(j)
 		case j.Gang != nil && j.CompletedTasks > 0:
-			s.attempts.completeGang(j) // an older version has stored that one task is completed, so all are
+			s.attempts.completeGang(j) // an older version stored the completion of one task, which ends the whole gang
 		default:
 			s.attempts.verifyGang(j)
 		}
@@ -302,8 +302,8 @@
 	}
 }
 
-// reviewLoadedAttempts requests the stop of attempts that are not wanted any more: of completed tasks, of
-// cancelled jobs, and those that a later attempt has replaced.
+// reviewLoadedAttempts requests the stop of obsolete attempts: attempts of completed tasks, attempts of cancelled jobs,
+// and attempts that have been replaced by a later attempt. It also sets the sizes of the machines.
 func (s *stateLoader) reviewLoadedAttempts() {
 	newest := s.newestAttempts()
 	for _, m := range s.machines.sortedMachines() {
@@ -316,7 +316,7 @@
 	}
 }
 
-// deleteOrphanedCompletions deletes the completion records whose job is over.
+// deleteOrphanedCompletions deletes the completion records whose job has ended.
 func (s *stateLoader) deleteOrphanedCompletions() {
 	for _, key := range s.orphanedCompletions {
 		s.store.QueueWrite(key, statestore.PriorityBackground, func() any { return nil }, nil)
@@ -330,9 +330,9 @@
 	index int
 }
 
-// newestAttempts returns the number of the latest attempt of each task that has several by the stored records.
-// The records of machines are written lazily when a task leaves, so that there may be thousands of such tasks
-// after a failover.
+// newestAttempts returns the number of the latest attempt of each task that has several attempts in the stored records.
+// The record of a machine is written lazily after a task has left it, so there may be thousands of such tasks after a
+// failover.
 func (s *stateLoader) newestAttempts() map[taskRef]uint64 {
 	newest := map[taskRef]uint64{}
 	for _, m := range s.state.Machines {
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// timerQueue runs functions at a later tick. Each leadership has its own, so that what it still had to
-// run is dropped when it ends.
+// timerQueue runs functions at a later tick. Each leadership has its own queue, so the functions that have not run are
+// dropped when the leadership ends.
 type timerQueue struct {
 	timers []timer
 }
@@ -14,14 +14,14 @@
 	run func()
 }
 
-// runAt has a function run by the first tick at or after a time.
+// runAt schedules a function for the first tick at or after a time.
 func (q *timerQueue) runAt(at time.Duration, run func()) {
 	q.timers = append(q.timers, timer{at: at, run: run})
 }
 
-// runDue runs the functions that are due, in the order in which they were added. Those that they add
-// themselves wait for the next tick, even if they are due, so that a function which always adds itself
-// again cannot keep the controller from its other work.
+// runDue runs the due functions in the order in which they were added. Functions that are added during the run wait for
+// the next tick, even if they are due, so that a function that always schedules itself again can't starve the
+// controller's other work.
 func (q *timerQueue) runDue(now time.Duration) {
 	due := q.timers
 	q.timers = nil
--- a/internal/controller/transports.go
+++ b/internal/controller/transports.go
@@ -7,10 +7,10 @@
 	"claybarrow/internal/stateclient"
 )
 
-// The typed clients of the state service and the cloud know paths and status codes. Their requests leave as
-// effects of the controller, within its budgets, by these transports.
+// The typed clients of the state service and the cloud handle paths and status codes. These transports turn their
+// requests into effects of the controller, counted against its rate limits.
 
-// stateTransport sends the requests of the state service's client.
+// stateTransport sends the requests of the state service client.
 type stateTransport struct{ outbox *outbox }
 
 func newStateClient(o *outbox) *stateclient.Client { return stateclient.New(stateTransport{o}) }
@@ -20,7 +20,7 @@
 	t.outbox.stateCall(method, path, body, timeout, func(res Result) { done(res.Status, res.Body) })
 }
 
-// cloudTransport sends the requests of the cloud's client.
+// cloudTransport sends the requests of the cloud client.
 type cloudTransport struct{ outbox *outbox }
 
 func newCloudClient(o *outbox) *cloudclient.Client { return cloudclient.New(cloudTransport{o}) }
