--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -80,4 +80,4 @@
 }
 
 // counterKey is the key of the counters record with index i.
-func counterKey(i int) string { return clusterstate.CounterPrefix + strconv.Itoa(i) }
+func counterKey(index int) string { return clusterstate.CounterPrefix + strconv.Itoa(index) }
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -64,20 +64,20 @@
 	if replicaIsWaiting(snapshot) {
 		return
 	}
-	left := 1 + len(snapshot.Machines)/drainFleetDivisor
+	drainsLeft := 1 + len(snapshot.Machines)/drainFleetDivisor
 	candidates := c.drainCandidates(snapshot)
 	snapshot.MachinesExamined = 0
-	for _, candidate := range candidates[:min(len(candidates), candidatesPerDrain*left)] {
+	for _, candidate := range candidates[:min(len(candidates), candidatesPerDrain*drainsLeft)] {
 		if snapshot.MachinesExamined > maxConsolidationWork {
 			break // a later consolidation examines the remaining candidates
 		}
-		rest := snapshot.WithoutMachine(candidate.machineID, candidate.tasks, c.forecast.forecastDemand)
-		if rest == nil {
+		drainedSnapshot := snapshot.WithoutMachine(candidate.machineID, candidate.tasks, c.forecast.forecastDemand)
+		if drainedSnapshot == nil {
 			continue
 		}
-		snapshot = rest
+		snapshot = drainedSnapshot
 		c.drainMachine(c.state.Machines[candidate.machineID], len(candidate.tasks))
-		if left--; left == 0 {
+		if drainsLeft--; drainsLeft == 0 {
 			break
 		}
 	}
@@ -130,9 +130,9 @@
 // kindsInDemand returns the kinds of machines of which many are booting or being launched, relative to the number that
 // are up.
 func (c *consolidator) kindsInDemand() map[machineKind]bool {
-	coming, up := map[machineKind]int{}, map[machineKind]int{}
+	starting, up := map[machineKind]int{}, map[machineKind]int{}
 	for _, request := range c.pool.LaunchesInFlight() {
-		coming[machineKind{request.Type, request.Spot}] += request.Count
+		starting[machineKind{request.Type, request.Spot}] += request.Count
 	}
 	for _, m := range c.state.Machines {
 		switch {
@@ -140,11 +140,11 @@
 		case m.EverReported:
 			up[machineKind{m.Type, m.Spot}]++
 		default:
-			coming[machineKind{m.Type, m.Spot}]++
+			starting[machineKind{m.Type, m.Spot}]++
 		}
 	}
 	demanded := map[machineKind]bool{}
-	for kind, n := range coming {
+	for kind, n := range starting {
 		demanded[kind] = n*demandedKindDivisor > up[kind]
 	}
 	return demanded
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		expected := float64(tasks) / windowS * bootS * f.env.cfg.Operator.Fleet.Headroom
-		job := expectedJob(class, sample, max(1, int(expected+0.5)))
+		job := newDemandJob(class, sample, max(1, int(expected+0.5)))
 		job.Images, job.StartObjectiveS = imageShares(images, tasks), objective
 		jobs = append(jobs, job)
 	}
@@ -86,7 +86,7 @@
 		}
 		for _, a := range m.SortedAttempts() {
 			if a.Job.Spec.Service && !a.Job.Cancelling && !a.StopRequested {
-				jobs = append(jobs, replacementJob(a))
+				jobs = append(jobs, newReplacementJob(a))
 			}
 		}
 	}
@@ -100,8 +100,9 @@
 	return lengthS, (f.env.wall - int64(lengthS*1000)) / 1000
 }
 
-// expectedJob returns a headroom job with the expected number of tasks of a class, each like the tasks of a sample job.
-func expectedJob(class string, sample *clusterstate.Job, tasks int) *scheduler.Job {
+// newDemandJob returns a headroom job with the expected number of tasks of a class, each like the tasks of a sample
+// job.
+func newDemandJob(class string, sample *clusterstate.Job, tasks int) *scheduler.Job {
 	spec := sample.Spec
 	job := &scheduler.Job{
 		ID: demandIDPrefix + class, Class: class, Priority: int(spec.Priority),
@@ -114,8 +115,8 @@
 	return job
 }
 
-// replacementJob returns a headroom job for the task of an attempt that is probably lost.
-func replacementJob(a *clusterstate.Attempt) *scheduler.Job {
+// newReplacementJob returns a headroom job for the task of an attempt that is probably lost.
+func newReplacementJob(a *clusterstate.Attempt) *scheduler.Job {
 	job := newJobView(a.Job)
 	job.ID, job.IsHeadroom, job.Spread, job.OneZone = replacementIDPrefix+a.Key().Task, true, false, false
 	job.Waiting = []int{a.Index}
@@ -152,7 +153,7 @@
 
 // add counts the arrival of a job. Arrivals are not in order of time while a new leader loads the stored jobs.
 func (h *arrivalHistory) add(j *clusterstate.Job) {
-	s := h.secondAt(j.Submitted / 1000)
+	s := h.entryAt(j.Submitted / 1000)
 	if s == nil {
 		return
 	}
@@ -164,9 +165,9 @@
 	}
 }
 
-// secondAt returns the entry of a second, and adds one if there is none. It returns nil if the history is full and the
+// entryAt returns the entry of a second, and adds one if there is none. It returns nil if the history is full and the
 // second is older than all of its entries.
-func (h *arrivalHistory) secondAt(at int64) *arrivalSecond {
+func (h *arrivalHistory) entryAt(at int64) *arrivalSecond {
 	i, found := h.search(at)
 	if found {
 		return &h.seconds[i]
@@ -187,8 +188,8 @@
 	return slices.BinarySearchFunc(h.seconds, at, func(s arrivalSecond, at int64) int { return cmp.Compare(s.at, at) })
 }
 
-// recent returns the entries from a second on.
-func (h *arrivalHistory) recent(from int64) []arrivalSecond {
+// entriesSince returns the entries from a second on.
+func (h *arrivalHistory) entriesSince(from int64) []arrivalSecond {
 	i, _ := h.search(from)
 	return h.seconds[i:]
 }
@@ -196,7 +197,7 @@
 // since sums up the arrivals from a second on. sample is the latest job, or nil if none arrived.
 func (h *arrivalHistory) since(from int64) (tasks int, images map[string]float64, sample *clusterstate.Job) {
 	images = map[string]float64{}
-	for _, s := range h.recent(from) {
+	for _, s := range h.entriesSince(from) {
 		tasks += s.tasks
 		for image, n := range s.images {
 			images[image] += float64(n)
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -92,41 +92,41 @@
 	}
 	before := g.gate.State()
 	action := g.gate.NextAction(g.env.now, before == featuregate.Closing && g.completions.isCompacted())
-	g.noteGateState(before)
+	g.reportGateState(before)
 	if g.gate.State() == featuregate.Closing {
 		g.completions.close()
 	}
-	g.carryOut(action)
+	g.executeAction(action)
 }
 
-// carryOut stores the gate's state that an action requests. Opening the gate also creates the key of the lease, and
-// completing its closing deletes that key.
-func (g *gateKeeper) carryOut(action featuregate.Action) {
+// executeAction stores the gate's state that an action requests. Opening the gate also creates the key of the lease,
+// and completing its closing deletes that key.
+func (g *gateKeeper) executeAction(action featuregate.Action) {
 	record := g.storedRecord
 	switch action {
 	case featuregate.NoAction:
 	case featuregate.StoreOpen:
 		record.StorageVersion, record.Closing = uint64(completionJournalVersion), false
 		lease := protocol.Change{Put: keyLease, Value: leaseRecord{Token: g.lease.token}, Lease: g.lease.leaseID}
-		g.storeGate(record, &statestore.LeaderChange{Puts: []protocol.Change{lease}})
+		g.storeGateState(record, &statestore.LeaderChange{Puts: []protocol.Change{lease}})
 	case featuregate.StoreClosing:
 		record.Closing = true
-		g.storeGate(record, &statestore.LeaderChange{})
+		g.storeGateState(record, &statestore.LeaderChange{})
 	case featuregate.StoreClosed:
 		record.StorageVersion, record.Closing = 0, false
-		g.storeGate(record, &statestore.LeaderChange{Deletes: []string{keyLease}})
+		g.storeGateState(record, &statestore.LeaderChange{Deletes: []string{keyLease}})
 	}
 }
 
-// storeGate stores the leader key with a new state of the gate. The completion journal is opened once the open gate is
-// durable.
-func (g *gateKeeper) storeGate(record leaderRecord, change *statestore.LeaderChange) {
+// storeGateState stores the leader key with a new state of the gate. The completion journal is opened once the open
+// gate is durable.
+func (g *gateKeeper) storeGateState(record leaderRecord, change *statestore.LeaderChange) {
 	change.Entry = g.leaderEntry(record)
 	change.OnApplied = func() {
 		before := g.gate.State()
 		g.storedRecord = record
 		g.gate.ActionStored(g.env.now)
-		g.noteGateState(before)
+		g.reportGateState(before)
 		if g.gate.MayWrite() {
 			g.completions.open()
 		}
@@ -134,7 +134,7 @@
 	change.OnRefused = func() {
 		before := g.gate.State()
 		g.gate.ActionRefused(g.env.now)
-		g.noteGateState(before)
+		g.reportGateState(before)
 	}
 	g.store.ChangeLeader(change)
 }
@@ -157,9 +157,9 @@
 	Statements map[string]string
 }
 
-// noteGateState logs a change of the gate's state and reports it to the observer. It also logs a new obstacle to
+// reportGateState logs a change of the gate's state and reports it to the observer. It also logs a new obstacle to
 // opening a gate that operators have enabled, at most once per worker lease.
-func (g *gateKeeper) noteGateState(before featuregate.State) {
+func (g *gateKeeper) reportGateState(before featuregate.State) {
 	state, obstacle := g.gate.State(), g.gate.Obstacle()
 	enabled := g.env.cfg.Operator.EndJournal.Enabled
 	logged := &g.gateLogged
@@ -181,9 +181,9 @@
 
 // statements returns the last statements of the other controllers as text, by label.
 func (g *gateKeeper) statements() map[string]string {
-	out := map[string]string{}
+	texts := map[string]string{}
 	for label, statement := range g.gate.Statements() {
-		out[label] = statement.String()
+		texts[label] = statement.String()
 	}
-	return out
+	return texts
 }
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -21,9 +21,9 @@
 	env   *environment
 	pause *pauseRecovery
 
-	effects  []Effect
-	lastCall uint64                  // the ID of the latest call
-	calls    map[uint64]func(Result) // the callbacks of the calls in flight, by the call's ID
+	effects    []Effect
+	lastCallID uint64                  // the ID of the latest call
+	calls      map[uint64]func(Result) // the callbacks of the calls in flight, by the call's ID
 
 	stateRequests ratelimit.TokenBucket
 	stateChanges  ratelimit.TokenBucket
@@ -56,17 +56,17 @@
 
 // call sends a request and calls then with its result. A body of any type other than []byte is encoded in the users'
 // protocol.
-func (o *outbox) call(target Target, addr, method, path string, body any, timeout time.Duration, then func(Result)) {
-	o.callUntil(target, addr, method, path, body, timeout, 0, then)
+func (o *outbox) call(target Target, addr, method, path string, body any, timeout time.Duration, onResult func(Result)) {
+	o.callUntil(target, addr, method, path, body, timeout, 0, onResult)
 }
 
 // callUntil is like call for a request that must not be sent after the steady time until; 0: no limit.
 func (o *outbox) callUntil(
-	target Target, addr, method, path string, body any, timeout, until time.Duration, then func(Result),
+	target Target, addr, method, path string, body any, timeout, validUntil time.Duration, onResult func(Result),
 ) {
-	o.lastCall++
-	o.calls[o.lastCall] = then
-	call := Call{ID: o.lastCall, Target: target, Addr: addr, Method: method, Path: path, Timeout: timeout, ValidUntil: until}
+	o.lastCallID++
+	o.calls[o.lastCallID] = onResult
+	call := Call{ID: o.lastCallID, Target: target, Addr: addr, Method: method, Path: path, Timeout: timeout, ValidUntil: validUntil}
 	if encoded, ok := body.([]byte); ok {
 		call.Body = encoded
 	} else if body != nil {
@@ -77,25 +77,25 @@
 
 // stateCall sends a request to the state service. Any answer ends the recovery from a process pause, as it proves that
 // this controller has contact with the state service again.
-func (o *outbox) stateCall(method, path string, body any, timeout time.Duration, then func(Result)) {
+func (o *outbox) stateCall(method, path string, body any, timeout time.Duration, onResult func(Result)) {
 	o.stateRequests.Take(o.env.now, 1)
 	sent := o.env.now
 	o.call(ToState, o.env.cfg.Services.State, method, path, body, timeout, func(res Result) {
 		o.pause.noteAnswer(sent, res.Status != 0)
-		then(res)
+		onResult(res)
 	})
 }
 
 // cloudCall sends a request to the cloud's API.
-func (o *outbox) cloudCall(method, path string, body any, timeout time.Duration, then func(Result)) {
+func (o *outbox) cloudCall(method, path string, body any, timeout time.Duration, onResult func(Result)) {
 	o.cloudRequests.Take(o.env.now, 1)
-	o.call(ToCloud, o.env.cfg.Services.Cloud, method, path, body, timeout, then)
+	o.call(ToCloud, o.env.cfg.Services.Cloud, method, path, body, timeout, onResult)
 }
 
 // peerCall sends a request to another controller, with a body in the encoding of the protocol between
 // controllers.
-func (o *outbox) peerCall(label, path string, body []byte, timeout time.Duration, then func(Result)) {
-	o.call(ToPeer, o.env.peerAddr(label), http.MethodPost, path, body, timeout, then)
+func (o *outbox) peerCall(label, path string, body []byte, timeout time.Duration, onResult func(Result)) {
+	o.call(ToPeer, o.env.peerAddr(label), http.MethodPost, path, body, timeout, onResult)
 }
 
 // revokeLease revokes a lease at the state service before it expires. If the request fails the lease expires later.
@@ -105,9 +105,9 @@
 
 // deliver passes the result of a call to the call's callback.
 func (o *outbox) deliver(res Result) {
-	if then, ok := o.calls[res.ID]; ok {
+	if callback, ok := o.calls[res.ID]; ok {
 		delete(o.calls, res.ID)
-		then(res)
+		callback(res)
 	}
 }
 
@@ -119,12 +119,12 @@
 // replyUntil is like reply for an answer that must not be sent after the steady time until; 0: no limit. A relayed
 // request is answered with status 200 and the actual answer in the body, so that the relaying controller can
 // distinguish the leader's refusal from a failure between the two controllers.
-func (o *outbox) replyUntil(to requester, status int, body []byte, retryAfter int, until time.Duration) {
+func (o *outbox) replyUntil(to requester, status int, body []byte, retryAfter int, validUntil time.Duration) {
 	if to.relayed {
 		body = protocol.EncodePeer(protocol.ForwardedReply{Status: status, Body: body, RetryAfter: retryAfter})
 		status, retryAfter = http.StatusOK, 0
 	}
-	o.effects = append(o.effects, Reply{ID: to.id, Status: status, Body: body, RetryAfter: retryAfter, ValidUntil: until})
+	o.effects = append(o.effects, Reply{ID: to.id, Status: status, Body: body, RetryAfter: retryAfter, ValidUntil: validUntil})
 }
 
 // replyUnavailable refuses a request that this controller can't decide now, and states when to retry.
--- a/internal/controller/record_preload.go
+++ b/internal/controller/record_preload.go
@@ -23,7 +23,7 @@
 // preloadedPrefix holds the records under one prefix.
 type preloadedPrefix struct {
 	items []protocol.KeyValue
-	// revision is the revision of the first page; catchUp needs the changes after it.
+	// revision is the revision of the first page; applyChanges needs the changes after it.
 	revision uint64
 	complete bool
 }
@@ -69,15 +69,15 @@
 	if p == nil {
 		return nil
 	}
-	number := slices.Index(p.order, prefix)
-	if number < 0 || number >= len(p.prefixes) || !p.prefixes[number].complete {
+	index := slices.Index(p.order, prefix)
+	if index < 0 || index >= len(p.prefixes) || !p.prefixes[index].complete {
 		return nil
 	}
-	return &p.prefixes[number]
+	return &p.prefixes[index]
 }
 
-// catchUp applies the changes since the preload and returns the current records in the order of their keys.
-func (p *preloadedPrefix) catchUp(events []protocol.WatchEvent) []protocol.KeyValue {
+// applyChanges applies the changes since the preload and returns the current records in the order of their keys.
+func (p *preloadedPrefix) applyChanges(events []protocol.WatchEvent) []protocol.KeyValue {
 	current := make(map[string]protocol.KeyValue, len(p.items))
 	for _, item := range p.items {
 		current[item.Key] = item
@@ -89,9 +89,9 @@
 			current[event.Put] = protocol.KeyValue{Key: event.Put, Value: event.Value, Version: event.Version}
 		}
 	}
-	out := make([]protocol.KeyValue, 0, len(current))
+	records := make([]protocol.KeyValue, 0, len(current))
 	for _, key := range sortedKeys(current) {
-		out = append(out, current[key])
+		records = append(records, current[key])
 	}
-	return out
+	return records
 }
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -10,9 +10,9 @@
 // job's tasks have started there or the reservation expires. Without it the freed capacity would go to other jobs, and
 // each round would preempt tasks for the same job again.
 type reservation struct {
-	job   string        // the job's id
-	tasks int           // tasks of the job that have yet to start on the machine
-	until time.Duration // when the reservation expires, on the steady clock
+	jobID     string
+	tasks     int           // tasks of the job that have yet to start on the machine
+	expiresAt time.Duration // when the reservation expires, on the steady clock
 }
 
 // reserve reserves machines for the jobs for which a round has preempted tasks. A reservation expires one worker lease
@@ -20,18 +20,18 @@
 func (t *taskScheduler) reserve(reserved []scheduler.Reservation, stopTimes map[string]time.Duration) {
 	for _, added := range reserved {
 		r := t.reservations[added.Machine.ID]
-		r.job = added.Job.ID
-		r.until = t.env.now + t.env.cfg.WorkerLease() + stopTimes[added.Job.ID]
+		r.jobID = added.Job.ID
+		r.expiresAt = t.env.now + t.env.cfg.WorkerLease() + stopTimes[added.Job.ID]
 		r.tasks += added.Tasks
 		t.reservations[added.Machine.ID] = r
 	}
 }
 
-// useReservation subtracts a task that starts on a machine from the machine's reservation if the machine is reserved
-// for the task's job.
-func (t *taskScheduler) useReservation(machineID, jobID string) {
+// consumeReservation subtracts a task that starts on a machine from the machine's reservation if the machine is
+// reserved for the task's job.
+func (t *taskScheduler) consumeReservation(machineID, jobID string) {
 	r := t.reservations[machineID]
-	if r.job != jobID {
+	if r.jobID != jobID {
 		return
 	}
 	if r.tasks--; r.tasks > 0 {
@@ -46,10 +46,10 @@
 func (t *taskScheduler) activeReservations() map[string]int {
 	reservedTasks := map[string]int{}
 	for machineID, r := range t.reservations {
-		if j := t.state.Jobs[r.job]; j == nil || j.Cancelling || t.env.now >= r.until || t.state.Machines[machineID] == nil {
+		if j := t.state.Jobs[r.jobID]; j == nil || j.Cancelling || t.env.now >= r.expiresAt || t.state.Machines[machineID] == nil {
 			delete(t.reservations, machineID)
 		} else {
-			reservedTasks[r.job] += r.tasks
+			reservedTasks[r.jobID] += r.tasks
 		}
 	}
 	return reservedTasks
@@ -58,7 +58,7 @@
 // dropReservations drops all reservations of a job.
 func (t *taskScheduler) dropReservations(jobID string) {
 	for machineID, r := range t.reservations {
-		if r.job == jobID {
+		if r.jobID == jobID {
 			delete(t.reservations, machineID)
 		}
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -71,20 +71,20 @@
 // zonesHeardSince returns by zone the latest time since which a tenth of the zone's machines, and at least two, have
 // been heard. For a partitioned zone this time is before the beginning of the partition.
 func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
-	heard := map[string][]time.Duration{}
+	lastSeen := map[string][]time.Duration{}
 	for _, m := range a.state.Machines {
 		if m.EverReported && !m.Releasing {
-			heard[m.Zone] = append(heard[m.Zone], m.LastSeen)
+			lastSeen[m.Zone] = append(lastSeen[m.Zone], m.LastSeen)
 		}
 	}
-	since := map[string]time.Duration{}
-	for zone, times := range heard {
-		if k := max(heardMachinesMin, len(times)/heardMachinesDivisor); len(times) > k {
+	heardSince := map[string]time.Duration{}
+	for zone, times := range lastSeen {
+		if required := max(heardMachinesMin, len(times)/heardMachinesDivisor); len(times) > required {
 			slices.Sort(times)
-			since[zone] = times[len(times)-k]
+			heardSince[zone] = times[len(times)-required]
 		}
 	}
-	return since
+	return heardSince
 }
 
 // scaleInPass decides for each machine of the fleet whether it is released, based on the state at one time.
@@ -158,8 +158,8 @@
 	// Boot timeouts are not enforced directly after a failover. Idle machines that are already up have no
 	// stored record, and calling thousands of them takes time: in a scale run with 5,500 workers, 107
 	// such machines were released within the first second after the election.
-	askedBy := scaler.lease.electedAt + scaler.env.cfg.WorkerLease()/2
-	if scaler.env.now > max(bootTimeout, askedBy) {
+	enforcedFrom := scaler.lease.electedAt + scaler.env.cfg.WorkerLease()/2
+	if scaler.env.now > max(bootTimeout, enforcedFrom) {
 		return releaseBootTimedOut
 	}
 	if p.needed[m.ID] || m.IdleSince == 0 {
@@ -174,9 +174,9 @@
 	switch {
 	case !p.manySilent && p.isReplaceable(m):
 		return releaseUnreachable
-	case !p.manySilent && p.isUnheardSinceFailover(m):
+	case !p.manySilent && p.isSilentSinceElection(m):
 		return releaseUnheardOnFailover
-	case p.hearsNoAnswer(m):
+	case p.missesAnswers(m):
 		return releaseAnswersLost
 	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > silentLeases*p.scaler.env.cfg.WorkerLease():
 		return releaseSilent
@@ -186,22 +186,22 @@
 
 // isReplaceable reports whether a machine is most probably lost and all its tasks have room on other machines.
 func (p *scaleInPass) isReplaceable(m *clusterstate.Machine) bool {
-	return p.scaler.isUnreachable(m, p.heardSince) && p.scaler.health.isSilent(m) && p.spare.absorbs(m)
+	return p.scaler.isUnreachable(m, p.heardSince) && p.scaler.health.isSilent(m) && p.spare.tryPlaceTasksOf(m)
 }
 
-// isUnheardSinceFailover reports whether a machine has been silent since this leader was elected. Deletion by the cloud
+// isSilentSinceElection reports whether a machine has been silent since this leader was elected. Deletion by the cloud
 // then proves that its tasks have ended sooner than the expiry of its lease, which is counted from the election or
 // later. A machine that this leader has heard is not released: if it hangs or is partitioned, its tasks run until its
 // lease expires, and it may reconnect before that.
-func (p *scaleInPass) isUnheardSinceFailover(m *clusterstate.Machine) bool {
+func (p *scaleInPass) isSilentSinceElection(m *clusterstate.Machine) bool {
 	return m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
 		p.scaler.health.silentFor(m) > p.scaler.env.cfg.WorkerLease()/2
 }
 
-// hearsNoAnswer reports whether a machine with tasks sends heartbeats that never contain this leader's token. The
+// missesAnswers reports whether a machine with tasks sends heartbeats that never contain this leader's token. The
 // leader's answers do not reach the machine, so its lease has expired, but none of its messages can prove that the
 // tasks which an earlier leader started there have ended.
-func (p *scaleInPass) hearsNoAnswer(m *clusterstate.Machine) bool {
+func (p *scaleInPass) missesAnswers(m *clusterstate.Machine) bool {
 	return m.UnseenAnswers >= unseenAnswersMin && m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
 		len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+p.scaler.env.cfg.WorkerLease()
 }
@@ -227,25 +227,25 @@
 // spareCapacity is the capacity of schedulable machines that remains free after placing all waiting tasks. It is used
 // for the tasks of machines that are most probably lost.
 type spareCapacity struct {
-	cache *schedulerCache
-	left  *scheduler.Snapshot // the fleet after placing all waiting tasks; nil until first needed
+	cache    *schedulerCache
+	snapshot *scheduler.Snapshot // the fleet after placing all waiting tasks; nil until first needed
 }
 
-// absorbs reports whether all tasks of a machine have room on other machines now, and if so takes that room. Without
-// such room an early deletion gains nothing, and the machine may only be partitioned and reconnect: in one run 25 of
-// 270 machines were deleted during a partition, and gangs waited up to 50 s for new machines to boot, longer than the
-// partition lasted.
-func (s *spareCapacity) absorbs(m *clusterstate.Machine) bool {
+// tryPlaceTasksOf reports whether all tasks of a machine have room on other machines now, and if so takes that room.
+// Without such room an early deletion gains nothing, and the machine may only be partitioned and reconnect: in one run
+// 25 of 270 machines were deleted during a partition, and gangs waited up to 50 s for new machines to boot, longer than
+// the partition lasted.
+func (s *spareCapacity) tryPlaceTasksOf(m *clusterstate.Machine) bool {
 	if len(m.Attempts) == 0 {
 		return false // without tasks to move an early release gains nothing
 	}
-	if s.left == nil {
-		s.left = s.cache.fullSnapshot()
-		s.left.Fill()
+	if s.snapshot == nil {
+		s.snapshot = s.cache.fullSnapshot()
+		s.snapshot.Fill()
 	}
 	var tasks []*scheduler.Job
 	for _, a := range m.SortedAttempts() {
 		tasks = append(tasks, singleTaskView(a))
 	}
-	return s.left.TryPlaceAll(tasks)
+	return s.snapshot.TryPlaceAll(tasks)
 }
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -69,13 +69,13 @@
 }
 
 // onPoolShortage logs when a pool begins to lack capacity for the requested launches, and when the shortage ends.
-func (a *autoscaler) onPoolShortage(p scheduler.Pool, short bool) {
-	condition := a.shortPools[p]
+func (a *autoscaler) onPoolShortage(pool scheduler.Pool, short bool) {
+	condition := a.shortPools[pool]
 	if condition == nil {
 		condition = &loggedCondition{}
-		a.shortPools[p] = condition
+		a.shortPools[pool] = condition
 	}
-	condition.update(short, a.env.now, a.env.log, poolShortageMessages, "type", p.Type, "zone", p.Zone, "spot", p.Spot)
+	condition.update(short, a.env.now, a.env.log, poolShortageMessages, "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot)
 }
 
 // A plan launches a limited number of machines, so that machines that finish booting before the next plan are used
@@ -98,9 +98,9 @@
 	plan := a.cache.snapshotForPlan()
 	plan.Jobs = a.forecast.appendHeadroom(plan.Jobs)
 	inFlight := a.addLaunching(plan)
-	blocked := func(p scheduler.Pool) bool {
+	blocked := func(pool scheduler.Pool) bool {
 		// A machine that boots in a partitioned zone can't reach the leader but is charged for.
-		return a.partitions.isPartitioned(p.Zone) || a.pool.IsBackingOff(p) || inFlight[p] > 0
+		return a.partitions.isPartitioned(pool.Zone) || a.pool.IsBackingOff(pool) || inFlight[pool] > 0
 	}
 	a.launch(plan.Plan(a.catalog.types, blocked, a.maxLaunches()))
 	needed := map[string]bool{}
@@ -111,9 +111,9 @@
 	a.scaleIn(needed)
 }
 
-// launchingMachineRoom is the task capacity that is assumed for a machine whose launch request is in flight: more tasks
-// than fit into any machine.
-const launchingMachineRoom = 1 << 20
+// launchingTaskCapacity is the task capacity that is assumed for a machine whose launch request is in flight: more
+// tasks than fit into any machine.
+const launchingTaskCapacity = 1 << 20
 
 // addLaunching adds the machines of in-flight launch requests to a plan, and counts them by pool.
 func (a *autoscaler) addLaunching(plan *scheduler.Snapshot) map[scheduler.Pool]int {
@@ -126,7 +126,7 @@
 		}
 		for range request.Count {
 			plan.AddMachine(&scheduler.Machine{Type: t, Zone: request.Zone, Spot: request.Spot,
-				Free: t.Size, TaskCapacity: launchingMachineRoom, Booting: true})
+				Free: t.Size, TaskCapacity: launchingTaskCapacity, Booting: true})
 		}
 	}
 	return inFlight
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -31,15 +31,15 @@
 	// typesGeneration is the generation of the machine types that the machines' views refer to.
 	typesGeneration int
 	// machineList is the cluster state's list of machines at the last synchronization. cachedMachines holds the cached
-	// machines in the same order; machineOf holds them by machine.
-	machineList    []*clusterstate.Machine
-	cachedMachines []*cachedMachine
-	machineOf      map[*clusterstate.Machine]*cachedMachine
+	// machines in the same order; cachedByMachine holds them by machine.
+	machineList     []*clusterstate.Machine
+	cachedMachines  []*cachedMachine
+	cachedByMachine map[*clusterstate.Machine]*cachedMachine
 
-	// cachedJobs holds the jobs that may have waiting tasks; waitingOrder lists the same jobs in the order in which they
+	// cachedJobs holds the jobs that may have waiting tasks; cachedJobOrder lists the same jobs in the order in which they
 	// were added.
-	cachedJobs   map[*clusterstate.Job]*cachedJob
-	waitingOrder []*clusterstate.Job
+	cachedJobs     map[*clusterstate.Job]*cachedJob
+	cachedJobOrder []*clusterstate.Job
 
 	// quotas are copies of the cluster state's quotas with the part that is reserved for services, by team.
 	quotas map[string]*scheduler.Quota
@@ -64,7 +64,7 @@
 
 // rebuild drops all cached machines; the next snapshot reads them again from the cluster state.
 func (c *schedulerCache) rebuild() {
-	c.fleet, c.machineOf = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
+	c.fleet, c.cachedByMachine = scheduler.NewFleet(), map[*clusterstate.Machine]*cachedMachine{}
 	c.machineList, c.cachedMachines = nil, nil
 	c.typesGeneration = c.catalog.typesGeneration
 }
@@ -122,7 +122,7 @@
 	snapshot := c.emptySnapshot()
 	reservedTasks := c.placement.activeReservations()
 	c.syncFleet(snapshot)
-	viewOf := make(map[*clusterstate.Job]*scheduler.Job, len(c.state.Jobs))
+	viewByJob := make(map[*clusterstate.Job]*scheduler.Job, len(c.state.Jobs))
 	views := make([]scheduler.Job, len(c.state.Jobs)) // one allocation for the views of all jobs
 	for i, j := range c.state.SortedJobs() {
 		if !j.Stored {
@@ -134,33 +134,33 @@
 		if len(waiting) > 0 {
 			view.InZone = j.AttemptsByZone()
 		}
-		viewOf[j] = view
+		viewByJob[j] = view
 		snapshot.Jobs = append(snapshot.Jobs, view)
 	}
-	c.addRunningTasks(viewOf)
+	c.addRunningTasks(viewByJob)
 	return snapshot
 }
 
 // addRunningTasks lists the running tasks in the views of the schedulable machines. All lists share one array.
-func (c *schedulerCache) addRunningTasks(viewOf map[*clusterstate.Job]*scheduler.Job) {
+func (c *schedulerCache) addRunningTasks(viewByJob map[*clusterstate.Job]*scheduler.Job) {
 	attempts := 0
-	for _, e := range c.cachedMachines {
-		attempts += len(e.machine.Attempts)
+	for _, cached := range c.cachedMachines {
+		attempts += len(cached.machine.Attempts)
 	}
 	running := make([]scheduler.RunningTask, 0, attempts)
-	for _, e := range c.cachedMachines {
-		if e.inFleet {
+	for _, cached := range c.cachedMachines {
+		if cached.inFleet {
 			first := len(running)
-			running = c.views.appendRunningTasks(running, e.machine, viewOf)
-			e.view.Running = running[first:len(running):len(running)]
+			running = c.views.appendRunningTasks(running, cached.machine, viewByJob)
+			cached.view.Running = running[first:len(running):len(running)]
 		}
 	}
 }
 
 // endRound clears the lists of running tasks, which only a round needs.
 func (c *schedulerCache) endRound() {
-	for _, e := range c.cachedMachines {
-		e.view.Running = nil
+	for _, cached := range c.cachedMachines {
+		cached.view.Running = nil
 	}
 }
 
--- a/internal/controller/scheduler_cache_jobs.go
+++ b/internal/controller/scheduler_cache_jobs.go
@@ -25,8 +25,8 @@
 	for _, j := range c.state.TakeJobsToSchedule() {
 		c.addJob(j)
 	}
-	list, order := c.jobBuffer[:0], c.waitingOrder[:0]
-	for _, j := range c.waitingOrder {
+	jobs, remainingOrder := c.jobBuffer[:0], c.cachedJobOrder[:0]
+	for _, j := range c.cachedJobOrder {
 		cached := c.cachedJobs[j]
 		if c.state.Jobs[j.Spec.UID] != j {
 			delete(c.cachedJobs, j)
@@ -40,20 +40,20 @@
 			delete(c.cachedJobs, j) // TakeJobsToSchedule returns the job again after an attempt of it is removed
 			continue
 		}
-		order = append(order, j)
+		remainingOrder = append(remainingOrder, j)
 		if len(waiting) > 0 {
-			list = append(list, c.refreshJob(j, cached, waiting, resume, reservedTasks[j.Spec.UID]))
+			jobs = append(jobs, c.refreshJob(j, cached, waiting, resume, reservedTasks[j.Spec.UID]))
 		}
 	}
-	c.jobBuffer, c.waitingOrder = list, order
-	return list
+	c.jobBuffer, c.cachedJobOrder = jobs, remainingOrder
+	return jobs
 }
 
 // addJob adds a job to the cached jobs, which each snapshot examines for waiting tasks.
 func (c *schedulerCache) addJob(j *clusterstate.Job) {
 	if c.cachedJobs[j] == nil {
 		c.cachedJobs[j] = &cachedJob{}
-		c.waitingOrder = append(c.waitingOrder, j)
+		c.cachedJobOrder = append(c.cachedJobOrder, j)
 	}
 }
 
--- a/internal/controller/scheduler_cache_machines.go
+++ b/internal/controller/scheduler_cache_machines.go
@@ -30,28 +30,28 @@
 // syncMachineList adds new machines to the cache and drops machines that were removed from the cluster state. The
 // cluster state returns the same list until its set of machines changes.
 func (c *schedulerCache) syncMachineList() {
-	list := c.machines.sortedMachines()
-	if len(list) == len(c.machineList) && (len(list) == 0 || &list[0] == &c.machineList[0]) {
+	current := c.machines.sortedMachines()
+	if len(current) == len(c.machineList) && (len(current) == 0 || &current[0] == &c.machineList[0]) {
 		return
 	}
-	c.machineList = list
-	for _, e := range c.cachedMachines {
-		e.stillListed = false
+	c.machineList = current
+	for _, cached := range c.cachedMachines {
+		cached.stillListed = false
 	}
-	machines := make([]*cachedMachine, 0, len(list))
-	for _, m := range list {
-		e := c.machineOf[m]
-		if e == nil {
-			e = &cachedMachine{machine: m}
-			c.machineOf[m] = e
+	machines := make([]*cachedMachine, 0, len(current))
+	for _, m := range current {
+		cached := c.cachedByMachine[m]
+		if cached == nil {
+			cached = &cachedMachine{machine: m}
+			c.cachedByMachine[m] = cached
 		}
-		e.stillListed = true
-		machines = append(machines, e)
+		cached.stillListed = true
+		machines = append(machines, cached)
 	}
-	for _, e := range c.cachedMachines {
-		if !e.stillListed {
-			c.removeFromFleet(e)
-			delete(c.machineOf, e.machine)
+	for _, cached := range c.cachedMachines {
+		if !cached.stillListed {
+			c.removeFromFleet(cached)
+			delete(c.cachedByMachine, cached.machine)
 		}
 	}
 	c.cachedMachines = machines
@@ -62,9 +62,9 @@
 // machines.
 func (c *schedulerCache) assignPositions() {
 	last := 0
-	for i, e := range c.cachedMachines {
-		if e.hasPosition {
-			last = e.position
+	for i, cached := range c.cachedMachines {
+		if cached.hasPosition {
+			last = cached.position
 			continue
 		}
 		next := last + 2*positionGap
@@ -75,27 +75,27 @@
 			c.renumberPositions()
 			return
 		}
-		e.position, e.hasPosition = last+min(positionGap, (next-last)/2), true
-		last = e.position
+		cached.position, cached.hasPosition = last+min(positionGap, (next-last)/2), true
+		last = cached.position
 	}
 }
 
 // renumberPositions assigns new positions to all machines. It first removes them from the fleet, which is ordered by
 // position.
 func (c *schedulerCache) renumberPositions() {
-	for _, e := range c.cachedMachines {
-		c.removeFromFleet(e)
+	for _, cached := range c.cachedMachines {
+		c.removeFromFleet(cached)
 	}
-	for i, e := range c.cachedMachines {
-		e.position, e.hasPosition = (i+1)*positionGap, true
+	for i, cached := range c.cachedMachines {
+		cached.position, cached.hasPosition = (i+1)*positionGap, true
 	}
 }
 
 // removeFromFleet removes a machine from the fleet if the fleet contains it.
-func (c *schedulerCache) removeFromFleet(e *cachedMachine) {
-	if e.inFleet {
-		c.fleet.Remove(&e.view)
-		e.inFleet = false
+func (c *schedulerCache) removeFromFleet(cached *cachedMachine) {
+	if cached.inFleet {
+		c.fleet.Remove(&cached.view)
+		cached.inFleet = false
 	}
 }
 
@@ -103,9 +103,9 @@
 // the capacity of the machines that are up, and sets Draining if a draining machine still has replicas.
 func (c *schedulerCache) syncMachines(snapshot *scheduler.Snapshot) {
 	now := c.env.now
-	list := c.machineBuffer[:0]
-	for _, e := range c.cachedMachines {
-		m := e.machine
+	schedulable := c.machineBuffer[:0]
+	for _, cached := range c.cachedMachines {
+		m := cached.machine
 		if m.EverReported && !m.Releasing {
 			snapshot.Capacity = snapshot.Capacity.Plus(m.Size)
 		}
@@ -113,36 +113,36 @@
 			snapshot.Draining = snapshot.Draining || movesReplicas(m)
 		}
 		if !c.health.isSchedulable(m) {
-			c.removeFromFleet(e)
+			c.removeFromFleet(cached)
 			continue
 		}
-		if c.isStale(e) {
+		if c.isStale(cached) {
 			t := c.catalog.machineType(m.Type)
 			if t == nil {
-				c.removeFromFleet(e)
+				c.removeFromFleet(cached)
 				continue
 			}
-			c.refreshMachine(e, t)
+			c.refreshMachine(cached, t)
 		}
-		list = append(list, &e.view)
+		schedulable = append(schedulable, &cached.view)
 	}
-	c.machineBuffer, snapshot.Machines = list, list
+	c.machineBuffer, snapshot.Machines = schedulable, schedulable
 }
 
 // isStale reports whether the machine has changed since its view was made, or the scheduler has changed the view.
-func (c *schedulerCache) isStale(e *cachedMachine) bool {
-	m := e.machine
-	return !e.inFleet || e.view.Dirty || e.revision != m.Revision() || e.size != m.Size ||
-		e.view.ReservedFor != c.placement.reservations[m.ID].job
+func (c *schedulerCache) isStale(cached *cachedMachine) bool {
+	m := cached.machine
+	return !cached.inFleet || cached.view.Dirty || cached.revision != m.Revision() || cached.size != m.Size ||
+		cached.view.ReservedFor != c.placement.reservations[m.ID].jobID
 }
 
 // refreshMachine recreates the view of a machine from the cluster state.
-func (c *schedulerCache) refreshMachine(e *cachedMachine, t *scheduler.Type) {
-	m := e.machine
-	e.view = c.views.machineView(m, t)
-	setImages(&e.view, m)
-	e.revision, e.size, e.inFleet = m.Revision(), m.Size, true
-	c.fleet.Update(&e.view, e.position)
+func (c *schedulerCache) refreshMachine(cached *cachedMachine, t *scheduler.Type) {
+	m := cached.machine
+	cached.view = c.views.machineView(m, t)
+	setImages(&cached.view, m)
+	cached.revision, cached.size, cached.inFleet = m.Revision(), m.Size, true
+	c.fleet.Update(&cached.view, cached.position)
 }
 
 // movesReplicas reports whether a draining machine still has replicas, which need capacity on other machines.
--- a/internal/controller/scheduler_cache_verify.go
+++ b/internal/controller/scheduler_cache_verify.go
@@ -11,13 +11,13 @@
 		return
 	}
 	for i := range min(machinesPerVerification, len(c.cachedMachines)) {
-		e := c.cachedMachines[(c.nextVerified+i)%len(c.cachedMachines)]
-		if c.matchesState(e) {
+		cached := c.cachedMachines[(c.nextVerified+i)%len(c.cachedMachines)]
+		if c.matchesState(cached) {
 			continue
 		}
 		if !c.driftLogged {
 			c.driftLogged = true
-			c.env.log.Error("scheduler cache differs from the cluster state", "machine", e.machine.ID)
+			c.env.log.Error("scheduler cache differs from the cluster state", "machine", cached.machine.ID)
 		}
 		c.rebuild()
 		return
@@ -27,11 +27,11 @@
 
 // matchesState reports whether a machine's view agrees with the cluster state. A stale view, which the next snapshot
 // refreshes, counts as a match.
-func (c *schedulerCache) matchesState(e *cachedMachine) bool {
-	if c.typesGeneration != c.catalog.typesGeneration || c.isStale(e) {
+func (c *schedulerCache) matchesState(cached *cachedMachine) bool {
+	if c.typesGeneration != c.catalog.typesGeneration || c.isStale(cached) {
 		return true
 	}
-	m, view := e.machine, &e.view
+	m, view := cached.machine, &cached.view
 	fresh := c.views.machineView(m, view.Type)
 	setImages(&fresh, m)
 	return fresh.Free == view.Free && fresh.TaskCapacity == view.TaskCapacity && fresh.Used == view.Used && fresh.Zone == view.Zone &&
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// patienceBoots is the number of boot times after which the scheduler assumes that no machine will be launched for a
+// longWaitBoots is the number of boot times after which the scheduler assumes that no machine will be launched for a
 // waiting job.
-const patienceBoots = 2
+const longWaitBoots = 2
 
 // updateJobView overwrites a view with the job's current state, except for its tasks by zone. reservedTasks is the
 // number of the job's tasks for which machines are reserved.
@@ -111,7 +111,7 @@
 	view.StartObjectiveS = v.waitObjective(j.Spec.Class)
 	view.AvoidsAccelerators = view.CanAvoidAccelerators(v.catalog.types)
 	view.UntilDeadlineS, view.DeadlineMissed = v.deadlineSlack(j)
-	view.WaitedTwoBoots = float64(v.env.wall-j.Submitted)/1000 > patienceBoots*v.catalog.longestBootS()
+	view.WaitedTwoBoots = float64(v.env.wall-j.Submitted)/1000 > longWaitBoots*v.catalog.longestBootS()
 	view.AvoidMachines = j.Failures.AvoidedMachines(v.env.now, v.env.cfg.CancelTimeout())
 	view.Starved = j.WaitingSince > 0 && v.env.now > j.WaitingSince+seconds(v.catalog.longestBootS())
 	view.Reserved = min(reservedTasks, len(view.Waiting))
@@ -135,7 +135,7 @@
 	return scheduler.Machine{
 		ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot,
 		Free: m.Size.Minus(m.Used), TaskCapacity: maxAttempts - len(m.Attempts), Used: len(m.Attempts) > 0,
-		ReservedFor: v.placement.reservations[m.ID].job, ImageSet: v.state.ImageSet(m),
+		ReservedFor: v.placement.reservations[m.ID].jobID, ImageSet: v.state.ImageSet(m),
 	}
 }
 
@@ -157,17 +157,17 @@
 	}
 }
 
-// appendRunningTasks appends the tasks of a machine that may be preempted: the tasks of the jobs in viewOf whose stop
-// has not been requested.
+// appendRunningTasks appends the tasks of a machine that may be preempted: the tasks of the jobs in viewByJob whose
+// stop has not been requested.
 func (v *schedulerViews) appendRunningTasks(
-	list []scheduler.RunningTask, m *clusterstate.Machine, viewOf map[*clusterstate.Job]*scheduler.Job,
+	running []scheduler.RunningTask, m *clusterstate.Machine, viewByJob map[*clusterstate.Job]*scheduler.Job,
 ) []scheduler.RunningTask {
 	for _, a := range m.SortedAttempts() {
-		if view := viewOf[a.Job]; view != nil && !a.StopRequested {
-			list = append(list, scheduler.RunningTask{Job: view, Index: a.Index, RunningS: (v.env.now - a.AddedAt).Seconds()})
+		if view := viewByJob[a.Job]; view != nil && !a.StopRequested {
+			running = append(running, scheduler.RunningTask{Job: view, Index: a.Index, RunningS: (v.env.now - a.AddedAt).Seconds()})
 		}
 	}
-	return list
+	return running
 }
 
 // serviceReserveRounds is the number of rounds for whose expected service arrivals each team's quota is reserved.
@@ -181,19 +181,19 @@
 	if windowS == 0 {
 		return
 	}
-	reserved := serviceReserveRounds * v.env.cfg.Operator.Green.RoundS / windowS // fraction of the window's arrivals
+	reservedFraction := serviceReserveRounds * v.env.cfg.Operator.Green.RoundS / windowS // of the window's arrivals
 	for _, history := range v.forecast.arrivals {
-		for _, second := range history.recent(from) {
-			reserveArrivals(quotas, second.services, reserved)
+		for _, second := range history.entriesSince(from) {
+			reserveQuotaForArrivals(quotas, second.services, reservedFraction)
 		}
 	}
 }
 
-// reserveArrivals reserves a fraction of the arrived need in the quota of each team.
-func reserveArrivals(quotas map[string]*scheduler.Quota, arrived map[string]scheduler.Resources, part float64) {
-	for team, need := range arrived {
+// reserveQuotaForArrivals reserves a fraction of the arrived need in the quota of each team.
+func reserveQuotaForArrivals(quotas map[string]*scheduler.Quota, needByTeam map[string]scheduler.Resources, fraction float64) {
+	for team, need := range needByTeam {
 		if quota := quotas[team]; quota != nil {
-			quota.ServiceReserve = quota.ServiceReserve.Plus(need.Times(part))
+			quota.ServiceReserve = quota.ServiceReserve.Plus(need.Times(fraction))
 		}
 	}
 }
@@ -202,9 +202,9 @@
 // has none.
 func (v *schedulerViews) waitObjective(class string) float64 {
 	shortest := 0.0
-	for _, o := range v.env.cfg.Cluster.Objectives {
-		if o.Kind == "wait" && o.Class == class && (shortest == 0 || o.WithinS < shortest) {
-			shortest = o.WithinS
+	for _, objective := range v.env.cfg.Cluster.Objectives {
+		if objective.Kind == "wait" && objective.Class == class && (shortest == 0 || objective.WithinS < shortest) {
+			shortest = objective.WithinS
 		}
 	}
 	return shortest
@@ -214,28 +214,28 @@
 // deadline multiple that its class's objectives count. The expected end assumes that the tasks start now and run for
 // half of the owner's estimate, as estimates are often wrong by half. The slack is infinite for jobs without a
 // deadline. late is set if the job can't meet any of the deadline multiples.
-func (v *schedulerViews) deadlineSlack(j *clusterstate.Job) (left float64, late bool) {
-	left = math.Inf(1)
+func (v *schedulerViews) deadlineSlack(j *clusterstate.Job) (slack float64, missed bool) {
+	slack = math.Inf(1)
 	if j.Spec.Service || j.Spec.DeadlineS <= 0 {
-		return left, false
+		return slack, false
 	}
 	end := float64(v.env.wall-j.Submitted)/1000 + j.Spec.EstimateS/2
-	late = true
+	missed = true
 	for _, multiple := range v.deadlineMultiples(j.Spec.Class) {
 		if due := j.Spec.DeadlineS * multiple; end <= due {
-			left, late = min(left, due-end), false
+			slack, missed = min(slack, due-end), false
 		}
 	}
-	return left, late
+	return slack, missed
 }
 
 // deadlineMultiples are the multiples of a deadline that the objectives of a class count: 1 and the multiples in the
 // settings.
 func (v *schedulerViews) deadlineMultiples(class string) []float64 {
 	multiples := []float64{1}
-	for _, o := range v.env.cfg.Cluster.Objectives {
-		if o.Kind == "deadline" && o.Class == class && o.Times > 0 {
-			multiples = append(multiples, o.Times)
+	for _, objective := range v.env.cfg.Cluster.Objectives {
+		if objective.Kind == "deadline" && objective.Class == class && objective.Times > 0 {
+			multiples = append(multiples, objective.Times)
 		}
 	}
 	return multiples
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -48,16 +48,16 @@
 
 	// reservations holds the reservations of machines for jobs, by machine id.
 	reservations map[string]reservation
-	// searchedJobs holds the ids of the jobs for which earlier rounds, each of which examines a limited number of
+	// examinedJobs holds the ids of the jobs for which earlier rounds, each of which examines a limited number of
 	// machines, found no preemption; see scheduler.Snapshot.Preempt.
-	searchedJobs map[string]bool
+	examinedJobs map[string]bool
 }
 
 func newTaskScheduler(env *environment) *taskScheduler {
 	green := env.cfg.Operator.Green
 	return &taskScheduler{
 		reservations: map[string]reservation{},
-		searchedJobs: map[string]bool{},
+		examinedJobs: map[string]bool{},
 		roundAt:      env.now + seconds(green.RoundS),
 		fillAt:       env.now + seconds(green.FillS),
 		countersAt:   env.now + seconds(green.CountersS),
@@ -94,11 +94,11 @@
 }
 
 // isDue reports whether a periodic duty is due at the time at, and if so sets at to the next due time.
-func (t *taskScheduler) isDue(at *time.Duration, interval time.Duration) bool {
-	if t.env.now < *at {
+func (t *taskScheduler) isDue(dueAt *time.Duration, interval time.Duration) bool {
+	if t.env.now < *dueAt {
 		return false
 	}
-	*at = t.env.now + interval
+	*dueAt = t.env.now + interval
 	return true
 }
 
@@ -122,19 +122,19 @@
 
 // startPlacements starts the tasks that a fill has placed, and drops the reservations of the gangs that it has placed.
 func (t *taskScheduler) startPlacements(placements []scheduler.Placement) {
-	numbers := map[*clusterstate.Job]uint64{} // the latest attempt number by job; all tasks of a gang share one number
+	numberByJob := map[*clusterstate.Job]uint64{} // the latest attempt number by job; all tasks of a gang share one number
 	for _, p := range placements {
 		j := t.state.Jobs[p.Job.ID]
 		switch {
-		case j.Gang != nil && numbers[j] != 0:
+		case j.Gang != nil && numberByJob[j] != 0:
 		case j.Gang != nil && j.Gang.State == clusterstate.GangGathering:
-			numbers[j] = j.Gang.Number // this task replaces a lost task while its peers wait at the gang barrier
+			numberByJob[j] = j.Gang.Number // this task replaces a lost task while its peers wait at the gang barrier
 		default:
-			numbers[j] = t.attemptNumbers.take()
+			numberByJob[j] = t.attemptNumbers.take()
 		}
-		t.startTask(j, p.Index, t.state.Machines[p.Machine.ID], numbers[j])
+		t.startTask(j, p.Index, t.state.Machines[p.Machine.ID], numberByJob[j])
 	}
-	for j := range numbers {
+	for j := range numberByJob {
 		if j.Gang != nil {
 			t.dropReservations(j.Spec.UID) // the whole gang is placed, on the reserved machines or on others
 		}
@@ -144,7 +144,7 @@
 // startTask adds an attempt to the cluster state and stores the machine's record. The run command is sent to the
 // worker once the record is durable. An attempt whose stop was requested before that is removed without a run command.
 func (t *taskScheduler) startTask(j *clusterstate.Job, index int, m *clusterstate.Machine, number uint64) {
-	t.useReservation(m.ID, j.Spec.UID)
+	t.consumeReservation(m.ID, j.Spec.UID)
 	a := t.state.AddAttempt(m, j, index, number, t.env.now)
 	t.failures.noteProbingStart(j)
 	t.env.log.Debug("task placed", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
@@ -186,8 +186,8 @@
 	// a gang to fit into the headroom and preempts nothing for it, and the gang waits until a machine has booted.
 	snapshot.Jobs = t.forecast.appendHeadroom(snapshot.Jobs)
 	snapshot.Fill() // a task that fits into free capacity needs no preemption
-	most := max(t.env.cfg.Cluster.State.TxnOps, len(snapshot.Machines)/preemptionFleetDivisor)
-	preemption := snapshot.Preempt(most, t.searchedJobs)
+	maxPreemptions := max(t.env.cfg.Cluster.State.TxnOps, len(snapshot.Machines)/preemptionFleetDivisor)
+	preemption := snapshot.Preempt(maxPreemptions, t.examinedJobs)
 	stopTimes := map[string]time.Duration{} // by job id: the longest stop duration of the tasks preempted for the job
 	for _, stop := range preemption.Stops {
 		stopTimes[stop.For.ID] = max(stopTimes[stop.For.ID], t.stopDuration(stop.Victim.Job))
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -92,67 +92,67 @@
 
 // loadPage loads the page of records after a key, and then all following pages. step is the index of the page's prefix
 // in loadOrder.
-func (s *stateLoader) loadPage(step int, after string) {
+func (s *stateLoader) loadPage(prefixIndex int, after string) {
 	order := loadOrder(s.gating.storedRecord.storageVersion())
-	if step == len(order) {
+	if prefixIndex == len(order) {
 		s.onStateLoaded()
 		return
 	}
-	prefix := order[step]
+	prefix := order[prefixIndex]
 	if preloaded := s.preload.recordsUnder(prefix); preloaded != nil && after == "" {
-		s.requestChanges(step, prefix, preloaded)
+		s.requestChanges(prefixIndex, prefix, preloaded)
 		return
 	}
-	s.requestPage(step, prefix, after)
+	s.requestPage(prefixIndex, prefix, after)
 }
 
 // requestPage requests the page of records after a key.
-func (s *stateLoader) requestPage(step int, prefix, after string) {
+func (s *stateLoader) requestPage(prefixIndex int, prefix, after string) {
 	s.outbox.state.List(prefix, after, recordsPerPage, s.env.cfg.LeaderLease(), func(page stateclient.Page, err error) {
 		if !s.lease.ended {
-			s.onPage(step, after, page, err)
+			s.onPage(prefixIndex, after, page, err)
 		}
 	})
 }
 
 // onPage loads the records of a page and requests the next page. A failed request is retried after a pause.
-func (s *stateLoader) onPage(step int, after string, page stateclient.Page, err error) {
+func (s *stateLoader) onPage(prefixIndex int, after string, page stateclient.Page, err error) {
 	if err != nil {
-		s.timers.runAt(s.env.now+s.env.retryPause(), func() { s.loadPage(step, after) })
+		s.timers.runAt(s.env.now+s.env.retryPause(), func() { s.loadPage(prefixIndex, after) })
 		return
 	}
 	records := page.Items
 	s.loadRecords(records)
 	if page.More && len(records) > 0 {
-		s.loadPage(step, records[len(records)-1].Key)
+		s.loadPage(prefixIndex, records[len(records)-1].Key)
 		return
 	}
-	s.loadPage(step+1, "")
+	s.loadPage(prefixIndex+1, "")
 }
 
 // requestChanges requests the changes under a preloaded prefix since the preload. It is called after the election, when
 // earlier leaders can no longer write.
-func (s *stateLoader) requestChanges(step int, prefix string, preloaded *preloadedPrefix) {
+func (s *stateLoader) requestChanges(prefixIndex int, prefix string, preloaded *preloadedPrefix) {
 	const doNotBlock = 0
 	s.outbox.state.Watch(prefix, preloaded.revision, doNotBlock, s.env.cfg.LeaderLease(), func(events protocol.WatchReply, err error) {
 		if !s.lease.ended {
-			s.onChanges(step, preloaded, events, err)
+			s.onChanges(prefixIndex, preloaded, events, err)
 		}
 	})
 }
 
 // onChanges loads the preloaded records with their changes. On an error (for example if the state service no longer
 // holds all changes since the preload) the whole preload is dropped and the records are read again.
-func (s *stateLoader) onChanges(step int, preloaded *preloadedPrefix, events protocol.WatchReply, err error) {
+func (s *stateLoader) onChanges(prefixIndex int, preloaded *preloadedPrefix, events protocol.WatchReply, err error) {
 	if err != nil {
 		s.preload = nil
-		s.loadPage(step, "")
+		s.loadPage(prefixIndex, "")
 		return
 	}
-	items := preloaded.catchUp(events.Events)
+	items := preloaded.applyChanges(events.Events)
 	s.trace.failover.Preloaded += len(preloaded.items)
 	s.loadRecords(items)
-	s.loadPage(step+1, "")
+	s.loadPage(prefixIndex+1, "")
 }
 
 // loadRecords loads records. An unreadable record is logged and skipped, so that it does not block the other records.
@@ -196,8 +196,8 @@
 
 // applyCompletions marks tasks of a job as completed.
 func (s *stateLoader) applyCompletions(key string, record clusterstate.CompletionRecord) error {
-	known, err := s.state.LoadCompletions(key, record)
-	if !known {
+	jobExists, err := s.state.LoadCompletions(key, record)
+	if !jobExists {
 		s.orphanedCompletions = append(s.orphanedCompletions, key)
 	}
 	return err
