--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -54,13 +54,13 @@
 	return o
 }
 
-// call sends a request and calls then with its result. A body of any type other than []byte is encoded in the users'
-// protocol.
+// call sends a request and calls onResult with its result. A body of any type other than []byte is encoded in the
+// users' protocol.
 func (o *outbox) call(target Target, addr, method, path string, body any, timeout time.Duration, onResult func(Result)) {
 	o.callUntil(target, addr, method, path, body, timeout, 0, onResult)
 }
 
-// callUntil is like call for a request that must not be sent after the steady time until; 0: no limit.
+// callUntil is like call for a request that must not be sent after the steady time validUntil; 0: no limit.
 func (o *outbox) callUntil(
 	target Target, addr, method, path string, body any, timeout, validUntil time.Duration, onResult func(Result),
 ) {
@@ -116,7 +116,7 @@
 	o.replyUntil(to, status, body, retryAfter, 0)
 }
 
-// replyUntil is like reply for an answer that must not be sent after the steady time until; 0: no limit. A relayed
+// replyUntil is like reply for an answer that must not be sent after the steady time validUntil; 0: no limit. A relayed
 // request is answered with status 200 and the actual answer in the body, so that the relaying controller can
 // distinguish the leader's refusal from a failure between the two controllers.
 func (o *outbox) replyUntil(to requester, status int, body []byte, retryAfter int, validUntil time.Duration) {
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -213,7 +213,7 @@
 // deadlineSlack is the slack of a batch job with a deadline in seconds: the time between its expected end and the next
 // deadline multiple that its class's objectives count. The expected end assumes that the tasks start now and run for
 // half of the owner's estimate, as estimates are often wrong by half. The slack is infinite for jobs without a
-// deadline. late is set if the job can't meet any of the deadline multiples.
+// deadline. missed is set if the job can't meet any of the deadline multiples.
 func (v *schedulerViews) deadlineSlack(j *clusterstate.Job) (slack float64, missed bool) {
 	slack = math.Inf(1)
 	if j.Spec.Service || j.Spec.DeadlineS <= 0 {
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// isDue reports whether a periodic duty is due at the time at, and if so sets at to the next due time.
+// isDue reports whether a periodic duty is due, and if so sets dueAt to the next due time.
 func (t *taskScheduler) isDue(dueAt *time.Duration, interval time.Duration) bool {
 	if t.env.now < *dueAt {
 		return false
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -90,8 +90,8 @@
 	s.loadPage(0, "")
 }
 
-// loadPage loads the page of records after a key, and then all following pages. step is the index of the page's prefix
-// in loadOrder.
+// loadPage loads the page of records after a key, and then all following pages. prefixIndex is the index of the page's
+// prefix in loadOrder.
 func (s *stateLoader) loadPage(prefixIndex int, after string) {
 	order := loadOrder(s.gating.storedRecord.storageVersion())
 	if prefixIndex == len(order) {
@@ -185,7 +185,7 @@
 		s.state.TerminalJobs[uid] = clusterstate.TerminalState{Cancelled: true}
 	default:
 		if record.Spec == nil {
-			return fmt.Errorf("job record in state %q has no job specification", record.State)
+			return fmt.Errorf("job record in state %q lacks a job specification", record.State)
 		}
 		j := s.state.AddJob(record.Spec, record.Submitted)
 		j.Stored, j.Cancelling = true, record.State == clusterstate.Cancelling
