--- a/internal/controller/scheduler_cache_verify.go
+++ b/internal/controller/scheduler_cache_verify.go
@@ -1,23 +1,23 @@
 package controller
 
-// machinesPerVerification is how many machines a verification compares, so that its cost does not grow with the
-// fleet.
+// machinesPerVerification is the number of machines that a verification compares. A fixed number keeps its cost
+// independent of the fleet's size.
 const machinesPerVerification = 32
 
-// verify compares the next few machines with the cluster state. A difference is a fault of this program: the first
-// one is logged, and the cache is rebuilt.
+// verify compares the cached views of the next few machines with the cluster state. A difference is a bug in this
+// program: verify logs the first difference and rebuilds the cache.
 func (c *schedulerCache) verify() {
 	if len(c.cachedMachines) == 0 {
 		return
 	}
 	for i := range min(machinesPerVerification, len(c.cachedMachines)) {
-		e := c.cachedMachines[(c.nextVerified+i)%len(c.cachedMachines)]
-		if c.matchesState(e) {
+		cached := c.cachedMachines[(c.nextVerified+i)%len(c.cachedMachines)]
+		if c.matchesState(cached) {
 			continue
 		}
 		if !c.driftLogged {
 			c.driftLogged = true
-			c.env.log.Error("scheduler cache differs from the cluster state", "machine", e.machine.ID)
+			c.env.log.Error("scheduler cache differs from the cluster state", "machine", cached.machine.ID)
 		}
 		c.rebuild()
 		return
@@ -25,13 +25,13 @@
 	c.nextVerified = (c.nextVerified + machinesPerVerification) % len(c.cachedMachines)
 }
 
-// matchesState says whether a machine's view is as the cluster state has it. A view that the next snapshot refreshes
-// anyway counts as matching.
-func (c *schedulerCache) matchesState(e *cachedMachine) bool {
-	if c.typesGeneration != c.catalog.typesGeneration || c.isStale(e) {
+// matchesState reports whether a machine's view agrees with the cluster state. A stale view, which the next snapshot
+// refreshes, counts as a match.
+func (c *schedulerCache) matchesState(cached *cachedMachine) bool {
+	if c.typesGeneration != c.catalog.typesGeneration || c.isStale(cached) {
 		return true
 	}
-	m, view := e.machine, &e.view
+	m, view := cached.machine, &cached.view
 	fresh := c.views.machineView(m, view.Type)
 	setImages(&fresh, m)
 	return fresh.Free == view.Free && fresh.TaskCapacity == view.TaskCapacity && fresh.Used == view.Used && fresh.Zone == view.Zone &&
