--- a/internal/apicall/apicall.go
+++ b/internal/apicall/apicall.go
@@ -1,5 +1,5 @@
-// Package apicall holds what the clients of the state service and of the cloud share: how a request
-// leaves, and the errors that a request can end with. It does no I/O: the caller's Transport does.
+// Package apicall is shared by the clients of the state service and of the cloud. It defines the Transport
+// that sends requests and the errors of failed requests. It does no I/O itself.
 package apicall
 
 import (
@@ -11,40 +11,39 @@
 	"claybarrow/internal/protocol"
 )
 
-// StatusNoAnswer is the status of a request that had no answer: the connection failed or was lost,
-// or the timeout passed. The request may have been executed, or may be executed later.
+// StatusNoAnswer is the status of a request without an answer: the connection failed or was lost, or the
+// request timed out. The request may have been executed, or may be executed later.
 const StatusNoAnswer = 0
 
 // Transport sends requests to one service.
 type Transport interface {
-	// Call sends a request and returns at once. A nil body means that the request has none; any
-	// other value is encoded as MessagePack. Done is called once, later, with the HTTP status and
-	// the body of the answer, or with StatusNoAnswer and no body.
+	// Call starts a request and returns without waiting for the answer. A nil body means that the request
+	// has no body; any other value is encoded as MessagePack. done is called exactly once, after Call has
+	// returned, with the HTTP status and the body of the answer, or with StatusNoAnswer and no body.
 	Call(method, path string, body any, timeout time.Duration, done func(status int, body []byte))
 }
 
-// The reasons for a failure that errors.Is finds in a StatusError.
+// Reasons of a StatusError, for use with errors.Is.
 var (
-	// ErrNoAnswer means that there was no answer: the request may have been executed.
+	// ErrNoAnswer means that the request had no answer. The request may have been executed.
 	ErrNoAnswer = errors.New("no answer")
 	// ErrMalformedAnswer means that the answer's body could not be decoded.
 	ErrMalformedAnswer = errors.New("malformed answer")
-	// ErrInvalidRequest means that the service does not accept the request as it is (400).
+	// ErrInvalidRequest means that the service rejected the request as invalid (400).
 	ErrInvalidRequest = errors.New("invalid request")
-	// ErrRateLimited means that there were more requests than the service allows (429). The
-	// request was not executed.
+	// ErrRateLimited means that the service's rate limit was exceeded (429). The request was not executed.
 	ErrRateLimited = errors.New("rate limited")
-	// ErrUnavailable means that the service executes nothing at the moment (503).
+	// ErrUnavailable means that the service currently executes no requests (503).
 	ErrUnavailable = errors.New("service unavailable")
 )
 
-// StatusError is a request that did not succeed. Every error of a client is one.
+// StatusError is the error of a failed request. Every error that a client returns is a *StatusError.
 type StatusError struct {
-	// Operation is what was asked for, such as "renew lease".
+	// Operation is the requested operation, such as "renew lease".
 	Operation string
 	// Status is the HTTP status, or StatusNoAnswer.
 	Status int
-	// Reason is what the status means for this operation; nil if it means nothing special.
+	// Reason is the meaning of the status for this operation; nil if it has no specific meaning.
 	Reason error
 }
 
@@ -58,8 +57,8 @@
 // Unwrap returns the reason, or nil.
 func (e *StatusError) Unwrap() error { return e.Reason }
 
-// NewError makes the error of an operation that ended with a status other than 200. The reason is
-// the one that this status has for all operations.
+// NewError creates the error of an operation that ended with a status other than 200. The reason is the
+// status's general meaning, which is the same for all operations.
 func NewError(operation string, status int) *StatusError {
 	e := &StatusError{Operation: operation, Status: status}
 	switch status {
@@ -75,8 +74,8 @@
 	return e
 }
 
-// ReadAnswer decodes the body of an answer with status 200 into answer, which may be nil if the body
-// does not matter. It returns an error if the status is another one or the body can't be decoded.
+// ReadAnswer decodes the body of an answer with status 200 into answer; a nil answer discards the body. It
+// returns an error if the status is not 200 or the body cannot be decoded.
 func ReadAnswer(operation string, status int, body []byte, answer any) error {
 	if status != http.StatusOK {
 		return NewError(operation, status)
@@ -87,8 +86,8 @@
 	return DecodeBody(operation, status, body, answer)
 }
 
-// Decoded returns the function that takes the raw answer of an operation, and passes on the decoded body
-// of one with status 200, or the error and no answer.
+// Decoded adapts done to a raw answer: the returned function decodes the body of an answer with status 200 and
+// passes it to done, or passes the zero value and an error.
 func Decoded[Answer any](operation string, done func(Answer, error)) func(status int, body []byte) {
 	return func(status int, body []byte) {
 		var answer, none Answer
@@ -100,7 +99,7 @@
 	}
 }
 
-// DecodeBody decodes the body of an answer of any status.
+// DecodeBody decodes the body of an answer with any status. status is used in the error only.
 func DecodeBody(operation string, status int, body []byte, answer any) error {
 	if err := protocol.Decode(body, answer); err != nil {
 		return &StatusError{Operation: operation, Status: status, Reason: fmt.Errorf("%w: %w", ErrMalformedAnswer, err)}
@@ -108,7 +107,7 @@
 	return nil
 }
 
-// StatusOf returns the HTTP status that an error of a client carries; StatusNoAnswer if it has none.
+// StatusOf returns the HTTP status of the StatusError in err, or StatusNoAnswer if err contains none.
 func StatusOf(err error) int {
 	if failure := (*StatusError)(nil); errors.As(err, &failure) {
 		return failure.Status
@@ -116,15 +115,15 @@
 	return StatusNoAnswer
 }
 
-// IsOutcomeUnknown reports whether a request that ended with this error may have been executed all
-// the same: there was no answer, or none that could be read.
+// IsOutcomeUnknown reports whether a request that ended with this error may have been executed nevertheless:
+// it had no answer, or its answer could not be decoded.
 func IsOutcomeUnknown(err error) bool {
 	return errors.Is(err, ErrNoAnswer) || errors.Is(err, ErrMalformedAnswer)
 }
 
-// IsRetryable reports whether the same request may succeed later: there was no answer, or the
-// service was overloaded or in trouble (429 and above). The lower statuses are answers to the
-// request itself, which a repetition would not change.
+// IsRetryable reports whether a retry of the same request may succeed: the request had no answer, or the
+// service was overloaded or failing (status 429 and above). A lower status is a verdict on the request
+// itself, which a retry would not change.
 func IsRetryable(err error) bool {
 	failure := (*StatusError)(nil)
 	if !errors.As(err, &failure) {
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -1,7 +1,7 @@
-// Package cloudclient is the client of the cloud's interface for machines. It alone knows the
-// cloud's paths, status codes and error texts. It does no I/O: requests leave through an
-// apicall.Transport, and each method returns at once and passes the outcome to its done function
-// later. Errors are *apicall.StatusError.
+// Package cloudclient is the client of the cloud's API for machines. It encapsulates the API's paths, status
+// codes and error texts. It does no I/O itself: requests are sent through an apicall.Transport. Each
+// method returns without waiting and passes the outcome to its done function later. Errors are of type
+// *apicall.StatusError.
 package cloudclient
 
 import (
@@ -14,7 +14,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// Paths of the cloud. The machine's name behind listAfter is not escaped.
+// Paths of the cloud's API. The machine's name that follows listAfter is not escaped.
 const (
 	typesPath      = "/flavors"
 	machinesPath   = "/machines"
@@ -23,7 +23,7 @@
 	listAfter      = "&after="
 )
 
-// Names of the operations in errors.
+// Operation names in errors.
 const (
 	operationTypes  = "list machine types"
 	operationList   = "list machines"
@@ -31,27 +31,27 @@
 	operationDelete = "delete machines"
 )
 
-// noCapacityText is the error text of a 503 that is no outage.
+// noCapacityText is the error text that distinguishes a 503 for lack of capacity from an outage.
 const noCapacityText = "no capacity"
 
-// ErrNoCapacity means that the cloud has no machine left of a type in a zone (503 with the text "no
-// capacity"). A 503 with another text is an outage: apicall.ErrUnavailable.
+// ErrNoCapacity means that the cloud has no free machine of the type in the zone (503 with the text "no
+// capacity"). A 503 with any other text is an outage: apicall.ErrUnavailable.
 var ErrNoCapacity = errors.New("no capacity")
 
-// Client makes requests to the cloud.
+// Client sends requests to the cloud.
 type Client struct{ transport apicall.Transport }
 
-// New makes a client that sends its requests by a transport.
+// New creates a client that sends its requests through a transport.
 func New(transport apicall.Transport) *Client { return &Client{transport: transport} }
 
-// MachineTypes reads the machine types with their current prices. The list may be empty.
+// MachineTypes lists the machine types with their current prices. The list may be empty.
 func (c *Client) MachineTypes(timeout time.Duration, done func([]protocol.MachineType, error)) {
 	takeAnswer := func(answer protocol.MachineTypes, err error) { done(answer.Types, err) }
 	c.transport.Call(http.MethodGet, typesPath, nil, timeout, apicall.Decoded(operationTypes, takeAnswer))
 }
 
-// List reads a page of at most limit machines, in the order of their names. It starts behind the
-// machine after; "" starts at the first.
+// List reads a page of at most limit machines, sorted by name. The page starts after the machine named after,
+// or with the first machine if after is "".
 func (c *Client) List(after string, limit int, timeout time.Duration, done func(protocol.MachineList, error)) {
 	path := fmt.Sprintf(listPathFormat, limit)
 	if after != "" {
@@ -60,9 +60,9 @@
 	c.transport.Call(http.MethodGet, path, nil, timeout, apicall.Decoded(operationList, done))
 }
 
-// Launch asks for machines and returns the names of those that were launched, which may be fewer than
-// asked for. It is idempotent: the same request name launches nothing twice. Reasons of its own:
-// ErrNoCapacity.
+// Launch requests machines and passes the names of the launched machines to done, which may be fewer than
+// requested. It is idempotent: a retry with the same request name launches no further machines. Besides
+// the general reasons, the error's reason may be ErrNoCapacity.
 func (c *Client) Launch(request protocol.LaunchRequest, timeout time.Duration, done func(names []string, err error)) {
 	takeAnswer := func(launched protocol.MachineIDs, err error) { done(launched.Machines, err) }
 	c.transport.Call(http.MethodPost, machinesPath, request, timeout, func(status int, body []byte) {
@@ -74,7 +74,7 @@
 	})
 }
 
-// Delete deletes machines. After success all of them are gone.
+// Delete deletes machines. On success all of them have been deleted.
 func (c *Client) Delete(names []string, timeout time.Duration, done func(error)) {
 	request := protocol.MachineIDs{Machines: names}
 	c.transport.Call(http.MethodPost, deletePath, request, timeout, func(status int, _ []byte) {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// Source is the file that a setting comes from, as error texts name it.
+// Source is the file that a setting is read from. Its text is part of error messages.
 type Source string
 
-// The two files.
+// Sources of settings.
 const (
 	PlatformSource Source = "settings"
 	OperatorSource Source = "operators' settings"
 )
 
-// FieldError is the error of a setting that is missing, out of range or in conflict with another.
+// FieldError means that a setting is missing, is out of range or conflicts with another setting.
 type FieldError struct {
 	Source Source
-	// Field is the key with its path, as in the file: cluster.workers.lease_s.
+	// Field is the path of the key in the file, such as cluster.workers.lease_s.
 	Field string
-	// Value is the setting's value; nil where Reason is enough.
+	// Value is the value of the setting; nil if the message omits it.
 	Value any
 	// Reason says what is wrong with the value.
 	Reason string
-	// Err is the error that Reason was taken from, if any.
+	// Err is the underlying error, if any.
 	Err error
 }
 
-// Error is one line that names the file, the field and what is wrong.
+// Error returns one line with the file, the field, the value if any, and the reason.
 func (e *FieldError) Error() string {
 	if e.Value == nil {
 		return fmt.Sprintf("%s: %s: %s", e.Source, e.Field, e.Reason)
@@ -35,10 +35,10 @@
 // Unwrap returns Err.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// UnknownKeyError is the error of a key in the operators' file that this version does not know.
+// UnknownKeyError means that the operators' file contains a key that this version does not support.
 type UnknownKeyError struct{ Key string }
 
-// Error names the key.
+// Error returns one line with the file and the key.
 func (e *UnknownKeyError) Error() string {
 	return fmt.Sprintf("%s: unknown key %s", OperatorSource, e.Key)
 }
--- a/internal/config/fleet_size.go
+++ b/internal/config/fleet_size.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// The fleet's size is not in the platform's file. It follows from the guarantees, which fleets are
-// rented for: cores and accelerators of a machine as they are usual here. For the deployments known
-// it is 77% to 94% of the machines: 39 and 43 of 48, 164 of 212, 676 of 820, 557 of 648, 1,288 of
-// 1,366; and 97% of the planned 5,500.
+// Cores and accelerators of a typical machine. The platform's file does not contain the size of the fleet, so it
+// is derived from the teams' guarantees, for which the machines are rented. In the known deployments the
+// derived size is 77% to 94% of the number of machines (39 and 43 of 48, 164 of 212, 676 of 820, 557 of
+// 648, 1,288 of 1,366), and 97% of the planned 5,500.
 const (
 	usualCores        = 16.0
 	usualAccelerators = 8.0
 )
 
-// maxDerivedMachines bounds what is derived from guarantees, whatever they say.
+// maxDerivedMachines bounds the size that is derived from the guarantees.
 const maxDerivedMachines = 1e6
 
-// FleetSize is how many machines the settings describe: the operators' figure, or the number that
-// the teams' guarantees fill.
+// FleetSize returns the number of machines that the fleet is meant for: the operators' setting, or, if it is
+// not set, the number of typical machines that the teams' guarantees need.
 func (c *Config) FleetSize() int {
 	if machines := c.Operator.Fleet.Machines; machines > 0 {
 		return machines
@@ -27,13 +27,13 @@
 	return int(min(machines, maxDerivedMachines)) + 1
 }
 
-// takeOverPerMachine is what a new leader's first seconds cost, of a whole core, for each machine:
-// 39 µs for its records (12 of 3 to 5 µs), 50 for the direct request that brings it the new token,
-// 35 for its answer and first heartbeat (docs/CAPACITY.md, slopes). It is counted twice, as a
-// controller on a busy machine gets half of what it was promised.
+// takeOverPerMachine is the CPU time that a takeover costs a new leader per machine of the fleet: 39 µs to load
+// the machine's records (12 records of 3 to 5 µs), 50 µs to send the direct request with the new fencing
+// token, and 35 µs to process its answer and the first heartbeat (docs/CAPACITY.md, slopes). It is doubled
+// because a controller on a busy machine gets only half of its CPU quota.
 const takeOverPerMachine = 2 * 125 * time.Microsecond
 
-// TakeoverDuration is how long a new leader may be busy with taking over its fleet.
+// TakeoverDuration returns how long the takeover of the fleet may keep a new leader busy.
 func (c *Config) TakeoverDuration() time.Duration {
 	work := time.Duration(c.FleetSize()) * takeOverPerMachine
 	return time.Duration(float64(work) / c.Cluster.Resources.Cores)
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -12,13 +12,13 @@
 type Config struct {
 	Settings
 	Operator Operator
-	// namesGate is true if the operators' file has keys that versions before the feature gate
-	// refuse.
+	// namesGate is true if the operators' file has keys that versions without the feature gate
+	// reject.
 	namesGate bool
 }
 
-// Load reads and validates the platform's file and, if its path is not empty, the operators'. The
-// error names the file; see Parse for the contents' errors.
+// Load reads and validates the platform's file and, if its path is not empty, the operators' file. The error
+// names the file; see Parse for errors of the contents.
 func Load(platform, operator string) (*Config, error) {
 	platformText, err := os.ReadFile(platform)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return Parse(platformText, operatorText)
 }
 
-// Parse validates both files' contents. The error is a *FieldError for the first setting that is
-// wrong, an *UnknownKeyError for a key of the operators' file, or that of a decoder.
+// Parse decodes and validates the contents of both files. The error is a *FieldError for the first invalid
+// setting, an *UnknownKeyError for an unknown key of the operators' file, or a decoder's error.
 func Parse(platform, operator []byte) (*Config, error) {
 	c := &Config{}
 	c.Operator.setDefaults()
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", OperatorSource, err)
 	}
-	// What an operator mistypes must not pass for a default.
+	// Reject unknown keys: otherwise the default would silently replace the value of a mistyped key.
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, &UnknownKeyError{Key: unknown[0].String()}
 	}
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// UnconfirmedSuspicionFactor is how many times as long a suspicion lasts that no other controller confirms.
+// UnconfirmedSuspicionFactor is the suspicion timeout without any confirmation, in multiples of
+// SuspicionTimeout.
 const UnconfirmedSuspicionFactor = 3.0
 
-// validateMembership returns the error of the first setting of failure detection that is out of
-// range or contradicts another.
+// validateMembership returns the error of the first setting of the failure detector that is out of range or
+// conflicts with another setting.
 func (c *Config) validateMembership() error {
 	m := c.Operator.Membership
 	if err := validateEach(OperatorSource, []fieldRange{
@@ -24,7 +25,7 @@
 		return &FieldError{Source: OperatorSource, Field: "membership.timeout", Value: m.Timeout,
 			Reason: fmt.Sprintf("is longer than membership.probe, %v", m.Probe)}
 	}
-	// A dead controller's machines must find another one within their leases.
+	// A dead controller's machines must be able to switch to another controller before their leases expire.
 	if longest := time.Duration(float64(c.SuspicionTimeout()) * UnconfirmedSuspicionFactor); longest > c.WorkerLease() {
 		return &FieldError{Source: OperatorSource, Field: "membership.suspicion", Value: m.Suspicion,
 			Reason: fmt.Sprintf("leader's leases are up to %v, longer than the workers' lease of %v", longest, c.WorkerLease())}
@@ -36,23 +37,24 @@
 	return time.Duration(factor * float64(d))
 }
 
-// ProbeInterval is the time between two probes of a peer.
+// ProbeInterval returns the time between two probes of a peer.
 func (c *Config) ProbeInterval() time.Duration {
 	return multiply(c.LeaderLease(), c.Operator.Membership.Probe)
 }
 
-// ProbeTimeout is how long a peer's answer may take before others are asked to probe it.
+// ProbeTimeout returns how long a peer's ack may take before other controllers are asked to probe the peer.
 func (c *Config) ProbeTimeout() time.Duration {
 	return multiply(c.LeaderLease(), c.Operator.Membership.Timeout)
 }
 
-// SuspicionTimeout is the least time from the suspicion that a controller has failed to the decision that
-// it is dead. It is UnconfirmedSuspicionFactor times as long if no other controller confirms the suspicion.
+// SuspicionTimeout returns the minimum time for which a controller is suspect before it is declared dead. The time
+// is UnconfirmedSuspicionFactor times as long if no other controller confirms the suspicion.
 func (c *Config) SuspicionTimeout() time.Duration {
 	return multiply(c.LeaderLease(), c.Operator.Membership.Suspicion)
 }
 
-// RejoinMinUptime is how long a controller that came back must have been alive before it serves machines.
+// RejoinMinUptime returns how long a controller that was dead or left must be alive again before it serves
+// machines.
 func (c *Config) RejoinMinUptime() time.Duration {
 	return multiply(c.WorkerLease(), c.Operator.Membership.Steady)
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,12 +1,12 @@
 package config
 
-// Settings is the platform's file. Fields that it has and this program does not know are ignored.
+// Settings holds the contents of the platform's file. Unknown fields are ignored.
 type Settings struct {
-	// Label is this controller's name, and Zone where it runs.
+	// Label is the name of this controller, and Zone the zone in which it runs.
 	Label string `json:"label"`
 	Zone  string `json:"zone"`
-	// ClientListen is the address for users, workers and the load balancer, PeerListen the one
-	// for other controllers (host:port).
+	// ClientListen is the listen address for users, workers and the load balancer, and PeerListen the
+	// listen address for other controllers (host:port).
 	ClientListen string `json:"client_listen"`
 	PeerListen   string `json:"peer_listen"`
 	// Siblings are the other controllers.
@@ -36,8 +36,8 @@
 	Addr  string `json:"peer_addr"`
 }
 
-// Team is a team with its quota: Cores and Accelerators are guaranteed to it, CoresMax and
-// AcceleratorsMax are the most that it may use. Zero: no guarantee, or no limit.
+// Team is a team with its quota. Cores and Accelerators are its guarantees; 0: no guarantee. CoresMax and
+// AcceleratorsMax are its limits; 0: no limit.
 type Team struct {
 	Name            string  `json:"name"`
 	Cores           float64 `json:"cpus"`
@@ -46,39 +46,38 @@
 	AcceleratorsMax float64 `json:"gpus_max"`
 }
 
-// Objective is one of the users' service-level objectives: a share of the jobs of a class meets
-// it.
+// Objective is a service-level objective for users, which a share of the jobs of a class must meet.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
 	WithinS float64 `json:"within_s"`
-	Times   float64 `json:"times"` // of a job's own deadline
+	Times   float64 `json:"times"` // multiple of a job's own deadline
 	Share   float64 `json:"share"`
 }
 
-// Workers holds the workers' timing, in seconds.
+// Workers holds the timing of workers, in seconds.
 type Workers struct {
 	// HeartbeatS is the time between two heartbeats.
 	HeartbeatS float64 `json:"report_s"`
-	// LeaseS is how long a worker goes on without an answer.
+	// LeaseS is how long a worker keeps running tasks without an answer to its heartbeats.
 	LeaseS float64 `json:"lease_s"`
-	// CancelS is how long the tasks of a cancelled job may take to end.
+	// CancelS is the maximum time for the tasks of a cancelled job to end.
 	CancelS float64 `json:"cancel_s"`
-	// GangPeerS is how long tasks of a gang wait for one another when they stop.
+	// GangPeerS is how long the tasks of a gang wait for each other when they stop.
 	GangPeerS float64 `json:"gang_peer_s"`
 }
 
-// State holds the state service's limits.
+// State holds the limits of the state service.
 type State struct {
 	RPS      float64 `json:"rps"`       // requests per second
 	WriteRPS float64 `json:"write_rps"` // changes per second
-	ValueKB  float64 `json:"value_kb"`  // of one value, in KiB
-	TxnOps   int     `json:"txn_ops"`   // changes in one transaction
-	// Next are limits that will hold from some moment on, without notice.
+	ValueKB  float64 `json:"value_kb"`  // maximum size of a value, in KiB
+	TxnOps   int     `json:"txn_ops"`   // maximum number of changes in a transaction
+	// Next holds limits that will take effect at an unknown time, without notice.
 	Next *NextState `json:"next"`
 }
 
-// NextState holds the state service's limits to come; 0: as now.
+// NextState holds future limits of the state service; 0: the limit does not change.
 type NextState struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -86,8 +85,8 @@
 	TxnOps   int     `json:"txn_ops"`
 }
 
-// EffectiveLimits returns the limits that hold now and later: the lower of each. The program keeps to them
-// from the start, so that the moment of the change does not matter.
+// EffectiveLimits returns the lower of each current and future limit. The program respects both from the start,
+// so that the time of the change does not matter.
 func (s State) EffectiveLimits() State {
 	next := s.Next
 	if next == nil {
@@ -107,16 +106,16 @@
 	return now
 }
 
-// Cloud holds the cloud's limits.
+// Cloud holds the limits of the cloud's API.
 type Cloud struct {
 	RPS float64 `json:"rps"` // requests per second
-	// ListLagS is by how many seconds the list of machines usually lags behind.
+	// ListLagS is the usual lag of the list of machines, in seconds.
 	ListLagS float64 `json:"list_lag_s"`
 }
 
-// Resources holds what this process may use.
+// Resources holds the resource limits of this process.
 type Resources struct {
 	Cores float64 `json:"cores"`
 	MemMB float64 `json:"mem_mb"`   // MiB
-	FDs   int     `json:"fd_limit"` // open sockets and files
+	FDs   int     `json:"fd_limit"` // maximum number of open sockets and files
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,11 +6,11 @@
 	"net"
 )
 
-// minWriteRPS is the lowest rate of changes that leaves any for what nobody waits for, beside the
-// half of a second's worth that is kept for what somebody does.
+// minWriteRPS is the minimum rate of changes. Half a second's worth of changes is reserved for urgent writes; a
+// lower rate would leave no changes for background writes.
 const minWriteRPS = 3
 
-// validate returns the error of the first setting that is wrong.
+// validate returns the error of the first invalid setting.
 func (c *Config) validate() error {
 	for _, validatePart := range []func() error{
 		c.validateAddresses,
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// missingOrTwice is the reason of a name that is empty or not unique.
+// missingOrTwice is the reason of a FieldError for a name that is empty or not unique.
 const missingOrTwice = "missing or used twice"
 
 func (c *Config) validateSiblings() error {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// validateNextState refuses limits to come that are negative. Their ranges are those of the limits
-// that hold now, and apply to the lower of both (validateRanges).
+// validateNextState rejects negative future limits. validateRanges checks the lower of the current and the future
+// limit against the range of the current limit.
 func (c *Config) validateNextState() error {
 	next := c.Cluster.State.Next
 	if next == nil {
@@ -110,13 +110,13 @@
 	return nil
 }
 
-// fieldRange is the range that a number must be in, with both ends.
+// fieldRange is a number with its valid range, which includes both ends.
 type fieldRange struct {
 	field           string
 	value, min, max float64
 }
 
-// validateEach returns the error of the first number that is out of range. A NaN is in no range.
+// validateEach returns the error of the first number that is out of range. NaN is out of every range.
 func validateEach(source Source, ranges []fieldRange) error {
 	for _, r := range ranges {
 		if !(r.value >= r.min && r.value <= r.max) {
--- a/internal/config/value_size.go
+++ b/internal/config/value_size.go
@@ -2,12 +2,13 @@
 
 const bytesPerKB = 1024
 
-// MaxValueBytes is the state service's limit on one value, now and later, in bytes.
+// MaxValueBytes returns the maximum size of a value in the state service, in bytes. It respects the current and
+// the future limit.
 func (c *Config) MaxValueBytes() int {
 	return int(c.Cluster.State.EffectiveLimits().ValueKB * bytesPerKB)
 }
 
-// CompletionLayoutBytes is what the layout of stored completions is computed from, in bytes: the limit on a
-// value as it was when the first were written, whatever it will be, as a key must not change its
-// meaning.
+// CompletionLayoutBytes returns the value size that the layout of stored completions is computed from, in bytes. It
+// is the current limit on a value and ignores the future limit, because keys that are already stored must
+// keep their meaning.
 func (c *Config) CompletionLayoutBytes() int { return int(c.Cluster.State.ValueKB * bytesPerKB) }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -2,30 +2,28 @@
 
 import "fmt"
 
-// What a fleet needs of a controller's resources and of the services, by measured runs
-// (docs/CAPACITY.md).
+// Resources of a controller and limits of the services that a fleet needs (docs/CAPACITY.md).
 const (
-	baseMB             = 20.0  // MiB of a process without any machine
-	mbPerMachine       = 0.047 // of the leader: 272 to 287 MB at 5,500 with ten tasks each
-	machinesPerCore    = 7500  // 0.73 of a core at 5,500
-	machinesPerChange  = 20    // for each change a second: beyond it the burst of a start is answered 503
-	leasesPerWrite     = 1.25  // that one change for each machine may take: 1.01 on the credit checks' upgrade, served well
-	machinesPerListing = 500   // of a page of the cloud's list
-	clientSocketShare  = 0.5   // of the sockets, for workers and users
-	workerSocketShare  = 0.85  // of these, before workers' connections are closed after each answer
+	baseMB             = 20.0  // memory of a process without machines, in MiB
+	mbPerMachine       = 0.047 // memory of the leader, in MiB: 272 to 287 MB at 5,500 machines with ten tasks each
+	machinesPerCore    = 7500  // 0.73 of a core at 5,500 machines
+	machinesPerChange  = 20    // per change per second; with more machines, part of a burst of starts is answered 503
+	leasesPerWrite     = 1.25  // that one change per machine may take; 1.01 were no problem in the credit checks' upgrade
+	machinesPerListing = 500   // per page of the cloud's list
+	clientSocketShare  = 0.5   // share of the sockets that workers and users may use
+	workerSocketShare  = 0.85  // share of those beyond which workers' connections are closed after each answer
 )
 
-// capacityNeed is what a setting must be at least to carry the fleet.
+// capacityNeed is the minimum value that a setting must have to serve the fleet.
 type capacityNeed struct {
 	field     string
 	has, want float64
-	// otherwise is what happens if it is less.
+	// otherwise is the consequence of a lower value.
 	otherwise string
 }
 
-// Warnings returns a line for each setting that can't carry the fleet that the settings describe,
-// and for what operators should know of a rolling upgrade. None of them keeps a controller from
-// starting.
+// Warnings returns a line for each setting that is too low for the size of the fleet, and for each fact about
+// rolling upgrades that operators should know. A controller starts despite warnings.
 func (c *Config) Warnings() []string {
 	size := float64(c.FleetSize())
 	var warnings []string
@@ -43,7 +41,7 @@
 	return append(warnings, c.featureGateWarnings()...)
 }
 
-// capacityNeeds returns what a fleet of this many machines needs.
+// capacityNeeds returns the needs of a fleet with this many machines.
 func (c *Config) capacityNeeds(machines float64) []capacityNeed {
 	resources, state, cloud := c.Cluster.Resources, c.Cluster.State.EffectiveLimits(), c.Cluster.Cloud
 	controllers := float64(len(c.Siblings) + 1)
@@ -63,15 +61,15 @@
 	}
 }
 
-// maxGateChanges is how many changes a transaction of the feature gate has at most.
+// maxGateChanges is the maximum number of changes in a transaction of the feature gate.
 const maxGateChanges = 3
 
-// SupportsFeatureGate says whether the state service's limits allow the feature gate's transactions.
+// SupportsFeatureGate reports whether the limits of the state service allow the transactions of the feature gate.
 func (c *Config) SupportsFeatureGate() bool {
 	return c.Cluster.State.EffectiveLimits().TxnOps >= maxGateChanges
 }
 
-// featureGateWarnings returns what operators should know of a rolling upgrade with this file.
+// featureGateWarnings returns the warnings about rolling upgrades with the operators' file.
 func (c *Config) featureGateWarnings() []string {
 	var warnings []string
 	if c.namesGate {
--- a/internal/machinepool/launch.go
+++ b/internal/machinepool/launch.go
@@ -13,33 +13,33 @@
 	"claybarrow/internal/scheduler"
 )
 
-// launchGiveUpLeases is for how many leases of the workers a launch request is repeated. Machines that
-// it still brings after that appear in the list.
+// launchGiveUpLeases is how long a launch request is retried, in workers' leases. Machines that it launches
+// after that are found by reading the list.
 const launchGiveUpLeases = 4
 
-// maxBackoffFailures bounds the failures that make a back-off longer.
+// maxBackoffFailures is the number of consecutive failures after which the back-off stops growing.
 const maxBackoffFailures = 4
 
-// LaunchRequest is a request for machines that is under way.
+// LaunchRequest is a launch request in flight.
 type LaunchRequest struct {
 	scheduler.Pool
 	Count       int
 	requestName string
-	sentAt      time.Duration // when it was first sent
+	sentAt      time.Duration // time of the first attempt
 }
 
 func (r *LaunchRequest) request() protocol.LaunchRequest {
 	return protocol.LaunchRequest{Request: r.requestName, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// backoff is how long a pool of machines is left alone, the longer the more often in a row it gave fewer
-// machines than asked for.
+// backoff is the time until which no machines are requested from a pool, and the number of consecutive requests
+// that the pool did not fill.
 type backoff struct {
 	until    time.Duration
 	failures int
 }
 
-// LaunchesInFlight returns the requests that are under way, in a fixed order, so that runs can be replayed.
+// LaunchesInFlight returns the launch requests in flight, sorted by name so that runs can be replayed.
 func (p *Pool) LaunchesInFlight() []*LaunchRequest {
 	out := make([]*LaunchRequest, 0, len(p.launching))
 	for _, name := range slices.Sorted(maps.Keys(p.launching)) {
@@ -48,12 +48,12 @@
 	return out
 }
 
-// IsBackingOff reports whether a pool of machines is left alone for now, as it gave fewer than asked for.
+// IsBackingOff reports whether a pool is in back-off after a request that it did not fill.
 func (p *Pool) IsBackingOff(pool scheduler.Pool) bool { return p.host.Now() < p.backoffs[pool].until }
 
-// Launch asks for machines of a pool, for at most as many as one request may have. The name of the
-// request holds the fencing token and a counter: no controller ever uses it again, which makes the
-// request idempotent.
+// Launch requests count machines of a pool, or maxLaunchCount if that is fewer. The request name contains the
+// fencing token and a counter, so that no controller uses it for another request. This makes retries
+// idempotent.
 func (p *Pool) Launch(pool scheduler.Pool, count int) {
 	p.lastLaunch++
 	p.sendLaunch(&LaunchRequest{
@@ -72,7 +72,7 @@
 	})
 }
 
-// onLaunchAnswer takes the outcome of a launch request.
+// onLaunchAnswer handles the outcome of a launch request.
 func (p *Pool) onLaunchAnswer(launch *LaunchRequest, names []string, err error) {
 	switch {
 	case err == nil:
@@ -87,12 +87,12 @@
 	case p.host.Now() > launch.sentAt+launchGiveUpLeases*p.times.Lease:
 		delete(p.launching, launch.requestName)
 	default:
-		// No answer, or trouble: the same name again launches nothing twice.
+		// No answer, or a temporary failure: a retry with the same name launches no machine twice.
 		p.host.RunAt(p.host.Now()+p.host.RetryPause()*launchRetryPauses, func() { p.sendLaunch(launch) })
 	}
 }
 
-// onLaunched takes the machines that a request brought.
+// onLaunched handles the machines that a request launched.
 func (p *Pool) onLaunched(launch *LaunchRequest, names []string) {
 	delete(p.launching, launch.requestName)
 	for _, name := range names {
@@ -108,8 +108,8 @@
 	p.host.SetExhausted(launch.Pool, false)
 }
 
-// backOff leaves a pool of machines alone for a while that refused a request or filled it only in part:
-// half a lease of the workers, and half a lease more with each further failure, up to two leases.
+// backOff starts or extends the back-off of a pool that rejected a request or filled it only in part. The
+// back-off is half a workers' lease per consecutive failure, up to two leases.
 func (p *Pool) backOff(pool scheduler.Pool) {
 	b := p.backoffs[pool]
 	b.failures = min(b.failures+1, maxBackoffFailures)
--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -1,6 +1,5 @@
-// Package machinepool makes a leader's requests to the cloud: it launches machines, deletes them and
-// reads their list, within the cloud's limits. Which machines are launched and deleted is decided
-// elsewhere.
+// Package machinepool sends a leader's requests to the cloud: it launches, deletes and lists machines, within
+// the cloud's limits. Its callers decide which machines to launch and to delete.
 package machinepool
 
 import (
@@ -12,70 +11,71 @@
 	"claybarrow/internal/scheduler"
 )
 
-// Limits of the cloud's protocol, in machines.
+// Limits of the cloud's API, in machines.
 const (
-	maxLaunchCount = 50  // of a launch request
-	maxDeleteCount = 100 // of a deletion
-	listPageSize   = 500
+	maxLaunchCount = 50  // per launch request
+	maxDeleteCount = 100 // per deletion request
+	listPageSize   = 500 // per page of the list
 )
 
-// Timeouts of the requests, as shares of the workers' lease.
+// Timeouts of the requests, as divisors of the workers' lease.
 const (
 	listTimeoutShare   = 4
 	deleteTimeoutShare = 2
 	launchTimeoutShare = 2
 )
 
-// Waits before a request is repeated, in pauses of the host.
+// Delays before a retry, in multiples of Host.RetryPause.
 const (
 	listRetryPauses   = 4
 	deleteRetryPauses = 2
 	launchRetryPauses = 3
 )
 
-// How long a removed machine is remembered, in lags of the list and in leases of the workers: lists lag,
-// and heartbeats come late.
+// How long a removed machine is remembered: removedListLags times the lag of the list plus removedLeases times
+// the workers' lease. Lists and heartbeats that still contain the machine may arrive late.
 const (
 	removedListLags = 10
 	removedLeases   = 10
 )
 
-// Times are the durations that the pool's own follow from.
+// Times holds the durations from which the pool derives its timeouts and intervals.
 type Times struct {
-	Lease   time.Duration // the workers'
-	ListLag time.Duration // by which the cloud's list may be behind
-	// ListInterval is the least time between two lists.
+	Lease   time.Duration // workers' lease
+	ListLag time.Duration // usual lag of the cloud's list
+	// ListInterval is the minimum time between two reads of the list.
 	ListInterval time.Duration
 }
 
-// Host is the leader that the machines belong to.
+// Host is the leader on whose behalf the pool sends requests.
 type Host interface {
-	// Now is the controller's present time.
+	// Now returns the controller's current time.
 	Now() time.Duration
-	// MayRequest reports whether the budget allows a request to the cloud.
+	// MayRequest reports whether the rate limit allows a request to the cloud.
 	MayRequest() bool
-	// RetryPause is a short wait before something is tried again.
+	// RetryPause returns the base delay before a retry.
 	RetryPause() time.Duration
-	// RunAt runs a function at the first tick after a time, unless the leadership has ended.
+	// RunAt calls do at the first tick after the given time, unless the leadership has ended.
 	RunAt(at time.Duration, do func())
 	// HasEnded reports whether the leadership has ended.
 	HasEnded() bool
 
-	// OnListed takes one machine of the list.
+	// OnListed is called for each listed machine that is not known to be removed.
 	OnListed(machine *protocol.ListedMachine)
-	// OnListRead takes the names of a whole list and the time at which it was asked for.
+	// OnListRead is called after a complete read of the list, with the time of the first request and the
+	// names of all listed machines.
 	OnListRead(asked time.Duration, names map[string]bool)
-	// MachinesToDelete returns the names of at most so many machines whose deletion may be sent.
+	// MachinesToDelete returns the names of at most most machines to delete.
 	MachinesToDelete(most int) []string
-	// OnDeleted takes a machine that is gone.
+	// OnDeleted is called for each machine that was deleted.
 	OnDeleted(name string)
-	// OnLaunched takes a machine that was launched by a request sent at a time.
+	// OnLaunched is called for each launched machine, with the time of the request's first attempt.
 	OnLaunched(pool scheduler.Pool, name string, asked time.Duration)
-	// SetExhausted is told that a pool of machines gave fewer than asked for (true) or all of them (false).
+	// SetExhausted records whether a pool's last launch request was rejected or filled only in part.
 	SetExhausted(pool scheduler.Pool, short bool)
 }
 
-// Pool makes a leader's requests to the cloud. At most one list and one deletion are in flight.
+// Pool sends a leader's requests to the cloud. At most one read of the list and one deletion are in flight.
 type Pool struct {
 	host   Host
 	client *cloudclient.Client
@@ -85,20 +85,20 @@
 
 	nextListAt   time.Duration
 	listInFlight bool
-	listRead     bool // one whole list has been read
+	listRead     bool // whether the list has been read completely once
 
 	lastLaunch uint64 // number of the last launch request
 	launching  map[string]*LaunchRequest
 	backoffs   map[scheduler.Pool]backoff
 
-	// removed are machines that are gone, with the time at which they were found gone.
+	// removed maps machines that no longer exist to the time at which their removal was noticed.
 	removed        map[string]time.Duration
 	deleteInFlight bool
 	nextDeleteAt   time.Duration
 }
 
-// New makes the pool of a leader's term. The names of launch requests have its fencing token, so that no
-// other leader ever uses them.
+// New creates the pool for one term of a leader. The names of launch requests contain the term's fencing token,
+// so that no other leader uses the same names.
 func New(host Host, client *cloudclient.Client, log *slog.Logger, times Times, token uint64) *Pool {
 	return &Pool{
 		host: host, client: client, log: log, times: times, token: token,
@@ -106,23 +106,23 @@
 	}
 }
 
-// Tick deletes the machines that may be deleted, and reads the list anew when it is time.
+// Tick starts the next deletion and the next read of the list when they are due.
 func (p *Pool) Tick() {
 	p.forgetRemoved()
 	p.deleteMachines()
 	p.readList()
 }
 
-// HasList reports whether one whole list has been read.
+// HasList reports whether the list has been read completely at least once.
 func (p *Pool) HasList() bool { return p.listRead }
 
-// MarkRemoved notes that a machine is gone: lists and heartbeats that still name it are old.
+// MarkRemoved records that a machine no longer exists. Lists and heartbeats that still name it are outdated.
 func (p *Pool) MarkRemoved(name string) { p.removed[name] = p.host.Now() }
 
-// WasRemoved reports whether a machine is gone.
+// WasRemoved reports whether a machine was marked as removed.
 func (p *Pool) WasRemoved(name string) bool { return p.removed[name] != 0 }
 
-// forgetRemoved forgets the machines of which nothing old can come any more.
+// forgetRemoved deletes the entries of machines for which no outdated list or heartbeat can arrive any more.
 func (p *Pool) forgetRemoved() {
 	now := p.host.Now()
 	for name, at := range p.removed {
@@ -132,7 +132,7 @@
 	}
 }
 
-// readList begins to read the list if it is time and none is being read.
+// readList starts reading the list if it is due and no read is in flight.
 func (p *Pool) readList() {
 	now := p.host.Now()
 	if p.listInFlight || now < p.nextListAt || !p.host.MayRequest() {
@@ -142,8 +142,8 @@
 	p.readPage("", now, map[string]bool{})
 }
 
-// readPage reads the page of the list behind a machine, and then the next one. Names collects the machines
-// of the pages.
+// readPage reads the page of the list that starts after a machine, and then the following pages. names collects
+// the machines of all pages.
 func (p *Pool) readPage(after string, asked time.Duration, names map[string]bool) {
 	p.client.List(after, listPageSize, p.times.Lease/listTimeoutShare, func(list protocol.MachineList, err error) {
 		if p.host.HasEnded() {
@@ -164,7 +164,7 @@
 	})
 }
 
-// takePage passes the machines of a page on, except those that are known to be gone.
+// takePage passes the machines of a page to the host, except machines that were removed.
 func (p *Pool) takePage(machines []protocol.ListedMachine, names map[string]bool) {
 	for i := range machines {
 		machine := &machines[i]
@@ -175,7 +175,8 @@
 	}
 }
 
-// deleteMachines has machines deleted, one request at a time, until the cloud says that they are gone.
+// deleteMachines sends a deletion request if there are machines to delete and no deletion is in flight. The
+// host returns the machines of a failed request again, which retries the deletion.
 func (p *Pool) deleteMachines() {
 	if p.deleteInFlight || p.host.Now() < p.nextDeleteAt || !p.host.MayRequest() {
 		return
--- a/internal/membership/actions.go
+++ b/internal/membership/actions.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Action is what the caller has to do: a Send, Respond, Change or Drop.
+// Action is an effect for the caller to carry out: a Send, Respond, StateChange or DroppedMessage.
 type Action interface{ isAction() }
 
-// Send is a request to a peer. The caller passes its outcome to Detector.Answered with the ID.
+// Send is a request to a peer. The caller passes the outcome to Detector.HandleResponse with the same ID.
 type Send struct {
 	ID uint64
 	To string // label of the peer
-	// Heartbeat says that the peer's version knows no probes: it is sent a heartbeat, which
-	// the caller composes, and Body is empty.
+	// Heartbeat requests a heartbeat instead of a probe, because the peer's version does not support
+	// probes. The caller composes the heartbeat; Body is empty.
 	Heartbeat bool
 	Body      []byte
 	Timeout   time.Duration
 }
 
-// Respond answers the probe that was passed to Detector.Probed with the same Request.
+// Respond answers the probe that was passed to Detector.HandleProbe with the same Request.
 type Respond struct {
 	Request uint64
 	Status  int // HTTP status
@@ -29,15 +29,15 @@
 	From, To    State
 	Reason      Reason
 	Incarnation Incarnation
-	// After is how long the former state had lasted.
+	// After is how long the member was in the previous state.
 	After time.Duration
 }
 
-// DroppedMessage reports a message that was not taken.
+// DroppedMessage reports a probe or a reply that the detector dropped.
 type DroppedMessage struct {
-	Label  string // of the sender; "" if it can't be read
+	Label  string // label of the sender; "" if it cannot be decoded
 	Reason DropReason
-	First  bool // whether it is the first from that peer for that reason, to be logged
+	First  bool // whether this is the first drop for this peer and reason; only the first is logged
 }
 
 func (Send) isAction()           {}
--- a/internal/membership/assignment.go
+++ b/internal/membership/assignment.go
@@ -8,12 +8,12 @@
 	"github.com/dgryski/go-rendezvous"
 )
 
-// rankKeyPrefix separates the keys of ranks from all other keys. All controllers of a group must use
-// the same, also those of other versions.
+// rankKeyPrefix keeps the keys of ranks distinct from all other keys. All controllers of a group, of
+// every version, must use the same prefix.
 const rankKeyPrefix = "succession/"
 
-// Owner is the candidate that a key is assigned to by rendezvous hashing; "" without candidates. When a
-// candidate is removed its keys alone move, spread over the others.
+// Owner returns the candidate that rendezvous hashing assigns a key to, or "" if there are no candidates.
+// Removing a candidate moves only the keys of that candidate and spreads them over the others.
 func Owner(key string, candidates []string) string {
 	if len(candidates) == 0 {
 		return ""
@@ -23,14 +23,14 @@
 	return rendezvous.New(sorted, xxhash.Sum64String).Lookup(key)
 }
 
-// Assignment assigns keys to candidates that seldom change. The zero value is ready for use.
+// Assignment assigns keys to a set of candidates that rarely changes. The zero value is ready for use.
 type Assignment struct {
 	candidates []string
 	table      *rendezvous.Rendezvous
 }
 
-// Owner is the same as the function Owner for candidates that are sorted. It keeps the hashes of the
-// candidates until they change.
+// Owner returns the same candidate as the function Owner. The candidates must be sorted. Their hashes are
+// cached until the candidates change.
 func (a *Assignment) Owner(key string, candidates []string) string {
 	if len(candidates) == 0 {
 		return ""
@@ -42,10 +42,10 @@
 	return a.table.Lookup(key)
 }
 
-// Rank is the place of a label in the order in which the candidates may follow the leader with a fencing
-// token: 0 for the first, and the number of candidates for a label that is not among them. The order
-// comes from rendezvous hashing of the token, so that all agree on it without a message, and the
-// first is not always the same.
+// Rank returns the position of a label in the order of succession to the leader with the given fencing
+// token: 0 for the first candidate, and the number of candidates for a label that is not a candidate.
+// The order comes from rendezvous hashing of the token: all controllers compute the same order without
+// exchanging messages, and the first candidate varies with the token.
 func Rank(label string, token uint64, candidates []string) int {
 	key := rankKeyPrefix + strconv.FormatUint(token, 10)
 	remaining := slices.Sorted(slices.Values(candidates))
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -1,6 +1,6 @@
 package membership
 
-// handleClaims handles the claims in a message of a peer. Those about third members change no state.
+// handleClaims handles the claims in a message from a peer. Claims about third members change no state.
 func (d *Detector) handleClaims(from string, claims []Claim) {
 	for _, claim := range claims {
 		if claim.Label == d.self.label {
@@ -21,8 +21,9 @@
 	}
 }
 
-// handleSuspicionReport handles another member's claim that a member is suspect, dead or left. It confirms
-// our own suspicion; if we have none, it hastens our own probe.
+// handleSuspicionReport handles a claim by another member that m is suspect, dead or left. The claim
+// confirms the local suspicion of m. If m is not suspect here and has not acked recently, m is probed at
+// once.
 func (d *Detector) handleSuspicionReport(m *member, by string, claim Claim) {
 	m.addReport(by, suspicionReport{at: d.clock.now, state: min(claim.State, Dead), incarnation: claim.Incarnation})
 	switch m.state {
@@ -32,12 +33,12 @@
 		if !m.probeInFlight && d.clock.now > m.lastAckAt+d.settings.ProbeTimeout {
 			d.startProbe(&pendingProbe{target: m})
 		}
-	case Dead, Left: // it is absent here already
+	case Dead, Left: // already absent in the local view
 	}
 }
 
-// handleClaimAboutSelf refutes a claim against ourselves by a later incarnation. That there was one is a
-// sign that our own answers were late.
+// handleClaimAboutSelf refutes a claim that this controller is not alive, by taking a later incarnation.
+// Such a claim indicates that this controller answered late, so its local health degrades.
 func (d *Detector) handleClaimAboutSelf(claim Claim) {
 	if d.clock.isFuture(claim.Incarnation) {
 		return
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Detector is one controller's failure detector. Its methods that take a Clock handle one event
-// each and return the actions that follow from it, to be carried out in their order. It is not
-// safe for concurrent use.
+// Detector is the failure detector of one controller. Each method that takes a Clock handles one event
+// and returns the resulting actions, which the caller carries out in order. A Detector is not safe for
+// concurrent use.
 type Detector struct {
 	groupView
 	random   *rand.Rand
-	started  bool // the first event was handled
+	started  bool // whether the first event was handled
 	health   localHealth
 	counters Counters
 	schedule probeSchedule
@@ -19,8 +19,8 @@
 	out      outbox
 }
 
-// New makes a detector. The random numbers choose the helpers of indirect probes; they are injected
-// so that failures replay.
+// New creates a detector. The random source selects the helpers of indirect probes; it is injected so
+// that a failure can be replayed from its seed.
 func New(settings Settings, random *rand.Rand) *Detector {
 	d := &Detector{groupView: newGroupView(settings), random: random,
 		pending: pendingProbes{requests: map[uint64]*pendingRequest{}}}
@@ -28,7 +28,7 @@
 	return d
 }
 
-// advanceClock begins an event. Every exported method that handles one calls it first.
+// advanceClock starts the handling of an event. Every exported method that handles an event calls it first.
 func (d *Detector) advanceClock(reading Clock) {
 	gap := d.clock.advance(reading)
 	d.out.reset()
@@ -38,11 +38,11 @@
 	case gap > d.settings.PauseThreshold:
 		d.recoverFromPause()
 	case gap > d.settings.ProbeTimeout:
-		d.health.degrade() // the process lacks processor time
+		d.health.degrade() // this process was starved of CPU time
 	}
 }
 
-// start takes the first clock reading as the start of this process and of all members' states.
+// start uses the first clock reading as the start time of this process and of the state of every member.
 func (d *Detector) start() {
 	d.started = true
 	d.self.incarnation = Incarnation(max(1, d.clock.wall))
@@ -52,8 +52,8 @@
 	}
 }
 
-// recoverFromPause ends the probes in flight and restarts all suspicions after this process did not run
-// for a while: what it has not heard meanwhile proves nothing.
+// recoverFromPause cancels the probes in flight and restarts all suspicion timers after a pause of this
+// process: answers that are missing because of the pause are no evidence of a failure.
 func (d *Detector) recoverFromPause() {
 	d.counters.Pauses++
 	d.health.degradeFully()
@@ -71,8 +71,8 @@
 	d.schedule.nextRoundAt = d.clock.now
 }
 
-// Tick lets time pass: it ends overdue probes and suspicions, and begins a round of probes when one is
-// due. The caller calls it several times in a probe timeout.
+// Tick handles the passage of time: it expires probes and suspicions, and starts a round of probes when
+// one is due. The caller calls it several times per probe timeout.
 func (d *Detector) Tick(at Clock) []Action {
 	d.advanceClock(at)
 	d.expireProbes()
@@ -86,7 +86,7 @@
 }
 
 // ObserveAck records that a peer answered a request other than a probe. sent is the monotonic time when the
-// request was sent: an answer to an earlier request than the suspicion clears nothing.
+// request was sent: a request that was sent before the suspicion started does not clear the suspicion.
 func (d *Detector) ObserveAck(at Clock, label string, sent time.Duration) []Action {
 	d.advanceClock(at)
 	m := d.members[label]
@@ -100,7 +100,7 @@
 	return d.out.actions
 }
 
-// Leave tells all peers that this controller leaves gracefully. From then on it probes nobody.
+// Leave announces to all peers that this controller leaves gracefully, and stops the rounds of probes.
 func (d *Detector) Leave(at Clock) []Action {
 	d.advanceClock(at)
 	d.self.leaving = true
--- a/internal/membership/group_view.go
+++ b/internal/membership/group_view.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// groupView is what this controller knows of the group: itself and its peers.
+// groupView is this controller's view of the group: itself and its peers.
 type groupView struct {
 	settings Settings
 	clock    detectorClock
 	self     localMember
-	members  map[string]*member // the peers
-	labels   []string           // of the peers, sorted
+	members  map[string]*member // the peers, by label
+	labels   []string           // labels of the peers, sorted
 }
 
 func newGroupView(settings Settings) groupView {
@@ -25,12 +25,12 @@
 	return view
 }
 
-// reportLifetime is for how long a peer's report of a suspicion counts.
+// reportLifetime returns how long a peer's suspicion report stays valid.
 func (g *groupView) reportLifetime() time.Duration {
 	return reportLifetimeIntervals * g.settings.ProbeInterval
 }
 
-// countAliveExcept counts the peers that are alive, without the given one.
+// countAliveExcept counts the alive peers, excluding the given peer.
 func (g *groupView) countAliveExcept(except *member) int {
 	n := 0
 	for _, m := range g.members {
@@ -41,7 +41,7 @@
 	return n
 }
 
-// helpersFor lists the labels that can probe a member for us.
+// helpersFor lists the labels of the peers that can run an indirect probe of the target.
 func (g *groupView) helpersFor(target *member) []string {
 	var helpers []string
 	for _, label := range g.labels {
@@ -52,8 +52,8 @@
 	return helpers
 }
 
-// claimsFor lists what a peer should know: the members that are not alive for us, and whether
-// anybody suspects the peer itself.
+// claimsFor returns the claims to send to a peer: the members that are not alive in the local view, and
+// the worst recent suspicion report about the peer itself.
 func (g *groupView) claimsFor(peer string) []Claim {
 	var claims []Claim
 	if g.self.leaving {
@@ -66,7 +66,7 @@
 		}
 	}
 	if m := g.members[peer]; m != nil && m.state == Alive {
-		// The member that suspects the peer may not reach it: the peer learns of it from us.
+		// The reporting member may be unable to reach the peer. Relaying the report lets the peer refute it.
 		if worst := m.worstReport(g.clock.now, g.reportLifetime()); worst.state != Alive {
 			claims = append(claims, Claim{Label: peer, State: worst.state, Incarnation: worst.incarnation})
 		}
--- a/internal/membership/inbound.go
+++ b/internal/membership/inbound.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// HandleProbe handles a peer's probe. Its Respond, with the same request, may come from a later event when
-// the probe is about a third member.
+// HandleProbe handles a probe from a peer. If the probe is about a third member, a later event may return
+// the Respond action with the same request ID.
 func (d *Detector) HandleProbe(at Clock, request uint64, body []byte) []Action {
 	d.advanceClock(at)
 	d.counters.BytesReceived += uint64(min(len(body), MaxMessageBytes))
@@ -14,7 +14,7 @@
 	sender := d.members[message.From]
 	switch {
 	case errors.Is(err, errUnsupportedVersion):
-		// As a version that knows no probes answers: the later version judges us by heartbeats.
+		// 404 is the answer of versions without probe support: the sender falls back to heartbeats.
 		d.out.reject(request, http.StatusNotFound, message.From, DropVersion)
 	case err != nil:
 		d.out.reject(request, http.StatusBadRequest, "", DropMalformed)
@@ -26,14 +26,14 @@
 	return d.out.actions
 }
 
-// handleProbe takes what a valid probe tells of its sender, and answers it.
+// handleProbe updates the sender's state from a decoded probe and answers the probe.
 func (d *Detector) handleProbe(request uint64, sender *member, message Probe) {
 	if violation, ok := sender.checkOrder(message, &d.clock); !ok {
 		d.rejectStale(request, sender, message, violation)
 		return
 	}
 	if sender.method == viaHeartbeat {
-		sender.method = viaProbe // it was upgraded
+		sender.method = viaProbe // the sender was upgraded
 	}
 	if sender.updateIncarnation(message.Incarnation, &d.clock) {
 		sender.lastAckAt = d.clock.now
@@ -49,8 +49,8 @@
 	d.probeForPeer(request, sender, message)
 }
 
-// probeForPeer probes a third member for the sender (ping-req in SWIM), which gets its answer when that
-// probe ends.
+// probeForPeer probes a third member on behalf of the sender (ping-req in SWIM). The sender is answered when
+// that probe ends.
 func (d *Detector) probeForPeer(request uint64, sender *member, message Probe) {
 	target := d.members[message.Target]
 	switch {
@@ -65,8 +65,9 @@
 	}
 }
 
-// rejectStale answers an out-of-order message without taking anything from it. The reply tells the
-// sender what is known of it, so that one whose clock was set back takes a later incarnation.
+// rejectStale drops an out-of-order message and answers it with a conflict. The reply includes the claim
+// about the sender with its highest known incarnation, so that a sender whose clock was set back takes a
+// later incarnation.
 func (d *Detector) rejectStale(request uint64, sender *member, message Probe, reason DropReason) {
 	d.out.drop(sender.label, reason)
 	d.out.respond(request, http.StatusConflict, ProbeReply{Sequence: message.Sequence,
--- a/internal/membership/local_member.go
+++ b/internal/membership/local_member.go
@@ -4,19 +4,20 @@
 type localMember struct {
 	label       string
 	incarnation Incarnation
-	sequence    uint64 // of the last message of this incarnation
+	sequence    uint64 // sequence number of the last message of this incarnation
 	leaving     bool
 }
 
-// nextSequence numbers the next message of the incarnation.
+// nextSequence returns the sequence number of the next message of the current incarnation.
 func (l *localMember) nextSequence() uint64 {
 	l.sequence++
 	return l.sequence
 }
 
-// refute takes a later incarnation than the one that a claim is about, if the claim is against us or
-// about a later incarnation than ours: that of a former process, when the clock was set back since.
-// It reports whether the claim was against us. A controller that leaves refutes nothing.
+// refute takes an incarnation later than the claimed one in two cases: the claim says that this controller
+// is not alive, or the claimed incarnation is later than the current one. In the second case the claim is
+// about a previous process of this label, and the clock was set back since. refute reports whether the
+// claim said that this controller is not alive. A leaving controller refutes nothing.
 func (l *localMember) refute(claim Claim) (refuted bool) {
 	if l.leaving {
 		return false
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -2,67 +2,66 @@
 
 import "time"
 
-// probeMethod is how a member is asked for an ack.
+// probeMethod is the kind of request that a member is probed with.
 type probeMethod uint8
 
 const (
-	viaProbe     probeMethod = iota // its version answers probes
-	viaHeartbeat                    // its version answers probes with 404, and heartbeats
+	viaProbe     probeMethod = iota // the member's version supports probes
+	viaHeartbeat                    // the member's version answers probes with 404, but supports heartbeats
 )
 
-// member is what the detector knows of a peer. Times are monotonic.
+// member is the detector's record of a peer. Times are monotonic.
 type member struct {
 	label       string
 	state       State
-	since       time.Duration // when the state began
-	incarnation Incarnation   // highest known
-	sequence    uint64        // highest of that incarnation
+	since       time.Duration // start of the current state
+	incarnation Incarnation   // highest known incarnation
+	sequence    uint64        // highest sequence number of that incarnation
 	method      probeMethod
 
 	suspicion suspicion
-	// suspectedAtWall is when it was last suspected, as Unix time in milliseconds.
+	// suspectedAtWall is when the member last became suspect, as Unix time in milliseconds.
 	suspectedAtWall int64
-	// reports are the suspicions of other members, by label, that came lately while it was not
-	// suspected here.
+	// reports are the suspicion reports about the member, by label of the reporting member.
 	reports map[string]suspicionReport
 
-	lastAckAt time.Duration // direct or indirect
-	// lastDirectAckAt, lastIndirectAckAt and lastHelper tell how it was last reached: directly,
-	// and through another member.
+	lastAckAt time.Duration // last direct or indirect ack
+	// lastDirectAckAt and lastIndirectAckAt are the times of the last ack of each kind, and lastHelper is
+	// the label of the helper that relayed the last indirect ack.
 	lastDirectAckAt, lastIndirectAckAt time.Duration
 	lastHelper                         string
-	directProbeFailed                  bool // the last probe had no direct ack in time
+	directProbeFailed                  bool // the last probe got no direct ack in time
 
 	probeInFlight bool
-	nextProbeAt   time.Duration // the earliest time of the next probe
-	// unconfirmedFailures counts failed probes in a row of which no helper sent a nack.
+	nextProbeAt   time.Duration // earliest time of the next probe
+	// unconfirmedFailures counts consecutive failed probes without a nack from any helper.
 	unconfirmedFailures int
-	// loggedDrops are the reasons for which a message of it was dropped: each is logged once.
+	// loggedDrops are the reasons for which messages of the member were dropped; each is logged once.
 	loggedDrops map[DropReason]bool
-	// rejoinedAt is when it last came back from being dead or left; 0: never.
+	// rejoinedAt is when the member last became alive after being dead or left; 0: never.
 	rejoinedAt time.Duration
 }
 
-// isPresent reports whether the member keeps its machines: suspicion alone moves nothing.
+// isPresent reports whether the member keeps its machines: suspicion alone reassigns no machine.
 func (m *member) isPresent() bool { return m.state == Alive || m.state == Suspect }
 
-// claim is what we tell others about the member.
+// claim returns the claim about the member that is sent to other members.
 func (m *member) claim() Claim {
 	return Claim{Label: m.label, State: m.state, Incarnation: m.incarnation}
 }
 
-// recordDirectAck notes that the member answered us.
+// recordDirectAck records that the member answered a request of this controller.
 func (m *member) recordDirectAck(now time.Duration) {
 	m.lastAckAt, m.lastDirectAckAt, m.directProbeFailed = now, now, false
 }
 
-// recordIndirectAck notes that a helper reached the member.
+// recordIndirectAck records that a helper reached the member.
 func (m *member) recordIndirectAck(now time.Duration, helper string) {
 	m.lastAckAt, m.lastIndirectAckAt, m.lastHelper, m.unconfirmedFailures = now, now, helper, 0
 }
 
-// updateIncarnation takes an incarnation that is later than the known one, and reports whether it is.
-// One from the future is not taken: it would make the member's own messages stale.
+// updateIncarnation stores an incarnation that is later than the known one, and reports whether it did.
+// It ignores an incarnation from the future, which would make the member's real messages stale.
 func (m *member) updateIncarnation(incarnation Incarnation, clock *detectorClock) bool {
 	if incarnation <= m.incarnation || clock.isFuture(incarnation) {
 		return false
@@ -72,8 +71,9 @@
 	return true
 }
 
-// checkOrder checks that a message of the member is later than all that were taken before; if it is
-// not, ok is false. It guards against copies, late deliveries and clocks that were set back.
+// checkOrder checks that a message of the member is newer than all messages accepted before; otherwise ok is
+// false and violation is the reason. It guards against duplicates, late deliveries and clocks that were
+// set back.
 func (m *member) checkOrder(message Probe, clock *detectorClock) (violation DropReason, ok bool) {
 	switch {
 	case clock.isFuture(message.Incarnation) || message.Sequence > maxSequence:
@@ -86,14 +86,15 @@
 	return "", true
 }
 
-// startedBefore reports whether the process of the known incarnation began before a time of day, with
-// the clocks' error granted to it.
+// startedBefore reports whether the process of the known incarnation certainly started before the given wall
+// clock time, allowing for the clock error.
 func (m *member) startedBefore(wall int64, clockError time.Duration) bool {
 	return int64(m.incarnation) <= wall-clockError.Milliseconds()
 }
 
-// isFirstDrop reports whether no message of the member was dropped for the reason before. There may be
-// no member: labels that are not in the group are never the first, or they could fill the log.
+// isFirstDrop reports whether this is the first dropped message of the member for the reason, and records it.
+// The member is nil for labels outside the group; their drops never count as first, as they could flood
+// the log.
 func (m *member) isFirstDrop(reason DropReason) bool {
 	if m == nil || m.loggedDrops[reason] {
 		return false
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -7,38 +7,37 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is that of the messages. A change that earlier versions can't read raises it; fields
-// may be added without, as unknown ones are ignored.
+// ProtocolVersion is the version of the message format. An incompatible change increments it. Adding a field
+// does not, because decoders ignore unknown fields.
 const ProtocolVersion = 1
 
-// Bounds on what is taken from a peer.
+// Bounds on messages from peers.
 const (
-	// MaxMessageBytes bounds a message: 24 controllers' claims take under 1 KiB.
+	// MaxMessageBytes bounds the size of a message. The claims of 24 controllers take less than 1 KiB.
 	MaxMessageBytes = 8 << 10
-	// maxClaims bounds the claims of a message.
+	// maxClaims bounds the number of claims in a message.
 	maxClaims = 64
-	// maxSequence is beyond what a process sends in thousands of years.
+	// maxSequence bounds sequence numbers: a process would take thousands of years to reach it.
 	maxSequence = 1 << 40
-	// maxMapPairs and maxNestedLevels bound what the decoder takes, with room for fields of later
-	// versions.
+	// maxMapPairs and maxNestedLevels are the decoder's limits, with room for fields of later versions.
 	maxMapPairs     = 32
 	maxNestedLevels = 6
 )
 
-// Claim is the state of a controller as the sender of a message sees it.
+// Claim is the state of a controller in the view of the sender of a message.
 type Claim struct {
 	Label       string      `cbor:"1,keyasint"`
 	State       State       `cbor:"2,keyasint"`
 	Incarnation Incarnation `cbor:"3,keyasint"`
 }
 
-// Probe asks a controller for an ack: its own, or with a Target that of a third controller (ping and
-// ping-req in SWIM).
+// Probe asks a controller for an ack (ping in SWIM) or, with a Target, to probe a third controller (ping-req
+// in SWIM).
 type Probe struct {
 	Version     int         `cbor:"1,keyasint"`
 	From        string      `cbor:"2,keyasint"`
 	Incarnation Incarnation `cbor:"3,keyasint"`
-	// Sequence grows with every message of an incarnation.
+	// Sequence increases with every message of an incarnation.
 	Sequence uint64  `cbor:"4,keyasint"`
 	Target   string  `cbor:"5,keyasint,omitempty"`
 	Claims   []Claim `cbor:"6,keyasint,omitempty"`
@@ -49,23 +48,23 @@
 	Version     int         `cbor:"1,keyasint"`
 	From        string      `cbor:"2,keyasint"`
 	Incarnation Incarnation `cbor:"3,keyasint"`
-	// Sequence is that of the probe.
+	// Sequence is the sequence number of the probe.
 	Sequence uint64 `cbor:"4,keyasint"`
 	// Reached is whether the target answered (ack or nack).
 	Reached bool `cbor:"5,keyasint,omitempty"`
-	// TargetIncarnation is which incarnation of the target answered; 0: it has none, as its
-	// version knows no probes.
+	// TargetIncarnation is the incarnation of the target; 0: unknown, because the target's version does not
+	// support probes.
 	TargetIncarnation Incarnation `cbor:"6,keyasint,omitempty"`
 	Claims            []Claim     `cbor:"7,keyasint,omitempty"`
 }
 
-// message is a probe or a reply.
+// message is a Probe or a ProbeReply.
 type message interface{ version() int }
 
 func (p Probe) version() int      { return p.Version }
 func (r ProbeReply) version() int { return r.Version }
 
-// Errors of messages that can't be taken.
+// Errors of messages that cannot be accepted.
 var (
 	errMessageTooLarge    = errors.New("message too large")
 	errUnsupportedVersion = errors.New("message of a higher version")
@@ -74,13 +73,13 @@
 var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxClaims, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels}.DecMode()
 	if err != nil {
-		panic(fmt.Sprintf("membership: decoder's options: %v", err))
+		panic(fmt.Sprintf("membership: invalid CBOR decoder options: %v", err))
 	}
 	return mode
 }()
 
-// encode writes a message. It panics on an error, as values of this package's types can't fail to
-// encode.
+// encode encodes a message as CBOR. It panics on an error, as every message type of this package can be
+// encoded.
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -89,7 +88,7 @@
 	return b
 }
 
-// decode reads a body of bounded length into a message.
+// decode decodes a body of at most MaxMessageBytes into a message.
 func decode(body []byte, into any) error {
 	if len(body) > MaxMessageBytes {
 		return errMessageTooLarge
@@ -100,8 +99,9 @@
 	return nil
 }
 
-// decodeMessage reads a message. With errUnsupportedVersion the message is returned as far as this
-// version can read it, so that its sender can be logged; other errors are of malformed messages.
+// decodeMessage decodes a message and checks its version. With errUnsupportedVersion it also returns the
+// fields that this version could decode, so that the sender can be logged. Any other error means that the
+// message is malformed.
 func decodeMessage[M message](body []byte) (M, error) {
 	var m M
 	if err := decode(body, &m); err != nil {
@@ -113,7 +113,7 @@
 	return m, nil
 }
 
-// dropReasonOf is the reason for which a message with a decoding error is dropped.
+// dropReasonOf returns the drop reason for an error of decodeMessage.
 func dropReasonOf(err error) DropReason {
 	if errors.Is(err, errUnsupportedVersion) {
 		return DropVersion
--- a/internal/membership/pending_probes.go
+++ b/internal/membership/pending_probes.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// pendingProbe is a probe in flight. It ends with the first ack, or with its timeout.
+// pendingProbe is a probe in flight. It ends with the first ack or when it times out.
 type pendingProbe struct {
 	target   *member
 	sentAt   time.Duration // monotonic
-	timeout  time.Duration // of the direct ack, stretched by the local health
-	indirect bool          // helpers were asked, if there were any
-	helpers  int           // how many were asked
-	nacks    int           // how many of them do not reach the target either
-	// forPeer marks an indirect probe for another member. requestID is its request to us,
-	// requester its label and requesterSequence its message's sequence.
+	timeout  time.Duration // for the direct ack, lengthened by the local health score
+	indirect bool          // whether the indirect phase has started
+	helpers  int           // number of helpers that were asked
+	nacks    int           // number of helpers that did not reach the target
+	// forPeer marks an indirect probe that another member requested. requestID identifies the request,
+	// requester is the member's label and requesterSequence the sequence number of its message.
 	forPeer           bool
 	requestID         uint64
 	requester         string
 	requesterSequence uint64
 }
 
-// indirectDeadline is when a probe of our own has failed: when the indirect acks are due.
+// indirectDeadline is when the indirect acks are due. Without an ack by then, an own probe has failed.
 func (p *pendingProbe) indirectDeadline() time.Duration {
 	return p.sentAt + (1+indirectTimeoutFactor)*p.timeout
 }
@@ -29,23 +29,23 @@
 // directDeadline is when the direct ack is due.
 func (p *pendingProbe) directDeadline() time.Duration { return p.sentAt + p.timeout }
 
-// pendingRequest is one request of a probe: to its target, or to a helper.
+// pendingRequest is one request of a probe, sent to the target or to a helper.
 type pendingRequest struct {
 	probe     *pendingProbe
-	helper    string // "": the request is to the target itself
-	heartbeat bool   // a heartbeat was sent instead of a probe
+	helper    string // label of the helper; "": the request was sent to the target
+	heartbeat bool   // whether a heartbeat was sent instead of a probe
 	sequence  uint64
 	sentAt    time.Duration // monotonic
 }
 
-// pendingProbes are the probes in flight and their requests.
+// pendingProbes holds the probes in flight and their requests.
 type pendingProbes struct {
 	probes   []*pendingProbe
-	requests map[uint64]*pendingRequest // by ID
-	forPeers int                        // how many of the probes are for other members
+	requests map[uint64]*pendingRequest // by request ID
+	forPeers int                        // number of probes that other members requested
 }
 
-// add begins a probe.
+// add registers a probe as in flight.
 func (p *pendingProbes) add(probe *pendingProbe) {
 	if probe.forPeer {
 		p.forPeers++
@@ -55,7 +55,7 @@
 	p.probes = append(p.probes, probe)
 }
 
-// finish ends a probe. Responses that still come find no request and are ignored.
+// finish removes a probe and its requests. Responses that arrive later match no request and are ignored.
 func (p *pendingProbes) finish(probe *pendingProbe) {
 	i := slices.Index(p.probes, probe)
 	if i < 0 {
@@ -74,14 +74,14 @@
 	}
 }
 
-// takeRequest removes and returns a request; nil: its probe has ended.
+// takeRequest removes and returns a request, or returns nil if its probe has ended.
 func (p *pendingProbes) takeRequest(id uint64) *pendingRequest {
 	request := p.requests[id]
 	delete(p.requests, id)
 	return request
 }
 
-// clear ends all probes.
+// clear removes all probes and requests.
 func (p *pendingProbes) clear() {
 	for _, probe := range p.probes {
 		probe.target.probeInFlight = false
--- a/internal/membership/probe_schedule.go
+++ b/internal/membership/probe_schedule.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// probeSchedule decides when rounds of probes begin and whom they probe.
+// probeSchedule decides when a round of probes starts and which members it probes.
 type probeSchedule struct {
 	nextRoundAt time.Duration // monotonic
 	round       int
-	cursor      int // into the labels: where the last round ended, in large groups
+	cursor      int // index into the labels of the member where the last round ended
 }
 
-// nextRound picks the members to probe if a round is due: all of them, and in large groups the next
-// few in turn. Those that are dead or left are probed in some rounds only.
+// nextRound returns the members to probe if a round is due, at most maxProbesPerRound of them in round-robin
+// order. Members that are dead or left are probed only in every absentProbeRounds-th round.
 func (s *probeSchedule) nextRound(view *groupView, health *localHealth) []*member {
 	now := view.clock.now
 	if now < s.nextRoundAt {
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// startProbe begins a probe with a request to its target.
+// startProbe starts a probe by sending a request to its target.
 func (d *Detector) startProbe(probe *pendingProbe) {
 	probe.sentAt, probe.timeout = d.clock.now, d.health.stretch(d.settings.ProbeTimeout)
 	d.counters.Probes++
@@ -10,7 +10,7 @@
 	d.sendDirect(probe)
 }
 
-// sendDirect sends the target of a probe a request.
+// sendDirect sends a request to the target of a probe.
 func (d *Detector) sendDirect(probe *pendingProbe) {
 	timeout := probe.indirectDeadline() - d.clock.now
 	if probe.forPeer {
@@ -30,7 +30,8 @@
 
 // sendIndirect asks a helper to probe the target (ping-req in SWIM).
 func (d *Detector) sendIndirect(probe *pendingProbe, helper string) {
-	// An indirect probe has always taken two sequence numbers; receivers only need them to grow.
+	// An indirect probe uses two sequence numbers, as in earlier versions; receivers only require that
+	// sequence numbers increase.
 	d.self.nextSequence()
 	message := d.out.newProbe(helper)
 	message.Target = probe.target.label
@@ -38,8 +39,8 @@
 	d.pending.requests[id] = &pendingRequest{probe: probe, helper: helper, sequence: message.Sequence, sentAt: d.clock.now}
 }
 
-// startIndirectProbes asks helpers to probe the target, so that a bad link of ours makes nobody suspect, and
-// repeats the direct request: a single lost message is no reason for a suspicion.
+// startIndirectProbes asks helpers to probe the target, so that a bad link between this controller and the
+// target causes no suspicion. It also repeats the direct request, so that a single lost message causes none.
 func (d *Detector) startIndirectProbes(probe *pendingProbe) {
 	probe.indirect = true
 	probe.target.directProbeFailed = true
@@ -53,8 +54,8 @@
 	}
 }
 
-// expireProbes turns probes without a direct ack in time into indirect ones, and ends those whose
-// indirect acks are overdue too.
+// expireProbes starts the indirect phase of own probes without a direct ack in time, fails own probes whose
+// indirect acks are overdue too, and answers overdue probes for other members with a nack.
 func (d *Detector) expireProbes() {
 	now := d.clock.now
 	for _, probe := range slices.Clone(d.pending.probes) {
@@ -73,12 +74,12 @@
 	}
 }
 
-// handleProbeFailure suspects the target of a probe that got no ack, unless it seems that we are the
-// one who is cut off.
+// handleProbeFailure marks the target of a failed probe as suspect, unless this controller itself appears to
+// be cut off.
 func (d *Detector) handleProbeFailure(probe *pendingProbe) {
 	target := probe.target
 	if target.lastAckAt >= probe.sentAt {
-		return // it answered another request meanwhile
+		return // the target answered another request in the meantime
 	}
 	d.counters.ProbeFailures++
 	switch {
@@ -86,7 +87,7 @@
 		target.unconfirmedFailures = 0
 		d.markSuspect(target, ReasonUnreachable)
 	case probe.helpers > 0 && d.countAliveExcept(target) > 0:
-		// None of the helpers answered us either: the fault is rather ours.
+		// No helper answered either: this controller is probably the one that is cut off.
 		d.health.degrade()
 		target.unconfirmedFailures++
 		if target.unconfirmedFailures >= unconfirmedFailuresToSuspect {
--- a/internal/membership/queries.go
+++ b/internal/membership/queries.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// StateOf is a controller's state. This controller is alive to itself, and so is a label that is not
-// among the peers: nothing is known against it.
+// StateOf returns the state of a controller. It is Alive for this controller itself and for labels that are
+// not peers, as the detector has no evidence against them.
 func (d *Detector) StateOf(label string) State {
 	if m := d.members[label]; m != nil {
 		return m.state
@@ -12,7 +12,8 @@
 }
 
 // MayServeMachines reports whether a controller may serve machines at a monotonic time: it is neither dead nor
-// left, and if it was, it has been back for Settings.Steady. Suspicion alone takes no machine away.
+// left, and if it rejoined after being dead or left, Settings.RejoinDelay has passed since. Suspicion alone
+// reassigns no machine.
 func (d *Detector) MayServeMachines(label string, now time.Duration) bool {
 	m := d.members[label]
 	if m == nil {
@@ -21,14 +22,14 @@
 	return m.isPresent() && (m.rejoinedAt == 0 || now >= m.rejoinedAt+d.settings.RejoinDelay)
 }
 
-// AcceptsWork reports whether new work may be sent to a controller at a monotonic time: it may serve
-// machines and is not suspected.
+// AcceptsWork reports whether new work may be sent to a controller at a monotonic time: the controller may
+// serve machines and is not suspect.
 func (d *Detector) AcceptsWork(label string, now time.Duration) bool {
 	return d.StateOf(label) == Alive && d.MayServeMachines(label, now)
 }
 
-// RelayRoute is the relay route to a controller: via is "" for the direct route, or the member that reached it
-// since our own last probe of it failed. reached is false if no route is known.
+// RelayRoute returns the route to a controller: via is "" for the direct route. After a direct probe failed, via
+// is the label of a helper that has reached the controller recently, or reached is false if there is none.
 func (d *Detector) RelayRoute(label string) (via string, reached bool) {
 	m := d.members[label]
 	if m == nil || !m.directProbeFailed {
@@ -42,8 +43,8 @@
 	return "", false
 }
 
-// LeaderCandidates lists the controllers that may follow a leader: this one and the peers that are alive,
-// without the leader. The order is that of the labels, this controller first.
+// LeaderCandidates lists the controllers that may succeed a leader: this controller, then the alive peers
+// sorted by label, without the leader.
 func (d *Detector) LeaderCandidates(leader string) []string {
 	candidates := []string{}
 	if d.self.label != leader {
@@ -57,13 +58,13 @@
 	return candidates
 }
 
-// Member is what is known of a peer.
+// Member is a snapshot of the detector's record of a peer.
 type Member struct {
 	Label          string
 	State          State
-	Since          time.Duration // when the state began, monotonic
+	Since          time.Duration // start of the state, monotonic
 	Incarnation    Incarnation
-	UsesHeartbeats bool // whether it is judged by heartbeats, as its version knows no probes
+	UsesHeartbeats bool // whether heartbeats replace probes, as the peer's version does not support probes
 }
 
 // Members lists the peers, sorted by label.
@@ -76,11 +77,11 @@
 	return members
 }
 
-// Incarnation is that of this controller.
+// Incarnation returns the incarnation of this controller.
 func (d *Detector) Incarnation() Incarnation { return d.self.incarnation }
 
-// LocalHealth is the local health score: 0, in good health, to 8.
+// LocalHealth returns the local health score, from 0 (good) to 8.
 func (d *Detector) LocalHealth() int { return d.health.score }
 
-// Counters are the totals so far.
+// Counters returns a copy of the totals.
 func (d *Detector) Counters() Counters { return d.counters }
--- a/internal/membership/responses.go
+++ b/internal/membership/responses.go
@@ -4,11 +4,11 @@
 
 // Response is the outcome of a Send.
 type Response struct {
-	Status int // HTTP status; 0: there was no answer
+	Status int // HTTP status; 0: no answer
 	Body   []byte
 }
 
-// HandleResponse handles the outcome of the Send with the ID. That of a probe which has ended is ignored.
+// HandleResponse handles the outcome of the Send with the given ID. It is ignored if the probe has ended.
 func (d *Detector) HandleResponse(at Clock, id uint64, answer Response) []Action {
 	d.advanceClock(at)
 	request := d.pending.takeRequest(id)
@@ -24,7 +24,7 @@
 	return d.out.actions
 }
 
-// handleDirectResponse handles what came from the target of a probe itself.
+// handleDirectResponse handles the outcome of a request to the target of a probe.
 func (d *Detector) handleDirectResponse(request *pendingRequest, answer Response) {
 	probe, target := request.probe, request.probe.target
 	reply, ok := d.readReply(target.label, request, answer)
@@ -32,7 +32,7 @@
 	case ok:
 		d.recordAck(target, request, reply)
 	case answer.Status == http.StatusNotFound && !request.heartbeat:
-		// The process runs, but its version knows no probes: it is sent heartbeats from now on.
+		// The process is alive, but its version does not support probes: use heartbeats from now on.
 		target.method = viaHeartbeat
 		d.recordAck(target, request, ProbeReply{})
 	case answer.Status == http.StatusOK && request.heartbeat:
@@ -42,7 +42,7 @@
 		d.pending.finish(probe)
 		return
 	case !probe.indirect:
-		d.startIndirectProbes(probe) // after a refused connection, say: no need to wait for the timeout
+		d.startIndirectProbes(probe) // the request failed early, for example by a refused connection
 		return
 	default:
 		return
@@ -53,8 +53,8 @@
 	d.pending.finish(probe)
 }
 
-// handleIndirectResponse handles what came from a helper. Without a valid reply the helper counts as
-// silent: neither an ack nor a nack.
+// handleIndirectResponse handles the outcome of a request to a helper. A missing or invalid reply counts as
+// neither an ack nor a nack.
 func (d *Detector) handleIndirectResponse(request *pendingRequest, answer Response) {
 	probe, target := request.probe, request.probe.target
 	reply, ok := d.readReply(request.helper, request, answer)
@@ -78,9 +78,10 @@
 	d.pending.finish(probe)
 }
 
-// recordAck handles the ack that a member gave to a request of ours. It clears a suspicion if the request
-// was sent since. A member that is dead or left comes back by a later incarnation alone, unless its
-// version knows no probes, and so no incarnations.
+// recordAck handles a member's ack of a request. The ack clears a suspicion if the request was sent after the
+// suspicion started. A dead or left member becomes alive again only with a later incarnation. A version
+// without probe support has no incarnations: for such a member, an ack of a request that was sent after the
+// member became dead or left is enough.
 func (d *Detector) recordAck(m *member, request *pendingRequest, reply ProbeReply) {
 	d.counters.Replies++
 	m.recordDirectAck(d.clock.now)
@@ -97,8 +98,8 @@
 	d.handleClaims(m.label, reply.Claims)
 }
 
-// readReply reads the reply to a probe; ok is false if there is none or it is dropped. A rejected probe
-// (409) counts too, as only a running process rejects one.
+// readReply decodes the reply to a probe; ok is false if there is no reply or it is dropped. The rejection of
+// a probe (409) counts as a reply, as only a running process rejects probes.
 func (d *Detector) readReply(from string, request *pendingRequest, answer Response) (reply ProbeReply, ok bool) {
 	if request.heartbeat || answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
 		return ProbeReply{}, false
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,18 +1,19 @@
 package membership
 
-// State is the state of a controller as another one sees it. Its numbers are on the wire and in a metric.
+// State is the state of a controller in the view of another controller. Its numeric values are on the wire and
+// in a metric.
 type State uint8
 
-// The states; the package comment has the table of changes. Alive is the zero value, as nobody is
-// suspected before it was probed.
+// The states; the package comment lists the transitions. Alive is the zero value, as no member is suspect
+// before the first probe.
 const (
 	Alive   State = iota
-	Suspect       // answers neither us nor the helpers that we asked
-	Dead          // suspected for the whole timeout: its machines go to others
-	Left          // told the group that it leaves
+	Suspect       // did not answer this controller's probes, nor those of the helpers
+	Dead          // suspicion timed out; its machines are reassigned
+	Left          // left gracefully after announcing it
 )
 
-// String names the state for logs and metrics.
+// String returns the name of the state in logs and metrics.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -27,14 +28,14 @@
 	return "unknown"
 }
 
-// Incarnation orders the processes of a label and their refutations: the Unix time in
-// milliseconds when the process started, and one more for each claim that it refuted.
+// Incarnation orders the processes of a label and their refutations. It is the Unix time in milliseconds
+// when the process started, and is increased by each refutation to one more than the refuted claim's.
 type Incarnation uint64
 
-// Reason is why a member's state changed. Its text is logged, and docs/operations.md explains it.
+// Reason is why a member's state changed. Its text is logged; docs/operations.md documents each text.
 type Reason string
 
-// The reasons.
+// Reasons of state changes.
 const (
 	ReasonUnreachable      Reason = "neither we nor others reach it"
 	ReasonUnconfirmed      Reason = "we don't reach it, and there is nobody else to ask"
@@ -45,21 +46,21 @@
 	ReasonLeftGracefully   Reason = "it said so"
 )
 
-// String is the text for logs.
+// String returns the text for logs.
 func (r Reason) String() string { return string(r) }
 
-// DropReason is why a message was not taken. Its text is logged and is a metric's label.
+// DropReason is why a message was dropped. Its text is logged and is a label value of a metric.
 type DropReason string
 
-// The reasons.
+// Reasons of dropped messages.
 const (
-	DropMalformed   DropReason = "malformed"               // not a message, or beyond a bound
-	DropVersion     DropReason = "higher version"          // of a version that we can't read
-	DropUnknown     DropReason = "unknown label"           // of or about nobody in the group
-	DropIncarnation DropReason = "older incarnation"       // of a former process
-	DropSequence    DropReason = "sequence went backwards" // a copy, or overtaken by a later message
-	DropFuture      DropReason = "from the future"         // beyond the bound on the clocks' error
+	DropMalformed   DropReason = "malformed"               // cannot be decoded, or exceeds a bound
+	DropVersion     DropReason = "higher version"          // unsupported protocol version
+	DropUnknown     DropReason = "unknown label"           // label outside the group, or reply to another request
+	DropIncarnation DropReason = "older incarnation"       // sent before a restart or a refutation
+	DropSequence    DropReason = "sequence went backwards" // a duplicate, or overtaken by a later message
+	DropFuture      DropReason = "from the future"         // incarnation or sequence number beyond its bound
 )
 
-// String is the text for logs.
+// String returns the text for logs.
 func (r DropReason) String() string { return string(r) }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// maxConfirmations is how many confirmations bring the suspicion timeout down to the least; in
-// smaller groups it is the number of the other members.
+// maxConfirmations is the number of confirmations that reduce the suspicion timeout to its minimum. In
+// smaller groups, the number of other members takes its place.
 const maxConfirmations = 3
 
-// suspicion is the timer of a suspected member.
+// suspicion is the timer of a suspect member.
 type suspicion struct {
 	since         time.Duration   // monotonic
 	confirmations map[string]bool // labels of the other members that claim it suspect, dead or left
@@ -19,8 +19,9 @@
 	return suspicion{since: now, confirmations: map[string]bool{}}
 }
 
-// timeout is the time from suspicion to death. It falls with the logarithm of the number of
-// confirmations, as in Lifeguard: from factor times the least without any to the least with enough.
+// timeout returns the time after which the suspect is declared dead. As in Lifeguard, it decreases with the
+// logarithm of the number of confirmations: from factor*least without confirmations to least with
+// maxConfirmations of them, or with one of each of the others in a smaller group.
 func (s *suspicion) timeout(least time.Duration, factor float64, others int) time.Duration {
 	enough := min(maxConfirmations, others)
 	if enough <= 0 {
@@ -31,17 +32,17 @@
 	return time.Duration(float64(least) * (factor - (factor-1)*share))
 }
 
-// suspicionReport is another member's claim that a member is suspect, dead or left.
+// suspicionReport is a claim by another member that a member is suspect, dead or left.
 type suspicionReport struct {
-	at          time.Duration // when it came, monotonic
+	at          time.Duration // when the claim was received, monotonic
 	state       State         // Suspect or Dead
-	incarnation Incarnation   // of the member that it is about
+	incarnation Incarnation   // claimed incarnation of the reported member
 }
 
-// isRecent reports whether the report still counts.
+// isRecent reports whether the report is younger than lifetime.
 func (r suspicionReport) isRecent(now, lifetime time.Duration) bool { return now < r.at+lifetime }
 
-// addReport keeps a report about the member.
+// addReport stores a report about the member. It replaces an earlier report by the same member.
 func (m *member) addReport(by string, report suspicionReport) {
 	if m.reports == nil {
 		m.reports = map[string]suspicionReport{}
@@ -49,7 +50,7 @@
 	m.reports[by] = report
 }
 
-// discardOldReports forgets the reports about earlier incarnations than the member's.
+// discardOldReports deletes the reports about incarnations earlier than the member's current one.
 func (m *member) discardOldReports() {
 	for by, report := range m.reports {
 		if report.incarnation < m.incarnation {
@@ -58,7 +59,7 @@
 	}
 }
 
-// worstReport is the worst recent report about the member; its state is Alive if there is none.
+// worstReport returns the worst recent report about the member, or a report with state Alive if there is none.
 func (m *member) worstReport(now, lifetime time.Duration) suspicionReport {
 	worst := suspicionReport{}
 	for _, report := range m.reports {
@@ -69,7 +70,7 @@
 	return worst
 }
 
-// startSuspicion starts the member's suspicion timer. Recent reports count as confirmations.
+// startSuspicion starts the suspicion timer of the member. Recent reports count as confirmations.
 func (m *member) startSuspicion(now time.Duration, wall int64, reportLifetime time.Duration) {
 	m.suspicion, m.suspectedAtWall = newSuspicion(now), wall
 	for by, report := range m.reports {
--- a/internal/membership/transitions.go
+++ b/internal/membership/transitions.go
@@ -1,12 +1,12 @@
 package membership
 
-// setState changes a member's state and reports it.
+// setState changes the state of a member and adds a StateChange action.
 func (d *Detector) setState(m *member, to State, reason Reason) {
 	d.out.reportChange(StateChange{Label: m.label, From: m.state, To: to, Reason: reason, Incarnation: m.incarnation, After: d.clock.now - m.since})
 	m.state, m.since = to, d.clock.now
 }
 
-// markSuspect suspects a member that is alive.
+// markSuspect changes an alive member to suspect.
 func (d *Detector) markSuspect(m *member, reason Reason) {
 	if m.state != Alive {
 		return
@@ -17,7 +17,7 @@
 	m.nextProbeAt = 0
 }
 
-// expireSuspicions declares the members dead that were suspected for the whole timeout.
+// expireSuspicions changes the suspects whose suspicion timed out to dead.
 func (d *Detector) expireSuspicions() {
 	for _, label := range d.labels {
 		m := d.members[label]
@@ -32,8 +32,8 @@
 	}
 }
 
-// markAlive brings a member back from any other state. If its process began before it was suspected,
-// the suspicion was wrong and is counted as false.
+// markAlive changes a member from any other state to alive. If the member's process started before the member
+// became suspect, the suspicion was false and is counted as such.
 func (d *Detector) markAlive(m *member, reason Reason) {
 	if m.state == Alive {
 		return
@@ -44,7 +44,7 @@
 			d.counters.FalseSuspicions++
 		case Dead:
 			d.counters.FalseDeaths++
-		case Alive, Left: // nothing was suspected
+		case Alive, Left: // the member was not suspect
 		}
 	}
 	if !m.isPresent() {
--- a/internal/protocol/cloud.go
+++ b/internal/protocol/cloud.go
@@ -8,10 +8,10 @@
 	MemoryGB     float64  `msgpack:"ramGb"`
 	CacheGB      float64  `msgpack:"localGb"`    // local disk for images
 	FetchGBPerS  float64  `msgpack:"pullGbPerS"` // rate at which images are fetched
-	Price        float64  `msgpack:"rate"`       // on demand
+	Price        float64  `msgpack:"rate"`       // of an on-demand machine
 	SpotPrice    float64  `msgpack:"lowPrice"`
-	BootS        float64  `msgpack:"startupS"` // seconds from launch until it is usually up
-	Zones        []string `msgpack:"yards"`    // where the type is offered
+	BootS        float64  `msgpack:"startupS"` // usual time from launch to running, in seconds
+	Zones        []string `msgpack:"yards"`    // zones in which the type is offered
 }
 
 // MachineTypes is the cloud's list of machine types.
@@ -21,7 +21,7 @@
 
 // LaunchRequest asks the cloud for machines. MachineIDs answers it.
 type LaunchRequest struct {
-	// Request identifies the request: repeated with the same one, it launches nothing more.
+	// Request identifies the request: a retry with the same value launches no further machines.
 	Request string `msgpack:"hire"`
 	Type    string `msgpack:"flavour"`
 	Zone    string `msgpack:"yard"`
@@ -29,7 +29,7 @@
 	Count   int    `msgpack:"number"`
 }
 
-// MachineIDs holds machines' IDs: those that a launch gave, or those that are to be deleted.
+// MachineIDs holds the IDs of launched machines, or of machines to delete.
 type MachineIDs struct {
 	Machines []string `msgpack:"hosts"`
 }
--- a/internal/protocol/encoding.go
+++ b/internal/protocol/encoding.go
@@ -9,15 +9,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxBodyBytes is the largest body of a request or a response, in bytes. The state service's answers
-// may be larger (see package transport).
+// MaxBodyBytes is the maximum size of a request or response body, in bytes. Responses of the state service may
+// be larger (see package transport).
 const MaxBodyBytes = 64 << 10
 
-// ErrMalformed is the error of a body that is not one complete MessagePack value.
+// ErrMalformed means that a body is not exactly one complete MessagePack value.
 var ErrMalformed = errors.New("malformed")
 
-// Encode writes MessagePack. It panics on a value that has no MessagePack form, which this
-// module's message types all have.
+// Encode encodes a value as MessagePack. It panics if the value cannot be encoded; all message types of this
+// module can.
 func Encode(v any) []byte {
 	var b bytes.Buffer
 	encoder := msgpack.NewEncoder(&b)
@@ -28,18 +28,18 @@
 	return b.Bytes()
 }
 
-// Decode reads one MessagePack value into v, which must be a pointer. Unknown fields are ignored.
-// The error is ErrMalformed if the body is not one complete value, and the decoder's own if the
-// value does not fit v. A damaged body never ends the process, whatever the decoder does with it.
+// Decode decodes one MessagePack value into v, which must be a pointer. Unknown fields are ignored. The error is
+// ErrMalformed if the body is not exactly one complete value, and the decoder's error if the value does not
+// fit v. A panic of the decoder is returned as ErrMalformed, so that a damaged body cannot end the process.
 func Decode(b []byte, v any) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("%w: %v", ErrMalformed, r)
 		}
 	}()
-	// A header that claims four thousand million elements made the decoder ask for memory that
-	// ended the process. Skipping allocates nothing, and fails where the body is shorter than
-	// its headers say.
+	// Decoding a header that claims four thousand million elements allocated so much memory that the
+	// process ended. Skipping the value first allocates nothing, and fails if the body is shorter than
+	// its headers claim.
 	body := bytes.NewReader(b)
 	if err := msgpack.NewDecoder(body).Skip(); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -50,8 +50,8 @@
 	return msgpack.Unmarshal(b, v)
 }
 
-// EncodePeer writes a message between controllers as CBOR. It panics on a value that has no CBOR
-// form, which this module's message types all have.
+// EncodePeer encodes a message between controllers as CBOR. It panics if the value cannot be encoded; all message
+// types of this module can.
 func EncodePeer(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -60,6 +60,6 @@
 	return b
 }
 
-// DecodePeer reads a message between controllers into v, which must be a pointer. Unknown fields
-// are ignored, so that a later version may add some. The error is the decoder's.
+// DecodePeer decodes a message between controllers into v, which must be a pointer. Unknown fields are ignored, so
+// that later versions can add fields. The error is the decoder's.
 func DecodePeer(b []byte, v any) error { return cbor.Unmarshal(b, v) }
--- a/internal/protocol/job_spec.go
+++ b/internal/protocol/job_spec.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Priority is a job's priority; a larger one goes first.
+// Priority is a job's priority; higher values are scheduled first.
 type Priority int
 
-// Priorities in rising order.
+// Priorities in ascending order.
 const (
 	PriorityIdle Priority = iota
 	PriorityNormal
@@ -13,11 +13,11 @@
 	PriorityProduction
 )
 
-// MaxTasksPerJob is the largest number of tasks that a job may have.
+// MaxTasksPerJob is the maximum number of tasks of a job.
 const MaxTasksPerJob = 100_000
 
-// JobSpec is a job as submitted. It is stored in this form, so that tags and types must not change.
-// Amounts are those of one task.
+// JobSpec is a job as submitted. It is stored in this form, so its tags and types must not change. Resource
+// amounts are per task.
 type JobSpec struct {
 	UID          string   `msgpack:"u"`
 	Class        string   `msgpack:"c"`
@@ -31,20 +31,20 @@
 	MemoryGB     float64  `msgpack:"cm"`
 	Image        string   `msgpack:"i"`
 	ImageGB      float64  `msgpack:"ig"`
-	// Types are the machine types that the tasks may run on; nil: all; empty: none.
+	// Types lists the machine types that the tasks may run on; nil: all types; empty: none.
 	Types []string `msgpack:"ty,omitempty"`
-	// Zone is the only zone that the tasks may run in; empty: all may be used.
+	// Zone is the only zone that the tasks may run in; empty: any zone.
 	Zone    string `msgpack:"z,omitempty"`
-	OneZone bool   `msgpack:"tz,omitempty"` // all tasks in the same zone
+	OneZone bool   `msgpack:"tz,omitempty"` // all tasks run in the same zone
 	Spread  bool   `msgpack:"sp,omitempty"` // no zone has more than half of the tasks
 	Spot    bool   `msgpack:"bo,omitempty"` // spot machines may be used
-	// EstimateS is how many seconds a task runs, as its owner says.
+	// EstimateS is the owner's estimate of a task's run time, in seconds.
 	EstimateS float64 `msgpack:"e,omitempty"`
-	// CheckpointS is the time between two checkpoints, and CheckpointS how long writing one takes, in
-	// seconds. CheckpointS 0: the task has none.
+	// CheckpointS is the time between two checkpoints, and SaveS the time to write a checkpoint, in seconds.
+	// CheckpointS 0: the task writes no checkpoints.
 	CheckpointS float64 `msgpack:"cp,omitempty"`
 	SaveS       float64 `msgpack:"sv,omitempty"`
-	// DeadlineS is when the job is due, in seconds after its submission; 0: no deadline.
+	// DeadlineS is the job's deadline, in seconds after its submission; 0: no deadline.
 	DeadlineS float64 `msgpack:"d,omitempty"`
 }
 
@@ -53,7 +53,7 @@
 	maxJobIDDigits = 40
 )
 
-// ValidJobID says whether an ID has the form of job IDs: j- and 1 to 40 digits or small letters.
+// ValidJobID reports whether s is a well-formed job ID: j- and 1 to 40 digits or lower-case letters.
 func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, jobIDPrefix)
 	if !ok || len(digits) == 0 || len(digits) > maxJobIDDigits {
--- a/internal/protocol/state_service.go
+++ b/internal/protocol/state_service.go
@@ -6,33 +6,34 @@
 type KeyValue struct {
 	Key     string             `msgpack:"k"`
 	Value   msgpack.RawMessage `msgpack:"data"`
-	Version uint64             `msgpack:"stamp"`  // the revision of its last change
-	Lease   uint64             `msgpack:"tenure"` // the lease that it ends with; 0: none
+	Version uint64             `msgpack:"stamp"`  // revision of the key's last change
+	Lease   uint64             `msgpack:"tenure"` // lease that the key expires with; 0: none
 }
 
 // KeyValuePage is one page of keys.
 type KeyValuePage struct {
 	Items    []KeyValue `msgpack:"items"`
 	More     bool       `msgpack:"more"`   // there is another page
-	Revision uint64     `msgpack:"ledger"` // of the whole store when the page was read
+	Revision uint64     `msgpack:"ledger"` // revision of the whole store when the page was read
 }
 
-// Condition is one comparison of a compare-and-swap: the key has this version. Version 0: the key
-// does not exist.
+// Condition is one comparison of a compare-and-swap: it holds if the key has this version. Version 0 requires
+// that the key does not exist.
 type Condition struct {
 	Key     string `msgpack:"k"`
 	Version uint64 `msgpack:"stamp"`
 }
 
-// Change is one change of a transaction: a put if Put is set, and a deletion if Delete is.
+// Change is one change of a transaction: a put if Put is set, or a deletion if Delete is set.
 type Change struct {
 	Put    string `msgpack:"put,omitempty"`
 	Value  any    `msgpack:"data,omitempty"`
-	Lease  uint64 `msgpack:"tenure,omitempty"` // the lease that the key ends with; 0: none
+	Lease  uint64 `msgpack:"tenure,omitempty"` // lease that the key expires with; 0: none
 	Delete string `msgpack:"delete,omitempty"`
 }
 
-// Transaction is a transaction: all its changes are applied if all its conditions hold, else none.
+// Transaction is a compare-and-swap of several keys: all changes are applied if all conditions hold, otherwise
+// none.
 type Transaction struct {
 	If   []Condition `msgpack:"if"`
 	Then []Change    `msgpack:"apply"`
@@ -41,20 +42,20 @@
 // TransactionReply answers a transaction.
 type TransactionReply struct {
 	Revision uint64   `msgpack:"ledger"`
-	Failed   []string `msgpack:"failed"` // keys whose condition did not hold
+	Failed   []string `msgpack:"failed"` // keys whose conditions did not hold
 }
 
-// LeaseRequest opens a lease in the state service. LeaseReply answers it.
+// LeaseRequest grants a lease in the state service. LeaseReply answers it.
 type LeaseRequest struct {
 	TTLMillis int64 `msgpack:"lifeMs"`
 }
 
-// LeaseReply holds the new lease's ID.
+// LeaseReply holds the ID of the new lease.
 type LeaseReply struct {
 	Lease uint64 `msgpack:"tenure"`
 }
 
-// WatchEvent is one change that a watch has seen: a put if Put is set, and a deletion if Delete is.
+// WatchEvent is one change that a watch observed: a put if Put is set, or a deletion if Delete is set.
 type WatchEvent struct {
 	Put     string             `msgpack:"put"`
 	Value   msgpack.RawMessage `msgpack:"data"`
@@ -62,8 +63,8 @@
 	Version uint64             `msgpack:"stamp"`
 }
 
-// WatchReply answers a watch.
+// WatchReply answers a watch request.
 type WatchReply struct {
-	Revision uint64       `msgpack:"ledger"` // from where the next watch goes on
+	Revision uint64       `msgpack:"ledger"` // revision from which the next watch request continues
 	Events   []WatchEvent `msgpack:"news"`
 }
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -5,7 +5,7 @@
 	"math"
 )
 
-// Fields of a submission by the protocol's names. Spec has the usual terms for them.
+// Field names of a submission on the wire. JobSpec has the usual terms for them.
 const (
 	fieldUID          = "uid"
 	fieldClass        = "tier"
@@ -36,7 +36,7 @@
 	shapeGang    = "group"
 )
 
-// priorities are the values of fieldPriority.
+// priorities maps the values of fieldPriority to priorities.
 var priorities = map[string]Priority{
 	"production": PriorityProduction,
 	"high":       PriorityHigh,
@@ -44,19 +44,19 @@
 	"idle":       PriorityIdle,
 }
 
-// ValidationError is the error of a submission with a field that is missing or invalid.
+// ValidationError means that a field of a submission is missing or invalid.
 type ValidationError struct {
-	Field  string // by the protocol's name
+	Field  string // name on the wire
 	Reason string
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the field and the reason.
 func (e *ValidationError) Error() string { return e.Field + ": " + e.Reason }
 
-// ParseSubmission reads and validates a submission. The error is a *ValidationError for the first
-// field that is wrong, or one of ErrMalformed, ErrBodyTooLarge, ErrNestedTooDeeply and ErrNotAMap.
-// The uid is returned as far as it could be read, also with an error: a job that was accepted
-// before is answered with its state whatever a repeat of its submission holds.
+// ParseSubmission decodes and validates a submission. The error is a *ValidationError for the first invalid
+// field, one of ErrMalformed, ErrBodyTooLarge, ErrNestedTooDeeply and ErrNotAMap, or the decoder's error.
+// With a *ValidationError, the uid is returned if it is a string: a repeated submission of an accepted job is
+// answered with the job's state, even if the other fields of the repetition are invalid.
 func ParseSubmission(body []byte) (uid string, spec *JobSpec, err error) {
 	values, err := decodeSubmission(body)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return spec.UID, spec, nil
 }
 
-// parse reads all fields. The order decides which error is reported where several fields are
-// wrong.
+// parse reads all fields. If several fields are invalid, the order of reading determines which error is
+// reported.
 func (f *submissionFields) parse() *JobSpec {
 	spec := &JobSpec{
 		UID:          f.text(fieldUID, required),
@@ -105,7 +105,7 @@
 	return spec
 }
 
-// shape says whether the job is a service or a gang; neither: a job array.
+// shape reports whether the job is a service or a gang. If neither is true, the job is a job array.
 func (f *submissionFields) shape() (service, gang bool) {
 	shape := f.text(fieldShape, required)
 	switch shape {
@@ -137,8 +137,8 @@
 	return int(count)
 }
 
-// machineTypes reads the list of machine types: nil if it is null or left out. An empty list
-// allows no type at all, which is not the same.
+// machineTypes reads the list of machine types. It is nil, which allows all types, if the field is null or
+// missing. An empty list allows no type.
 func (f *submissionFields) machineTypes() []string {
 	value, ok := f.values[fieldTypes]
 	if !ok || value == nil {
--- a/internal/protocol/submission_body.go
+++ b/internal/protocol/submission_body.go
@@ -2,27 +2,27 @@
 
 import "errors"
 
-// Errors of a body that holds no submission at all.
+// Errors of a body that is not a submission.
 var (
 	ErrBodyTooLarge    = errors.New("body too large")
 	ErrNestedTooDeeply = errors.New("nested too deeply")
 	ErrNotAMap         = errors.New("not a map")
 )
 
-// Bounds of a submission's nesting.
+// Bounds on the nesting of a submission.
 const (
 	maxDepth = 16
-	// headersPerLevel is how many bytes that look like containers' headers are allowed in a row
-	// for each level of maxDepth: a text may hold such bytes, too.
+	// headersPerLevel times maxDepth is the maximum number of consecutive bytes that look like container
+	// headers. It is larger than 1 because a text may contain such bytes, too.
 	headersPerLevel = 20
 )
 
-// decodeSubmission reads a map with texts as keys from a body of any origin.
+// decodeSubmission decodes a map with text keys from an untrusted body.
 func decodeSubmission(body []byte) (map[string]any, error) {
 	if len(body) > MaxBodyBytes {
 		return nil, ErrBodyTooLarge
 	}
-	// The decoder recurses once a level: the depth is bounded before it runs.
+	// The decoder recurses once per level, so the depth is checked before decoding.
 	if nestedTooDeeply(body) {
 		return nil, ErrNestedTooDeeply
 	}
@@ -37,8 +37,8 @@
 	return values, nil
 }
 
-// nestedTooDeeply is a rough bound: very many headers of containers in a row can only be nesting,
-// as each container needs a byte or more before its first scalar.
+// nestedTooDeeply reports whether the body may be nested too deeply. The check is approximate: it counts
+// consecutive container headers, as deep nesting has a header per level.
 func nestedTooDeeply(body []byte) bool {
 	inARow := 0
 	for _, b := range body {
@@ -54,10 +54,10 @@
 	return false
 }
 
-// isContainerHeader says whether a byte starts a map or an array in MessagePack.
+// isContainerHeader reports whether a byte is the header of a map or an array in MessagePack.
 func isContainerHeader(b byte) bool {
 	const (
-		fixedMap   = 0x80 // with the length in the lower half
+		fixedMap   = 0x80 // the lower four bits are the length
 		fixedArray = 0x90
 		array16    = 0xdc
 		map32      = 0xdf // array32 and map16 are in between
--- a/internal/protocol/submission_fields.go
+++ b/internal/protocol/submission_fields.go
@@ -1,13 +1,13 @@
 package protocol
 
-// Bounds of a submission's values.
+// Bounds on the values of a submission.
 const (
 	maxTextBytes  = 200
 	maxListLength = 1000
 	maxAmount     = 1e12
 )
 
-// presence says whether a field may be null or left out.
+// presence is whether a field may be null or missing.
 type presence bool
 
 const (
@@ -15,20 +15,20 @@
 	optional presence = true
 )
 
-// submissionFields reads the fields of a submission and keeps the first error.
+// submissionFields reads the fields of a submission and stores the first error.
 type submissionFields struct {
 	values map[string]any
 	err    error
 }
 
-// fail records an error of a field unless there is one already.
+// fail stores the error of a field, unless an error is stored already.
 func (f *submissionFields) fail(field, reason string) {
 	if f.err == nil {
 		f.err = &ValidationError{Field: field, Reason: reason}
 	}
 }
 
-// value returns a field's value, and false if it is null or left out.
+// value returns the value of a field, and false if the field is null or missing.
 func (f *submissionFields) value(field string, presence presence) (any, bool) {
 	value := f.values[field]
 	if value == nil && presence == required {
@@ -49,7 +49,7 @@
 	return text
 }
 
-// validText returns the text that a value is, and false if it is none, empty or too long.
+// validText returns the value as a text, and false if it is not a text, or is empty or too long.
 func validText(value any) (string, bool) {
 	text, ok := value.(string)
 	return text, ok && text != "" && len(text) <= maxTextBytes
@@ -73,7 +73,7 @@
 		return 0
 	}
 	amount, ok := number(value)
-	// Not >= 0 is also true of a NaN.
+	// !(amount >= 0) is true for NaN, too.
 	if !ok || !(amount >= 0) || amount > maxAmount {
 		f.fail(field, "not an amount of 0 or more")
 		return 0
@@ -81,7 +81,7 @@
 	return amount
 }
 
-// number accepts whole numbers and floating-point ones alike: MessagePack writers differ.
+// number converts an integer or floating-point value: MessagePack encoders differ in the types that they use.
 func number(value any) (float64, bool) {
 	switch n := value.(type) {
 	case int8:
--- a/internal/protocol/users.go
+++ b/internal/protocol/users.go
@@ -1,12 +1,12 @@
 package protocol
 
-// JobState is a job's state as its user sees it.
+// JobState is the state of a job as reported to users.
 type JobState string
 
-// States of jobs.
+// Job states.
 const (
-	JobPending   JobState = "pending" // no task is running now
-	JobRunning   JobState = "running" // at least one task is
+	JobPending   JobState = "pending" // no task is running
+	JobRunning   JobState = "running" // at least one task is running
 	JobDone      JobState = "done"
 	JobCancelled JobState = "aborted"
 )
@@ -15,6 +15,6 @@
 type JobStatus struct {
 	UID     string   `msgpack:"uid"`
 	State   JobState `msgpack:"standing"`
-	Done    int      `msgpack:"done"`    // tasks completed
-	Running int      `msgpack:"running"` // tasks running now
+	Done    int      `msgpack:"done"`    // completed tasks
+	Running int      `msgpack:"running"` // running tasks
 }
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -1,41 +1,41 @@
 package protocol
 
-// TaskState is a task's state as its worker reports it.
+// TaskState is the state of a task as reported by its worker.
 type TaskState string
 
 // States of tasks on workers.
 const (
 	TaskFetchingImage    TaskState = "pulling"
-	TaskWaitingForGang   TaskState = "gathering" // until the gang's other tasks of the same attempt are there
+	TaskWaitingForGang   TaskState = "gathering" // waits until the gang's other tasks of the same attempt are ready
 	TaskRunning          TaskState = "running"
 	TaskSavingCheckpoint TaskState = "saving" // writes its last checkpoint before it stops
-	TaskExited           TaskState = "exited" // stays in the reports until a VerbClear
+	TaskExited           TaskState = "exited" // stays in heartbeats until a VerbClear
 )
 
-// ExitCause is why a task ended, as its worker reports it.
+// ExitCause is why a task ended, as reported by its worker.
 type ExitCause string
 
-// Causes of a task's end.
+// Exit causes.
 const (
 	CauseDone                  ExitCause = "done"
 	CauseStopped               ExitCause = "halted"  // by VerbStop
 	CauseError                 ExitCause = "error"   // the task failed
 	CauseInsufficientResources ExitCause = "no_room" // the machine has too little free
 	CauseBusy                  ExitCause = "busy"    // another attempt of the task is on the machine
-	// CausePeersLost is that of a gang's task whose other tasks are gone.
+	// CausePeersLost means that the other tasks of the gang were lost.
 	CausePeersLost ExitCause = "mates_gone"
-	// CauseIncomplete is that of a gang's task whose gang was not complete in time.
+	// CauseIncomplete means that the gang was not complete in time.
 	CauseIncomplete ExitCause = "incomplete"
 )
 
-// Verbs of commands.
+// Command verbs.
 const (
 	VerbRun   = "run"
 	VerbStop  = "halt"  // with a grace period in which the task may save a checkpoint
-	VerbClear = "clear" // forget a task that has exited
+	VerbClear = "clear" // drops an exited task from the heartbeats
 )
 
-// TaskStatus is one task in a worker's heartbeat.
+// TaskStatus is the status of one task in a worker's heartbeat.
 type TaskStatus struct {
 	Task            string    `msgpack:"shard"`
 	Attempt         uint64    `msgpack:"try"`
@@ -44,21 +44,21 @@
 	CheckpointSaved bool      `msgpack:"stored"`
 }
 
-// WorkerHeartbeat is a worker's periodic report of itself and all its tasks.
+// WorkerHeartbeat is a worker's periodic report of its own status and the status of all its tasks.
 type WorkerHeartbeat struct {
 	Machine string `msgpack:"host"`
 	Addr    string `msgpack:"addr"`
 	Type    string `msgpack:"flavour"`
 	Zone    string `msgpack:"yard"`
 	Spot    bool   `msgpack:"borrowed"`
-	// Epoch grows whenever the worker's agent starts anew; Sequence grows with each report of an
+	// Epoch increases with each start of the worker's agent; Sequence increases with each heartbeat of an
 	// epoch.
 	Epoch    uint64 `msgpack:"shift"`
 	Sequence uint64 `msgpack:"tally"`
 	// Token is the highest fencing token that the worker has seen.
 	Token uint64 `msgpack:"mandate"`
-	// SpotNoticeS is how many seconds remain until the cloud takes a spot machine back; nil: it
-	// has not given notice.
+	// SpotNoticeS is the time until the cloud reclaims a spot machine, in seconds; nil: the cloud has given
+	// no notice.
 	SpotNoticeS *float64     `msgpack:"warningS"`
 	Tasks       []TaskStatus `msgpack:"shards"`
 }
@@ -68,7 +68,7 @@
 	Verb    string `msgpack:"verb"`
 	Task    string `msgpack:"shard"`
 	Attempt uint64 `msgpack:"try"`
-	// GraceS is how many seconds a task that is stopped has for its checkpoint.
+	// GraceS is the grace period in which a stopped task may save a checkpoint, in seconds.
 	GraceS float64 `msgpack:"leewayS"`
 }
 
@@ -78,16 +78,16 @@
 	Commands []Command `msgpack:"orders"`
 }
 
-// CommandRequest is a request to a worker with commands that do not wait for its next heartbeat. The
-// worker refuses it if it has seen a higher fencing token, or is in another epoch.
+// CommandRequest sends commands to a worker directly, without waiting for its next heartbeat. The worker rejects
+// the request if it has seen a higher fencing token or is in another epoch.
 type CommandRequest struct {
 	Token    uint64    `msgpack:"mandate"`
 	Epoch    uint64    `msgpack:"shift"`
 	Commands []Command `msgpack:"orders"`
 }
 
-// Redirect is the body of a 421 answer: the worker shall report to another controller.
+// Redirect is the body of a 421 response: the worker must send its heartbeats to another controller.
 type Redirect struct {
-	// Leader is the label of the controller to report to; empty: none is known.
+	// Leader is the label of that controller; empty: unknown.
 	Leader string `msgpack:"foreman,omitempty"`
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,6 +1,6 @@
-// Package workerclient builds the direct requests to the agents on workers and reads their replies. It
-// alone knows the agents' path and status codes. It does no I/O: the controller sends the request,
-// as it also decides until when the request may leave.
+// Package workerclient builds the direct requests to the agents on workers and decodes their replies. It
+// encapsulates the agents' path and status codes. It does no I/O: the controller sends the request,
+// because the controller also decides until when the request may be sent.
 package workerclient
 
 import (
@@ -10,14 +10,14 @@
 	"claybarrow/internal/protocol"
 )
 
-// Where commands go.
+// Method and path of requests with commands.
 const (
 	CommandsMethod = http.MethodPost
 	CommandsPath   = "/commands"
 )
 
-// NewCommands builds the body of a request under a fencing token to an agent of an epoch. A request
-// without commands is a probe; it has an empty list on the wire, not nil.
+// NewCommands builds the body of a request with a fencing token to the agent in the given epoch. A request
+// without commands is a probe; its list of commands is encoded as an empty list, not as nil.
 func NewCommands(token, epoch uint64, commands []protocol.Command) protocol.CommandRequest {
 	if commands == nil {
 		commands = []protocol.Command{}
@@ -25,24 +25,24 @@
 	return protocol.CommandRequest{Token: token, Epoch: epoch, Commands: commands}
 }
 
-// Outcome is what became of the commands of a request.
+// Outcome is the outcome of the commands of a request.
 type Outcome int
 
 const (
-	// NoAnswer means that there was no answer: the commands may have been executed, or may be
+	// NoAnswer means that the request had no answer: the commands may have been executed, or may be
 	// executed later.
 	NoAnswer Outcome = iota
-	// Failed means an answer with a status that says nothing about the commands: they may have been
-	// executed. The worker was reached.
+	// Failed means that the worker was reached, but answered with a status that does not tell whether the
+	// commands were executed.
 	Failed
-	// Executed means that the agent took the commands (200).
+	// Executed means that the agent accepted the commands (200).
 	Executed
-	// Rejected means that the agent took none of the commands (409): its token is higher, or its
-	// epoch another one.
+	// Rejected means that the agent accepted none of the commands (409): it has seen a higher fencing token,
+	// or is in another epoch.
 	Rejected
 )
 
-// String is the outcome in the log.
+// String returns the text for logs.
 func (o Outcome) String() string {
 	switch o {
 	case NoAnswer:
@@ -57,19 +57,19 @@
 	return "unknown"
 }
 
-// IsAnswer reports whether the agent itself said what it did with the commands. Such an answer is
-// expected to carry a heartbeat.
+// IsAnswer reports whether the agent accepted or rejected the commands. Such an answer is expected to contain a
+// heartbeat.
 func (o Outcome) IsAnswer() bool { return o == Executed || o == Rejected }
 
-// Reply is the answer to a request.
+// Reply is the decoded answer to a request.
 type Reply struct {
 	Outcome Outcome
-	// Heartbeat is the worker's, which comes both if the commands were executed and if they were
-	// rejected. It is nil if it can't be read or is another machine's.
+	// Heartbeat is the worker's heartbeat, which the answer contains if the commands were executed or
+	// rejected. It is nil if it cannot be decoded or is from another machine.
 	Heartbeat *protocol.WorkerHeartbeat
 }
 
-// ReadReply reads the answer of a machine's agent; status apicall.StatusNoAnswer: there was none.
+// ReadReply decodes the answer of the agent on a machine; the status may be apicall.StatusNoAnswer.
 func ReadReply(machine string, status int, body []byte) Reply {
 	reply := Reply{Outcome: outcomeOf(status)}
 	if !reply.Outcome.IsAnswer() {
