--- a/internal/apicall/apicall.go
+++ b/internal/apicall/apicall.go
@@ -90,9 +90,9 @@
 // passes it to done, or passes the zero value and an error.
 func Decoded[Answer any](operation string, done func(Answer, error)) func(status int, body []byte) {
 	return func(status int, body []byte) {
-		var answer, none Answer
+		var answer, zero Answer
 		if err := ReadAnswer(operation, status, body, &answer); err != nil {
-			done(none, err)
+			done(zero, err)
 			return
 		}
 		done(answer, nil)
@@ -109,8 +109,8 @@
 
 // StatusOf returns the HTTP status of the StatusError in err, or StatusNoAnswer if err contains none.
 func StatusOf(err error) int {
-	if failure := (*StatusError)(nil); errors.As(err, &failure) {
-		return failure.Status
+	if statusError := (*StatusError)(nil); errors.As(err, &statusError) {
+		return statusError.Status
 	}
 	return StatusNoAnswer
 }
@@ -125,9 +125,9 @@
 // service was overloaded or failing (status 429 and above). A lower status is a verdict on the request
 // itself, which a retry would not change.
 func IsRetryable(err error) bool {
-	failure := (*StatusError)(nil)
-	if !errors.As(err, &failure) {
+	statusError := (*StatusError)(nil)
+	if !errors.As(err, &statusError) {
 		return false
 	}
-	return failure.Status == StatusNoAnswer || failure.Status >= http.StatusTooManyRequests
+	return statusError.Status == StatusNoAnswer || statusError.Status >= http.StatusTooManyRequests
 }
--- a/internal/apicall/apicall_test.go
+++ b/internal/apicall/apicall_test.go
@@ -34,7 +34,7 @@
 			var answer protocol.MachineIDs
 			err := ReadAnswer("test", c.status, c.body, &answer)
 			if (err == nil) != c.success {
-				t.Fatalf("error %v", err)
+				t.Fatalf("error %v, want success: %v", err, c.success)
 			}
 			if c.success {
 				if len(answer.Machines) != 1 {
@@ -72,11 +72,11 @@
 			Decoded("test", func(answer protocol.MachineIDs, err error) {
 				calls++
 				if !errors.Is(err, c.err) || len(answer.Machines) != c.machines {
-					t.Errorf("%+v, %v", answer, err)
+					t.Errorf("decoded as %+v, error %v, want error %v", answer, err, c.err)
 				}
 			})(c.status, c.body)
 			if calls != 1 {
-				t.Errorf("%d calls", calls)
+				t.Errorf("done was called %d times, want once", calls)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 func TestOtherErrors(t *testing.T) {
 	err := errors.New("another error")
 	if StatusOf(err) != StatusNoAnswer || IsOutcomeUnknown(err) || IsRetryable(err) || IsRetryable(nil) {
-		t.Error("an error of another package is taken for a client's")
+		t.Error("an error of another package is handled like a StatusError")
 	}
 }
 
--- a/internal/cloudclient/client_test.go
+++ b/internal/cloudclient/client_test.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// request is one that left, with what a test answers it by.
+// request is a request that was sent, with the function that delivers its answer.
 type request struct {
 	method, path string
 	body         any
@@ -18,14 +18,14 @@
 	done         func(status int, body []byte)
 }
 
-// recorder is a transport that keeps the request that left last.
+// recorder is a transport that stores the last request.
 type recorder struct{ last request }
 
 func (r *recorder) Call(method, path string, body any, timeout time.Duration, done func(int, []byte)) {
 	r.last = request{method, path, body, timeout, done}
 }
 
-// outcome is a result, whatever its type, and its error.
+// outcome is the result and the error of an operation.
 type outcome struct {
 	result any
 	err    error
@@ -33,7 +33,7 @@
 
 var launch = protocol.LaunchRequest{Request: "r-7-1", Type: "m8", Zone: "a", Count: 2}
 
-// operations sends each operation and has its outcome noted.
+// operations starts an operation by name and stores its outcome.
 var operations = map[string]func(*Client, *outcome){
 	"types": func(c *Client, o *outcome) {
 		c.MachineTypes(time.Second, func(r []protocol.MachineType, err error) { *o = outcome{r, err} })
@@ -52,7 +52,7 @@
 	},
 }
 
-// The requests are the same to the letter: the cloud and tests read their paths.
+// Guards the requests, whose paths are part of the cloud's API.
 func TestRequests(t *testing.T) {
 	for _, c := range []struct {
 		operation, method, path string
@@ -87,7 +87,7 @@
 		body            []byte
 		result          any
 		failed          bool
-		reason          error // of a failure; nil: none
+		reason          error // reason of the failure; nil: none
 	}{
 		{name: "types", operation: "types", status: 200, body: protocol.Encode(protocol.MachineTypes{Types: types}), result: types},
 		{name: "list", operation: "list", status: 200, body: protocol.Encode(list), result: list},
@@ -112,7 +112,7 @@
 			operations[c.operation](New(&sent), &got)
 			sent.last.done(c.status, c.body)
 			if (got.err != nil) != c.failed || !c.failed && !reflect.DeepEqual(got.result, c.result) {
-				t.Fatalf("%+v, %v", got.result, got.err)
+				t.Fatalf("result %+v, error %v", got.result, got.err)
 			}
 			for _, reason := range []error{apicall.ErrNoAnswer, apicall.ErrMalformedAnswer, apicall.ErrInvalidRequest,
 				apicall.ErrRateLimited, apicall.ErrUnavailable, ErrNoCapacity} {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// platform returns a valid platform's file after a change.
-func platform(t *testing.T, change func(map[string]any)) []byte {
+// platformFile returns a valid platform's file after applying a change.
+func platformFile(t *testing.T, change func(map[string]any)) []byte {
 	t.Helper()
 	m := map[string]any{
 		"label": "n0", "zone": "a", "client_listen": "127.0.0.1:1", "peer_listen": "127.0.0.1:2",
@@ -35,8 +35,8 @@
 	return b
 }
 
-// A bad setting ends the start with one line that names the field; what the
-// platform may add later is ignored; what an operator mistypes is not.
+// An invalid setting gives a one-line error that names the field. Unknown fields are ignored in the platform's file,
+// which may gain fields later, but are errors in the operators' file.
 func TestParse(t *testing.T) {
 	cluster := func(m map[string]any, part, field string, v any) {
 		m["cluster"].(map[string]any)[part].(map[string]any)[field] = v
@@ -45,8 +45,8 @@
 		name     string
 		operator string
 		change   func(map[string]any)
-		want     string // part of the error's text; empty: no error
-		field    string // of the *FieldError; empty: the error is of another type
+		want     string // part of the error text; empty: no error
+		field    string // field of the *FieldError; empty: the error is not a *FieldError
 	}{
 		{name: "fine"},
 		{name: "operator", operator: "[green]\ngamma = 0.5\n"},
@@ -83,7 +83,7 @@
 		{name: "not toml", operator: "=", want: "operators' settings"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := Parse(platform(t, tc.change), []byte(tc.operator))
+			_, err := Parse(platformFile(t, tc.change), []byte(tc.operator))
 			if tc.want == "" {
 				if err != nil {
 					t.Fatal(err)
@@ -91,7 +91,7 @@
 				return
 			}
 			if err == nil || !strings.Contains(err.Error(), tc.want) || strings.Count(err.Error(), "\n") > 0 && tc.name != "not toml" {
-				t.Fatalf("got %v, want one line that names %q", err, tc.want)
+				t.Fatalf("error %v, want one line that contains %q", err, tc.want)
 			}
 			field := ""
 			var invalid *FieldError
@@ -99,33 +99,33 @@
 				field = invalid.Field
 			}
 			if field != tc.field {
-				t.Errorf("the error is of field %q, want %q", field, tc.field)
+				t.Errorf("the error is about field %q, want %q", field, tc.field)
 			}
 		})
 	}
 }
 
 func TestUnknownKey(t *testing.T) {
-	_, err := Parse(platform(t, nil), []byte("[green]\ngama = 0.5\n"))
+	_, err := Parse(platformFile(t, nil), []byte("[green]\ngama = 0.5\n"))
 	var unknown *UnknownKeyError
 	if !errors.As(err, &unknown) || unknown.Key != "green.gama" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want an UnknownKeyError for green.gama", err)
 	}
 }
 
-// A FieldError of an address leads to the error that the address was refused with.
+// A FieldError about an address wraps the error of the address parser.
 func TestFieldErrorUnwraps(t *testing.T) {
-	_, err := Parse(platform(t, func(m map[string]any) { m["peer_listen"] = "a" }), nil)
+	_, err := Parse(platformFile(t, func(m map[string]any) { m["peer_listen"] = "a" }), nil)
 	var address *net.AddrError
 	if !errors.As(err, &address) || address.Addr != "a" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a wrapped net.AddrError for address a", err)
 	}
 }
 
-// A leader without the state service, and a follower in a partitioned zone, must outlast a lease by
-// far, or they would keep nothing alive.
+// A leader without the state service and a follower in a partitioned zone must continue for several workers' leases.
+// Otherwise workers would stop their tasks in short outages.
 func TestOutageToleranceOutlastsLease(t *testing.T) {
-	c, err := Parse(platform(t, nil), nil)
+	c, err := Parse(platformFile(t, nil), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 	return func(m map[string]any) { m["cluster"].(map[string]any)["state"].(map[string]any)["next"] = next }
 }
 
-// Limits to come are lower or not there; what is lower holds from the start.
+// The lower of the current and the future limit applies from the start.
 func TestNextStateLimits(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -153,13 +153,13 @@
 		{"higher", map[string]any{"value_kb": 64.0}, 16 << 10, 32, 50},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c, err := Parse(platform(t, withNextState(tc.next)), nil)
+			c, err := Parse(platformFile(t, withNextState(tc.next)), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			both := c.Cluster.State.EffectiveLimits()
-			if c.MaxValueBytes() != tc.valueBytes || both.TxnOps != tc.txnOps || both.WriteRPS != tc.writeRPS || c.CompletionLayoutBytes() != 16<<10 {
-				t.Errorf("%d bytes, %+v, layout %d", c.MaxValueBytes(), both, c.CompletionLayoutBytes())
+			effective := c.Cluster.State.EffectiveLimits()
+			if c.MaxValueBytes() != tc.valueBytes || effective.TxnOps != tc.txnOps || effective.WriteRPS != tc.writeRPS || c.CompletionLayoutBytes() != 16<<10 {
+				t.Errorf("%d bytes, %+v, layout %d", c.MaxValueBytes(), effective, c.CompletionLayoutBytes())
 			}
 		})
 	}
@@ -174,7 +174,7 @@
 		{"write_rps", 0.5}, {"write_rps", 2.9}, {"rps", -1.0}, {"rps", 4.0},
 	} {
 		t.Run(fmt.Sprintf("%s %v", tc.field, tc.value), func(t *testing.T) {
-			_, err := Parse(platform(t, withNextState(map[string]any{tc.field: tc.value})), nil)
+			_, err := Parse(platformFile(t, withNextState(map[string]any{tc.field: tc.value})), nil)
 			var invalid *FieldError
 			if !errors.As(err, &invalid) || invalid.Field != "cluster.state.next."+tc.field ||
 				!strings.Contains(err.Error(), "cluster.state.next."+tc.field+":") {
--- a/internal/config/feature_gate_test.go
+++ b/internal/config/feature_gate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Warnings tell in which order file and program change, and where the gate stays closed whatever the
-// controllers state. Nothing of it keeps a controller from starting.
+// Warnings state in which order the operators' file and the program must change in an upgrade, and which settings
+// keep the feature gate closed. They do not prevent a controller from starting.
 func TestFeatureGateWarnings(t *testing.T) {
 	const order, waits, needs = "in an upgrade the program changes first", "waits while upgrade.hold is true", "the feature gate needs 3"
 	deployed, err := os.ReadFile("../../deploy/endjournal.toml")
@@ -28,13 +28,13 @@
 		{"small transactions", "[end_journal]\nenabled = true\n", 2, []string{order, needs}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			cfg := sized(t, 100, 1, 350, tc.operator)
+			cfg := parseFleetConfig(t, 100, 1, 350, tc.operator)
 			cfg.Cluster.State.TxnOps = tc.txnOps
 			warnings := strings.Join(cfg.featureGateWarnings(), "\n")
 			for _, text := range []string{order, waits, needs} {
 				want := strings.Contains(strings.Join(tc.want, "\n"), text)
 				if strings.Contains(warnings, text) != want {
-					t.Errorf("%q is told %v", text, !want)
+					t.Errorf("the warnings contain %q: %v", text, !want)
 				}
 			}
 		})
@@ -44,8 +44,8 @@
 func TestInvalidUpgradeSettings(t *testing.T) {
 	for _, operator := range []string{"[upgrade]\nheld = true\n", "[end_journal]\non = true\n", "[end_journal]\nenabled = \"yes\"\n"} {
 		t.Run(operator, func(t *testing.T) {
-			if _, err := Parse(platform(t, nil), []byte(operator)); err == nil {
-				t.Error("the file is taken")
+			if _, err := Parse(platformFile(t, nil), []byte(operator)); err == nil {
+				t.Error("an invalid operators' file was accepted")
 			}
 		})
 	}
--- a/internal/config/fleet_size.go
+++ b/internal/config/fleet_size.go
@@ -7,8 +7,8 @@
 // derived size is 77% to 94% of the number of machines (39 and 43 of 48, 164 of 212, 676 of 820, 557 of
 // 648, 1,288 of 1,366), and 97% of the planned 5,500.
 const (
-	usualCores        = 16.0
-	usualAccelerators = 8.0
+	typicalMachineCores        = 16.0
+	typicalMachineAccelerators = 8.0
 )
 
 // maxDerivedMachines bounds the size that is derived from the guarantees.
@@ -22,19 +22,19 @@
 	}
 	machines := 0.0
 	for _, team := range c.Cluster.Teams {
-		machines += team.Cores/usualCores + team.Accelerators/usualAccelerators
+		machines += team.Cores/typicalMachineCores + team.Accelerators/typicalMachineAccelerators
 	}
 	return int(min(machines, maxDerivedMachines)) + 1
 }
 
-// takeOverPerMachine is the CPU time that a takeover costs a new leader per machine of the fleet: 39 µs to load
+// takeoverCPUPerMachine is the CPU time that a takeover costs a new leader per machine of the fleet: 39 µs to load
 // the machine's records (12 records of 3 to 5 µs), 50 µs to send the direct request with the new fencing
 // token, and 35 µs to process its answer and the first heartbeat (docs/CAPACITY.md, slopes). It is doubled
 // because a controller on a busy machine gets only half of its CPU quota.
-const takeOverPerMachine = 2 * 125 * time.Microsecond
+const takeoverCPUPerMachine = 2 * 125 * time.Microsecond
 
 // TakeoverDuration returns how long the takeover of the fleet may keep a new leader busy.
 func (c *Config) TakeoverDuration() time.Duration {
-	work := time.Duration(c.FleetSize()) * takeOverPerMachine
+	work := time.Duration(c.FleetSize()) * takeoverCPUPerMachine
 	return time.Duration(float64(work) / c.Cluster.Resources.Cores)
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -12,9 +12,9 @@
 type Config struct {
 	Settings
 	Operator Operator
-	// namesGate is true if the operators' file has keys that versions without the feature gate
+	// usesFeatureGateKeys is true if the operators' file has keys that versions without the feature gate
 	// reject.
-	namesGate bool
+	usesFeatureGateKeys bool
 }
 
 // Load reads and validates the platform's file and, if its path is not empty, the operators' file. The error
@@ -50,7 +50,7 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, &UnknownKeyError{Key: unknown[0].String()}
 	}
-	c.namesGate = meta.IsDefined("upgrade") || meta.IsDefined("end_journal")
+	c.usesFeatureGateKeys = meta.IsDefined("upgrade") || meta.IsDefined("end_journal")
 	if err := c.validate(); err != nil {
 		return nil, err
 	}
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -26,35 +26,35 @@
 			Reason: fmt.Sprintf("is longer than membership.probe, %v", m.Probe)}
 	}
 	// A dead controller's machines must be able to switch to another controller before their leases expire.
-	if longest := time.Duration(float64(c.SuspicionTimeout()) * UnconfirmedSuspicionFactor); longest > c.WorkerLease() {
+	if longestTimeout := time.Duration(float64(c.SuspicionTimeout()) * UnconfirmedSuspicionFactor); longestTimeout > c.WorkerLease() {
 		return &FieldError{Source: OperatorSource, Field: "membership.suspicion", Value: m.Suspicion,
-			Reason: fmt.Sprintf("leader's leases are up to %v, longer than the workers' lease of %v", longest, c.WorkerLease())}
+			Reason: fmt.Sprintf("leader's leases are up to %v, longer than the workers' lease of %v", longestTimeout, c.WorkerLease())}
 	}
 	return nil
 }
 
-func multiply(d time.Duration, factor float64) time.Duration {
+func scaleDuration(d time.Duration, factor float64) time.Duration {
 	return time.Duration(factor * float64(d))
 }
 
 // ProbeInterval returns the time between two probes of a peer.
 func (c *Config) ProbeInterval() time.Duration {
-	return multiply(c.LeaderLease(), c.Operator.Membership.Probe)
+	return scaleDuration(c.LeaderLease(), c.Operator.Membership.Probe)
 }
 
 // ProbeTimeout returns how long a peer's ack may take before other controllers are asked to probe the peer.
 func (c *Config) ProbeTimeout() time.Duration {
-	return multiply(c.LeaderLease(), c.Operator.Membership.Timeout)
+	return scaleDuration(c.LeaderLease(), c.Operator.Membership.Timeout)
 }
 
 // SuspicionTimeout returns the minimum time for which a controller is suspect before it is declared dead. The time
 // is UnconfirmedSuspicionFactor times as long if no other controller confirms the suspicion.
 func (c *Config) SuspicionTimeout() time.Duration {
-	return multiply(c.LeaderLease(), c.Operator.Membership.Suspicion)
+	return scaleDuration(c.LeaderLease(), c.Operator.Membership.Suspicion)
 }
 
 // RejoinMinUptime returns how long a controller that was dead or left must be alive again before it serves
 // machines.
 func (c *Config) RejoinMinUptime() time.Duration {
-	return multiply(c.WorkerLease(), c.Operator.Membership.Steady)
+	return scaleDuration(c.WorkerLease(), c.Operator.Membership.Steady)
 }
--- a/internal/config/membership_test.go
+++ b/internal/config/membership_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Settings of failure detection that are out of range or contradict one another end the start with
-// one line that names the field.
+// Settings of the failure detector that are out of range or conflict with each other give an error that names the
+// field.
 func TestInvalidMembershipSettings(t *testing.T) {
 	for text, field := range map[string]string{
 		"probe = 0.0":                  "membership.probe",
@@ -26,23 +26,23 @@
 		"[fleet]\nmachines = 99999999": "fleet.machines",
 	} {
 		t.Run(text, func(t *testing.T) {
-			_, err := Parse(platform(t, nil), []byte("[membership]\n"+text+"\n"))
+			_, err := Parse(platformFile(t, nil), []byte("[membership]\n"+text+"\n"))
 			if err == nil || !strings.Contains(err.Error(), field) {
-				t.Error(err)
+				t.Errorf("error %v, want one that contains %q", err, field)
 			}
 		})
 	}
 }
 
-func TestMembershipTimesRise(t *testing.T) {
-	cfg, err := Parse(platform(t, nil), []byte("[membership]\nenabled = true\n"))
+func TestMembershipDurationsIncrease(t *testing.T) {
+	cfg, err := Parse(platformFile(t, nil), []byte("[membership]\nenabled = true\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	rising := []time.Duration{cfg.ProbeTimeout(), cfg.ProbeInterval(), cfg.LeaderLease(), cfg.SuspicionTimeout(), cfg.RejoinMinUptime()}
-	for i := range len(rising) - 1 {
-		if rising[i] >= rising[i+1] {
-			t.Errorf("timeout, interval, lease, suspicion and steady do not rise: %v", rising)
+	durations := []time.Duration{cfg.ProbeTimeout(), cfg.ProbeInterval(), cfg.LeaderLease(), cfg.SuspicionTimeout(), cfg.RejoinMinUptime()}
+	for i := range len(durations) - 1 {
+		if durations[i] >= durations[i+1] {
+			t.Errorf("probe timeout, probe interval, leader's lease, suspicion timeout and rejoin uptime do not increase: %v", durations)
 		}
 	}
 }
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -92,14 +92,14 @@
 	if next == nil {
 		return s
 	}
-	s.RPS = lowerLimit(s.RPS, next.RPS)
-	s.WriteRPS = lowerLimit(s.WriteRPS, next.WriteRPS)
-	s.ValueKB = lowerLimit(s.ValueKB, next.ValueKB)
-	s.TxnOps = int(lowerLimit(float64(s.TxnOps), float64(next.TxnOps)))
+	s.RPS = lowerOfLimits(s.RPS, next.RPS)
+	s.WriteRPS = lowerOfLimits(s.WriteRPS, next.WriteRPS)
+	s.ValueKB = lowerOfLimits(s.ValueKB, next.ValueKB)
+	s.TxnOps = int(lowerOfLimits(float64(s.TxnOps), float64(next.TxnOps)))
 	return s
 }
 
-func lowerLimit(now, next float64) float64 {
+func lowerOfLimits(now, next float64) float64 {
 	if next > 0 {
 		return min(now, next)
 	}
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -18,8 +18,8 @@
 
 // Bounds on the leader's lease.
 const (
-	// minLeaderTTL is the minimum lease for all settings.
-	minLeaderTTL = 500 * time.Millisecond
+	// minLeaderLease is the minimum lease for all settings.
+	minLeaderLease = 500 * time.Millisecond
 	// leaderPauseCoreSeconds is the work that may delay a leader's renewal of its lease, in seconds of a
 	// whole core.
 	leaderPauseCoreSeconds = 0.5
@@ -38,11 +38,11 @@
 func (c *Config) LeaderLease() time.Duration {
 	cores, rps := c.Cluster.Resources.Cores, c.Cluster.State.RPS
 	needed := seconds(max(leaderPauseCoreSeconds/cores, 100*renewalsPerLease/rps, c.TakeoverDuration().Seconds()))
-	return max(min(c.maxLeaderTTL(), needed), minLeaderTTL)
+	return max(min(c.maxLeaderLease(), needed), minLeaderLease)
 }
 
-// maxLeaderTTL returns the maximum leader's lease for the workers' lease.
-func (c *Config) maxLeaderTTL() time.Duration { return c.WorkerLease() * 3 / 20 }
+// maxLeaderLease returns the maximum leader's lease for the workers' lease.
+func (c *Config) maxLeaderLease() time.Duration { return c.WorkerLease() * 3 / 20 }
 
 // TickInterval returns the time between two ticks, which handle timeouts and periodic work.
 func (c *Config) TickInterval() time.Duration { return c.LeaderLease() / 15 }
@@ -53,15 +53,15 @@
 // CancelTimeout returns the maximum time for the tasks of a cancelled job to end.
 func (c *Config) CancelTimeout() time.Duration { return seconds(c.Cluster.Workers.CancelS) }
 
-// outageLeases is OutageTolerance in workers' leases.
-const outageLeases = 12
+// outageToleranceLeases is OutageTolerance in workers' leases.
+const outageToleranceLeases = 12
 
 // OutageTolerance returns how long a leader may continue to answer workers after it sent the last confirmed
 // renewal of its lease, and how long missing heartbeats of a zone are attributed to a network partition. It
 // is longer than most partitions and outages, because a cancellation is not confirmed to users before its
 // tasks are known to have ended. It is bounded, because unreachable tasks count as running until it has
 // passed.
-func (c *Config) OutageTolerance() time.Duration { return outageLeases * c.WorkerLease() }
+func (c *Config) OutageTolerance() time.Duration { return outageToleranceLeases * c.WorkerLease() }
 
 // CloudListLag returns the usual lag of the cloud's list of machines.
 func (c *Config) CloudListLag() time.Duration { return seconds(c.Cluster.Cloud.ListLagS) }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// missingOrTwice is the reason of a FieldError for a name that is empty or not unique.
-const missingOrTwice = "missing or used twice"
+// missingOrDuplicate is the reason of a FieldError for a name that is empty or not unique.
+const missingOrDuplicate = "missing or used twice"
 
 func (c *Config) validateSiblings() error {
 	if c.Label == "" {
@@ -59,7 +59,7 @@
 	for i, sibling := range c.Siblings {
 		path := fmt.Sprintf("siblings[%d]", i)
 		if sibling.Label == "" || seen[sibling.Label] {
-			return &FieldError{Source: PlatformSource, Field: path + ".label", Reason: missingOrTwice}
+			return &FieldError{Source: PlatformSource, Field: path + ".label", Reason: missingOrDuplicate}
 		}
 		seen[sibling.Label] = true
 		if err := validateAddress(path+".peer_addr", sibling.Addr); err != nil {
@@ -74,7 +74,7 @@
 	for i, team := range c.Cluster.Teams {
 		path := fmt.Sprintf("cluster.teams[%d]", i)
 		if team.Name == "" || seen[team.Name] {
-			return &FieldError{Source: PlatformSource, Field: path + ".name", Reason: missingOrTwice}
+			return &FieldError{Source: PlatformSource, Field: path + ".name", Reason: missingOrDuplicate}
 		}
 		seen[team.Name] = true
 		for _, amount := range []float64{team.Cores, team.CoresMax, team.Accelerators, team.AcceleratorsMax} {
@@ -136,7 +136,7 @@
 
 func (c *Config) platformRanges() []fieldRange {
 	workers, state, cloud, resources := c.Cluster.Workers, c.Cluster.State, c.Cluster.Cloud, c.Cluster.Resources
-	both := state.EffectiveLimits()
+	lowest := state.EffectiveLimits()
 	return []fieldRange{
 		{"cluster.workers.report_s", workers.HeartbeatS, 0.01, 3600},
 		{"cluster.workers.lease_s", workers.LeaseS, 0.5, 3600},
@@ -145,10 +145,10 @@
 		{"cluster.state.write_rps", state.WriteRPS, minWriteRPS, 1e9},
 		{"cluster.state.value_kb", state.ValueKB, 1, 1e6},
 		{"cluster.state.txn_ops", float64(state.TxnOps), 2, 1e6},
-		{"cluster.state.next.rps", both.RPS, 5, 1e9},
-		{"cluster.state.next.write_rps", both.WriteRPS, minWriteRPS, 1e9},
-		{"cluster.state.next.value_kb", both.ValueKB, 1, 1e6},
-		{"cluster.state.next.txn_ops", float64(both.TxnOps), 2, 1e6},
+		{"cluster.state.next.rps", lowest.RPS, 5, 1e9},
+		{"cluster.state.next.write_rps", lowest.WriteRPS, minWriteRPS, 1e9},
+		{"cluster.state.next.value_kb", lowest.ValueKB, 1, 1e6},
+		{"cluster.state.next.txn_ops", float64(lowest.TxnOps), 2, 1e6},
 		{"cluster.workers.gang_peer_s", workers.GangPeerS, 0, 3600},
 		{"cluster.cloud.rps", cloud.RPS, 0.1, 1e9},
 		{"cluster.cloud.list_lag_s", cloud.ListLagS, 0, 3600},
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -4,22 +4,22 @@
 
 // Resources of a controller and limits of the services that a fleet needs (docs/CAPACITY.md).
 const (
-	baseMB             = 20.0  // memory of a process without machines, in MiB
-	mbPerMachine       = 0.047 // memory of the leader, in MiB: 272 to 287 MB at 5,500 machines with ten tasks each
-	machinesPerCore    = 7500  // 0.73 of a core at 5,500 machines
-	machinesPerChange  = 20    // per change per second; with more machines, part of a burst of starts is answered 503
-	leasesPerWrite     = 1.25  // that one change per machine may take; 1.01 were no problem in the credit checks' upgrade
-	machinesPerListing = 500   // per page of the cloud's list
-	clientSocketShare  = 0.5   // share of the sockets that workers and users may use
-	workerSocketShare  = 0.85  // share of those beyond which workers' connections are closed after each answer
+	baseMemoryMB         = 20.0  // memory of a process without machines, in MiB
+	memoryMBPerMachine   = 0.047 // memory of the leader, in MiB: 272 to 287 MB at 5,500 machines with ten tasks each
+	machinesPerCore      = 7500  // 0.73 of a core at 5,500 machines
+	machinesPerWriteRPS  = 20    // per change per second; with more machines, part of a burst of starts is answered 503
+	maxFleetWriteLeases  = 1.25  // that a change per machine may take; 1.01 were no problem in the credit checks' upgrade
+	machinesPerListPage  = 500   // per page of the cloud's list
+	maxClientSocketShare = 0.5   // share of the sockets that workers and users may use
+	maxWorkerSocketShare = 0.85  // share of those beyond which workers' connections are closed after each answer
 )
 
 // capacityNeed is the minimum value that a setting must have to serve the fleet.
 type capacityNeed struct {
-	field     string
-	has, want float64
-	// otherwise is the consequence of a lower value.
-	otherwise string
+	field                string
+	configured, required float64
+	// consequence is the effect of a lower value.
+	consequence string
 }
 
 // Warnings returns a line for each setting that is too low for the size of the fleet, and for each fact about
@@ -28,15 +28,15 @@
 	size := float64(c.FleetSize())
 	var warnings []string
 	for _, need := range c.capacityNeeds(size) {
-		if need.has < need.want {
-			warnings = append(warnings, fmt.Sprintf("%s: %s: %.4g is little for %.0f machines, %.4g would do: %s",
-				PlatformSource, need.field, need.has, size, need.want, need.otherwise))
+		if need.configured < need.required {
+			warnings = append(warnings, fmt.Sprintf("%s: %s: %.4g is too low for %.0f machines, which need %.4g: %s",
+				PlatformSource, need.field, need.configured, size, need.required, need.consequence))
 		}
 	}
-	if takeOver, longest := c.TakeoverDuration(), c.maxLeaderTTL(); takeOver > longest {
+	if takeover, longestLease := c.TakeoverDuration(), c.maxLeaderLease(); takeover > longestLease {
 		warnings = append(warnings, fmt.Sprintf(
-			"%s: cluster.workers.lease_s: a take-over of %.0f machines may take %.1f s, the leader's lease is %.1f s at the most",
-			PlatformSource, size, takeOver.Seconds(), longest.Seconds()))
+			"%s: cluster.workers.lease_s: the takeover of %.0f machines may take %.1f s, but the leader's lease is at most %.1f s",
+			PlatformSource, size, takeover.Seconds(), longestLease.Seconds()))
 	}
 	return append(warnings, c.featureGateWarnings()...)
 }
@@ -46,17 +46,17 @@
 	resources, state, cloud := c.Cluster.Resources, c.Cluster.State.EffectiveLimits(), c.Cluster.Cloud
 	controllers := float64(len(c.Siblings) + 1)
 	return []capacityNeed{
-		{"cluster.resources.fd_limit", float64(resources.FDs), machines / controllers / clientSocketShare / workerSocketShare,
+		{"cluster.resources.fd_limit", float64(resources.FDs), machines / controllers / maxClientSocketShare / maxWorkerSocketShare,
 			"workers' connections are closed after each report"},
-		{"cluster.resources.mem_mb", resources.MemMB, baseMB + machines*mbPerMachine,
+		{"cluster.resources.mem_mb", resources.MemMB, baseMemoryMB + machines*memoryMBPerMachine,
 			"a leader may run out of memory"},
 		{"cluster.resources.cores", resources.Cores, machines / machinesPerCore,
 			"a leader answers late at the peak"},
-		{"cluster.state.write_rps", state.WriteRPS, machines / machinesPerChange,
+		{"cluster.state.write_rps", state.WriteRPS, machines / machinesPerWriteRPS,
 			"bursts of submissions and starts wait or are answered 503"},
-		{"cluster.state.write_rps", state.WriteRPS, machines / (c.WorkerLease().Seconds() * leasesPerWrite),
-			"one record of each machine takes longer than the workers' lease"},
-		{"cluster.cloud.rps", cloud.RPS, 2 * machines / machinesPerListing / max(1, cloud.ListLagS),
+		{"cluster.state.write_rps", state.WriteRPS, machines / (c.WorkerLease().Seconds() * maxFleetWriteLeases),
+			"writing one record per machine takes longer than the workers' lease"},
+		{"cluster.cloud.rps", cloud.RPS, 2 * machines / machinesPerListPage / max(1, cloud.ListLagS),
 			"the list of machines is older than its lag"},
 	}
 }
@@ -72,7 +72,7 @@
 // featureGateWarnings returns the warnings about rolling upgrades with the operators' file.
 func (c *Config) featureGateWarnings() []string {
 	var warnings []string
-	if c.namesGate {
+	if c.usesFeatureGateKeys {
 		warnings = append(warnings, string(OperatorSource)+": [upgrade] and [end_journal] are refused by versions before the feature gate: "+
 			"in an upgrade the program changes first and then this file, in a rollback this file first and then the program")
 	}
--- a/internal/machinepool/launch.go
+++ b/internal/machinepool/launch.go
@@ -13,9 +13,9 @@
 	"claybarrow/internal/scheduler"
 )
 
-// launchGiveUpLeases is how long a launch request is retried, in workers' leases. Machines that it launches
+// launchRetryLeases is how long a launch request is retried, in workers' leases. Machines that it launches
 // after that are found by reading the list.
-const launchGiveUpLeases = 4
+const launchRetryLeases = 4
 
 // maxBackoffFailures is the number of consecutive failures after which the back-off stops growing.
 const maxBackoffFailures = 4
@@ -28,7 +28,7 @@
 	sentAt      time.Duration // time of the first attempt
 }
 
-func (r *LaunchRequest) request() protocol.LaunchRequest {
+func (r *LaunchRequest) wireRequest() protocol.LaunchRequest {
 	return protocol.LaunchRequest{Request: r.requestName, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
@@ -41,11 +41,11 @@
 
 // LaunchesInFlight returns the launch requests in flight, sorted by name so that runs can be replayed.
 func (p *Pool) LaunchesInFlight() []*LaunchRequest {
-	out := make([]*LaunchRequest, 0, len(p.launching))
+	launches := make([]*LaunchRequest, 0, len(p.launching))
 	for _, name := range slices.Sorted(maps.Keys(p.launching)) {
-		out = append(out, p.launching[name])
+		launches = append(launches, p.launching[name])
 	}
-	return out
+	return launches
 }
 
 // IsBackingOff reports whether a pool is in back-off after a request that it did not fill.
@@ -65,7 +65,7 @@
 func (p *Pool) sendLaunch(launch *LaunchRequest) {
 	p.launching[launch.requestName] = launch
 	p.log.Info("launching machines", "request", launch.requestName, "type", launch.Type, "zone", launch.Zone, "spot", launch.Spot, "count", launch.Count)
-	p.client.Launch(launch.request(), p.times.Lease/launchTimeoutShare, func(names []string, err error) {
+	p.client.Launch(launch.wireRequest(), p.times.Lease/launchTimeoutShare, func(names []string, err error) {
 		if !p.host.HasEnded() {
 			p.onLaunchAnswer(launch, names, err)
 		}
@@ -84,7 +84,7 @@
 		delete(p.launching, launch.requestName)
 		p.backOff(launch.Pool)
 		p.log.Error("launch request rejected as malformed", "request", launch.requestName)
-	case p.host.Now() > launch.sentAt+launchGiveUpLeases*p.times.Lease:
+	case p.host.Now() > launch.sentAt+launchRetryLeases*p.times.Lease:
 		delete(p.launching, launch.requestName)
 	default:
 		// No answer, or a temporary failure: a retry with the same name launches no machine twice.
@@ -111,9 +111,9 @@
 // backOff starts or extends the back-off of a pool that rejected a request or filled it only in part. The
 // back-off is half a workers' lease per consecutive failure, up to two leases.
 func (p *Pool) backOff(pool scheduler.Pool) {
-	b := p.backoffs[pool]
-	b.failures = min(b.failures+1, maxBackoffFailures)
-	b.until = p.host.Now() + p.times.Lease*time.Duration(b.failures)/2
-	p.backoffs[pool] = b
+	state := p.backoffs[pool]
+	state.failures = min(state.failures+1, maxBackoffFailures)
+	state.until = p.host.Now() + p.times.Lease*time.Duration(state.failures)/2
+	p.backoffs[pool] = state
 	p.host.SetExhausted(pool, true)
 }
--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -56,7 +56,7 @@
 	// RetryPause returns the base delay before a retry.
 	RetryPause() time.Duration
 	// RunAt calls do at the first tick after the given time, unless the leadership has ended.
-	RunAt(at time.Duration, do func())
+	RunAt(at time.Duration, run func())
 	// HasEnded reports whether the leadership has ended.
 	HasEnded() bool
 
@@ -64,15 +64,15 @@
 	OnListed(machine *protocol.ListedMachine)
 	// OnListRead is called after a complete read of the list, with the time of the first request and the
 	// names of all listed machines.
-	OnListRead(asked time.Duration, names map[string]bool)
+	OnListRead(requestedAt time.Duration, names map[string]bool)
 	// MachinesToDelete returns the names of at most most machines to delete.
-	MachinesToDelete(most int) []string
+	MachinesToDelete(limit int) []string
 	// OnDeleted is called for each machine that was deleted.
 	OnDeleted(name string)
 	// OnLaunched is called for each launched machine, with the time of the request's first attempt.
-	OnLaunched(pool scheduler.Pool, name string, asked time.Duration)
+	OnLaunched(pool scheduler.Pool, name string, requestedAt time.Duration)
 	// SetExhausted records whether a pool's last launch request was rejected or filled only in part.
-	SetExhausted(pool scheduler.Pool, short bool)
+	SetExhausted(pool scheduler.Pool, exhausted bool)
 }
 
 // Pool sends a leader's requests to the cloud. At most one read of the list and one deletion are in flight.
@@ -108,7 +108,7 @@
 
 // Tick starts the next deletion and the next read of the list when they are due.
 func (p *Pool) Tick() {
-	p.forgetRemoved()
+	p.expireRemoved()
 	p.deleteMachines()
 	p.readList()
 }
@@ -122,11 +122,11 @@
 // WasRemoved reports whether a machine was marked as removed.
 func (p *Pool) WasRemoved(name string) bool { return p.removed[name] != 0 }
 
-// forgetRemoved deletes the entries of machines for which no outdated list or heartbeat can arrive any more.
-func (p *Pool) forgetRemoved() {
+// expireRemoved deletes the entries of machines for which no outdated list or heartbeat can arrive any more.
+func (p *Pool) expireRemoved() {
 	now := p.host.Now()
-	for name, at := range p.removed {
-		if now > at+removedListLags*p.times.ListLag+removedLeases*p.times.Lease {
+	for name, removedAt := range p.removed {
+		if now > removedAt+removedListLags*p.times.ListLag+removedLeases*p.times.Lease {
 			delete(p.removed, name)
 		}
 	}
@@ -144,7 +144,7 @@
 
 // readPage reads the page of the list that starts after a machine, and then the following pages. names collects
 // the machines of all pages.
-func (p *Pool) readPage(after string, asked time.Duration, names map[string]bool) {
+func (p *Pool) readPage(after string, requestedAt time.Duration, names map[string]bool) {
 	p.client.List(after, listPageSize, p.times.Lease/listTimeoutShare, func(list protocol.MachineList, err error) {
 		if p.host.HasEnded() {
 			return
@@ -153,19 +153,19 @@
 			p.listInFlight, p.nextListAt = false, p.host.Now()+p.host.RetryPause()*listRetryPauses
 			return
 		}
-		p.takePage(list.Machines, names)
+		p.handlePage(list.Machines, names)
 		if list.More && len(list.Machines) > 0 {
-			p.readPage(list.Machines[len(list.Machines)-1].ID, asked, names)
+			p.readPage(list.Machines[len(list.Machines)-1].ID, requestedAt, names)
 			return
 		}
 		p.listInFlight, p.listRead = false, true
 		p.nextListAt = p.host.Now() + p.times.ListInterval
-		p.host.OnListRead(asked, names)
+		p.host.OnListRead(requestedAt, names)
 	})
 }
 
-// takePage passes the machines of a page to the host, except machines that were removed.
-func (p *Pool) takePage(machines []protocol.ListedMachine, names map[string]bool) {
+// handlePage passes the machines of a page to the host, except machines that were removed.
+func (p *Pool) handlePage(machines []protocol.ListedMachine, names map[string]bool) {
 	for i := range machines {
 		machine := &machines[i]
 		names[machine.ID] = true
--- a/internal/membership/assignment_test.go
+++ b/internal/membership/assignment_test.go
@@ -5,62 +5,62 @@
 	"testing"
 )
 
-// Without one of the candidates its keys alone move, and evenly to the others.
+// Removing a candidate moves only the keys of that candidate, and spreads them evenly over the others.
 func TestRendezvousOwners(t *testing.T) {
-	all := []string{"n0", "n1", "n2", "n3"}
+	candidates := []string{"n0", "n1", "n2", "n3"}
 	const keys = 4000
-	moved := map[string]int{}
-	share := map[string]int{}
-	var a Assignment
+	keysMovedTo := map[string]int{}
+	keysOf := map[string]int{}
+	var assignment Assignment
 	for i := range keys {
 		key := fmt.Sprintf("i-%06d", i)
-		owner := a.Owner(key, all)
-		share[owner]++
+		owner := assignment.Owner(key, candidates)
+		keysOf[owner]++
 		if owner != Owner(key, []string{"n3", "n1", "n0", "n2"}) {
-			t.Fatalf("the owner of %s depends on the order", key)
+			t.Fatalf("the owner of %s depends on the order of the candidates", key)
 		}
-		without := Owner(key, []string{"n0", "n2", "n3"})
-		if owner != "n1" && without != owner {
-			t.Errorf("%s moves from %s to %s though only n1 was removed", key, owner, without)
+		newOwner := Owner(key, []string{"n0", "n2", "n3"})
+		if owner != "n1" && newOwner != owner {
+			t.Errorf("%s moves from %s to %s though only n1 was removed", key, owner, newOwner)
 		}
 		if owner == "n1" {
-			moved[without]++
+			keysMovedTo[newOwner]++
 		}
 	}
-	for _, l := range all {
-		if share[l] < keys/4*9/10 || share[l] > keys/4*11/10 {
-			t.Errorf("%s has %d of %d", l, share[l], keys)
+	for _, label := range candidates {
+		if keysOf[label] < keys/4*9/10 || keysOf[label] > keys/4*11/10 {
+			t.Errorf("%s owns %d of %d keys, not an even share", label, keysOf[label], keys)
 		}
-		if l != "n1" && moved[l] < share["n1"]/3*8/10 {
-			t.Errorf("%s gets %d of %d", l, moved[l], share["n1"])
+		if label != "n1" && keysMovedTo[label] < keysOf["n1"]/3*8/10 {
+			t.Errorf("%s gets %d of the %d keys of n1, not an even share", label, keysMovedTo[label], keysOf["n1"])
 		}
 	}
 	if Owner("i-1", nil) != "" {
-		t.Error("an owner without candidates")
+		t.Error("Owner returned an owner though there are no candidates")
 	}
 }
 
-// The ranks of the candidates are a permutation that differs from token to token.
+// The ranks of the candidates are a permutation, and the first candidate varies with the token.
 func TestRendezvousRanks(t *testing.T) {
-	all := []string{"n0", "n1", "n2", "n3", "n4"}
-	firsts := map[string]int{}
+	candidates := []string{"n0", "n1", "n2", "n3", "n4"}
+	timesFirst := map[string]int{}
 	for token := range uint64(200) {
 		ranks := map[int]bool{}
-		for _, l := range all {
-			rank := Rank(l, token, all)
+		for _, label := range candidates {
+			rank := Rank(label, token, candidates)
 			ranks[rank] = true
 			if rank == 0 {
-				firsts[l]++
+				timesFirst[label]++
 			}
 		}
-		if len(ranks) != len(all) {
-			t.Fatalf("token %d: ranks %v", token, ranks)
+		if len(ranks) != len(candidates) {
+			t.Fatalf("token %d: the ranks are not unique: %v", token, ranks)
 		}
 	}
-	if len(firsts) != len(all) {
-		t.Errorf("firsts: %v", firsts)
+	if len(timesFirst) != len(candidates) {
+		t.Errorf("not every candidate is first for some token: %v", timesFirst)
 	}
-	if Rank("unknown", 1, all) != len(all) {
-		t.Error("a label that is no candidate has a rank")
+	if Rank("unknown", 1, candidates) != len(candidates) {
+		t.Error("a label that is not a candidate has a candidate's rank")
 	}
 }
--- a/internal/membership/claims.go
+++ b/internal/membership/claims.go
@@ -24,11 +24,11 @@
 // handleSuspicionReport handles a claim by another member that m is suspect, dead or left. The claim
 // confirms the local suspicion of m. If m is not suspect here and has not acked recently, m is probed at
 // once.
-func (d *Detector) handleSuspicionReport(m *member, by string, claim Claim) {
-	m.addReport(by, suspicionReport{at: d.clock.now, state: min(claim.State, Dead), incarnation: claim.Incarnation})
+func (d *Detector) handleSuspicionReport(m *member, reporter string, claim Claim) {
+	m.addReport(reporter, suspicionReport{at: d.clock.now, state: min(claim.State, Dead), incarnation: claim.Incarnation})
 	switch m.state {
 	case Suspect:
-		m.suspicion.confirmations[by] = true
+		m.suspicion.confirmations[reporter] = true
 	case Alive:
 		if !m.probeInFlight && d.clock.now > m.lastAckAt+d.settings.ProbeTimeout {
 			d.startProbe(&pendingProbe{target: m})
--- a/internal/membership/inbound_test.go
+++ b/internal/membership/inbound_test.go
@@ -10,12 +10,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// singleDetector is a detector with the peers b and c, which the test itself plays.
+// singleDetector is a detector with label a, whose peers b and c are simulated by the test.
 type singleDetector struct {
-	t        *testing.T
-	detector *Detector
-	now      time.Duration
-	request  uint64
+	t             *testing.T
+	detector      *Detector
+	now           time.Duration
+	lastRequestID uint64
 }
 
 func newSingleDetector(t *testing.T) *singleDetector {
@@ -28,19 +28,19 @@
 	return Clock{Monotonic: s.now, Wall: testWall + s.now.Milliseconds()}
 }
 
-// deliver passes a probe to the detector, and returns the response's status and the reasons of drops. A
-// change of state is an error.
+// deliver passes a probe to the detector, and returns the status of the response and the reasons of dropped
+// messages. A state change fails the test.
 func (s *singleDetector) deliver(body []byte) (status int, drops []DropReason) {
 	s.t.Helper()
-	s.request++
-	for _, a := range s.detector.HandleProbe(s.clock(), s.request, body) {
+	s.lastRequestID++
+	for _, a := range s.detector.HandleProbe(s.clock(), s.lastRequestID, body) {
 		switch a := a.(type) {
 		case Respond:
 			status = a.Status
 		case DroppedMessage:
 			drops = append(drops, a.Reason)
 		case StateChange:
-			s.t.Errorf("%+v", a)
+			s.t.Errorf("unexpected state change: %+v", a)
 		}
 	}
 	return status, drops
@@ -50,7 +50,7 @@
 	return Probe{Version: ProtocolVersion, From: "b", Incarnation: Incarnation(testWall), Sequence: 5}
 }
 
-// Invalid messages are dropped and counted, and change nothing.
+// Invalid messages are dropped and counted, and do not change the state of their sender.
 func TestInvalidMessagesAreDropped(t *testing.T) {
 	change := func(f func(*Probe)) []byte {
 		p := validProbe()
@@ -83,80 +83,80 @@
 		t.Run(name, func(t *testing.T) {
 			s := newSingleDetector(t)
 			if status, drops := s.deliver(encode(validProbe())); status != 200 || len(drops) > 0 {
-				t.Fatalf("a valid message: status %d, drops %v", status, drops)
+				t.Fatalf("a valid message was not accepted: status %d, drops %v", status, drops)
 			}
 			before := *s.detector.members["b"]
 			status, drops := s.deliver(tc.body)
 			if status != tc.status || !slices.Equal(drops, []DropReason{tc.drop}) {
-				t.Errorf("status %d, drops %v", status, drops)
+				t.Errorf("status %d, drops %v, want %d, %v", status, drops, tc.status, tc.drop)
 			}
 			after := s.detector.members["b"]
 			if after.state != before.state || after.incarnation != before.incarnation || name != "an unknown target" && after.sequence != before.sequence {
-				t.Errorf("the member was %+v, is %+v", before, *after)
+				t.Errorf("the invalid message changed the member from %+v to %+v", before, *after)
 			}
 			if s.detector.Counters().DroppedMessages != 1 {
-				t.Errorf("%d drops are counted", s.detector.Counters().DroppedMessages)
+				t.Errorf("%d dropped messages were counted, want 1", s.detector.Counters().DroppedMessages)
 			}
 		})
 	}
 }
 
-// A claim about a third member changes no state, and of the claims against ourselves only those about a
-// possible incarnation are refuted.
+// A claim about a third member changes no state. Claims against this controller are refuted only if their
+// incarnation is possible.
 func TestClaimsOfOthersChangeNoState(t *testing.T) {
 	s := newSingleDetector(t)
-	own := s.detector.Incarnation()
+	initial := s.detector.Incarnation()
 	p := validProbe()
 	p.Claims = []Claim{
 		{Label: "c", State: Dead, Incarnation: 7}, {Label: "c", State: Left, Incarnation: 7}, {Label: "c", State: 99},
 		{Label: "c", State: Suspect, Incarnation: 1<<64 - 1}, {Label: "z", State: Dead}, {Label: "", State: Suspect},
-		{Label: "a", State: Dead, Incarnation: 1<<64 - 1}, {Label: "a", State: Suspect, Incarnation: own - 1},
+		{Label: "a", State: Dead, Incarnation: 1<<64 - 1}, {Label: "a", State: Suspect, Incarnation: initial - 1},
 	}
 	if status, drops := s.deliver(encode(p)); status != 200 || len(drops) > 0 {
-		t.Errorf("%d, %v", status, drops)
+		t.Errorf("a probe with claims was not accepted: status %d, drops %v", status, drops)
 	}
-	if got := s.detector.Incarnation(); got != own {
-		t.Errorf("our incarnation is %d, was %d", got, own)
+	if got := s.detector.Incarnation(); got != initial {
+		t.Errorf("claims about impossible or older incarnations were refuted: the own incarnation is %d, was %d", got, initial)
 	}
 	p.Sequence++
-	p.Claims = []Claim{{Label: "a", State: Suspect, Incarnation: own}}
+	p.Claims = []Claim{{Label: "a", State: Suspect, Incarnation: initial}}
 	s.deliver(encode(p))
-	if got := s.detector.Incarnation(); got != own+1 || s.detector.Counters().Refutations != 1 {
-		t.Errorf("our incarnation is %d, was %d", got, own)
+	if got := s.detector.Incarnation(); got != initial+1 || s.detector.Counters().Refutations != 1 {
+		t.Errorf("the claim was not refuted once: the own incarnation is %d, was %d", got, initial)
 	}
 }
 
-// Drops for one reason from one peer are marked as first once, so that they are logged once.
+// Only the first drop for a peer and reason is marked as first, so that it is logged once.
 func TestDropsAreLoggedOnce(t *testing.T) {
 	s := newSingleDetector(t)
 	s.deliver(encode(validProbe()))
 	firsts := 0
 	for range 5 {
-		s.request++
-		for _, a := range s.detector.HandleProbe(s.clock(), s.request, encode(validProbe())) {
+		s.lastRequestID++
+		for _, a := range s.detector.HandleProbe(s.clock(), s.lastRequestID, encode(validProbe())) {
 			if d, is := a.(DroppedMessage); is && d.First {
 				firsts++
 			}
 		}
 	}
 	if firsts != 1 {
-		t.Errorf("%d firsts", firsts)
+		t.Errorf("%d drops were marked as first, want 1", firsts)
 	}
 }
 
-// Indirect probes for peers are bounded, and each is answered.
+// The number of probes for peers is bounded, and each requester is answered.
 func TestProbesForPeersAreBounded(t *testing.T) {
 	s := newSingleDetector(t)
-	busy := 0
+	refused := 0
 	p := validProbe()
 	for i := range 2 * maxProbesForPeers {
 		p.Sequence, p.Target = uint64(10+i), "c"
 		if status, _ := s.deliver(encode(p)); status == http.StatusServiceUnavailable {
-			busy++
+			refused++
 		}
 	}
-	if busy != maxProbesForPeers {
-		t.Errorf("%d were refused", busy)
+	if refused != maxProbesForPeers {
+		t.Errorf("%d requests were refused, want the number beyond the bound", refused)
 	}
 	answered := 0
 	for range 20 {
@@ -165,18 +165,18 @@
 			if r, is := a.(Respond); is {
 				var reply ProbeReply
 				if err := cbor.Unmarshal(r.Body, &reply); err != nil || reply.Reached {
-					t.Errorf("%+v, %v", reply, err)
+					t.Errorf("want a nack: %+v, error %v", reply, err)
 				}
 				answered++
 			}
 		}
 	}
 	if answered != maxProbesForPeers || s.detector.pending.forPeers != 0 {
-		t.Errorf("%d answered, %d left", answered, s.detector.pending.forPeers)
+		t.Errorf("%d probes for peers were answered, %d are still pending", answered, s.detector.pending.forPeers)
 	}
 }
 
-// Replies that don't match their probe are no acks.
+// A reply that does not match its probe is dropped and is not an ack.
 func TestMismatchedRepliesAreDropped(t *testing.T) {
 	for name, change := range map[string]func(*ProbeReply){
 		"of another":       func(r *ProbeReply) { r.From = "c" },
@@ -202,14 +202,14 @@
 			change(&reply)
 			s.detector.HandleResponse(s.clock(), sent.ID, Response{Status: 200, Body: encode(reply)})
 			if c := s.detector.Counters(); c.Replies != 0 || c.DroppedMessages != 1 {
-				t.Errorf("%+v", c)
+				t.Errorf("want no reply and one dropped message: %+v", c)
 			}
 		})
 	}
 }
 
-// FuzzProbed passes any bytes as a probe and as a response: no crash, and no change of state except that
-// the sender leaves.
+// FuzzProbed passes arbitrary bytes as a probe and as a response. The detector must not panic, and the only
+// allowed state change is that the sender leaves.
 func FuzzProbed(f *testing.F) {
 	f.Add(encode(validProbe()))
 	p := validProbe()
@@ -225,13 +225,13 @@
 		for i := range 2 {
 			for _, a := range d.HandleProbe(at, uint64(i+1), body) {
 				if c, is := a.(StateChange); is && c.To != Left {
-					t.Errorf("%+v", c)
+					t.Errorf("unexpected state change: %+v", c)
 				}
 			}
 			d.HandleResponse(at, uint64(i+1), Response{Status: 200, Body: body})
 		}
 		if len(d.pending.probes) > 4+maxProbesForPeers || len(d.pending.requests) > 64 {
-			t.Errorf("%d probes, %d requests", len(d.pending.probes), len(d.pending.requests))
+			t.Errorf("too many probes (%d) or requests (%d) are pending", len(d.pending.probes), len(d.pending.requests))
 		}
 	})
 }
--- a/internal/membership/local_health.go
+++ b/internal/membership/local_health.go
@@ -16,5 +16,5 @@
 // degradeFully sets the worst score, after a pause of the whole process.
 func (h *localHealth) degradeFully() { h.score = maxHealthScore }
 
-// stretch multiplies a duration by score+1.
-func (h *localHealth) stretch(d time.Duration) time.Duration { return d * time.Duration(1+h.score) }
+// scale multiplies a duration by score+1.
+func (h *localHealth) scale(d time.Duration) time.Duration { return d * time.Duration(1+h.score) }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -73,7 +73,7 @@
 var decodeMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxArrayElements: maxClaims, MaxMapPairs: maxMapPairs, MaxNestedLevels: maxNestedLevels}.DecMode()
 	if err != nil {
-		panic(fmt.Sprintf("membership: invalid CBOR decoder options: %v", err))
+		panic(fmt.Sprintf("membership: the CBOR decoder's options are invalid: %v", err))
 	}
 	return mode
 }()
--- a/internal/membership/messages_test.go
+++ b/internal/membership/messages_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The bytes that this version sends: later ones have to read them alike, and write the same bytes as long as
-// their messages have this version's number.
+// Guards the encoding of messages. Later versions must decode these bytes to the same messages, and must encode the
+// messages to the same bytes as long as ProtocolVersion is unchanged.
 func TestMessageWireFormat(t *testing.T) {
 	probe := Probe{Version: 1, From: "n1", Incarnation: 1_700_000_000_001, Sequence: 7, Target: "n2", Claims: []Claim{{Label: "n2", State: Suspect, Incarnation: 9}}}
 	reply := ProbeReply{Version: 1, From: "n2", Incarnation: 5, Sequence: 7, Reached: true, TargetIncarnation: 9, Claims: []Claim{{Label: "n0", State: Left, Incarnation: 3}}}
@@ -32,12 +32,12 @@
 				t.Errorf("decoded (-want +got):\n%s", diff)
 			}
 			if got := hex.EncodeToString(encode(tc.want)); got != tc.encoded {
-				t.Errorf("encoded as %s", got)
+				t.Errorf("encoded as %s, want %s", got, tc.encoded)
 			}
 		})
 	}
-	// Fields of later versions are ignored.
+	// Unknown fields of later versions are ignored.
 	if p, err := decodeMessage[Probe](encode(map[int]any{1: 1, 2: "n1", 3: 2, 4: 3, 99: "later"})); err != nil || p.From != "n1" {
-		t.Errorf("a later version's probe: %+v, %v", p, err)
+		t.Errorf("a probe with an unknown field was decoded as %+v, error %v", p, err)
 	}
 }
--- a/internal/membership/probe_schedule.go
+++ b/internal/membership/probe_schedule.go
@@ -16,7 +16,7 @@
 	if now < s.nextRoundAt {
 		return nil
 	}
-	s.nextRoundAt = now + health.stretch(view.settings.ProbeInterval)
+	s.nextRoundAt = now + health.scale(view.settings.ProbeInterval)
 	s.round++
 	includeAbsent := s.round%absentProbeRounds == 0
 	var targets []*member
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -4,7 +4,7 @@
 
 // startProbe starts a probe by sending a request to its target.
 func (d *Detector) startProbe(probe *pendingProbe) {
-	probe.sentAt, probe.timeout = d.clock.now, d.health.stretch(d.settings.ProbeTimeout)
+	probe.sentAt, probe.timeout = d.clock.now, d.health.scale(d.settings.ProbeTimeout)
 	d.counters.Probes++
 	d.pending.add(probe)
 	d.sendDirect(probe)
--- a/internal/membership/responses.go
+++ b/internal/membership/responses.go
@@ -9,33 +9,33 @@
 }
 
 // HandleResponse handles the outcome of the Send with the given ID. It is ignored if the probe has ended.
-func (d *Detector) HandleResponse(at Clock, id uint64, answer Response) []Action {
+func (d *Detector) HandleResponse(at Clock, id uint64, response Response) []Action {
 	d.advanceClock(at)
 	request := d.pending.takeRequest(id)
 	if request == nil {
 		return d.out.actions
 	}
-	d.counters.BytesReceived += uint64(len(answer.Body))
+	d.counters.BytesReceived += uint64(len(response.Body))
 	if request.helper != "" {
-		d.handleIndirectResponse(request, answer)
+		d.handleIndirectResponse(request, response)
 	} else {
-		d.handleDirectResponse(request, answer)
+		d.handleDirectResponse(request, response)
 	}
 	return d.out.actions
 }
 
 // handleDirectResponse handles the outcome of a request to the target of a probe.
-func (d *Detector) handleDirectResponse(request *pendingRequest, answer Response) {
+func (d *Detector) handleDirectResponse(request *pendingRequest, response Response) {
 	probe, target := request.probe, request.probe.target
-	reply, ok := d.readReply(target.label, request, answer)
+	reply, ok := d.readReply(target.label, request, response)
 	switch {
 	case ok:
 		d.recordAck(target, request, reply)
-	case answer.Status == http.StatusNotFound && !request.heartbeat:
+	case response.Status == http.StatusNotFound && !request.heartbeat:
 		// The process is alive, but its version does not support probes: use heartbeats from now on.
 		target.method = viaHeartbeat
 		d.recordAck(target, request, ProbeReply{})
-	case answer.Status == http.StatusOK && request.heartbeat:
+	case response.Status == http.StatusOK && request.heartbeat:
 		d.recordAck(target, request, ProbeReply{})
 	case probe.forPeer:
 		d.out.nack(probe)
@@ -55,9 +55,9 @@
 
 // handleIndirectResponse handles the outcome of a request to a helper. A missing or invalid reply counts as
 // neither an ack nor a nack.
-func (d *Detector) handleIndirectResponse(request *pendingRequest, answer Response) {
+func (d *Detector) handleIndirectResponse(request *pendingRequest, response Response) {
 	probe, target := request.probe, request.probe.target
-	reply, ok := d.readReply(request.helper, request, answer)
+	reply, ok := d.readReply(request.helper, request, response)
 	if !ok {
 		return
 	}
@@ -87,12 +87,12 @@
 	m.recordDirectAck(d.clock.now)
 	m.unconfirmedFailures = 0
 	d.health.improve()
-	sinceSuspected := m.state == Suspect && request.sentAt >= m.suspicion.since
-	sinceAbsent := m.state != Suspect && m.method == viaHeartbeat && request.sentAt >= m.since
+	ackClearsSuspicion := m.state == Suspect && request.sentAt >= m.suspicion.since
+	ackEndsAbsence := m.state != Suspect && m.method == viaHeartbeat && request.sentAt >= m.since
 	switch {
 	case m.updateIncarnation(reply.Incarnation, &d.clock):
 		d.markAlive(m, ReasonRefuted)
-	case sinceSuspected, sinceAbsent:
+	case ackClearsSuspicion, ackEndsAbsence:
 		d.markAlive(m, ReasonAck)
 	}
 	d.handleClaims(m.label, reply.Claims)
@@ -100,11 +100,11 @@
 
 // readReply decodes the reply to a probe; ok is false if there is no reply or it is dropped. The rejection of
 // a probe (409) counts as a reply, as only a running process rejects probes.
-func (d *Detector) readReply(from string, request *pendingRequest, answer Response) (reply ProbeReply, ok bool) {
-	if request.heartbeat || answer.Status != http.StatusOK && answer.Status != http.StatusConflict {
+func (d *Detector) readReply(from string, request *pendingRequest, response Response) (reply ProbeReply, ok bool) {
+	if request.heartbeat || response.Status != http.StatusOK && response.Status != http.StatusConflict {
 		return ProbeReply{}, false
 	}
-	reply, err := decodeMessage[ProbeReply](answer.Body)
+	reply, err := decodeMessage[ProbeReply](response.Body)
 	if err != nil {
 		d.out.drop(from, dropReasonOf(err))
 		return ProbeReply{}, false
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -9,8 +9,8 @@
 	"claybarrow/internal/emulator"
 )
 
-// simulation runs detectors and the network between them on simulated time. A test replaces the functions
-// to inject faults.
+// simulation runs detectors and the network between them in simulated time. Tests replace the function fields to
+// inject faults.
 type simulation struct {
 	events *emulator.EventQueue
 	now    time.Duration
@@ -19,32 +19,32 @@
 	labels []string
 	// dropMessage reports whether a message is lost.
 	dropMessage func(from, to string) bool
-	// delay is the latency of a message.
+	// delay returns the latency of a message.
 	delay func(from, to string) time.Duration
-	// onChange is called for each change of state.
-	onChange func(at time.Duration, by string, change StateChange)
-	bytes    map[string]int // bodies sent, by label
-	sent     map[string]int // requests sent, by label
+	// onChange is called for each state change.
+	onChange     func(at time.Duration, by string, change StateChange)
+	bytesSent    map[string]int // body bytes sent, by label
+	requestsSent map[string]int // requests sent, by label
 }
 
-// node is a controller: its detector, and the process and network around it.
+// node is a simulated controller: its detector, process and clock.
 type node struct {
-	label         string
-	detector      *Detector
-	up            bool
-	paused        bool
-	withoutProbes bool     // its version answers probes with 404
-	deferred      []func() // what came while it was paused
-	generation    int      // counts its processes
-	clockOffset   time.Duration
-	drift         float64 // of the monotonic clock, as a share
-	drops         map[DropReason]int
-	waiting       map[uint64]func(int, []byte) // probes not answered yet, by request
-	request       uint64
+	label          string
+	detector       *Detector
+	running        bool
+	paused         bool
+	withoutProbes  bool     // the controller's version answers probes with 404
+	deferred       []func() // events that arrived during a pause
+	generation     int      // number of processes started so far
+	clockOffset    time.Duration
+	drift          float64 // relative drift of the monotonic clock
+	drops          map[DropReason]int
+	pendingReplies map[uint64]func(int, []byte) // reply functions of unanswered probes, by request ID
+	lastRequestID  uint64
 }
 
 const (
-	testLease = 1500 * time.Millisecond // the leader's lease, of which config derives the settings
+	testLease = 1500 * time.Millisecond // leader's lease, from which package config derives the settings
 	testTick  = testLease / 15
 	testWall  = int64(1_700_000_000_000)
 )
@@ -60,11 +60,11 @@
 	return s
 }
 
-// newSimulation starts n controllers, n00 and up.
+// newSimulation creates a simulation of n controllers, labelled n00, n01 and so on.
 func newSimulation(seed uint64, n int) *simulation {
 	sim := &simulation{
 		events: &emulator.EventQueue{}, random: rand.New(rand.NewPCG(seed, 1)),
-		nodes: map[string]*node{}, bytes: map[string]int{}, sent: map[string]int{},
+		nodes: map[string]*node{}, bytesSent: map[string]int{}, requestsSent: map[string]int{},
 		dropMessage: func(string, string) bool { return false },
 		delay:       func(string, string) time.Duration { return 2 * time.Millisecond },
 		onChange:    func(time.Duration, string, StateChange) {},
@@ -79,15 +79,15 @@
 	return sim
 }
 
-// after runs something after a time.
-func (s *simulation) after(d time.Duration, do func()) {
+// after calls run after a duration of simulated time.
+func (s *simulation) after(d time.Duration, run func()) {
 	s.events.After(d, func() {
 		s.now = s.events.Now()
-		do()
+		run()
 	})
 }
 
-// run lets simulated time pass.
+// run advances simulated time.
 func (s *simulation) run(d time.Duration) {
 	s.events.RunUntil(s.now + d)
 	s.now = s.events.Now()
@@ -98,17 +98,17 @@
 	return Clock{Monotonic: drifted, Wall: testWall + (s.now + n.clockOffset).Milliseconds()}
 }
 
-// start starts a new process of a controller, and its ticks.
+// start starts a new process of a controller, with its own ticks.
 func (s *simulation) start(label string) {
 	n := s.nodes[label]
 	n.generation++
-	n.up, n.paused, n.deferred = true, false, nil
-	n.drops, n.waiting = map[DropReason]int{}, map[uint64]func(int, []byte){}
+	n.running, n.paused, n.deferred = true, false, nil
+	n.drops, n.pendingReplies = map[DropReason]int{}, map[uint64]func(int, []byte){}
 	n.detector = New(testSettings(label, s.labels), rand.New(rand.NewPCG(s.random.Uint64(), 2)))
 	generation := n.generation
 	var tick func()
 	tick = func() {
-		if n.generation != generation || !n.up {
+		if n.generation != generation || !n.running {
 			return
 		}
 		if !n.paused && !n.withoutProbes {
@@ -119,10 +119,11 @@
 	s.after(time.Duration(s.random.Int64N(int64(testTick))), tick)
 }
 
-// crash ends the process without a word to its peers.
-func (n *node) crash() { n.up = false }
+// crash ends the process without announcing it to the peers.
+func (n *node) crash() { n.running = false }
 
-// pause has a controller handle nothing for a while; what comes meanwhile is handled after it.
+// pause stops a controller from handling events for a duration. Events that arrive during the pause are handled
+// at its end.
 func (s *simulation) pause(label string, d time.Duration) {
 	n := s.nodes[label]
 	n.paused = true
@@ -135,20 +136,21 @@
 		deferred := n.deferred
 		n.deferred = nil
 		s.apply(n, n.detector.Tick(s.clock(n)))
-		for _, do := range deferred {
-			do()
+		for _, run := range deferred {
+			run()
 		}
 	})
 }
 
-// handle runs something at a node, after its pause if it is paused, and not at all if the process ended.
-func (s *simulation) handle(n *node, generation int, do func()) {
+// handle calls run as an event of a process of the node: at the end of the pause if the node is paused, and never
+// if the process has ended.
+func (s *simulation) handle(n *node, generation int, run func()) {
 	switch {
-	case !n.up || n.generation != generation:
+	case !n.running || n.generation != generation:
 	case n.paused:
-		n.deferred = append(n.deferred, do)
+		n.deferred = append(n.deferred, run)
 	default:
-		do()
+		run()
 	}
 }
 
@@ -159,8 +161,8 @@
 		case Send:
 			s.send(n, a)
 		case Respond:
-			if answer := n.waiting[a.Request]; answer != nil {
-				delete(n.waiting, a.Request)
+			if answer := n.pendingReplies[a.Request]; answer != nil {
+				delete(n.pendingReplies, a.Request)
 				answer(a.Status, a.Body)
 			}
 		case StateChange:
@@ -171,12 +173,12 @@
 	}
 }
 
-// send delivers a request and its response, or the timeout.
+// send delivers a request and its response, or lets the request time out.
 func (s *simulation) send(n *node, request Send) {
-	s.sent[n.label]++
-	s.bytes[n.label] += len(request.Body)
+	s.requestsSent[n.label]++
+	s.bytesSent[n.label] += len(request.Body)
 	generation, answered := n.generation, false
-	result := func(status int, body []byte) {
+	deliverResult := func(status int, body []byte) {
 		s.handle(n, generation, func() {
 			if !answered {
 				answered = true
@@ -184,48 +186,48 @@
 			}
 		})
 	}
-	s.after(request.Timeout, func() { result(0, nil) })
+	s.after(request.Timeout, func() { deliverResult(0, nil) })
 	if s.dropMessage(n.label, request.To) {
 		return
 	}
-	to := s.nodes[request.To]
+	target := s.nodes[request.To]
 	s.after(s.delay(n.label, request.To), func() {
-		if !to.up {
+		if !target.running {
 			return
 		}
-		toGeneration := to.generation
+		targetGeneration := target.generation
 		reply := func(status int, body []byte) {
 			if s.dropMessage(request.To, n.label) {
 				return
 			}
-			s.bytes[request.To] += len(body)
-			s.after(s.delay(request.To, n.label), func() { result(status, body) })
+			s.bytesSent[request.To] += len(body)
+			s.after(s.delay(request.To, n.label), func() { deliverResult(status, body) })
 		}
-		s.handle(to, toGeneration, func() {
+		s.handle(target, targetGeneration, func() {
 			switch {
 			case request.Heartbeat:
 				reply(http.StatusOK, nil)
-			case to.withoutProbes:
+			case target.withoutProbes:
 				reply(http.StatusNotFound, nil)
 			default:
-				to.request++
-				to.waiting[to.request] = reply
-				s.apply(to, to.detector.HandleProbe(s.clock(to), to.request, request.Body))
+				target.lastRequestID++
+				target.pendingReplies[target.lastRequestID] = reply
+				s.apply(target, target.detector.HandleProbe(s.clock(target), target.lastRequestID, request.Body))
 			}
 		})
 	})
 }
 
-// state is what one controller holds another one for.
+// state returns the state of a controller (of) in the view of another (by).
 func (s *simulation) state(by, of string) State { return s.nodes[by].detector.StateOf(of) }
 
-// others lists all labels except one.
+// others lists all labels except the given one.
 func (s *simulation) others(except string) []string {
-	var out []string
+	var labels []string
 	for _, l := range s.labels {
 		if l != except {
-			out = append(out, l)
+			labels = append(labels, l)
 		}
 	}
-	return out
+	return labels
 }
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -43,18 +43,18 @@
 func (r suspicionReport) isRecent(now, lifetime time.Duration) bool { return now < r.at+lifetime }
 
 // addReport stores a report about the member. It replaces an earlier report by the same member.
-func (m *member) addReport(by string, report suspicionReport) {
+func (m *member) addReport(reporter string, report suspicionReport) {
 	if m.reports == nil {
 		m.reports = map[string]suspicionReport{}
 	}
-	m.reports[by] = report
+	m.reports[reporter] = report
 }
 
 // discardOldReports deletes the reports about incarnations earlier than the member's current one.
 func (m *member) discardOldReports() {
-	for by, report := range m.reports {
+	for reporter, report := range m.reports {
 		if report.incarnation < m.incarnation {
-			delete(m.reports, by)
+			delete(m.reports, reporter)
 		}
 	}
 }
@@ -73,9 +73,9 @@
 // startSuspicion starts the suspicion timer of the member. Recent reports count as confirmations.
 func (m *member) startSuspicion(now time.Duration, wall int64, reportLifetime time.Duration) {
 	m.suspicion, m.suspectedAtWall = newSuspicion(now), wall
-	for by, report := range m.reports {
+	for reporter, report := range m.reports {
 		if report.isRecent(now, reportLifetime) && report.incarnation >= m.incarnation {
-			m.suspicion.confirmations[by] = true
+			m.suspicion.confirmations[reporter] = true
 		}
 	}
 }
--- a/internal/membership/transitions.go
+++ b/internal/membership/transitions.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		timeout := m.suspicion.timeout(d.settings.SuspicionTimeout, d.settings.SuspicionFactor, len(d.labels)-1)
-		if d.clock.now >= m.suspicion.since+d.health.stretch(timeout) {
+		if d.clock.now >= m.suspicion.since+d.health.scale(timeout) {
 			d.counters.Deaths++
 			d.setState(m, Dead, ReasonSuspicionTimeout)
 		}
--- a/internal/protocol/peers_test.go
+++ b/internal/protocol/peers_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What controllers of both older versions (686f0af and 4297efa, which agree) send one
-// another, byte by byte as they wrote it: read as it was meant, and written the same.
+// Messages as encoded by the older versions 686f0af and 4297efa, whose encodings are the same. They must be decoded
+// to the same values and encoded to the same bytes.
 func TestPeerMessagesOfOlderVersions(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -33,16 +33,16 @@
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(tc.want, tc.into); diff != "" {
-				t.Errorf("read as (-want +got):\n%s", diff)
+				t.Errorf("decoded (-want +got):\n%s", diff)
 			}
 			if got := hex.EncodeToString(EncodePeer(tc.want)); got != tc.encoded {
-				t.Errorf("written as %s", got)
+				t.Errorf("encoded as %s, want %s", got, tc.encoded)
 			}
 		})
 	}
 }
 
-// What this version adds is left out where there is none of it, and ignored by older versions.
+// Fields that older versions do not have are omitted if they are empty, and ignored by older versions.
 func TestOlderVersionsIgnoreNewFields(t *testing.T) {
 	t.Run("forwarded request", func(t *testing.T) {
 		type olderRelay struct {
@@ -52,7 +52,7 @@
 		}
 		var older olderRelay
 		if err := DecodePeer(EncodePeer(ForwardedRequest{Operation: "poll", UID: "j-1", To: "n0"}), &older); err != nil || older.UID != "j-1" {
-			t.Errorf("an older version reads %+v, %v", older, err)
+			t.Errorf("an older version decodes %+v, error %v", older, err)
 		}
 	})
 	t.Run("heartbeat", func(t *testing.T) {
@@ -62,22 +62,22 @@
 			ServedMS    int64  `cbor:"5,keyasint"`
 		}
 		var older olderHeartbeat
-		stating := PeerHeartbeat{From: "n1", Incarnation: "ab", ServedMS: -1, Versions: &VersionStatement{Reads: 1, Writes: 1, Hold: true}}
-		if err := DecodePeer(EncodePeer(stating), &older); err != nil || older != (olderHeartbeat{"n1", "ab", -1}) {
-			t.Errorf("an older version reads %+v, %v", older, err)
+		heartbeat := PeerHeartbeat{From: "n1", Incarnation: "ab", ServedMS: -1, Versions: &VersionStatement{Reads: 1, Writes: 1, Hold: true}}
+		if err := DecodePeer(EncodePeer(heartbeat), &older); err != nil || older != (olderHeartbeat{"n1", "ab", -1}) {
+			t.Errorf("an older version decodes %+v, error %v", older, err)
 		}
 		var read PeerHeartbeat
-		if err := DecodePeer(EncodePeer(stating), &read); err != nil || cmp.Diff(stating, read) != "" {
-			t.Errorf("a statement is read as %+v, %v", read.Versions, err)
+		if err := DecodePeer(EncodePeer(heartbeat), &read); err != nil || cmp.Diff(heartbeat, read) != "" {
+			t.Errorf("the version statement was decoded as %+v, error %v", read.Versions, err)
 		}
 	})
 }
 
-// Fields that are not known yet do no harm.
+// Unknown fields of later versions are ignored.
 func TestFieldsOfLaterVersionsAreIgnored(t *testing.T) {
 	var heartbeat PeerHeartbeat
 	later := map[int]any{1: "n1", 2: "ab", 5: -1, 99: "later"}
 	if err := DecodePeer(EncodePeer(later), &heartbeat); err != nil || heartbeat.From != "n1" {
-		t.Errorf("a later version's heartbeat: %+v, %v", heartbeat, err)
+		t.Errorf("a heartbeat with an unknown field was decoded as %+v, error %v", heartbeat, err)
 	}
 }
--- a/internal/protocol/submission_body.go
+++ b/internal/protocol/submission_body.go
@@ -40,14 +40,14 @@
 // nestedTooDeeply reports whether the body may be nested too deeply. The check is approximate: it counts
 // consecutive container headers, as deep nesting has a header per level.
 func nestedTooDeeply(body []byte) bool {
-	inARow := 0
+	consecutiveHeaders := 0
 	for _, b := range body {
 		if !isContainerHeader(b) {
-			inARow = 0
+			consecutiveHeaders = 0
 			continue
 		}
-		inARow++
-		if inARow > headersPerLevel*maxDepth {
+		consecutiveHeaders++
+		if consecutiveHeaders > headersPerLevel*maxDepth {
 			return true
 		}
 	}
--- a/internal/protocol/submission_test.go
+++ b/internal/protocol/submission_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func submission(change map[string]any) map[string]any {
+func submissionWith(change map[string]any) map[string]any {
 	m := map[string]any{"uid": "j-000412", "tier": "train", "owner": "vision", "shape": "batch", "rank": "high",
 		"shards": 16, "cores": 8.0, "accelerators": 1, "ramGb": 64.0, "bundle": "img-07", "sizeGb": 6.2,
 		"flavours": []string{"g8"}, "yard": nil, "together": false, "apart": false, "borrowed": true,
@@ -24,14 +24,14 @@
 		{"shards": 100_000}, {"accelerators": 0},
 	} {
 		t.Run(fmt.Sprint(change), func(t *testing.T) {
-			if _, spec, err := ParseSubmission(Encode(submission(change))); err != nil || spec == nil {
+			if _, spec, err := ParseSubmission(Encode(submissionWith(change))); err != nil || spec == nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-// Each invalid value is refused with an error that names its field, whose text is logged.
+// Each invalid value is rejected with an error that names its field. The text of the error is logged.
 func TestInvalidSubmission(t *testing.T) {
 	for _, tc := range []struct {
 		field string
@@ -65,9 +65,9 @@
 		{"expectS", "1", "expectS: not an amount of 0 or more"},
 	} {
 		t.Run(fmt.Sprintf("%s %v", tc.field, tc.value), func(t *testing.T) {
-			_, spec, err := ParseSubmission(Encode(submission(map[string]any{tc.field: tc.value})))
+			_, spec, err := ParseSubmission(Encode(submissionWith(map[string]any{tc.field: tc.value})))
 			if err == nil || spec != nil {
-				t.Fatal("the submission was taken")
+				t.Fatal("the invalid submission was accepted")
 			}
 			var invalid *ValidationError
 			if !errors.As(err, &invalid) || invalid.Field != tc.field || err.Error() != tc.want {
@@ -79,43 +79,44 @@
 
 func TestSubmissionOfNoResources(t *testing.T) {
 	change := map[string]any{"cores": 0, "accelerators": 0, "ramGb": 0}
-	_, spec, err := ParseSubmission(Encode(submission(change)))
+	_, spec, err := ParseSubmission(Encode(submissionWith(change)))
 	var invalid *ValidationError
 	if !errors.As(err, &invalid) || invalid.Field != "cores" || spec != nil {
 		t.Errorf("%v", err)
 	}
 }
 
-// A damaged repeat of an accepted job is answered by its ID.
+// The uid of an invalid submission is returned: a damaged repetition of an accepted submission is answered by its
+// uid.
 func TestUIDOfInvalidSubmission(t *testing.T) {
-	uid, _, err := ParseSubmission(Encode(submission(map[string]any{"rank": "top"})))
+	uid, _, err := ParseSubmission(Encode(submissionWith(map[string]any{"rank": "top"})))
 	if err == nil || uid != "j-000412" {
 		t.Errorf("uid of an invalid submission: %q, %v", uid, err)
 	}
 }
 
-// Where several fields are wrong, the first by the order of reading is reported.
+// If several fields are invalid, the first one in the order of reading is reported.
 func TestFirstInvalidFieldIsReported(t *testing.T) {
 	change := map[string]any{}
 	order := []string{"flavours", "shards", "rank", "shape", "expectS", "together", "sizeGb", "yard", "tier"}
 	for _, field := range order {
 		change[field] = []any{1}
 		var invalid *ValidationError
-		if _, _, err := ParseSubmission(Encode(submission(change))); !errors.As(err, &invalid) || invalid.Field != field {
-			t.Errorf("%v, want one of %s", err, field)
+		if _, _, err := ParseSubmission(Encode(submissionWith(change))); !errors.As(err, &invalid) || invalid.Field != field {
+			t.Errorf("error %v, want one about field %s", err, field)
 		}
 	}
 }
 
-// Each field has to be there; those that may be null may also be left out.
+// Every field is required, except that a field that may be null may also be missing.
 func TestMissingFields(t *testing.T) {
 	mayBeNull := map[string]bool{"flavours": true, "yard": true, "dueS": true, "later": true}
-	for field := range submission(nil) {
-		without := submission(nil)
-		delete(without, field)
+	for field := range submissionWith(nil) {
+		withoutField := submissionWith(nil)
+		delete(withoutField, field)
 		for how, values := range map[string]map[string]any{
-			"missing": without,
-			"null":    submission(map[string]any{field: nil}),
+			"missing": withoutField,
+			"null":    submissionWith(map[string]any{field: nil}),
 		} {
 			t.Run(field+" "+how, func(t *testing.T) {
 				if _, _, err := ParseSubmission(Encode(values)); (err == nil) != mayBeNull[field] {
@@ -126,7 +127,7 @@
 	}
 }
 
-// Bodies that hold no submission are refused, with the error that says which kind they are of.
+// A body that is not a submission is rejected with the error of its kind.
 func TestMalformedBodies(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -136,19 +137,19 @@
 		{"empty", nil, ErrMalformed},
 		{"text", []byte("hello"), ErrMalformed},
 		{"list", Encode([]int{1}), ErrNotAMap},
-		{"cut", Encode(submission(nil))[:40], ErrMalformed},
+		{"cut", Encode(submissionWith(nil))[:40], ErrMalformed},
 		{"deep", bytes.Repeat([]byte{0x91}, 60_000), ErrNestedTooDeeply},
 		{"deep pairs", bytes.Repeat([]byte{0x92, 0xc0}, 30_000), ErrMalformed},
 		{"huge array", []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
 		{"huge map", []byte{0xdf, 0xff, 0xff, 0xff, 0xff}, ErrMalformed},
 		{"large", make([]byte, MaxBodyBytes+1), ErrBodyTooLarge},
-		{"bytes after the end", append(Encode(submission(nil)), 0xc0), ErrMalformed},
+		{"bytes after the end", append(Encode(submissionWith(nil)), 0xc0), ErrMalformed},
 		{"number keys", Encode(map[int]int{1: 2}), nil}, // the decoder's own error
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, spec, err := ParseSubmission(tc.body)
 			if err == nil || spec != nil {
-				t.Fatal("the body was taken")
+				t.Fatal("the malformed body was accepted")
 			}
 			if tc.want != nil && !errors.Is(err, tc.want) {
 				t.Errorf("%v, want %v", err, tc.want)
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -47,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			reply := ReadReply("i-1", c.status, c.body)
 			if reply.Outcome != c.outcome || reply.Outcome.IsAnswer() != c.isAnswer || (reply.Heartbeat != nil) != c.hasHeartbeat {
-				t.Fatalf("%v, answer %v, heartbeat %+v", reply.Outcome, reply.Outcome.IsAnswer(), reply.Heartbeat)
+				t.Fatalf("outcome %v, is an answer: %v, heartbeat %+v", reply.Outcome, reply.Outcome.IsAnswer(), reply.Heartbeat)
 			}
 			if reply.Heartbeat != nil && reply.Heartbeat.Epoch != 5 {
 				t.Errorf("heartbeat %+v", reply.Heartbeat)
