--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -35,7 +35,7 @@
 	}
 	if takeover, longestLease := c.TakeoverDuration(), c.maxLeaderLease(); takeover > longestLease {
 		warnings = append(warnings, fmt.Sprintf(
-			"%s: cluster.workers.lease_s: the takeover of %.0f machines may take %.1f s, but the leader's lease is at most %.1f s",
+			"%s: cluster.workers.lease_s: a takeover of %.0f machines may take %.1f s, but the leader's lease is at most %.1f s",
 			PlatformSource, size, takeover.Seconds(), longestLease.Seconds()))
 	}
 	return append(warnings, c.featureGateWarnings()...)
--- a/internal/machinepool/launch.go
+++ b/internal/machinepool/launch.go
@@ -32,8 +32,8 @@
 	return protocol.LaunchRequest{Request: r.requestName, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 }
 
-// backoff is the time until which no machines are requested from a pool, and the number of consecutive requests
-// that the pool did not fill.
+// backoff is the back-off state of a pool: no machines are requested until the given time. failures counts the
+// consecutive requests that the pool did not fill, up to maxBackoffFailures.
 type backoff struct {
 	until    time.Duration
 	failures int
--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -55,7 +55,7 @@
 	MayRequest() bool
 	// RetryPause returns the base delay before a retry.
 	RetryPause() time.Duration
-	// RunAt calls do at the first tick after the given time, unless the leadership has ended.
+	// RunAt calls run at the first tick after the given time, unless the leadership has ended.
 	RunAt(at time.Duration, run func())
 	// HasEnded reports whether the leadership has ended.
 	HasEnded() bool
@@ -65,13 +65,14 @@
 	// OnListRead is called after a complete read of the list, with the time of the first request and the
 	// names of all listed machines.
 	OnListRead(requestedAt time.Duration, names map[string]bool)
-	// MachinesToDelete returns the names of at most most machines to delete.
+	// MachinesToDelete returns the names of at most limit machines to delete.
 	MachinesToDelete(limit int) []string
 	// OnDeleted is called for each machine that was deleted.
 	OnDeleted(name string)
 	// OnLaunched is called for each launched machine, with the time of the request's first attempt.
 	OnLaunched(pool scheduler.Pool, name string, requestedAt time.Duration)
-	// SetExhausted records whether a pool's last launch request was rejected or filled only in part.
+	// SetExhausted records whether a pool's last launch request was rejected or filled only in part (true),
+	// or filled completely (false).
 	SetExhausted(pool scheduler.Pool, exhausted bool)
 }
 
--- a/internal/membership/detector_test.go
+++ b/internal/membership/detector_test.go
@@ -19,16 +19,16 @@
 // recordChanges collects all state changes from now on.
 func (s *simulation) recordChanges() *[]observedChange {
 	changes := &[]observedChange{}
-	s.onChange = func(at time.Duration, by string, c StateChange) {
-		*changes = append(*changes, observedChange{at, by, c.Label, c.To, c.Reason})
+	s.onChange = func(at time.Duration, observer string, change StateChange) {
+		*changes = append(*changes, observedChange{at, observer, change.Label, change.To, change.Reason})
 	}
 	return changes
 }
 
 // allObserve reports whether a controller has the wanted state in the views of all its peers.
-func (s *simulation) allObserve(of string, want State) bool {
-	for _, by := range s.others(of) {
-		if s.state(by, of) != want {
+func (s *simulation) allObserve(subject string, want State) bool {
+	for _, observer := range s.others(subject) {
+		if s.state(observer, subject) != want {
 			return false
 		}
 	}
@@ -233,10 +233,10 @@
 	sim.run(10 * second)
 	sim.dropMessage = func(string, string) bool { return false }
 	sim.run(15 * second)
-	for _, by := range sim.labels {
-		for _, of := range sim.others(by) {
-			if s := sim.state(by, of); s != Alive {
-				t.Errorf("after the partition, in the view of %s, %s is %v", by, of, s)
+	for _, observer := range sim.labels {
+		for _, subject := range sim.others(observer) {
+			if s := sim.state(observer, subject); s != Alive {
+				t.Errorf("after the partition, in the view of %s, %s is %v", observer, subject, s)
 			}
 		}
 	}
@@ -367,12 +367,12 @@
 	clear(sim.requestsSent)
 	const measured = 60
 	sim.run(measured * second)
-	for _, l := range sim.labels {
-		if perSecond := float64(sim.requestsSent[l]) / measured; perSecond > maxProbesPerRound*float64(second)/float64(testLease/5)*1.05 {
-			t.Errorf("%s sends %.1f probes per second, more than the schedule allows", l, perSecond)
+	for _, label := range sim.labels {
+		if perSecond := float64(sim.requestsSent[label]) / measured; perSecond > maxProbesPerRound*float64(second)/float64(testLease/5)*1.05 {
+			t.Errorf("%s sends %.1f probes per second, more than the schedule allows", label, perSecond)
 		}
-		if perSecond := sim.bytesSent[l] / measured; perSecond > 3000 {
-			t.Errorf("%s sends %d bytes per second, more than 3000", l, perSecond)
+		if perSecond := sim.bytesSent[label] / measured; perSecond > 3000 {
+			t.Errorf("%s sends %d bytes per second, more than 3000", label, perSecond)
 		}
 	}
 	t.Logf("n00 sends %.1f probes and %d bytes per second", float64(sim.requestsSent["n00"])/measured, sim.bytesSent["n00"]/measured)
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -22,7 +22,7 @@
 	// delay returns the latency of a message.
 	delay func(from, to string) time.Duration
 	// onChange is called for each state change.
-	onChange     func(at time.Duration, by string, change StateChange)
+	onChange     func(at time.Duration, observer string, change StateChange)
 	bytesSent    map[string]int // body bytes sent, by label
 	requestsSent map[string]int // requests sent, by label
 }
@@ -218,8 +218,10 @@
 	})
 }
 
-// state returns the state of a controller (of) in the view of another (by).
-func (s *simulation) state(by, of string) State { return s.nodes[by].detector.StateOf(of) }
+// state returns the state of one controller (subject) in the view of another (observer).
+func (s *simulation) state(observer, subject string) State {
+	return s.nodes[observer].detector.StateOf(subject)
+}
 
 // others lists all labels except the given one.
 func (s *simulation) others(except string) []string {
