--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// minWriteRPS is the minimum rate of changes. Half a second's worth of changes is reserved for urgent writes; a
-// lower rate would leave no changes for background writes.
+// minWriteRPS is the minimum rate of changes. Half of the burst of changes is reserved for writes that a request waits
+// for; at a rate of 2 the other half is less than the one change that a background write needs.
 const minWriteRPS = 3
 
 // validate returns the error of the first invalid setting.
