--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,11 +6,11 @@
 	"net"
 )
 
-// minWriteRPS is the lowest rate of changes that leaves any for what nobody waits for, beside the
-// half of a second's worth that is kept for what somebody does.
+// minWriteRPS is the minimum rate of changes. Half of the burst of changes is reserved for writes that a request waits
+// for; at a rate of 2 the other half is less than the one change that a background write needs.
 const minWriteRPS = 3
 
-// validate returns the error of the first setting that is wrong.
+// validate returns the error of the first invalid setting.
 func (c *Config) validate() error {
 	for _, validatePart := range []func() error{
 		c.validateAddresses,
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// missingOrTwice is the reason of a name that is empty or not unique.
-const missingOrTwice = "missing or used twice"
+// missingOrDuplicate is the reason of a FieldError for a name that is empty or not unique.
+const missingOrDuplicate = "missing or used twice"
 
 func (c *Config) validateSiblings() error {
 	if c.Label == "" {
@@ -59,7 +59,7 @@
 	for i, sibling := range c.Siblings {
 		path := fmt.Sprintf("siblings[%d]", i)
 		if sibling.Label == "" || seen[sibling.Label] {
-			return &FieldError{Source: PlatformSource, Field: path + ".label", Reason: missingOrTwice}
+			return &FieldError{Source: PlatformSource, Field: path + ".label", Reason: missingOrDuplicate}
 		}
 		seen[sibling.Label] = true
 		if err := validateAddress(path+".peer_addr", sibling.Addr); err != nil {
@@ -74,7 +74,7 @@
 	for i, team := range c.Cluster.Teams {
 		path := fmt.Sprintf("cluster.teams[%d]", i)
 		if team.Name == "" || seen[team.Name] {
-			return &FieldError{Source: PlatformSource, Field: path + ".name", Reason: missingOrTwice}
+			return &FieldError{Source: PlatformSource, Field: path + ".name", Reason: missingOrDuplicate}
 		}
 		seen[team.Name] = true
 		for _, amount := range []float64{team.Cores, team.CoresMax, team.Accelerators, team.AcceleratorsMax} {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// validateNextState refuses limits to come that are negative. Their ranges are those of the limits
-// that hold now, and apply to the lower of both (validateRanges).
+// validateNextState rejects negative future limits. validateRanges checks the lower of the current and the future
+// limit against the range of the current limit.
 func (c *Config) validateNextState() error {
 	next := c.Cluster.State.Next
 	if next == nil {
@@ -110,13 +110,13 @@
 	return nil
 }
 
-// fieldRange is the range that a number must be in, with both ends.
+// fieldRange is a number with its valid range, which includes both ends.
 type fieldRange struct {
 	field           string
 	value, min, max float64
 }
 
-// validateEach returns the error of the first number that is out of range. A NaN is in no range.
+// validateEach returns the error of the first number that is out of range. NaN is out of every range.
 func validateEach(source Source, ranges []fieldRange) error {
 	for _, r := range ranges {
 		if !(r.value >= r.min && r.value <= r.max) {
@@ -136,7 +136,7 @@
 
 func (c *Config) platformRanges() []fieldRange {
 	workers, state, cloud, resources := c.Cluster.Workers, c.Cluster.State, c.Cluster.Cloud, c.Cluster.Resources
-	both := state.EffectiveLimits()
+	lowest := state.EffectiveLimits()
 	return []fieldRange{
 		{"cluster.workers.report_s", workers.HeartbeatS, 0.01, 3600},
 		{"cluster.workers.lease_s", workers.LeaseS, 0.5, 3600},
@@ -145,10 +145,10 @@
 		{"cluster.state.write_rps", state.WriteRPS, minWriteRPS, 1e9},
 		{"cluster.state.value_kb", state.ValueKB, 1, 1e6},
 		{"cluster.state.txn_ops", float64(state.TxnOps), 2, 1e6},
-		{"cluster.state.next.rps", both.RPS, 5, 1e9},
-		{"cluster.state.next.write_rps", both.WriteRPS, minWriteRPS, 1e9},
-		{"cluster.state.next.value_kb", both.ValueKB, 1, 1e6},
-		{"cluster.state.next.txn_ops", float64(both.TxnOps), 2, 1e6},
+		{"cluster.state.next.rps", lowest.RPS, 5, 1e9},
+		{"cluster.state.next.write_rps", lowest.WriteRPS, minWriteRPS, 1e9},
+		{"cluster.state.next.value_kb", lowest.ValueKB, 1, 1e6},
+		{"cluster.state.next.txn_ops", float64(lowest.TxnOps), 2, 1e6},
 		{"cluster.workers.gang_peer_s", workers.GangPeerS, 0, 3600},
 		{"cluster.cloud.rps", cloud.RPS, 0.1, 1e9},
 		{"cluster.cloud.list_lag_s", cloud.ListLagS, 0, 3600},
