--- a/cmd/claybarrow/check.go
+++ b/cmd/claybarrow/check.go
@@ -9,7 +9,8 @@
 
 type checkCmd struct{ settingsFlags }
 
-// Run reads the settings as Serve would. Warnings go to the standard error and are no error.
+// Run loads and validates the settings in the same way as the serve command. It prints warnings to standard error;
+// warnings do not make the command fail.
 func (c checkCmd) Run() error {
 	cfg, err := config.Load(c.Config, c.Operator)
 	if err != nil {
--- a/cmd/claybarrow/log.go
+++ b/cmd/claybarrow/log.go
@@ -6,10 +6,10 @@
 	"log/slog"
 )
 
-// logLevelVariable is the environment variable of the log level.
+// logLevelVariable is the name of the environment variable that sets the log level.
 const logLevelVariable = "LOG_LEVEL"
 
-// logLevel returns the level that a value of LOG_LEVEL names; an empty one is info.
+// logLevel parses a value of LOG_LEVEL. An empty value means info.
 func logLevel(value string) (slog.Level, error) {
 	switch value {
 	case "error":
@@ -23,7 +23,7 @@
 	}
 }
 
-// newLogger returns a logger that marks each line with the controller's label.
+// newLogger returns a logger that adds the controller's label to each line.
 func newLogger(w io.Writer, level slog.Level, label string) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level})).With("node", label)
 }
--- a/cmd/claybarrow/log_test.go
+++ b/cmd/claybarrow/log_test.go
@@ -23,12 +23,12 @@
 			level, err := logLevel(tc.value)
 			if tc.err != "" {
 				if err == nil || err.Error() != tc.err {
-					t.Fatalf("%v, want %s", err, tc.err)
+					t.Fatalf("error %v, want %s", err, tc.err)
 				}
 				return
 			}
 			if err != nil || level != tc.want {
-				t.Errorf("%v, %v, want %v", level, err, tc.want)
+				t.Errorf("level %v, error %v, want level %v", level, err, tc.want)
 			}
 		})
 	}
@@ -40,6 +40,6 @@
 	log.Debug("below the level")
 	log.Info("starting")
 	if lines := strings.Count(out.String(), "\n"); lines != 1 || !strings.Contains(out.String(), "msg=starting node=n0") {
-		t.Errorf("logged:\n%s", out.String())
+		t.Errorf("want one line with the message and the label, logged:\n%s", out.String())
 	}
 }
--- a/cmd/claybarrow/main.go
+++ b/cmd/claybarrow/main.go
@@ -1,6 +1,6 @@
-// Command claybarrow schedules fleets that serve language models. It runs one controller, checks
-// settings, or prints its version; --help lists the flags. LOG_LEVEL is error, info (the default)
-// or debug.
+// Command claybarrow is a scheduler for fleets that serve language models. It runs one controller, checks the settings,
+// or prints its version. The --help flag lists the flags. The environment variable LOG_LEVEL sets the log level: error,
+// info (the default) or debug.
 package main
 
 import (
@@ -18,10 +18,10 @@
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
-// settingsFlags name the two files of settings.
+// settingsFlags holds the flags that name the two settings files.
 type settingsFlags struct {
-	Config   string `required:"" placeholder:"FILE" help:"The platform's settings (JSON)."`
-	Operator string `placeholder:"FILE" env:"CLAYBARROW_OPERATOR" help:"The operators' settings (TOML)."`
+	Config   string `required:"" placeholder:"FILE" help:"File with the platform's settings (JSON)."`
+	Operator string `placeholder:"FILE" env:"CLAYBARROW_OPERATOR" help:"File with the operators' settings (TOML)."`
 }
 
 type versionCmd struct{}
--- a/cmd/claybarrow/serve.go
+++ b/cmd/claybarrow/serve.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// heapShare is the share of the process's memory from which on the garbage collector works
-	// harder. The rest is for stacks, the binary and what the kernel holds for sockets.
+	// heapShare is the fraction of the process's memory that is set as the Go runtime's soft memory limit. The rest is
+	// left for stacks, the binary and the kernel's socket buffers.
 	heapShare   = 0.6
 	bytesPerMiB = 1 << 20
-	// telemetryCloseTimeout bounds the writing of the last spans.
+	// telemetryCloseTimeout bounds the time for writing the last spans.
 	telemetryCloseTimeout = 2 * time.Second
 )
 
 type serveCmd struct{ settingsFlags }
 
-// Run serves until the process is told to end by SIGINT or SIGTERM.
+// Run runs a controller until the process receives SIGINT or SIGTERM.
 func (c serveCmd) Run() error {
 	cfg, err := config.Load(c.Config, c.Operator)
 	if err != nil {
@@ -60,9 +60,9 @@
 	return server.Run(ctx)
 }
 
-// limitRuntime fits the Go runtime to what the process may use.
+// limitRuntime limits the Go runtime's threads and memory to the process's resources.
 func limitRuntime(resources config.Resources) {
-	// The process has a share of one core: more threads only add switches.
+	// The process has a share of one CPU core, so more threads would only add context switches.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(resources.MemMB * heapShare * bytesPerMiB))
 }
@@ -71,6 +71,6 @@
 	ctx, stop := context.WithTimeout(context.Background(), telemetryCloseTimeout)
 	defer stop()
 	if err := recorder.Close(ctx); err != nil {
-		log.Error("trace spans lost", "err", err)
+		log.Error("failed to close telemetry; trace spans may be lost", "err", err)
 	}
 }
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,5 @@
-// Command scalerun is a load test with fault injection: it runs real controller processes on this machine
-// against an emulated fleet of thousands of workers. See package internal/scalerun.
+// Command scalerun is a load test with fault injection. It runs real controller processes on one machine with an
+// emulated fleet of thousands of workers. See package internal/scalerun.
 package main
 
 import (
@@ -16,17 +16,17 @@
 	"claybarrow/internal/scalerun"
 )
 
-// planFlags name a plan and the settings that replace the plan's.
+// planFlags holds the argument that names a plan and the flags that override settings of the plan.
 type planFlags struct {
-	Plan     string  `arg:"" help:"The plan (TOML); docs/scale/ has some."`
-	Scale    float64 `default:"1" placeholder:"FACTOR" help:"Multiply workers, load and teams."`
-	Regions  int     `placeholder:"N" help:"Divide the fleet into so many regions, not the plan's."`
-	Program  string  `placeholder:"FILE" help:"Play against this program, not the plan's."`
-	BasePort int     `placeholder:"PORT" help:"First of ten ports for each region, not the plan's."`
-	WriteRPS float64 `name:"write-rps" placeholder:"RATE" help:"Changes a second that each state service takes, not the plan's."`
+	Plan     string  `arg:"" help:"File with the test plan (TOML). The folder docs/scale/ contains plans."`
+	Scale    float64 `default:"1" placeholder:"FACTOR" help:"Multiply workers, load and teams by this factor."`
+	Regions  int     `placeholder:"N" help:"Number of regions that the fleet is divided into; overrides the plan."`
+	Program  string  `placeholder:"FILE" help:"Path of the controller program to test; overrides the plan."`
+	BasePort int     `placeholder:"PORT" help:"First port; each region uses ten consecutive ports; overrides the plan."`
+	WriteRPS float64 `name:"write-rps" placeholder:"RATE" help:"Changes per second that each state service accepts; overrides the plan."`
 }
 
-// args returns the arguments of a region's process, without the region's number.
+// args returns the command-line arguments of a region's process, without the region's number.
 func (f planFlags) args() []string {
 	return []string{"region", f.Plan, "--scale", fmt.Sprint(f.Scale), "--regions", fmt.Sprint(f.Regions), "--program", f.Program,
 		"--write-rps", fmt.Sprint(f.WriteRPS), "--base-port", fmt.Sprint(f.BasePort)}
@@ -58,29 +58,29 @@
 // runCmd runs a plan and prints its summary.
 type runCmd struct {
 	planFlags
-	Out string `placeholder:"FILE" help:"Write the result there as JSON."`
+	Out string `placeholder:"FILE" help:"Write the result to this file as JSON."`
 }
 
-// checkCmd checks a plan without running it.
+// checkCmd validates a plan without running it.
 type checkCmd struct{ planFlags }
 
-// regionCmd runs one region; runCmd starts it in a process of its own.
+// regionCmd runs one region. The run command starts it in a separate process for each region.
 type regionCmd struct {
 	planFlags
 	Number int `arg:""`
 }
 
 type commands struct {
-	Run    runCmd    `cmd:"" help:"Play a plan: real controllers, hollow workers, users and faults. Ends non-zero if a rule was broken."`
-	Check  checkCmd  `cmd:"" help:"Check a plan, and whether this machine has room for it."`
+	Run    runCmd    `cmd:"" help:"Run a plan: real controllers, emulated workers and users, faults. Exits non-zero if an invariant was violated."`
+	Check  checkCmd  `cmd:"" help:"Check that a plan is valid and that this machine has the resources to run it."`
 	Region regionCmd `cmd:"" hidden:""`
 }
 
-const description = `Plays a fleet of any size against the deployed program.
+const description = `Runs a load test of the controller program against an emulated fleet of any size.
 
-Each region has controllers (real processes of the program), a state service, a cloud and users
-of its own, and thousands of hollow workers that share one process and speak the protocol. All
-traffic stays on the loopback network. Build the program first, as deploy/service.toml says.`
+Each region has its own controllers (real processes of the program), state service, cloud and users,
+and thousands of emulated workers that run in one process and use the workers' protocol. All traffic
+stays on the loopback network. Build the program first, as described in deploy/service.toml.`
 
 func main() {
 	var cli commands
@@ -95,7 +95,7 @@
 	}
 }
 
-// Run is called by kong.
+// Run implements the check command.
 func (c checkCmd) Run() error {
 	plan, err := c.load()
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// Run is called by kong. It returns an error if the run ended early or violated an invariant.
+// Run implements the run command. It returns an error if the run ended early or violated an invariant.
 func (c runCmd) Run(ctx context.Context) error {
 	plan, err := c.load()
 	if err != nil {
@@ -141,7 +141,7 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// Run is called by kong.
+// Run implements the region command.
 func (c regionCmd) Run(ctx context.Context) error {
 	plan, err := c.load()
 	if err != nil {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/membership"
 )
 
-// ServeHTTP answers with the metrics in the Prometheus text format.
+// ServeHTTP responds with the metrics in the Prometheus text format.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	r.set.WritePrometheus(w)
@@ -26,8 +26,7 @@
 	r.set.GetOrCreateHistogram(name).Update(d.Seconds())
 }
 
-// DetectorSampled records the state of the failure detector: its local health (0: healthy) and its
-// counters.
+// DetectorSampled records the failure detector's local health (0 is healthy) and its counters.
 func (r *Recorder) DetectorSampled(health int, counters membership.Counters) {
 	r.setGauge("claybarrow_observer_health", float64(health))
 	for name, value := range map[string]uint64{
@@ -50,7 +49,7 @@
 	}
 }
 
-// MemberChanged records a change of another controller's state: 0 alive, 1 suspect, 2 dead, 3 left.
+// MemberChanged records a change of another controller's membership state: 0 alive, 1 suspect, 2 dead, 3 left.
 func (r *Recorder) MemberChanged(change membership.StateChange) {
 	if gauge := r.memberStates[change.Label]; gauge != nil {
 		gauge.Set(float64(change.To))
@@ -58,19 +57,20 @@
 	r.count(fmt.Sprintf(`claybarrow_member_changes_total{controller=%q,to=%q}`, change.Label, change.To))
 }
 
-// PeerMessageDropped counts a message of another controller that was refused.
+// PeerMessageDropped counts a rejected message of another controller, by the reason for the rejection.
 func (r *Recorder) PeerMessageDropped(drop membership.DroppedMessage) {
 	reason := strings.ReplaceAll(string(drop.Reason), " ", "_")
 	r.count(fmt.Sprintf(`claybarrow_messages_dropped_total{reason=%q}`, reason))
 }
 
-// countGateChange sets the feature gate's state: 0 closed, 1 opening, 2 open, 3 closing.
+// countGateChange sets the gauge of the feature gate's state (0 closed, 1 opening, 2 open, 3 closing) and counts the
+// change.
 func (r *Recorder) countGateChange(change controller.GateChange) {
 	r.setGauge("claybarrow_feature_gate_state", float64(change.To))
 	r.count(fmt.Sprintf(`claybarrow_feature_gate_changes_total{to=%q}`, change.To))
 }
 
-// JournalSized records what the journal of task completions holds.
+// JournalSized records the size of the journal of task completions.
 func (r *Recorder) JournalSized(size controller.JournalSize) {
 	for name, value := range map[string]int{
 		"values":     size.Values,
@@ -87,20 +87,20 @@
 	r.count(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to))
 }
 
-// RequestRerouted counts a request that reached the leader by way of another controller.
+// RequestRerouted counts a request that was sent to the leader through another controller.
 func (r *Recorder) RequestRerouted() { r.count("claybarrow_requests_detoured_total") }
 
-// RequestRetried counts a request to the leader that was sent once more.
+// RequestRetried counts a retry of a request to the leader.
 func (r *Recorder) RequestRetried() { r.count("claybarrow_requests_retried_total") }
 
-// ProcessResumed records that the process did nothing for some time, and whether it led then.
+// ProcessResumed records the length of a process pause and whether the controller was the leader before it.
 func (r *Recorder) ProcessResumed(stoodStill time.Duration, led bool) {
 	r.count(fmt.Sprintf(`claybarrow_standstills_total{led="%t"}`, led))
 	r.observeSeconds("claybarrow_standstill_seconds", stoodStill)
 }
 
-// countFailover records how long the steps of a change of leader took. A step whose begin or end
-// is unknown is left out.
+// countFailover counts a failover and records the durations of its load and election steps. A step is omitted if its
+// start or end is unknown.
 func (r *Recorder) countFailover(failover controller.Failover) {
 	r.count("claybarrow_handovers_total")
 	if failover.Loaded > 0 {
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -1,6 +1,6 @@
-// Package telemetry exports what a controller counts and traces: metrics for a scraper, and spans
-// for each change of leader and of the feature gate. Both are off unless the operators' settings
-// ask for them, and cost nothing then.
+// Package telemetry exports a controller's metrics and traces: metrics in the Prometheus format, and spans for each
+// failover and each change of the feature gate. Both are disabled by default and enabled in the operators' settings.
+// While they are disabled, they have no cost.
 package telemetry
 
 import (
@@ -18,16 +18,15 @@
 	"claybarrow/internal/controller"
 )
 
-// Recorder is the controller's observer. Its methods are called by the event loop's goroutine and
-// never wait: spans are written by a goroutine of their own, and lost when it falls behind. It is
-// also the HTTP handler of the metrics.
+// Recorder is the controller's observer, and the HTTP handler of the metrics endpoint. The event loop's goroutine calls
+// the observer's methods, which do not block: another goroutine writes the spans, and drops spans if it falls behind.
 type Recorder struct {
 	set *metrics.Set
-	// start is the zero of the controller's steady clock.
+	// start is the time at which the controller's steady clock is zero.
 	start time.Time
-	// memberStates holds a gauge for each of the other controllers, by label.
+	// memberStates holds a gauge for each other controller, by label.
 	memberStates map[string]*metrics.Gauge
-	// tracer, traceProvider and traceFile are nil without a trace file.
+	// tracer, traceProvider and traceFile are nil if no trace file is configured.
 	tracer        trace.Tracer
 	traceProvider *sdktrace.TracerProvider
 	traceFile     io.Closer
@@ -35,14 +34,14 @@
 
 var _ controller.Observer = (*Recorder)(nil)
 
-// Enabled says whether the settings ask for metrics or traces.
+// Enabled reports whether the settings enable metrics or traces.
 func Enabled(cfg *config.Config) bool {
 	t := cfg.Operator.Telemetry
 	return t.Metrics || t.TraceFile != ""
 }
 
-// New returns a recorder. start is the zero of the controller's steady clock. It returns an error
-// if the trace file that the settings name can't be opened.
+// New returns a recorder. The start time is the time at which the controller's steady clock is zero. New returns an
+// error if the configured trace file cannot be opened.
 func New(cfg *config.Config, start time.Time) (*Recorder, error) {
 	r := &Recorder{set: metrics.NewSet(), start: start, memberStates: map[string]*metrics.Gauge{}}
 	for _, sibling := range cfg.Siblings {
@@ -57,8 +56,8 @@
 	return r, nil
 }
 
-// Close writes the spans that have not been written yet, until ctx ends. An error means that some
-// may be lost.
+// Close flushes the remaining spans and closes the trace file. It stops flushing when ctx ends. An error means that
+// some spans may be lost.
 func (r *Recorder) Close(ctx context.Context) error {
 	if r.traceProvider == nil {
 		return nil
@@ -66,14 +65,14 @@
 	return errors.Join(r.traceProvider.Shutdown(ctx), r.traceFile.Close())
 }
 
-// FailedOver records a change of leader: its times as metrics, and its steps as spans.
+// FailedOver records a failover: its durations as metrics, and its steps as spans.
 func (r *Recorder) FailedOver(failover controller.Failover) {
 	r.countFailover(failover)
 	r.traceFailover(failover)
 }
 
-// GateChanged records a change of the feature gate's state, as metrics and as a span with what the
-// controllers stated.
+// GateChanged records a change of the feature gate's state, as metrics and as a span with the statements of the other
+// controllers.
 func (r *Recorder) GateChanged(change controller.GateChange) {
 	r.countGateChange(change)
 	r.traceGateChange(change)
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -16,7 +16,7 @@
 	"claybarrow/internal/membership"
 )
 
-// settings returns those of a controller with two peers, metrics and, if named, a trace file.
+// settings returns the settings of a controller with two peers and metrics enabled. The trace file is optional.
 func settings(t *testing.T, traceFile string) *config.Config {
 	t.Helper()
 	cfg := &config.Config{}
@@ -55,7 +55,7 @@
 		"claybarrow_end_journal_values 4", "claybarrow_end_journal_ends 60", "claybarrow_end_journal_unreadable 1",
 	} {
 		if !strings.Contains(w.Body.String(), line) {
-			t.Errorf("no line %s in:\n%s", line, w.Body.String())
+			t.Errorf("metrics do not contain %s:\n%s", line, w.Body.String())
 		}
 	}
 	if err := r.Close(context.Background()); err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// tracesOf returns what a recorder writes to its trace file until it is closed.
+// tracesOf calls record with a new recorder, closes the recorder and returns the contents of its trace file.
 func tracesOf(t *testing.T, start time.Time, record func(*Recorder)) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "trace.json")
@@ -82,7 +82,7 @@
 	return string(traces)
 }
 
-// A change of leader is a span from the suspicion to the first placement, with a child for each step.
+// A failover is recorded as a span from the suspicion to the first placement, with a child span for each step.
 func TestTraceOfFailover(t *testing.T) {
 	start := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 	traces := tracesOf(t, start, func(r *Recorder) {
@@ -118,12 +118,12 @@
 		"placement": 910 * time.Millisecond,
 	} {
 		if durations[name] != want {
-			t.Errorf("span %s takes %v, not %v", name, durations[name], want)
+			t.Errorf("span %s has duration %v, want %v", name, durations[name], want)
 		}
 	}
 }
 
-// A change of the feature gate is a span with its reason and what every controller stated.
+// A change of the feature gate is recorded as a span with its reason and the statements of the other controllers.
 func TestTraceOfFeatureGate(t *testing.T) {
 	traces := tracesOf(t, time.Now(), func(r *Recorder) {
 		r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Reason: "n1 is told to hold",
@@ -131,13 +131,13 @@
 	})
 	for _, text := range []string{`"feature gate"`, `"closing"`, "n1 is told to hold", "statement.n1", "reads 1, writes 1, holds", "no statement"} {
 		if !strings.Contains(traces, text) {
-			t.Errorf("no %s in %s", text, traces)
+			t.Errorf("traces do not contain %s: %s", text, traces)
 		}
 	}
 }
 
 func TestUnopenableTraceFile(t *testing.T) {
 	if _, err := New(settings(t, filepath.Join(t.TempDir(), "no", "such", "folder")), time.Now()); err == nil || !strings.Contains(err.Error(), "telemetry.trace_file") {
-		t.Errorf("the error is %v", err)
+		t.Errorf("error %v, want an error that names telemetry.trace_file", err)
 	}
 }
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -20,7 +20,7 @@
 	traceFileMode = 0o644
 )
 
-// openTraces appends spans to a file, with this controller's label as the instance's ID.
+// openTraces sets up the tracer, which appends spans to a file. The controller's label is the service instance ID.
 func (r *Recorder) openTraces(path, label string) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, traceFileMode)
 	if err != nil {
@@ -40,13 +40,13 @@
 	return nil
 }
 
-// at is a reading of the controller's steady clock as a time of day.
+// at converts a reading of the controller's steady clock to the timestamp of a span event.
 func (r *Recorder) at(reading time.Duration) trace.SpanEventOption {
 	return trace.WithTimestamp(r.start.Add(reading))
 }
 
-// traceFailover writes a span from the suspicion (or the end of the former leader's key) to the
-// first placement, with its steps as children.
+// traceFailover writes a span with a child span for each step of a failover. The span lasts from the start of the first
+// step to the end of the last one.
 func (r *Recorder) traceFailover(failover controller.Failover) {
 	if r.tracer == nil {
 		return
@@ -65,7 +65,7 @@
 	span.End(r.at(steps[len(steps)-1].To))
 }
 
-// traceGateChange writes a span of no length with the reason and what every controller stated.
+// traceGateChange writes a span of zero duration with the reason and the statements of the other controllers.
 func (r *Recorder) traceGateChange(change controller.GateChange) {
 	if r.tracer == nil {
 		return
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -14,16 +14,18 @@
 	"claybarrow/internal/controller"
 )
 
-// Content types of bodies.
+// Content types of request and response bodies.
 const (
 	contentTypeMessagePack = "application/msgpack"
-	contentTypeCBOR        = "application/cbor" // between controllers
+	contentTypeCBOR        = "application/cbor" // for messages between controllers
 )
 
-// errExpired is the error of a request that must not be sent any more.
-var errExpired = errors.New("the process was paused after the request was decided")
+// errExpired is returned for a request whose validity (Call.ValidUntil) has ended. It must not be sent, because the
+// decision that it carries may be out of date.
+var errExpired = errors.New("request not sent: its validity ended while the process was paused")
 
-// newClients returns an HTTP client for each kind of target, with its share of the sockets.
+// newClients returns an HTTP client for each kind of target. Each client has its own limits on connections, so that no
+// target can use up the process's sockets.
 func newClients(cfg *config.Config) map[controller.Target]*http.Client {
 	maxSockets := cfg.Cluster.Resources.FDs
 	peerConns := maxSockets * peerCallPercent / 100
@@ -36,8 +38,8 @@
 	}
 }
 
-// newClient returns a client that opens at most connsPerHost connections to one address and keeps
-// at most maxIdle idle ones to all. It does not follow redirects: the core reads them itself.
+// newClient returns a client that opens at most connsPerHost connections to one address and keeps at most maxIdle idle
+// connections in total. It does not follow redirects, because the core handles redirect responses itself.
 func newClient(cfg *config.Config, connsPerHost, maxIdle int) *http.Client {
 	dialer := &net.Dialer{Timeout: min(cfg.WorkerLease()/5, maxDialTimeout)}
 	return &http.Client{
@@ -53,7 +55,7 @@
 	}
 }
 
-// call sends a request and passes its outcome to the event loop: status 0 if there is no response.
+// call sends a request and passes its outcome to the event loop. The status is 0 if no response was received.
 func (s *Server) call(ctx context.Context, call controller.Call) {
 	connected := false
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -76,8 +78,8 @@
 	s.log.Debug("request failed", "addr", call.Addr, "path", call.Path, "err", err)
 }
 
-// send sends a request and returns its response's status and body. The error is errExpired if the
-// request is no longer valid, and otherwise what kept the response from coming or from being read.
+// send sends a request and returns the status and body of its response. It returns errExpired if the request is no
+// longer valid, and otherwise the error that prevented sending the request or reading the response.
 func (s *Server) send(ctx context.Context, call controller.Call) (status int, body []byte, err error) {
 	if call.ValidUntil > 0 && s.now().Steady > call.ValidUntil {
 		return 0, nil, errExpired
@@ -86,7 +88,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+call.Addr+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
-		return 0, nil, fmt.Errorf("request: %w", err)
+		return 0, nil, fmt.Errorf("create request: %w", err)
 	}
 	if len(call.Body) > 0 {
 		request.Header.Set("Content-Type", contentType(call.Target))
@@ -95,11 +97,12 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	// Closing a body that was read returns the connection; an error of it tells nothing more.
+	// Closing the body returns the connection to the pool. An error of Close is ignored: it says nothing about the
+	// response, which has been read by then.
 	defer func() { _ = response.Body.Close() }()
 	body, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return 0, nil, fmt.Errorf("response: %w", err)
+		return 0, nil, fmt.Errorf("read response body: %w", err)
 	}
 	return response.StatusCode, body, nil
 }
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// connLimiter is a listener with a bounded number of connections, so that sockets stay free for
-// the state service, the cloud and the workers. When it is full, the connection that has been idle
-// for longest is closed in favour of the new one: when a controller ends or its peers can't be
-// reached, all workers of a zone or two turn to one listener, and most connections open there then
-// wait for nothing. The new connection is closed at once only if no other is idle.
+// connLimiter is a listener that bounds its number of open connections. The bound reserves sockets for requests to the
+// state service, the cloud and the workers. When the limit is reached, the limiter closes the connection that has been
+// idle for longest and accepts the new one: after a controller has ended, or while its peers are unreachable, all
+// workers of one or two zones connect to a single listener, and most of the connections open there are idle. The
+// limiter closes the new connection immediately only if no other connection is idle.
 type connLimiter struct {
 	net.Listener
 	maxConns int
 
 	mu   sync.Mutex
 	open int
-	// idle holds the connections without a request under way, least recently used first.
+	// idle holds the connections without a request in flight, least recently used first.
 	idle         *list.List
 	idleElements map[*limitedConn]*list.Element
 }
@@ -42,8 +42,8 @@
 	}
 }
 
-// Accept returns the next connection that there is room for. Its only error is that of a closed
-// listener.
+// Accept waits for the next connection that fits within the limit and returns it. It returns an error only if the
+// listener is closed.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -51,8 +51,8 @@
 			return nil, err
 		}
 		if err != nil {
-			// Running out of sockets must not end the server: close an idle connection, and
-			// try again after a pause.
+			// The process may have run out of sockets, which must not stop the server: an idle connection
+			// is closed, and Accept is retried after a delay.
 			l.closeLongestIdle()
 			time.Sleep(acceptRetryDelay)
 			continue
@@ -74,8 +74,7 @@
 	return l.open >= l.maxConns
 }
 
-// closeLongestIdle closes the connection that has been idle for longest. It returns false if none
-// is idle.
+// closeLongestIdle closes the connection that has been idle for longest. It returns false if no connection is idle.
 func (l *connLimiter) closeLongestIdle() bool {
 	l.mu.Lock()
 	oldest := l.idle.Front()
@@ -86,17 +85,17 @@
 	conn := l.idle.Remove(oldest).(*limitedConn)
 	delete(l.idleElements, conn)
 	l.mu.Unlock()
-	// Close takes the lock itself.
+	// The lock is released first because limitedConn.Close acquires it.
 	closeConn(conn)
 	return true
 }
 
-// closeConn closes a connection in favour of others. An error is of no use: the socket is free all
-// the same, and the server may have closed the connection at the same moment.
+// closeConn closes a connection to free its socket. The error is ignored: the socket is freed in any case, and the HTTP
+// server may have closed the connection concurrently.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// trackState is the http.Server's ConnState hook. A connection that is new and has sent nothing
-// yet counts as idle, like one between two requests.
+// trackState is the http.Server's ConnState hook. A new connection that has not sent a request yet counts as idle, like
+// a connection between two requests.
 func (l *connLimiter) trackState(conn net.Conn, state http.ConnState) {
 	limited, ok := conn.(*limitedConn)
 	if !ok {
@@ -110,7 +109,7 @@
 	}
 }
 
-// forgetIdle takes a connection from the idle ones. The caller holds the lock.
+// forgetIdle removes a connection from the list of idle connections. The caller must hold the lock.
 func (l *connLimiter) forgetIdle(conn *limitedConn) {
 	if element := l.idleElements[conn]; element != nil {
 		l.idle.Remove(element)
@@ -118,8 +117,8 @@
 	}
 }
 
-// usedAbove says whether more than this percentage of the allowed connections are open. A server
-// that does not listen yet has none.
+// usedAbove reports whether the open connections exceed the given percentage of the limit. It returns false for a nil
+// limiter, which a server has before it listens.
 func (l *connLimiter) usedAbove(percent int) bool {
 	if l == nil {
 		return false
@@ -129,14 +128,15 @@
 	return l.open*100 > l.maxConns*percent
 }
 
-// limitedConn is a connection that its connLimiter counts.
+// limitedConn is an accepted connection that counts towards the limit of its connLimiter.
 type limitedConn struct {
 	net.Conn
 	connLimiter *connLimiter
-	closed      bool // guarded by the connLimiter's lock
+	closed      bool // guarded by connLimiter.mu
 }
 
-// Close closes the connection. However often it is called, the connection is counted out once.
+// Close closes the connection and subtracts it from the number of open connections. Repeated calls subtract it only
+// once.
 func (c *limitedConn) Close() error {
 	limiter := c.connLimiter
 	limiter.mu.Lock()
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// pipeListener accepts one end of a pipe for each connection, and keeps the other.
+// pipeListener creates a pipe for each connection. Accept returns the local end; remote holds the other ends.
 type pipeListener struct{ remote []net.Conn }
 
 func (p *pipeListener) Accept() (net.Conn, error) {
@@ -20,8 +20,8 @@
 func (p *pipeListener) Close() error   { return nil }
 func (p *pipeListener) Addr() net.Addr { return nil }
 
-// When the limiter is full, the connection that has been idle for longest is closed; one with a
-// request under way never is.
+// A full limiter closes the connection that has been idle for longest. It does not close a connection with a request in
+// flight.
 func TestFullLimiterClosesTheLongestIdle(t *testing.T) {
 	listener := &pipeListener{}
 	limiter := newConnLimiter(listener, 3)
@@ -42,21 +42,21 @@
 	limiter.trackState(idleLast, http.StateIdle)
 	accept()
 	for i, open := range []bool{true, true, false, true} {
-		// A pipe that one end has closed takes no deadline.
+		// Setting a deadline fails once the other end of the pipe is closed.
 		if err := listener.remote[i].SetWriteDeadline(time.Time{}); errors.Is(err, io.ErrClosedPipe) == open {
-			t.Errorf("connection %d: open %v, but %v", i, open, err)
+			t.Errorf("connection %d: want open %v, but SetWriteDeadline returned %v", i, open, err)
 		}
 	}
 	if limiter.open != 3 {
-		t.Errorf("%d counted as open", limiter.open)
+		t.Errorf("limiter counts %d open connections, want 3", limiter.open)
 	}
-	// Closed twice, counted once.
+	// Closing a connection twice subtracts it only once from the number of open connections.
 	for range 2 {
 		if err := active.Close(); err != nil {
 			t.Error(err)
 		}
 	}
 	if limiter.open != 2 {
-		t.Errorf("%d counted as open after one more has gone", limiter.open)
+		t.Errorf("limiter counts %d open connections after another one was closed, want 2", limiter.open)
 	}
 }
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -7,14 +7,14 @@
 	"claybarrow/internal/controller"
 )
 
-// now reads both clocks.
+// now returns the current readings of the steady clock and the wall clock.
 func (s *Server) now() controller.Clock {
 	t := time.Now()
 	return controller.Clock{Steady: t.Sub(s.start), Wall: t.UnixMilli()}
 }
 
-// loop is the one goroutine that calls the core. It ends with ctx; requests that it has sent go on
-// until calls ends.
+// loop runs in the only goroutine that calls the core. It returns after ctx is cancelled. Requests that it has started
+// may continue until the context calls is cancelled.
 func (s *Server) loop(ctx, calls context.Context, ended chan<- struct{}) {
 	defer close(ended)
 	ticker := time.NewTicker(s.cfg.TickInterval())
@@ -40,7 +40,7 @@
 			switch effect := effect.(type) {
 			case controller.Reply:
 				if reply := waiting[effect.ID]; reply != nil {
-					reply <- effect // buffered, written once
+					reply <- effect // does not block: the channel is buffered and receives one reply
 					delete(waiting, effect.ID)
 				}
 			case controller.Call:
@@ -50,10 +50,10 @@
 	}
 }
 
-// next returns the next event, or nil once the context has ended. register gives a request its ID.
-// Time and the state service go first, then the other answers and heartbeats, and users last: a
-// flood of users must cost neither the leadership nor the workers' leases, and a flood of workers
-// not the leadership.
+// next returns the next event, or nil after ctx is cancelled. The register function assigns an ID to a request. Ticks
+// and the state service's responses have the highest priority, then come other responses and heartbeats, and users'
+// requests come last. With this order, overload by users costs neither the leadership nor the workers' leases, and
+// overload by workers does not cost the leadership.
 func (s *Server) next(ctx context.Context, ticks <-chan time.Time, register func(pendingRequest) controller.Event) controller.Event {
 	select {
 	case event := <-s.stateResults:
--- a/internal/transport/event_loop_test.go
+++ b/internal/transport/event_loop_test.go
@@ -8,9 +8,10 @@
 	"claybarrow/internal/controller"
 )
 
-// The state service's answers and the time go before what thousands of workers answer, and all
-// of these before users: a new leader of 5,500 workers once lost its lease while the answer to its
-// renewal waited behind theirs, and the next one after it (scale run, four leaders in four seconds).
+// Ticks and the state service's responses have priority over the responses and heartbeats of workers, and all of these
+// have priority over users' requests. Without this order, a new leader with 5,500 workers lost its lease in a scale run
+// because the response to its lease renewal waited behind the workers' responses. The next leader lost its lease in the
+// same way: there were four leaders in four seconds.
 func TestStateServiceGoesFirst(t *testing.T) {
 	server := &Server{
 		results:      make(chan controller.Event, 8),
@@ -41,15 +42,15 @@
 		}
 	}
 	if stateAnswers != 2 || tickEvents != 1 {
-		t.Errorf("first came %d answers of the state service and %d ticks", stateAnswers, tickEvents)
+		t.Errorf("the first 3 events contain %d responses of the state service and %d ticks, want 2 and 1", stateAnswers, tickEvents)
 	}
 	for range 8 {
 		if request, ok := server.next(context.Background(), ticks, register).(controller.Request); ok && request.ID >= firstUserID {
-			t.Error("a user went before workers")
+			t.Error("a user's request was taken before the workers' events")
 		}
 	}
 	if request, ok := server.next(context.Background(), ticks, register).(controller.Request); !ok || request.ID < firstUserID {
-		t.Error("users' turn does not come")
+		t.Error("no user's request was taken after the workers' events")
 	}
 	ctx, end := context.WithCancel(context.Background())
 	end()
@@ -57,6 +58,6 @@
 		server.next(context.Background(), ticks, register)
 	}
 	if event := server.next(ctx, ticks, register); event != nil {
-		t.Errorf("%v after the end", event)
+		t.Errorf("next returned %v after the context was cancelled, want nil", event)
 	}
 }
--- a/internal/transport/graceful_shutdown.go
+++ b/internal/transport/graceful_shutdown.go
@@ -7,8 +7,8 @@
 	"claybarrow/internal/controller"
 )
 
-// sendShutdownCalls sends the core's last requests: a leader revokes its lease, and the other
-// controllers are told that this one leaves. The core does not see the answers.
+// sendShutdownCalls sends the core's last requests: a leader revokes its lease, and each controller notifies its peers
+// that it is leaving. The responses are not passed to the core.
 func (s *Server) sendShutdownCalls(calls context.Context) {
 	for _, effect := range s.core.Handle(s.now(), controller.Shutdown{}) {
 		call, isCall := effect.(controller.Call)
@@ -25,8 +25,8 @@
 	}
 }
 
-// awaitGracefulShutdown waits for the event loop and the last requests, a tenth of the workers'
-// lease at most.
+// awaitGracefulShutdown waits for the event loop and the last requests to finish, for at most a tenth of the workers'
+// lease.
 func (s *Server) awaitGracefulShutdown(loopEnded <-chan struct{}) {
 	done := make(chan struct{})
 	go func() {
--- a/internal/transport/graceful_shutdown_test.go
+++ b/internal/transport/graceful_shutdown_test.go
@@ -16,7 +16,7 @@
 	"claybarrow/internal/membership"
 )
 
-// shutdownCore is a core whose last effect is a call to a peer's address.
+// shutdownCore is a core that responds to the Shutdown event with a call to a peer.
 type shutdownCore struct{ addr string }
 
 func (c shutdownCore) Handle(_ controller.Clock, event controller.Event) []controller.Effect {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// freeAddress returns a loopback address that nobody listens at.
+// freeAddress returns a loopback address with an unused port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -50,8 +50,8 @@
 	return server
 }
 
-// A process that is told to end sends its last requests first, and waits a tenth of a lease at most
-// for those that are not answered.
+// On shutdown, the server sends the core's last requests before it ends. It waits for their responses for at most a
+// tenth of the workers' lease.
 func TestGracefulShutdown(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -86,16 +86,16 @@
 					t.Error(err)
 				}
 			case <-time.After(3 * time.Second):
-				t.Error("the server does not end")
+				t.Error("the server did not end within 3 s")
 			}
 			if received.Load() != 1 {
-				t.Errorf("the peer got %d requests, want 1", received.Load())
+				t.Errorf("the peer received %d requests, want 1", received.Load())
 			}
 		})
 	}
 }
 
-// A request that was decided before a pause of the process is not sent once it is no longer valid.
+// A request that was created before a process pause is not sent if it is no longer valid after the pause.
 func TestExpiredCallIsNotSent(t *testing.T) {
 	reached := false
 	worker := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached = true }))
@@ -105,31 +105,31 @@
 	call := controller.Call{Target: controller.ToWorker, Addr: strings.TrimPrefix(worker.URL, "http://"), Method: http.MethodPost, Path: "/commands", Timeout: time.Second}
 	call.ValidUntil = 30 * time.Second
 	if _, _, err := server.send(context.Background(), call); !errors.Is(err, errExpired) || reached {
-		t.Errorf("expired: %v, reached %v", err, reached)
+		t.Errorf("expired call: error %v, worker reached: %v", err, reached)
 	}
 	call.ValidUntil = 2 * time.Minute
 	if status, _, err := server.send(context.Background(), call); status != http.StatusOK || err != nil || !reached {
-		t.Errorf("still valid: %d, %v", status, err)
+		t.Errorf("valid call: status %d, error %v", status, err)
 	}
 }
 
-// Probes are bounded before they are read, and metrics are served only if they were asked for.
+// The size of a probe is checked before the probe is decoded. Metrics are served only if a handler is set for them.
 func TestPeerRoutes(t *testing.T) {
 	server := newTestServer(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go server.loop(ctx, ctx, make(chan struct{}))
 	if w := send(server.peerRoutes(), http.MethodPost, "/probe", make([]byte, membership.MaxMessageBytes+1)); w.Code != http.StatusBadRequest {
-		t.Errorf("an oversized probe: %d", w.Code)
+		t.Errorf("oversized probe: status %d", w.Code)
 	}
 	if w := send(server.peerRoutes(), http.MethodPost, "/probe", []byte{0xa0}); w.Code != http.StatusOK || !strings.HasPrefix(w.Body.String(), "probe") {
-		t.Errorf("a probe: %d %s", w.Code, w.Body)
+		t.Errorf("probe: status %d, body %s", w.Code, w.Body)
 	}
 	if w := send(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusNotFound {
-		t.Errorf("metrics that nobody asked for: %d", w.Code)
+		t.Errorf("metrics without a handler: status %d", w.Code)
 	}
 	server.ServeMetrics(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	if w := send(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusOK {
-		t.Errorf("metrics: %d", w.Code)
+		t.Errorf("metrics: status %d", w.Code)
 	}
 }
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -10,17 +10,17 @@
 	"claybarrow/internal/controller"
 )
 
-// retryAfterSeconds is what a request that could not be answered is told to wait before the next.
+// retryAfterSeconds is the Retry-After value of a 503 response, in seconds.
 const retryAfterSeconds = 1
 
-// pendingRequest is a request that waits for the event loop.
+// pendingRequest is a request that is queued for the event loop.
 type pendingRequest struct {
 	request controller.Request
-	// reply has room for the one reply, so that the event loop never waits for a handler.
+	// reply has a buffer of one, so the event loop never blocks on a handler.
 	reply chan controller.Reply
 }
 
-// handle serves an operation without a body.
+// handle returns a handler for an operation whose request has no body.
 func (s *Server) handle(op controller.Op) http.HandlerFunc {
 	admission := s.admissionOf(op)
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// handleWithBody serves an operation whose request has a body.
+// handleWithBody returns a handler for an operation whose request has a body.
 func (s *Server) handleWithBody(op controller.Op) http.HandlerFunc {
 	admission := s.admissionOf(op)
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -40,8 +40,9 @@
 	}
 }
 
-// readBody reads a body of limited size. If it returns false, the request has been answered as far
-// as it can be: with 400 if the body is too large, and with nothing if the sender has gone.
+// readBody reads a request body of at most maxBytes. If it returns false, the handler must not write a response:
+// readBody has responded with 400 to a body that is too large, and writes no response if the body cannot be read for
+// another reason, for example because the client has disconnected.
 func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err == nil {
@@ -57,7 +58,7 @@
 // serve passes a request to the event loop and writes its reply.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, request controller.Request, admission admission) {
 	if s.clientListener.usedAbove(admission.closeAbovePercent) {
-		// Room for others that come by the same listener.
+		// Closing the connection after the response frees a socket for other clients of the same listener.
 		w.Header().Set("Connection", "close")
 	}
 	timeout := time.NewTimer(replyTimeout)
@@ -66,7 +67,7 @@
 	select {
 	case admission.queue <- pending:
 	default:
-		// The queue is bounded: what exceeds it is refused at once.
+		// The queue is full: the request is rejected immediately.
 		s.shedding.countRejection()
 		writeUnavailable(w)
 		return
@@ -80,14 +81,14 @@
 	}
 }
 
-// writeUnavailable answers 503 with the time of the next attempt.
+// writeUnavailable responds with 503 and a Retry-After header.
 func writeUnavailable(w http.ResponseWriter) {
 	w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// writeReply writes the controller's reply. One that is no longer valid is replaced by 503: the
-// process was paused since the decision, and another leader may have decided otherwise.
+// writeReply writes the controller's reply. A reply that is no longer valid is replaced by a 503 response: the process
+// was paused after the decision, and another leader may have decided otherwise in the meantime.
 func (s *Server) writeReply(w http.ResponseWriter, reply controller.Reply) {
 	if reply.ValidUntil > 0 && s.now().Steady > reply.ValidUntil {
 		reply = controller.Reply{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
@@ -100,5 +101,5 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // fails if the other side has gone: nobody is left to be told
+	_, _ = w.Write(reply.Body) // the error is ignored: the client has disconnected and gets no other response
 }
--- a/internal/transport/handler_test.go
+++ b/internal/transport/handler_test.go
@@ -9,7 +9,7 @@
 	"claybarrow/internal/controller"
 )
 
-// fixedReply answers every request with the same reply.
+// fixedReply is a core that sends the same reply to every request.
 type fixedReply struct{ controller.Reply }
 
 func (f fixedReply) Handle(_ controller.Clock, event controller.Event) []controller.Effect {
@@ -20,17 +20,17 @@
 	return nil
 }
 
-// A reply that was decided before a process pause, and is sent after the leader's lease may have
-// ended, is replaced: another leader may have answered otherwise.
+// A reply that was created before a process pause is replaced by a 503 response if the leader's lease may have expired
+// since: another leader may have replied differently.
 func TestExpiredReplyIsReplaced(t *testing.T) {
 	t.Run("expired", func(t *testing.T) {
 		server := newTestServer(t)
-		server.start = time.Now().Add(-time.Minute) // what was decided is up to a minute old
+		server.start = time.Now().Add(-time.Minute) // the steady clock reads one minute, past ValidUntil
 		server.core = fixedReply{controller.Reply{Status: http.StatusNotFound, ValidUntil: 30 * time.Second}}
 		runLoop(t, server)
 		w := send(server.clientRoutes(), http.MethodGet, "/api/jobs/j-1", nil)
 		if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
-			t.Errorf("%d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
+			t.Errorf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 		}
 	})
 	t.Run("still valid", func(t *testing.T) {
@@ -38,31 +38,31 @@
 		server.core = fixedReply{controller.Reply{Status: http.StatusNotFound, ValidUntil: time.Minute}}
 		runLoop(t, server)
 		if w := send(server.clientRoutes(), http.MethodGet, "/api/jobs/j-1", nil); w.Code != http.StatusNotFound {
-			t.Errorf("%d", w.Code)
+			t.Errorf("status %d, want 404", w.Code)
 		}
 	})
 }
 
-// A flood that the event loop can't follow is refused at once, with the time of the next attempt,
-// and the queue for heartbeats stays open.
+// When users' requests fill their queue, further requests are rejected immediately with 503 and a Retry-After header.
+// The heartbeat queue is not affected.
 func TestFullQueueIsRefusedAtOnce(t *testing.T) {
-	server := newTestServer(t) // its loop does not run: nothing is taken from the queues
+	server := newTestServer(t) // its event loop does not run, so the queues are not drained
 	handler := server.clientRoutes()
 	for range cap(server.requests) {
 		server.requests <- pendingRequest{}
 	}
 	w := send(handler, http.MethodGet, "/api/jobs/j-1", nil)
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
-		t.Errorf("with a full queue: %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
+		t.Errorf("with a full queue: status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 	}
 	if len(server.heartbeats) != 0 || cap(server.heartbeats) == 0 {
-		t.Error("the flood reached the queue for heartbeats")
+		t.Error("users' requests used the heartbeat queue")
 	}
-	// As sockets get short, users' connections are closed with the answer, and workers' only
-	// later.
+	// As the number of open connections grows, users' connections are closed after the response first, and workers'
+	// connections only above a higher percentage.
 	server.clientListener = newConnLimiter(nil, 100)
 	for range cap(server.heartbeats) {
-		server.heartbeats <- pendingRequest{} // so that heartbeats, too, are answered at once
+		server.heartbeats <- pendingRequest{} // fills the queue, so that heartbeats, too, get an immediate response
 	}
 	closes := func(method, path string) bool {
 		return send(handler, method, path, nil).Header().Get("Connection") == "close"
@@ -75,14 +75,14 @@
 			server.clientListener.open = tc.open
 			users, workers := closes(http.MethodGet, "/ready"), closes(http.MethodPost, "/hello")
 			if users != tc.users || workers != tc.workers {
-				t.Errorf("users' connections end %v, workers' %v", users, workers)
+				t.Errorf("users' connections are closed: %v, workers' connections are closed: %v", users, workers)
 			}
 		})
 	}
 }
 
-// Bodies are bounded before they are read. A forwarded request may be larger than a user's, as it is
-// wrapped in a message between controllers.
+// Request bodies have a size limit. The limit of forwarded requests is higher than that of users' requests, because a
+// forwarded request is wrapped in a message between controllers.
 func TestBodyLimits(t *testing.T) {
 	server := newTestServer(t)
 	runLoop(t, server)
@@ -101,10 +101,10 @@
 	} {
 		t.Run(tc.path, func(t *testing.T) {
 			if w := send(tc.handler, http.MethodPost, tc.path, make([]byte, tc.maxBytes)); w.Code != http.StatusOK {
-				t.Errorf("%d bytes: %d", tc.maxBytes, w.Code)
+				t.Errorf("body of %d bytes: status %d", tc.maxBytes, w.Code)
 			}
 			if w := send(tc.handler, http.MethodPost, tc.path, make([]byte, tc.maxBytes+1)); w.Code != http.StatusBadRequest {
-				t.Errorf("%d bytes: %d", tc.maxBytes+1, w.Code)
+				t.Errorf("body of %d bytes: status %d", tc.maxBytes+1, w.Code)
 			}
 		})
 	}
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -2,62 +2,62 @@
 
 import "time"
 
-// Shares of the process's limit on sockets (cluster.resources.fd_limit), in percent. With the
-// direct requests to workers that are under way, an eighth (see package controller), they leave a
-// twentieth for the state service, the cloud and the process itself.
+// Shares of the process's socket limit (cluster.resources.fd_limit), in percent. Direct requests to workers that are in
+// flight use a further eighth (see package controller). The remaining twentieth is for the state service, the cloud and
+// the process itself.
 const (
-	clientConnPercent     = 50 // from users and workers, at client_listen
-	peerConnPercent       = 12 // from other controllers
-	peerCallPercent       = 8  // to other controllers
-	workerIdleConnPercent = 12 // kept open to workers between two requests
+	clientConnPercent     = 50 // accepted from users and workers at client_listen
+	peerConnPercent       = 12 // accepted from other controllers at peer_listen
+	peerCallPercent       = 8  // opened to other controllers
+	workerIdleConnPercent = 12 // idle connections kept open to workers
 )
 
-// Percentages of the connections allowed at client_listen above which a connection is closed after
-// its answer. Users' connections are closed first: they open a new one at their next request, while
-// a worker that cannot connect loses its lease.
+// Percentages of the connection limit of client_listen. Above them, the server closes a connection after its response.
+// Users' connections are closed first: a user opens a new connection for the next request, but a worker that cannot
+// connect loses its lease.
 const (
 	closeUsersAbovePercent   = 70
 	closeWorkersAbovePercent = 85
-	neverClosePercent        = 100 // the number of connections never exceeds its limit
+	neverClosePercent        = 100 // is never exceeded, because the listener enforces its limit
 )
 
-// Connections to one address, both in use and idle.
+// Limits on the connections to one address, active and idle together.
 const (
 	stateConns     = 8
 	cloudConns     = 4
 	connsPerWorker = 2
-	minPeerConns   = 4 // for each peer, however few sockets the process may have
+	minPeerConns   = 4 // for each peer, also where the socket limit is small
 )
 
-// Capacities of the queues before the event loop.
+// Capacities of the event loop's queues.
 const (
-	// stateResultQueue bounds the state service's answers that wait: it has a few requests under
-	// way at a time.
+	// stateResultQueue is enough for the state service's responses, as only a few requests to it are in flight at a
+	// time.
 	stateResultQueue = 64
-	// minRequestQueue applies where the limit on sockets is small.
+	// minRequestQueue applies where the socket limit is small.
 	minRequestQueue = 16
 )
 
-// Bounds of time.
+// Timeouts and delays.
 const (
-	// replyTimeout bounds how long a request may wait for the event loop: users give up after
-	// 5 s, and the controller itself answers long before.
+	// replyTimeout bounds how long a request may wait for the event loop. Users give up after 5 s. The controller
+	// itself normally replies much earlier.
 	replyTimeout = 4500 * time.Millisecond
-	// maxDialTimeout bounds the making of a connection however long the workers' lease is.
+	// maxDialTimeout is the upper bound of the dial timeout, which otherwise follows from the workers' lease.
 	maxDialTimeout = 2 * time.Second
-	// acceptRetryDelay is the pause after a failed accept, so that a process without free
-	// sockets does not spin.
+	// acceptRetryDelay is the delay after a failed accept. Without it, a process that has run out of sockets would
+	// retry in a busy loop.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Bounds of sizes, in bytes.
+// Size limits, in bytes.
 const (
-	// maxResponseBytes bounds what is read of a response. The state service's answers have no
-	// size limit of their own (watches), and its pages hold 512 KiB.
+	// maxResponseBytes bounds how much of a response body is read. The state service does not limit the size of its
+	// watch responses; its pages hold 512 KiB.
 	maxResponseBytes = 4 << 20
-	// maxHeaderBytes bounds the header of an incoming request.
+	// maxHeaderBytes bounds the headers of an incoming request.
 	maxHeaderBytes = 8 << 10
-	// forwardingOverheadBytes is what a forwarded request may be larger than a user's: it is
-	// wrapped in a message between controllers.
+	// forwardingOverheadBytes is added to the body limit of a forwarded request, which is wrapped in a message between
+	// controllers.
 	forwardingOverheadBytes = 1 << 10
 )
--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// loadShedding counts the requests that were refused because the queue before the event loop was
-// full, and logs when a period of refusals starts and when it has ended.
+// loadShedding counts the requests that were rejected because their queue to the event loop was full. It logs the start
+// and the end of each period of load shedding.
 type loadShedding struct {
-	// rejected is added to by the HTTP handlers.
+	// rejected is the number of rejected requests. The HTTP handlers increment it.
 	rejected atomic.Int64
 
-	// What follows belongs to the event loop alone. Times are readings of the steady clock.
+	// The fields below are accessed only by the event loop's goroutine. Times are readings of the steady clock.
 	active         bool
-	rejectedBefore int64 // the count when the period started
-	lastSeen       int64 // the count at the last call of logChanges
+	rejectedBefore int64 // value of rejected before the period started
+	lastSeen       int64 // value of rejected at the previous call of logChanges
 	startedAt      time.Duration
-	// lastRejectionAt is when the count was last seen to have grown.
+	// lastRejectionAt is the time of the last call of logChanges that found rejected increased.
 	lastRejectionAt time.Duration
 }
 
-// countRejection counts a request that was refused.
+// countRejection counts a rejected request.
 func (s *loadShedding) countRejection() { s.rejected.Add(1) }
 
-// logChanges logs the start of a period of refusals, and its end once there was no refusal for
-// longer than quiet.
+// logChanges logs the start of a period of load shedding, and its end after no request was rejected for longer than
+// quiet.
 func (s *loadShedding) logChanges(now, quiet time.Duration, log *slog.Logger) {
 	rejected := s.rejected.Load()
 	if rejected > s.lastSeen {
--- a/internal/transport/load_shedding_test.go
+++ b/internal/transport/load_shedding_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A period in which requests are refused is logged once when it starts and once when it has ended.
+// A period of load shedding is logged once when it starts and once after it has ended.
 func TestLoadSheddingIsLoggedTwice(t *testing.T) {
 	var out bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&out, nil))
@@ -23,6 +23,6 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != 2 || !strings.Contains(lines[0], "load shedding started") ||
 		!strings.Contains(lines[1], "load shedding ended") || !strings.Contains(lines[1], "requests=10 duration_s=4") {
-		t.Errorf("logged:\n%s", out.String())
+		t.Errorf("want one line for the start and one for the end of load shedding, logged:\n%s", out.String())
 	}
 }
--- a/internal/transport/routes.go
+++ b/internal/transport/routes.go
@@ -8,7 +8,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// clientRoutes are served at client_listen, to users, workers and the load balancer.
+// clientRoutes returns the handler of client_listen, which serves users, workers and the load balancer.
 func (s *Server) clientRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/jobs", s.handleWithBody(controller.OpSubmit))
@@ -19,7 +19,7 @@
 	return mux
 }
 
-// peerRoutes are served at peer_listen, to other controllers and to the scraper of metrics.
+// peerRoutes returns the handler of peer_listen, which serves other controllers and the metrics scraper.
 func (s *Server) peerRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /relay", s.handleWithBody(controller.OpRelay))
@@ -32,23 +32,23 @@
 	return mux
 }
 
-// admission is how requests of one operation are let in.
+// admission holds the admission limits for the requests of one operation.
 type admission struct {
 	queue chan pendingRequest
-	// maxBodyBytes bounds the body, where the operation has one.
+	// maxBodyBytes bounds the request's body if the operation has one.
 	maxBodyBytes int64
-	// closeAbovePercent is the use of client_listen above which the connection is closed after
-	// the answer.
+	// closeAbovePercent is a percentage of the connection limit of client_listen. Above it, the connection is closed
+	// after the response.
 	closeAbovePercent int
 }
 
-// admissionOf returns how requests of an operation are let in. Workers and other controllers have
-// a queue of their own: a flood of users must not cost a worker its lease.
+// admissionOf returns the admission limits of an operation. Heartbeats and probes have a queue of their own, so
+// overload by users does not cost a worker its lease.
 func (s *Server) admissionOf(op controller.Op) admission {
 	a := admission{queue: s.requests, maxBodyBytes: protocol.MaxBodyBytes, closeAbovePercent: closeUsersAbovePercent}
 	switch op {
 	case controller.OpSubmit, controller.OpPoll, controller.OpCancel, controller.OpReady:
-		// As set above.
+		// These operations use the limits set above.
 	case controller.OpWorkerHeartbeat:
 		a.queue, a.closeAbovePercent = s.heartbeats, closeWorkersAbovePercent
 	case controller.OpPeerHeartbeat:
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -1,7 +1,7 @@
-// Package transport connects the controller to the network: HTTP servers for users, workers and
-// other controllers, HTTP clients for the services, workers and other controllers, and the event
-// loop between them. Bodies, connections, queues and times are bounded. The package decides
-// nothing about jobs or machines.
+// Package transport connects the controller to the network. It contains the HTTP servers for users, workers and other
+// controllers, the HTTP clients for the state service, the cloud, workers and other controllers, and the event loop
+// between them. Body sizes, connections, queues and durations are bounded. The package makes no decisions about jobs or
+// machines.
 package transport
 
 import (
@@ -18,8 +18,7 @@
 
 // Core is the state machine that the server drives.
 type Core interface {
-	// Handle takes one event and returns what is to be done about it. It is called by one
-	// goroutine only.
+	// Handle processes one event and returns the resulting effects. Only one goroutine calls it.
 	Handle(controller.Clock, controller.Event) []controller.Effect
 }
 
@@ -28,28 +27,28 @@
 	cfg  *config.Config
 	core Core
 	log  *slog.Logger
-	// stateResults takes the state service's answers, which go before all others: after a change
-	// of leader thousands of workers answer at once, and the lease's renewal once waited behind
-	// them until the new leader had lost it.
+	// stateResults holds the state service's responses, which have priority over all other responses: after a failover,
+	// thousands of workers respond at the same time. In a shared queue, the response to the lease renewal has waited
+	// behind theirs until the new leader lost its lease.
 	stateResults chan controller.Event
-	// results takes the answers of workers, the cloud and other controllers.
+	// results holds the responses of workers, the cloud and other controllers.
 	results chan controller.Event
-	// requests takes the requests of users, forwarded ones, and the load balancer's checks.
+	// requests holds users' requests, forwarded requests and the load balancer's readiness checks.
 	requests chan pendingRequest
-	// heartbeats takes the heartbeats of workers and other controllers, and probes.
+	// heartbeats holds the heartbeats of workers and other controllers, and probes.
 	heartbeats chan pendingRequest
-	// clientListener is nil until Run listens.
+	// clientListener is nil until Run opens it.
 	clientListener *connLimiter
 	shedding       loadShedding
 	clients        map[controller.Target]*http.Client
 	start          time.Time
-	// metrics answers GET /metrics at peer_listen; nil: there is no such route.
+	// metrics handles GET /metrics at peer_listen. If it is nil, the route does not exist.
 	metrics http.Handler
-	// shutdownCalls counts the last requests under way, once the process is told to end.
+	// shutdownCalls counts the in-flight requests that sendShutdownCalls has started.
 	shutdownCalls sync.WaitGroup
 }
 
-// New returns a server for a core. It does not listen before Run.
+// New returns a server for a core. The server listens only once Run is called.
 func New(cfg *config.Config, core Core, log *slog.Logger) *Server {
 	maxSockets := cfg.Cluster.Resources.FDs
 	return &Server{
@@ -58,25 +57,25 @@
 		log:          log,
 		stateResults: make(chan controller.Event, stateResultQueue),
 		results:      make(chan controller.Event, maxSockets),
-		// What waits here is answered within a second or so even by a slow share of a core;
-		// more than that is refused at once.
+		// A process with a slow share of a CPU core still answers a full queue within about a second. Requests
+		// beyond the capacity are rejected immediately.
 		requests: make(chan pendingRequest, max(minRequestQueue, maxSockets/4)),
-		// Each worker waits for one answer at a time, so this is bounded by the connections
-		// there can be.
+		// Each worker waits for one response at a time, so the connection limit bounds the number of queued
+		// heartbeats.
 		heartbeats: make(chan pendingRequest, max(minRequestQueue, maxSockets/2)),
 		clients:    newClients(cfg),
 		start:      time.Now(),
 	}
 }
 
-// Start is the zero of the core's steady clock.
+// Start returns the time at which the core's steady clock is zero.
 func (s *Server) Start() time.Time { return s.start }
 
-// ServeMetrics makes the listener for peers answer GET /metrics. It must be called before Run.
+// ServeMetrics sets the handler of GET /metrics at peer_listen. It must be called before Run.
 func (s *Server) ServeMetrics(handler http.Handler) { s.metrics = handler }
 
-// Run serves until the context ends, and then sends the core's last requests. It returns an error
-// if it cannot listen, or if a listener fails while it serves.
+// Run serves until ctx is cancelled, and then sends the core's last requests. It returns an error if it cannot listen,
+// or if a listener fails while the server runs.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -90,7 +89,7 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	failed := make(chan error, 2) // one for each listener, so that none waits for a reader
+	failed := make(chan error, 2) // one slot for each listener, so neither blocks on sending its error
 	defer s.serveAt(clients, s.clientRoutes(), failed)()
 	defer s.serveAt(peers, s.peerRoutes(), failed)()
 	calls, stopCalls := context.WithCancel(context.WithoutCancel(ctx))
@@ -106,7 +105,7 @@
 	}
 }
 
-// serveAt starts an HTTP server and returns what closes it with its connections.
+// serveAt starts an HTTP server and returns a function that closes the server and its connections.
 func (s *Server) serveAt(listener *connLimiter, handler http.Handler, failed chan<- error) (closeServer func()) {
 	lease := s.cfg.WorkerLease()
 	server := &http.Server{
@@ -122,7 +121,7 @@
 	go func() { failed <- server.Serve(listener) }()
 	return func() {
 		if err := server.Close(); err != nil {
-			s.log.Debug("closing a listener failed", "addr", listener.Addr(), "err", err)
+			s.log.Debug("failed to close HTTP server", "addr", listener.Addr(), "err", err)
 		}
 	}
 }
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -13,7 +13,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// echo answers every request with its operation and job.
+// echo is a core that replies to every request with the request's operation and job UID.
 type echo struct{}
 
 func (echo) Handle(_ controller.Clock, event controller.Event) []controller.Effect {
@@ -69,13 +69,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			w := send(tc.handler, tc.method, tc.path, nil)
 			if w.Code != tc.status || (tc.body != "" && w.Body.String() != tc.body) {
-				t.Errorf("%s %s: %d %q", tc.method, tc.path, w.Code, w.Body)
+				t.Errorf("%s %s: status %d, body %q", tc.method, tc.path, w.Code, w.Body)
 			}
 		})
 	}
 	t.Run("oversized body", func(t *testing.T) {
 		if w := send(clients, http.MethodPost, "/api/jobs", make([]byte, protocol.MaxBodyBytes+1)); w.Code != http.StatusBadRequest {
-			t.Errorf("an oversized body got %d", w.Code)
+			t.Errorf("oversized body: status %d", w.Code)
 		}
 	})
 }
