--- a/cmd/claybarrow/check.go
+++ b/cmd/claybarrow/check.go
@@ -19,7 +19,7 @@
 	for _, warning := range cfg.Warnings() {
 		fmt.Fprintln(os.Stderr, "claybarrow: warning:", warning)
 	}
-	if _, err := logLevel(os.Getenv(logLevelVariable)); err != nil {
+	if _, err := parseLogLevel(os.Getenv(logLevelEnvVar)); err != nil {
 		return err
 	}
 	fmt.Println("settings are in order")
--- a/cmd/claybarrow/log.go
+++ b/cmd/claybarrow/log.go
@@ -6,11 +6,11 @@
 	"log/slog"
 )
 
-// logLevelVariable is the name of the environment variable that sets the log level.
-const logLevelVariable = "LOG_LEVEL"
+// logLevelEnvVar is the name of the environment variable that sets the log level.
+const logLevelEnvVar = "LOG_LEVEL"
 
-// logLevel parses a value of LOG_LEVEL. An empty value means info.
-func logLevel(value string) (slog.Level, error) {
+// parseLogLevel parses a value of LOG_LEVEL. An empty value means info.
+func parseLogLevel(value string) (slog.Level, error) {
 	switch value {
 	case "error":
 		return slog.LevelError, nil
@@ -19,7 +19,7 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	default:
-		return 0, fmt.Errorf("%s: %q is not error, info or debug", logLevelVariable, value)
+		return 0, fmt.Errorf("%s: %q is not error, info or debug", logLevelEnvVar, value)
 	}
 }
 
--- a/cmd/claybarrow/log_test.go
+++ b/cmd/claybarrow/log_test.go
@@ -20,7 +20,7 @@
 		{value: "warn", err: `LOG_LEVEL: "warn" is not error, info or debug`},
 	} {
 		t.Run("LOG_LEVEL="+tc.value, func(t *testing.T) {
-			level, err := logLevel(tc.value)
+			level, err := parseLogLevel(tc.value)
 			if tc.err != "" {
 				if err == nil || err.Error() != tc.err {
 					t.Fatalf("error %v, want %s", err, tc.err)
@@ -34,12 +34,12 @@
 	}
 }
 
-func TestLoggerMarksLinesWithLabel(t *testing.T) {
-	var out bytes.Buffer
-	log := newLogger(&out, slog.LevelInfo, "n0")
+func TestLoggerAddsLabel(t *testing.T) {
+	var logOutput bytes.Buffer
+	log := newLogger(&logOutput, slog.LevelInfo, "n0")
 	log.Debug("below the level")
 	log.Info("starting")
-	if lines := strings.Count(out.String(), "\n"); lines != 1 || !strings.Contains(out.String(), "msg=starting node=n0") {
-		t.Errorf("want one line with the message and the label, logged:\n%s", out.String())
+	if lines := strings.Count(logOutput.String(), "\n"); lines != 1 || !strings.Contains(logOutput.String(), "msg=starting node=n0") {
+		t.Errorf("want one line with the message and the label, logged:\n%s", logOutput.String())
 	}
 }
--- a/cmd/claybarrow/main.go
+++ b/cmd/claybarrow/main.go
@@ -14,7 +14,7 @@
 
 type commands struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run a controller (the default)."`
-	Check   checkCmd   `cmd:"" help:"Check the settings without starting."`
+	Check   checkCmd   `cmd:"" help:"Check the settings without starting a controller."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
--- a/cmd/claybarrow/serve.go
+++ b/cmd/claybarrow/serve.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// heapShare is the fraction of the process's memory that is set as the Go runtime's soft memory limit. The rest is
+	// heapFraction is the fraction of the process's memory that is set as the Go runtime's soft memory limit. The rest is
 	// left for stacks, the binary and the kernel's socket buffers.
-	heapShare   = 0.6
-	bytesPerMiB = 1 << 20
+	heapFraction = 0.6
+	bytesPerMiB  = 1 << 20
 	// telemetryCloseTimeout bounds the time for writing the last spans.
 	telemetryCloseTimeout = 2 * time.Second
 )
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	level, err := logLevel(os.Getenv(logLevelVariable))
+	level, err := parseLogLevel(os.Getenv(logLevelEnvVar))
 	if err != nil {
 		return err
 	}
@@ -64,12 +64,12 @@
 func limitRuntime(resources config.Resources) {
 	// The process has a share of one CPU core, so more threads would only add context switches.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(resources.MemMB * heapShare * bytesPerMiB))
+	debug.SetMemoryLimit(int64(resources.MemMB * heapFraction * bytesPerMiB))
 }
 
 func closeTelemetry(recorder *telemetry.Recorder, log *slog.Logger) {
-	ctx, stop := context.WithTimeout(context.Background(), telemetryCloseTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), telemetryCloseTimeout)
+	defer cancel()
 	if err := recorder.Close(ctx); err != nil {
 		log.Error("failed to close telemetry; trace spans may be lost", "err", err)
 	}
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -26,14 +26,14 @@
 	WriteRPS float64 `name:"write-rps" placeholder:"RATE" help:"Changes per second that each state service accepts; overrides the plan."`
 }
 
-// args returns the command-line arguments of a region's process, without the region's number.
-func (f planFlags) args() []string {
+// regionArgs returns the command-line arguments of a region's process, without the region's number.
+func (f planFlags) regionArgs() []string {
 	return []string{"region", f.Plan, "--scale", fmt.Sprint(f.Scale), "--regions", fmt.Sprint(f.Regions), "--program", f.Program,
 		"--write-rps", fmt.Sprint(f.WriteRPS), "--base-port", fmt.Sprint(f.BasePort)}
 }
 
-// load reads the plan and applies the flags to it.
-func (f planFlags) load() (*scalerun.Plan, error) {
+// loadPlan reads the plan and applies the flags to it.
+func (f planFlags) loadPlan() (*scalerun.Plan, error) {
 	plan, err := scalerun.LoadPlanFile(f.Plan)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 
 // Run implements the check command.
 func (c checkCmd) Run() error {
-	plan, err := c.load()
+	plan, err := c.loadPlan()
 	if err != nil {
 		return err
 	}
@@ -110,16 +110,16 @@
 
 // Run implements the run command. It returns an error if the run ended early or violated an invariant.
 func (c runCmd) Run(ctx context.Context) error {
-	plan, err := c.load()
+	plan, err := c.loadPlan()
 	if err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	slog.Info("run", "workers", plan.Fleet.Workers, "regions", plan.Fleet.Regions, "warmup_s", plan.Run.WarmupS, "duration_s", plan.Run.DurationS)
-	result, err := scalerun.Run(ctx, plan, self, c.args())
+	result, err := scalerun.Run(ctx, plan, executable, c.regionArgs())
 	if result == nil {
 		return err
 	}
@@ -134,16 +134,16 @@
 
 // writeResult writes a result as indented JSON.
 func writeResult(path string, result *scalerun.Result) error {
-	raw, err := json.MarshalIndent(result, "", " ")
+	encoded, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(path, append(raw, '\n'), 0o644)
+	return os.WriteFile(path, append(encoded, '\n'), 0o644)
 }
 
 // Run implements the region command.
 func (c regionCmd) Run(ctx context.Context) error {
-	plan, err := c.load()
+	plan, err := c.loadPlan()
 	if err != nil {
 		return err
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -13,17 +13,17 @@
 // ServeHTTP responds with the metrics in the Prometheus text format.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	r.set.WritePrometheus(w)
+	r.metricSet.WritePrometheus(w)
 }
 
 func (r *Recorder) setGauge(name string, value float64) {
-	r.set.GetOrCreateGauge(name, nil).Set(value)
+	r.metricSet.GetOrCreateGauge(name, nil).Set(value)
 }
 
-func (r *Recorder) count(name string) { r.set.GetOrCreateCounter(name).Inc() }
+func (r *Recorder) incrementCounter(name string) { r.metricSet.GetOrCreateCounter(name).Inc() }
 
 func (r *Recorder) observeSeconds(name string, d time.Duration) {
-	r.set.GetOrCreateHistogram(name).Update(d.Seconds())
+	r.metricSet.GetOrCreateHistogram(name).Update(d.Seconds())
 }
 
 // DetectorSampled records the failure detector's local health (0 is healthy) and its counters.
@@ -45,7 +45,7 @@
 		"bytes_received":    counters.BytesReceived,
 		"probes_for_others": counters.ProbesForPeers,
 	} {
-		r.set.GetOrCreateCounter("claybarrow_membership_" + name + "_total").Set(value)
+		r.metricSet.GetOrCreateCounter("claybarrow_membership_" + name + "_total").Set(value)
 	}
 }
 
@@ -54,20 +54,20 @@
 	if gauge := r.memberStates[change.Label]; gauge != nil {
 		gauge.Set(float64(change.To))
 	}
-	r.count(fmt.Sprintf(`claybarrow_member_changes_total{controller=%q,to=%q}`, change.Label, change.To))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_member_changes_total{controller=%q,to=%q}`, change.Label, change.To))
 }
 
 // PeerMessageDropped counts a rejected message of another controller, by the reason for the rejection.
 func (r *Recorder) PeerMessageDropped(drop membership.DroppedMessage) {
 	reason := strings.ReplaceAll(string(drop.Reason), " ", "_")
-	r.count(fmt.Sprintf(`claybarrow_messages_dropped_total{reason=%q}`, reason))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_messages_dropped_total{reason=%q}`, reason))
 }
 
-// countGateChange sets the gauge of the feature gate's state (0 closed, 1 opening, 2 open, 3 closing) and counts the
+// recordGateMetrics sets the gauge of the feature gate's state (0 closed, 1 opening, 2 open, 3 closing) and counts the
 // change.
-func (r *Recorder) countGateChange(change controller.GateChange) {
+func (r *Recorder) recordGateMetrics(change controller.GateChange) {
 	r.setGauge("claybarrow_feature_gate_state", float64(change.To))
-	r.count(fmt.Sprintf(`claybarrow_feature_gate_changes_total{to=%q}`, change.To))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_feature_gate_changes_total{to=%q}`, change.To))
 }
 
 // JournalSized records the size of the journal of task completions.
@@ -84,25 +84,25 @@
 
 // MachineRedirected counts a machine that was redirected to another controller.
 func (r *Recorder) MachineRedirected(_, to string) {
-	r.count(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to))
 }
 
 // RequestRerouted counts a request that was sent to the leader through another controller.
-func (r *Recorder) RequestRerouted() { r.count("claybarrow_requests_detoured_total") }
+func (r *Recorder) RequestRerouted() { r.incrementCounter("claybarrow_requests_detoured_total") }
 
 // RequestRetried counts a retry of a request to the leader.
-func (r *Recorder) RequestRetried() { r.count("claybarrow_requests_retried_total") }
+func (r *Recorder) RequestRetried() { r.incrementCounter("claybarrow_requests_retried_total") }
 
 // ProcessResumed records the length of a process pause and whether the controller was the leader before it.
-func (r *Recorder) ProcessResumed(stoodStill time.Duration, led bool) {
-	r.count(fmt.Sprintf(`claybarrow_standstills_total{led="%t"}`, led))
-	r.observeSeconds("claybarrow_standstill_seconds", stoodStill)
+func (r *Recorder) ProcessResumed(pause time.Duration, wasLeader bool) {
+	r.incrementCounter(fmt.Sprintf(`claybarrow_standstills_total{led="%t"}`, wasLeader))
+	r.observeSeconds("claybarrow_standstill_seconds", pause)
 }
 
-// countFailover counts a failover and records the durations of its load and election steps. A step is omitted if its
-// start or end is unknown.
-func (r *Recorder) countFailover(failover controller.Failover) {
-	r.count("claybarrow_handovers_total")
+// recordFailoverMetrics counts a failover and records the durations of its load and election steps. A step is omitted
+// if its start or end is unknown.
+func (r *Recorder) recordFailoverMetrics(failover controller.Failover) {
+	r.incrementCounter("claybarrow_handovers_total")
 	if failover.Loaded > 0 {
 		r.observeSeconds("claybarrow_handover_load_seconds", failover.Loaded-failover.Elected)
 	}
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -21,9 +21,9 @@
 // Recorder is the controller's observer, and the HTTP handler of the metrics endpoint. The event loop's goroutine calls
 // the observer's methods, which do not block: another goroutine writes the spans, and drops spans if it falls behind.
 type Recorder struct {
-	set *metrics.Set
-	// start is the time at which the controller's steady clock is zero.
-	start time.Time
+	metricSet *metrics.Set
+	// startTime is the time at which the controller's steady clock is zero.
+	startTime time.Time
 	// memberStates holds a gauge for each other controller, by label.
 	memberStates map[string]*metrics.Gauge
 	// tracer, traceProvider and traceFile are nil if no trace file is configured.
@@ -43,10 +43,10 @@
 // New returns a recorder. The start time is the time at which the controller's steady clock is zero. New returns an
 // error if the configured trace file cannot be opened.
 func New(cfg *config.Config, start time.Time) (*Recorder, error) {
-	r := &Recorder{set: metrics.NewSet(), start: start, memberStates: map[string]*metrics.Gauge{}}
+	r := &Recorder{metricSet: metrics.NewSet(), startTime: start, memberStates: map[string]*metrics.Gauge{}}
 	for _, sibling := range cfg.Siblings {
 		name := fmt.Sprintf(`claybarrow_member_state{controller=%q}`, sibling.Label)
-		r.memberStates[sibling.Label] = r.set.NewGauge(name, nil)
+		r.memberStates[sibling.Label] = r.metricSet.NewGauge(name, nil)
 	}
 	if path := cfg.Operator.Telemetry.TraceFile; path != "" {
 		if err := r.openTraces(path, cfg.Label); err != nil {
@@ -67,13 +67,13 @@
 
 // FailedOver records a failover: its durations as metrics, and its steps as spans.
 func (r *Recorder) FailedOver(failover controller.Failover) {
-	r.countFailover(failover)
+	r.recordFailoverMetrics(failover)
 	r.traceFailover(failover)
 }
 
 // GateChanged records a change of the feature gate's state, as metrics and as a span with the statements of the other
 // controllers.
 func (r *Recorder) GateChanged(change controller.GateChange) {
-	r.countGateChange(change)
+	r.recordGateMetrics(change)
 	r.traceGateChange(change)
 }
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -16,8 +16,8 @@
 	"claybarrow/internal/membership"
 )
 
-// settings returns the settings of a controller with two peers and metrics enabled. The trace file is optional.
-func settings(t *testing.T, traceFile string) *config.Config {
+// newTestConfig returns the settings of a controller with two peers and metrics enabled. The trace file is optional.
+func newTestConfig(t *testing.T, traceFile string) *config.Config {
 	t.Helper()
 	cfg := &config.Config{}
 	cfg.Label = "n0"
@@ -28,7 +28,7 @@
 }
 
 func TestMetrics(t *testing.T) {
-	r, err := New(settings(t, ""), time.Now())
+	r, err := New(newTestConfig(t, ""), time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,11 +63,11 @@
 	}
 }
 
-// tracesOf calls record with a new recorder, closes the recorder and returns the contents of its trace file.
-func tracesOf(t *testing.T, start time.Time, record func(*Recorder)) string {
+// recordTraces calls record with a new recorder, closes the recorder and returns the contents of its trace file.
+func recordTraces(t *testing.T, start time.Time, record func(*Recorder)) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "trace.json")
-	r, err := New(settings(t, file), start)
+	r, err := New(newTestConfig(t, file), start)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 // A failover is recorded as a span from the suspicion to the first placement, with a child span for each step.
 func TestTraceOfFailover(t *testing.T) {
 	start := time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
-	traces := tracesOf(t, start, func(r *Recorder) {
+	traces := recordTraces(t, start, func(r *Recorder) {
 		r.FailedOver(controller.Failover{
 			Token:            3,
 			FormerLeader:     "n1",
@@ -125,7 +125,7 @@
 
 // A change of the feature gate is recorded as a span with its reason and the statements of the other controllers.
 func TestTraceOfFeatureGate(t *testing.T) {
-	traces := tracesOf(t, time.Now(), func(r *Recorder) {
+	traces := recordTraces(t, time.Now(), func(r *Recorder) {
 		r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Reason: "n1 is told to hold",
 			Statements: map[string]string{"n1": "reads 1, writes 1, holds", "n2": "no statement"}})
 	})
@@ -136,8 +136,8 @@
 	}
 }
 
-func TestUnopenableTraceFile(t *testing.T) {
-	if _, err := New(settings(t, filepath.Join(t.TempDir(), "no", "such", "folder")), time.Now()); err == nil || !strings.Contains(err.Error(), "telemetry.trace_file") {
+func TestTraceFileCannotBeOpened(t *testing.T) {
+	if _, err := New(newTestConfig(t, filepath.Join(t.TempDir(), "no", "such", "folder")), time.Now()); err == nil || !strings.Contains(err.Error(), "telemetry.trace_file") {
 		t.Errorf("error %v, want an error that names telemetry.trace_file", err)
 	}
 }
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -40,9 +40,9 @@
 	return nil
 }
 
-// at converts a reading of the controller's steady clock to the timestamp of a span event.
-func (r *Recorder) at(reading time.Duration) trace.SpanEventOption {
-	return trace.WithTimestamp(r.start.Add(reading))
+// timestamp converts a reading of the controller's steady clock to a span timestamp.
+func (r *Recorder) timestamp(reading time.Duration) trace.SpanEventOption {
+	return trace.WithTimestamp(r.startTime.Add(reading))
 }
 
 // traceFailover writes a span with a child span for each step of a failover. The span lasts from the start of the first
@@ -52,17 +52,17 @@
 		return
 	}
 	steps := failover.Steps()
-	ctx, span := r.tracer.Start(context.Background(), "handover", r.at(steps[0].From), trace.WithAttributes(
+	ctx, span := r.tracer.Start(context.Background(), "handover", r.timestamp(steps[0].From), trace.WithAttributes(
 		attribute.Int64("token", int64(failover.Token)),
 		attribute.String("former", failover.FormerLeader),
 		attribute.Int("jobs", failover.Jobs),
 		attribute.Int("machines", failover.Machines),
 		attribute.Int("records_read_ahead", failover.Preloaded)))
 	for _, step := range steps {
-		_, child := r.tracer.Start(ctx, step.Name, r.at(step.From))
-		child.End(r.at(step.To))
+		_, child := r.tracer.Start(ctx, step.Name, r.timestamp(step.From))
+		child.End(r.timestamp(step.To))
 	}
-	span.End(r.at(steps[len(steps)-1].To))
+	span.End(r.timestamp(steps[len(steps)-1].To))
 }
 
 // traceGateChange writes a span of zero duration with the reason and the statements of the other controllers.
@@ -79,6 +79,6 @@
 	for label, statement := range change.Statements {
 		attributes = append(attributes, attribute.String("statement."+label, statement))
 	}
-	_, span := r.tracer.Start(context.Background(), "feature gate", r.at(change.At), trace.WithAttributes(attributes...))
-	span.End(r.at(change.At))
+	_, span := r.tracer.Start(context.Background(), "feature gate", r.timestamp(change.At), trace.WithAttributes(attributes...))
+	span.End(r.timestamp(change.At))
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -20,27 +20,27 @@
 	contentTypeCBOR        = "application/cbor" // for messages between controllers
 )
 
-// errExpired is returned for a request whose validity (Call.ValidUntil) has ended. It must not be sent, because the
-// decision that it carries may be out of date.
+// errExpired is returned for a request whose validity (Call.ValidUntil) has ended. Such a request must not be sent,
+// because the decision that it carries may be out of date.
 var errExpired = errors.New("request not sent: its validity ended while the process was paused")
 
-// newClients returns an HTTP client for each kind of target. Each client has its own limits on connections, so that no
-// target can use up the process's sockets.
+// newClients returns an HTTP client for each kind of target. The limits of their connection pools divide the process's
+// sockets between the targets.
 func newClients(cfg *config.Config) map[controller.Target]*http.Client {
 	maxSockets := cfg.Cluster.Resources.FDs
-	peerConns := maxSockets * peerCallPercent / 100
-	connsPerPeer := max(minPeerConns, peerConns/max(1, len(cfg.Siblings)))
+	peerConns := maxSockets * outboundPeerConnPercent / 100
+	connsPerPeer := max(minConnsPerPeer, peerConns/max(1, len(cfg.Siblings)))
 	return map[controller.Target]*http.Client{
-		controller.ToState:  newClient(cfg, stateConns, stateConns),
+		controller.ToState:  newClient(cfg, stateServiceConns, stateServiceConns),
 		controller.ToCloud:  newClient(cfg, cloudConns, cloudConns),
 		controller.ToWorker: newClient(cfg, connsPerWorker, maxSockets*workerIdleConnPercent/100),
 		controller.ToPeer:   newClient(cfg, connsPerPeer, peerConns),
 	}
 }
 
-// newClient returns a client that opens at most connsPerHost connections to one address and keeps at most maxIdle idle
-// connections in total. It does not follow redirects, because the core handles redirect responses itself.
-func newClient(cfg *config.Config, connsPerHost, maxIdle int) *http.Client {
+// newClient returns a client that opens at most connsPerHost connections to one address and keeps at most maxIdleConns
+// idle connections in total. It does not follow redirects, because the core handles redirect responses itself.
+func newClient(cfg *config.Config, connsPerHost, maxIdleConns int) *http.Client {
 	dialer := &net.Dialer{Timeout: min(cfg.WorkerLease()/5, maxDialTimeout)}
 	return &http.Client{
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
@@ -48,19 +48,19 @@
 			DialContext:         dialer.DialContext,
 			MaxConnsPerHost:     connsPerHost,
 			MaxIdleConnsPerHost: connsPerHost,
-			MaxIdleConns:        maxIdle,
+			MaxIdleConns:        maxIdleConns,
 			IdleConnTimeout:     2 * cfg.WorkerLease(),
 			DisableCompression:  true,
 		},
 	}
 }
 
-// call sends a request and passes its outcome to the event loop. The status is 0 if no response was received.
-func (s *Server) call(ctx context.Context, call controller.Call) {
+// executeCall sends a request and passes its outcome to the event loop. The status is 0 if no response was received.
+func (s *Server) executeCall(ctx context.Context, call controller.Call) {
 	connected := false
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	tracedCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected = true }})
-	status, body, err := s.send(traced, call)
+	status, body, err := s.send(tracedCtx, call)
 	if err != nil {
 		s.logFailedCall(call, err)
 	}
--- a/internal/transport/conn_limiter.go
+++ b/internal/transport/conn_limiter.go
@@ -64,7 +64,7 @@
 		l.mu.Lock()
 		l.open++
 		l.mu.Unlock()
-		return &limitedConn{Conn: conn, connLimiter: l}, nil
+		return &limitedConn{Conn: conn, limiter: l}, nil
 	}
 }
 
@@ -103,23 +103,23 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forgetIdle(limited)
+	l.removeIdle(limited)
 	if (state == http.StateNew || state == http.StateIdle) && !limited.closed {
 		l.idleElements[limited] = l.idle.PushBack(limited)
 	}
 }
 
-// forgetIdle removes a connection from the list of idle connections. The caller must hold the lock.
-func (l *connLimiter) forgetIdle(conn *limitedConn) {
+// removeIdle removes a connection from the list of idle connections. The caller must hold the lock.
+func (l *connLimiter) removeIdle(conn *limitedConn) {
 	if element := l.idleElements[conn]; element != nil {
 		l.idle.Remove(element)
 		delete(l.idleElements, conn)
 	}
 }
 
-// usedAbove reports whether the open connections exceed the given percentage of the limit. It returns false for a nil
-// limiter, which a server has before it listens.
-func (l *connLimiter) usedAbove(percent int) bool {
+// usageExceeds reports whether the open connections exceed the given percentage of the limit. It returns false for a
+// nil limiter, which a server has before it listens.
+func (l *connLimiter) usageExceeds(percent int) bool {
 	if l == nil {
 		return false
 	}
@@ -131,19 +131,19 @@
 // limitedConn is an accepted connection that counts towards the limit of its connLimiter.
 type limitedConn struct {
 	net.Conn
-	connLimiter *connLimiter
-	closed      bool // guarded by connLimiter.mu
+	limiter *connLimiter
+	closed  bool // guarded by limiter.mu
 }
 
 // Close closes the connection and subtracts it from the number of open connections. Repeated calls subtract it only
 // once.
 func (c *limitedConn) Close() error {
-	limiter := c.connLimiter
+	limiter := c.limiter
 	limiter.mu.Lock()
 	if !c.closed {
 		c.closed = true
 		limiter.open--
-		limiter.forgetIdle(c)
+		limiter.removeIdle(c)
 	}
 	limiter.mu.Unlock()
 	return c.Conn.Close()
--- a/internal/transport/conn_limiter_test.go
+++ b/internal/transport/conn_limiter_test.go
@@ -22,7 +22,7 @@
 
 // A full limiter closes the connection that has been idle for longest. It does not close a connection with a request in
 // flight.
-func TestFullLimiterClosesTheLongestIdle(t *testing.T) {
+func TestFullLimiterClosesLongestIdleConnection(t *testing.T) {
 	listener := &pipeListener{}
 	limiter := newConnLimiter(listener, 3)
 	accept := func() net.Conn {
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -10,27 +10,27 @@
 // now returns the current readings of the steady clock and the wall clock.
 func (s *Server) now() controller.Clock {
 	t := time.Now()
-	return controller.Clock{Steady: t.Sub(s.start), Wall: t.UnixMilli()}
+	return controller.Clock{Steady: t.Sub(s.startTime), Wall: t.UnixMilli()}
 }
 
-// loop runs in the only goroutine that calls the core. It returns after ctx is cancelled. Requests that it has started
-// may continue until the context calls is cancelled.
-func (s *Server) loop(ctx, calls context.Context, ended chan<- struct{}) {
-	defer close(ended)
+// runEventLoop runs in the only goroutine that calls the core. It returns after ctx is cancelled. Requests that it has
+// started may continue until callCtx is cancelled.
+func (s *Server) runEventLoop(ctx, callCtx context.Context, done chan<- struct{}) {
+	defer close(done)
 	ticker := time.NewTicker(s.cfg.TickInterval())
 	defer ticker.Stop()
-	waiting := map[uint64]chan controller.Reply{}
+	replyChannels := map[uint64]chan controller.Reply{}
 	var lastID uint64
 	register := func(pending pendingRequest) controller.Event {
 		lastID++
 		pending.request.ID = lastID
-		waiting[lastID] = pending.reply
+		replyChannels[lastID] = pending.reply
 		return pending.request
 	}
 	for {
-		event := s.next(ctx, ticker.C, register)
+		event := s.nextEvent(ctx, ticker.C, register)
 		if event == nil {
-			s.sendShutdownCalls(calls)
+			s.sendShutdownCalls(callCtx)
 			return
 		}
 		if _, isTick := event.(controller.Tick); isTick {
@@ -39,22 +39,22 @@
 		for _, effect := range s.core.Handle(s.now(), event) {
 			switch effect := effect.(type) {
 			case controller.Reply:
-				if reply := waiting[effect.ID]; reply != nil {
+				if reply := replyChannels[effect.ID]; reply != nil {
 					reply <- effect // does not block: the channel is buffered and receives one reply
-					delete(waiting, effect.ID)
+					delete(replyChannels, effect.ID)
 				}
 			case controller.Call:
-				go s.call(calls, effect)
+				go s.executeCall(callCtx, effect)
 			}
 		}
 	}
 }
 
-// next returns the next event, or nil after ctx is cancelled. The register function assigns an ID to a request. Ticks
-// and the state service's responses have the highest priority, then come other responses and heartbeats, and users'
-// requests come last. With this order, overload by users costs neither the leadership nor the workers' leases, and
-// overload by workers does not cost the leadership.
-func (s *Server) next(ctx context.Context, ticks <-chan time.Time, register func(pendingRequest) controller.Event) controller.Event {
+// nextEvent returns the next event, or nil after ctx is cancelled. The register function assigns an ID to a request.
+// Ticks and the state service's responses have the highest priority, then come other responses and heartbeats, and
+// users' requests come last. With this order, overload by users costs neither the leadership nor the workers' leases,
+// and overload by workers does not cost the leadership.
+func (s *Server) nextEvent(ctx context.Context, ticks <-chan time.Time, register func(pendingRequest) controller.Event) controller.Event {
 	select {
 	case event := <-s.stateResults:
 		return event
--- a/internal/transport/event_loop_test.go
+++ b/internal/transport/event_loop_test.go
@@ -12,7 +12,7 @@
 // have priority over users' requests. Without this order, a new leader with 5,500 workers lost its lease in a scale run
 // because the response to its lease renewal waited behind the workers' responses. The next leader lost its lease in the
 // same way: there were four leaders in four seconds.
-func TestStateServiceGoesFirst(t *testing.T) {
+func TestStateServiceResponsesHavePriority(t *testing.T) {
 	server := &Server{
 		results:      make(chan controller.Event, 8),
 		stateResults: make(chan controller.Event, 8),
@@ -32,7 +32,7 @@
 	ticks <- time.Time{}
 	stateAnswers, tickEvents := 0, 0
 	for range 3 {
-		switch event := server.next(context.Background(), ticks, register).(type) {
+		switch event := server.nextEvent(context.Background(), ticks, register).(type) {
 		case controller.Result:
 			if event.ID < 100 {
 				stateAnswers++
@@ -45,19 +45,19 @@
 		t.Errorf("the first 3 events contain %d responses of the state service and %d ticks, want 2 and 1", stateAnswers, tickEvents)
 	}
 	for range 8 {
-		if request, ok := server.next(context.Background(), ticks, register).(controller.Request); ok && request.ID >= firstUserID {
+		if request, ok := server.nextEvent(context.Background(), ticks, register).(controller.Request); ok && request.ID >= firstUserID {
 			t.Error("a user's request was taken before the workers' events")
 		}
 	}
-	if request, ok := server.next(context.Background(), ticks, register).(controller.Request); !ok || request.ID < firstUserID {
+	if request, ok := server.nextEvent(context.Background(), ticks, register).(controller.Request); !ok || request.ID < firstUserID {
 		t.Error("no user's request was taken after the workers' events")
 	}
-	ctx, end := context.WithCancel(context.Background())
-	end()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
 	for range 3 {
-		server.next(context.Background(), ticks, register)
+		server.nextEvent(context.Background(), ticks, register)
 	}
-	if event := server.next(ctx, ticks, register); event != nil {
+	if event := server.nextEvent(ctx, ticks, register); event != nil {
 		t.Errorf("next returned %v after the context was cancelled, want nil", event)
 	}
 }
--- a/internal/transport/graceful_shutdown.go
+++ b/internal/transport/graceful_shutdown.go
@@ -9,7 +9,7 @@
 
 // sendShutdownCalls sends the core's last requests: a leader revokes its lease, and each controller notifies its peers
 // that it is leaving. The responses are not passed to the core.
-func (s *Server) sendShutdownCalls(calls context.Context) {
+func (s *Server) sendShutdownCalls(callCtx context.Context) {
 	for _, effect := range s.core.Handle(s.now(), controller.Shutdown{}) {
 		call, isCall := effect.(controller.Call)
 		if !isCall {
@@ -18,7 +18,7 @@
 		s.shutdownCalls.Add(1)
 		go func() {
 			defer s.shutdownCalls.Done()
-			if _, _, err := s.send(calls, call); err != nil {
+			if _, _, err := s.send(callCtx, call); err != nil {
 				s.logFailedCall(call, err)
 			}
 		}()
--- a/internal/transport/graceful_shutdown_test.go
+++ b/internal/transport/graceful_shutdown_test.go
@@ -74,12 +74,12 @@
 				peer.Close()
 			})
 			server := newShutdownServer(t, shutdownCore{strings.TrimPrefix(peer.URL, "http://")})
-			ctx, end := context.WithCancel(context.Background())
-			defer end()
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
 			done := make(chan error, 1)
 			go func() { done <- server.Run(ctx) }()
 			time.Sleep(50 * time.Millisecond)
-			end()
+			cancel()
 			select {
 			case err := <-done:
 				if err != nil {
@@ -101,7 +101,7 @@
 	worker := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { reached = true }))
 	defer worker.Close()
 	server := newTestServer(t)
-	server.start = time.Now().Add(-time.Minute)
+	server.startTime = time.Now().Add(-time.Minute)
 	call := controller.Call{Target: controller.ToWorker, Addr: strings.TrimPrefix(worker.URL, "http://"), Method: http.MethodPost, Path: "/commands", Timeout: time.Second}
 	call.ValidUntil = 30 * time.Second
 	if _, _, err := server.send(context.Background(), call); !errors.Is(err, errExpired) || reached {
@@ -116,20 +116,20 @@
 // The size of a probe is checked before the probe is decoded. Metrics are served only if a handler is set for them.
 func TestPeerRoutes(t *testing.T) {
 	server := newTestServer(t)
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	go server.loop(ctx, ctx, make(chan struct{}))
-	if w := send(server.peerRoutes(), http.MethodPost, "/probe", make([]byte, membership.MaxMessageBytes+1)); w.Code != http.StatusBadRequest {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go server.runEventLoop(ctx, ctx, make(chan struct{}))
+	if w := sendRequest(server.peerRoutes(), http.MethodPost, "/probe", make([]byte, membership.MaxMessageBytes+1)); w.Code != http.StatusBadRequest {
 		t.Errorf("oversized probe: status %d", w.Code)
 	}
-	if w := send(server.peerRoutes(), http.MethodPost, "/probe", []byte{0xa0}); w.Code != http.StatusOK || !strings.HasPrefix(w.Body.String(), "probe") {
+	if w := sendRequest(server.peerRoutes(), http.MethodPost, "/probe", []byte{0xa0}); w.Code != http.StatusOK || !strings.HasPrefix(w.Body.String(), "probe") {
 		t.Errorf("probe: status %d, body %s", w.Code, w.Body)
 	}
-	if w := send(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusNotFound {
+	if w := sendRequest(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusNotFound {
 		t.Errorf("metrics without a handler: status %d", w.Code)
 	}
 	server.ServeMetrics(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
-	if w := send(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusOK {
+	if w := sendRequest(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusOK {
 		t.Errorf("metrics: status %d", w.Code)
 	}
 }
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/controller"
 )
 
-// retryAfterSeconds is the Retry-After value of a 503 response, in seconds.
+// retryAfterSeconds is the Retry-After value of the 503 responses that this package generates itself.
 const retryAfterSeconds = 1
 
 // pendingRequest is a request that is queued for the event loop.
@@ -20,9 +20,9 @@
 	reply chan controller.Reply
 }
 
-// handle returns a handler for an operation whose request has no body.
-func (s *Server) handle(op controller.Op) http.HandlerFunc {
-	admission := s.admissionOf(op)
+// handleWithoutBody returns a handler for an operation whose request has no body.
+func (s *Server) handleWithoutBody(op controller.Op) http.HandlerFunc {
+	admission := s.admissionFor(op)
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.serve(w, r, controller.Request{Op: op, UID: r.PathValue("id")}, admission)
 	}
@@ -30,7 +30,7 @@
 
 // handleWithBody returns a handler for an operation whose request has a body.
 func (s *Server) handleWithBody(op controller.Op) http.HandlerFunc {
-	admission := s.admissionOf(op)
+	admission := s.admissionFor(op)
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, ok := readBody(w, r, admission.maxBodyBytes)
 		if !ok {
@@ -57,7 +57,7 @@
 
 // serve passes a request to the event loop and writes its reply.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, request controller.Request, admission admission) {
-	if s.clientListener.usedAbove(admission.closeAbovePercent) {
+	if s.clientListener.usageExceeds(admission.closeAbovePercent) {
 		// Closing the connection after the response frees a socket for other clients of the same listener.
 		w.Header().Set("Connection", "close")
 	}
@@ -101,5 +101,5 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // the error is ignored: the client has disconnected and gets no other response
+	_, _ = w.Write(reply.Body) // a failed write means that the client has disconnected
 }
--- a/internal/transport/handler_test.go
+++ b/internal/transport/handler_test.go
@@ -9,10 +9,10 @@
 	"claybarrow/internal/controller"
 )
 
-// fixedReply is a core that sends the same reply to every request.
-type fixedReply struct{ controller.Reply }
+// fixedReplyCore is a core that sends the same reply to every request.
+type fixedReplyCore struct{ controller.Reply }
 
-func (f fixedReply) Handle(_ controller.Clock, event controller.Event) []controller.Effect {
+func (f fixedReplyCore) Handle(_ controller.Clock, event controller.Event) []controller.Effect {
 	if request, ok := event.(controller.Request); ok {
 		f.ID = request.ID
 		return []controller.Effect{f.Reply}
@@ -25,19 +25,19 @@
 func TestExpiredReplyIsReplaced(t *testing.T) {
 	t.Run("expired", func(t *testing.T) {
 		server := newTestServer(t)
-		server.start = time.Now().Add(-time.Minute) // the steady clock reads one minute, past ValidUntil
-		server.core = fixedReply{controller.Reply{Status: http.StatusNotFound, ValidUntil: 30 * time.Second}}
+		server.startTime = time.Now().Add(-time.Minute) // the steady clock reads one minute, past ValidUntil
+		server.core = fixedReplyCore{controller.Reply{Status: http.StatusNotFound, ValidUntil: 30 * time.Second}}
 		runLoop(t, server)
-		w := send(server.clientRoutes(), http.MethodGet, "/api/jobs/j-1", nil)
+		w := sendRequest(server.clientRoutes(), http.MethodGet, "/api/jobs/j-1", nil)
 		if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 			t.Errorf("status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 		}
 	})
 	t.Run("still valid", func(t *testing.T) {
 		server := newTestServer(t)
-		server.core = fixedReply{controller.Reply{Status: http.StatusNotFound, ValidUntil: time.Minute}}
+		server.core = fixedReplyCore{controller.Reply{Status: http.StatusNotFound, ValidUntil: time.Minute}}
 		runLoop(t, server)
-		if w := send(server.clientRoutes(), http.MethodGet, "/api/jobs/j-1", nil); w.Code != http.StatusNotFound {
+		if w := sendRequest(server.clientRoutes(), http.MethodGet, "/api/jobs/j-1", nil); w.Code != http.StatusNotFound {
 			t.Errorf("status %d, want 404", w.Code)
 		}
 	})
@@ -45,13 +45,13 @@
 
 // When users' requests fill their queue, further requests are rejected immediately with 503 and a Retry-After header.
 // The heartbeat queue is not affected.
-func TestFullQueueIsRefusedAtOnce(t *testing.T) {
+func TestFullQueueRejectsRequests(t *testing.T) {
 	server := newTestServer(t) // its event loop does not run, so the queues are not drained
 	handler := server.clientRoutes()
 	for range cap(server.requests) {
 		server.requests <- pendingRequest{}
 	}
-	w := send(handler, http.MethodGet, "/api/jobs/j-1", nil)
+	w := sendRequest(handler, http.MethodGet, "/api/jobs/j-1", nil)
 	if w.Code != http.StatusServiceUnavailable || w.Header().Get("Retry-After") == "" {
 		t.Errorf("with a full queue: status %d, Retry-After %q", w.Code, w.Header().Get("Retry-After"))
 	}
@@ -65,7 +65,7 @@
 		server.heartbeats <- pendingRequest{} // fills the queue, so that heartbeats, too, get an immediate response
 	}
 	closes := func(method, path string) bool {
-		return send(handler, method, path, nil).Header().Get("Connection") == "close"
+		return sendRequest(handler, method, path, nil).Header().Get("Connection") == "close"
 	}
 	for _, tc := range []struct {
 		open           int
@@ -100,10 +100,10 @@
 		{"/probe", peers, 8 << 10},
 	} {
 		t.Run(tc.path, func(t *testing.T) {
-			if w := send(tc.handler, http.MethodPost, tc.path, make([]byte, tc.maxBytes)); w.Code != http.StatusOK {
+			if w := sendRequest(tc.handler, http.MethodPost, tc.path, make([]byte, tc.maxBytes)); w.Code != http.StatusOK {
 				t.Errorf("body of %d bytes: status %d", tc.maxBytes, w.Code)
 			}
-			if w := send(tc.handler, http.MethodPost, tc.path, make([]byte, tc.maxBytes+1)); w.Code != http.StatusBadRequest {
+			if w := sendRequest(tc.handler, http.MethodPost, tc.path, make([]byte, tc.maxBytes+1)); w.Code != http.StatusBadRequest {
 				t.Errorf("body of %d bytes: status %d", tc.maxBytes+1, w.Code)
 			}
 		})
--- a/internal/transport/limits.go
+++ b/internal/transport/limits.go
@@ -6,15 +6,15 @@
 // flight use a further eighth (see package controller). The remaining twentieth is for the state service, the cloud and
 // the process itself.
 const (
-	clientConnPercent     = 50 // accepted from users and workers at client_listen
-	peerConnPercent       = 12 // accepted from other controllers at peer_listen
-	peerCallPercent       = 8  // opened to other controllers
-	workerIdleConnPercent = 12 // idle connections kept open to workers
+	inboundClientConnPercent = 50 // accepted from users and workers at client_listen
+	inboundPeerConnPercent   = 12 // accepted from other controllers at peer_listen
+	outboundPeerConnPercent  = 8  // opened to other controllers
+	workerIdleConnPercent    = 12 // idle connections kept open to workers
 )
 
-// Percentages of the connection limit of client_listen. Above them, the server closes a connection after its response.
-// Users' connections are closed first: a user opens a new connection for the next request, but a worker that cannot
-// connect loses its lease.
+// Percentages of the connection limit of client_listen. While more connections are open, the server closes a connection
+// after its response. Users' connections are closed first: a user opens a new connection for the next request, but a
+// worker that cannot connect loses its lease.
 const (
 	closeUsersAbovePercent   = 70
 	closeWorkersAbovePercent = 85
@@ -23,19 +23,19 @@
 
 // Limits on the connections to one address, active and idle together.
 const (
-	stateConns     = 8
-	cloudConns     = 4
-	connsPerWorker = 2
-	minPeerConns   = 4 // for each peer, also where the socket limit is small
+	stateServiceConns = 8
+	cloudConns        = 4
+	connsPerWorker    = 2
+	minConnsPerPeer   = 4 // for each peer, also where the socket limit is small
 )
 
 // Capacities of the event loop's queues.
 const (
-	// stateResultQueue is enough for the state service's responses, as only a few requests to it are in flight at a
-	// time.
-	stateResultQueue = 64
-	// minRequestQueue applies where the socket limit is small.
-	minRequestQueue = 16
+	// stateResultQueueSize is enough for the state service's responses, as only a few requests to it are in flight
+	// at a time.
+	stateResultQueueSize = 64
+	// minRequestQueueSize is the lower bound of the queue capacities that are derived from the socket limit.
+	minRequestQueueSize = 16
 )
 
 // Timeouts and delays.
@@ -43,7 +43,7 @@
 	// replyTimeout bounds how long a request may wait for the event loop. Users give up after 5 s. The controller
 	// itself normally replies much earlier.
 	replyTimeout = 4500 * time.Millisecond
-	// maxDialTimeout is the upper bound of the dial timeout, which otherwise follows from the workers' lease.
+	// maxDialTimeout is the upper bound of the dial timeout, which is otherwise a fifth of the workers' lease.
 	maxDialTimeout = 2 * time.Second
 	// acceptRetryDelay is the delay after a failed accept. Without it, a process that has run out of sockets would
 	// retry in a busy loop.
--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -15,33 +15,33 @@
 	// The fields below are accessed only by the event loop's goroutine. Times are readings of the steady clock.
 	active         bool
 	rejectedBefore int64 // value of rejected before the period started
-	lastSeen       int64 // value of rejected at the previous call of logChanges
+	lastRejected   int64 // value of rejected at the previous call of logChanges
 	startedAt      time.Duration
-	// lastRejectionAt is the time of the last call of logChanges that found rejected increased.
-	lastRejectionAt time.Duration
+	// lastIncreaseAt is the time of the last call of logChanges that found rejected increased.
+	lastIncreaseAt time.Duration
 }
 
 // countRejection counts a rejected request.
 func (s *loadShedding) countRejection() { s.rejected.Add(1) }
 
 // logChanges logs the start of a period of load shedding, and its end after no request was rejected for longer than
-// quiet.
-func (s *loadShedding) logChanges(now, quiet time.Duration, log *slog.Logger) {
+// quietPeriod.
+func (s *loadShedding) logChanges(now, quietPeriod time.Duration, log *slog.Logger) {
 	rejected := s.rejected.Load()
-	if rejected > s.lastSeen {
-		s.lastRejectionAt = now
+	if rejected > s.lastRejected {
+		s.lastIncreaseAt = now
 		if !s.active {
 			s.active = true
 			s.startedAt = now
-			s.rejectedBefore = s.lastSeen
+			s.rejectedBefore = s.lastRejected
 			log.Info("load shedding started", "reason", "the request queue is full")
 		}
 	}
-	s.lastSeen = rejected
-	if s.active && now > s.lastRejectionAt+quiet {
+	s.lastRejected = rejected
+	if s.active && now > s.lastIncreaseAt+quietPeriod {
 		s.active = false
 		log.Info("load shedding ended",
 			"requests", rejected-s.rejectedBefore,
-			"duration_s", int((s.lastRejectionAt - s.startedAt).Seconds()))
+			"duration_s", int((s.lastIncreaseAt - s.startedAt).Seconds()))
 	}
 }
--- a/internal/transport/routes.go
+++ b/internal/transport/routes.go
@@ -12,9 +12,9 @@
 func (s *Server) clientRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/jobs", s.handleWithBody(controller.OpSubmit))
-	mux.HandleFunc("GET /api/jobs/{id}", s.handle(controller.OpPoll))
-	mux.HandleFunc("POST /api/jobs/{id}/withdraw", s.handle(controller.OpCancel))
-	mux.HandleFunc("GET /ready", s.handle(controller.OpReady))
+	mux.HandleFunc("GET /api/jobs/{id}", s.handleWithoutBody(controller.OpPoll))
+	mux.HandleFunc("POST /api/jobs/{id}/withdraw", s.handleWithoutBody(controller.OpCancel))
+	mux.HandleFunc("GET /ready", s.handleWithoutBody(controller.OpReady))
 	mux.HandleFunc("POST /hello", s.handleWithBody(controller.OpWorkerHeartbeat))
 	return mux
 }
@@ -37,31 +37,31 @@
 	queue chan pendingRequest
 	// maxBodyBytes bounds the request's body if the operation has one.
 	maxBodyBytes int64
-	// closeAbovePercent is a percentage of the connection limit of client_listen. Above it, the connection is closed
-	// after the response.
+	// closeAbovePercent is a percentage of the connection limit of client_listen. While more connections are open, the
+	// request's connection is closed after the response.
 	closeAbovePercent int
 }
 
-// admissionOf returns the admission limits of an operation. Heartbeats and probes have a queue of their own, so
+// admissionFor returns the admission limits of an operation. Heartbeats and probes have a queue of their own, so
 // overload by users does not cost a worker its lease.
-func (s *Server) admissionOf(op controller.Op) admission {
-	a := admission{queue: s.requests, maxBodyBytes: protocol.MaxBodyBytes, closeAbovePercent: closeUsersAbovePercent}
+func (s *Server) admissionFor(op controller.Op) admission {
+	limits := admission{queue: s.requests, maxBodyBytes: protocol.MaxBodyBytes, closeAbovePercent: closeUsersAbovePercent}
 	switch op {
 	case controller.OpSubmit, controller.OpPoll, controller.OpCancel, controller.OpReady:
 		// These operations use the limits set above.
 	case controller.OpWorkerHeartbeat:
-		a.queue, a.closeAbovePercent = s.heartbeats, closeWorkersAbovePercent
+		limits.queue, limits.closeAbovePercent = s.heartbeats, closeWorkersAbovePercent
 	case controller.OpPeerHeartbeat:
-		a.queue, a.closeAbovePercent = s.heartbeats, neverClosePercent
+		limits.queue, limits.closeAbovePercent = s.heartbeats, neverClosePercent
 	case controller.OpForwardedHeartbeat:
-		a.queue, a.closeAbovePercent = s.heartbeats, neverClosePercent
-		a.maxBodyBytes += forwardingOverheadBytes
+		limits.queue, limits.closeAbovePercent = s.heartbeats, neverClosePercent
+		limits.maxBodyBytes += forwardingOverheadBytes
 	case controller.OpProbe:
-		a.queue, a.closeAbovePercent = s.heartbeats, neverClosePercent
-		a.maxBodyBytes = membership.MaxMessageBytes
+		limits.queue, limits.closeAbovePercent = s.heartbeats, neverClosePercent
+		limits.maxBodyBytes = membership.MaxMessageBytes
 	case controller.OpRelay:
-		a.closeAbovePercent = neverClosePercent
-		a.maxBodyBytes += forwardingOverheadBytes
+		limits.closeAbovePercent = neverClosePercent
+		limits.maxBodyBytes += forwardingOverheadBytes
 	}
-	return a
+	return limits
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -28,8 +28,8 @@
 	core Core
 	log  *slog.Logger
 	// stateResults holds the state service's responses, which have priority over all other responses: after a failover,
-	// thousands of workers respond at the same time. In a shared queue, the response to the lease renewal has waited
-	// behind theirs until the new leader lost its lease.
+	// thousands of workers respond at the same time. When all responses shared one queue, the response to a lease
+	// renewal waited behind those of the workers until the new leader had lost its lease.
 	stateResults chan controller.Event
 	// results holds the responses of workers, the cloud and other controllers.
 	results chan controller.Event
@@ -41,7 +41,7 @@
 	clientListener *connLimiter
 	shedding       loadShedding
 	clients        map[controller.Target]*http.Client
-	start          time.Time
+	startTime      time.Time
 	// metrics handles GET /metrics at peer_listen. If it is nil, the route does not exist.
 	metrics http.Handler
 	// shutdownCalls counts the in-flight requests that sendShutdownCalls has started.
@@ -55,21 +55,21 @@
 		cfg:          cfg,
 		core:         core,
 		log:          log,
-		stateResults: make(chan controller.Event, stateResultQueue),
+		stateResults: make(chan controller.Event, stateResultQueueSize),
 		results:      make(chan controller.Event, maxSockets),
 		// A process with a slow share of a CPU core still answers a full queue within about a second. Requests
 		// beyond the capacity are rejected immediately.
-		requests: make(chan pendingRequest, max(minRequestQueue, maxSockets/4)),
+		requests: make(chan pendingRequest, max(minRequestQueueSize, maxSockets/4)),
 		// Each worker waits for one response at a time, so the connection limit bounds the number of queued
 		// heartbeats.
-		heartbeats: make(chan pendingRequest, max(minRequestQueue, maxSockets/2)),
+		heartbeats: make(chan pendingRequest, max(minRequestQueueSize, maxSockets/2)),
 		clients:    newClients(cfg),
-		start:      time.Now(),
+		startTime:  time.Now(),
 	}
 }
 
 // Start returns the time at which the core's steady clock is zero.
-func (s *Server) Start() time.Time { return s.start }
+func (s *Server) Start() time.Time { return s.startTime }
 
 // ServeMetrics sets the handler of GET /metrics at peer_listen. It must be called before Run.
 func (s *Server) ServeMetrics(handler http.Handler) { s.metrics = handler }
@@ -77,36 +77,36 @@
 // Run serves until ctx is cancelled, and then sends the core's last requests. It returns an error if it cannot listen,
 // or if a listener fails while the server runs.
 func (s *Server) Run(ctx context.Context) error {
-	ctx, stop := context.WithCancel(ctx)
-	defer stop()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	maxSockets := s.cfg.Cluster.Resources.FDs
-	clients, err := listen(s.cfg.ClientListen, maxSockets*clientConnPercent/100)
+	clientListener, err := listen(s.cfg.ClientListen, maxSockets*inboundClientConnPercent/100)
 	if err != nil {
 		return fmt.Errorf("client_listen: %w", err)
 	}
-	s.clientListener = clients
-	peers, err := listen(s.cfg.PeerListen, maxSockets*peerConnPercent/100)
+	s.clientListener = clientListener
+	peerListener, err := listen(s.cfg.PeerListen, maxSockets*inboundPeerConnPercent/100)
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	failed := make(chan error, 2) // one slot for each listener, so neither blocks on sending its error
-	defer s.serveAt(clients, s.clientRoutes(), failed)()
-	defer s.serveAt(peers, s.peerRoutes(), failed)()
-	calls, stopCalls := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopCalls()
+	serveErrors := make(chan error, 2) // one slot for each listener, so neither blocks on sending its error
+	defer s.startHTTPServer(clientListener, s.clientRoutes(), serveErrors)()
+	defer s.startHTTPServer(peerListener, s.peerRoutes(), serveErrors)()
+	callCtx, cancelCalls := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelCalls()
 	loopEnded := make(chan struct{})
-	go s.loop(ctx, calls, loopEnded)
+	go s.runEventLoop(ctx, callCtx, loopEnded)
 	select {
 	case <-ctx.Done():
 		s.awaitGracefulShutdown(loopEnded)
 		return nil
-	case err := <-failed:
+	case err := <-serveErrors:
 		return err
 	}
 }
 
-// serveAt starts an HTTP server and returns a function that closes the server and its connections.
-func (s *Server) serveAt(listener *connLimiter, handler http.Handler, failed chan<- error) (closeServer func()) {
+// startHTTPServer starts an HTTP server and returns a function that closes the server and its connections.
+func (s *Server) startHTTPServer(listener *connLimiter, handler http.Handler, serveErrors chan<- error) (closeServer func()) {
 	lease := s.cfg.WorkerLease()
 	server := &http.Server{
 		Handler:           handler,
@@ -118,7 +118,7 @@
 		ConnState:         listener.trackState,
 		ErrorLog:          slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
 	}
-	go func() { failed <- server.Serve(listener) }()
+	go func() { serveErrors <- server.Serve(listener) }()
 	return func() {
 		if err := server.Close(); err != nil {
 			s.log.Debug("failed to close HTTP server", "addr", listener.Addr(), "err", err)
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -13,10 +13,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// echo is a core that replies to every request with the request's operation and job UID.
-type echo struct{}
+// echoCore is a core that replies to every request with the request's operation and job UID.
+type echoCore struct{}
 
-func (echo) Handle(_ controller.Clock, event controller.Event) []controller.Effect {
+func (echoCore) Handle(_ controller.Clock, event controller.Event) []controller.Effect {
 	if request, ok := event.(controller.Request); ok {
 		body := []byte(string(request.Op) + " " + request.UID)
 		return []controller.Effect{controller.Reply{ID: request.ID, Status: http.StatusOK, Body: body}}
@@ -29,10 +29,10 @@
 	cfg := &config.Config{}
 	cfg.Cluster.Workers = config.Workers{HeartbeatS: 1, LeaseS: 10, CancelS: 35}
 	cfg.Cluster.Resources.FDs = 64
-	return New(cfg, echo{}, slog.New(slog.DiscardHandler))
+	return New(cfg, echoCore{}, slog.New(slog.DiscardHandler))
 }
 
-func send(h http.Handler, method, path string, body []byte) *httptest.ResponseRecorder {
+func sendRequest(h http.Handler, method, path string, body []byte) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader(body)))
 	return w
@@ -41,9 +41,9 @@
 // runLoop runs the server's event loop until the test ends.
 func runLoop(t *testing.T, server *Server) {
 	t.Helper()
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	go server.loop(ctx, ctx, make(chan struct{}))
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	go server.runEventLoop(ctx, ctx, make(chan struct{}))
 }
 
 func TestRoutes(t *testing.T) {
@@ -67,14 +67,14 @@
 		{"wrong method", clients, http.MethodGet, "/api/jobs", http.StatusMethodNotAllowed, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := send(tc.handler, tc.method, tc.path, nil)
+			w := sendRequest(tc.handler, tc.method, tc.path, nil)
 			if w.Code != tc.status || (tc.body != "" && w.Body.String() != tc.body) {
 				t.Errorf("%s %s: status %d, body %q", tc.method, tc.path, w.Code, w.Body)
 			}
 		})
 	}
 	t.Run("oversized body", func(t *testing.T) {
-		if w := send(clients, http.MethodPost, "/api/jobs", make([]byte, protocol.MaxBodyBytes+1)); w.Code != http.StatusBadRequest {
+		if w := sendRequest(clients, http.MethodPost, "/api/jobs", make([]byte, protocol.MaxBodyBytes+1)); w.Code != http.StatusBadRequest {
 			t.Errorf("oversized body: status %d", w.Code)
 		}
 	})
