--- a/cmd/claybarrow/check.go
+++ b/cmd/claybarrow/check.go
@@ -9,7 +9,8 @@
 
 type checkCmd struct{ settingsFlags }
 
-// Run reads the settings as Serve would. Warnings go to the standard error and are no error.
+// Run loads and validates the settings in the same way as the serve command. It prints warnings to standard error;
+// warnings do not make the command fail.
 func (c checkCmd) Run() error {
 	cfg, err := config.Load(c.Config, c.Operator)
 	if err != nil {
@@ -18,7 +19,7 @@
 	for _, warning := range cfg.Warnings() {
 		fmt.Fprintln(os.Stderr, "claybarrow: warning:", warning)
 	}
-	if _, err := logLevel(os.Getenv(logLevelVariable)); err != nil {
+	if _, err := parseLogLevel(os.Getenv(logLevelEnvVar)); err != nil {
 		return err
 	}
 	fmt.Println("settings are in order")
--- a/cmd/claybarrow/log.go
+++ b/cmd/claybarrow/log.go
@@ -6,11 +6,11 @@
 	"log/slog"
 )
 
-// logLevelVariable is the environment variable of the log level.
-const logLevelVariable = "LOG_LEVEL"
+// logLevelEnvVar is the name of the environment variable that sets the log level.
+const logLevelEnvVar = "LOG_LEVEL"
 
-// logLevel returns the level that a value of LOG_LEVEL names; an empty one is info.
-func logLevel(value string) (slog.Level, error) {
+// parseLogLevel parses a value of LOG_LEVEL. An empty value means info.
+func parseLogLevel(value string) (slog.Level, error) {
 	switch value {
 	case "error":
 		return slog.LevelError, nil
@@ -19,11 +19,11 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	default:
-		return 0, fmt.Errorf("%s: %q is not error, info or debug", logLevelVariable, value)
+		return 0, fmt.Errorf("%s: %q is not error, info or debug", logLevelEnvVar, value)
 	}
 }
 
-// newLogger returns a logger that marks each line with the controller's label.
+// newLogger returns a logger that adds the controller's label to each line.
 func newLogger(w io.Writer, level slog.Level, label string) *slog.Logger {
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level})).With("node", label)
 }
--- a/cmd/claybarrow/serve.go
+++ b/cmd/claybarrow/serve.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// heapShare is the share of the process's memory from which on the garbage collector works
-	// harder. The rest is for stacks, the binary and what the kernel holds for sockets.
-	heapShare   = 0.6
-	bytesPerMiB = 1 << 20
-	// telemetryCloseTimeout bounds the writing of the last spans.
+	// heapFraction is the fraction of the process's memory that is set as the Go runtime's soft memory limit. The rest is
+	// left for stacks, the binary and the kernel's socket buffers.
+	heapFraction = 0.6
+	bytesPerMiB  = 1 << 20
+	// telemetryCloseTimeout bounds the time for writing the last spans.
 	telemetryCloseTimeout = 2 * time.Second
 )
 
 type serveCmd struct{ settingsFlags }
 
-// Run serves until the process is told to end by SIGINT or SIGTERM.
+// Run runs a controller until the process receives SIGINT or SIGTERM.
 func (c serveCmd) Run() error {
 	cfg, err := config.Load(c.Config, c.Operator)
 	if err != nil {
 		return err
 	}
-	level, err := logLevel(os.Getenv(logLevelVariable))
+	level, err := parseLogLevel(os.Getenv(logLevelEnvVar))
 	if err != nil {
 		return err
 	}
@@ -60,17 +60,17 @@
 	return server.Run(ctx)
 }
 
-// limitRuntime fits the Go runtime to what the process may use.
+// limitRuntime limits the Go runtime's threads and memory to the process's resources.
 func limitRuntime(resources config.Resources) {
-	// The process has a share of one core: more threads only add switches.
+	// The process has a share of one CPU core, so more threads would only add context switches.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(resources.MemMB * heapShare * bytesPerMiB))
+	debug.SetMemoryLimit(int64(resources.MemMB * heapFraction * bytesPerMiB))
 }
 
 func closeTelemetry(recorder *telemetry.Recorder, log *slog.Logger) {
-	ctx, stop := context.WithTimeout(context.Background(), telemetryCloseTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), telemetryCloseTimeout)
+	defer cancel()
 	if err := recorder.Close(ctx); err != nil {
-		log.Error("trace spans lost", "err", err)
+		log.Error("failed to close telemetry; trace spans may be lost", "err", err)
 	}
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -10,24 +10,23 @@
 	"claybarrow/internal/membership"
 )
 
-// ServeHTTP answers with the metrics in the Prometheus text format.
+// ServeHTTP responds with the metrics in the Prometheus text format.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	r.set.WritePrometheus(w)
+	r.metricSet.WritePrometheus(w)
 }
 
 func (r *Recorder) setGauge(name string, value float64) {
-	r.set.GetOrCreateGauge(name, nil).Set(value)
+	r.metricSet.GetOrCreateGauge(name, nil).Set(value)
 }
 
-func (r *Recorder) count(name string) { r.set.GetOrCreateCounter(name).Inc() }
+func (r *Recorder) incrementCounter(name string) { r.metricSet.GetOrCreateCounter(name).Inc() }
 
 func (r *Recorder) observeSeconds(name string, d time.Duration) {
-	r.set.GetOrCreateHistogram(name).Update(d.Seconds())
+	r.metricSet.GetOrCreateHistogram(name).Update(d.Seconds())
 }
 
-// DetectorSampled records the state of the failure detector: its local health (0: healthy) and its
-// counters.
+// DetectorSampled records the failure detector's local health (0 is healthy) and its counters.
 func (r *Recorder) DetectorSampled(health int, counters membership.Counters) {
 	r.setGauge("claybarrow_observer_health", float64(health))
 	for name, value := range map[string]uint64{
@@ -46,31 +45,32 @@
 		"bytes_received":    counters.BytesReceived,
 		"probes_for_others": counters.ProbesForPeers,
 	} {
-		r.set.GetOrCreateCounter("claybarrow_membership_" + name + "_total").Set(value)
+		r.metricSet.GetOrCreateCounter("claybarrow_membership_" + name + "_total").Set(value)
 	}
 }
 
-// MemberChanged records a change of another controller's state: 0 alive, 1 suspect, 2 dead, 3 left.
+// MemberChanged records a change of another controller's membership state: 0 alive, 1 suspect, 2 dead, 3 left.
 func (r *Recorder) MemberChanged(change membership.StateChange) {
 	if gauge := r.memberStates[change.Label]; gauge != nil {
 		gauge.Set(float64(change.To))
 	}
-	r.count(fmt.Sprintf(`claybarrow_member_changes_total{controller=%q,to=%q}`, change.Label, change.To))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_member_changes_total{controller=%q,to=%q}`, change.Label, change.To))
 }
 
-// PeerMessageDropped counts a message of another controller that was refused.
+// PeerMessageDropped counts a rejected message of another controller, by the reason for the rejection.
 func (r *Recorder) PeerMessageDropped(drop membership.DroppedMessage) {
 	reason := strings.ReplaceAll(string(drop.Reason), " ", "_")
-	r.count(fmt.Sprintf(`claybarrow_messages_dropped_total{reason=%q}`, reason))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_messages_dropped_total{reason=%q}`, reason))
 }
 
-// countGateChange sets the feature gate's state: 0 closed, 1 opening, 2 open, 3 closing.
-func (r *Recorder) countGateChange(change controller.GateChange) {
+// recordGateMetrics sets the gauge of the feature gate's state (0 closed, 1 opening, 2 open, 3 closing) and counts the
+// change.
+func (r *Recorder) recordGateMetrics(change controller.GateChange) {
 	r.setGauge("claybarrow_feature_gate_state", float64(change.To))
-	r.count(fmt.Sprintf(`claybarrow_feature_gate_changes_total{to=%q}`, change.To))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_feature_gate_changes_total{to=%q}`, change.To))
 }
 
-// JournalSized records what the journal of task completions holds.
+// JournalSized records the size of the journal of task completions.
 func (r *Recorder) JournalSized(size controller.JournalSize) {
 	for name, value := range map[string]int{
 		"values":     size.Values,
@@ -84,25 +84,25 @@
 
 // MachineRedirected counts a machine that was redirected to another controller.
 func (r *Recorder) MachineRedirected(_, to string) {
-	r.count(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to))
+	r.incrementCounter(fmt.Sprintf(`claybarrow_machines_sent_total{to=%q}`, to))
 }
 
-// RequestRerouted counts a request that reached the leader by way of another controller.
-func (r *Recorder) RequestRerouted() { r.count("claybarrow_requests_detoured_total") }
+// RequestRerouted counts a request that was sent to the leader through another controller.
+func (r *Recorder) RequestRerouted() { r.incrementCounter("claybarrow_requests_detoured_total") }
 
-// RequestRetried counts a request to the leader that was sent once more.
-func (r *Recorder) RequestRetried() { r.count("claybarrow_requests_retried_total") }
+// RequestRetried counts a retry of a request to the leader.
+func (r *Recorder) RequestRetried() { r.incrementCounter("claybarrow_requests_retried_total") }
 
-// ProcessResumed records that the process did nothing for some time, and whether it led then.
-func (r *Recorder) ProcessResumed(stoodStill time.Duration, led bool) {
-	r.count(fmt.Sprintf(`claybarrow_standstills_total{led="%t"}`, led))
-	r.observeSeconds("claybarrow_standstill_seconds", stoodStill)
+// ProcessResumed records the length of a process pause and whether the controller was the leader before it.
+func (r *Recorder) ProcessResumed(pause time.Duration, wasLeader bool) {
+	r.incrementCounter(fmt.Sprintf(`claybarrow_standstills_total{led="%t"}`, wasLeader))
+	r.observeSeconds("claybarrow_standstill_seconds", pause)
 }
 
-// countFailover records how long the steps of a change of leader took. A step whose begin or end
-// is unknown is left out.
-func (r *Recorder) countFailover(failover controller.Failover) {
-	r.count("claybarrow_handovers_total")
+// recordFailoverMetrics counts a failover and records the durations of its load and election steps. A step is omitted
+// if its start or end is unknown.
+func (r *Recorder) recordFailoverMetrics(failover controller.Failover) {
+	r.incrementCounter("claybarrow_handovers_total")
 	if failover.Loaded > 0 {
 		r.observeSeconds("claybarrow_handover_load_seconds", failover.Loaded-failover.Elected)
 	}
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -20,7 +20,7 @@
 	traceFileMode = 0o644
 )
 
-// openTraces appends spans to a file, with this controller's label as the instance's ID.
+// openTraces sets up the tracer, which appends spans to a file. The controller's label is the service instance ID.
 func (r *Recorder) openTraces(path, label string) error {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, traceFileMode)
 	if err != nil {
@@ -40,32 +40,32 @@
 	return nil
 }
 
-// at is a reading of the controller's steady clock as a time of day.
-func (r *Recorder) at(reading time.Duration) trace.SpanEventOption {
-	return trace.WithTimestamp(r.start.Add(reading))
+// timestamp converts a reading of the controller's steady clock to a span timestamp.
+func (r *Recorder) timestamp(reading time.Duration) trace.SpanEventOption {
+	return trace.WithTimestamp(r.startTime.Add(reading))
 }
 
-// traceFailover writes a span from the suspicion (or the end of the former leader's key) to the
-// first placement, with its steps as children.
+// traceFailover writes a span with a child span for each step of a failover. The span lasts from the start of the first
+// step to the end of the last one.
 func (r *Recorder) traceFailover(failover controller.Failover) {
 	if r.tracer == nil {
 		return
 	}
 	steps := failover.Steps()
-	ctx, span := r.tracer.Start(context.Background(), "handover", r.at(steps[0].From), trace.WithAttributes(
+	ctx, span := r.tracer.Start(context.Background(), "handover", r.timestamp(steps[0].From), trace.WithAttributes(
 		attribute.Int64("token", int64(failover.Token)),
 		attribute.String("former", failover.FormerLeader),
 		attribute.Int("jobs", failover.Jobs),
 		attribute.Int("machines", failover.Machines),
 		attribute.Int("records_read_ahead", failover.Preloaded)))
 	for _, step := range steps {
-		_, child := r.tracer.Start(ctx, step.Name, r.at(step.From))
-		child.End(r.at(step.To))
+		_, child := r.tracer.Start(ctx, step.Name, r.timestamp(step.From))
+		child.End(r.timestamp(step.To))
 	}
-	span.End(r.at(steps[len(steps)-1].To))
+	span.End(r.timestamp(steps[len(steps)-1].To))
 }
 
-// traceGateChange writes a span of no length with the reason and what every controller stated.
+// traceGateChange writes a span of zero duration with the reason and the statements of the other controllers.
 func (r *Recorder) traceGateChange(change controller.GateChange) {
 	if r.tracer == nil {
 		return
@@ -79,6 +79,6 @@
 	for label, statement := range change.Statements {
 		attributes = append(attributes, attribute.String("statement."+label, statement))
 	}
-	_, span := r.tracer.Start(context.Background(), "feature gate", r.at(change.At), trace.WithAttributes(attributes...))
-	span.End(r.at(change.At))
+	_, span := r.tracer.Start(context.Background(), "feature gate", r.timestamp(change.At), trace.WithAttributes(attributes...))
+	span.End(r.timestamp(change.At))
 }
