--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -2,44 +2,44 @@
 
 import "claybarrow/internal/statestore"
 
-// attemptNumbers allocates attempt numbers. They are unique for ever and grow: the high bits are a fencing
-// token, the low bits count within the block of that token.
+// attemptNumbers allocates attempt numbers. They are never reused and increase over time: the high bits are a fencing
+// token, and the low bits are a sequence number within the block of that token.
 //
-// A leadership that starts more attempts than a block has numbers, which 4,000 workers at 420 starts a second do
-// in eleven hours, reserves the next block: it raises the counter of tokens, so that no leader ever gets the
-// token whose numbers it uses. Its own token, which the workers know, stays as it is.
+// A leadership that starts more attempts than a block has numbers, as 4,000 workers at 420 starts per second do in
+// eleven hours, reserves the next block. It increments the token counter, so that the token of the reserved block is
+// never assigned to a leader. The leadership's own fencing token, which the workers check, does not change.
 //
-// It owns the blocks of its leadership. A successor begins with the block of its own token.
+// It owns the blocks of its leadership. A successor starts with the block of its own token.
 type attemptNumbers struct {
 	env       *environment
 	lease     *leaderLease
 	placement *taskScheduler
 	store     *statestore.Writer
 
-	block     uint64 // the token of the block in use, which no other leader can get
-	used      uint64 // how many numbers of the block were taken
-	next      uint64 // the token of the next block; 0: none is durably reserved
-	reserving bool   // a reservation is under way
+	block     uint64 // token of the current block, which is never assigned to another leader
+	used      uint64 // count of allocated numbers of the current block
+	next      uint64 // token of the next block; 0: no block is durably reserved
+	reserving bool   // a reservation is in progress
 }
 
 const (
-	// attemptBlockBits is how many low bits of an attempt number count within a block.
+	// attemptBlockBits is the number of low bits of an attempt number that hold the sequence number in its block.
 	attemptBlockBits = 24
-	// attemptsPerBlock is how many numbers a block has: 0 is not used.
+	// attemptsPerBlock is the number of attempt numbers in a block. Sequence number 0 is not used.
 	attemptsPerBlock = 1<<attemptBlockBits - 1
-	// reserveBelow is how many numbers are left when the next block is reserved: half of a block.
+	// reserveBelow is the remaining count at which the next block is reserved: half of a block.
 	reserveBelow = 1 << (attemptBlockBits - 1)
-	// minNumbersLeft is how many numbers must be left for a placement round to begin: more than any round takes.
+	// minNumbersLeft is the remaining count that a placement round requires: more than any round allocates.
 	minNumbersLeft = 1 << 20
 )
 
-// left is how many numbers of the block are left.
+// left returns the remaining count of numbers in the current block.
 func (n *attemptNumbers) left() uint64 { return attemptsPerBlock - n.used }
 
-// enough reports whether a placement round can get as many numbers as it may take.
+// enough reports whether enough numbers are available for a placement round.
 func (n *attemptNumbers) enough() bool { return n.next != 0 || n.left() >= minNumbersLeft }
 
-// take returns the next number.
+// take allocates the next attempt number.
 func (n *attemptNumbers) take() uint64 {
 	if n.left() == 0 {
 		n.block, n.used, n.next = n.next, 0, 0
@@ -48,8 +48,8 @@
 	return n.block<<attemptBlockBits | n.used
 }
 
-// reserveBlock reserves the next block once half of this one is used. Placement, which may have waited for
-// it, goes on as soon as the reservation is durable.
+// reserveBlock reserves the next block once half of the current one is used. Placement, which may be waiting for the
+// block, is triggered when the reservation is durable.
 func (n *attemptNumbers) reserveBlock() {
 	if n.reserving || n.next != 0 || n.left() > reserveBelow {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,13 +8,13 @@
 	"claybarrow/internal/config"
 )
 
-// Controller owns all state of a controller. It is not safe for concurrent use: one goroutine hands it the
+// Controller owns all state of a controller. It is not safe for concurrent use: a single goroutine must pass it the
 // events, one at a time.
 type Controller struct {
-	// leadership is what this controller knows and does as the leader; nil while it does not lead.
+	// leadership is the state of this controller as the leader; nil while it is not the leader.
 	leadership *leadership
 
-	// The components that every controller has for as long as its process runs.
+	// The components that exist for the lifetime of the process, whether this controller is the leader or not.
 	env       *environment
 	outbox    *outbox
 	catalog   *machineCatalog
@@ -27,8 +27,7 @@
 	detection *failureDetection
 }
 
-// New returns a controller that knows nothing yet. All its random numbers come from rng, so that a run can be
-// repeated.
+// New returns a controller in its initial state. All its random numbers come from rng, so that runs are reproducible.
 func New(cfg *config.Config, rng *rand.Rand, log *slog.Logger) *Controller {
 	incarnation := fmt.Sprintf("%016x", rng.Uint64())
 	env := &environment{cfg: cfg, rng: rng, log: log, observer: noObserver{}, incarnation: incarnation}
@@ -49,8 +48,7 @@
 	return c
 }
 
-// wire connects the components with those that they need. The components of a leadership are connected in
-// wiring.go.
+// wire sets the components' references to one another. The components of a leadership are wired in wiring.go.
 func (c *Controller) wire() {
 	env, outbox := c.env, c.outbox
 	outbox.pause = c.pause
@@ -76,11 +74,11 @@
 	c.detection.follower, c.detection.preparer = c.follower, c.preparer
 }
 
-// Observe sets the observer of this controller. It must be called before the first event is handled.
+// Observe sets the observer of this controller. It must be called before the first call of Handle.
 func (c *Controller) Observe(observer Observer) { c.env.observer = observer }
 
-// Handle takes one event, with the clocks' reading of this moment, and returns the effects to carry out, in
-// their order. Steady times must not go back; one that does counts as the last one.
+// Handle processes one event and returns the effects to carry out, in order. at is the current reading of the clocks.
+// If its monotonic time is lower than that of an earlier event, the earlier time is used.
 func (c *Controller) Handle(at Clock, event Event) []Effect {
 	paused := c.pause.detectPause(at.Steady - c.env.now)
 	c.env.now, c.env.wall = max(c.env.now, at.Steady), at.Wall
@@ -104,8 +102,7 @@
 	return c.outbox.effects
 }
 
-// tick does what is due with time alone. The leader's own work comes last, as it depends on all that
-// precedes it.
+// tick runs the periodic work. The leadership's tick comes last because it depends on the results of the other steps.
 func (c *Controller) tick() {
 	c.pending.expire()
 	c.relay.runRetries()
@@ -119,8 +116,8 @@
 	}
 }
 
-// becomeLeader begins the leadership of the candidate whose election has been stored; version is that of the
-// leader key.
+// becomeLeader starts this controller's leadership after its election transaction was applied; version is the version
+// of the leader key.
 func (c *Controller) becomeLeader(record *leaderRecord, version uint64) {
 	candidate := c.election.candidate
 	c.election.candidate = nil
@@ -132,8 +129,8 @@
 	c.leadership.loader.loadState()
 }
 
-// endLeadership ends this controller's leadership, if there is one, and refuses all requests that wait for it.
-// Callbacks of calls that are under way find the leadership marked as ended.
+// endLeadership ends this controller's leadership, if there is one, and rejects all pending requests. Callbacks of
+// calls still in flight find the leadership marked as ended.
 func (c *Controller) endLeadership(reason endReason) {
 	l := c.leadership
 	if l == nil {
@@ -143,15 +140,15 @@
 	l.lease.ended = true
 	c.leadership = nil
 	c.pending.refuseAll()
-	// What else is known of the leadership keys may be out of date: list them before acting on them.
+	// The copy of the leader keys may be out of date, so they are listed again before they are used.
 	keys := &c.election.leaderKeys
 	keys.leader, keys.leaderlessSince = nil, c.env.now
 	keys.refresh(c.env.now)
 }
 
-// shutDown ends in good order: a leader revokes its lease, so that another controller can be elected at once,
-// and the failure detectors of the others are told. Without failure detection the process just ends, as
-// earlier versions did.
+// shutDown performs a graceful shutdown: a leader revokes its lease, so that another controller can be elected
+// immediately, and the failure detector announces to the other controllers that this one leaves. If failure detection
+// is disabled, it does nothing, as in earlier versions.
 func (c *Controller) shutDown() {
 	if !c.detection.enabled() {
 		return
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -12,8 +12,8 @@
 
 // election watches the leader keys in the state service and campaigns when there is no leader.
 //
-// It owns what this controller knows of the leader keys, its candidacy and its backoff. It belongs to the
-// process, not to a leadership, and so survives each failover; a process pause drops the candidacy.
+// It owns this controller's copy of the leader keys, its candidacy and its election back-off. Its lifetime is that
+// of the process, so it persists across failovers. A process pause discards the candidacy.
 type election struct {
 	controller *Controller
 	detection  *failureDetection
@@ -23,51 +23,51 @@
 
 	leaderKeys leaderKeys
 	candidate  *candidate
-	// electionBackoffUntil is the time until which the other controllers get the chance to lead. It is set
-	// when this controller shuts down, or gives up its leadership as it can't reach the workers.
+	// electionBackoffUntil is the time until which this controller does not campaign, so that another one can be
+	// elected. It is set when this controller shuts down, and when it steps down because it can't reach the workers.
 	electionBackoffUntil time.Duration
 }
 
-// candidate is one attempt to become leader.
+// candidate is the state of this controller's candidacy: its lease and the request in flight.
 type candidate struct {
-	leaseID      uint64        // 0: there is no lease
+	leaseID      uint64        // 0: the candidate holds no lease
 	leaseAskedAt time.Duration // when the request that acquired or last renewed the lease was sent
-	retryAt      time.Duration // no request before this time, after one that failed
-	inFlight     bool          // a request is under way
+	retryAt      time.Duration // earliest time of the next request after a failed one
+	inFlight     bool          // a request is in flight
 }
 
 // Fractions and multiples of the leader's lease (config.LeaderLease) in an election.
 const (
-	// stateCallTimeoutDivisor bounds the wait for one answer of the state service to half of the lease, so
-	// that a request whose answer is lost can be repeated within it.
+	// stateCallTimeoutDivisor: a call to the state service times out after half of the lease, so that a request
+	// whose response is lost can be retried within the same lease.
 	stateCallTimeoutDivisor = 2
-	// watchBlockLeases is how long the state service may keep a watch open without an event. One more
-	// lease is allowed for the answer.
+	// watchBlockLeases is the number of leases for which the state service may hold a watch open without an event.
+	// The response may take one more lease.
 	watchBlockLeases = 4
-	// campaignLeaseDivisor: a candidate campaigns only with a lease that was asked for in the last half of
-	// a lease, as the new leadership counts its lease from then.
+	// campaignLeaseDivisor: a candidate campaigns only if its lease was requested or renewed within the last half
+	// of a lease, because the new leadership counts the lease from the time of that request.
 	campaignLeaseDivisor = 2
-	// candidateRenewalDivisor: a candidate renews its lease after a third of it.
+	// candidateRenewalDivisor: a candidate renews its lease after a third of the lease.
 	candidateRenewalDivisor = 3
-	// backoffLeaseDivisor: a backoff ends early when nobody has led for a fifth of a worker's lease
-	// (config.Lease), long before the workers would lose theirs.
+	// backoffLeaseDivisor: the back-off ends early when there has been no leader for a fifth of the workers' lease
+	// (config.WorkerLease), long before the workers' leases expire.
 	backoffLeaseDivisor = 5
 )
 
-// leaderKeysLimit bounds the list of the leader keys, of which there are three at the most.
+// leaderKeysLimit is the limit of a list request for the leader keys, of which there are at most three.
 const leaderKeysLimit = 10
 
-// candidateLeaseMaxAge is the age at which a candidate's lease is not renewed any more but replaced: by the
-// time the renewal arrived it might have expired.
+// candidateLeaseMaxAge is the age beyond which a candidate replaces its lease instead of renewing it: the lease
+// might expire before the renewal arrives.
 func candidateLeaseMaxAge(ttl time.Duration) time.Duration { return ttl * 2 / 3 }
 
-// stateCallTimeout is how long an election waits for an answer of the state service.
+// stateCallTimeout is the timeout of the election's calls to the state service, except for a watch.
 func (e *election) stateCallTimeout() time.Duration {
 	return e.env.cfg.LeaderLease() / stateCallTimeoutDivisor
 }
 
-// watchLeaderKeys campaigns when there is no leader, and keeps what is known of the leader keys current: it
-// lists them once and then watches them from the revision of the list.
+// watchLeaderKeys campaigns if there is no leader, and keeps the copy of the leader keys up to date: it lists the
+// keys once and then watches them from the revision of that list.
 func (e *election) watchLeaderKeys() {
 	if e.shouldCampaign() {
 		e.campaign()
@@ -83,21 +83,21 @@
 	}
 }
 
-// shouldCampaign reports whether there is no leader and it is this controller's turn to become one.
+// shouldCampaign reports whether there is no leader and this controller may campaign now.
 func (e *election) shouldCampaign() bool {
 	return e.controller.leadership == nil && e.leaderKeys.known && e.leaderKeys.leader == nil &&
 		!e.backsOffElection() && e.mayCampaign() && e.supportsStoredVersion()
 }
 
-// mayReadLeaderKeys reports whether the keys can be listed or watched now. A leader does not watch them:
-// each of its writes has the leader key's version as a condition.
+// mayReadLeaderKeys reports whether the leader keys may be listed or watched now. A leader does not watch them,
+// because each of its writes is conditional on the version of the leader key.
 func (e *election) mayReadLeaderKeys() bool {
 	keys := &e.leaderKeys
 	return !keys.inFlight && e.env.now >= keys.retryAt && e.controller.leadership == nil &&
 		e.outbox.stateRequests.Allows(e.env.now, 1)
 }
 
-// listLeaderKeys requests all leader keys.
+// listLeaderKeys sends a list request for all leader keys.
 func (e *election) listLeaderKeys() {
 	current := e.leaderKeysRequest()
 	e.outbox.state.List(keyPrefix, "", leaderKeysLimit, e.stateCallTimeout(), func(page stateclient.Page, err error) {
@@ -107,8 +107,8 @@
 	})
 }
 
-// followLeaderKeys requests the changes of the leader keys after the revision that is known. The state
-// service answers at the first change, or without any after watchBlockLeases.
+// followLeaderKeys sends a watch request for changes of the leader keys after the known revision. The state service
+// responds at the first change, or with no events after watchBlockLeases.
 func (e *election) followLeaderKeys() {
 	ttl := e.env.cfg.LeaderLease()
 	block := watchBlockLeases * ttl
@@ -120,9 +120,9 @@
 	})
 }
 
-// leaderKeysRequest begins a request for the leader keys. The function that it returns ends the request when
-// its answer is there, and reports whether the answer counts: if the keys were refreshed meanwhile, a newer
-// request has replaced this one.
+// leaderKeysRequest registers a list or watch request for the leader keys. The response handler must call the
+// returned function: it marks the request as completed and reports whether the response is current. A response is
+// stale if refresh was called after the request was sent.
 func (e *election) leaderKeysRequest() (current func() bool) {
 	generation := e.leaderKeys.generation
 	return func() bool {
@@ -134,7 +134,7 @@
 	}
 }
 
-// onLeaderKeysListed replaces what is known of the leader keys by a list of them.
+// onLeaderKeysListed replaces the copy of the leader keys with the result of a list request.
 func (e *election) onLeaderKeysListed(page stateclient.Page, err error) {
 	keys := &e.leaderKeys
 	if err != nil {
@@ -151,7 +151,8 @@
 	e.watchLeaderKeys()
 }
 
-// logListFailure logs the first failure in a row: an outage of the state service would fill the log.
+// logListFailure logs only the first of consecutive list failures, so that an outage of the state service does not
+// flood the log.
 func (e *election) logListFailure(status int) {
 	if e.leaderKeys.listFailureLogged {
 		return
@@ -160,8 +161,8 @@
 	e.env.log.Info("listing the leader keys failed", "addr", e.env.cfg.Services.State, "status", status)
 }
 
-// onLeaderKeysChanged applies the changes that a watch returned. A watch that failed may have missed some, so
-// that the keys are listed again.
+// onLeaderKeysChanged applies the events of a watch response. After a failed watch the keys are listed again,
+// because the watch may have missed changes.
 func (e *election) onLeaderKeysChanged(events protocol.WatchReply, err error) {
 	keys := &e.leaderKeys
 	if err != nil {
@@ -180,8 +181,9 @@
 	e.watchLeaderKeys()
 }
 
-// campaign attempts to become leader: it acquires a lease, then sends one transaction that raises the
-// counter and puts the leader key on condition that no other controller did so meanwhile.
+// campaign tries to become the leader: it acquires a lease if the candidate's lease is missing or too old, and then
+// sends one transaction that increments the counter and puts the leader key. The transaction is conditional on the
+// leader keys being unchanged, so it fails if another controller was elected in the meantime.
 func (e *election) campaign() {
 	candidate := e.currentCandidate()
 	if !e.mayCall(candidate) {
@@ -199,7 +201,7 @@
 	e.sendElection(candidate)
 }
 
-// currentCandidate is this controller's candidacy, begun if there is none.
+// currentCandidate returns this controller's candidacy, and creates it if there is none.
 func (e *election) currentCandidate() *candidate {
 	if e.candidate == nil {
 		e.candidate = &candidate{}
@@ -207,12 +209,12 @@
 	return e.candidate
 }
 
-// mayCall reports whether the candidate may send its next request now.
+// mayCall reports whether the candidate may send a request to the state service now.
 func (e *election) mayCall(candidate *candidate) bool {
 	return !candidate.inFlight && e.env.now >= candidate.retryAt && e.outbox.stateRequests.Allows(e.env.now, 1)
 }
 
-// sendElection sends the transaction that makes the candidate the leader.
+// sendElection sends the election transaction of the candidate.
 func (e *election) sendElection(candidate *candidate) {
 	candidate.inFlight = true
 	record := &leaderRecord{
@@ -227,13 +229,13 @@
 	})
 }
 
-// onElectionResult begins the leadership if the transaction applied. A lost race and a lost answer are handled
-// alike: the watch would go on, but a fresh list is needed before the next attempt.
+// onElectionResult starts the leadership if the transaction was applied. A failed condition and a missing response
+// are handled alike: the open watch is abandoned and the keys are listed again before the next attempt.
 func (e *election) onElectionResult(candidate *candidate, record *leaderRecord, revision uint64, err error) {
 	candidate.inFlight = false
 	if e.candidate != candidate || e.controller.leadership != nil {
-		// The watch showed this transaction's key before its answer came. Without this check a process once
-		// became leader twice and crashed.
+		// The candidacy is over: the watch may have delivered the leader key before the response to this
+		// transaction arrived. Without this check a process became leader twice and crashed.
 		return
 	}
 	if err == nil {
@@ -243,18 +245,19 @@
 	}
 	candidate.retryAt = e.env.now + e.env.retryPause()
 	if errors.Is(err, apicall.ErrInvalidRequest) {
-		candidate.leaseID = 0 // it expired before the transaction arrived
+		candidate.leaseID = 0 // the lease expired before the transaction arrived
 	}
 	e.leaderKeys.refresh(e.env.now)
 }
 
-// successorRank is this controller's rank among those that may succeed a leader, 0 being the first.
+// successorRank returns this controller's rank among the candidates to succeed the former leader; 0 is the first.
 func (e *election) successorRank(former string) int {
 	return membership.Rank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.LeaderCandidates(former))
 }
 
-// mayCampaign reports whether it is this candidate's turn: the first by rank campaigns at once, the others one
-// after the other, as all of them at once would cost requests to the state service and gain nothing.
+// mayCampaign reports whether this candidate may campaign yet. The candidate with rank 0 campaigns immediately and
+// the others follow at a fixed spacing: simultaneous campaigns would cost requests to the state service without
+// making the election faster.
 func (e *election) mayCampaign() bool {
 	if !e.detection.enabled() {
 		return true
@@ -264,7 +267,8 @@
 	return e.env.now >= e.leaderKeys.leaderlessSince+time.Duration(rank)*spacing
 }
 
-// maintainCandidateLease keeps a lease ready, so that an election takes one transaction only.
+// maintainCandidateLease acquires and renews a lease ahead of an election, so that the election takes only one
+// transaction.
 func (e *election) maintainCandidateLease() {
 	candidate := e.currentCandidate()
 	if !e.mayCall(candidate) {
@@ -279,7 +283,7 @@
 	}
 }
 
-// acquireLease requests a lease for the candidate; then is called once it is there.
+// acquireLease requests a lease for the candidate, and calls then once the lease is granted.
 func (e *election) acquireLease(candidate *candidate, then func()) {
 	candidate.inFlight = true
 	sent := e.env.now
@@ -311,8 +315,8 @@
 	})
 }
 
-// supportsStoredVersion reports whether this version of the program can read the stored records. One that
-// can't leaves the leadership to the controllers that can.
+// supportsStoredVersion reports whether this version of the program can read the stored records. A controller that
+// can't read them does not campaign.
 func (e *election) supportsStoredVersion() bool {
 	keys := &e.leaderKeys
 	if keys.record == nil || keys.record.storageVersion() <= newestStorageVersion {
@@ -326,7 +330,8 @@
 	return false
 }
 
-// observeLeader evaluates the leader keys after a change: who leads, and whether that concerns this controller.
+// observeLeader updates the current leader from the leader keys after a change. It ends this controller's leadership
+// if a later leader was elected, and handles a leader key that names this controller while it is not the leader.
 func (e *election) observeLeader() {
 	keys := &e.leaderKeys
 	record := keys.currentLeader()
@@ -338,7 +343,7 @@
 		return
 	}
 	if keys.loggedToken != record.Token {
-		// Logged once per token: a partitioned follower lists the keys again every few seconds.
+		// A partitioned follower lists the keys every few seconds, so a leader is logged only once per token.
 		keys.loggedToken = record.Token
 		e.env.log.Info("leader observed", "leader", record.Label, "token", record.Token)
 	}
@@ -351,16 +356,17 @@
 	}
 }
 
-// checkOwnLeadership ends this controller's leadership if the leader key is of a later one. A watch that was
-// open at the election shows this leadership's own key, or that of a successor.
+// checkOwnLeadership ends this controller's leadership if the leader key has a higher token. A watch that was open
+// during the election delivers the key of this leadership or of a successor.
 func (e *election) checkOwnLeadership(record *leaderRecord) {
 	if record.Token > e.controller.leadership.lease.token {
 		e.controller.endLeadership(endLaterLeaderKey)
 	}
 }
 
-// onOwnLeaderRecord handles a leader key that names this controller although it does not lead: either the
-// election's transaction applied and its answer was lost, or the key is of an earlier process.
+// onOwnLeaderRecord handles a leader key that names this controller while it is not the leader. Either its election
+// transaction was applied and the response was lost or is still on its way, or the key was written by an earlier
+// process or for an abandoned candidacy.
 func (e *election) onOwnLeaderRecord(record *leaderRecord) {
 	if record.Incarnation == e.env.incarnation && e.candidate != nil && record.LeaseID == e.candidate.leaseID {
 		e.controller.becomeLeader(record, e.leaderKeys.recordVersion)
@@ -369,8 +375,9 @@
 	e.revokeFormerLease(record.LeaseID)
 }
 
-// revokeFormerLease revokes the lease of an earlier process of this controller, or of an election that was
-// abandoned, so that nobody has to wait for its expiry. That is safe, as the writes under it are fenced.
+// revokeFormerLease revokes the lease of an earlier process of this controller, or of an abandoned candidacy, so that
+// the next election need not wait for the lease to expire. Revoking it is safe because writes by the holder of that
+// lease are fenced.
 func (e *election) revokeFormerLease(lease uint64) {
 	keys := &e.leaderKeys
 	if keys.revokedLease == lease {
@@ -379,14 +386,14 @@
 	keys.revokedLease = lease
 	e.env.log.Info("revoking the lease of an earlier incarnation", "lease", lease)
 	e.outbox.state.RevokeLease(lease, e.stateCallTimeout(), func(err error) {
-		if apicall.IsRetryable(err) { // the lease may still be there
+		if apicall.IsRetryable(err) { // the lease may not have been revoked
 			keys.revokedLease = 0
 			keys.refresh(e.env.now + e.env.retryPause())
 		}
 	})
 }
 
-// backsOffElection reports whether this controller leaves the leadership to others.
+// backsOffElection reports whether this controller refrains from campaigning so that another one can be elected.
 func (e *election) backsOffElection() bool {
 	return e.env.now < e.electionBackoffUntil &&
 		e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.WorkerLease()/backoffLeaseDivisor
--- a/internal/controller/failover_preparation.go
+++ b/internal/controller/failover_preparation.go
@@ -10,11 +10,12 @@
 // failoverPreparer prepares a follower to succeed a suspected leader: it acquires a lease and preloads the
 // stored records ahead of the election.
 //
-// The follower campaigns only once the state service no longer has the leader's key; no controller's suspicion
-// brings that about. What was preloaded is checked after the election against all that has changed since, so
-// that the former leader's last writes are never missed.
+// Suspicion never starts an election: the follower campaigns only after the leader's key in the state service was
+// deleted. After the election, the preloaded records are checked against all later changes, so that the former
+// leader's last writes are never missed.
 //
-// It owns the preparation. At a failover the new leadership takes the preloaded records; the rest is dropped.
+// It owns the preparation. At a failover the new leadership takes over the preloaded records, and the rest of the
+// preparation is discarded.
 type failoverPreparer struct {
 	controller *Controller
 	detection  *failureDetection
@@ -25,36 +26,37 @@
 	preparation failoverPreparation
 }
 
-// failoverPreparation is what a follower has prepared ahead of an election.
+// failoverPreparation is the state that a follower has prepared ahead of an election.
 type failoverPreparation struct {
-	suspectedAt  time.Duration // when the leader was suspected; 0: it is not
+	suspectedAt  time.Duration // when the leader became suspected; 0: the leader is not suspected
 	formerLeader string        // the label of the last leader
 	preload      *recordPreload
 }
 
 // Limits of the preparation and the succession.
 const (
-	// candidateSpacingDivisor: a tenth of the leader's lease passes between the campaigns of two candidates.
+	// candidateSpacingDivisor: the campaigns of consecutive candidates are a tenth of the leader's lease apart.
 	candidateSpacingDivisor = 10
-	// preparingCandidates is how many candidates prepare: the first by rank, and one more in case the first
-	// has failed too.
+	// preparingCandidates is the number of candidates that prepare: the first by rank, and a second one in case the
+	// first has failed too.
 	preparingCandidates = 2
-	// preloadMemoryDivisor bounds the preloaded records to a sixteenth of the memory, counted as encoded.
+	// preloadMemoryDivisor: the encoded size of the preloaded records is limited to a sixteenth of the memory.
 	preloadMemoryDivisor = 16
-	// preloadReserve is the fraction of the burst of requests that preloading leaves to others.
+	// preloadReserve is the fraction of the request burst that preloading leaves to other requests.
 	preloadReserve = 0.5
-	// bytesPerMB converts the configured memory.
+	// bytesPerMB converts the configured memory size to bytes.
 	bytesPerMB = 1 << 20
 )
 
-// prepareFailover prepares while the leader is suspected, and drops what was prepared once it is not.
+// prepareFailover prepares for a failover while the leader is suspected, and discards the preparation once the leader
+// is no longer suspected.
 func (p *failoverPreparer) prepareFailover() {
 	if !p.detection.enabled() || p.controller.leadership != nil {
 		return
 	}
 	leader := p.election.leaderKeys.leader
 	if leader == nil {
-		return // the election is under way
+		return // an election is in progress
 	}
 	preparation := &p.preparation
 	preparation.formerLeader = leader.Label
@@ -63,7 +65,7 @@
 		return
 	}
 	if !p.election.leaderKeys.known {
-		return // the preparation is kept: the keys are listed again now and then
+		return // keep the preparation: the leader keys are being listed again
 	}
 	if preparation.suspectedAt == 0 {
 		preparation.suspectedAt = p.env.now
@@ -74,14 +76,14 @@
 	}
 }
 
-// suspectsLeader reports whether another controller leads that may have failed, and this controller does not
-// leave its succession to others.
+// suspectsLeader reports whether the leader is another controller that is not alive according to the failure
+// detector, and this controller is not backing off from elections.
 func (p *failoverPreparer) suspectsLeader(label string) bool {
 	return label != p.env.cfg.Label && p.detection.peerState(label) != membership.Alive && !p.election.backsOffElection()
 }
 
-// preloadNextPage requests the next page of the records of the leader with a token, if the budget of requests
-// allows.
+// preloadNextPage requests the next page of records to preload, if the request budget allows. token is the token of
+// the suspected leader.
 func (p *failoverPreparer) preloadNextPage(token uint64) {
 	preload := p.preloadOf(token)
 	requests := &p.outbox.stateRequests
@@ -95,7 +97,7 @@
 	})
 }
 
-// preloadOf is the preload of the records of the leader with a token, begun if there is none.
+// preloadOf returns the preload for the leader with the given token, and starts a new one if there is none.
 func (p *failoverPreparer) preloadOf(token uint64) *recordPreload {
 	preparation := &p.preparation
 	if preparation.preload == nil || preparation.preload.token != token {
@@ -104,8 +106,8 @@
 	return preparation.preload
 }
 
-// onPagePreloaded adds a page and requests the next. An unusable answer ends the preload: the records that it
-// lacks are read after the election.
+// onPagePreloaded adds a page to the preload and requests the next page. A failed request ends the preload: the
+// missing records are read after the election.
 func (p *failoverPreparer) onPagePreloaded(preload *recordPreload, page stateclient.Page, err error) {
 	preload.inFlight = false
 	if p.preparation.preload != preload || preload.finished {
@@ -125,12 +127,12 @@
 	}
 }
 
-// preloadLimitBytes is how many bytes of encoded records may be preloaded.
+// preloadLimitBytes returns the maximum encoded size of the preloaded records.
 func (p *failoverPreparer) preloadLimitBytes() int {
 	return int(p.env.cfg.Cluster.Resources.MemMB*bytesPerMB) / preloadMemoryDivisor
 }
 
-// beginFailover begins the trace of the failover to this controller, and resets the preparation.
+// beginFailover returns the trace record of the failover to this controller, and resets the suspicion.
 func (p *failoverPreparer) beginFailover(token uint64) *Failover {
 	preparation := &p.preparation
 	failover := &Failover{
--- a/internal/controller/failover_trace.go
+++ b/internal/controller/failover_trace.go
@@ -2,27 +2,25 @@
 
 import "claybarrow/internal/clusterstate"
 
-// failoverTrace records the steps of the failover to this leadership until its first placement, for the log
-// and the observer.
-//
-// It owns that record. Each leadership has a trace of its own.
+// failoverTrace records the times of the steps of the failover to this leadership, up to its first placement, for the
+// log and the observer. Each leadership has its own trace.
 type failoverTrace struct {
 	env    *environment
 	loader *stateLoader
 	state  *clusterstate.State
 
-	// failover is the record; nil once it is finished.
+	// failover holds the recorded steps; nil after the failover is finished.
 	failover *Failover
 }
 
-// noteStateLoaded notes that all records are loaded, and releases the preloaded ones.
+// noteStateLoaded records that all stored records are loaded, and releases the preloaded records.
 func (t *failoverTrace) noteStateLoaded() {
 	failover := t.failover
 	failover.Loaded, failover.Jobs, failover.Machines = t.env.now, len(t.state.Jobs), len(t.state.Machines)
 	t.loader.preload = nil
 }
 
-// noteFirstPlacement notes the first start of a task by this leadership, which finishes the failover.
+// noteFirstPlacement records the first start of a task by this leadership and finishes the failover.
 func (t *failoverTrace) noteFirstPlacement() {
 	if failover := t.failover; failover != nil && failover.FirstPlacement == 0 {
 		failover.FirstPlacement = t.env.now
@@ -30,14 +28,14 @@
 	}
 }
 
-// expireFailover finishes the failover without a placement when there was none for a worker's lease.
+// expireFailover finishes the failover if no task was started within a worker's lease after the state was loaded.
 func (t *failoverTrace) expireFailover() {
 	if failover := t.failover; failover != nil && failover.Loaded > 0 && t.env.now > failover.Loaded+t.env.cfg.WorkerLease() {
 		t.finishFailover()
 	}
 }
 
-// finishFailover logs the failover and hands it to the observer, once.
+// finishFailover logs the failover, reports it to the observer and discards the record.
 func (t *failoverTrace) finishFailover() {
 	failover := t.failover
 	args := []any{"token", failover.Token, "former_leader", failover.FormerLeader, "preloaded", failover.Preloaded}
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -10,14 +10,14 @@
 	"claybarrow/internal/protocol"
 )
 
-// failureDetection runs the detector of failed controllers: it sends the probes that package membership asks
-// for, answers those of the others and tells operators of changes. Without a detector it is turned off, and the
-// controller looks to the others like one of a version that knows no probes. It belongs to the process: a
-// failover does not touch it.
+// failureDetection connects the failure detector of package membership to the controller: it sends the detector's
+// probes, passes other controllers' probes to it, and reports changes of state in the log and to the observer. If
+// failure detection is disabled, there is no detector, and the controller answers probes like a version without probe
+// support. Its lifetime is that of the process; a failover does not affect it.
 //
-// What the detector finds decides where messages go, which controller serves which machine, when a successor
-// prepares, and what operators see. It never decides who leads, nor that a machine or a task is lost: see
-// docs/failure-detection.md.
+// The detector's results determine the routes of messages, which controller serves which machine, when a successor
+// prepares, and what operators see. They never determine which controller is the leader, nor that a machine or a task
+// is lost: see docs/failure-detection.md.
 type failureDetection struct {
 	env      *environment
 	follower *follower
@@ -25,15 +25,15 @@
 	pause    *pauseRecovery
 	preparer *failoverPreparer
 
-	detector *membership.Detector // nil: turned off
-	// probed are the controllers whose probe is not answered yet, by the number that the detector knows it by.
+	detector *membership.Detector // nil: failure detection is disabled
+	// probed holds the senders of the unanswered probes, by the request number that the detector uses for the probe.
 	probed        map[uint64]requester
-	lastRequest   uint64        // the last such number
-	countersDueAt time.Duration // when the observer next gets the detector's counters
+	lastRequest   uint64        // the last request number used
+	countersDueAt time.Duration // when the detector's counters are next reported to the observer
 }
 
-// stallTimeouts is the detector's stall in probe timeouts: a gap between two ticks in which a whole probe would
-// have failed.
+// stallTimeouts is the detector's pause threshold in probe timeouts: a gap between two ticks in which a whole probe
+// would have failed.
 const stallTimeouts = 3
 
 func newFailureDetection(cfg *config.Config, rng *rand.Rand) *failureDetection {
@@ -56,10 +56,11 @@
 	return &failureDetection{detector: membership.New(settings, rng), probed: map[uint64]requester{}}
 }
 
-// enabled reports whether failed controllers are detected by probes.
+// enabled reports whether failure detection by probes is enabled.
 func (d *failureDetection) enabled() bool { return d.detector != nil }
 
-// tickFailureDetector lets time pass for the detector.
+// tickFailureDetector advances the detector's clock, carries out the resulting actions, and reports the detector's
+// counters to the observer once per workers' lease.
 func (d *failureDetection) tickFailureDetector() {
 	if !d.enabled() {
 		return
@@ -71,8 +72,8 @@
 	}
 }
 
-// onProbe takes another controller's probe. The detector answers it, now or after it has probed a third
-// controller.
+// onProbe passes another controller's probe to the detector. The detector answers it immediately or, for an indirect
+// probe, after it has probed a third controller.
 func (d *failureDetection) onProbe(from requester, body []byte) {
 	if !d.enabled() {
 		d.outbox.reply(from, http.StatusNotFound, nil, 0)
@@ -83,15 +84,15 @@
 	d.applyDetectorActions(d.detector.HandleProbe(d.detectorClock(), d.lastRequest, body))
 }
 
-// notePeerAnswer notes that a controller answered a request that was sent at a steady time: it is alive, as if
-// it had answered a probe.
+// notePeerAnswer reports to the detector that a controller answered a request, which counts like an answer to a probe.
+// sent is the monotonic time when the request was sent.
 func (d *failureDetection) notePeerAnswer(label string, sent time.Duration) {
 	if d.enabled() {
 		d.applyDetectorActions(d.detector.ObserveAck(d.detectorClock(), label, sent))
 	}
 }
 
-// peerState is the state that the detector holds a controller in; alive while nothing is known of it.
+// peerState returns the state of a controller according to the detector. It is Alive if failure detection is disabled.
 func (d *failureDetection) peerState(label string) membership.State {
 	if !d.enabled() {
 		return membership.Alive
@@ -99,7 +100,7 @@
 	return d.detector.StateOf(label)
 }
 
-// applyDetectorActions carries out what the detector wants done.
+// applyDetectorActions carries out the actions returned by the detector.
 func (d *failureDetection) applyDetectorActions(actions []membership.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -115,7 +116,7 @@
 	}
 }
 
-// sendProbe sends a probe. A controller of a version that knows no probes gets a heartbeat in its place.
+// sendProbe sends a probe, or a heartbeat if the target's version does not support probes.
 func (d *failureDetection) sendProbe(send membership.Send) {
 	path, body := probePath, send.Body
 	if send.Heartbeat {
@@ -132,7 +133,7 @@
 	})
 }
 
-// replyToProbe answers the controller whose probe the detector has dealt with.
+// replyToProbe sends the detector's answer to the sender of a probe.
 func (d *failureDetection) replyToProbe(respond membership.Respond) {
 	from, waits := d.probed[respond.Request]
 	if !waits {
@@ -146,8 +147,8 @@
 	d.outbox.reply(from, respond.Status, respond.Body, retryAfter)
 }
 
-// onMemberChange logs a controller's change of state, and has the failover prepared if it is the leader that
-// is suspected.
+// onMemberChange logs a change of a controller's state and reports it to the observer. If the leader became suspected,
+// it starts the preparation of a failover.
 func (d *failureDetection) onMemberChange(change membership.StateChange) {
 	d.env.log.Info("controller is "+change.To.String(), "controller", change.Label, "previous", change.From.String(),
 		"reason", string(change.Reason), "incarnation", uint64(change.Incarnation), "after_s", change.After.Seconds())
@@ -157,7 +158,8 @@
 	}
 }
 
-// onDroppedMessage counts a message that the detector did not take, and logs the first of its kind.
+// onDroppedMessage reports a message that the detector rejected to the observer, and logs it if it is the first with
+// this sender and reason.
 func (d *failureDetection) onDroppedMessage(drop membership.DroppedMessage) {
 	d.env.observer.PeerMessageDropped(drop)
 	if drop.First {
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -7,21 +7,23 @@
 	"claybarrow/internal/protocol"
 )
 
-// A zone that is cut off keeps its workers and, where there is one, a controller. That controller is the zone's
-// follower: it answers the workers in the leader's place, with the token that they show and no commands, so that
-// their leases are renewed while nobody can start or stop anything there. Without it, a partition longer than a
-// lease killed every task in the zone, and replicas that must be spread over zones had nowhere else to go.
+// A partitioned zone contains workers and possibly a controller. That controller, a follower, answers the workers'
+// heartbeats in place of the leader: it repeats the fencing token that the worker sent and returns no commands. The
+// workers' leases are thereby renewed while no task can be started or stopped in the zone. Without these renewals, a
+// partition longer than a lease killed every task in the zone, and replicas with a zone spread constraint could not
+// be placed in any other zone.
 //
-// The leader makes that safe. It takes no lease in a zone as expired by time alone unless every controller of
-// that zone has told it since, in answer to a reading of the leader's clock, that it had renewed none for the
-// length of a lease. A process that ends forgets what it renewed, so a new incarnation counts as having renewed
-// leases until it was heard. While such a controller is silent, only the cloud's list proves that a machine there
-// no longer exists. This needs no disk, and no permission given ahead of time: followers that restart in the
-// middle of a partition go on where they were.
+// The leader accounts for these renewals. It does not treat a worker's lease as expired on elapsed time alone: every
+// controller of the worker's zone must have reported, echoing a later reading of the leader's clock, that it had
+// renewed no lease for the length of a lease. A restarted process does not know which leases the previous process
+// renewed, so a new incarnation counts as having renewed leases until its first heartbeat. While such a controller is
+// silent, only the cloud's list of machines proves that a machine in its zone no longer exists. The scheme needs
+// neither persistent storage nor prior authorization by the leader: a follower that restarts during a partition
+// resumes renewing leases.
 
-// follower is the part of a controller that does not lead: it stays in contact with the leader, forwards worker
-// heartbeats to it, and renews the workers' leases in its place while it can't be reached. It belongs to the
-// process; while this controller leads, its contact is empty but for the highest token and the last renewal.
+// follower is the role of a controller that is not the leader. It sends heartbeats to the leader, forwards worker
+// heartbeats to it, and renews the workers' leases while the leader is unreachable. Its lifetime is that of the
+// process. While this controller is the leader, contact holds only the highest token and the time of the last renewal.
 type follower struct {
 	controller *Controller
 	detection  *failureDetection
@@ -34,59 +36,62 @@
 	contact leaderContact
 }
 
-// newFollower returns a follower that renews leases for the leader until it hears of one: a process that waited
-// for its first request to fail refused the workers of a cut-off zone, whose leases had a second left.
+// newFollower returns a follower that treats the leader as lost until a leader answers it, and so renews workers'
+// leases from the start. A process that first waited for a request to fail rejected the workers of a partitioned
+// zone when their leases had only a second left.
 func newFollower() *follower { return &follower{contact: leaderContact{leaderLost: true}} }
 
-// leaderContact is what a controller that does not lead knows of the leader.
+// leaderContact is a follower's view of the leader and of its own lease renewals.
 type leaderContact struct {
-	leader       string // who answered as the leader, or was named as the leader by another controller
-	highestToken uint64 // the highest fencing token that this process knows of
+	leader       string // label of the controller that last answered as the leader or that a peer named as the leader
+	highestToken uint64 // highest fencing token seen by this process
 
-	// The leader's last answer: its token, the reading of its clock that it gave, and when the answer came.
+	// The leader's last reply: its token, its clock reading, and the time of arrival.
 	token         uint64
 	leaderClock   uint64
 	leaderHeardAt time.Duration // 0: never
-	// leaderNamedAt is when another controller last named the leader; 0: never.
+	// leaderNamedAt is when a peer last named the leader; 0: never.
 	leaderNamedAt time.Duration
 
-	// leaderLost: the last request did not reach a leader; leaderLostAt is since when none did.
+	// leaderLost reports that the last heartbeat or forwarded request got no reply from the leader; leaderLostAt is
+	// the time of the first failure since the last reply.
 	leaderLost        bool
 	leaderLostAt      time.Duration
-	connectionRefused bool // the last connection to the leader was refused at once
-	keysCheckedAt     time.Duration
-	leaderProbes      leaderProbes // of the workers' route to the leader since it was lost
+	connectionRefused bool          // the last connection to the leader was refused without delay
+	keysCheckedAt     time.Duration // when the loss of the leader last caused the leader keys to be listed again
+	leaderProbes      leaderProbes  // probes of the workers' route to the leader since it was lost
 
-	// servesLeases: this controller renews workers' leases for the leader; lastServed is when it last did.
+	// servesLeases reports that this controller renews workers' leases for the leader; lastServed is the time of the
+	// last renewal.
 	servesLeases bool
 	lastServed   time.Duration
 
-	// The heartbeats to the leader.
+	// The state of the heartbeats to the leader.
 	inFlight bool
 	nextAt   time.Duration
-	// nextSibling counts the heartbeats without a leader's answer; it decides which controller is asked next.
+	// nextSibling counts the heartbeats that the leader did not answer. It selects the target of the next heartbeat.
 	nextSibling int
 }
 
-// Times as shares of the workers' lease, as divisors.
+// Divisors of the workers' lease.
 const (
-	// contactValidity: the leader's own answer, or another controller's naming of it, counts for half a lease.
+	// contactValidity: a reply from the leader, or from a peer that names the leader, is valid for half a lease.
 	contactValidity = 2
-	// peerHeartbeatTimeout: the leader has a tenth of a lease to answer a heartbeat.
+	// peerHeartbeatTimeout: a heartbeat to another controller times out after a tenth of a lease.
 	peerHeartbeatTimeout = 10
-	// refusedConnectionTime: a connection that fails within a twentieth of a lease was refused. One that takes
-	// longer may have been held up on its way.
+	// refusedConnectionTime: a connection attempt that fails within a twentieth of a lease counts as refused. A slower
+	// failure may have been caused by a network delay.
 	refusedConnectionTime = 20
-	// forwardTimeoutLease: a forwarded heartbeat is given up after an eighth of a lease.
+	// forwardTimeoutLease: a forwarded heartbeat times out after an eighth of a lease.
 	forwardTimeoutLease = 8
 )
 
-// forwardTimeout bounds the time of a forwarded heartbeat well inside the 4 s that a worker waits: a worker whose
-// leader is cut off from this controller must get this controller's own answer in that time.
+// forwardTimeout is the upper bound for the timeout of a forwarded heartbeat. It is well below the 4 s that a worker
+// waits, so that this controller can still answer the worker itself if the leader does not.
 const forwardTimeout = heartbeatTimeout / 2
 
-// leaderLabel is the label of the leader as far as this controller knows: by the state service or, where that
-// does not answer, by the leader itself; empty: unknown.
+// leaderLabel returns the label of the leader from the leader keys or, if these are out of date, from the leader's
+// recent replies. It is empty if the leader is unknown.
 func (f *follower) leaderLabel() string {
 	keys, contact := &f.election.leaderKeys, &f.contact
 	if keys.leader != nil && (keys.known || keys.leader.Token >= contact.highestToken) {
@@ -98,9 +103,9 @@
 	return ""
 }
 
-// isReady reports whether a controller that does not lead should get users' requests. One that has not heard of
-// any leader yet should not, nor one that can't reach the leader that there is, as connections between
-// controllers are refused: it could only refuse its users one by one.
+// isReady reports whether a follower should receive users' requests. It should not before it has read the leader keys
+// for the first time, nor while it can't reach the leader or knows of none for too long: it would have to reject
+// each request.
 func (f *follower) isReady() bool {
 	keys := &f.election.leaderKeys
 	if !keys.known && keys.leader == nil && keys.leaderlessSince == 0 {
@@ -112,8 +117,8 @@
 	return f.leaderLabel() != "" || f.env.now < keys.leaderlessSince+f.env.cfg.WorkerLease()/2
 }
 
-// lostLeaderForLong reports whether no leader has answered for longer than a failover should take. Where the
-// state service names a leader that is little; where it does not, an election may still be under way.
+// lostLeaderForLong reports whether no leader has answered for longer than a failover should take. The limit is short
+// while the state service names a leader, and longer otherwise, because an election may still be in progress.
 func (f *follower) lostLeaderForLong() bool {
 	if !f.contact.leaderLost || len(f.env.cfg.Siblings) == 0 {
 		return false
@@ -125,7 +130,7 @@
 	return f.env.now > f.contact.leaderLostAt+patience
 }
 
-// sendPeerHeartbeat sends a heartbeat to the leader when one is due. A leader sends none.
+// sendPeerHeartbeat sends a heartbeat to the leader if one is due. A leader sends no such heartbeats.
 func (f *follower) sendPeerHeartbeat() {
 	contact := &f.contact
 	if leader := f.election.leaderKeys.leader; leader != nil {
@@ -150,8 +155,8 @@
 	})
 }
 
-// heartbeatTarget is the controller that the next heartbeat goes to. While the leader is lost every other one
-// goes to one of the other controllers in turn, which may know who leads now.
+// heartbeatTarget returns the controller that the next heartbeat is sent to. While the leader is lost, every second
+// heartbeat goes to the other controllers in turn, which may know the current leader.
 func (f *follower) heartbeatTarget() string {
 	contact, siblings := &f.contact, f.env.cfg.Siblings
 	label := f.presumedLeader()
@@ -161,7 +166,8 @@
 	return label
 }
 
-// presumedLeader is the leader as far as this controller knows, or the one that another controller names.
+// presumedLeader returns the label of the leader or, if it is unknown, of the controller that a peer recently named as
+// the leader.
 func (f *follower) presumedLeader() string {
 	if label := f.leaderLabel(); label != "" {
 		return label
@@ -172,8 +178,8 @@
 	return ""
 }
 
-// peerHeartbeat is the heartbeat of this controller to a leader: with the leader's last clock reading, and how
-// long ago it last renewed a worker's lease for it.
+// peerHeartbeat returns this controller's heartbeat to a leader. It echoes the leader's last clock reading and states
+// how long ago this controller last renewed a worker's lease.
 func (f *follower) peerHeartbeat() protocol.PeerHeartbeat {
 	contact := &f.contact
 	heartbeat := protocol.PeerHeartbeat{
@@ -193,11 +199,11 @@
 	return heartbeat
 }
 
-// onPeerHeartbeatReply takes the answer of the controller that a heartbeat went to.
+// onPeerHeartbeatReply handles the result of a heartbeat that was sent to another controller.
 func (f *follower) onPeerHeartbeatReply(asked string, sent time.Duration, res Result) {
 	contact := &f.contact
 	if sent < f.pause.resumedAt {
-		contact.inFlight = false // sent before a process pause: it proves nothing about now
+		contact.inFlight = false // the heartbeat was sent before a process pause, so its result is out of date
 		return
 	}
 	f.pause.noteAnswer(sent, res.Status != 0)
@@ -214,9 +220,9 @@
 		contact.highestToken = max(contact.highestToken, reply.Token)
 		contact.leader, contact.leaderNamedAt = reply.Leader, f.env.now
 	}
-	// Only a leader gives a reading of its clock. A controller in a cut-off zone that had led, ended and restarted
-	// once heard from the other controller there that it leads, repeated that, and was taken for the leader: the
-	// other one no longer renewed the zone's leases.
+	// Only a leader's reply contains a clock reading. Without this check, a former leader that had restarted in a
+	// partitioned zone learned from the other controller of the zone that it was the leader, and repeated this in its
+	// replies. The other controller then took it for the leader and no longer renewed the zone's leases.
 	if ok && reply.Leader == asked && reply.LeaderClock != 0 {
 		f.noteLeaderAnswered(&reply)
 		return
@@ -228,7 +234,7 @@
 	f.noteLeaderUnanswered()
 }
 
-// noteLeaderAnswered notes the leader's answer: it is in contact, and its workers are its own again.
+// noteLeaderAnswered records a reply from the leader. The follower stops renewing workers' leases for it.
 func (f *follower) noteLeaderAnswered(reply *protocol.PeerHeartbeatReply) {
 	contact := &f.contact
 	if contact.servesLeases {
@@ -239,8 +245,8 @@
 	contact.token, contact.leaderClock, contact.leaderHeardAt = reply.Token, reply.LeaderClock, f.env.now
 }
 
-// noteLeaderUnanswered notes that the leader did not answer. Either it has failed or this controller is cut off;
-// the state service tells, if it answers.
+// noteLeaderUnanswered records that the leader did not answer. Either the leader has failed or this controller is
+// partitioned from it, so the leader keys are listed again, at most once per leader's lease.
 func (f *follower) noteLeaderUnanswered() {
 	contact := &f.contact
 	if !contact.leaderLost {
@@ -252,14 +258,15 @@
 	}
 }
 
-// tryRenewLeaseForLeader reports whether this controller answers the worker for the leader, and notes that it does.
-// It does so while it reaches neither a leader nor a state service that would name one, if the worker is of its
-// own zone and has had a leader.
+// tryRenewLeaseForLeader reports whether this controller renews the worker's lease in place of the leader, and records
+// the renewal. It renews leases only while the leader is lost, and only of workers in its own zone that have received a
+// token from a leader.
 //
-// For a moment it does so too while the state service still names a leader that does not answer: that one has most
-// probably ended or is paused, and the next will be known before long. Workers that were sent to it waited for 4 s
-// there, and as long at the next controller that had ended, and their leases ran out. After that moment, a leader
-// that the state service still names does lead, and workers go to it if they can reach it: see leader_probes.go.
+// During the maximum duration of a failover it does so even if the state service still names the unreachable leader:
+// that leader has probably terminated or is paused, and a successor will be elected soon. Workers that were redirected
+// to it waited 4 s for an answer, and another 4 s at the next terminated controller, until their leases expired. After
+// that time, a leader that the state service still names is alive, and workers are redirected to it if they can reach
+// it: see leader_probes.go.
 func (f *follower) tryRenewLeaseForLeader(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
 	if !contact.leaderLost || heartbeat.Zone != f.env.cfg.Zone || heartbeat.Token == 0 {
@@ -276,15 +283,15 @@
 	return true
 }
 
-// replyLeaseOnly renews a worker's lease: it repeats the token that the worker shows, and has no commands.
+// replyLeaseOnly sends a reply that renews the worker's lease: it repeats the worker's token and has no commands.
 func (f *follower) replyLeaseOnly(from requester, heartbeat *protocol.WorkerHeartbeat) {
 	reply := protocol.WorkerHeartbeatReply{Token: heartbeat.Token, Commands: []protocol.Command{}}
 	f.outbox.reply(from, http.StatusOK, protocol.Encode(reply), 0)
 }
 
-// forwardsHeartbeat reports whether the worker's heartbeat is forwarded to the leader. Workers send theirs to a
-// controller of their own zone, so that none has to look for one when the zone is cut off: looking took up to 4 s a
-// controller, and longer than a lease where the next two were outside the zone.
+// forwardsHeartbeat reports whether the worker's heartbeat is forwarded to the leader. Workers send their heartbeats to
+// a controller of their own zone, so that they need not search for another one when the zone is partitioned. Such a
+// search took up to 4 s per controller, and longer than a lease if the next two controllers were outside the zone.
 func (f *follower) forwardsHeartbeat(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
 	if heartbeat.Zone != f.env.cfg.Zone || contact.leaderLost {
@@ -293,8 +300,8 @@
 	return contact.token != 0 && contact.token >= contact.highestToken && f.env.peerAddr(contact.leader) != ""
 }
 
-// forwardHeartbeat forwards a worker's heartbeat to the leader, and answers the worker with the leader's answer or,
-// in its absence, with this controller's own.
+// forwardHeartbeat forwards a worker's heartbeat to the leader and returns the leader's reply to the worker. If the
+// leader does not reply, this controller answers the worker itself.
 func (f *follower) forwardHeartbeat(from requester, heartbeat *protocol.WorkerHeartbeat, body []byte) {
 	leader := f.contact.leader
 	timeout := min(f.env.cfg.WorkerLease()/forwardTimeoutLease, forwardTimeout)
@@ -318,8 +325,8 @@
 	})
 }
 
-// onForwardFailed answers a worker whose heartbeat the leader did not answer: its lease is renewed here, or the
-// worker is redirected to whoever leads.
+// onForwardFailed answers a worker whose forwarded heartbeat the leader did not answer: this controller renews the
+// worker's lease or redirects the worker to the leader.
 func (f *follower) onForwardFailed(from requester, leader string, heartbeat *protocol.WorkerHeartbeat) {
 	if leader == f.contact.leader {
 		f.noteLeaderUnanswered()
@@ -331,8 +338,8 @@
 	f.outbox.replyRedirect(from, f.leaderLabel())
 }
 
-// discardContact drops what was known of the leader before a process pause. The highest token stays, as it only
-// ever rises, and so does the time of the last renewal, on which the leader's proofs depend.
+// discardContact discards the state of the contact with the leader after a process pause. It keeps the highest token,
+// which only increases, and the time of the last renewal, which the leader needs to decide whether a lease expired.
 func (f *follower) discardContact() {
 	former := &f.contact
 	f.contact = leaderContact{
@@ -343,12 +350,12 @@
 	}
 }
 
-// storeNamesLeader reports whether the state service has answered and names a leader.
+// storeNamesLeader reports whether the copy of the leader keys is up to date and names a leader.
 func (f *follower) storeNamesLeader() bool {
 	return f.election.leaderKeys.known && f.election.leaderKeys.leader != nil
 }
 
-// isRecent reports whether what was heard at a steady time still counts; 0: never heard.
+// isRecent reports whether information received at the monotonic time heardAt is still valid; 0: never received.
 func (f *follower) isRecent(heardAt time.Duration) bool {
 	return heardAt > 0 && f.env.now < heardAt+f.env.cfg.WorkerLease()/contactValidity
 }
--- a/internal/controller/leader_keys.go
+++ b/internal/controller/leader_keys.go
@@ -8,13 +8,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// The leader keys. The counter is permanent; the version of the leader key is a condition of every write of the
-// leader that put it.
+// The leader keys in the state service. The counter is permanent. Every write by a leader is conditional on the version
+// of the leader key that the leader put.
 //
-// While the feature gate is closed the leader key is attached to the leader's lease, the form that all versions
-// of the program know. While it is open the leader key is permanent, and the key of the lease is attached to the
-// lease in its place. Versions without the gate then see a leader that never goes away, and do not campaign;
-// those with it campaign when the key of the lease is deleted, on condition that the leader key is unchanged.
+// While the feature gate is closed, the leader key is attached to the leader's lease, which all versions of the program
+// support. While the gate is not closed, the leader key is permanent and the lease key is attached to the lease
+// instead. Versions without the gate then always see a leader and never campaign. Versions with the gate campaign when
+// the lease key is deleted, on condition that the leader key is unchanged.
 const (
 	keyPrefix  = "c/"
 	keyCounter = "c/token"
@@ -22,8 +22,8 @@
 	keyLease   = "c/lease"
 )
 
-// counterRecord is the value of the counter: the highest fencing token that was given to a leader, or reserved by
-// one for attempt numbers.
+// counterRecord is the value of the counter: the highest fencing token that was assigned to a leader or that a leader
+// reserved for attempt numbers.
 type counterRecord struct {
 	Token uint64 `msgpack:"n"`
 }
@@ -31,26 +31,26 @@
 // leaderRecord is the value of the leader key. Versions without the gate ignore its last two fields.
 type leaderRecord struct {
 	Label       string `msgpack:"l"`
-	Incarnation string `msgpack:"i"` // of the leader's process
+	Incarnation string `msgpack:"i"` // incarnation of the leader's process
 	Token       uint64 `msgpack:"n"`
 	LeaseID     uint64 `msgpack:"t"`
-	// StorageVersion is the version of the stored records for which the gate is open; 0: it is closed.
+	// StorageVersion is the version of the stored records; 0: the gate is closed.
 	StorageVersion uint64 `msgpack:"f,omitempty"`
-	// Closing says that the gate is being closed.
+	// Closing is true while the gate is being closed.
 	Closing bool `msgpack:"c,omitempty"`
 }
 
-// leaseRecord is the value of the key that is attached to the leader's lease while the gate is open.
+// leaseRecord is the value of the lease key, which is attached to the leader's lease while the gate is not closed.
 type leaseRecord struct {
 	Token uint64 `msgpack:"n"`
 }
 
-// storageVersion is the record's version as the gate's type.
+// storageVersion returns StorageVersion as the type that the feature gate uses.
 func (r *leaderRecord) storageVersion() featuregate.StorageVersion {
 	return featuregate.StorageVersion(r.StorageVersion)
 }
 
-// gateState is the state of the feature gate that the record stores.
+// gateState returns the state of the feature gate according to the record.
 func (r *leaderRecord) gateState() featuregate.State {
 	switch {
 	case r.StorageVersion == 0:
@@ -61,47 +61,47 @@
 	return featuregate.Open
 }
 
-// unreadableStorageVersion stands for the version of a leader record that can't be decoded: it is higher than any
-// that is supported, so that this controller does not campaign.
+// unreadableStorageVersion is the storage version assigned to a leader record that can't be decoded. It is higher than
+// every supported version, so that this controller does not campaign.
 const unreadableStorageVersion = math.MaxUint64
 
-// leaderKeys is what this controller knows of the leader keys. It outlives leaderships.
+// leaderKeys is this controller's copy of the leader keys. Its lifetime is that of the process.
 type leaderKeys struct {
-	known    bool   // the keys were listed; the watch goes on from the revision
-	revision uint64 // of the state service, up to which changes are known
+	known    bool   // the keys have been listed, and a watch can continue from revision
+	revision uint64 // revision of the state service up to which changes have been applied
 
-	counter         uint64 // the highest token
-	counterVersion  uint64 // the version of the counter's key
+	counter         uint64 // highest fencing token
+	counterVersion  uint64 // version of the counter key
 	record          *leaderRecord
-	recordVersion   uint64 // the version of the leader key
+	recordVersion   uint64 // version of the leader key
 	leaseKeyPresent bool
 
-	leader          *leaderRecord // who leads; nil: nobody is known to
-	leaderlessSince time.Duration // since when nobody is
+	leader          *leaderRecord // record of the current leader; nil: no leader is known
+	leaderlessSince time.Duration // when leader last became nil
 
-	inFlight   bool          // a list or a watch is under way
-	retryAt    time.Duration // no list and no watch before this time, after one that failed
-	generation int           // answers to calls of an older generation are dropped
+	inFlight   bool          // a list or watch request is in flight
+	retryAt    time.Duration // earliest time of the next list or watch request
+	generation int           // responses to requests of an older generation are discarded
 
-	revokedLease      uint64 // a former lease of this controller that it has revoked
-	listFailureLogged bool   // that the last list failed has been logged
-	loggedToken       uint64 // the token of the leader that was logged last
+	revokedLease      uint64 // the former lease of this controller that it last revoked
+	listFailureLogged bool   // the current series of list failures has been logged
+	loggedToken       uint64 // token of the leader that was logged last
 	unsupportedLogged bool   // that the stored records can't be read has been logged
 }
 
-// refresh has the keys listed again from a time on; an open watch is abandoned.
+// refresh schedules a new list of the keys at the given time and abandons an open watch.
 func (k *leaderKeys) refresh(at time.Duration) {
 	k.known, k.inFlight, k.retryAt = false, false, at
 	k.generation++
 }
 
-// clearKeys forgets the values of the keys. The list that follows lacks those that are deleted.
+// clearKeys clears the values of all keys before a list is applied, because a list does not contain deleted keys.
 func (k *leaderKeys) clearKeys() {
 	k.counter, k.counterVersion = 0, 0
 	k.record, k.recordVersion, k.leaseKeyPresent = nil, 0, false
 }
 
-// applyKey notes the value of a key; nil: the key is deleted.
+// applyKey applies the value and version of a key; a nil value means that the key was deleted.
 func (k *leaderKeys) applyKey(key string, value []byte, version uint64) {
 	switch key {
 	case keyCounter:
@@ -117,7 +117,7 @@
 	}
 }
 
-// decodeLeaderRecord decodes the value of the leader key; nil: there is none.
+// decodeLeaderRecord decodes the value of the leader key. It returns nil if there is no value.
 func decodeLeaderRecord(value []byte) *leaderRecord {
 	if value == nil {
 		return nil
@@ -129,8 +129,8 @@
 	return &record
 }
 
-// currentLeader returns the record of the controller that leads by the keys, or nil. A permanent leader key alone
-// names nobody: the key of the lease must be there too.
+// currentLeader returns the record of the current leader, or nil if there is no leader. A permanent leader key counts
+// only while the lease key exists too.
 func (k *leaderKeys) currentLeader() *leaderRecord {
 	if k.record != nil && k.record.StorageVersion != 0 && !k.leaseKeyPresent {
 		return nil
@@ -138,9 +138,9 @@
 	return k.record
 }
 
-// electionTxn returns the transaction that makes a candidate the leader, on condition that no other controller
-// became it meanwhile. Unless the gate is closed, the state of the gate is copied from the former leader's record
-// to the candidate's.
+// electionTxn returns the transaction that makes a candidate the leader, on condition that no other controller was
+// elected in the meantime. If the gate is not closed, the gate's state is copied from the former leader's record to
+// the candidate's.
 func (k *leaderKeys) electionTxn(record *leaderRecord) protocol.Transaction {
 	leader := protocol.Change{Put: keyLeader, Value: record, Lease: record.LeaseID}
 	txn := protocol.Transaction{
@@ -158,7 +158,8 @@
 	return txn
 }
 
-// noteElectionWon notes that the transaction of the election applied, at a revision.
+// noteElectionWon applies the changes of a successful election transaction to this copy of the keys; revision is the
+// revision of the transaction.
 func (k *leaderKeys) noteElectionWon(record *leaderRecord, revision uint64) {
 	k.counter, k.counterVersion = record.Token, revision
 	k.record, k.recordVersion = record, revision
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -8,10 +8,10 @@
 	"claybarrow/internal/stateclient"
 )
 
-// leaderLease is the leader's fencing token and the lease in the state service that its leadership depends on.
+// leaderLease holds the leader's fencing token and the lease in the state service that its leadership depends on.
 //
-// It owns the token, the lease's renewal and whether the leadership has ended. It begins with the election and
-// is dropped with the leadership; a successor has a token and a lease of its own.
+// It owns the token, the renewal of the lease and the flag that the leadership has ended. It is created at the
+// election and discarded with the leadership; a successor has its own token and lease.
 type leaderLease struct {
 	controller *Controller
 	env        *environment
@@ -22,31 +22,31 @@
 	leaseConfirmedAt time.Duration // when the last confirmed renewal was sent
 	renewLeaseAt     time.Duration // when the next renewal is due
 	renewalInFlight  bool
-	coasting         bool          // the lease may have expired, which has been logged
+	coasting         bool          // that the lease may have expired has been logged
 	electedAt        time.Duration // when the election was won
-	ended            bool          // the leadership is over
-	// verifyingLeaseUntil is set after a process pause: until then, or until the lease is confirmed, this
-	// leader does not know whether it still is one (see pauseRecovery).
+	ended            bool          // the leadership has ended
+	// verifyingLeaseUntil is set after a process pause, when another controller may have been elected. Until this
+	// time, or until the lease is confirmed, the leader makes no decisions (see pauseRecovery).
 	verifyingLeaseUntil time.Duration
 }
 
 // Fractions of the leader's lease (config.LeaderLease).
 const (
-	// firstRenewalDivisor: the first renewal is due an eighth of a lease after the election, sooner than the
-	// others, as the lease runs since before the election.
+	// firstRenewalDivisor: the first renewal is due an eighth of a lease after the election. The interval is shorter
+	// than that of later renewals because the lease was granted before the election.
 	firstRenewalDivisor = 8
-	// renewalDivisor: a lease is renewed five times in its duration. config.LeaderLease allows for the requests
-	// that these renewals take.
+	// renewalDivisor: the lease is renewed five times per lease duration. config.LeaderLease takes the rate of these
+	// requests into account.
 	renewalDivisor = 5
-	// renewalRetryDivisor: a failed renewal is repeated after a tenth of the lease.
+	// renewalRetryDivisor: a failed renewal is retried after a tenth of the lease.
 	renewalRetryDivisor = 10
-	// renewalTimeoutDivisor bounds the wait for an answer to a renewal to a third of the lease, so that
-	// another one fits into the same lease.
+	// renewalTimeoutDivisor: a renewal times out after a third of the lease, so that another one fits into the same
+	// lease.
 	renewalTimeoutDivisor = 3
 )
 
-// renewLeaderLease renews the lease well before it expires. A leader whose lease was not confirmed for as long
-// as it may coast (config.Coast) ends its leadership.
+// renewLeaderLease renews the lease well before it expires. It ends the leadership if the lease has not been confirmed
+// for the outage tolerance (config.OutageTolerance).
 func (l *leaderLease) renewLeaderLease() {
 	if l.env.now > l.leaseConfirmedAt+l.env.cfg.OutageTolerance() && !l.holdsLease() {
 		l.controller.endLeadership(endLeaseUnconfirmed)
@@ -58,7 +58,7 @@
 	l.sendRenewal()
 }
 
-// sendRenewal sends a renewal of the lease.
+// sendRenewal sends a renewal of the lease to the state service.
 func (l *leaderLease) sendRenewal() {
 	l.renewalInFlight = true
 	sent, timeout := l.env.now, l.env.cfg.LeaderLease()/renewalTimeoutDivisor
@@ -71,8 +71,8 @@
 	})
 }
 
-// onRenewalResult handles the answer to a renewal that was sent at a time. Without a usable answer the leader
-// coasts: it keeps answering workers, but starts nothing.
+// onRenewalResult handles the result of a renewal; sent is when the renewal was sent. While the lease is unconfirmed,
+// the leader still answers workers' heartbeats but starts no tasks.
 func (l *leaderLease) onRenewalResult(sent time.Duration, err error) {
 	ttl := l.env.cfg.LeaderLease()
 	switch {
@@ -80,7 +80,7 @@
 		if !l.holdsLease() {
 			l.env.log.Info("leader lease confirmed again", "token", l.token)
 		}
-		// The lease runs from when the state service handled the renewal, which is after it was sent.
+		// The lease runs from the time when the state service handled the renewal, which is later than sent.
 		l.leaseConfirmedAt = max(l.leaseConfirmedAt, sent)
 		l.verifyingLeaseUntil = 0
 		l.renewLeaseAt = sent + ttl/renewalDivisor
@@ -92,22 +92,23 @@
 		l.renewLeaseAt = l.env.now + ttl/renewalRetryDivisor
 		if !l.holdsLease() && !l.coasting {
 			l.coasting = true
-			l.env.log.Info("leader lease not confirmed, coasting", "token", l.token)
+			l.env.log.Info("leader lease not confirmed; answering workers but starting no tasks", "token", l.token)
 		}
 	}
 }
 
-// holdsLease reports whether no other controller can have become leader: the lease, counted from the sending
-// of its last confirmed renewal and shortened by the drift of the clocks, has not expired.
+// holdsLease reports whether the lease is certainly valid, so that no other controller can be the leader: the lease,
+// counted from the sending of its last confirmed renewal and shortened by the maximum clock drift, has not expired.
 func (l *leaderLease) holdsLease() bool { return l.env.now < l.holdsLeaseUntil() }
 
-// holdsLeaseUntil is the time until which no other controller can become leader.
+// holdsLeaseUntil returns the time until which no other controller can become the leader.
 func (l *leaderLease) holdsLeaseUntil() time.Duration {
 	ttl := l.env.cfg.LeaderLease()
 	drift := config.WithClockDrift(ttl) - ttl
 	return l.leaseConfirmedAt + ttl - drift
 }
 
-// verifiesLease reports whether this leader does not know, after a process pause, if it still is one. Where
-// the state service does not answer at all this ends after a while, and it goes on as a coasting leader does.
+// verifiesLease reports whether the leader is waiting, after a process pause, for its lease to be confirmed. If the
+// state service does not respond, the wait ends at verifyingLeaseUntil and the leader continues with an unconfirmed
+// lease.
 func (l *leaderLease) verifiesLease() bool { return l.env.now < l.verifyingLeaseUntil }
--- a/internal/controller/leader_probes.go
+++ b/internal/controller/leader_probes.go
@@ -6,33 +6,35 @@
 	"claybarrow/internal/protocol"
 )
 
-// A follower may lose the leader while the state service still names it: the two zones can't reach each other, or
-// only the controllers can't. In the first case the zone's workers can't reach the leader either, and each one that
-// is sent there goes round all controllers while its lease runs out; in the second they can, and should send it their
-// heartbeats. The follower can't tell the two apart, so it lets workers find out, at as little risk as it can, and
-// renews the leases of the others meanwhile.
+// A follower may lose contact with the leader while the state service still names that leader. Either the two zones are
+// partitioned, or only the connection between the two controllers has failed. In the first case the workers of the zone
+// can't reach the leader either, and a worker that is redirected to it tries all controllers while its lease runs out.
+// In the second case the workers can reach the leader, and should send their heartbeats to it. The follower can't
+// distinguish the two cases. It therefore redirects a limited number of workers to the leader as probes, and renews the
+// leases of the other workers.
 
-// leaderProbes is what a follower knows of the workers' route to a leader that it has lost. It is dropped when the
-// leader answers.
+// leaderProbes is the state of the probes of the workers' route to a lost leader. It is discarded when the leader
+// answers.
 type leaderProbes struct {
-	// sent holds when each worker was sent to the leader that has not come back, by machine.
+	// sent holds the time when a worker was redirected to the leader, by machine, for each worker that has not returned
+	// to this controller.
 	sent map[string]time.Duration
-	last time.Duration // when the last worker was sent; 0: none was
-	// next is when a worker may be sent again although others came back; failures counts those in a row.
+	last time.Duration // when the last worker was redirected; 0: never
+	// next is the earliest time of the next probe after a failed one; failures counts the failed probes.
 	next     time.Duration
 	failures int
 }
 
 const (
-	// maxProbingWorkers bounds the workers that are remembered, and so the memory that they take.
+	// maxProbingWorkers bounds the entries in leaderProbes.sent, and so its memory.
 	maxProbingWorkers = 1 << 16
-	// conclusiveStay is how many leases a worker must have been away to prove that it reached the leader: its return
-	// has another reason then.
+	// conclusiveStay is the number of leases after which the return of a redirected worker no longer counts as a failed
+	// probe: the worker must have reached the leader, so it returned for another reason.
 	conclusiveStay = 3
 )
 
-// noteReturned notes a worker's heartbeat. It returns true if that worker was sent to the leader and came back so
-// early that it cannot have reached it.
+// noteReturned records a heartbeat from a worker. It reports whether the worker was redirected to the leader and
+// returned so early that it can't have reached the leader.
 func (p *leaderProbes) noteReturned(machine string, now, lease time.Duration) bool {
 	sentAt, wasSent := p.sent[machine]
 	if !wasSent {
@@ -47,7 +49,7 @@
 	return true
 }
 
-// noteSent notes that a worker is sent to the leader.
+// noteSent records that a worker is redirected to the leader.
 func (p *leaderProbes) noteSent(machine string, now time.Duration) {
 	if p.sent == nil {
 		p.sent = map[string]time.Duration{}
@@ -55,8 +57,8 @@
 	p.sent[machine], p.last = now, now
 }
 
-// trySendWorkerToLeader reports whether a worker of this controller's zone is sent to the leader that this controller
-// has lost, and notes that it is.
+// trySendWorkerToLeader reports whether a worker of this controller's zone is redirected to the lost leader, and
+// records the redirection.
 func (f *follower) trySendWorkerToLeader(heartbeat *protocol.WorkerHeartbeat) bool {
 	probes := &f.contact.leaderProbes
 	returned := probes.noteReturned(heartbeat.Machine, f.env.now, f.env.cfg.WorkerLease())
@@ -70,15 +72,16 @@
 	return true
 }
 
-// refusesAtOnce reports whether connections to the leader are refused at once. The workers' are refused then as
-// well, and each of them may try: it is back long before its lease runs out.
+// refusesAtOnce reports whether connections to the leader are refused without delay. The workers' connections are then
+// refused as well, so every worker may probe the leader: it returns long before its lease expires.
 func (f *follower) refusesAtOnce() bool {
 	return f.contact.connectionRefused && f.env.workerScanTime(heartbeatRetryPause) < f.env.cfg.WorkerLease()/2
 }
 
-// mayRiskLease reports whether a worker may try the leader where connections get no answer. It waits for one at
-// each controller then, which may take longer than its lease: so one worker goes at a time, and in the first half of
-// the time for which a leader may coast only one without tasks.
+// mayRiskLease reports whether a worker may probe the leader while connection attempts to the leader time out. The
+// worker then waits for the timeout at each controller, which may take longer than its lease. Therefore only one worker
+// probes at a time, and during the first half of the outage tolerance (config.OutageTolerance) only a worker without
+// tasks.
 func (f *follower) mayRiskLease(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
 	if last := contact.leaderProbes.last; last > 0 && f.env.now < last+f.env.workerFailoverTime() {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -10,12 +10,12 @@
 	"claybarrow/internal/statestore"
 )
 
-// leadership is all that a leader knows and does from its election to its end, as a composition of components
-// that each own a part of it (wire connects them). It is dropped whole when it ends: a successor loads the
-// stored records and learns the rest from the workers' heartbeats.
+// leadership holds the state of a leader for one term, from its election to its end, as a set of components that
+// each own a part of that state; wire connects them. The whole value is discarded when the term ends: a successor
+// loads the stored records and rebuilds the rest from the workers' heartbeats.
 type leadership struct {
 	controller *Controller
-	// store writes the records to the state service, each on condition of the leader key's version.
+	// store writes records to the state service. Every write is conditional on the version of the leader key.
 	store *statestore.Writer
 	// state is the cluster state: jobs, machines, attempts and quotas.
 	state *clusterstate.State
@@ -51,8 +51,9 @@
 	cache          *schedulerCache
 }
 
-// newLeadership makes the leadership of the election that stored a leader record. version is the version of
-// the leader key, confirmed when the lease was asked for.
+// newLeadership creates the leadership for a won election. elected is the leader record that the election stored,
+// version the version of the leader key, and confirmed the time when the last successful request for the lease
+// was sent.
 func newLeadership(c *Controller, elected *leaderRecord, version uint64, confirmed time.Duration) *leadership {
 	cfg, now := c.env.cfg, c.env.now
 	l := &leadership{
@@ -95,7 +96,7 @@
 	return l
 }
 
-// tick does the leader's periodic work. A step that is not due yet returns at once.
+// tick runs the leader's periodic steps. Each step returns immediately if it is not due yet.
 func (l *leadership) tick() {
 	l.lease.renewLeaderLease()
 	if l.lease.ended {
@@ -118,31 +119,33 @@
 	l.placement.runScheduling()
 }
 
-// mayAct reports whether the leader may take decisions: the cluster state is loaded, and no process pause has
-// put its lease in doubt.
+// mayAct reports whether the leader may make decisions: the cluster state is loaded, and the leader is not waiting
+// for its lease to be confirmed after a process pause.
 func (l *leadership) mayAct() bool { return l.loader.ready && !l.lease.verifiesLease() }
 
-// afterEvent runs after each event and sends what it has caused to be written.
+// afterEvent runs after each event: it runs a pending placement round and sends the writes that the event queued.
 func (l *leadership) afterEvent() {
 	if l.lease.ended || !l.mayAct() {
 		return
 	}
-	// While a transaction is in flight, new decisions could only go out with the next one. So placement
-	// waits for it: a burst of submissions is placed in one round, not job by job.
+	// While a transaction is in flight, new placements could only be stored by the next transaction. Placement
+	// therefore waits until the writer is idle, which places a burst of submissions in one round, not job by job.
 	if l.placement.fillPending && !l.store.Busy() {
 		l.placement.runFill()
 	}
 	l.flush()
 }
 
-// flush sends pending writes while no other controller can have become leader.
+// flush sends the queued writes if the cluster state is loaded and the leader's lease is valid, so that no other
+// controller can be the leader.
 func (l *leadership) flush() {
 	if l.loader.ready && l.lease.holdsLease() {
 		l.store.Flush()
 	}
 }
 
-// connect makes the components that need others at once, in the order of their needs, and then wires all.
+// connect creates the components whose constructors use other components, in dependency order, and then wires all
+// components.
 func (l *leadership) connect(version uint64) {
 	l.gating.lease = l.lease
 	l.store = l.newStore(version)
@@ -153,7 +156,7 @@
 	l.cache.rebuild()
 }
 
-// newClusterState returns an empty cluster state with the quotas of the teams.
+// newClusterState returns a cluster state without jobs or machines, with the configured quota of each team.
 func newClusterState(cfg *config.Config) *clusterstate.State {
 	state := clusterstate.New(cfg.CompletionLayoutBytes(), cfg.MaxValueBytes())
 	for _, team := range cfg.Cluster.Teams {
@@ -164,5 +167,5 @@
 	return state
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/controller/observer.go
+++ b/internal/controller/observer.go
@@ -6,58 +6,60 @@
 	"claybarrow/internal/membership"
 )
 
-// Observer takes what operators count and trace. Its methods are called on the controller's goroutine while an event
-// is handled, so they must not block. They return nothing, so that an observer can't change what the controller
-// decides.
+// Observer receives the events and measurements behind the controller's metrics and traces. Its methods are called on
+// the controller's goroutine while an event is handled, so they must not block. They return nothing, so that an
+// observer can't influence the controller's decisions.
 type Observer interface {
-	// DetectorSampled takes the state of the failure detector, once in a workers' lease: its health, from 0 (it trusts its own
-	// observations) to 8 (it hardly does), and its counters since the process started.
+	// DetectorSampled reports the state of the failure detector once per workers' lease: its local health score, from 0
+	// (healthy: it trusts its own observations) to 8 (it hardly trusts them), and its counters since the process started.
 	DetectorSampled(health int, counters membership.Counters)
-	// MemberChanged takes a change of the state in which the failure detector holds another controller.
+	// MemberChanged reports a change of another controller's state in the failure detector.
 	MemberChanged(membership.StateChange)
-	// PeerMessageDropped takes a message of another controller's failure detector that was not accepted.
+	// PeerMessageDropped reports a message from another controller's failure detector that was rejected.
 	PeerMessageDropped(membership.DroppedMessage)
-	// FailedOver takes a finished change of leader, at the new leader: at its first placement, or a workers' lease
-	// after the records were loaded if there was none.
+	// FailedOver reports a finished failover. The new leader calls it at its first placement, or a workers' lease after
+	// the records were loaded if there was no placement.
 	FailedOver(Failover)
-	// GateChanged takes a change of the feature gate's state, or of what keeps it closed, at the leader.
+	// GateChanged reports a change of the feature gate's state, or of the reason why it is not open. Only the leader
+	// calls it.
 	GateChanged(GateChange)
-	// JournalSized takes the size of the journal of completions, at the leader, once in a workers' lease.
+	// JournalSized reports the size of the completion journal. The leader calls it once per workers' lease.
 	JournalSized(JournalSize)
-	// MachineRedirected takes the redirection of a machine's worker to another controller, by that one's label.
+	// MachineRedirected reports that the worker of a machine was redirected to the controller with the label to.
 	MachineRedirected(machine, to string)
-	// RequestRerouted counts a request that went to the leader by another controller.
+	// RequestRerouted reports a request that was sent to the leader through another controller.
 	RequestRerouted()
-	// RequestRetried counts a request to the leader that will be sent once more.
+	// RequestRetried reports a request to the leader whose retry was scheduled.
 	RequestRetried()
-	// ProcessResumed takes the length of a process pause that has just ended, and whether this controller led before it.
+	// ProcessResumed reports the length of a process pause that has just ended, and whether this controller was the
+	// leader before the pause.
 	ProcessResumed(pause time.Duration, led bool)
 }
 
-// Failover is a change of leader as the new leader saw it. Times are steady times of the new leader's process; 0: that
-// step did not happen, or was not seen.
+// Failover is a change of leader as observed by the new leader. Times are monotonic times of the new leader's process;
+// 0: the step did not happen or was not observed.
 type Failover struct {
-	Token            uint64        // of the new leader
+	Token            uint64        // fencing token of the new leader
 	FormerLeader     string        // label of the former leader; empty: unknown
-	Suspected        time.Duration // when the former leader was suspected
-	LeaderKeyRemoved time.Duration // when the state service no longer named it
+	Suspected        time.Duration // when the former leader became suspected
+	LeaderKeyRemoved time.Duration // when the new leader observed that the state service named no leader
 	Elected          time.Duration // when the election was won
 	Loaded           time.Duration // when all records were loaded
 	FirstPlacement   time.Duration // when the first task was started
-	// Jobs and Machines count what was loaded.
+	// Jobs and Machines are the numbers of loaded jobs and machines.
 	Jobs     int
 	Machines int
-	// Preloaded counts the records that had been read before the election.
+	// Preloaded is the number of records that were read before the election.
 	Preloaded int
 }
 
-// FailoverStep is one step of a failover, in steady times.
+// FailoverStep is one step of a failover, with its start and end in monotonic time.
 type FailoverStep struct {
 	Name     string
 	From, To time.Duration
 }
 
-// Names of the steps. They are part of log attributes and names of trace spans.
+// Names of the steps. Log attributes and trace span names contain them.
 const (
 	stepSuspicion = "suspicion"
 	stepElection  = "election"
@@ -65,7 +67,7 @@
 	stepPlacement = "placement"
 )
 
-// Steps returns the steps that happened, in their order. There is always the election.
+// Steps returns the steps that happened, in order. The election is always included.
 func (f *Failover) Steps() []FailoverStep {
 	var steps []FailoverStep
 	if f.Suspected > 0 && f.LeaderKeyRemoved >= f.Suspected {
@@ -85,7 +87,7 @@
 	return steps
 }
 
-// noObserver is the observer of a controller that nobody observes.
+// noObserver is an Observer that does nothing. It is the default.
 type noObserver struct{}
 
 func (noObserver) DetectorSampled(int, membership.Counters)     {}
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -7,22 +7,22 @@
 	"claybarrow/internal/protocol"
 )
 
-// peer is what a leader knows of another controller. It begins empty with each leadership: a new leader takes no
-// lease in a zone as expired before it has heard that zone's controllers itself.
+// peer is a leader's view of another controller. It is empty at the start of each leadership: a new leader treats no
+// lease in a zone as expired before it has received heartbeats from the controllers of that zone itself.
 type peer struct {
 	zone        string
-	incarnation string        // of its process
-	firstHeard  time.Duration // when it was first heard in this leadership; 0: never
-	lastHeard   time.Duration
-	startedAt   time.Duration // when its process started, by this controller's clock
-	// lastServed is when it last renewed a worker's lease for the leader, and servedKnownUntil the time up to which
-	// that is known: between the two it renewed none.
+	incarnation string        // incarnation of its process
+	firstHeard  time.Duration // when its first heartbeat in this leadership arrived; 0: never
+	lastHeard   time.Duration // when its last heartbeat arrived
+	startedAt   time.Duration // when its process started, on this controller's clock
+	// lastServed is when the peer last renewed a worker's lease for the leader. servedKnownUntil is the time up to
+	// which this is known: between lastServed and servedKnownUntil the peer renewed no lease.
 	servedKnownUntil, lastServed time.Duration
 	route                        heartbeatRoute
 }
 
-// onPeerHeartbeat answers the heartbeat of another controller: with who leads, and if this controller does, with a
-// reading of its clock.
+// onPeerHeartbeat answers a heartbeat from another controller. The reply names the leader and, if this controller is
+// the leader, contains a reading of its clock.
 func (c *Controller) onPeerHeartbeat(from requester, body []byte) {
 	var heartbeat protocol.PeerHeartbeat
 	if protocol.DecodePeer(body, &heartbeat) != nil || c.env.peerAddr(heartbeat.From) == "" {
@@ -35,12 +35,12 @@
 	reply := protocol.PeerHeartbeatReply{Token: c.follower.contact.highestToken, Versions: c.versionStatement()}
 	switch l := c.leadership; {
 	case l == nil:
-		// A label of our own is that of an earlier process, which led.
+		// If the leader keys name this controller, the record is that of an earlier process.
 		if label := c.follower.leaderLabel(); label != c.env.cfg.Label {
 			reply.Leader = label
 		}
 	case l.lease.verifiesLease() && c.detection.enabled():
-		// After a process pause this leader may have been replaced: it names nobody.
+		// After a process pause this leader may have been replaced, so its reply names no leader.
 	default:
 		reply.Leader, reply.Token, reply.LeaderClock = c.env.cfg.Label, l.lease.token, uint64(c.env.now)
 		l.gating.onVersionStatement(&heartbeat)
@@ -49,8 +49,8 @@
 	c.outbox.reply(from, http.StatusOK, protocol.EncodePeer(reply), 0)
 }
 
-// noteHeartbeat notes a heartbeat that came now to the leader with a token. A new incarnation counts as having
-// renewed a lease just now, as it does not know what the one before it did.
+// noteHeartbeat records a heartbeat from the peer; token is the fencing token of this leader. A new incarnation counts
+// as having renewed a lease now, because it does not know which leases the previous incarnation renewed.
 func (p *peer) noteHeartbeat(heartbeat *protocol.PeerHeartbeat, token uint64, now time.Duration) {
 	p.lastHeard = now
 	if p.firstHeard == 0 {
@@ -63,7 +63,7 @@
 	if heartbeat.ServedMS >= 0 {
 		p.lastServed = max(p.lastServed, now-milliseconds(heartbeat.ServedMS))
 	}
-	// Only this leader's own clock proves when the heartbeat's statement was true.
+	// The time at which the peer's statement was true is known only from an echoed reading of this leader's clock.
 	if heartbeat.Token == token && heartbeat.LeaderClock != 0 {
 		p.servedKnownUntil = max(p.servedKnownUntil, time.Duration(heartbeat.LeaderClock))
 	}
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// A process may be paused for seconds while its clocks run on: its machine is suspended, or another process
-// takes its core. What it believes afterwards is old, and what has arrived in the meantime is read all at once.
-// So a leader that resumes first asks the state service whether its lease still runs. Until it knows, it sends
-// no commands and does not take a worker's silence for a failure: a leader that had been replaced for half a
-// minute once took 60 machines for lost, as it was the one that had not listened.
+// A process may be paused for seconds while its clocks advance, because its machine was suspended or another process
+// occupied its core. After the pause its state is out of date, and all messages that arrived in the meantime are
+// read at once. A resumed leader therefore first confirms its lease with the state service. Until then it sends no
+// commands and does not treat missing heartbeats as worker failures: a leader that had been replaced half a minute
+// earlier once declared 60 machines lost, although the pause had kept it from reading their heartbeats.
 
-// pauseRecovery detects that the process was paused, and tracks whether any other process has answered it
-// since. It belongs to the process, whether it leads or not.
+// pauseRecovery detects pauses of the process, and tracks whether another process has answered since the last pause.
+// Its lifetime is that of the process.
 type pauseRecovery struct {
 	controller *Controller
 	detection  *failureDetection
@@ -21,14 +21,14 @@
 	preparer   *failoverPreparer
 	relay      *leaderRelay
 
-	// recoveringUntil is until when this controller takes part in nothing, as no answer has come since it resumed;
-	// 0: it was not paused, or one has come.
+	// recoveringUntil is the time until which this controller remains passive, unless an answer from another process
+	// arrives first; 0: the process was not paused, or an answer has arrived since.
 	recoveringUntil time.Duration
 	resumedAt       time.Duration // when the process last resumed; 0: it was never paused
 }
 
-// detectPause reports whether the process was paused, and logs it: gap is the time since the last event was
-// handled, and ticks come many times in a leader's lease.
+// detectPause reports whether the process was paused, and logs the pause. gap is the time since the last event; a gap
+// longer than the leader's lease counts as a pause, because many ticks are due in that time.
 func (p *pauseRecovery) detectPause(gap time.Duration) bool {
 	if p.env.now == 0 || gap <= p.env.cfg.LeaderLease() {
 		return false
@@ -39,7 +39,7 @@
 	return true
 }
 
-// recoverFromPause has a leader confirm its lease before it acts, and a follower read anew who leads.
+// recoverFromPause makes a leader confirm its lease before it acts, and a follower list the leader keys again.
 func (p *pauseRecovery) recoverFromPause() {
 	if p.detection.enabled() {
 		p.discardStaleDecisions()
@@ -53,9 +53,9 @@
 	p.election.leaderKeys.refresh(p.env.now)
 }
 
-// discardStaleDecisions drops what the controller had decided before it was paused: to campaign, to renew
-// workers' leases for a leader that was lost then, to relay what users still wait for. It takes part in
-// nothing before an answer has come, or for as long as a failover takes.
+// discardStaleDecisions discards state from before the pause: the candidacy, the failover preparation, the contact with
+// the leader and the pending requests and retries. The controller remains passive until an answer arrives, at most for
+// the maximum duration of a failover.
 func (p *pauseRecovery) discardStaleDecisions() {
 	p.recoveringUntil, p.resumedAt = p.env.now+p.env.maxFailoverTime(), p.env.now
 	p.election.candidate = nil
@@ -65,13 +65,13 @@
 	p.relay.discardRetries()
 }
 
-// noteAnswer notes the outcome of a request that was sent at a steady time. Any answer to a request since the
-// process resumed ends the recovery.
+// noteAnswer records whether a request was answered; sent is the monotonic time when it was sent. An answer to a
+// request that was sent after the process resumed ends the recovery.
 func (p *pauseRecovery) noteAnswer(sent time.Duration, answered bool) {
 	if answered && sent >= p.resumedAt {
 		p.recoveringUntil = 0
 	}
 }
 
-// isRecovering reports whether the process was paused and no answer has come since.
+// isRecovering reports whether the process was paused and no answer has arrived since.
 func (p *pauseRecovery) isRecovering() bool { return p.env.now < p.recoveringUntil }
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -8,13 +8,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// Users' requests and workers' heartbeats go to the leader. While this controller does not reach the leader,
-// and suspects it for that, but another controller does, they go by that one: one hop, never more. A request
-// whose connection could not be made is sent once more after a short pause, spread so that the controllers do
-// not retry in step. All of that happens within the time that the request had in the first place.
+// A follower relays users' requests and workers' heartbeats to the leader. While this controller can't reach the leader
+// and suspects it, but another controller can reach it, requests are relayed through that controller, over at most one
+// intermediate hop. A request whose connection failed is retried once after a short randomized delay, so that the
+// controllers do not retry in step. The retry does not extend the deadline of the request.
 
-// leaderRelay relays requests to the leader, directly or by a controller that reaches it. It belongs to the
-// process; at the election of this controller the requests that still wait for their retry are given up.
+// leaderRelay relays requests to the leader, directly or through a controller that can reach it. Its lifetime is that
+// of the process. When this controller is elected, the requests that wait for a retry are abandoned.
 type leaderRelay struct {
 	controller *Controller
 	detection  *failureDetection
@@ -29,30 +29,30 @@
 // leaderRequest is a request on its way to the leader.
 type leaderRequest struct {
 	from     requester
-	leader   string // its label
+	leader   string // label of the leader
 	path     string // relayPath or forwardedHeartbeatPath
 	relay    protocol.ForwardedRequest
-	deadline time.Duration // when it is given up
+	deadline time.Duration // when the request is abandoned
 	retried  bool
-	// then is called with the outcome; a Result with status 0 if the request is given up.
+	// then is called with the result. The status is 0 if the request was not answered or was abandoned.
 	then func(Result)
 }
 
-// retry is a request that is sent once more, and when.
+// retry is a request that is scheduled to be sent again at a given time.
 type retry struct {
 	at      time.Duration
 	request *leaderRequest
 }
 
-// relayTimeout is how long the leader's answer to a relayed request may take: less than decisionTimeout, so
-// that the answer is still of use.
+// relayTimeout is the timeout of a relayed request. It is shorter than decisionTimeout, so that the leader's reply can
+// still be returned to the requester.
 const relayTimeout = 1300 * time.Millisecond
 
-// maxRelayedStatus is the highest HTTP status that a relayed answer may carry.
+// maxRelayedStatus is the highest valid HTTP status of a relayed reply.
 const maxRelayedStatus = 599
 
-// relayFromUser relays a user's request to the leader. A malformed submission needs no leader to be rejected,
-// unless its id is valid: then the leader may have accepted that job before.
+// relayFromUser relays a user's request to the leader. A malformed submission is rejected without the leader, unless
+// its job id is valid: in that case the leader may have accepted the job earlier.
 func (r *leaderRelay) relayFromUser(from requester, request Request) {
 	if request.Op == OpSubmit {
 		if uid, _, err := protocol.ParseSubmission(request.Body); err != nil && !protocol.ValidJobID(uid) {
@@ -64,8 +64,8 @@
 	r.relayToLeader(from, r.follower.leaderLabel(), relayPath, relay)
 }
 
-// relayFromPeer relays a request to the leader for a controller that does not reach it. It is not relayed a
-// second time, and only to the leader that both controllers know.
+// relayFromPeer relays a request to the leader for another controller that can't reach it. The request is rejected if
+// the two controllers disagree on the leader, and it is not relayed through a further controller.
 func (r *leaderRelay) relayFromPeer(from requester, path string, relay protocol.ForwardedRequest) {
 	leader := r.follower.leaderLabel()
 	if !r.detection.enabled() || relay.To == "" || relay.To != leader || leader == r.env.cfg.Label {
@@ -76,7 +76,8 @@
 	r.relayToLeader(from, leader, path, relay)
 }
 
-// relayToLeader relays a request and answers it with the leader's answer, or refuses it when its time is over.
+// relayToLeader relays a request to the leader and returns the leader's reply to the requester. It rejects the request
+// if the leader is unreachable, too many requests are pending or the leader does not reply in time.
 func (r *leaderRelay) relayToLeader(from requester, leader, path string, relay protocol.ForwardedRequest) {
 	if r.env.peerAddr(leader) == "" || r.isUnreachable(leader) || r.pending.isFull() {
 		r.outbox.replyUnavailable(from)
@@ -93,7 +94,7 @@
 	})
 }
 
-// onLeaderReply answers the requester with the leader's answer.
+// onLeaderReply returns the leader's reply to the requester, unless the pending request has already been answered.
 func (r *leaderRelay) onLeaderReply(from requester, res Result) {
 	if !r.pending.take(from) {
 		return
@@ -106,7 +107,7 @@
 	r.outbox.reply(from, reply.Status, reply.Body, reply.RetryAfter)
 }
 
-// sendToLeader sends a request to the leader by the route that is known to work.
+// sendToLeader sends a request to the leader, through an intermediary if only that route is known to work.
 func (r *leaderRelay) sendToLeader(request *leaderRequest) {
 	to, relay := request.leader, request.relay
 	if intermediary := r.intermediary(request); intermediary != "" {
@@ -122,8 +123,8 @@
 	})
 }
 
-// intermediary is the controller that reaches the leader while this one does not; empty: the direct route is as
-// good as any. What came from another controller goes directly or not at all.
+// intermediary returns the label of a controller that can reach the leader while this one can't. It is empty if the
+// direct route should be used. Requests from other controllers are sent only on the direct route.
 func (r *leaderRelay) intermediary(request *leaderRequest) string {
 	if !r.detection.enabled() || request.relay.To != "" || request.from.relayed {
 		return ""
@@ -132,8 +133,8 @@
 	return label
 }
 
-// isUnreachable reports whether a controller is dead to this one and to all that it has asked: waiting for an
-// answer would be in vain.
+// isUnreachable reports whether the failure detector considers a controller dead and knows no relay route to it, so
+// that a request to it would only time out.
 func (r *leaderRelay) isUnreachable(label string) bool {
 	if r.detection.peerState(label) != membership.Dead {
 		return false
@@ -142,8 +143,8 @@
 	return !reached
 }
 
-// scheduleRetry has a request sent once more. It returns false if that can't be, as it has been retried already
-// or no time is left.
+// scheduleRetry schedules a retry of a request. It returns false if the request must not be retried: it has already
+// been retried, the retry would miss its deadline, this controller is now the leader, or failure detection is disabled.
 func (r *leaderRelay) scheduleRetry(request *leaderRequest) bool {
 	at := r.env.now + r.env.retryPause()
 	if !r.detection.enabled() || request.retried || r.controller.leadership != nil || at >= request.deadline {
@@ -155,8 +156,8 @@
 	return true
 }
 
-// runRetries sends the requests whose retry is due. Those whose time is over, or that this controller would now
-// have to decide itself, are given up.
+// runRetries sends the requests whose retry is due. It abandons a request whose deadline has passed, and all due
+// requests if this controller is now the leader.
 func (r *leaderRelay) runRetries() {
 	due := r.retries
 	r.retries = nil
@@ -172,8 +173,8 @@
 	}
 }
 
-// discardRetries refuses the heartbeats that wait for their retry, after a process pause. Users' requests among
-// the retries are refused by the pendingTable, in which they wait too.
+// discardRetries discards all retries after a process pause and rejects the heartbeats among them. The users' requests
+// among them are rejected by the pendingTable, which tracks them too.
 func (r *leaderRelay) discardRetries() {
 	for _, next := range r.retries {
 		if next.request.path == forwardedHeartbeatPath {
@@ -183,7 +184,7 @@
 	r.retries = nil
 }
 
-// readRelayReply returns the leader's answer to what was relayed; false: there was none.
+// readRelayReply decodes the leader's reply to a relayed request. It returns false if there is no valid reply.
 func readRelayReply(res Result) (protocol.ForwardedReply, bool) {
 	var reply protocol.ForwardedReply
 	ok := res.Status == http.StatusOK && protocol.DecodePeer(res.Body, &reply) == nil &&
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -9,13 +9,13 @@
 	"claybarrow/internal/statestore"
 )
 
-// recordHost adapts a leadership to statestore.Host, which the writer of its records works with.
+// recordHost implements statestore.Host, which the record writer uses, for a leadership.
 type recordHost struct{ leader *leadership }
 
 var _ statestore.Host = recordHost{}
 
-// newStore returns the writer of a leadership's records. version is that of the transaction in which the
-// election wrote the counter and the leader key, and the key of the lease while the gate is not closed.
+// newStore returns the writer for the leadership's records. version is the version of the keys that the election
+// transaction wrote: the counter, the leader key and, unless the feature gate is closed, the lease key.
 func (l *leadership) newStore(version uint64) *statestore.Writer {
 	env, outbox := l.controller.env, l.controller.outbox
 	limits := statestore.Limits{
@@ -36,8 +36,8 @@
 	return writer
 }
 
-// leaderEntry is how the leader key stores a record: attached to the leader's lease, or permanently while the
-// feature gate is not closed.
+// leaderEntry returns the entry that stores a record under the leader key. The entry is attached to the leader's lease
+// if the record's feature gate is closed, and permanent otherwise.
 func (g *gateKeeper) leaderEntry(rec leaderRecord) statestore.LeaderEntry {
 	entry := statestore.LeaderEntry{Record: rec, Matches: rec.matches}
 	if rec.StorageVersion == 0 {
@@ -46,8 +46,8 @@
 	return entry
 }
 
-// matches reports whether a stored value, as it was read, is this record. The writer asks this after a
-// transaction without an answer.
+// matches reports whether an encoded value is equal to this record. The writer uses it to determine the outcome of a
+// transaction that got no response.
 func (r *leaderRecord) matches(value []byte) bool {
 	var stored leaderRecord
 	return protocol.Decode(value, &stored) == nil && stored == *r
@@ -72,10 +72,11 @@
 // HasEnded implements statestore.Host.
 func (h recordHost) HasEnded() bool { return h.leader.lease.ended }
 
-// OnUnavailable implements statestore.Host: users get an answer at once instead of waiting for the service.
+// OnUnavailable implements statestore.Host: it rejects the pending requests, so that users need not wait for the state
+// service.
 func (h recordHost) OnUnavailable() { h.leader.controller.pending.refuseAll() }
 
-// OnAbandoned implements statestore.Host: what waits for an abandoned record to be durable must not wait for ever.
+// OnAbandoned implements statestore.Host: it cancels the operations that wait for the abandoned record to be stored.
 func (h recordHost) OnAbandoned(key string) {
 	if id, isMachine := strings.CutPrefix(key, clusterstate.MachinePrefix); isMachine && h.leader.state.Machines[id] != nil {
 		h.leader.machines.abandonMachine(h.leader.state.Machines[id])
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -1,9 +1,9 @@
 package controller
 
-// The components of a leadership work with one another: each names those that it needs as its first fields. They
-// are connected here once all of them exist, as some need one another.
+// The components of a leadership reference one another through their first fields. Some references are mutual, so they
+// are set here, after all components have been created.
 
-// wire gives each component of a leadership the others that it needs.
+// wire sets the references between the components of a leadership.
 func (l *leadership) wire() {
 	l.wireLifecycle()
 	l.wireRecords()
@@ -14,7 +14,7 @@
 	l.wireScaling()
 }
 
-// wireLifecycle wires the components that begin, keep and trace a leadership.
+// wireLifecycle wires the components that load, maintain and trace a leadership.
 func (l *leadership) wireLifecycle() {
 	lease := l.lease
 	lease.controller = l.controller
@@ -50,7 +50,7 @@
 	gating.store = l.store
 }
 
-// wireRecords wires the components that store attempts, completions and attained service.
+// wireRecords wires the components that record attempt numbers, completions and attained service.
 func (l *leadership) wireRecords() {
 	completions := l.completions
 	completions.env = l.controller.env
@@ -72,7 +72,7 @@
 	accounting.views = l.views
 }
 
-// wireHeartbeats wires the exchange with the workers: heartbeats and commands.
+// wireHeartbeats wires the components that exchange heartbeats and commands with the workers.
 func (l *leadership) wireHeartbeats() {
 	heartbeats := l.heartbeats
 	heartbeats.attempts = l.attempts
@@ -113,7 +113,7 @@
 	reach.env = l.controller.env
 }
 
-// wireMachines wires what is known of machines and zones.
+// wireMachines wires the components that track machines and zone partitions.
 func (l *leadership) wireMachines() {
 	health := l.health
 	health.attempts = l.attempts
@@ -142,7 +142,7 @@
 	partitions.state = l.state
 }
 
-// wireWork wires attempts, their failures, jobs and the requests of users.
+// wireWork wires the components that handle attempts, their failures, jobs and users' requests.
 func (l *leadership) wireWork() {
 	attempts := l.attempts
 	attempts.completions = l.completions
@@ -223,7 +223,7 @@
 	cache.views = l.views
 }
 
-// wireScaling wires what scales the fleet and summarizes it.
+// wireScaling wires the components that scale and summarize the fleet.
 func (l *leadership) wireScaling() {
 	forecast := l.forecast
 	forecast.catalog = l.controller.catalog
