--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -16,10 +16,10 @@
 	placement *taskScheduler
 	store     *statestore.Writer
 
-	block     uint64 // token of the current block, which is never assigned to another leader
-	used      uint64 // count of allocated numbers of the current block
-	next      uint64 // token of the next block; 0: no block is durably reserved
-	reserving bool   // a reservation is in progress
+	block         uint64 // token of the current block, which is never assigned to another leader
+	used          uint64 // count of allocated numbers of the current block
+	reservedBlock uint64 // token of the next block; 0: no block is durably reserved
+	reserving     bool   // a reservation is in progress
 }
 
 const (
@@ -27,22 +27,24 @@
 	attemptBlockBits = 24
 	// attemptsPerBlock is the number of attempt numbers in a block. Sequence number 0 is not used.
 	attemptsPerBlock = 1<<attemptBlockBits - 1
-	// reserveBelow is the remaining count at which the next block is reserved: half of a block.
-	reserveBelow = 1 << (attemptBlockBits - 1)
+	// reserveThreshold is the remaining count at which the next block is reserved: half of a block.
+	reserveThreshold = 1 << (attemptBlockBits - 1)
 	// minNumbersLeft is the remaining count that a placement round requires: more than any round allocates.
 	minNumbersLeft = 1 << 20
 )
 
-// left returns the remaining count of numbers in the current block.
-func (n *attemptNumbers) left() uint64 { return attemptsPerBlock - n.used }
+// remaining returns how many numbers of the current block have not been allocated.
+func (n *attemptNumbers) remaining() uint64 { return attemptsPerBlock - n.used }
 
 // enough reports whether enough numbers are available for a placement round.
-func (n *attemptNumbers) enough() bool { return n.next != 0 || n.left() >= minNumbersLeft }
+func (n *attemptNumbers) enough() bool {
+	return n.reservedBlock != 0 || n.remaining() >= minNumbersLeft
+}
 
 // take allocates the next attempt number.
 func (n *attemptNumbers) take() uint64 {
-	if n.left() == 0 {
-		n.block, n.used, n.next = n.next, 0, 0
+	if n.remaining() == 0 {
+		n.block, n.used, n.reservedBlock = n.reservedBlock, 0, 0
 	}
 	n.used++
 	return n.block<<attemptBlockBits | n.used
@@ -51,14 +53,14 @@
 // reserveBlock reserves the next block once half of the current one is used. Placement, which may be waiting for the
 // block, is triggered when the reservation is durable.
 func (n *attemptNumbers) reserveBlock() {
-	if n.reserving || n.next != 0 || n.left() > reserveBelow {
+	if n.reserving || n.reservedBlock != 0 || n.remaining() > reserveThreshold {
 		return
 	}
 	n.reserving = true
-	reserved := n.block + 1
-	n.store.QueueWrite(keyCounter, statestore.PriorityUser, func() any { return counterRecord{Token: reserved} }, func() {
-		n.next, n.reserving = reserved, false
+	nextBlock := n.block + 1
+	n.store.QueueWrite(keyCounter, statestore.PriorityUser, func() any { return counterRecord{Token: nextBlock} }, func() {
+		n.reservedBlock, n.reserving = nextBlock, false
 		n.placement.fillPending = true
-		n.env.log.Info("attempt number block reserved", "token", n.lease.token, "block", reserved)
+		n.env.log.Info("attempt number block reserved", "token", n.lease.token, "block", nextBlock)
 	})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -77,11 +77,11 @@
 // Observe sets the observer of this controller. It must be called before the first call of Handle.
 func (c *Controller) Observe(observer Observer) { c.env.observer = observer }
 
-// Handle processes one event and returns the effects to carry out, in order. at is the current reading of the clocks.
-// If its monotonic time is lower than that of an earlier event, the earlier time is used.
-func (c *Controller) Handle(at Clock, event Event) []Effect {
-	paused := c.pause.detectPause(at.Steady - c.env.now)
-	c.env.now, c.env.wall = max(c.env.now, at.Steady), at.Wall
+// Handle processes one event and returns the effects to carry out, in order. clock is the current reading of the
+// clocks. If its monotonic time is lower than that of an earlier event, the earlier time is used.
+func (c *Controller) Handle(clock Clock, event Event) []Effect {
+	paused := c.pause.detectPause(clock.Steady - c.env.now)
+	c.env.now, c.env.wall = max(c.env.now, clock.Steady), clock.Wall
 	c.outbox.effects = nil
 	if paused {
 		c.pause.recoverFromPause()
@@ -122,7 +122,7 @@
 	candidate := c.election.candidate
 	c.election.candidate = nil
 	c.env.log.Info("elected leader", "token", record.Token, "lease", record.LeaseID)
-	c.leadership = newLeadership(c, record, version, candidate.leaseAskedAt)
+	c.leadership = newLeadership(c, record, version, candidate.leaseRequestedAt)
 	c.leadership.trace.failover = c.preparer.beginFailover(record.Token)
 	c.leadership.loader.preload = c.preparer.preparation.preload
 	c.preparer.preparation.preload = nil
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -30,10 +30,10 @@
 
 // candidate is the state of this controller's candidacy: its lease and the request in flight.
 type candidate struct {
-	leaseID      uint64        // 0: the candidate holds no lease
-	leaseAskedAt time.Duration // when the request that acquired or last renewed the lease was sent
-	retryAt      time.Duration // earliest time of the next request after a failed one
-	inFlight     bool          // a request is in flight
+	leaseID          uint64        // 0: the candidate holds no lease
+	leaseRequestedAt time.Duration // when the request that acquired or last renewed the lease was sent
+	retryAt          time.Duration // earliest time of the next request after a failed one
+	inFlight         bool          // a request is in flight
 }
 
 // Fractions and multiples of the leader's lease (config.LeaderLease) in an election.
@@ -76,17 +76,17 @@
 		return
 	}
 	e.leaderKeys.inFlight = true
-	if e.leaderKeys.known {
-		e.followLeaderKeys()
+	if e.leaderKeys.listed {
+		e.sendWatchRequest()
 	} else {
-		e.listLeaderKeys()
+		e.sendListRequest()
 	}
 }
 
 // shouldCampaign reports whether there is no leader and this controller may campaign now.
 func (e *election) shouldCampaign() bool {
-	return e.controller.leadership == nil && e.leaderKeys.known && e.leaderKeys.leader == nil &&
-		!e.backsOffElection() && e.mayCampaign() && e.supportsStoredVersion()
+	return e.controller.leadership == nil && e.leaderKeys.listed && e.leaderKeys.leader == nil &&
+		!e.isBackingOff() && e.mayCampaign() && e.supportsStoredVersion()
 }
 
 // mayReadLeaderKeys reports whether the leader keys may be listed or watched now. A leader does not watch them,
@@ -97,33 +97,33 @@
 		e.outbox.stateRequests.Allows(e.env.now, 1)
 }
 
-// listLeaderKeys sends a list request for all leader keys.
-func (e *election) listLeaderKeys() {
-	current := e.leaderKeysRequest()
+// sendListRequest sends a list request for all leader keys.
+func (e *election) sendListRequest() {
+	isCurrent := e.registerKeysRequest()
 	e.outbox.state.List(keyPrefix, "", leaderKeysLimit, e.stateCallTimeout(), func(page stateclient.Page, err error) {
-		if current() {
+		if isCurrent() {
 			e.onLeaderKeysListed(page, err)
 		}
 	})
 }
 
-// followLeaderKeys sends a watch request for changes of the leader keys after the known revision. The state service
+// sendWatchRequest sends a watch request for changes of the leader keys after the known revision. The state service
 // responds at the first change, or with no events after watchBlockLeases.
-func (e *election) followLeaderKeys() {
+func (e *election) sendWatchRequest() {
 	ttl := e.env.cfg.LeaderLease()
 	block := watchBlockLeases * ttl
-	current := e.leaderKeysRequest()
+	isCurrent := e.registerKeysRequest()
 	e.outbox.state.Watch(keyPrefix, e.leaderKeys.revision, block, block+ttl, func(events protocol.WatchReply, err error) {
-		if current() {
+		if isCurrent() {
 			e.onLeaderKeysChanged(events, err)
 		}
 	})
 }
 
-// leaderKeysRequest registers a list or watch request for the leader keys. The response handler must call the
+// registerKeysRequest registers a list or watch request for the leader keys. The response handler must call the
 // returned function: it marks the request as completed and reports whether the response is current. A response is
 // stale if refresh was called after the request was sent.
-func (e *election) leaderKeysRequest() (current func() bool) {
+func (e *election) registerKeysRequest() (isCurrent func() bool) {
 	generation := e.leaderKeys.generation
 	return func() bool {
 		if e.leaderKeys.generation != generation {
@@ -142,12 +142,12 @@
 		e.logListFailure(apicall.StatusOf(err))
 		return
 	}
-	keys.known, keys.revision, keys.listFailureLogged = true, page.Revision, false
+	keys.listed, keys.revision, keys.listFailureLogged = true, page.Revision, false
 	keys.clearKeys()
 	for _, item := range page.Items {
 		keys.applyKey(item.Key, item.Value, item.Version)
 	}
-	e.observeLeader()
+	e.updateLeader()
 	e.watchLeaderKeys()
 }
 
@@ -166,7 +166,7 @@
 func (e *election) onLeaderKeysChanged(events protocol.WatchReply, err error) {
 	keys := &e.leaderKeys
 	if err != nil {
-		keys.known, keys.retryAt = false, e.env.now+e.env.retryPause()
+		keys.listed, keys.retryAt = false, e.env.now+e.env.retryPause()
 		return
 	}
 	keys.revision = events.Revision
@@ -177,7 +177,7 @@
 			keys.applyKey(event.Put, event.Value, event.Version)
 		}
 	}
-	e.observeLeader()
+	e.updateLeader()
 	e.watchLeaderKeys()
 }
 
@@ -185,37 +185,37 @@
 // sends one transaction that increments the counter and puts the leader key. The transaction is conditional on the
 // leader keys being unchanged, so it fails if another controller was elected in the meantime.
 func (e *election) campaign() {
-	candidate := e.currentCandidate()
-	if !e.mayCall(candidate) {
+	candidate := e.ensureCandidate()
+	if !e.maySendRequest(candidate) {
 		return
 	}
 	maxAge := e.env.cfg.LeaderLease() / campaignLeaseDivisor
-	if candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+maxAge {
+	if candidate.leaseID == 0 || e.env.now > candidate.leaseRequestedAt+maxAge {
 		e.acquireLease(candidate, func() {
-			if e.leaderKeys.known && e.leaderKeys.leader == nil && e.controller.leadership == nil {
+			if e.leaderKeys.listed && e.leaderKeys.leader == nil && e.controller.leadership == nil {
 				e.campaign()
 			}
 		})
 		return
 	}
-	e.sendElection(candidate)
+	e.sendElectionTxn(candidate)
 }
 
-// currentCandidate returns this controller's candidacy, and creates it if there is none.
-func (e *election) currentCandidate() *candidate {
+// ensureCandidate returns this controller's candidacy, and creates it if there is none.
+func (e *election) ensureCandidate() *candidate {
 	if e.candidate == nil {
 		e.candidate = &candidate{}
 	}
 	return e.candidate
 }
 
-// mayCall reports whether the candidate may send a request to the state service now.
-func (e *election) mayCall(candidate *candidate) bool {
+// maySendRequest reports whether the candidate may send a request to the state service now.
+func (e *election) maySendRequest(candidate *candidate) bool {
 	return !candidate.inFlight && e.env.now >= candidate.retryAt && e.outbox.stateRequests.Allows(e.env.now, 1)
 }
 
-// sendElection sends the election transaction of the candidate.
-func (e *election) sendElection(candidate *candidate) {
+// sendElectionTxn sends the candidate's election transaction to the state service.
+func (e *election) sendElectionTxn(candidate *candidate) {
 	candidate.inFlight = true
 	record := &leaderRecord{
 		Label:       e.env.cfg.Label,
@@ -239,7 +239,7 @@
 		return
 	}
 	if err == nil {
-		e.leaderKeys.noteElectionWon(record, revision)
+		e.leaderKeys.applyElection(record, revision)
 		e.controller.becomeLeader(record, revision)
 		return
 	}
@@ -270,31 +270,31 @@
 // maintainCandidateLease acquires and renews a lease ahead of an election, so that the election takes only one
 // transaction.
 func (e *election) maintainCandidateLease() {
-	candidate := e.currentCandidate()
-	if !e.mayCall(candidate) {
+	candidate := e.ensureCandidate()
+	if !e.maySendRequest(candidate) {
 		return
 	}
 	ttl := e.env.cfg.LeaderLease()
 	switch {
-	case candidate.leaseID == 0 || e.env.now > candidate.leaseAskedAt+candidateLeaseMaxAge(ttl):
+	case candidate.leaseID == 0 || e.env.now > candidate.leaseRequestedAt+candidateLeaseMaxAge(ttl):
 		e.acquireLease(candidate, func() {})
-	case e.env.now > candidate.leaseAskedAt+ttl/candidateRenewalDivisor:
+	case e.env.now > candidate.leaseRequestedAt+ttl/candidateRenewalDivisor:
 		e.renewCandidateLease(candidate)
 	}
 }
 
-// acquireLease requests a lease for the candidate, and calls then once the lease is granted.
-func (e *election) acquireLease(candidate *candidate, then func()) {
+// acquireLease requests a lease for the candidate, and calls onGranted once the lease is granted.
+func (e *election) acquireLease(candidate *candidate, onGranted func()) {
 	candidate.inFlight = true
 	sent := e.env.now
-	e.outbox.state.GrantLease(e.env.cfg.LeaderLease(), e.stateCallTimeout(), func(lease uint64, err error) {
+	e.outbox.state.GrantLease(e.env.cfg.LeaderLease(), e.stateCallTimeout(), func(leaseID uint64, err error) {
 		candidate.inFlight = false
 		if err != nil {
 			candidate.retryAt = e.env.now + e.env.retryPause()
 			return
 		}
-		candidate.leaseID, candidate.leaseAskedAt = lease, sent
-		then()
+		candidate.leaseID, candidate.leaseRequestedAt = leaseID, sent
+		onGranted()
 	})
 }
 
@@ -306,7 +306,7 @@
 		candidate.inFlight = false
 		switch {
 		case err == nil:
-			candidate.leaseAskedAt = sent
+			candidate.leaseRequestedAt = sent
 		case errors.Is(err, stateclient.ErrLeaseExpired):
 			candidate.leaseID = 0
 		default:
@@ -330,9 +330,9 @@
 	return false
 }
 
-// observeLeader updates the current leader from the leader keys after a change. It ends this controller's leadership
+// updateLeader updates the current leader from the leader keys after a change. It ends this controller's leadership
 // if a later leader was elected, and handles a leader key that names this controller while it is not the leader.
-func (e *election) observeLeader() {
+func (e *election) updateLeader() {
 	keys := &e.leaderKeys
 	record := keys.currentLeader()
 	if record == nil {
@@ -378,14 +378,14 @@
 // revokeFormerLease revokes the lease of an earlier process of this controller, or of an abandoned candidacy, so that
 // the next election need not wait for the lease to expire. Revoking it is safe because writes by the holder of that
 // lease are fenced.
-func (e *election) revokeFormerLease(lease uint64) {
+func (e *election) revokeFormerLease(leaseID uint64) {
 	keys := &e.leaderKeys
-	if keys.revokedLease == lease {
+	if keys.revokedLease == leaseID {
 		return
 	}
-	keys.revokedLease = lease
-	e.env.log.Info("revoking the lease of an earlier incarnation", "lease", lease)
-	e.outbox.state.RevokeLease(lease, e.stateCallTimeout(), func(err error) {
+	keys.revokedLease = leaseID
+	e.env.log.Info("revoking the lease of an earlier incarnation", "lease", leaseID)
+	e.outbox.state.RevokeLease(leaseID, e.stateCallTimeout(), func(err error) {
 		if apicall.IsRetryable(err) { // the lease may not have been revoked
 			keys.revokedLease = 0
 			keys.refresh(e.env.now + e.env.retryPause())
@@ -393,8 +393,8 @@
 	})
 }
 
-// backsOffElection reports whether this controller refrains from campaigning so that another one can be elected.
-func (e *election) backsOffElection() bool {
+// isBackingOff reports whether this controller refrains from campaigning so that another one can be elected.
+func (e *election) isBackingOff() bool {
 	return e.env.now < e.electionBackoffUntil &&
 		e.env.now < e.leaderKeys.leaderlessSince+e.env.cfg.WorkerLease()/backoffLeaseDivisor
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -29,14 +29,14 @@
 	// failoverLeases is the maximum duration of a failover in leases: one until the former leader's lease expires, and
 	// one for the election.
 	failoverLeases = 2
-	// retryPauses is the number of base retry pauses per leader's lease.
-	retryPauses = 16
+	// retryPauseDivisor: the base retry pause is a sixteenth of the leader's lease.
+	retryPauseDivisor = 16
 )
 
 // retryPause returns a random delay before a retry, between one and two sixteenths of the leader's lease. It is random
 // so that the controllers do not retry in step.
 func (e *environment) retryPause() time.Duration {
-	base := e.cfg.LeaderLease() / retryPauses
+	base := e.cfg.LeaderLease() / retryPauseDivisor
 	return base + time.Duration(e.rng.Int64N(int64(base)+1))
 }
 
--- a/internal/controller/failover_preparation.go
+++ b/internal/controller/failover_preparation.go
@@ -64,7 +64,7 @@
 		preparation.suspectedAt, preparation.preload = 0, nil
 		return
 	}
-	if !p.election.leaderKeys.known {
+	if !p.election.leaderKeys.listed {
 		return // keep the preparation: the leader keys are being listed again
 	}
 	if preparation.suspectedAt == 0 {
@@ -79,13 +79,13 @@
 // suspectsLeader reports whether the leader is another controller that is not alive according to the failure
 // detector, and this controller is not backing off from elections.
 func (p *failoverPreparer) suspectsLeader(label string) bool {
-	return label != p.env.cfg.Label && p.detection.peerState(label) != membership.Alive && !p.election.backsOffElection()
+	return label != p.env.cfg.Label && p.detection.peerState(label) != membership.Alive && !p.election.isBackingOff()
 }
 
 // preloadNextPage requests the next page of records to preload, if the request budget allows. token is the token of
 // the suspected leader.
 func (p *failoverPreparer) preloadNextPage(token uint64) {
-	preload := p.preloadOf(token)
+	preload := p.ensurePreload(token)
 	requests := &p.outbox.stateRequests
 	if preload.finished || preload.inFlight || !requests.Allows(p.env.now, 1+preloadReserve*requests.Burst()) {
 		return
@@ -97,8 +97,8 @@
 	})
 }
 
-// preloadOf returns the preload for the leader with the given token, and starts a new one if there is none.
-func (p *failoverPreparer) preloadOf(token uint64) *recordPreload {
+// ensurePreload returns the preload for the leader with the given token, and starts a new one if there is none.
+func (p *failoverPreparer) ensurePreload(token uint64) *recordPreload {
 	preparation := &p.preparation
 	if preparation.preload == nil || preparation.preload.token != token {
 		preparation.preload = newRecordPreload(token, loadOrder(p.election.leaderKeys.record.storageVersion()))
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -26,15 +26,16 @@
 	preparer *failoverPreparer
 
 	detector *membership.Detector // nil: failure detection is disabled
-	// probed holds the senders of the unanswered probes, by the request number that the detector uses for the probe.
-	probed        map[uint64]requester
-	lastRequest   uint64        // the last request number used
-	countersDueAt time.Duration // when the detector's counters are next reported to the observer
+	// unansweredProbes holds the senders of the probes that have not been answered, by the request number that the
+	// detector uses for the probe.
+	unansweredProbes map[uint64]requester
+	lastProbeID      uint64        // the last request number used
+	countersDueAt    time.Duration // when the detector's counters are next reported to the observer
 }
 
-// stallTimeouts is the detector's pause threshold in probe timeouts: a gap between two ticks in which a whole probe
-// would have failed.
-const stallTimeouts = 3
+// pauseThresholdTimeouts is the detector's pause threshold in probe timeouts: a gap between two ticks in which a whole
+// probe would have failed.
+const pauseThresholdTimeouts = 3
 
 func newFailureDetection(cfg *config.Config, rng *rand.Rand) *failureDetection {
 	if !cfg.Operator.Membership.Enabled || len(cfg.Siblings) == 0 {
@@ -47,13 +48,13 @@
 		SuspicionTimeout: cfg.SuspicionTimeout(),
 		SuspicionFactor:  config.UnconfirmedSuspicionFactor,
 		RejoinDelay:      cfg.RejoinMinUptime(),
-		PauseThreshold:   stallTimeouts * cfg.ProbeTimeout(),
+		PauseThreshold:   pauseThresholdTimeouts * cfg.ProbeTimeout(),
 		ClockError:       cfg.ClockError(),
 	}
 	for _, sibling := range cfg.Siblings {
 		settings.Peers = append(settings.Peers, sibling.Label)
 	}
-	return &failureDetection{detector: membership.New(settings, rng), probed: map[uint64]requester{}}
+	return &failureDetection{detector: membership.New(settings, rng), unansweredProbes: map[uint64]requester{}}
 }
 
 // enabled reports whether failure detection by probes is enabled.
@@ -79,14 +80,14 @@
 		d.outbox.reply(from, http.StatusNotFound, nil, 0)
 		return
 	}
-	d.lastRequest++
-	d.probed[d.lastRequest] = from
-	d.applyDetectorActions(d.detector.HandleProbe(d.detectorClock(), d.lastRequest, body))
+	d.lastProbeID++
+	d.unansweredProbes[d.lastProbeID] = from
+	d.applyDetectorActions(d.detector.HandleProbe(d.detectorClock(), d.lastProbeID, body))
 }
 
-// notePeerAnswer reports to the detector that a controller answered a request, which counts like an answer to a probe.
-// sent is the monotonic time when the request was sent.
-func (d *failureDetection) notePeerAnswer(label string, sent time.Duration) {
+// recordPeerAnswer reports to the detector that a controller answered a request, which counts like an answer to a
+// probe. sent is the monotonic time when the request was sent.
+func (d *failureDetection) recordPeerAnswer(label string, sent time.Duration) {
 	if d.enabled() {
 		d.applyDetectorActions(d.detector.ObserveAck(d.detectorClock(), label, sent))
 	}
@@ -135,11 +136,11 @@
 
 // replyToProbe sends the detector's answer to the sender of a probe.
 func (d *failureDetection) replyToProbe(respond membership.Respond) {
-	from, waits := d.probed[respond.Request]
-	if !waits {
+	from, found := d.unansweredProbes[respond.Request]
+	if !found {
 		return
 	}
-	delete(d.probed, respond.Request)
+	delete(d.unansweredProbes, respond.Request)
 	retryAfter := 0
 	if respond.Status == http.StatusServiceUnavailable {
 		retryAfter = retryAfterSeconds
@@ -160,10 +161,10 @@
 
 // onDroppedMessage reports a message that the detector rejected to the observer, and logs it if it is the first with
 // this sender and reason.
-func (d *failureDetection) onDroppedMessage(drop membership.DroppedMessage) {
-	d.env.observer.PeerMessageDropped(drop)
-	if drop.First {
-		d.env.log.Info("peer message dropped", "controller", drop.Label, "reason", string(drop.Reason))
+func (d *failureDetection) onDroppedMessage(dropped membership.DroppedMessage) {
+	d.env.observer.PeerMessageDropped(dropped)
+	if dropped.First {
+		d.env.log.Info("peer message dropped", "controller", dropped.Label, "reason", string(dropped.Reason))
 	}
 }
 
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -47,9 +47,9 @@
 	highestToken uint64 // highest fencing token seen by this process
 
 	// The leader's last reply: its token, its clock reading, and the time of arrival.
-	token         uint64
-	leaderClock   uint64
-	leaderHeardAt time.Duration // 0: never
+	token           uint64
+	leaderClock     uint64
+	leaderRepliedAt time.Duration // 0: never
 	// leaderNamedAt is when a peer last named the leader; 0: never.
 	leaderNamedAt time.Duration
 
@@ -58,46 +58,47 @@
 	leaderLost        bool
 	leaderLostAt      time.Duration
 	connectionRefused bool          // the last connection to the leader was refused without delay
-	keysCheckedAt     time.Duration // when the loss of the leader last caused the leader keys to be listed again
+	keysRefreshedAt   time.Duration // when the loss of the leader last caused the leader keys to be listed again
 	leaderProbes      leaderProbes  // probes of the workers' route to the leader since it was lost
 
-	// servesLeases reports that this controller renews workers' leases for the leader; lastServed is the time of the
-	// last renewal.
-	servesLeases bool
-	lastServed   time.Duration
+	// renewsLeases reports that this controller renews workers' leases for the leader; lastRenewalAt is the time of
+	// the last renewal.
+	renewsLeases  bool
+	lastRenewalAt time.Duration
 
 	// The state of the heartbeats to the leader.
 	inFlight bool
 	nextAt   time.Duration
-	// nextSibling counts the heartbeats that the leader did not answer. It selects the target of the next heartbeat.
-	nextSibling int
+	// unansweredHeartbeats counts the heartbeats that the leader did not answer. It selects the target of the next
+	// heartbeat.
+	unansweredHeartbeats int
 }
 
 // Divisors of the workers' lease.
 const (
-	// contactValidity: a reply from the leader, or from a peer that names the leader, is valid for half a lease.
-	contactValidity = 2
-	// peerHeartbeatTimeout: a heartbeat to another controller times out after a tenth of a lease.
-	peerHeartbeatTimeout = 10
-	// refusedConnectionTime: a connection attempt that fails within a twentieth of a lease counts as refused. A slower
-	// failure may have been caused by a network delay.
-	refusedConnectionTime = 20
-	// forwardTimeoutLease: a forwarded heartbeat times out after an eighth of a lease.
-	forwardTimeoutLease = 8
+	// contactValidityDivisor: a reply from the leader, or from a peer that names the leader, is valid for half a lease.
+	contactValidityDivisor = 2
+	// peerHeartbeatTimeoutDivisor: a heartbeat to another controller times out after a tenth of a lease.
+	peerHeartbeatTimeoutDivisor = 10
+	// refusedConnectionDivisor: a connection attempt that fails within a twentieth of a lease counts as refused. A
+	// slower failure may have been caused by a network delay.
+	refusedConnectionDivisor = 20
+	// forwardTimeoutDivisor: a forwarded heartbeat times out after an eighth of a lease.
+	forwardTimeoutDivisor = 8
 )
 
-// forwardTimeout is the upper bound for the timeout of a forwarded heartbeat. It is well below the 4 s that a worker
+// maxForwardTimeout is the upper bound for the timeout of a forwarded heartbeat. It is well below the 4 s that a worker
 // waits, so that this controller can still answer the worker itself if the leader does not.
-const forwardTimeout = heartbeatTimeout / 2
+const maxForwardTimeout = heartbeatTimeout / 2
 
 // leaderLabel returns the label of the leader from the leader keys or, if these are out of date, from the leader's
 // recent replies. It is empty if the leader is unknown.
 func (f *follower) leaderLabel() string {
 	keys, contact := &f.election.leaderKeys, &f.contact
-	if keys.leader != nil && (keys.known || keys.leader.Token >= contact.highestToken) {
+	if keys.leader != nil && (keys.listed || keys.leader.Token >= contact.highestToken) {
 		return keys.leader.Label
 	}
-	if contact.leader != "" && f.isRecent(contact.leaderHeardAt) {
+	if contact.leader != "" && f.isRecent(contact.leaderRepliedAt) {
 		return contact.leader
 	}
 	return ""
@@ -108,26 +109,26 @@
 // each request.
 func (f *follower) isReady() bool {
 	keys := &f.election.leaderKeys
-	if !keys.known && keys.leader == nil && keys.leaderlessSince == 0 {
+	if !keys.listed && keys.leader == nil && keys.leaderlessSince == 0 {
 		return false
 	}
-	if f.lostLeaderForLong() {
+	if f.lostLeaderTooLong() {
 		return false
 	}
 	return f.leaderLabel() != "" || f.env.now < keys.leaderlessSince+f.env.cfg.WorkerLease()/2
 }
 
-// lostLeaderForLong reports whether no leader has answered for longer than a failover should take. The limit is short
+// lostLeaderTooLong reports whether no leader has answered for longer than a failover should take. The limit is short
 // while the state service names a leader, and longer otherwise, because an election may still be in progress.
-func (f *follower) lostLeaderForLong() bool {
+func (f *follower) lostLeaderTooLong() bool {
 	if !f.contact.leaderLost || len(f.env.cfg.Siblings) == 0 {
 		return false
 	}
-	patience := f.env.cfg.WorkerLease() / 2
+	limit := f.env.cfg.WorkerLease() / 2
 	if f.storeNamesLeader() {
-		patience = min(f.env.maxFailoverTime(), f.env.cfg.WorkerLease()*3/20)
+		limit = min(f.env.maxFailoverTime(), f.env.cfg.WorkerLease()*3/20)
 	}
-	return f.env.now > f.contact.leaderLostAt+patience
+	return f.env.now > f.contact.leaderLostAt+limit
 }
 
 // sendPeerHeartbeat sends a heartbeat to the leader if one is due. A leader sends no such heartbeats.
@@ -137,21 +138,21 @@
 		contact.highestToken = max(contact.highestToken, leader.Token)
 	}
 	if l := f.controller.leadership; l != nil {
-		*contact = leaderContact{highestToken: max(contact.highestToken, l.lease.token), lastServed: contact.lastServed}
+		*contact = leaderContact{highestToken: max(contact.highestToken, l.lease.token), lastRenewalAt: contact.lastRenewalAt}
 		return
 	}
 	if contact.inFlight || f.env.now < contact.nextAt || len(f.env.cfg.Siblings) == 0 {
 		return
 	}
-	asked := f.heartbeatTarget()
-	if f.env.peerAddr(asked) == "" {
+	target := f.heartbeatTarget()
+	if f.env.peerAddr(target) == "" {
 		return
 	}
 	contact.inFlight = true
 	sent := f.env.now
-	body, timeout := protocol.EncodePeer(f.peerHeartbeat()), f.env.cfg.WorkerLease()/peerHeartbeatTimeout
-	f.outbox.peerCall(asked, peerHeartbeatPath, body, timeout, func(res Result) {
-		f.onPeerHeartbeatReply(asked, sent, res)
+	body, timeout := protocol.EncodePeer(f.peerHeartbeat()), f.env.cfg.WorkerLease()/peerHeartbeatTimeoutDivisor
+	f.outbox.peerCall(target, peerHeartbeatPath, body, timeout, func(res Result) {
+		f.onPeerHeartbeatReply(target, sent, res)
 	})
 }
 
@@ -160,8 +161,8 @@
 func (f *follower) heartbeatTarget() string {
 	contact, siblings := &f.contact, f.env.cfg.Siblings
 	label := f.presumedLeader()
-	if label == "" || label == f.env.cfg.Label || (contact.leaderLost && contact.nextSibling%2 == 1) {
-		return siblings[contact.nextSibling/2%len(siblings)].Label
+	if label == "" || label == f.env.cfg.Label || (contact.leaderLost && contact.unansweredHeartbeats%2 == 1) {
+		return siblings[contact.unansweredHeartbeats/2%len(siblings)].Label
 	}
 	return label
 }
@@ -193,14 +194,14 @@
 	if contact.token == contact.highestToken {
 		heartbeat.LeaderClock = contact.leaderClock
 	}
-	if contact.lastServed > 0 {
-		heartbeat.ServedMS = (f.env.now - contact.lastServed).Milliseconds()
+	if contact.lastRenewalAt > 0 {
+		heartbeat.ServedMS = (f.env.now - contact.lastRenewalAt).Milliseconds()
 	}
 	return heartbeat
 }
 
 // onPeerHeartbeatReply handles the result of a heartbeat that was sent to another controller.
-func (f *follower) onPeerHeartbeatReply(asked string, sent time.Duration, res Result) {
+func (f *follower) onPeerHeartbeatReply(target string, sent time.Duration, res Result) {
 	contact := &f.contact
 	if sent < f.pause.resumedAt {
 		contact.inFlight = false // the heartbeat was sent before a process pause, so its result is out of date
@@ -208,7 +209,7 @@
 	}
 	f.pause.noteAnswer(sent, res.Status != 0)
 	if res.Status == http.StatusOK {
-		f.detection.notePeerAnswer(asked, sent)
+		f.detection.recordPeerAnswer(target, sent)
 	}
 	if f.controller.leadership != nil {
 		return
@@ -223,37 +224,37 @@
 	// Only a leader's reply contains a clock reading. Without this check, a former leader that had restarted in a
 	// partitioned zone learned from the other controller of the zone that it was the leader, and repeated this in its
 	// replies. The other controller then took it for the leader and no longer renewed the zone's leases.
-	if ok && reply.Leader == asked && reply.LeaderClock != 0 {
-		f.noteLeaderAnswered(&reply)
+	if ok && reply.Leader == target && reply.LeaderClock != 0 {
+		f.onLeaderAnswered(&reply)
 		return
 	}
-	contact.nextSibling++
-	if asked == f.leaderLabel() {
-		contact.connectionRefused = res.ConnectionFailed && f.env.now < sent+f.env.cfg.WorkerLease()/refusedConnectionTime
+	contact.unansweredHeartbeats++
+	if target == f.leaderLabel() {
+		contact.connectionRefused = res.ConnectionFailed && f.env.now < sent+f.env.cfg.WorkerLease()/refusedConnectionDivisor
 	}
-	f.noteLeaderUnanswered()
+	f.onLeaderUnanswered()
 }
 
-// noteLeaderAnswered records a reply from the leader. The follower stops renewing workers' leases for it.
-func (f *follower) noteLeaderAnswered(reply *protocol.PeerHeartbeatReply) {
+// onLeaderAnswered records a reply from the leader. The follower stops renewing workers' leases for it.
+func (f *follower) onLeaderAnswered(reply *protocol.PeerHeartbeatReply) {
 	contact := &f.contact
-	if contact.servesLeases {
+	if contact.renewsLeases {
 		f.env.log.Info("leader reachable again", "leader", reply.Leader, "token", reply.Token)
 	}
-	contact.leaderLost, contact.connectionRefused, contact.servesLeases = false, false, false
+	contact.leaderLost, contact.connectionRefused, contact.renewsLeases = false, false, false
 	contact.leaderProbes = leaderProbes{}
-	contact.token, contact.leaderClock, contact.leaderHeardAt = reply.Token, reply.LeaderClock, f.env.now
+	contact.token, contact.leaderClock, contact.leaderRepliedAt = reply.Token, reply.LeaderClock, f.env.now
 }
 
-// noteLeaderUnanswered records that the leader did not answer. Either the leader has failed or this controller is
+// onLeaderUnanswered records that the leader did not answer. Either the leader has failed or this controller is
 // partitioned from it, so the leader keys are listed again, at most once per leader's lease.
-func (f *follower) noteLeaderUnanswered() {
+func (f *follower) onLeaderUnanswered() {
 	contact := &f.contact
 	if !contact.leaderLost {
 		contact.leaderLost, contact.leaderLostAt = true, f.env.now
 	}
-	if f.election.leaderKeys.known && f.env.now > contact.keysCheckedAt+f.env.cfg.LeaderLease() {
-		contact.keysCheckedAt = f.env.now
+	if f.election.leaderKeys.listed && f.env.now > contact.keysRefreshedAt+f.env.cfg.LeaderLease() {
+		contact.keysRefreshedAt = f.env.now
 		f.election.leaderKeys.refresh(f.env.now)
 	}
 }
@@ -273,13 +274,13 @@
 		return false
 	}
 	failoverIsOver := f.env.now > contact.leaderLostAt+f.env.maxFailoverTime()
-	if f.storeNamesLeader() && failoverIsOver && f.trySendWorkerToLeader(heartbeat) {
+	if f.storeNamesLeader() && failoverIsOver && f.tryRedirectToLeader(heartbeat) {
 		return false
 	}
-	if !contact.servesLeases {
+	if !contact.renewsLeases {
 		f.env.log.Info("renewing worker leases for the unreachable leader", "token", heartbeat.Token)
 	}
-	contact.servesLeases, contact.lastServed = true, f.env.now
+	contact.renewsLeases, contact.lastRenewalAt = true, f.env.now
 	return true
 }
 
@@ -304,14 +305,14 @@
 // leader does not reply, this controller answers the worker itself.
 func (f *follower) forwardHeartbeat(from requester, heartbeat *protocol.WorkerHeartbeat, body []byte) {
 	leader := f.contact.leader
-	timeout := min(f.env.cfg.WorkerLease()/forwardTimeoutLease, forwardTimeout)
+	timeout := min(f.env.cfg.WorkerLease()/forwardTimeoutDivisor, maxForwardTimeout)
 	f.relay.sendToLeader(&leaderRequest{
-		from:     from,
-		leader:   leader,
-		path:     forwardedHeartbeatPath,
-		relay:    protocol.ForwardedRequest{Operation: string(OpWorkerHeartbeat), Body: body, From: f.env.cfg.Label},
-		deadline: f.env.now + timeout,
-		then: func(res Result) {
+		from:      from,
+		leader:    leader,
+		path:      forwardedHeartbeatPath,
+		forwarded: protocol.ForwardedRequest{Operation: string(OpWorkerHeartbeat), Body: body, From: f.env.cfg.Label},
+		deadline:  f.env.now + timeout,
+		onResult: func(res Result) {
 			reply, ok := readRelayReply(res)
 			switch l := f.controller.leadership; {
 			case l != nil:
@@ -329,7 +330,7 @@
 // worker's lease or redirects the worker to the leader.
 func (f *follower) onForwardFailed(from requester, leader string, heartbeat *protocol.WorkerHeartbeat) {
 	if leader == f.contact.leader {
-		f.noteLeaderUnanswered()
+		f.onLeaderUnanswered()
 	}
 	if f.tryRenewLeaseForLeader(heartbeat) {
 		f.replyLeaseOnly(from, heartbeat)
@@ -343,19 +344,19 @@
 func (f *follower) discardContact() {
 	former := &f.contact
 	f.contact = leaderContact{
-		highestToken: former.highestToken,
-		lastServed:   former.lastServed,
-		inFlight:     former.inFlight,
-		nextAt:       f.env.now,
+		highestToken:  former.highestToken,
+		lastRenewalAt: former.lastRenewalAt,
+		inFlight:      former.inFlight,
+		nextAt:        f.env.now,
 	}
 }
 
 // storeNamesLeader reports whether the copy of the leader keys is up to date and names a leader.
 func (f *follower) storeNamesLeader() bool {
-	return f.election.leaderKeys.known && f.election.leaderKeys.leader != nil
+	return f.election.leaderKeys.listed && f.election.leaderKeys.leader != nil
 }
 
-// isRecent reports whether information received at the monotonic time heardAt is still valid; 0: never received.
-func (f *follower) isRecent(heardAt time.Duration) bool {
-	return heardAt > 0 && f.env.now < heardAt+f.env.cfg.WorkerLease()/contactValidity
+// isRecent reports whether information received at the monotonic time receivedAt is still valid; 0: never received.
+func (f *follower) isRecent(receivedAt time.Duration) bool {
+	return receivedAt > 0 && f.env.now < receivedAt+f.env.cfg.WorkerLease()/contactValidityDivisor
 }
--- a/internal/controller/leader_keys.go
+++ b/internal/controller/leader_keys.go
@@ -67,7 +67,7 @@
 
 // leaderKeys is this controller's copy of the leader keys. Its lifetime is that of the process.
 type leaderKeys struct {
-	known    bool   // the keys have been listed, and a watch can continue from revision
+	listed   bool   // the keys have been listed, and a watch can continue from revision
 	revision uint64 // revision of the state service up to which changes have been applied
 
 	counter         uint64 // highest fencing token
@@ -89,9 +89,9 @@
 	unsupportedLogged bool   // that the stored records can't be read has been logged
 }
 
-// refresh schedules a new list of the keys at the given time and abandons an open watch.
-func (k *leaderKeys) refresh(at time.Duration) {
-	k.known, k.inFlight, k.retryAt = false, false, at
+// refresh marks the keys as out of date, so that they are listed again at retryAt, and abandons an open watch.
+func (k *leaderKeys) refresh(retryAt time.Duration) {
+	k.listed, k.inFlight, k.retryAt = false, false, retryAt
 	k.generation++
 }
 
@@ -158,9 +158,9 @@
 	return txn
 }
 
-// noteElectionWon applies the changes of a successful election transaction to this copy of the keys; revision is the
+// applyElection applies the changes of a successful election transaction to this copy of the keys; revision is the
 // revision of the transaction.
-func (k *leaderKeys) noteElectionWon(record *leaderRecord, revision uint64) {
+func (k *leaderKeys) applyElection(record *leaderRecord, revision uint64) {
 	k.counter, k.counterVersion = record.Token, revision
 	k.record, k.recordVersion = record, revision
 	k.leader, k.leaseKeyPresent = record, record.StorageVersion != 0
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -17,14 +17,14 @@
 	env        *environment
 	outbox     *outbox
 
-	token            uint64
-	leaseID          uint64
-	leaseConfirmedAt time.Duration // when the last confirmed renewal was sent
-	renewLeaseAt     time.Duration // when the next renewal is due
-	renewalInFlight  bool
-	coasting         bool          // that the lease may have expired has been logged
-	electedAt        time.Duration // when the election was won
-	ended            bool          // the leadership has ended
+	token             uint64
+	leaseID           uint64
+	leaseConfirmedAt  time.Duration // when the last confirmed renewal was sent
+	renewLeaseAt      time.Duration // when the next renewal is due
+	renewalInFlight   bool
+	unconfirmedLogged bool          // that the lease may have expired has been logged
+	electedAt         time.Duration // when the election was won
+	ended             bool          // the leadership has ended
 	// verifyingLeaseUntil is set after a process pause, when another controller may have been elected. Until this
 	// time, or until the lease is confirmed, the leader makes no decisions (see pauseRecovery).
 	verifyingLeaseUntil time.Duration
@@ -84,14 +84,14 @@
 		l.leaseConfirmedAt = max(l.leaseConfirmedAt, sent)
 		l.verifyingLeaseUntil = 0
 		l.renewLeaseAt = sent + ttl/renewalDivisor
-		l.coasting = false
+		l.unconfirmedLogged = false
 	case errors.Is(err, stateclient.ErrLeaseExpired):
 		l.controller.endLeadership(endLeaseExpired)
-		l.coasting = false
+		l.unconfirmedLogged = false
 	default:
 		l.renewLeaseAt = l.env.now + ttl/renewalRetryDivisor
-		if !l.holdsLease() && !l.coasting {
-			l.coasting = true
+		if !l.holdsLease() && !l.unconfirmedLogged {
+			l.unconfirmedLogged = true
 			l.env.log.Info("leader lease not confirmed; answering workers but starting no tasks", "token", l.token)
 		}
 	}
--- a/internal/controller/leader_probes.go
+++ b/internal/controller/leader_probes.go
@@ -16,75 +16,75 @@
 // leaderProbes is the state of the probes of the workers' route to a lost leader. It is discarded when the leader
 // answers.
 type leaderProbes struct {
-	// sent holds the time when a worker was redirected to the leader, by machine, for each worker that has not returned
-	// to this controller.
-	sent map[string]time.Duration
-	last time.Duration // when the last worker was redirected; 0: never
-	// next is the earliest time of the next probe after a failed one; failures counts the failed probes.
-	next     time.Duration
-	failures int
+	// redirectedAt holds the time when a worker was redirected to the leader, by machine, for each worker that has not
+	// returned to this controller.
+	redirectedAt   map[string]time.Duration
+	lastRedirectAt time.Duration // when the last worker was redirected; 0: never
+	// nextProbeAt is the earliest time of the next probe after a failed one; failures counts the failed probes.
+	nextProbeAt time.Duration
+	failures    int
 }
 
 const (
-	// maxProbingWorkers bounds the entries in leaderProbes.sent, and so its memory.
-	maxProbingWorkers = 1 << 16
-	// conclusiveStay is the number of leases after which the return of a redirected worker no longer counts as a failed
-	// probe: the worker must have reached the leader, so it returned for another reason.
-	conclusiveStay = 3
+	// maxRedirectedWorkers bounds the size of leaderProbes.redirectedAt, and so its memory.
+	maxRedirectedWorkers = 1 << 16
+	// failedProbeMaxLeases is the number of leases after which the return of a redirected worker no longer counts as a
+	// failed probe: the worker must have reached the leader, so it returned for another reason.
+	failedProbeMaxLeases = 3
 )
 
-// noteReturned records a heartbeat from a worker. It reports whether the worker was redirected to the leader and
+// recordReturn records a heartbeat from a worker. It reports whether the worker was redirected to the leader and
 // returned so early that it can't have reached the leader.
-func (p *leaderProbes) noteReturned(machine string, now, lease time.Duration) bool {
-	sentAt, wasSent := p.sent[machine]
-	if !wasSent {
+func (p *leaderProbes) recordReturn(machine string, now, lease time.Duration) bool {
+	redirectedAt, wasRedirected := p.redirectedAt[machine]
+	if !wasRedirected {
 		return false
 	}
-	delete(p.sent, machine)
-	if now > sentAt+conclusiveStay*lease {
+	delete(p.redirectedAt, machine)
+	if now > redirectedAt+failedProbeMaxLeases*lease {
 		return false
 	}
-	p.next = max(p.next, now+redirectBackoff(lease, p.failures))
+	p.nextProbeAt = max(p.nextProbeAt, now+redirectBackoff(lease, p.failures))
 	p.failures++
 	return true
 }
 
-// noteSent records that a worker is redirected to the leader.
-func (p *leaderProbes) noteSent(machine string, now time.Duration) {
-	if p.sent == nil {
-		p.sent = map[string]time.Duration{}
+// recordRedirect records that a worker is redirected to the leader.
+func (p *leaderProbes) recordRedirect(machine string, now time.Duration) {
+	if p.redirectedAt == nil {
+		p.redirectedAt = map[string]time.Duration{}
 	}
-	p.sent[machine], p.last = now, now
+	p.redirectedAt[machine], p.lastRedirectAt = now, now
 }
 
-// trySendWorkerToLeader reports whether a worker of this controller's zone is redirected to the lost leader, and
+// tryRedirectToLeader reports whether a worker of this controller's zone is redirected to the lost leader, and
 // records the redirection.
-func (f *follower) trySendWorkerToLeader(heartbeat *protocol.WorkerHeartbeat) bool {
+func (f *follower) tryRedirectToLeader(heartbeat *protocol.WorkerHeartbeat) bool {
 	probes := &f.contact.leaderProbes
-	returned := probes.noteReturned(heartbeat.Machine, f.env.now, f.env.cfg.WorkerLease())
-	if returned || f.env.now < probes.next || len(probes.sent) >= maxProbingWorkers {
+	returned := probes.recordReturn(heartbeat.Machine, f.env.now, f.env.cfg.WorkerLease())
+	if returned || f.env.now < probes.nextProbeAt || len(probes.redirectedAt) >= maxRedirectedWorkers {
 		return false
 	}
-	if !f.refusesAtOnce() && !f.mayRiskLease(heartbeat) {
+	if !f.leaderRefusesConnections() && !f.mayProbeAtLeaseRisk(heartbeat) {
 		return false
 	}
-	probes.noteSent(heartbeat.Machine, f.env.now)
+	probes.recordRedirect(heartbeat.Machine, f.env.now)
 	return true
 }
 
-// refusesAtOnce reports whether connections to the leader are refused without delay. The workers' connections are then
-// refused as well, so every worker may probe the leader: it returns long before its lease expires.
-func (f *follower) refusesAtOnce() bool {
+// leaderRefusesConnections reports whether connections to the leader are refused without delay. The workers'
+// connections are then refused as well, so every worker may probe the leader: it returns long before its lease expires.
+func (f *follower) leaderRefusesConnections() bool {
 	return f.contact.connectionRefused && f.env.workerScanTime(heartbeatRetryPause) < f.env.cfg.WorkerLease()/2
 }
 
-// mayRiskLease reports whether a worker may probe the leader while connection attempts to the leader time out. The
-// worker then waits for the timeout at each controller, which may take longer than its lease. Therefore only one worker
-// probes at a time, and during the first half of the outage tolerance (config.OutageTolerance) only a worker without
-// tasks.
-func (f *follower) mayRiskLease(heartbeat *protocol.WorkerHeartbeat) bool {
+// mayProbeAtLeaseRisk reports whether a worker may probe the leader while connection attempts to the leader time out.
+// The worker then waits for the timeout at each controller, which may take longer than its lease. Therefore only one
+// worker probes at a time, and during the first half of the outage tolerance (config.OutageTolerance) only a worker
+// without tasks.
+func (f *follower) mayProbeAtLeaseRisk(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
-	if last := contact.leaderProbes.last; last > 0 && f.env.now < last+f.env.workerFailoverTime() {
+	if last := contact.leaderProbes.lastRedirectAt; last > 0 && f.env.now < last+f.env.workerFailoverTime() {
 		return false
 	}
 	return len(heartbeat.Tasks) == 0 || f.env.now >= contact.leaderLostAt+f.env.cfg.OutageTolerance()/2
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -44,14 +44,14 @@
 	default:
 		reply.Leader, reply.Token, reply.LeaderClock = c.env.cfg.Label, l.lease.token, uint64(c.env.now)
 		l.gating.onVersionStatement(&heartbeat)
-		l.peers[heartbeat.From].noteHeartbeat(&heartbeat, l.lease.token, c.env.now)
+		l.peers[heartbeat.From].recordHeartbeat(&heartbeat, l.lease.token, c.env.now)
 	}
 	c.outbox.reply(from, http.StatusOK, protocol.EncodePeer(reply), 0)
 }
 
-// noteHeartbeat records a heartbeat from the peer; token is the fencing token of this leader. A new incarnation counts
-// as having renewed a lease now, because it does not know which leases the previous incarnation renewed.
-func (p *peer) noteHeartbeat(heartbeat *protocol.PeerHeartbeat, token uint64, now time.Duration) {
+// recordHeartbeat records a heartbeat from the peer; token is the fencing token of this leader. A new incarnation
+// counts as having renewed a lease now, because it does not know which leases the previous incarnation renewed.
+func (p *peer) recordHeartbeat(heartbeat *protocol.PeerHeartbeat, token uint64, now time.Duration) {
 	p.lastHeard = now
 	if p.firstHeard == 0 {
 		p.firstHeard = now
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -23,24 +23,24 @@
 	outbox     *outbox
 	pending    *pendingTable
 
-	retries []retry
+	scheduledRetries []retry
 }
 
 // leaderRequest is a request on its way to the leader.
 type leaderRequest struct {
-	from     requester
-	leader   string // label of the leader
-	path     string // relayPath or forwardedHeartbeatPath
-	relay    protocol.ForwardedRequest
-	deadline time.Duration // when the request is abandoned
-	retried  bool
-	// then is called with the result. The status is 0 if the request was not answered or was abandoned.
-	then func(Result)
+	from      requester
+	leader    string // label of the leader
+	path      string // relayPath or forwardedHeartbeatPath
+	forwarded protocol.ForwardedRequest
+	deadline  time.Duration // when the request is abandoned
+	retried   bool
+	// onResult is called with the result. The status is 0 if the request was not answered or was abandoned.
+	onResult func(Result)
 }
 
 // retry is a request that is scheduled to be sent again at a given time.
 type retry struct {
-	at      time.Duration
+	dueAt   time.Duration
 	request *leaderRequest
 }
 
@@ -60,37 +60,37 @@
 			return
 		}
 	}
-	relay := protocol.ForwardedRequest{Operation: string(request.Op), UID: request.UID, Body: request.Body}
-	r.relayToLeader(from, r.follower.leaderLabel(), relayPath, relay)
+	forwarded := protocol.ForwardedRequest{Operation: string(request.Op), UID: request.UID, Body: request.Body}
+	r.relayToLeader(from, r.follower.leaderLabel(), relayPath, forwarded)
 }
 
 // relayFromPeer relays a request to the leader for another controller that can't reach it. The request is rejected if
 // the two controllers disagree on the leader, and it is not relayed through a further controller.
-func (r *leaderRelay) relayFromPeer(from requester, path string, relay protocol.ForwardedRequest) {
+func (r *leaderRelay) relayFromPeer(from requester, path string, forwarded protocol.ForwardedRequest) {
 	leader := r.follower.leaderLabel()
-	if !r.detection.enabled() || relay.To == "" || relay.To != leader || leader == r.env.cfg.Label {
+	if !r.detection.enabled() || forwarded.To == "" || forwarded.To != leader || leader == r.env.cfg.Label {
 		r.outbox.replyUnavailable(from)
 		return
 	}
-	relay.To = ""
-	r.relayToLeader(from, leader, path, relay)
+	forwarded.To = ""
+	r.relayToLeader(from, leader, path, forwarded)
 }
 
 // relayToLeader relays a request to the leader and returns the leader's reply to the requester. It rejects the request
 // if the leader is unreachable, too many requests are pending or the leader does not reply in time.
-func (r *leaderRelay) relayToLeader(from requester, leader, path string, relay protocol.ForwardedRequest) {
+func (r *leaderRelay) relayToLeader(from requester, leader, path string, forwarded protocol.ForwardedRequest) {
 	if r.env.peerAddr(leader) == "" || r.isUnreachable(leader) || r.pending.isFull() {
 		r.outbox.replyUnavailable(from)
 		return
 	}
 	r.pending.start(from)
 	r.sendToLeader(&leaderRequest{
-		from:     from,
-		leader:   leader,
-		path:     path,
-		relay:    relay,
-		deadline: r.env.now + relayTimeout,
-		then:     func(res Result) { r.onLeaderReply(from, res) },
+		from:      from,
+		leader:    leader,
+		path:      path,
+		forwarded: forwarded,
+		deadline:  r.env.now + relayTimeout,
+		onResult:  func(res Result) { r.onLeaderReply(from, res) },
 	})
 }
 
@@ -109,24 +109,24 @@
 
 // sendToLeader sends a request to the leader, through an intermediary if only that route is known to work.
 func (r *leaderRelay) sendToLeader(request *leaderRequest) {
-	to, relay := request.leader, request.relay
+	to, forwarded := request.leader, request.forwarded
 	if intermediary := r.intermediary(request); intermediary != "" {
-		to, relay.To = intermediary, request.leader
+		to, forwarded.To = intermediary, request.leader
 		r.env.observer.RequestRerouted()
 	}
-	body := protocol.EncodePeer(relay)
+	body := protocol.EncodePeer(forwarded)
 	r.outbox.peerCall(to, request.path, body, request.deadline-r.env.now, func(res Result) {
 		if res.Status == 0 && res.ConnectionFailed && r.scheduleRetry(request) {
 			return
 		}
-		request.then(res)
+		request.onResult(res)
 	})
 }
 
 // intermediary returns the label of a controller that can reach the leader while this one can't. It is empty if the
 // direct route should be used. Requests from other controllers are sent only on the direct route.
 func (r *leaderRelay) intermediary(request *leaderRequest) string {
-	if !r.detection.enabled() || request.relay.To != "" || request.from.relayed {
+	if !r.detection.enabled() || request.forwarded.To != "" || request.from.relayed {
 		return ""
 	}
 	label, _ := r.detection.detector.RelayRoute(request.leader)
@@ -146,29 +146,29 @@
 // scheduleRetry schedules a retry of a request. It returns false if the request must not be retried: it has already
 // been retried, the retry would miss its deadline, this controller is now the leader, or failure detection is disabled.
 func (r *leaderRelay) scheduleRetry(request *leaderRequest) bool {
-	at := r.env.now + r.env.retryPause()
-	if !r.detection.enabled() || request.retried || r.controller.leadership != nil || at >= request.deadline {
+	retryAt := r.env.now + r.env.retryPause()
+	if !r.detection.enabled() || request.retried || r.controller.leadership != nil || retryAt >= request.deadline {
 		return false
 	}
 	request.retried = true
 	r.env.observer.RequestRetried()
-	r.retries = append(r.retries, retry{at: at, request: request})
+	r.scheduledRetries = append(r.scheduledRetries, retry{dueAt: retryAt, request: request})
 	return true
 }
 
 // runRetries sends the requests whose retry is due. It abandons a request whose deadline has passed, and all due
 // requests if this controller is now the leader.
 func (r *leaderRelay) runRetries() {
-	due := r.retries
-	r.retries = nil
-	for _, next := range due {
+	waiting := r.scheduledRetries
+	r.scheduledRetries = nil
+	for _, scheduled := range waiting {
 		switch {
-		case r.env.now < next.at:
-			r.retries = append(r.retries, next)
-		case r.env.now >= next.request.deadline || r.controller.leadership != nil:
-			next.request.then(Result{})
+		case r.env.now < scheduled.dueAt:
+			r.scheduledRetries = append(r.scheduledRetries, scheduled)
+		case r.env.now >= scheduled.request.deadline || r.controller.leadership != nil:
+			scheduled.request.onResult(Result{})
 		default:
-			r.sendToLeader(next.request)
+			r.sendToLeader(scheduled.request)
 		}
 	}
 }
@@ -176,12 +176,12 @@
 // discardRetries discards all retries after a process pause and rejects the heartbeats among them. The users' requests
 // among them are rejected by the pendingTable, which tracks them too.
 func (r *leaderRelay) discardRetries() {
-	for _, next := range r.retries {
-		if next.request.path == forwardedHeartbeatPath {
-			r.outbox.replyUnavailable(next.request.from)
+	for _, scheduled := range r.scheduledRetries {
+		if scheduled.request.path == forwardedHeartbeatPath {
+			r.outbox.replyUnavailable(scheduled.request.from)
 		}
 	}
-	r.retries = nil
+	r.scheduledRetries = nil
 }
 
 // readRelayReply decodes the leader's reply to a relayed request. It returns false if there is no valid reply.
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -38,9 +38,9 @@
 
 // leaderEntry returns the entry that stores a record under the leader key. The entry is attached to the leader's lease
 // if the record's feature gate is closed, and permanent otherwise.
-func (g *gateKeeper) leaderEntry(rec leaderRecord) statestore.LeaderEntry {
-	entry := statestore.LeaderEntry{Record: rec, Matches: rec.matches}
-	if rec.StorageVersion == 0 {
+func (g *gateKeeper) leaderEntry(record leaderRecord) statestore.LeaderEntry {
+	entry := statestore.LeaderEntry{Record: record, Matches: record.matches}
+	if record.StorageVersion == 0 {
 		entry.Lease = g.lease.leaseID
 	}
 	return entry
