--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -109,7 +109,7 @@
 	c.catalog.refreshMachineTypes()
 	c.detection.tickFailureDetector()
 	c.preparer.prepareFailover()
-	c.election.watchLeaderKeys()
+	c.election.tick()
 	c.follower.sendPeerHeartbeat()
 	if c.leadership != nil {
 		c.leadership.tick()
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -66,9 +66,9 @@
 	return e.env.cfg.LeaderLease() / stateCallTimeoutDivisor
 }
 
-// watchLeaderKeys campaigns if there is no leader, and keeps the copy of the leader keys up to date: it lists the
-// keys once and then watches them from the revision of that list.
-func (e *election) watchLeaderKeys() {
+// tick campaigns if there is no leader, and keeps the copy of the leader keys up to date: it lists the keys once and
+// then watches them from the revision of that list.
+func (e *election) tick() {
 	if e.shouldCampaign() {
 		e.campaign()
 	}
@@ -148,7 +148,7 @@
 		keys.applyKey(item.Key, item.Value, item.Version)
 	}
 	e.updateLeader()
-	e.watchLeaderKeys()
+	e.tick()
 }
 
 // logListFailure logs only the first of consecutive list failures, so that an outage of the state service does not
@@ -178,7 +178,7 @@
 		}
 	}
 	e.updateLeader()
-	e.watchLeaderKeys()
+	e.tick()
 }
 
 // campaign tries to become the leader: it acquires a lease if the candidate's lease is missing or too old, and then
--- a/internal/controller/failover_preparation.go
+++ b/internal/controller/failover_preparation.go
@@ -65,7 +65,7 @@
 		return
 	}
 	if !p.election.leaderKeys.listed {
-		return // keep the preparation: the leader keys are being listed again
+		return // keep the preparation while the leader keys are listed again
 	}
 	if preparation.suspectedAt == 0 {
 		preparation.suspectedAt = p.env.now
--- a/internal/controller/leader_keys.go
+++ b/internal/controller/leader_keys.go
@@ -34,7 +34,7 @@
 	Incarnation string `msgpack:"i"` // incarnation of the leader's process
 	Token       uint64 `msgpack:"n"`
 	LeaseID     uint64 `msgpack:"t"`
-	// StorageVersion is the version of the stored records; 0: the gate is closed.
+	// StorageVersion is the version of the stored records for which the gate is open or closing; 0: the gate is closed.
 	StorageVersion uint64 `msgpack:"f,omitempty"`
 	// Closing is true while the gate is being closed.
 	Closing bool `msgpack:"c,omitempty"`
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -52,16 +52,16 @@
 }
 
 // newLeadership creates the leadership for a won election. elected is the leader record that the election stored,
-// version the version of the leader key, and confirmed the time when the last successful request for the lease
-// was sent.
-func newLeadership(c *Controller, elected *leaderRecord, version uint64, confirmed time.Duration) *leadership {
+// version the version of the leader key, and leaseConfirmedAt the time when the last successful request for the
+// lease was sent.
+func newLeadership(c *Controller, elected *leaderRecord, version uint64, leaseConfirmedAt time.Duration) *leadership {
 	cfg, now := c.env.cfg, c.env.now
 	l := &leadership{
 		controller: c,
 		state:      newClusterState(cfg),
 		peers:      map[string]*peer{},
 		lease: &leaderLease{
-			token: elected.Token, leaseID: elected.LeaseID, electedAt: now, leaseConfirmedAt: confirmed,
+			token: elected.Token, leaseID: elected.LeaseID, electedAt: now, leaseConfirmedAt: leaseConfirmedAt,
 			renewLeaseAt: now + cfg.LeaderLease()/firstRenewalDivisor,
 		},
 		timers:         &timerQueue{},
