--- a/internal/scalerun/clients.go
+++ b/internal/scalerun/clients.go
@@ -16,14 +16,15 @@
 	"claybarrow/internal/protocol"
 )
 
-// Operations of a client; they are keys of RegionResult.Statuses.
+// Operations of a client. statusKey builds the keys of RegionResult.Answers from them.
 const (
 	opSubmit = "submit"
 	opPoll   = "poll"
 	opCancel = "cancel"
 )
 
-// Times of the protocol's clients. A submission that is not decided within submitDeadline is given up.
+// Timing of the emulated clients. A client abandons a submission that the controllers have neither accepted nor
+// rejected within submitDeadline.
 const (
 	pollInterval    = 5 * time.Second
 	pollTimeout     = 2 * time.Second
@@ -34,18 +35,18 @@
 )
 
 const (
-	maxIdleConnections    = 64 // to each controller
+	maxIdleConnections    = 64 // for each controller
 	idleConnectionTimeout = 30 * time.Second
-	// clientSeedOffset keeps the clients' random numbers apart from those of the regions.
+	// clientSeedOffset gives the clients a random sequence that differs from that of every region.
 	clientSeedOffset = 100
 )
 
-// clients are all clients of a region. They submit jobs at set rates, whatever becomes of those before
-// (an open-loop load), poll each until it has ended, and cancel some.
+// clients emulates all clients of a region. They submit jobs at fixed rates, independent of the progress of
+// earlier jobs (an open-loop load), poll each job until it has ended, and cancel some of the jobs.
 type clients struct {
 	region        *region
 	httpClient    *http.Client
-	random        *rand.Rand // used by the event loop alone
+	random        *rand.Rand // used by the event loop only
 	jobsSubmitted int
 }
 
@@ -55,7 +56,7 @@
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
 
-// startArrivals starts the arrivals of each class. The event loop calls it.
+// startArrivals starts the arrival process of each job class. It must be called on the event loop.
 func (c *clients) startArrivals() {
 	for i := range c.region.plan.Load {
 		load := &c.region.plan.Load[i]
@@ -64,8 +65,8 @@
 	}
 }
 
-// scheduleArrival submits a job of a class after an exponentially distributed time, and schedules the
-// next one (a Poisson process).
+// scheduleArrival submits a job of a class after an exponentially distributed delay and then schedules the next
+// arrival (a Poisson process).
 func (c *clients) scheduleArrival(load *LoadPlan, perSecond float64) {
 	c.region.loop.queue.After(time.Duration(c.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if c.region.closing {
@@ -76,7 +77,7 @@
 	})
 }
 
-// submit makes a job of a class and submits it until it is decided.
+// submit creates a job of a class and sends its submission until the controllers have accepted it.
 func (c *clients) submit(load *LoadPlan) {
 	r := c.region
 	c.jobsSubmitted++
@@ -89,7 +90,7 @@
 	c.requestUntilDecided(j, opSubmit, c.description(j), func() { c.onAccepted(j) })
 }
 
-// description returns the body of a submission.
+// description returns the encoded body of a job's submission.
 func (c *clients) description(j *job) []byte {
 	estimate := j.load.RunS
 	if j.Service {
@@ -101,8 +102,8 @@
 		"saveEveryS": 0.0, "saveTakesS": 0.0, "dueS": nil})
 }
 
-// onAccepted begins to poll a job, and schedules its cancellation: services are cancelled at the end of
-// their time, a share of the other jobs halfway.
+// onAccepted starts polling an accepted job and schedules its cancellation: each service is cancelled after run_s,
+// and the configured share of the other jobs after half of run_s.
 func (c *clients) onAccepted(j *job) {
 	r := c.region
 	if j.acceptedAt == 0 {
@@ -121,13 +122,13 @@
 	r.loop.queue.After(seconds(end), func() {
 		if !j.finished() && !r.closing {
 			j.cancelRequested = true
-			j.note(r.loop.queue.Now(), "its user asks to cancel it")
+			j.note(r.loop.queue.Now(), "client requests to cancel the job")
 			c.requestUntilDecided(j, opCancel, nil, func() {})
 		}
 	})
 }
 
-// poll asks about a job every pollInterval until the client is told that it has ended.
+// poll requests a job's status every pollInterval until a response reports that the job has ended.
 func (c *clients) poll(j *job) {
 	r := c.region
 	r.loop.queue.After(pollInterval, func() {
@@ -140,8 +141,8 @@
 	})
 }
 
-// forgetFinished drops the record of a job that has ended, once the deadline for its tasks has passed
-// twice and they are gone; it bounds the memory of a long run.
+// forgetFinished deletes the record of a finished job after twice the cancellation deadline, if none of its tasks
+// is still on a machine. This bounds the memory of a long run.
 func (c *clients) forgetFinished(j *job) {
 	r := c.region
 	r.loop.queue.After(2*r.invariants.cancelDeadline, func() {
@@ -151,8 +152,9 @@
 	})
 }
 
-// requestUntilDecided retries a request until it succeeds, after the pause that the answer names. It gives
-// up when the run is over, and a submission after submitDeadline.
+// requestUntilDecided retries a request until it succeeds. It waits for the response's Retry-After between attempts,
+// limited to the range from retryPause to maxRetryPause. It stops retrying when the run is closing, and stops
+// retrying a submission after submitDeadline.
 func (c *clients) requestUntilDecided(j *job, op string, body []byte, decided func()) {
 	r := c.region
 	first := r.loop.queue.Now()
@@ -173,10 +175,10 @@
 	again()
 }
 
-// succeeded says whether a status accepts a request.
+// succeeded reports whether a status is 200 or 201.
 func succeeded(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// send makes one request, and calls then with its answer on the event loop; status 0: there was none.
+// send makes one request and calls then with its result on the event loop. Status 0 means that there was no response.
 func (c *clients) send(j *job, op string, body []byte, then func(status int, retryAfter time.Duration)) {
 	r := c.region
 	controller := r.controlPlane.pick()
@@ -196,7 +198,7 @@
 	}()
 }
 
-// checkAnswer checks an answer against the invariants.
+// checkAnswer checks a response against the invariants.
 func (c *clients) checkAnswer(j *job, op string, status int, body []byte, sent time.Duration) {
 	r := c.region
 	r.invariants.answerReceived(j, op, status)
@@ -205,14 +207,14 @@
 	}
 	var s protocol.JobStatus
 	if err := protocol.Decode(body, &s); err != nil {
-		r.fail(fmt.Errorf("an answer about %s can't be read: %w", j.uid, err))
+		r.fail(fmt.Errorf("decode response about job %s: %w", j.uid, err))
 		return
 	}
 	j.answeredAt = r.loop.queue.Now()
 	r.invariants.statusReported(j, s.State, sent)
 }
 
-// roundTrip makes one request and reads its answer; status 0: there was none in time.
+// roundTrip makes one request and reads its response. Status 0 means that no complete response arrived in time.
 func (c *clients) roundTrip(addr, op, uid string, body []byte) (status int, answer []byte, retryAfter time.Duration) {
 	method, path, timeout := http.MethodPost, "/api/jobs", decisionTimeout
 	switch op {
--- a/internal/scalerun/close.go
+++ b/internal/scalerun/close.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// closeQuietly closes something whose content has been read or is given up, so that an error of
-// Close has no consequence: files that this process only reads or hands on, answers that were read to
-// their end, and connections and listeners that are not used again.
+// closeQuietly closes c and ignores the error. It is for values whose close error has no effect: files that this
+// process only reads or passes to a child process, response bodies after the last read, and connections and
+// listeners that are not used again.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/scalerun/controller_settings.go
+++ b/internal/scalerun/controller_settings.go
@@ -9,21 +9,20 @@
 	"claybarrow/internal/config"
 )
 
-// clockErrorMS is the bound on the difference of the controllers' clocks that their settings state,
-// in milliseconds.
+// clockErrorMS is the maximum clock difference between controllers that their settings declare, in milliseconds.
 const clockErrorMS = 25
 
 func controllerLabel(i int) string { return fmt.Sprintf("controller-%d", i) }
 
-// controllerZone returns the zone of a region's i-th controller: the zones take turns.
+// controllerZone returns the zone of a region's i-th controller. Zones are assigned round-robin.
 func (p *Plan) controllerZone(i int) string { return p.Fleet.Zones[i%len(p.Fleet.Zones)] }
 
-// clientAddress is where a region's i-th controller listens for clients and workers.
+// clientAddress returns the address on which a region's i-th controller listens for clients and workers.
 func (p *Plan) clientAddress(region, i int) string {
 	return fmt.Sprintf("%s:%d", controllerHost(region, i), p.port(region, portClients))
 }
 
-// peerAddress is where a region's i-th controller listens for the other controllers.
+// peerAddress returns the address on which a region's i-th controller listens for the other controllers.
 func (p *Plan) peerAddress(region, i int) string {
 	return fmt.Sprintf("%s:%d", controllerHost(region, i), p.port(region, portPeers))
 }
@@ -32,13 +31,13 @@
 func (p *Plan) writeControllerSettings(path string, region, i int) error {
 	raw, err := json.Marshal(p.controllerSettings(region, i))
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", controllerLabel(i), err)
+		return fmt.Errorf("encode settings of %s: %w", controllerLabel(i), err)
 	}
 	return os.WriteFile(path, raw, 0o600)
 }
 
-// controllerSettings returns the settings of a region's i-th controller, in the form of the deploy
-// page.
+// controllerSettings returns the settings of a region's i-th controller, in the format that the deployment
+// documentation describes.
 func (p *Plan) controllerSettings(region, i int) *config.Settings {
 	s := &config.Settings{Label: controllerLabel(i), Zone: p.controllerZone(i), ClientListen: p.clientAddress(region, i), PeerListen: p.peerAddress(region, i)}
 	for other := range p.Control.Controllers {
@@ -59,7 +58,7 @@
 	return s
 }
 
-// teamSettings returns the teams. Their guarantees and limits are divided evenly between the regions.
+// teamSettings returns the teams' settings. Guarantees and limits are divided evenly among the regions.
 func (p *Plan) teamSettings() (teams []config.Team) {
 	regions := float64(p.Fleet.Regions)
 	for n := range p.Teams.Count {
@@ -69,7 +68,7 @@
 	return teams
 }
 
-// objectiveSettings returns a service-level objective for the start of each urgent class.
+// objectiveSettings returns a service-level objective on the start latency of each urgent job class.
 func (p *Plan) objectiveSettings() (objectives []config.Objective) {
 	for _, l := range p.Load {
 		if l.Urgent {
@@ -79,10 +78,10 @@
 	return objectives
 }
 
-// baseOperatorSettings keep idle machines: the plan, not the demand, sets the size of the fleet.
+// baseOperatorSettings keeps controllers from deleting idle machines, because the plan sets the size of the fleet.
 const baseOperatorSettings = "[fleet]\nidle_ratio = 1000.0\n"
 
-// operatorFiles are the paths of the operators' settings: for run.older, for run.program, and for
+// operatorFiles holds the paths of three operator settings files: for run.older, for run.program, and for
 // run.program with the feature gate held closed.
 type operatorFiles struct{ older, newer, gateHeld string }
 
--- a/internal/scalerun/controllers.go
+++ b/internal/scalerun/controllers.go
@@ -13,41 +13,42 @@
 	"time"
 )
 
-// controller is one controller of a region: a real process of the program, which is started again
-// after the injected faults that end it.
+// controller is one controller of a region. It runs as a real process of the program under test, which is restarted
+// after each injected fault that ends it.
 type controller struct {
 	label         string
 	clientAddress string // host and port for clients and workers
 	settings      string // path of its settings file
-	log           string // path of its log, to which all of its processes append
+	log           string // path of its log; successive processes append to it
 
 	mu      sync.Mutex
 	command *exec.Cmd
 	starts  int
-	stopped bool // it is not to be started again
-	killed  bool // by an injected fault, until it is started again
+	stopped bool // no process may be started any more
+	killed  bool // an injected fault killed the process and it has not been restarted
 	frozen  bool
-	healthy bool
-	// runsNewer: it runs run.program, not run.older. gateHeld: with the feature gate held closed.
+	healthy bool // the load balancer's probes find it ready
+	// runsNewer selects run.program rather than run.older. gateHeld starts run.program with the feature gate held
+	// closed.
 	runsNewer, gateHeld bool
 }
 
-// ControllerError is a controller that did not start, or whose process ended by itself.
+// ControllerError reports a controller whose process did not start or exited without an injected fault.
 type ControllerError struct {
 	Label    string
 	Cause    error
-	LastLine string // of its log
+	LastLine string // last line of the controller's log
 }
 
-// Error names the controller and gives the last line of its log.
+// Error returns the controller's label, the cause and the last line of its log.
 func (e *ControllerError) Error() string {
-	return fmt.Sprintf("%s ended by itself: %v: %s", e.Label, e.Cause, e.LastLine)
+	return fmt.Sprintf("%s failed: %v: %s", e.Label, e.Cause, e.LastLine)
 }
 
-// Unwrap returns why the process did not start or how it ended.
+// Unwrap returns the start error or the exit status of the process.
 func (e *ControllerError) Unwrap() error { return e.Cause }
 
-// lastLine returns a file's last line that is not empty, or why the file can't be read.
+// lastLine returns the last non-empty line of a file, or the text of the error if the file can't be read.
 func lastLine(path string) string {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -64,8 +65,8 @@
 	return string(raw[begin:end])
 }
 
-// freeze stops the process for a while (SIGSTOP, SIGCONT): its sockets stay open and its clocks run
-// on. It does nothing if the process has ended or is frozen already.
+// freeze suspends the process for d (SIGSTOP, then SIGCONT). Its sockets stay open and its clocks keep running.
+// freeze does nothing if the process has exited or is already frozen.
 func (c *controller) freeze(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,45 +75,45 @@
 	}
 	process := c.command.Process
 	if err := process.Signal(syscall.SIGSTOP); err != nil {
-		return // it has ended
+		return // the process has exited
 	}
 	c.frozen = true
 	time.AfterFunc(d, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		c.frozen = false
-		_ = process.Signal(syscall.SIGCONT) // it may have ended
+		_ = process.Signal(syscall.SIGCONT) // fails if the process has exited
 	})
 }
 
-// terminate kills the process, if there is one. The caller holds the lock.
+// terminate kills the process, if one was started. The caller must hold c.mu.
 func (c *controller) terminate() {
 	if c.command != nil {
-		_ = c.command.Process.Kill() // it may have ended
+		_ = c.command.Process.Kill() // fails if the process has exited
 	}
 }
 
-// isHealthy says whether the load balancer's probes find the controller ready.
+// isHealthy reports whether the load balancer's probes find the controller ready.
 func (c *controller) isHealthy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.healthy
 }
 
-// controlPlane is a region's controllers: it starts, ends and upgrades their processes and balances
-// the clients' requests over them.
+// controlPlane manages a region's controllers: it starts, kills and upgrades their processes and distributes client
+// requests among them.
 type controlPlane struct {
 	plan          *Plan
 	region        int
-	dir           string // for settings and logs
+	dir           string // holds settings files and logs
 	metrics       *metrics
 	fail          func(error) // ends the run
 	controllers   []*controller
 	operatorFiles operatorFiles
-	lastPicked    int // by pick; only the event loop uses it
+	lastPicked    int // position of pick's round robin; used by the event loop only
 }
 
-// prepare writes the settings of all controllers.
+// prepare writes the operator settings files and the settings of all controllers.
 func (p *controlPlane) prepare() error {
 	var err error
 	if p.operatorFiles, err = writeOperatorFiles(p.dir, &p.plan.Control); err != nil {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// logs lists the paths of the controllers' logs.
+// logs returns the paths of the controllers' logs.
 func (p *controlPlane) logs() []string {
 	var paths []string
 	for _, c := range p.controllers {
@@ -149,14 +150,14 @@
 	return paths
 }
 
-// start runs a controller's program, unless the run is over. The kernel kills the process when this
-// one ends, in whatever way (Pdeathsig). A process that ends by itself ends the run.
+// start starts a controller's process, unless the controller is stopped. Pdeathsig makes the kernel kill the child
+// however this process ends. A child that exits without an injected fault ends the run.
 func (p *controlPlane) start(c *controller) error {
 	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(log) // the process has a descriptor of its own; nothing is written through this one
+	defer closeQuietly(log) // the child has its own descriptor; this process writes nothing to the file
 	program, operator := p.programOf(c)
 	command := exec.Command(program, "--operator", operator, "--config", c.settings)
 	command.Stderr = log
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// await waits for the end of a controller's process, and ends the run if no fault was its cause.
+// await waits until a controller's process exits, and ends the run if no injected fault was the cause.
 func (p *controlPlane) await(c *controller, command *exec.Cmd) {
 	err := command.Wait()
 	c.mu.Lock()
@@ -189,7 +190,7 @@
 	}
 }
 
-// kill ends a controller's process; it is started again after control.restart_s.
+// kill kills a controller's process and restarts it after control.restart_s.
 func (p *controlPlane) kill(ctx context.Context, c *controller) {
 	c.mu.Lock()
 	c.killed = true
@@ -205,8 +206,8 @@
 	})
 }
 
-// runningExcept returns the first controller other than the one with a label that is neither frozen
-// nor killed, or nil.
+// runningExcept returns the first controller that is neither frozen nor killed and does not have the given label,
+// or nil.
 func (p *controlPlane) runningExcept(label string) *controller {
 	for _, c := range p.controllers {
 		c.mu.Lock()
@@ -219,7 +220,7 @@
 	return nil
 }
 
-// stopAll kills all controllers for good, without waiting for their ends.
+// stopAll kills all controllers and prevents restarts. It does not wait for the processes to exit.
 func (p *controlPlane) stopAll() {
 	for _, c := range p.controllers {
 		c.mu.Lock()
@@ -229,18 +230,18 @@
 	}
 }
 
-// The load balancer's health checks.
+// Parameters of the load balancer's health checks.
 const (
 	probeInterval = time.Second
 	probeTimeout  = time.Second
-	// dialTimeout is when the load balancer gives up a connection to a controller.
+	// dialTimeout bounds how long a probe or a client waits for a connection to a controller.
 	dialTimeout = 500 * time.Millisecond
-	// probesToChange is how many probes in a row must contradict a controller's health to change it.
+	// probesToChange is how many consecutive probes must contradict a controller's health before it changes.
 	probesToChange = 2
 )
 
-// probe asks a controller about once a second whether it takes requests, as the load balancer does:
-// two failures in a row make it unhealthy, two successes healthy. Its first start needs one success.
+// probe emulates the load balancer's health checks of a controller, one each probeInterval. Two consecutive failures
+// make the controller unhealthy, two consecutive successes healthy. Until its first restart, one success is enough.
 func (p *controlPlane) probe(ctx context.Context, c *controller) {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}
 	contradictions := 0
@@ -266,7 +267,7 @@
 	}
 }
 
-// isReady says whether a controller answers its readiness check with 200.
+// isReady reports whether a controller's readiness check returns 200.
 func isReady(client *http.Client, address string) bool {
 	response, err := client.Get("http://" + address + "/ready")
 	if err != nil {
@@ -276,7 +277,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// pick chooses among the healthy controllers in turn (round robin), or returns nil if none is.
+// pick returns the next healthy controller (round robin), or nil if no controller is healthy.
 func (p *controlPlane) pick() *controller {
 	n := len(p.controllers)
 	for range n {
--- a/internal/scalerun/detection.go
+++ b/internal/scalerun/detection.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// detection measures how soon the controllers notice that one of them has failed, and how soon a new
-// leader works: by the controllers' logs, and by the first task that starts under a later token.
+// detection measures how long the other controllers take to detect a failed controller and how long a new leader
+// takes to become active. It uses the controllers' logs and the first task start under a later fencing token.
 type detection struct {
 	faults []*controllerFault
 	now    func() time.Time
 }
 
-// controllerFault is an injected fault of a controller: it was killed or frozen.
+// controllerFault is an injected fault that killed or froze a controller.
 type controllerFault struct {
 	label  string
 	kind   string
 	at     time.Time
-	lasts  time.Duration // 0: it was killed
-	token  uint64        // fencing token of the leader at that time
+	lasts  time.Duration // how long the controller was frozen; 0: it was killed
+	token  uint64        // fencing token of the leader at the time of the fault
 	placed time.Time     // first start of a task under a later token
 }
 
-// Detection is how one fault was detected and repaired. Times are in milliseconds from the fault; 0: it
-// did not happen.
+// Detection reports how one fault was detected and how leadership failed over. Times are in milliseconds since the
+// fault; 0 means that the event did not happen.
 type Detection struct {
 	Kind             string  `json:"kind"`
 	ForS             float64 `json:"for_s,omitempty"`
@@ -42,7 +42,7 @@
 
 func newDetection() *detection { return &detection{now: time.Now} }
 
-// faultInjected records a fault at the time it is injected, with the fencing token of the leader.
+// faultInjected records a fault with the current time and the leader's fencing token.
 func (d *detection) faultInjected(label, kind string, lasts time.Duration, token uint64) {
 	d.faults = append(d.faults, &controllerFault{label: label, kind: kind, at: d.now(), lasts: lasts, token: token})
 }
@@ -56,8 +56,8 @@
 	}
 }
 
-// Messages of the controllers' logs that are measured. Those with Before are of older versions, whose logs
-// a plan with an upgrade reads too.
+// Messages in the controllers' logs that detection and upgradeMonitor evaluate. Constants with the suffix Before are
+// the wording of older program versions, which plans with an upgrade also run.
 const (
 	messageSuspect = "controller is suspect"
 	messageDead    = "controller is dead"
@@ -72,8 +72,8 @@
 	messageUnreadableBefore = "a record can't be read"
 )
 
-// logLine is a line of a controller's log that has a message and the node that wrote it; controller is
-// the member that it is about, if any.
+// logLine is a parsed line of a controller's log: its time, its message and the node that wrote it. controller is the
+// label of the member that the line refers to, or empty.
 type logLine struct {
 	at                        time.Time
 	message, node, controller string
@@ -86,11 +86,11 @@
 	maxLogLineBytes = 1 << 20
 )
 
-// readLog returns the lines of a log that match logPattern, or none if it can't be read.
+// readLog returns the lines of a log that match logPattern. It returns none if the file can't be opened.
 func readLog(path string) []logLine {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil // the controller did not start
+		return nil // the controller never started
 	}
 	defer closeQuietly(file)
 	var out []logLine
@@ -110,8 +110,8 @@
 	return out
 }
 
-// results evaluates each fault by the logs of all controllers. Lines after the next fault of the same
-// controller count for that one.
+// results evaluates each fault from the logs of all controllers. If the next fault hits the same controller, log
+// lines after that fault count only for it.
 func (d *detection) results(logs []string) []Detection {
 	var lines []logLine
 	for _, path := range logs {
@@ -128,7 +128,7 @@
 	return out
 }
 
-// result evaluates the fault by the log lines from the fault on, up to a time (zero: to the end).
+// result evaluates the fault from the log lines between the fault and until; zero until means no upper bound.
 func (f *controllerFault) result(lines []logLine, until time.Time) Detection {
 	out := Detection{Kind: f.kind, ForS: f.lasts.Seconds()}
 	for _, l := range lines {
@@ -148,13 +148,13 @@
 	return out
 }
 
-// millisTo returns the milliseconds from the fault to a time.
+// millisTo returns the milliseconds from the fault to t.
 func (f *controllerFault) millisTo(t time.Time) float64 {
 	return float64(t.Sub(f.at).Microseconds()) / microsPerMilli
 }
 
-// addMembership takes in that a controller changed the state of the failed one, at a time in
-// milliseconds from the fault.
+// addMembership records that a controller changed the membership state of the failed controller. atMS is in
+// milliseconds since the fault.
 func (d *Detection) addMembership(message string, atMS float64) {
 	switch message {
 	case messageSuspect:
@@ -168,8 +168,8 @@
 	}
 }
 
-// addLeadership takes in that another controller has been elected or has loaded the state, at a time
-// in milliseconds from the fault.
+// addLeadership records that another controller was elected or has loaded the cluster state. atMS is in milliseconds
+// since the fault.
 func (d *Detection) addLeadership(message string, atMS float64) {
 	switch message {
 	case messageElected, messageElectedBefore:
@@ -179,7 +179,7 @@
 	}
 }
 
-// setEarliest lowers a time to an earlier one; 0 is none.
+// setEarliest sets *earliest to at if at is earlier or *earliest is unset (0).
 func setEarliest(earliest *float64, at float64) {
 	if *earliest == 0 || at < *earliest {
 		*earliest = at
--- a/internal/scalerun/eventloop.go
+++ b/internal/scalerun/eventloop.go
@@ -7,18 +7,18 @@
 	"claybarrow/internal/emulator"
 )
 
-// eventLoop is the goroutine that owns all emulated parts of a region. It runs the events of their
-// queue by the real clock, and the functions that other goroutines post to it.
+// eventLoop is the goroutine that owns all emulated components of a region. It runs the events of their queue in
+// real time, and the functions that other goroutines post to it.
 type eventLoop struct {
 	queue *emulator.EventQueue
 	start time.Time
 	inbox chan func()
 	done  chan struct{}
-	// maxDelay is the longest time by which an event ran after it was due.
+	// maxDelay is the longest delay between an event's due time and its execution.
 	maxDelay time.Duration
 }
 
-// inboxSize bounds the functions that wait for the loop; post blocks while the inbox is full.
+// inboxSize is the capacity of the inbox; post blocks while the inbox is full.
 const inboxSize = 1 << 14
 
 func newEventLoop() *eventLoop {
@@ -27,7 +27,7 @@
 
 func (l *eventLoop) now() time.Duration { return time.Since(l.start) }
 
-// run returns when the context ends.
+// run runs the loop until the context ends.
 func (l *eventLoop) run(ctx context.Context) {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -55,7 +55,7 @@
 	}
 }
 
-// drain runs a bounded number of further posted functions without reading the clock for each.
+// drain runs up to maxBatch more posted functions without reading the clock for each.
 func (l *eventLoop) drain() {
 	const maxBatch = 64
 	for range maxBatch {
@@ -68,7 +68,8 @@
 	}
 }
 
-// post has the loop run a function, without waiting for it. It is dropped once the loop has ended.
+// post queues a function for the loop and does not wait until it has run. After the loop has ended the function is
+// dropped.
 func (l *eventLoop) post(do func()) {
 	select {
 	case l.inbox <- do:
@@ -76,7 +77,7 @@
 	}
 }
 
-// call has the loop run a function and waits until it has returned or the loop has ended.
+// call runs a function on the loop and waits until it has returned or the loop has ended.
 func (l *eventLoop) call(do func()) {
 	finished := make(chan struct{})
 	l.post(func() { do(); close(finished) })
@@ -86,7 +87,7 @@
 	}
 }
 
-// every runs a function at a fixed interval, first after one interval. Only the loop may call it.
+// every runs a function periodically, the first time after one interval. It must be called on the loop.
 func (l *eventLoop) every(interval time.Duration, do func()) {
 	l.queue.After(interval, func() {
 		do()
--- a/internal/scalerun/faults.go
+++ b/internal/scalerun/faults.go
@@ -8,7 +8,7 @@
 	"claybarrow/internal/emulator"
 )
 
-// faultInjector brings the plan's faults about. Only the event loop uses it.
+// faultInjector injects the plan's faults. It must be used on the event loop only.
 type faultInjector struct {
 	queue        *emulator.EventQueue
 	controlPlane *controlPlane
@@ -19,7 +19,7 @@
 	random       *rand.Rand
 }
 
-// inject brings one fault about; those that last schedule the rest of it.
+// inject starts one fault. A fault that extends over time schedules its later steps on the event queue.
 func (i *faultInjector) inject(ctx context.Context, fault FaultPlan) {
 	switch fault.Kind {
 	case FaultKillLeader:
@@ -76,8 +76,8 @@
 	}
 }
 
-// freeze stops a controller for the fault's time. The fault is recorded under the label also if no
-// controller of the region has it.
+// freeze suspends a controller for fault.ForS. The fault is recorded under the label even if c is nil because no
+// controller of the region has that label.
 func (i *faultInjector) freeze(c *controller, label string, fault FaultPlan) {
 	i.detection.faultInjected(label, fault.Kind, seconds(fault.ForS), i.leader.token)
 	if c != nil {
@@ -85,20 +85,20 @@
 	}
 }
 
-// follower returns a controller that is up and does not lead, or nil.
+// follower returns a running controller that is not the leader, or nil.
 func (i *faultInjector) follower() *controller {
 	leader, _ := i.leader.current()
 	return i.controlPlane.runningExcept(leader.Label)
 }
 
-// forEachController acts on the controllers one after the other, the fault's time apart.
+// forEachController applies act to the controllers one after another, fault.ForS seconds apart.
 func (i *faultInjector) forEachController(fault FaultPlan, act func(c *controller)) {
 	for n, c := range i.controlPlane.controllers {
 		i.queue.After(seconds(fault.ForS)*time.Duration(n), func() { act(c) })
 	}
 }
 
-// churnMachines ends a share of the workers, evenly spread over the fault's time.
+// churnMachines ends a share of the workers, evenly spread over fault.ForS seconds.
 func (i *faultInjector) churnMachines(fault FaultPlan) {
 	victims := i.randomWorkers(fault.Share)
 	for n, worker := range victims {
@@ -106,7 +106,7 @@
 	}
 }
 
-// randomWorkers chooses a share of the workers that are up.
+// randomWorkers returns a random selection of the given share of the running workers.
 func (i *faultInjector) randomWorkers(share float64) []*emulator.Worker {
 	var up []*emulator.Worker
 	for _, worker := range i.fleet.Sorted() {
--- a/internal/scalerun/fleet.go
+++ b/internal/scalerun/fleet.go
@@ -11,27 +11,27 @@
 	"claybarrow/internal/protocol"
 )
 
-// Timing of the emulated workers and the cloud that no plan sets.
+// Parameters of the emulated workers and the emulated cloud that a plan can't change.
 const (
-	heartbeatJitter    = 0.25 // of workers.report_s, up or down
+	heartbeatJitter    = 0.25 // fraction of workers.report_s, in both directions
 	minHeartbeatPause  = 500 * time.Millisecond
 	nextControllerWait = time.Second
 	redirectWait       = 250 * time.Millisecond
 	leaseCheckInterval = 100 * time.Millisecond
-	spotDiscount       = 2 // spot machines cost the price divided by this
+	spotDiscount       = 2 // ratio of the regular price to the spot price
 	minRunTimeShare    = 0.8
-	runTimeSpread      = 0.4 // tasks run from 0.8 to 1.2 of the plan's time
+	runTimeSpread      = 0.4 // tasks run for 0.8 to 1.2 times run_s
 )
 
-// newCloud makes the region's emulated cloud.
+// newCloud creates the region's emulated cloud.
 func (r *region) newCloud() {
 	p := r.plan
 	cloud := emulator.NewCloud(r.loop.queue)
 	cloud.Violation, cloud.RequestRate, cloud.ListLag = r.failOnProtocolError, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
-	cloud.Capacity = map[emulator.Pool]int{} // machines that the fleet has lost can be launched again, no more
+	cloud.Capacity = map[emulator.Pool]int{} // no spare capacity: only lost machines can be replaced
 	cloud.Name = func(n int) string { return fmt.Sprintf("i-%d%06d", r.number, n) }
 	cloud.Addr = func(id string) string {
-		n, _ := strconv.Atoi(id[3:]) // Name made it, so that it parses
+		n, _ := strconv.Atoi(id[3:]) // can't fail: cloud.Name formatted the id
 		return p.workerAddress(r.number, n)
 	}
 	for _, t := range p.Fleet.Types {
@@ -51,13 +51,13 @@
 	r.cloud = cloud
 }
 
-// typeOf returns a machine type of the plan by its name.
+// typeOf returns the plan's machine type with the given name, which must exist.
 func (r *region) typeOf(name string) protocol.MachineType {
 	i := slices.IndexFunc(r.cloud.Types, func(t protocol.MachineType) bool { return t.Name == name })
 	return r.cloud.Types[i]
 }
 
-// newFleet makes the region's emulated workers, which report to the real controllers.
+// newFleet creates the region's fleet of emulated workers, which send heartbeats to the real controllers.
 func (r *region) newFleet() {
 	w := r.plan.Workers
 	f := emulator.NewFleet(r.loop.queue, emulator.Timing{HeartbeatInterval: seconds(w.ReportS), Jitter: heartbeatJitter, MinHeartbeatPause: minHeartbeatPause,
@@ -86,7 +86,7 @@
 	r.fleet = f
 }
 
-// runTime draws how long a task runs; 0 for a job that is not known any more.
+// runTime draws a random run time for a task. It returns 0 if the task's job has no record any more.
 func (r *region) runTime(task string) time.Duration {
 	uid, _, _ := strings.Cut(task, "/")
 	if j := r.invariants.jobs[uid]; j != nil {
@@ -103,19 +103,19 @@
 	return worker
 }
 
-// bootFleet boots the plan's workers, each at a random moment within the first workers.report_s.
+// bootFleet creates the plan's workers and boots each at a random time within the first workers.report_s.
 func (r *region) bootFleet() {
 	n := r.plan.regionWorkers(r.number)
 	for i, typ := range r.plan.machineTypes(n) {
 		m := r.cloud.Create(emulator.Pool{Type: typ, Zone: r.plan.Fleet.Zones[i%len(r.plan.Fleet.Zones)]})
 		m.Up = true
-		r.cloud.Capacity[m.Pool]++ // Create counts it as newly launched, and it was there before
+		r.cloud.Capacity[m.Pool]++ // undoes the decrement by Create, which is meant for launches
 		worker := r.addWorker(m)
 		r.loop.queue.After(seconds(r.plan.Workers.ReportS*r.random.Float64()), worker.Boot)
 	}
 }
 
-// machineTypes returns the types of n machines, interleaved by their shares of the fleet.
+// machineTypes returns the types of n machines, interleaved in proportion to their shares of the fleet.
 func (p *Plan) machineTypes(n int) []string {
 	var out []string
 	given := make([]float64, len(p.Fleet.Types))
@@ -132,7 +132,7 @@
 	return out
 }
 
-// onTaskStarted is told by the fleet of each task that starts on a machine.
+// onTaskStarted is called by the fleet for each task that starts on a machine.
 func (r *region) onTaskStarted(worker *emulator.Worker, task string, t *emulator.Task) {
 	now := r.loop.queue.Now()
 	r.invariants.taskStarted(worker, task, t)
@@ -142,7 +142,7 @@
 	r.detection.taskStarted(t.Attempt >> attemptBlockBits)
 	if r.ownership.taskStarted(t.UID, t.Attempt, now) {
 		r.jobsOwnedTwice++
-		r.invariants.violate(j, "owned_twice", "%s is started by attempt %d though a later leader had started some", task, t.Attempt)
+		r.invariants.violate(j, "owned_twice", "%s was started by attempt %d after a leader with a later fencing token had started tasks of the job", task, t.Attempt)
 	}
 	if j != nil && !j.started[task] {
 		j.started[task] = true
@@ -150,14 +150,14 @@
 	}
 }
 
-// onTaskStopped is told by the fleet of each task that is no longer on its machine.
+// onTaskStopped is called by the fleet for each task that is no longer on its machine.
 func (r *region) onTaskStopped(worker *emulator.Worker, task string, t *emulator.Task) {
 	r.invariants.taskStopped(worker, task, t)
 	r.upgrade.taskStopped(task, t)
 	r.metrics.running--
 }
 
-// onTaskCompleted is told by the fleet of each task that has completed.
+// onTaskCompleted is called by the fleet for each task that has completed.
 func (r *region) onTaskCompleted(task string, t *emulator.Task) {
 	if j := r.invariants.jobs[t.UID]; j != nil {
 		j.completed[task] = true
@@ -165,7 +165,7 @@
 	}
 }
 
-// onWorkerDied is told by the fleet of each machine that has ended.
+// onWorkerDied is called by the fleet for each machine that has failed or was deleted.
 func (r *region) onWorkerDied(worker *emulator.Worker) {
 	r.cloud.Fail(worker.ID)
 	r.carrier.closeConnection(worker.ID)
--- a/internal/scalerun/heartbeats.go
+++ b/internal/scalerun/heartbeats.go
@@ -13,29 +13,30 @@
 	"claybarrow/internal/emulator"
 )
 
-// heartbeatCarrier sends the workers' heartbeats to the controllers. Each worker has one connection,
-// which stays open between heartbeats as a real worker's does.
+// heartbeatCarrier sends the workers' heartbeats to the controllers. Like a real worker, each emulated worker has one
+// connection, which stays open between heartbeats.
 type heartbeatCarrier struct {
 	loop      *eventLoop
 	addresses []string // of the controllers
 	metrics   *metrics
-	// onAnswer is called by the event loop for each answer that a worker takes.
+	// onAnswer is called on the event loop for each response with status 200 that reaches its worker.
 	onAnswer    func(machine string, controller int)
 	mu          sync.Mutex
 	connections map[string]*connection
 	readers     sync.Pool
 }
 
-// connection is a worker's connection. A worker has one heartbeat in flight at most, which alone uses it.
+// connection is a worker's open connection to a controller. It needs no lock, because a worker has at most one
+// heartbeat in flight.
 type connection struct {
 	conn       net.Conn
 	controller int
 }
 
 const (
-	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// maxAnswerBytes bounds how much of an answer's body is read.
+	// maxAnswerBytes is how much of a response body is read at most.
 	maxAnswerBytes   = 1 << 20
 	readerBufferSize = 4096
 )
@@ -45,7 +46,8 @@
 		readers: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerBufferSize) }}}
 }
 
-// send is the fleet's Carrier: the event loop calls it, and the answer is given on the event loop.
+// send implements emulator.Fleet.SendHeartbeat. It must be called on the event loop, and it calls answer on the event
+// loop.
 func (c *heartbeatCarrier) send(worker *emulator.Worker, controller int, body []byte, answer emulator.Reply) {
 	if worker.HeartbeatsLost {
 		c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
@@ -68,8 +70,8 @@
 	}()
 }
 
-// takeConnection removes and returns the worker's open connection to a controller, or nil. One to
-// another controller is closed.
+// takeConnection removes the worker's open connection and returns it if it leads to the given controller. It closes a
+// connection to another controller and returns nil.
 func (c *heartbeatCarrier) takeConnection(id string, controller int) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +94,7 @@
 	c.connections[id] = &connection{conn, controller}
 }
 
-// closeConnection closes the connection of a worker whose machine has ended.
+// closeConnection closes the open connection of a worker whose machine has ended, if there is one.
 func (c *heartbeatCarrier) closeConnection(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,9 +104,9 @@
 	}
 }
 
-// exchange sends one heartbeat and reads its answer; status 0: there was none in time. The worker's
-// open connection may have been closed by the controller meanwhile, so that a failure over it is
-// retried over a new one. traffic is in bytes, both ways.
+// exchange sends one heartbeat and reads the response. Status 0 means that no response arrived in time. The controller
+// may have closed the worker's open connection since the last heartbeat; therefore a failure on that connection is
+// retried on a new one. traffic counts the bytes in both directions.
 func (c *heartbeatCarrier) exchange(id string, controller int, body []byte) (status int, reply []byte, traffic int64) {
 	deadline := time.Now().Add(heartbeatTimeout)
 	if conn := c.takeConnection(id, controller); conn != nil {
@@ -122,9 +124,9 @@
 	return status, reply, traffic + more
 }
 
-// heartbeatRoundTrip sends one heartbeat over a connection, and keeps the connection if it can be used again.
+// roundTrip sends one heartbeat over a connection, and stores the connection for the next heartbeat if it is reusable.
 func (c *heartbeatCarrier) roundTrip(id string, controller int, conn net.Conn, body []byte, deadline time.Time) (int, []byte, int64) {
-	_ = conn.SetDeadline(deadline) // a connection that takes no deadline fails below
+	_ = conn.SetDeadline(deadline) // on an error, the write below fails too
 	var request bytes.Buffer
 	fmt.Fprintf(&request, "POST /hello HTTP/1.1\r\nHost: %s\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", c.addresses[controller], len(body))
 	request.Write(body)
@@ -157,7 +159,7 @@
 	return response.StatusCode, reply, traffic
 }
 
-// countingReader counts the bytes that are read.
+// countingReader counts the bytes read through it.
 type countingReader struct {
 	io.Reader
 	bytes int64
--- a/internal/scalerun/invariants.go
+++ b/internal/scalerun/invariants.go
@@ -11,7 +11,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// RuleViolation is an invariant of the protocol that did not hold, with the history of the job.
+// RuleViolation reports a violated invariant of the protocol, with the history of the job concerned.
 type RuleViolation struct {
 	Rule    string   `json:"rule"`
 	Problem string   `json:"what"`
@@ -20,29 +20,29 @@
 	History []string `json:"history"`
 }
 
-// Error gives the rule, what happened, and the job's history.
+// Error returns the rule, the problem and the job's history, one history entry per line.
 func (v *RuleViolation) Error() string {
 	return fmt.Sprintf("rule broken: %s: %s\n  %s", v.Rule, v.Problem, strings.Join(v.History, "\n  "))
 }
 
-// teamUsage is what a team's tasks use now, and its limits (0: none).
+// teamUsage holds the resources that a team's tasks use now, and the team's limits (0: no limit).
 type teamUsage struct{ cores, accel, coresMax, accelMax float64 }
 
-// quotaSlack is what rounding may add to a team's usage.
+// quotaSlack is the tolerance for rounding errors in a team's usage.
 const quotaSlack = 1e-3
 
-// overLimit says whether the usage is above one of the limits.
+// overLimit reports whether the usage exceeds one of the limits.
 func (u *teamUsage) overLimit() bool {
 	return u.coresMax > 0 && u.cores > u.coresMax+quotaSlack || u.accelMax > 0 && u.accel > u.accelMax+quotaSlack
 }
 
-// invariants checks the protocol's rules at each event. Only the event loop uses it.
+// invariants checks the protocol's rules at each event. It must be used on the event loop only.
 type invariants struct {
 	queue  *emulator.EventQueue
 	region int
 	jobs   map[string]*job
 	teams  map[string]*teamUsage
-	// cancelDeadline is how long after a job was reported cancelled a task of it may still run.
+	// cancelDeadline is how long a job's tasks may keep running after the job was reported cancelled.
 	cancelDeadline time.Duration
 	violations     chan *RuleViolation
 }
@@ -61,7 +61,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// violate reports a violation. The first one ends the run; later ones are dropped. The job may be nil.
+// violate reports a violation. The first violation ends the run; later violations are dropped. j may be nil.
 func (i *invariants) violate(j *job, rule, format string, args ...any) {
 	violation := &RuleViolation{Rule: rule, Problem: fmt.Sprintf(format, args...), AtS: i.queue.Now().Seconds(), Region: i.region}
 	if j != nil {
@@ -77,20 +77,20 @@
 func (i *invariants) taskStarted(worker *emulator.Worker, task string, t *emulator.Task) {
 	j := i.jobs[t.UID]
 	if j == nil {
-		i.violate(nil, "invented", "%s runs, and nobody submitted its job", task)
+		i.violate(nil, "invented", "%s runs, but no client submitted its job", task)
 		return
 	}
-	j.note(i.queue.Now(), "%s begins on %s (%s, attempt %d)", task, worker.ID, worker.Zone, t.Attempt)
+	j.note(i.queue.Now(), "%s starts on %s (%s, attempt %d)", task, worker.ID, worker.Zone, t.Attempt)
 	if other := j.placements[task]; other != nil {
-		i.violate(j, "ran_twice", "%s begins on %s while it is on %s", task, worker.ID, other.worker.ID)
+		i.violate(j, "ran_twice", "%s starts on %s while it is still on %s", task, worker.ID, other.worker.ID)
 	}
 	if j.reportedCancelledAt > 0 {
-		i.violate(j, "ran_cancelled", "%s begins after its user was told of the cancellation", task)
+		i.violate(j, "ran_cancelled", "%s starts after its job was reported cancelled", task)
 	}
 	j.placements[task] = &placement{worker, t}
 	j.tasksByZone[worker.Zone]++
 	if maxInZone := (j.Tasks + 1) / 2; j.spread && j.tasksByZone[worker.Zone] > maxInZone {
-		i.violate(j, "wrong_place", "%d of %d tasks of %s in zone %s", j.tasksByZone[worker.Zone], j.Tasks, j.uid, worker.Zone)
+		i.violate(j, "wrong_place", "%d of %d tasks of %s are in zone %s, at most %d may be in one zone", j.tasksByZone[worker.Zone], j.Tasks, j.uid, worker.Zone, maxInZone)
 	}
 	team := i.teams[j.team]
 	team.cores += j.Cores
@@ -106,7 +106,7 @@
 	if j == nil || j.placements[task] == nil || j.placements[task].task != t {
 		return
 	}
-	j.note(i.queue.Now(), "%s leaves %s (%s %s)", task, worker.ID, t.State, t.Cause)
+	j.note(i.queue.Now(), "%s stops on %s (%s %s)", task, worker.ID, t.State, t.Cause)
 	delete(j.placements, task)
 	j.tasksByZone[worker.Zone]--
 	team := i.teams[j.team]
@@ -114,20 +114,20 @@
 	team.accel -= j.Accelerators
 }
 
-// statusReported checks the state of a job that its client was told, in answer to a request that was
-// sent at a time. A request that was under way while the client was told something newer may be
-// answered with the state before, which is no violation.
+// statusReported checks a job state that a response reported to the client. sent is when the client sent the request.
+// A response to a request that was sent before the client received the current state may carry an older state; it is
+// ignored.
 func (i *invariants) statusReported(j *job, state protocol.JobState, sent time.Duration) {
 	before := j.reportedState
 	if state == before || sent < j.reportedAt {
 		return
 	}
-	j.note(i.queue.Now(), "its user is told %s", state)
+	j.note(i.queue.Now(), "client receives state %s", state)
 	if before == protocol.JobDone || before == protocol.JobCancelled {
-		i.violate(j, "went_back", "%s was %s, now %s", j.uid, before, state)
+		i.violate(j, "went_back", "%s was reported %s, now %s", j.uid, before, state)
 	}
 	if state == protocol.JobDone && len(j.completed) < j.Tasks {
-		i.violate(j, "not_done", "%s: %d of %d tasks have completed", j.uid, len(j.completed), j.Tasks)
+		i.violate(j, "not_done", "%s was reported done, but %d of %d tasks have completed", j.uid, len(j.completed), j.Tasks)
 	}
 	if state == protocol.JobCancelled {
 		i.cancellationReported(j)
@@ -135,55 +135,56 @@
 	j.reportedState, j.reportedAt = state, i.queue.Now()
 }
 
-// cancellationReported checks that the client asked for the cancellation that it is told of, and that
-// no task of the job is left after the deadline.
+// cancellationReported checks that the client requested the reported cancellation, and that no task of the job runs
+// after cancelDeadline.
 func (i *invariants) cancellationReported(j *job) {
 	if !j.cancelRequested {
-		i.violate(j, "went_back", "%s is called cancelled, and nobody asked for it", j.uid)
+		i.violate(j, "went_back", "%s was reported cancelled, but its client did not request that", j.uid)
 	}
 	j.reportedCancelledAt = i.queue.Now()
 	i.queue.After(i.cancelDeadline, func() {
 		if len(j.placements) > 0 {
-			i.violate(j, "ran_cancelled", "%s still has %d tasks", j.uid, len(j.placements))
+			i.violate(j, "ran_cancelled", "%s still has %d tasks %v after it was reported cancelled", j.uid, len(j.placements), i.cancelDeadline)
 		}
 	})
 }
 
-// answerReceived checks the status of an answer about a job: an accepted job must stay known.
+// answerReceived checks the status of a response about a job: after acceptance, no request about the job may return
+// 404 and no repeated submission may be rejected as invalid.
 func (i *invariants) answerReceived(j *job, op string, status int) {
 	rejected := op == opSubmit && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity)
 	if j.acceptedAt > 0 && (status == http.StatusNotFound || rejected) {
-		i.violate(j, "forgotten", "%s answered %d to %s", j.uid, status, op)
+		i.violate(j, "forgotten", "%s was accepted, but status %d was returned to %s", j.uid, status, op)
 	}
 }
 
-// How long no question about a job may be answered while those about most other jobs are.
+// How long a job may go without an answered request while requests about most other jobs are answered.
 const (
 	forgottenTimeout = 90 * time.Second // during the run
-	// orphanTimeout applies at the end of a run: four of the client's questions.
+	// orphanTimeout applies at the end of a run and allows for four polls.
 	orphanTimeout = 4 * pollInterval
 )
 
-// checkForgottenJobs looks for jobs about which no question was answered for forgottenTimeout.
+// checkForgottenJobs reports a violation if requests about some job went unanswered for forgottenTimeout.
 func (i *invariants) checkForgottenJobs() {
 	if example, _ := i.unansweredJobs(forgottenTimeout); example != nil {
-		i.violate(example, "forgotten", "no question about %s was answered for %v", example.uid, forgottenTimeout)
+		i.violate(example, "forgotten", "no request about %s was answered for %v", example.uid, forgottenTimeout)
 	}
 }
 
-// checkOrphanedJobs counts, at the end of a run, the jobs about which no question was answered for
-// orphanTimeout.
+// checkOrphanedJobs reports a violation at the end of a run if requests about some jobs went unanswered for
+// orphanTimeout, and returns the number of these jobs.
 func (i *invariants) checkOrphanedJobs() int {
 	example, n := i.unansweredJobs(orphanTimeout)
 	if example != nil {
-		i.violate(example, "orphaned", "nobody answers for %s and %d others", example.uid, n-1)
+		i.violate(example, "orphaned", "no controller answers requests about %s and %d other jobs", example.uid, n-1)
 	}
 	return n
 }
 
-// unansweredJobs counts the accepted jobs that are not finished and about which no question was
-// answered for a time, and returns one of them. Unless the other jobs are the majority it finds none:
-// a region that answers nobody has not lost jobs, it is down.
+// unansweredJobs counts the accepted, unfinished jobs for which no request was answered within timeout, and returns one
+// of them. It returns none unless the other accepted, unfinished jobs are the majority: a region that answers no
+// requests at all is down and has not lost jobs.
 func (i *invariants) unansweredJobs(timeout time.Duration) (example *job, n int) {
 	now, answered := i.queue.Now(), 0
 	for _, j := range i.jobs {
--- a/internal/scalerun/invariants_test.go
+++ b/internal/scalerun/invariants_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// invariantsBench is invariants with one job of four tasks (two cores each, in a team that may use five)
-// and two workers in two zones.
+// invariantsBench is a fixture: invariants with one job of four tasks (two cores each, in a team limited to five
+// cores) and two workers in different zones.
 type invariantsBench struct {
 	*invariants
 	job        *job
@@ -39,12 +39,12 @@
 	return &emulator.Task{UID: "j-1", Attempt: 1, State: protocol.TaskRunning}
 }
 
-// report has the job's client be told a state now.
+// report delivers a state to the job's client, in response to a request sent now.
 func (b *invariantsBench) report(state protocol.JobState) {
 	b.statusReported(b.job, state, b.queue.Now())
 }
 
-// violation returns the rule that was violated first, or nothing.
+// violation returns the first violated rule, or "".
 func (b *invariantsBench) violation() string {
 	select {
 	case violation := <-b.violations:
@@ -54,7 +54,7 @@
 	}
 }
 
-// invariantsCase is what happens to a job, and the rule that it violates; empty: none.
+// invariantsCase is a sequence of events and the rule that it must violate; an empty rule means none.
 type invariantsCase struct {
 	name, rule string
 	do         func(b *invariantsBench)
@@ -67,7 +67,7 @@
 			b := newInvariantsBench()
 			tc.do(b)
 			if got := b.violation(); got != tc.rule {
-				t.Errorf("violated %q, want %q", got, tc.rule)
+				t.Errorf("violated rule %q, want %q", got, tc.rule)
 			}
 		})
 	}
@@ -85,8 +85,8 @@
 			b.start(b.one, "j-1/0")
 			b.start(b.other, "j-1/0")
 		}},
-		{"a team is over its limit", "quota", func(b *invariantsBench) { b.start(b.one, "j-1/0", "j-1/1", "j-1/2") }},
-		{"a spread job is in one zone", "wrong_place", func(b *invariantsBench) {
+		{"a team exceeds its limit", "quota", func(b *invariantsBench) { b.start(b.one, "j-1/0", "j-1/1", "j-1/2") }},
+		{"a spread job has three of four tasks in one zone", "wrong_place", func(b *invariantsBench) {
 			b.job.spread = true
 			b.job.Cores = 0
 			b.start(b.one, "j-1/0", "j-1/1", "j-1/2")
@@ -98,7 +98,7 @@
 			b.report(protocol.JobCancelled)
 			b.start(b.one, "j-1/0")
 		}},
-		{"a task runs on after the cancellation", "ran_cancelled", func(b *invariantsBench) {
+		{"a task keeps running after the cancellation", "ran_cancelled", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.start(b.one, "j-1/0")
 			b.queue.RunUntil(time.Second)
@@ -111,19 +111,19 @@
 func TestReportedStateInvariants(t *testing.T) {
 	testInvariants(t, []invariantsCase{
 		{"cancelled without a request", "went_back", func(b *invariantsBench) { b.report(protocol.JobCancelled) }},
-		{"active after cancelled", "went_back", func(b *invariantsBench) {
+		{"running after cancelled", "went_back", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.report(protocol.JobCancelled)
 			b.report(protocol.JobRunning)
 		}},
-		{"the question was under way when the client was told", "", func(b *invariantsBench) {
+		{"an older state answers a request sent before the cancellation was reported", "", func(b *invariantsBench) {
 			b.job.cancelRequested = true
 			b.queue.RunUntil(time.Second)
 			b.report(protocol.JobCancelled)
 			b.statusReported(b.job, protocol.JobPending, b.queue.Now()/2)
 		}},
-		{"done without its tasks", "not_done", func(b *invariantsBench) { b.report(protocol.JobDone) }},
-		{"done twice, and not found before it was accepted", "", func(b *invariantsBench) {
+		{"done before its tasks have completed", "not_done", func(b *invariantsBench) { b.report(protocol.JobDone) }},
+		{"done reported twice, and not found before acceptance", "", func(b *invariantsBench) {
 			b.answerReceived(b.job, opPoll, 404)
 			b.job.completed["j-1/0"], b.job.completed["j-1/1"], b.job.completed["j-1/2"], b.job.completed["j-1/3"] = true, true, true, true
 			b.report(protocol.JobDone)
@@ -138,14 +138,14 @@
 			b.job.acceptedAt = 1
 			b.answerReceived(b.job, opPoll, 404)
 		}},
-		{"one job of three is not answered for", "forgotten", func(b *invariantsBench) {
+		{"requests about one job of three are unanswered", "forgotten", func(b *invariantsBench) {
 			b.job.acceptedAt = 1
 			b.queue.RunUntil(2 * time.Minute)
 			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1, answeredAt: time.Minute}
 			b.jobs["j-3"] = &job{uid: "j-3", acceptedAt: 1, answeredAt: time.Minute}
 			b.checkForgottenJobs()
 		}},
-		{"nobody is answered", "", func(b *invariantsBench) {
+		{"requests about all jobs are unanswered", "", func(b *invariantsBench) {
 			b.job.acceptedAt = 1
 			b.queue.RunUntil(2 * time.Minute)
 			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1}
--- a/internal/scalerun/job.go
+++ b/internal/scalerun/job.go
@@ -8,46 +8,46 @@
 	"claybarrow/internal/protocol"
 )
 
-// job is a job of this run, with what its client and its workers saw of it. Times are those of the
-// event loop's queue; 0: not yet.
+// job is a job of this run, with the events that its client and its workers observed. Times are those of the event
+// loop's queue; 0 means that the event has not happened.
 type job struct {
 	emulator.Job
 	uid, class, team string
 	load             *LoadPlan
 	spread           bool
-	submittedAt      time.Duration // first attempt
+	submittedAt      time.Duration // when the client first sent the submission
 	acceptedAt       time.Duration
-	answeredAt       time.Duration // when a question about it was last answered
+	answeredAt       time.Duration // when a request about the job last succeeded
 
-	reportedState       protocol.JobState // that the client was last told
-	reportedAt          time.Duration     // when it was first told so
+	reportedState       protocol.JobState // last state that the client received
+	reportedAt          time.Duration     // when the client first received reportedState
 	cancelRequested     bool
 	reportedCancelledAt time.Duration
 
-	started     map[string]bool // tasks that have started at least once
+	started     map[string]bool // tasks that have started at least once, by name
 	completed   map[string]bool
-	placements  map[string]*placement // of the tasks that are on machines
+	placements  map[string]*placement // tasks that are on machines, by name
 	tasksByZone map[string]int
 	history     []string
 }
 
-// placement is where a task runs.
+// placement is a task on a worker.
 type placement struct {
 	worker *emulator.Worker
 	task   *emulator.Task
 }
 
-// maxHistory bounds the lines of history that are kept of one job.
+// maxHistory is how many lines of history are kept for a job.
 const maxHistory = 60
 
-// note adds a line to the job's history, with its time in seconds.
+// note appends a line to the job's history, prefixed with the time in seconds. It drops lines beyond maxHistory.
 func (j *job) note(now time.Duration, format string, args ...any) {
 	if len(j.history) < maxHistory {
 		j.history = append(j.history, fmt.Sprintf("%.3f ", now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-// finished says whether the client has been told that the job has ended.
+// finished reports whether the client has received a terminal state of the job.
 func (j *job) finished() bool {
 	return j.reportedState == protocol.JobDone || j.reportedState == protocol.JobCancelled
 }
--- a/internal/scalerun/leader.go
+++ b/internal/scalerun/leader.go
@@ -7,10 +7,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// Keys under which the program stores its leader.
+// Keys under which the controllers store the leader in the state service.
 const (
 	leaderKey = "c/leader"
-	// leaseKey is attached to the leader's lease while the feature gate is not closed.
+	// leaseKey is bound to the leader's lease while the feature gate is not closed.
 	leaseKey = "c/lease"
 )
 
@@ -18,22 +18,22 @@
 type leaderRecord struct {
 	Label string `msgpack:"l"`
 	Token uint64 `msgpack:"n"`
-	// Form is not 0 while the feature gate is not closed: then the leader's key is permanent, and
-	// whether its holder leads is told by the key that is attached to the lease.
+	// Form is not 0 while the feature gate is not closed. The leader's key is then permanent, and the recorded
+	// controller is the leader only while leaseKey exists.
 	Form uint64 `msgpack:"f"`
 }
 
-// leaderMonitor reads the leader from the emulated state service, counts the changes of the leader
-// and measures the time without one.
+// leaderMonitor reads the current leader from the emulated state service, counts leader changes and measures the time
+// without a leader.
 type leaderMonitor struct {
 	state   *emulator.StateService
 	queue   *emulator.EventQueue
 	metrics *metrics
-	token   uint64        // fencing token of the last leader that was seen
-	lostAt  time.Duration // since when there is no leader; 0: there is one
+	token   uint64        // fencing token of the last observed leader
+	lostAt  time.Duration // when the leader was lost; 0: there is a leader
 }
 
-// current returns the record of the leader, and whether somebody leads.
+// current returns the leader's record and whether there is a leader.
 func (m *leaderMonitor) current() (leaderRecord, bool) {
 	var record leaderRecord
 	item := m.state.Item(leaderKey)
@@ -43,7 +43,7 @@
 	return record, record.Form == 0 || m.state.Item(leaseKey) != nil
 }
 
-// poll updates the counts from the present leader, and returns its record.
+// poll updates the counts from the current leader's record and returns the record.
 func (m *leaderMonitor) poll() leaderRecord {
 	now := m.queue.Now()
 	record, leads := m.current()
@@ -52,7 +52,7 @@
 		return record
 	}
 	if record.Token == m.token {
-		return record // also one that has been killed, until its lease expires
+		return record // a killed leader remains recorded until its lease expires
 	}
 	if m.token > 0 && m.metrics.measuring {
 		m.metrics.leaderChanges++
@@ -64,7 +64,7 @@
 	return record
 }
 
-// markLost starts the time without a leader, if it does not run already and there was a leader.
+// markLost records the time of the leader's loss, unless it is already recorded or there has been no leader yet.
 func (m *leaderMonitor) markLost() {
 	if m.lostAt == 0 && m.token > 0 {
 		m.lostAt = m.queue.Now()
--- a/internal/scalerun/metrics.go
+++ b/internal/scalerun/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/shirou/gopsutil/v4/process"
 )
 
-// Quantiles sum up a distribution of durations, in milliseconds.
+// Quantiles summarizes a distribution of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -17,7 +17,7 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// distribution is a histogram of durations, in microseconds up to ten minutes.
+// distribution is a histogram of durations from one microsecond to ten minutes.
 type distribution struct{ histogram *hdrhistogram.Histogram }
 
 const (
@@ -32,7 +32,7 @@
 }
 
 func (d distribution) add(t time.Duration) {
-	_ = d.histogram.RecordValue(min(longestMicros, max(1, t.Microseconds()))) // clipped to its range, so that it takes every value
+	_ = d.histogram.RecordValue(min(longestMicros, max(1, t.Microseconds()))) // can't fail: the value is clamped to the histogram's range
 }
 
 func (d distribution) quantiles() Quantiles {
@@ -40,8 +40,8 @@
 		P99: float64(d.histogram.ValueAtQuantile(99)) / microsPerMilli, Max: float64(d.histogram.Max()) / microsPerMilli}
 }
 
-// ProcessUse is what the processes of one label used in the measured part of a run. CPUShare is in
-// cores, PeakMB the largest resident memory of one process in MiB.
+// ProcessUse is the resource usage of the processes of one label in the measured phase of a run. CPUShare is in cores.
+// PeakMB is the largest resident memory of a single process, in MiB.
 type ProcessUse struct {
 	CPUSeconds float64 `json:"cpu_s"` // user and system
 	CPUShare   float64 `json:"cpu_share"`
@@ -49,18 +49,18 @@
 	Restarts   int     `json:"restarts"`
 }
 
-// watchedProcess is the present process of a label, with the use of CPU time in seconds.
+// watchedProcess is the current process of a label. CPU times are in seconds, peakRSS is in bytes.
 type watchedProcess struct {
 	handle       *process.Process
 	starts       int
-	cpuOfEarlier float64 // of earlier processes of the same label, in the measured part
-	cpuBase      float64
-	cpuLast      float64
+	cpuOfEarlier float64 // used by earlier processes of the label in the measured phase
+	cpuBase      float64 // when the measured phase began; 0 for a process that started later
+	cpuLast      float64 // last sample
 	peakRSS      uint64
 }
 
-// metrics are the counts of one region. Only the event loop uses them, but for the processes, which
-// mu guards.
+// metrics holds the counters of one region. They must be used on the event loop only, except for processes, which mu
+// guards.
 type metrics struct {
 	measuring bool
 	began     time.Duration
@@ -92,7 +92,7 @@
 		answers: map[string]int64{}, processes: map[string]*watchedProcess{}}
 }
 
-// begin starts the measured part.
+// begin starts the measured phase.
 func (m *metrics) begin(now time.Duration) {
 	m.measuring, m.began = true, now
 	m.mu.Lock()
@@ -102,7 +102,7 @@
 	}
 }
 
-// heartbeat records a heartbeat's exchange, with its traffic in bytes.
+// heartbeat records the exchange of a heartbeat and its response, and their size in bytes.
 func (m *metrics) heartbeat(status int, took time.Duration, bytes int64) {
 	if !m.measuring {
 		return
@@ -116,10 +116,10 @@
 	}
 }
 
-// directHeader is about how many bytes the lines before the body of a direct request or answer take.
+// directHeader is the approximate size of the HTTP header of a direct request or response, in bytes.
 const directHeader = 150
 
-// direct records a direct request or its answer, with the size of its body in bytes.
+// direct records a direct request to a worker or its response, with the size of the body in bytes.
 func (m *metrics) direct(bytes int) {
 	if m.measuring {
 		m.directMessages++
@@ -127,21 +127,21 @@
 	}
 }
 
-// jobAccepted records how long a job took from its first submission to its acceptance.
+// jobAccepted records the time from a job's first submission attempt to its acceptance.
 func (m *metrics) jobAccepted(took time.Duration) {
 	if m.measuring {
 		m.timeToAccept.add(took)
 	}
 }
 
-// answer counts the answers to clients, by operation and status (0: none).
+// answer counts the responses to clients by operation and status (0: no response).
 func (m *metrics) answer(op string, status int) {
 	if m.measuring {
 		m.answers[statusKey(op, status)]++
 	}
 }
 
-// taskStarted records the first start of a task, with the time since its job was submitted.
+// taskStarted records the first start of a task. wait is the time since its job was submitted.
 func (m *metrics) taskStarted(class string, wait time.Duration) {
 	m.startsThisSecond++
 	if !m.measuring {
@@ -154,7 +154,7 @@
 	m.timeToStart[class].add(wait)
 }
 
-// endSecond ends a second of the counts by second.
+// endSecond updates the peaks and resets the counter of starts per second. It must be called once a second.
 func (m *metrics) endSecond() {
 	if m.measuring {
 		m.peakSecond = max(m.peakSecond, m.startsThisSecond)
@@ -163,11 +163,11 @@
 	m.startsThisSecond = 0
 }
 
-// watchProcess measures a process under a label, in the place of an earlier one of that label.
+// watchProcess starts measuring a process under a label. It replaces an earlier process of the same label.
 func (m *metrics) watchProcess(label string, pid int) {
 	handle, err := process.NewProcess(int32(pid))
 	if err != nil {
-		return // it has ended already, which its owner notices
+		return // the process has already exited; controlPlane.await handles that
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,7 +181,7 @@
 	p.starts++
 }
 
-// sample reads the CPU time and memory of the processes, and returns the memory of all in bytes.
+// sample reads the CPU time and memory of all processes and returns the sum of their resident memory in bytes.
 func (m *metrics) sample() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -198,7 +198,7 @@
 	return total
 }
 
-// processUse sums up the use of the processes over the measured part.
+// processUse returns the resource usage in the measured phase, by label.
 func (m *metrics) processUse(measured time.Duration) map[string]ProcessUse {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/scalerun/ownership.go
+++ b/internal/scalerun/ownership.go
@@ -6,47 +6,47 @@
 	"claybarrow/internal/emulator"
 )
 
-// ownership counts which controller serves each machine and which leader owns each job, and how often
-// that changes. A machine is owned by the controller whose answer it took last; a job by the fencing
-// token under which a task of it was started last, which is part of the attempt's number.
+// ownership tracks which controller serves each machine and which leader owns each job, and counts the changes. The
+// owner of a machine is the controller that last answered its heartbeat. The owner of a job is the fencing token under
+// which one of its tasks last started; the token is part of the attempt number.
 type ownership struct {
 	machines map[string]*owned
 	jobs     map[string]*owned
 }
 
-// owned is a machine or a job with its owner.
+// owned records the owner of a machine or a job.
 type owned struct {
-	owner     uint64 // a controller's number, or a fencing token
+	owner     uint64 // a controller's index or a fencing token
 	changes   int
 	changedAt time.Duration
 }
 
-// Ownership counts the changes of owners in the measured part of a run.
+// Ownership reports the owner changes in the measured phase of a run.
 type Ownership struct {
-	Machines        int `json:"machines"`         // that took a controller's answer
-	MachineMoves    int `json:"machine_moves"`    // to another controller
-	MaxMoves        int `json:"most_moves"`       // of the machine that changed its controller most often
-	Jobs            int `json:"jobs"`             // with a task that was started
-	JobHandovers    int `json:"job_handovers"`    // to a later token
-	JobsOwnedTwice  int `json:"jobs_owned_twice"` // started under an earlier token after a later one
-	JobsOrphaned    int `json:"jobs_orphaned"`    // not finished, and no question about them was answered at the end
-	SessionsExpired int `json:"sessions_expired"` // of machines that are up
+	Machines        int `json:"machines"`         // machines with at least one answered heartbeat
+	MachineMoves    int `json:"machine_moves"`    // changes of a machine's controller
+	MaxMoves        int `json:"most_moves"`       // largest number of changes for a single machine
+	Jobs            int `json:"jobs"`             // jobs with at least one started task
+	JobHandovers    int `json:"job_handovers"`    // changes to a later fencing token
+	JobsOwnedTwice  int `json:"jobs_owned_twice"` // task starts under an earlier token after a start under a later one
+	JobsOrphaned    int `json:"jobs_orphaned"`    // unfinished jobs whose requests went unanswered at the end of the run
+	SessionsExpired int `json:"sessions_expired"` // running machines whose lease has expired at least once
 }
 
-// attemptBlockBits is how many low bits of an attempt's number count the attempts under one fencing
-// token; the bits above are the token.
+// attemptBlockBits is the number of low bits of an attempt number that count the attempts under one fencing token. The
+// higher bits are the token.
 const attemptBlockBits = 24
 
 func newOwnership() *ownership {
 	return &ownership{machines: map[string]*owned{}, jobs: map[string]*owned{}}
 }
 
-// workerAnswered records that a machine took a controller's answer.
+// workerAnswered records that a controller answered a machine's heartbeat.
 func (o *ownership) workerAnswered(machine string, controller int, now time.Duration) {
 	o.recordOwner(o.machines, machine, uint64(controller), now)
 }
 
-// recordOwner sets an owner, and counts it if it differs from the one before.
+// recordOwner sets the owner of key and counts a change if the previous owner differs.
 func (o *ownership) recordOwner(table map[string]*owned, key string, owner uint64, now time.Duration) {
 	switch e := table[key]; {
 	case e == nil:
@@ -57,8 +57,8 @@
 	}
 }
 
-// taskStarted records the start of a job's task. It returns whether a later leader had started tasks of
-// the job before: then two leaders own the job.
+// taskStarted records the start of a job's task. It returns true if a leader with a later fencing token has already
+// started tasks of the job, which means that two leaders own the job.
 func (o *ownership) taskStarted(uid string, try uint64, now time.Duration) (twice bool) {
 	token := try >> attemptBlockBits
 	if e := o.jobs[uid]; e != nil && token < e.owner {
@@ -68,7 +68,7 @@
 	return false
 }
 
-// reset begins the measured part: the owners stay, the counts start from 0.
+// reset clears the counts for the measured phase and keeps the owners.
 func (o *ownership) reset() {
 	for _, table := range []map[string]*owned{o.machines, o.jobs} {
 		for _, e := range table {
@@ -77,7 +77,7 @@
 	}
 }
 
-// totals sums up the counts of all machines and jobs.
+// totals returns the sums over all machines and jobs.
 func (o *ownership) totals() Ownership {
 	out := Ownership{Machines: len(o.machines), Jobs: len(o.jobs)}
 	for _, e := range o.machines {
@@ -90,7 +90,7 @@
 	return out
 }
 
-// expiredSessions counts the machines that are up and whose lease has expired at least once.
+// expiredSessions counts the running machines whose lease has expired at least once.
 func expiredSessions(fleet *emulator.Fleet) int {
 	n := 0
 	for _, worker := range fleet.Workers {
--- a/internal/scalerun/ownership_test.go
+++ b/internal/scalerun/ownership_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// A start under an earlier token after one under a later is a job that two leaders own.
+// A task start under an earlier fencing token after a start under a later one means that two leaders own the job.
 func TestOwnership(t *testing.T) {
 	o := newOwnership()
 	const first, second = uint64(3 << attemptBlockBits), uint64(4 << attemptBlockBits)
 	if o.taskStarted("j-1", first|1, 0) || o.taskStarted("j-1", second|1, 0) || !o.taskStarted("j-1", first|2, 0) {
-		t.Error("a job that is started by an earlier leader again is not found")
+		t.Error("taskStarted did not report exactly the start under the earlier token")
 	}
 	o.workerAnswered("i-1", 0, 0)
 	o.reset()
@@ -21,11 +21,11 @@
 	o.workerAnswered("i-1", 1, 0)
 	o.workerAnswered("i-2", 1, 0)
 	if s := o.totals(); s.Machines != 2 || s.MachineMoves != 2 || s.MaxMoves != 2 || s.Jobs != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("totals %+v, want 2 machines, 2 moves, at most 2 of one machine, 1 job", s)
 	}
 }
 
-// Times of detection come from the controllers' logs, which older versions word otherwise.
+// Detection times are read from the controllers' logs. Older program versions word the log messages differently.
 func TestDetectionFromLogs(t *testing.T) {
 	for name, words := range map[string][2]string{
 		"this version":   {`"elected leader"`, `"cluster state loaded"`},
@@ -44,7 +44,7 @@
 time=2026-12-02T10:00:00.700Z level=INFO msg="controller is suspect" node=c2 controller=c0 was=alive
 time=2026-12-02T10:00:01.250Z level=INFO msg=` + elected + ` node=c2 token=2 lease=3
 time=2026-12-02T10:00:01.300Z level=INFO msg=` + loaded + ` node=c2 token=2
-not a line of a log
+not a log line
 time=2026-12-02T10:00:03.000Z level=INFO msg="controller is dead" node=c1 controller=c0 was=suspect
 `
 	if err := os.WriteFile(log, []byte(text), 0o600); err != nil {
@@ -60,6 +60,6 @@
 	got := d.results([]string{log, filepath.Join(t.TempDir(), "missing")})
 	want := Detection{Kind: FaultKillLeader, FirstSuspectMS: 500, LastSuspectMS: 700, FirstDeadMS: 3000, LastDeadMS: 3000, ElectedMS: 1250, LoadedMS: 1300, FirstPlacementMS: 1400}
 	if len(got) != 1 || got[0] != want {
-		t.Errorf("%+v", got)
+		t.Errorf("detections %+v, want one: %+v", got, want)
 	}
 }
--- a/internal/scalerun/plan.go
+++ b/internal/scalerun/plan.go
@@ -7,8 +7,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Plan describes a run; it is read from a TOML file. Names that end in S are in seconds, MS in
-// milliseconds, GB in gigabytes, RPS in requests per second.
+// Plan describes a run; it is read from a TOML file. The suffix of a field's name gives its unit: S is seconds, MS
+// milliseconds, KB kilobytes, MB megabytes, GB gigabytes, RPS requests per second.
 type Plan struct {
 	Run     RunPlan     `toml:"run"`
 	Fleet   FleetPlan   `toml:"fleet"`
@@ -22,20 +22,20 @@
 	Limits  LimitPlan   `toml:"limits"`
 }
 
-// RunPlan sets the programs under test, the length of the run and where its processes listen.
+// RunPlan sets the programs under test, the duration of the run and the ports of its processes.
 type RunPlan struct {
-	Program string `toml:"program"` // the deploy build
-	// Older is the program that the controllers begin with; empty: they begin with Program.
+	Program string `toml:"program"` // path of the release build
+	// Older is the program that the controllers run before an upgrade; if empty, they run Program from the start.
 	Older     string  `toml:"older"`
-	WarmupS   float64 `toml:"warmup_s"`   // seconds before measuring begins
-	DurationS float64 `toml:"duration_s"` // seconds that are measured
+	WarmupS   float64 `toml:"warmup_s"`   // before the measured phase
+	DurationS float64 `toml:"duration_s"` // of the measured phase
 	Seed      uint64  `toml:"seed"`
-	BasePort  int     `toml:"base_port"` // first of ten ports for each region
+	BasePort  int     `toml:"base_port"` // first port; each region uses ten consecutive ports
 	LogLevel  string  `toml:"log_level"` // of the controllers
-	KeepLogs  bool    `toml:"keep_logs"` // in the folder for temporary files
+	KeepLogs  bool    `toml:"keep_logs"` // keep the regions' temporary directories
 }
 
-// FleetPlan sets the machines. Workers counts those of all regions.
+// FleetPlan sets the machines. Workers is the total over all regions.
 type FleetPlan struct {
 	Workers int        `toml:"workers"`
 	Regions int        `toml:"regions"`
@@ -56,16 +56,16 @@
 	BootS        float64 `toml:"boot_s"`
 }
 
-// ControlPlan sets the controllers of each region, which are spread over its zones in turn.
+// ControlPlan sets the controllers of each region, which are assigned to its zones round-robin.
 type ControlPlan struct {
 	Controllers int     `toml:"controllers"`
 	Cores       float64 `toml:"cores"`
 	MemoryMB    float64 `toml:"memory_mb"`
 	Sockets     int     `toml:"sockets"`
-	RestartS    float64 `toml:"restart_s"` // until a killed one is started again
-	// Operator is added to the operators' settings of the controllers (TOML).
+	RestartS    float64 `toml:"restart_s"` // delay before a killed controller is restarted
+	// Operator is TOML text that is appended to the operator settings of controllers that run run.program.
 	Operator string `toml:"operator"`
-	// OlderOperator is added to the settings of run.older.
+	// OlderOperator is TOML text that is appended to the operator settings of controllers that run run.older.
 	OlderOperator string `toml:"older_operator"`
 }
 
@@ -78,7 +78,7 @@
 	LatencyMS float64 `toml:"latency_ms"`
 }
 
-// CloudPlan sets the request rate of each region's cloud and the age of its machine list.
+// CloudPlan sets the request rate limit of each region's cloud and the staleness of its machine list.
 type CloudPlan struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
@@ -93,15 +93,15 @@
 	GangPeerS float64 `toml:"gang_peer_s"`
 }
 
-// TeamPlan sets the teams, which are all alike. Guarantees (cores, accelerators) and limits (the
-// same with max) are those of all regions together.
+// TeamPlan sets the teams, which all have the same quotas. Guarantees (cores, accelerators) and limits (cores_max,
+// accelerators_max) apply to each team and are totals over all regions.
 type TeamPlan struct {
 	Count            int     `toml:"count"`
 	Cores            float64 `toml:"cores"`
 	CoresMax         float64 `toml:"cores_max"`
 	Accelerators     float64 `toml:"accelerators"`
 	AcceleratorsMax  float64 `toml:"accelerators_max"`
-	UrgentWithinS    float64 `toml:"urgent_within_s"` // the objective for the start of urgent classes
+	UrgentWithinS    float64 `toml:"urgent_within_s"` // start latency objective for urgent classes
 	UrgentStartShare float64 `toml:"urgent_start_share"`
 }
 
@@ -110,27 +110,26 @@
 	Name         string  `toml:"name"`
 	Shape        string  `toml:"shape"` // batch, service or group
 	Priority     string  `toml:"priority"`
-	StartsPerS   float64 `toml:"starts_per_s"` // in all regions, at steady state
-	Tasks        int     `toml:"tasks"`        // of each job
-	RunS         float64 `toml:"run_s"`        // of a task; a service is cancelled after it
+	StartsPerS   float64 `toml:"starts_per_s"` // task starts in all regions at steady state
+	Tasks        int     `toml:"tasks"`        // per job
+	RunS         float64 `toml:"run_s"`        // run time of a task; a service is cancelled after this time
 	Cores        float64 `toml:"cores"`
 	Accelerators float64 `toml:"accelerators"`
 	MemoryGB     float64 `toml:"memory_gb"`
 	Images       int     `toml:"images"`
 	ImageGB      float64 `toml:"image_gb"`
 	Spread       bool    `toml:"spread"`
-	Cancelled    float64 `toml:"cancelled"` // share of the jobs that their users call off halfway
+	Cancelled    float64 `toml:"cancelled"` // share of the jobs that clients cancel after half of run_s
 	Urgent       bool    `toml:"urgent"`
 }
 
-// LimitPlan bounds what a run may take of the machine that it runs on: a share of its memory and a
-// number of processes.
+// LimitPlan limits the resources that a run may use on its host: a share of the memory and a number of processes.
 type LimitPlan struct {
 	MemoryShare float64 `toml:"memory_share"`
 	Processes   int     `toml:"processes"`
 }
 
-// DefaultPlan returns the plan that a plan's file changes.
+// DefaultPlan returns the defaults for settings that a plan file leaves out.
 func DefaultPlan() Plan {
 	return Plan{
 		Run:     RunPlan{Program: "target/claybarrow", WarmupS: 20, DurationS: 30, Seed: 1, BasePort: 21_000, LogLevel: "info"},
@@ -144,17 +143,17 @@
 	}
 }
 
-// PlanError names the setting of a plan that is wrong.
+// PlanError reports an invalid setting of a plan.
 type PlanError struct{ Field, Problem string }
 
-// Error gives the setting and its problem in one line.
+// Error returns the setting and the problem in one line.
 func (e *PlanError) Error() string { return e.Field + ": " + e.Problem }
 
 func planError(field, format string, args ...any) error {
 	return &PlanError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// LoadPlanFile reads and checks a plan. Its errors are those of os.ReadFile and ParsePlan.
+// LoadPlanFile reads and checks a plan file. It returns the errors of os.ReadFile and ParsePlan.
 func LoadPlanFile(path string) (*Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -163,13 +162,12 @@
 	return ParsePlan(string(raw))
 }
 
-// ParsePlan parses and checks the TOML text of a plan. A setting that is unknown or out of bounds is a
-// *PlanError.
+// ParsePlan parses and checks the TOML text of a plan. It returns a *PlanError for an unknown or invalid setting.
 func ParsePlan(text string) (*Plan, error) {
 	p := DefaultPlan()
 	meta, err := toml.Decode(text, &p)
 	if err != nil {
-		return nil, fmt.Errorf("plan: %w", err)
+		return nil, fmt.Errorf("parse plan: %w", err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, planError(unknown[0].String(), "unknown key")
@@ -177,11 +175,11 @@
 	return &p, p.check()
 }
 
-// minTeams is the smallest number of teams that a plan is scaled down to.
+// minTeams is the minimum number of teams after scaling.
 const minTeams = 6
 
-// Scale multiplies the workers, the load and the teams by a factor (more than 0, at most 100). The
-// rates of the state service and the cloud stay.
+// Scale multiplies the workers, the load and the teams by a factor (more than 0, at most 100). It does not change the
+// rate limits of the state service and the cloud.
 func (p *Plan) Scale(factor float64) error {
 	if !(factor > 0 && factor <= 100) {
 		return planError("scale", "%v is not between 0 and 100", factor)
@@ -194,14 +192,14 @@
 	return p.check()
 }
 
-// Divide divides the plan's fleet into another number of regions. The rates of the state service and
-// the cloud are those of each region, and stay.
+// Divide changes the number of regions into which the fleet is divided. It does not change the rate limits of the state
+// service and the cloud, which apply to each region.
 func (p *Plan) Divide(regions int) error {
 	p.Fleet.Regions = regions
 	return p.check()
 }
 
-// regionWorkers returns how many workers a region has; the first regions take the remainder.
+// regionWorkers returns the number of workers in a region. The first regions get one more if there is a remainder.
 func (p *Plan) regionWorkers(region int) int {
 	n := p.Fleet.Workers / p.Fleet.Regions
 	if region < p.Fleet.Workers%p.Fleet.Regions {
--- a/internal/scalerun/plan_check.go
+++ b/internal/scalerun/plan_check.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// bound is a setting with the smallest and largest value that it may have.
+// bound is a numeric setting with its allowed range (inclusive).
 type bound struct {
 	field    string
 	value    float64
 	min, max float64
 }
 
-// check returns a PlanError for the first setting that is wrong. Comparisons are written so that they
-// fail for NaN, which TOML can express.
+// check returns a PlanError for the first invalid setting. All comparisons are false for NaN, which TOML can express;
+// the conditions are therefore negated to reject it.
 func (p *Plan) check() error {
 	for _, b := range p.bounds() {
 		if !(b.value >= b.min && b.value <= b.max) {
@@ -29,7 +29,7 @@
 	return p.checkFaults()
 }
 
-// bounds lists the numeric settings with their bounds.
+// bounds returns the numeric settings with their allowed ranges.
 func (p *Plan) bounds() []bound {
 	const day = 86_400 // seconds
 	return []bound{
@@ -66,31 +66,31 @@
 		return err
 	}
 	if p.Fleet.Workers < p.Fleet.Regions*len(p.Fleet.Zones) {
-		return planError("fleet.workers", "%d are fewer than the %d zones of all regions", p.Fleet.Workers, p.Fleet.Regions*len(p.Fleet.Zones))
+		return planError("fleet.workers", "%d workers are fewer than the %d zones of all regions", p.Fleet.Workers, p.Fleet.Regions*len(p.Fleet.Zones))
 	}
 	return p.checkTypes()
 }
 
 func (p *Plan) checkZones() error {
 	if len(p.Fleet.Zones) == 0 {
-		return planError("fleet.zones", "none is named")
+		return planError("fleet.zones", "at least one zone is required")
 	}
 	seen := map[string]bool{}
 	for _, zone := range p.Fleet.Zones {
 		if zone == "" || seen[zone] {
-			return planError("fleet.zones", "%q is empty or named twice", zone)
+			return planError("fleet.zones", "zone name %q is empty or a duplicate", zone)
 		}
 		seen[zone] = true
 	}
 	return nil
 }
 
-// shareSlack is what rounding may take the sum of the machine types' shares away from 1.
+// shareSlack is the tolerance for rounding errors in the sum of the machine types' shares.
 const shareSlack = 1e-6
 
 func (p *Plan) checkTypes() error {
 	if len(p.Fleet.Types) == 0 {
-		return planError("fleet.types", "none is named")
+		return planError("fleet.types", "at least one machine type is required")
 	}
 	sum := 0.0
 	for i, t := range p.Fleet.Types {
@@ -99,7 +99,7 @@
 			return planError(field+".name", "missing")
 		}
 		if !positive(t.Share, t.Cores, t.MemoryGB, t.FetchGBPerS, t.Price, t.BootS) || !(t.Accelerators >= 0 && t.CacheGB >= 0) {
-			return planError(field, "share, cores, memory_gb, fetch_gb_per_s, price and boot_s must be more than 0")
+			return planError(field, "share, cores, memory_gb, fetch_gb_per_s, price and boot_s must be more than 0, accelerators and cache_gb 0 or more")
 		}
 		sum += t.Share
 	}
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// positive says whether all values are more than 0; NaN is not.
+// positive reports whether all values are more than 0; NaN is not.
 func positive(values ...float64) bool {
 	for _, v := range values {
 		if !(v > 0) {
@@ -119,7 +119,7 @@
 	return true
 }
 
-// Values that a class of jobs may have.
+// Allowed values of a job class.
 var (
 	jobShapes     = []string{"batch", "service", "group"}
 	jobPriorities = []string{"production", "high", "normal", "idle"}
@@ -129,7 +129,7 @@
 
 func (p *Plan) checkLoad() error {
 	if len(p.Load) == 0 {
-		return planError("load", "no class of jobs")
+		return planError("load", "at least one job class is required")
 	}
 	for i := range p.Load {
 		field := fmt.Sprintf("load[%d]", i)
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// checkKind checks the name, shape and priority of a class of jobs.
+// checkKind checks the name, shape and priority of a job class.
 func (l *LoadPlan) checkKind(field string) error {
 	switch {
 	case l.Name == "":
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// checkAmounts checks the numbers of a class of jobs.
+// checkAmounts checks the numeric settings of a job class.
 func (l *LoadPlan) checkAmounts(field string) error {
 	switch {
 	case l.Tasks < 1 || l.Tasks > maxTasksPerJob:
--- a/internal/scalerun/plan_machine.go
+++ b/internal/scalerun/plan_machine.go
@@ -9,58 +9,58 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds that no plan may raise.
+// Upper limits for the plan's settings in LimitPlan.
 const (
-	maxMemoryShare = 0.5 // of the machine's memory
+	maxMemoryShare = 0.5 // of the host's memory
 	maxProcesses   = 300
 )
 
-// portsPerRegion is how many consecutive ports a region has.
+// portsPerRegion is the number of consecutive ports that a region uses.
 const portsPerRegion = 10
 
-// Generous estimates of what a run takes of the machine.
+// Upper estimates of the resources that a run uses on its host.
 const (
-	workerBytes    = 60 << 10 // memory of an emulated worker and its connections, in the region's process
-	regionBytes    = 200 << 20
-	spareFiles     = 200
-	filesPerWorker = 1.3 // its own connection, and a share of those for direct commands
+	workerBytes    = 60 << 10  // memory of an emulated worker and its connections in the region's process
+	regionBytes    = 200 << 20 // memory of a region's process without its workers
+	spareFiles     = 200       // open files of a region's process other than the workers' connections
+	filesPerWorker = 1.3       // the worker's heartbeat connection, and on average 0.3 connections for direct commands
 )
 
-// processes is how many processes a run has: the parent, the regions and their controllers.
+// processes returns the number of processes of a run: the parent, one per region and the controllers.
 func (p *Plan) processes() int { return 1 + p.Fleet.Regions*(1+p.Control.Controllers) }
 
-// memoryBytes is an upper estimate of the memory that a run takes.
+// memoryBytes returns an upper estimate of the memory that a run uses.
 func (p *Plan) memoryBytes() float64 {
 	control := float64(p.Fleet.Regions*p.Control.Controllers) * p.Control.MemoryMB * (1 << 20)
 	return control + float64(p.Fleet.Workers)*workerBytes + float64(p.Fleet.Regions)*regionBytes
 }
 
-// Errors of CheckMachine for plans that this machine has no room for.
+// Errors of CheckMachine for plans that exceed the resources of this host.
 var (
-	errMemory    = errors.New("the plan takes more memory than it may")
-	errProcesses = errors.New("the plan takes more processes than it may")
-	errFiles     = errors.New("the plan takes more open files than a process may have")
+	errMemory    = errors.New("the plan needs more memory than limits.memory_share allows")
+	errProcesses = errors.New("the plan needs more processes than limits.processes allows")
+	errFiles     = errors.New("the plan needs more open files than the limit of a process")
 )
 
-// CheckMachine returns an error if the machine has no room for the plan (memory, processes or open
-// files) or one of its ports is in use.
+// CheckMachine returns an error if the plan needs more memory, processes or open files than it may use on this host, or
+// if one of its ports is in use.
 func (p *Plan) CheckMachine() error {
 	memory, err := mem.VirtualMemory()
 	if err != nil {
-		return fmt.Errorf("memory of this machine: %w", err)
+		return fmt.Errorf("read the memory size of this host: %w", err)
 	}
 	if most := float64(memory.Total) * p.Limits.MemoryShare; p.memoryBytes() > most {
-		return fmt.Errorf("%w: %.0f MB of %.0f", errMemory, p.memoryBytes()/(1<<20), most/(1<<20))
+		return fmt.Errorf("%w: needs %.0f MB, allowed %.0f MB", errMemory, p.memoryBytes()/(1<<20), most/(1<<20))
 	}
 	if n := p.processes(); n > p.Limits.Processes {
-		return fmt.Errorf("%w: %d of %d", errProcesses, n, p.Limits.Processes)
+		return fmt.Errorf("%w: needs %d, allowed %d", errProcesses, n, p.Limits.Processes)
 	}
 	var files unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
-		return fmt.Errorf("open files allowed: %w", err)
+		return fmt.Errorf("read the limit of open files: %w", err)
 	}
 	if need := uint64(float64(p.regionWorkers(0))*filesPerWorker) + spareFiles; need > files.Cur {
-		return fmt.Errorf("%w: %d for a region's workers, %d are allowed", errFiles, need, files.Cur)
+		return fmt.Errorf("%w: a region's process needs %d, allowed %d", errFiles, need, files.Cur)
 	}
 	return p.checkPorts()
 }
@@ -80,6 +80,6 @@
 	return nil
 }
 
-// port returns one of a region's ports, by its offset from the region's first. Each region also has a
-// loopback network of its own.
+// port returns the port with offset i from the region's first port. Each region also uses a separate loopback network;
+// see workerAddress.
 func (p *Plan) port(region, i int) int { return p.Run.BasePort + region*portsPerRegion + i }
--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -13,8 +13,8 @@
 	"claybarrow/internal/emulator"
 )
 
-// region runs one region: an emulated state service, cloud, workers and clients, against real
-// controllers of its own.
+// region is one region of a run: its real controller processes and its emulated state service, cloud, workers and
+// clients.
 type region struct {
 	plan   *Plan
 	number int
@@ -27,8 +27,8 @@
 	carrier      *heartbeatCarrier
 	clients      *clients
 	controlPlane *controlPlane
-	random       *rand.Rand // used by the event loop alone
-	closing      bool       // the run is over, and clients send nothing new
+	random       *rand.Rand // used by the event loop only
+	closing      bool       // the run is ending; clients start no new requests
 
 	invariants     *invariants
 	metrics        *metrics
@@ -38,15 +38,15 @@
 	detection      *detection
 	upgrade        *upgradeMonitor
 	faults         *faultInjector
-	stateBase      emulator.StateStats // when measuring began
+	stateBase      emulator.StateStats // at the start of the measured phase
 	failures       chan error
 }
 
-// processLabel is the key of the region's own process among RegionResult.Processes.
-const processLabel = "hollow workers, stand-ins and users"
+// processLabel is the key of the region's own process in RegionResult.Processes.
+const processLabel = "emulated workers, services and clients"
 
-// RunRegion runs a region until the plan's time is over, and returns what it measured. The result is
-// there also when an invariant was violated (RuleViolation).
+// RunRegion runs a region for the plan's duration and returns the measurements. The result is not nil if the run
+// failed in the measured phase, for example with a RuleViolation.
 func RunRegion(ctx context.Context, plan *Plan, number int) (*RegionResult, error) {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("scalerun-%d-", number))
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	defer func() {
 		if !plan.Run.KeepLogs {
-			_ = os.RemoveAll(dir) // temporary files; the result stands without their removal
+			_ = os.RemoveAll(dir) // temporary files; a failed removal does not affect the result
 		}
 	}()
 	ctx, stop := context.WithCancel(ctx)
@@ -74,7 +74,7 @@
 	return r.measure(ctx)
 }
 
-// warmUp starts the controllers, the fleet and the load, and lets the time before measuring pass.
+// warmUp starts the controllers, the fleet and the load, and waits for run.warmup_s.
 func (r *region) warmUp(ctx context.Context) error {
 	r.metrics.watchProcess(processLabel, os.Getpid())
 	for _, c := range r.controlPlane.controllers {
@@ -87,7 +87,7 @@
 	return r.wait(ctx, seconds(r.plan.Run.WarmupS))
 }
 
-// measure runs the measured part of the run.
+// measure runs the measured phase and returns its result.
 func (r *region) measure(ctx context.Context) (*RegionResult, error) {
 	r.metrics.sample()
 	r.loop.call(func() { r.beginMeasuring(ctx) })
@@ -113,7 +113,7 @@
 	return result, err
 }
 
-// pendingViolation returns an invariant that was found violated at the very end of the run.
+// pendingViolation returns a violation that was reported after wait had returned, or nil.
 func (r *region) pendingViolation() error {
 	select {
 	case violation := <-r.invariants.violations:
@@ -142,8 +142,8 @@
 	return r
 }
 
-// startLoad boots the workers, spread over the time of one report, and starts the clients' arrivals
-// and the periodic checks.
+// startLoad boots the workers, spread over one heartbeat interval, and starts the clients' arrivals and the periodic
+// checks.
 func (r *region) startLoad() {
 	const (
 		stepInterval  = 100 * time.Millisecond
@@ -161,7 +161,7 @@
 	})
 }
 
-// beginMeasuring starts the measured part and schedules the plan's faults.
+// beginMeasuring starts the measured phase and schedules the plan's faults.
 func (r *region) beginMeasuring(ctx context.Context) {
 	r.metrics.begin(r.loop.queue.Now())
 	r.ownership.reset()
@@ -172,7 +172,7 @@
 	}
 }
 
-// fail ends the run. Only the first error counts.
+// fail ends the run with an error. Later errors are dropped.
 func (r *region) fail(err error) {
 	select {
 	case r.failures <- err:
@@ -180,19 +180,19 @@
 	}
 }
 
-// errProtocol ends a run whose controllers sent something that the protocol does not allow.
-var errProtocol = errors.New("a controller's message is wrong")
+// errProtocol ends a run in which a controller sent a message that the protocol does not allow.
+var errProtocol = errors.New("controller violated the protocol")
 
-// failOnProtocolError ends the run because of a message that no controller may send.
+// failOnProtocolError ends the run because a controller sent a message that the protocol does not allow.
 func (r *region) failOnProtocolError(problem string) {
 	r.fail(fmt.Errorf("%w: %s", errProtocol, problem))
 }
 
-// errMemoryPassed ends a run whose processes take more memory than limits.memory_share.
-var errMemoryPassed = errors.New("the run takes more memory than it may")
+// errMemoryPassed ends a run whose processes use more memory than limits.memory_share allows.
+var errMemoryPassed = errors.New("the run uses more memory than limits.memory_share allows")
 
-// wait lets time pass. It ends early with the first failure or violation, when the context ends, or
-// when the region's processes take more than their share of the machine's memory.
+// wait waits for d. It returns early with an error on the first failure or violation, when the context ends, or when
+// the region's processes use more than the region's share of limits.memory_share.
 func (r *region) wait(ctx context.Context, d time.Duration) error {
 	over := time.NewTimer(d)
 	defer over.Stop()
@@ -213,7 +213,7 @@
 			return violation
 		case <-second.C:
 			if total := r.metrics.sample(); total > maxBytes {
-				return fmt.Errorf("%w: %d MB of %d in region %d", errMemoryPassed, total>>20, maxBytes>>20, r.number)
+				return fmt.Errorf("%w: %d MB, allowed %d MB in region %d", errMemoryPassed, total>>20, maxBytes>>20, r.number)
 			}
 		case <-over.C:
 			return nil
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// RegionResult is what was measured in one region.
+// RegionResult holds the measurements of one region.
 type RegionResult struct {
 	Region             int                   `json:"region"`
 	MeasuredS          float64               `json:"measured_s"`
@@ -43,7 +43,7 @@
 	MaxEventDelayS     float64               `json:"stand_in_latest_s"`
 }
 
-// result sums up the measured part. The event loop calls it.
+// result returns the measurements of the measured phase. It must be called on the event loop.
 func (r *region) result(measured time.Duration) *RegionResult {
 	m, s, base := r.metrics, r.state.Stats, r.stateBase
 	per := func(n float64) float64 { return n / measured.Seconds() }
@@ -70,7 +70,7 @@
 	return out
 }
 
-// Result is a whole run. Its plan names the programs without their folders.
+// Result is the result of a whole run. Its plan gives the programs' file names without their directories.
 type Result struct {
 	Plan      *Plan           `json:"plan"`
 	Version   string          `json:"version,omitempty"`
@@ -82,7 +82,7 @@
 // Summary renders the result as text for the terminal.
 func (r *Result) Summary() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d workers planned in %d region(s), %.0f s measured after %.0f s\n", r.Plan.Fleet.Workers, r.Plan.Fleet.Regions, r.Plan.Run.DurationS, r.Plan.Run.WarmupS)
+	fmt.Fprintf(&b, "%d workers planned in %d region(s), %.0f s measured after a warm-up of %.0f s\n", r.Plan.Fleet.Workers, r.Plan.Fleet.Regions, r.Plan.Run.DurationS, r.Plan.Run.WarmupS)
 	for _, region := range r.Regions {
 		region.writeSummary(&b)
 	}
@@ -99,17 +99,17 @@
 
 func (r *RegionResult) writeSummary(b *strings.Builder) {
 	fmt.Fprintf(b, "\nregion %d: %d workers at the end, at most %d tasks running\n", r.Region, r.Workers, r.PeakRunning)
-	fmt.Fprintf(b, "  starts            %.1f/s, most in a second %d\n", r.StartsPerS, r.PeakStartsPerS)
+	fmt.Fprintf(b, "  starts            %.1f/s, at most %d in one second\n", r.StartsPerS, r.PeakStartsPerS)
 	for _, class := range slices.Sorted(maps.Keys(r.TimeToStart)) {
 		fmt.Fprintf(b, "  %-17s %s\n", "start: "+class, r.TimeToStart[class])
 	}
 	fmt.Fprintf(b, "  accepted          %s\n", r.TimeToAccept)
-	fmt.Fprintf(b, "  reports           %.0f/s, round trip %s, refused %d\n", r.HeartbeatsPerS, r.HeartbeatRoundTrip, r.HeartbeatsRefused)
-	fmt.Fprintf(b, "  each worker       %.0f bytes/s\n", r.WorkerBytesPerS)
+	fmt.Fprintf(b, "  heartbeats        %.0f/s, round trip %s, failed %d\n", r.HeartbeatsPerS, r.HeartbeatRoundTrip, r.HeartbeatsRefused)
+	fmt.Fprintf(b, "  per worker        %.0f bytes/s\n", r.WorkerBytesPerS)
 	fmt.Fprintf(b, "  state service     %.0f requests/s, %.0f changes/s, %.0f bytes/s, 429s %d, 409s %d, %d keys\n", r.StateRequestsPerS, r.StateChangesPerS, r.StateBytesPerS, r.StateRateLimited, r.StateConflicts, r.StateKeys)
-	fmt.Fprintf(b, "  leader changes    %d, without one %s\n", r.LeaderChanges, r.LeaderGaps)
+	fmt.Fprintf(b, "  leader changes    %d, time without a leader %s\n", r.LeaderChanges, r.LeaderGaps)
 	o := r.Ownership
-	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one at most %d times; %d leases ran out\n", o.Machines, o.MachineMoves, o.MaxMoves, o.SessionsExpired)
+	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one machine at most %d times; %d leases expired\n", o.Machines, o.MachineMoves, o.MaxMoves, o.SessionsExpired)
 	fmt.Fprintf(b, "  jobs              %d, handed over %d times, owned twice %d, orphaned %d\n", o.Jobs, o.JobHandovers, o.JobsOwnedTwice, o.JobsOrphaned)
 	for _, d := range r.Detections {
 		fmt.Fprintf(b, "  %-17s suspect %.0f to %.0f ms, dead %.0f to %.0f ms, alive %.0f ms; elected %.0f ms, loaded %.0f ms, placed %.0f ms\n",
@@ -123,17 +123,17 @@
 	}
 	for _, label := range slices.Sorted(maps.Keys(r.Processes)) {
 		p := r.Processes[label]
-		fmt.Fprintf(b, "  %s: %.3f of a core, %.0f MB, %d restarts\n", label, p.CPUShare, p.PeakMB, p.Restarts)
+		fmt.Fprintf(b, "  %s: %.3f cores, %.0f MB, %d restarts\n", label, p.CPUShare, p.PeakMB, p.Restarts)
 	}
-	fmt.Fprintf(b, "  stand-ins were at most %.3f s late\n", r.MaxEventDelayS)
+	fmt.Fprintf(b, "  emulated events ran at most %.3f s late\n", r.MaxEventDelayS)
 }
 
-// String renders the quantiles in one line.
+// String returns the quantiles as one line.
 func (q Quantiles) String() string {
 	return fmt.Sprintf("p50 %.1f ms, p99 %.1f ms, max %.1f ms (%d)", q.P50, q.P99, q.Max, q.Count)
 }
 
-// statusKey is the key of an answer among RegionResult.Statuses.
+// statusKey returns the key of RegionResult.Answers for an operation and a status (0: no response).
 func statusKey(op string, status int) string {
 	if status == 0 {
 		return op + ": no answer"
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -18,20 +18,20 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// regionExit is what a region's process writes to its parent when it ends.
+// regionExit is the message that a region's process writes to its standard output before it exits.
 type regionExit struct {
 	Result    *RegionResult  `json:"result,omitempty"`
 	Violation *RuleViolation `json:"broken,omitempty"`
 	Error     string         `json:"error,omitempty"`
 }
 
-// ServeRegion runs one region for a parent process and writes its regionExit to out as JSON. It ends
-// early when in ends, which means that the parent has ended or was interrupted.
+// ServeRegion runs one region for a parent process and writes its result to out as JSON. It stops early at the end of
+// in, which means that the parent has exited or was interrupted.
 func ServeRegion(ctx context.Context, plan *Plan, number int, in io.Reader, out io.Writer) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go func() {
-		_, _ = io.Copy(io.Discard, in) // ends when the parent does
+		_, _ = io.Copy(io.Discard, in) // returns when the parent closes the pipe or exits
 		cancel(errInterrupted)
 	}()
 	result, err := RunRegion(ctx, plan, number)
@@ -46,21 +46,21 @@
 	return json.NewEncoder(out).Encode(exit)
 }
 
-// errInterrupted ends a region whose parent has ended or was interrupted.
+// errInterrupted ends a region whose parent has exited or was interrupted.
 var errInterrupted = errors.New("interrupted")
 
-// RegionError is why a region ended early, other than by a RuleViolation.
+// RegionError reports why a region ended early, for causes other than a RuleViolation.
 type RegionError struct {
 	Region  int
 	Problem string
 }
 
-// Error names the region.
+// Error returns the region's number and the problem.
 func (e *RegionError) Error() string { return fmt.Sprintf("region %d: %s", e.Region, e.Problem) }
 
-// Run runs a plan, each region in a process of its own: the program self with regionArgs and the
-// region's number. The result is there also if the run ended early. The error is a *PlanError for a
-// program that does not exist, a *RuleViolation or a *RegionError.
+// Run runs a plan. Each region runs in a separate process, which executes self with regionArgs and the region's number.
+// The result is not nil if the run ended early after its start. The error is that of CheckMachine, a *PlanError if the
+// program does not exist, a *RuleViolation or a *RegionError.
 func Run(ctx context.Context, plan *Plan, self string, regionArgs []string) (*Result, error) {
 	if err := plan.CheckMachine(); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 		return nil, planError("run.program", "%v", err)
 	}
 	shown := *plan
-	shown.Run.Program = filepath.Base(plan.Run.Program) // its folder is of no use to readers of the result
+	shown.Run.Program = filepath.Base(plan.Run.Program) // the directory means nothing to readers of the result
 	if plan.Run.Older != "" {
 		shown.Run.Older = filepath.Base(plan.Run.Older)
 	}
@@ -99,7 +99,7 @@
 	return result, err
 }
 
-// withoutNil drops the regions that have no result.
+// withoutNil returns the non-nil results.
 func withoutNil(list []*RegionResult) []*RegionResult {
 	var out []*RegionResult
 	for _, r := range list {
@@ -110,11 +110,12 @@
 	return out
 }
 
-// childShutdownTimeout is how long a region's process has to end after its standard input was closed.
+// childShutdownTimeout is how long a region's process may take to exit after its standard input was closed. It is then
+// killed.
 const childShutdownTimeout = 10 * time.Second
 
-// runChild runs a region's process and returns what it wrote. When the context ends its standard input
-// is closed, upon which it ends its own children and itself.
+// runChild runs a region's process and returns its output. When the context ends, runChild closes the process's
+// standard input; the process then kills its controllers and exits.
 func runChild(ctx context.Context, self string, args []string) (*regionExit, error) {
 	command := exec.Command(self, args...)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM, Setpgid: true}
@@ -128,8 +129,8 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() {
-		closeQuietly(in)                                                            // the child ends when its standard input does
-		time.AfterFunc(childShutdownTimeout, func() { _ = command.Process.Kill() }) // it may have ended
+		closeQuietly(in)                                                            // asks the child to exit
+		time.AfterFunc(childShutdownTimeout, func() { _ = command.Process.Kill() }) // fails if the process has exited
 	})
 	defer stop()
 	if err := command.Wait(); err != nil && out.Len() == 0 {
@@ -137,12 +138,12 @@
 	}
 	var exit regionExit
 	if err := json.Unmarshal(out.Bytes(), &exit); err != nil {
-		return nil, fmt.Errorf("its result can't be read: %w", err)
+		return nil, fmt.Errorf("decode the result of the region's process: %w", err)
 	}
 	return &exit, nil
 }
 
-// programVersion returns what the program's version command prints, or nothing if it fails.
+// programVersion returns the output of the program's version command, or "" if it fails.
 func programVersion(ctx context.Context, program string) string {
 	out, err := exec.CommandContext(ctx, program, "version").Output()
 	if err != nil {
--- a/internal/scalerun/run_test.go
+++ b/internal/scalerun/run_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TestMain lets the test program be a region's process, as the command is.
+// TestMain makes the test binary act as a region's process, like cmd/scalerun, if SCALERUN_TEST_PLAN is set.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("SCALERUN_TEST_PLAN"); file != "" {
 		number, _ := strconv.Atoi(os.Args[len(os.Args)-1])
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// buildProgram builds the real program once for a test.
+// buildProgram builds the controller program for a test and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "claybarrow")
@@ -38,14 +38,14 @@
 	return program
 }
 
-// planFile writes a plan of 50 workers with the program, and readies the test program to
-// run its regions.
+// planFile writes and loads a plan with 50 workers and the given program, and sets SCALERUN_TEST_PLAN so that the test
+// binary runs its regions. rest is further TOML text.
 func planFile(t *testing.T, program, rest string) *Plan {
 	t.Helper()
 	return planFileFor(t, "program = \""+program+"\"\nduration_s = 8.0", rest)
 }
 
-// planFileFor is planFile with other settings of the run.
+// planFileFor is like planFile, but takes the settings of the [run] table.
 func planFileFor(t *testing.T, run, rest string) *Plan {
 	t.Helper()
 	text := smallPlan(run+"\nwarmup_s = 6.0\nbase_port = 31000", "workers = 50", rest)
@@ -61,7 +61,7 @@
 	return plan
 }
 
-// children lists the controllers of a program that are there.
+// children returns the /proc links of the running processes of a program.
 func children(t *testing.T, program string) (found []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
@@ -84,11 +84,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("left behind: %v", children(t, program))
+	t.Errorf("processes still running after the run: %v", children(t, program))
 }
 
-// Fifty workers and three controllers, whose leader is killed: work goes on, no rule is
-// broken, and nothing is left behind.
+// With 50 workers and three controllers, the leader is killed: tasks keep starting, no rule is violated, and no
+// process outlives the run.
 func TestSmallRun(t *testing.T) {
 	program := buildProgram(t)
 	plan := planFile(t, program, "[[faults]]\nkind = \"kill_leader\"\nat_s = 1.0")
@@ -101,13 +101,13 @@
 		t.Errorf("%s", result.Summary())
 	}
 	if use := r.Processes["controller-0"]; use.PeakMB < 1 {
-		t.Errorf("no figures of the processes: %+v", r.Processes)
+		t.Errorf("no memory figure for controller-0: %+v", r.Processes)
 	}
 	noChildren(t, program)
 }
 
-// One controller is frozen and another killed in the midst of placing, with failed controllers being
-// noticed: the third takes over, and no job is owned twice or orphaned, nor by the one that goes on.
+// With failure detection enabled, the leader is frozen and a follower is killed while tasks are being placed: the
+// third controller becomes leader, and no job is owned twice or orphaned, also after the frozen controller resumes.
 func TestFreezeAndKill(t *testing.T) {
 	program := buildProgram(t)
 	plan := planFile(t, program, `[control]
@@ -130,12 +130,12 @@
 	}
 	if len(r.Detections) != 2 || r.Detections[0].FirstSuspectMS <= 0 || r.Detections[0].ElectedMS <= r.Detections[0].FirstSuspectMS ||
 		r.Detections[0].FirstPlacementMS <= 0 || r.Detections[1].FirstSuspectMS <= 0 {
-		t.Errorf("%+v\n%s", r.Detections, result.Summary())
+		t.Errorf("detections %+v, want both faults suspected and the first followed by an election and a placement\n%s", r.Detections, result.Summary())
 	}
 	noChildren(t, program)
 }
 
-// An interrupt in the middle ends all children.
+// An interrupt during a run ends all child processes.
 func TestInterruptLeavesNothingBehind(t *testing.T) {
 	program := buildProgram(t)
 	plan := planFile(t, program, "")
@@ -143,28 +143,29 @@
 	time.AfterFunc(2*time.Second, interrupt)
 	started := time.Now()
 	if _, err := Run(ctx, plan, os.Args[0], nil); err == nil || !strings.Contains(err.Error(), "interrupted") {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one that contains \"interrupted\"", err)
 	}
 	if took := time.Since(started); took > 6*time.Second {
-		t.Errorf("it took %v to end", took)
+		t.Errorf("the run took %v to end after an interrupt at 2 s, want at most 6 s", took)
 	}
 	noChildren(t, program)
 }
 
-// A program that can't be started, or ends at once, is named with its last line.
+// A missing program is reported as an invalid plan. A program that exits at once is reported with its controller's
+// label and the last line of its log.
 func TestProgramThatDoesNotRun(t *testing.T) {
 	plan := planFile(t, "/nowhere/claybarrow", "")
 	var planErr *PlanError
 	if _, err := Run(context.Background(), plan, os.Args[0], nil); !errors.As(err, &planErr) || planErr.Field != "run.program" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a *PlanError for run.program", err)
 	}
 	ends := filepath.Join(t.TempDir(), "ends")
-	if err := os.WriteFile(ends, []byte("#!/bin/sh\necho it can not be >&2\nexit 3\n"), 0o700); err != nil {
+	if err := os.WriteFile(ends, []byte("#!/bin/sh\necho unsupported kernel >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	plan = planFile(t, ends, "")
 	_, err := Run(context.Background(), plan, os.Args[0], nil)
-	if err == nil || !strings.Contains(err.Error(), "controller-") || !strings.Contains(err.Error(), "it can not be") {
-		t.Errorf("%v", err)
+	if err == nil || !strings.Contains(err.Error(), "controller-") || !strings.Contains(err.Error(), "unsupported kernel") {
+		t.Errorf("error %v, want one with the controller's label and the last line of its log", err)
 	}
 }
--- a/internal/scalerun/servers.go
+++ b/internal/scalerun/servers.go
@@ -13,28 +13,29 @@
 	"claybarrow/internal/protocol"
 )
 
-// Ports of a region, as offsets from its first.
+// Ports of a region, as offsets from its first port.
 const (
 	portState = iota
 	portCloud
 	portWorkers
-	portClients   // of the controllers, by zone and number: see controllerHost
-	portPeers     //
+	portClients // of the controllers, each on its own address: see controllerHost
+	portPeers   // of the controllers, each on its own address: see controllerHost
+	// networkOctets is the second octet of region 0's loopback addresses; each further region uses the next one.
 	networkOctets = 16
 )
 
-// workerAddress gives each worker an address of its own on the loopback network.
+// workerAddress returns the address of a region's n-th worker; each worker has a separate loopback address.
 func (p *Plan) workerAddress(region, n int) string {
 	const perOctet = 250
 	return fmt.Sprintf("127.%d.%d.%d:%d", networkOctets+region, n/perOctet, n%perOctet+1, p.port(region, portWorkers))
 }
 
-// controllerHost is a controller's address on the loopback network.
+// controllerHost returns the loopback address of a region's n-th controller.
 func controllerHost(region, n int) string {
 	return fmt.Sprintf("127.%d.255.%d", networkOctets+region, n+1)
 }
 
-// answer is what an emulated server answers.
+// answer is the response of an emulated server.
 type answer struct {
 	status int
 	body   []byte
@@ -47,8 +48,7 @@
 	serverMaxHeaderBytes = 8 << 10
 )
 
-// serveAll starts the servers of the emulated state service, cloud and workers; they end with the
-// context.
+// serveAll starts the servers of the emulated state service, cloud and workers. They are closed when the context ends.
 func (r *region) serveAll(ctx context.Context) error {
 	listen := func(addr string, handler http.Handler) error {
 		l, err := net.Listen("tcp4", addr)
@@ -70,12 +70,12 @@
 	if err := listen(fmt.Sprintf("127.0.0.1:%d", r.plan.port(r.number, portCloud)), r.handle(r.serveCloud)); err != nil {
 		return err
 	}
-	// One listener takes the connections to all workers' addresses. serveWorker refuses requests to
-	// addresses outside the loopback network.
+	// One listener accepts the connections to all workers' addresses. serveWorker rejects requests to addresses outside
+	// the loopback network.
 	return listen(fmt.Sprintf(":%d", r.plan.port(r.number, portWorkers)), r.handle(r.serveWorker))
 }
 
-// handle serves requests on the event loop.
+// handle returns a handler that calls serve on the event loop and writes its reply.
 func (r *region) handle(serve func(request *http.Request, body []byte, reply emulator.Reply)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, 2*protocol.MaxBodyBytes))
@@ -91,14 +91,14 @@
 		case a := <-answers:
 			w.Header().Set("Content-Type", "application/msgpack")
 			w.WriteHeader(a.status)
-			_, _ = w.Write(a.body) // the client may have gone
+			_, _ = w.Write(a.body) // fails if the client has closed the connection
 		case <-request.Context().Done():
 		case <-r.loop.done:
 		}
 	})
 }
 
-// serveState serves a request to the state service, and answers after the plan's latency.
+// serveState serves a request to the state service and replies after the plan's latency.
 func (r *region) serveState(request *http.Request, body []byte, reply emulator.Reply) {
 	r.state.Serve(0, request.Method, request.URL.RequestURI(), body, func(status int, body []byte) {
 		r.loop.queue.After(seconds(r.plan.State.LatencyMS/millisPerSecond), func() { reply(status, body) })
@@ -110,8 +110,8 @@
 	reply(r.cloud.Serve(request.Method, request.URL.RequestURI(), body))
 }
 
-// serveWorker serves a direct request to the worker whose address it was sent to. A worker that can't
-// be reached does not answer.
+// serveWorker serves a direct request to the worker with the request's destination address. It sends no reply if there
+// is no such worker or the worker is unreachable.
 func (r *region) serveWorker(request *http.Request, body []byte, reply emulator.Reply) {
 	local, _ := request.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if local == nil || !local.IP.IsLoopback() {
--- a/internal/scalerun/upgrade.go
+++ b/internal/scalerun/upgrade.go
@@ -11,51 +11,50 @@
 	"claybarrow/internal/protocol"
 )
 
-// A rolling upgrade of real processes: the controllers begin with run.older, are started again with
-// run.program one after the other, and may be rolled back. upgradeMonitor counts what must not happen
-// meanwhile.
-
-// upgradeMonitor follows an upgrade of a region. Only the event loop uses it.
+// upgradeMonitor counts errors during a rolling upgrade of a region's controllers: they start with run.older, are
+// restarted with run.program one after another, and may be rolled back. It must be used on the event loop only.
 type upgradeMonitor struct {
-	// left are the tasks that have left a machine other than by failing: stopped or completed.
+	// left holds the tasks that completed, and the tasks that ended without an exit report because their worker's lease
+	// expired or its machine failed.
 	left        map[string]bool
 	dropped     int
 	gateChanges []string
 	gateOpen    bool
-	openedEarly string // which controller ran the older program when the gate opened
+	openedEarly string // names a controller that ran the older program when the gate opened
 }
 
 func newUpgradeMonitor() *upgradeMonitor { return &upgradeMonitor{left: map[string]bool{}} }
 
-// UpgradeResult counts what a run saw of an upgrade.
+// UpgradeResult reports the errors and the feature gate changes of an upgrade.
 type UpgradeResult struct {
-	// DroppedPlacements counts tasks that started again though they were done or nobody had told them to stop.
+	// DroppedPlacements counts repeated starts of tasks that had completed or had ended without an exit report, that is,
+	// without a stop command or an error. Tasks of jobs whose clients requested cancellation are not counted.
 	DroppedPlacements int `json:"placements_dropped"`
-	// UnreadableRecords counts the records that a controller could not read, by its log.
+	// UnreadableRecords counts the stored records that the controllers logged as unreadable.
 	UnreadableRecords int `json:"unreadable_records"`
-	// GateChanges lists the changes of the feature gate, in seconds after the start.
+	// GateChanges lists the changes of the feature gate, with their times in seconds since the start of the run.
 	GateChanges []string `json:"gate"`
-	// OpenedEarly says which controller ran the older program when the gate opened; empty: none.
+	// OpenedEarly names a controller that ran the older program when the gate opened; empty if there was none.
 	OpenedEarly string `json:"opened_early,omitempty"`
 }
 
-// check returns a RuleViolation if something happened that must not happen in an upgrade.
+// check returns a RuleViolation if the upgrade had an error.
 func (u *UpgradeResult) check(region int) error {
 	violation := &RuleViolation{Region: region}
 	switch {
 	case u.OpenedEarly != "":
 		violation.Rule, violation.Problem = "opened_early", u.OpenedEarly
 	case u.UnreadableRecords > 0:
-		violation.Rule, violation.Problem = "unreadable", fmt.Sprintf("%d records could not be read", u.UnreadableRecords)
+		violation.Rule, violation.Problem = "unreadable", fmt.Sprintf("controllers logged %d unreadable records", u.UnreadableRecords)
 	case u.DroppedPlacements > 0:
-		violation.Rule, violation.Problem = "dropped", fmt.Sprintf("%d tasks began again", u.DroppedPlacements)
+		violation.Rule, violation.Problem = "dropped", fmt.Sprintf("%d task starts after the task had completed or had ended without an exit report", u.DroppedPlacements)
 	default:
 		return nil
 	}
 	return violation
 }
 
-// programOf returns the program that a controller runs and the path of its operators' settings.
+// programOf returns the program that a controller runs and the path of its operator settings.
 func (p *controlPlane) programOf(c *controller) (program, operator string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +67,7 @@
 	return p.plan.Run.Program, p.operatorFiles.newer
 }
 
-// changeProgram kills a controller, which is started again with the newer or the older program.
+// changeProgram kills a controller, which is then restarted with the newer or the older program.
 func (p *controlPlane) changeProgram(ctx context.Context, c *controller, newer bool) {
 	c.mu.Lock()
 	c.runsNewer, c.gateHeld = newer, c.gateHeld && newer
@@ -76,7 +75,7 @@
 	p.kill(ctx, c)
 }
 
-// holdGate kills a controller, which is started again with the feature gate held closed.
+// holdGate kills a controller, which is then restarted with the feature gate held closed.
 func (p *controlPlane) holdGate(ctx context.Context, c *controller) {
 	c.mu.Lock()
 	c.gateHeld = true
@@ -84,8 +83,8 @@
 	p.kill(ctx, c)
 }
 
-// gateState records when the feature gate opens and closes, as the leader's record tells, and
-// whether a controller ran the older program when it opened.
+// gateState records when the feature gate opens and closes according to the leader's record, and whether a controller
+// ran the older program when the gate opened.
 func (u *upgradeMonitor) gateState(leader leaderRecord, controllers []*controller, now time.Duration) {
 	if leader.Token == 0 || (leader.Form != 0) == u.gateOpen {
 		return
@@ -105,28 +104,28 @@
 	}
 }
 
-// taskStopped records a task that has left its machine.
+// taskStopped adds a task to left if it completed or ended without an exit report.
 func (u *upgradeMonitor) taskStopped(task string, t *emulator.Task) {
 	if t.State != protocol.TaskExited || t.Cause == protocol.CauseDone {
 		u.left[task] = true
 	}
 }
 
-// taskStarted counts a task that starts again and should not. The job may be nil.
+// taskStarted counts the start of a task that is in left, unless its client requested cancellation. j may be nil.
 func (u *upgradeMonitor) taskStarted(task string, j *job, now time.Duration) {
 	if u.left[task] && j != nil && !j.cancelRequested {
 		u.dropped++
-		j.note(now, "%s is dropped and begins again", task)
+		j.note(now, "the placement of %s was dropped; the task starts again", task)
 	}
 }
 
-// result sums up the upgrade, with what the controllers' logs tell of it.
+// result returns the recorded errors and changes, and the unreadable records found in the controllers' logs.
 func (u *upgradeMonitor) result(logs []string) *UpgradeResult {
 	out := &UpgradeResult{DroppedPlacements: u.dropped, GateChanges: u.gateChanges, OpenedEarly: u.openedEarly}
 	for _, path := range logs {
 		raw, err := os.ReadFile(path)
 		if err != nil {
-			continue // it never started
+			continue // the controller never started
 		}
 		out.UnreadableRecords += bytes.Count(raw, []byte(messageUnreadable)) + bytes.Count(raw, []byte(messageUnreadableBefore))
 	}
--- a/internal/scalerun/upgrade_test.go
+++ b/internal/scalerun/upgrade_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// Three controllers are upgraded one at a time under load, one is killed and one frozen in the midst; then
-// the gate is held closed and they go back. The older program is this one with the feature withheld.
+// Three controllers are upgraded one at a time under load; meanwhile the leader is killed and a follower is frozen.
+// Then the gate is held closed and the controllers are rolled back. The older program is the same program with the
+// feature disabled in its settings.
 func TestUpgradeAndRollback(t *testing.T) {
 	program := buildProgram(t)
 	plan := planFileFor(t, fmt.Sprintf("program = %q\nolder = %q\nduration_s = 36.0", program, program), `[control]
@@ -40,18 +41,18 @@
 	}
 	u := result.Regions[0].Upgrade
 	if u == nil || u.DroppedPlacements+u.UnreadableRecords > 0 || len(u.GateChanges) != 2 || !strings.HasPrefix(u.GateChanges[0], "open at") || !strings.HasPrefix(u.GateChanges[1], "closed at") {
-		t.Errorf("%+v\n%s", u, result.Summary())
+		t.Errorf("upgrade %+v, want no errors and the gate changes open, closed\n%s", u, result.Summary())
 	}
 	noChildren(t, program)
 }
 
-// What must not happen in an upgrade ends a run as a violated invariant does.
+// Each error of an upgrade is reported as a RuleViolation.
 func TestUpgradeResultIsChecked(t *testing.T) {
 	for _, tc := range []struct {
 		name, rule string
 		result     UpgradeResult
 	}{
-		{"in order", "", UpgradeResult{}},
+		{"no errors", "", UpgradeResult{}},
 		{"gate opened early", "opened_early", UpgradeResult{OpenedEarly: "controller-1"}},
 		{"unreadable record", "unreadable", UpgradeResult{UnreadableRecords: 1}},
 		{"dropped placements", "dropped", UpgradeResult{DroppedPlacements: 2}},
@@ -60,7 +61,7 @@
 			err := tc.result.check(0)
 			var violation *RuleViolation
 			if errors.As(err, &violation) != (tc.rule != "") || violation != nil && violation.Rule != tc.rule {
-				t.Errorf("%+v: %v", tc.result, err)
+				t.Errorf("result %+v: error %v, want rule %q", tc.result, err, tc.rule)
 			}
 		})
 	}
