--- a/internal/scalerun/clients.go
+++ b/internal/scalerun/clients.go
@@ -29,8 +29,8 @@
 	pollInterval    = 5 * time.Second
 	pollTimeout     = 2 * time.Second
 	decisionTimeout = 5 * time.Second
-	retryPause      = time.Second
-	maxRetryPause   = 30 * time.Second
+	minRetryDelay   = time.Second
+	maxRetryDelay   = 30 * time.Second
 	submitDeadline  = 60 * time.Second
 )
 
@@ -87,11 +87,11 @@
 			Gang: load.Shape == "group", Service: load.Shape == "service", Cores: load.Cores, Accelerators: load.Accelerators, MemoryGB: load.MemoryGB},
 		submittedAt: r.loop.queue.Now(), completed: map[string]bool{}, started: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
 	r.invariants.jobs[uid] = j
-	c.requestUntilDecided(j, opSubmit, c.description(j), func() { c.onAccepted(j) })
+	c.requestUntilDecided(j, opSubmit, c.submissionBody(j), func() { c.onAccepted(j) })
 }
 
-// description returns the encoded body of a job's submission.
-func (c *clients) description(j *job) []byte {
+// submissionBody returns the encoded body of a job's submission.
+func (c *clients) submissionBody(j *job) []byte {
 	estimate := j.load.RunS
 	if j.Service {
 		estimate = 0
@@ -111,18 +111,18 @@
 		r.metrics.jobAccepted(j.acceptedAt - j.submittedAt)
 		c.poll(j)
 	}
-	end := j.load.RunS
+	cancelAfterS := j.load.RunS
 	switch {
 	case j.Service:
 	case c.random.Float64() < j.load.Cancelled:
-		end /= 2
+		cancelAfterS /= 2
 	default:
 		return
 	}
-	r.loop.queue.After(seconds(end), func() {
+	r.loop.queue.After(seconds(cancelAfterS), func() {
 		if !j.finished() && !r.closing {
 			j.cancelRequested = true
-			j.note(r.loop.queue.Now(), "client requests to cancel the job")
+			j.addHistory(r.loop.queue.Now(), "client requests to cancel the job")
 			c.requestUntilDecided(j, opCancel, nil, func() {})
 		}
 	})
@@ -133,7 +133,7 @@
 	r := c.region
 	r.loop.queue.After(pollInterval, func() {
 		if j.finished() || r.closing {
-			c.forgetFinished(j)
+			c.deleteFinished(j)
 			return
 		}
 		c.send(j, opPoll, nil, func(int, time.Duration) {})
@@ -141,9 +141,9 @@
 	})
 }
 
-// forgetFinished deletes the record of a finished job after twice the cancellation deadline, if none of its tasks
+// deleteFinished deletes the record of a finished job after twice the cancellation deadline, if none of its tasks
 // is still on a machine. This bounds the memory of a long run.
-func (c *clients) forgetFinished(j *job) {
+func (c *clients) deleteFinished(j *job) {
 	r := c.region
 	r.loop.queue.After(2*r.invariants.cancelDeadline, func() {
 		if len(j.placements) == 0 {
@@ -153,65 +153,66 @@
 }
 
 // requestUntilDecided retries a request until it succeeds. It waits for the response's Retry-After between attempts,
-// limited to the range from retryPause to maxRetryPause. It stops retrying when the run is closing, and stops
+// limited to the range from minRetryDelay to maxRetryDelay. It stops retrying when the run is closing, and stops
 // retrying a submission after submitDeadline.
-func (c *clients) requestUntilDecided(j *job, op string, body []byte, decided func()) {
+func (c *clients) requestUntilDecided(j *job, op string, body []byte, onDecided func()) {
 	r := c.region
-	first := r.loop.queue.Now()
-	var again func()
-	again = func() {
-		c.send(j, op, body, func(status int, wait time.Duration) {
+	firstSentAt := r.loop.queue.Now()
+	var attempt func()
+	attempt = func() {
+		c.send(j, op, body, func(status int, retryAfter time.Duration) {
 			if succeeded(status) {
-				decided()
+				onDecided()
 				return
 			}
-			if r.closing || r.loop.queue.Now() > first+submitDeadline && op == opSubmit {
+			if r.closing || r.loop.queue.Now() > firstSentAt+submitDeadline && op == opSubmit {
 				r.metrics.requestsGivenUp++
 				return
 			}
-			r.loop.queue.After(max(retryPause, min(wait, maxRetryPause)), again)
+			r.loop.queue.After(max(minRetryDelay, min(retryAfter, maxRetryDelay)), attempt)
 		})
 	}
-	again()
+	attempt()
 }
 
 // succeeded reports whether a status is 200 or 201.
 func succeeded(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// send makes one request and calls then with its result on the event loop. Status 0 means that there was no response.
-func (c *clients) send(j *job, op string, body []byte, then func(status int, retryAfter time.Duration)) {
+// send makes one request and calls onResult with its result on the event loop. Status 0 means that there was no
+// response.
+func (c *clients) send(j *job, op string, body []byte, onResult func(status int, retryAfter time.Duration)) {
 	r := c.region
 	controller := r.controlPlane.pick()
 	if controller == nil {
-		r.metrics.answer(op, 0)
-		then(0, 0)
+		r.metrics.answerReceived(op, 0)
+		onResult(0, 0)
 		return
 	}
-	sent := r.loop.queue.Now()
+	sentAt := r.loop.queue.Now()
 	go func() {
-		status, answer, wait := c.roundTrip(controller.clientAddress, op, j.uid, body)
+		status, answer, retryAfter := c.roundTrip(controller.clientAddress, op, j.uid, body)
 		r.loop.post(func() {
-			r.metrics.answer(op, status)
-			c.checkAnswer(j, op, status, answer, sent)
-			then(status, wait)
+			r.metrics.answerReceived(op, status)
+			c.checkAnswer(j, op, status, answer, sentAt)
+			onResult(status, retryAfter)
 		})
 	}()
 }
 
 // checkAnswer checks a response against the invariants.
-func (c *clients) checkAnswer(j *job, op string, status int, body []byte, sent time.Duration) {
+func (c *clients) checkAnswer(j *job, op string, status int, body []byte, sentAt time.Duration) {
 	r := c.region
 	r.invariants.answerReceived(j, op, status)
 	if !succeeded(status) {
 		return
 	}
-	var s protocol.JobStatus
-	if err := protocol.Decode(body, &s); err != nil {
+	var reported protocol.JobStatus
+	if err := protocol.Decode(body, &reported); err != nil {
 		r.fail(fmt.Errorf("decode response about job %s: %w", j.uid, err))
 		return
 	}
 	j.answeredAt = r.loop.queue.Now()
-	r.invariants.statusReported(j, s.State, sent)
+	r.invariants.statusReported(j, reported.State, sentAt)
 }
 
 // roundTrip makes one request and reads its response. Status 0 means that no complete response arrived in time.
@@ -238,6 +239,6 @@
 	if err != nil {
 		return 0, nil, 0
 	}
-	after, _ := strconv.Atoi(strings.TrimSpace(response.Header.Get("Retry-After"))) // absent: 0
-	return response.StatusCode, answer, time.Duration(after) * time.Second
+	retryAfterS, _ := strconv.Atoi(strings.TrimSpace(response.Header.Get("Retry-After"))) // absent: 0
+	return response.StatusCode, answer, time.Duration(retryAfterS) * time.Second
 }
--- a/internal/scalerun/controller_settings.go
+++ b/internal/scalerun/controller_settings.go
@@ -87,12 +87,12 @@
 
 func writeOperatorFiles(dir string, control *ControlPlan) (operatorFiles, error) {
 	files := operatorFiles{older: filepath.Join(dir, "older.toml"), newer: filepath.Join(dir, "operator.toml"), gateHeld: filepath.Join(dir, "held.toml")}
-	texts := map[string]string{
+	contents := map[string]string{
 		files.older:    control.OlderOperator,
 		files.newer:    control.Operator,
 		files.gateHeld: control.Operator + "\n[upgrade]\nhold = true\n",
 	}
-	for path, text := range texts {
+	for path, text := range contents {
 		if err := os.WriteFile(path, []byte(baseOperatorSettings+text), 0o600); err != nil {
 			return files, err
 		}
--- a/internal/scalerun/controllers.go
+++ b/internal/scalerun/controllers.go
@@ -153,14 +153,14 @@
 // start starts a controller's process, unless the controller is stopped. Pdeathsig makes the kernel kill the child
 // however this process ends. A child that exits without an injected fault ends the run.
 func (p *controlPlane) start(c *controller) error {
-	log, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(c.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer closeQuietly(log) // the child has its own descriptor; this process writes nothing to the file
+	defer closeQuietly(logFile) // the child has its own descriptor; this process writes nothing to the file
 	program, operator := p.programOf(c)
 	command := exec.Command(program, "--operator", operator, "--config", c.settings)
-	command.Stderr = log
+	command.Stderr = logFile
 	command.Env = append(os.Environ(), "LOG_LEVEL="+p.plan.Run.LogLevel)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	c.mu.Lock()
@@ -174,12 +174,12 @@
 	c.command, c.killed = command, false
 	c.starts++
 	p.metrics.watchProcess(c.label, command.Process.Pid)
-	go p.await(c, command)
+	go p.awaitExit(c, command)
 	return nil
 }
 
-// await waits until a controller's process exits, and ends the run if no injected fault was the cause.
-func (p *controlPlane) await(c *controller, command *exec.Cmd) {
+// awaitExit waits until a controller's process exits, and ends the run if no injected fault was the cause.
+func (p *controlPlane) awaitExit(c *controller, command *exec.Cmd) {
 	err := command.Wait()
 	c.mu.Lock()
 	unexpected := !c.killed && !c.stopped
--- a/internal/scalerun/detection.go
+++ b/internal/scalerun/detection.go
@@ -17,12 +17,12 @@
 
 // controllerFault is an injected fault that killed or froze a controller.
 type controllerFault struct {
-	label  string
-	kind   string
-	at     time.Time
-	lasts  time.Duration // how long the controller was frozen; 0: it was killed
-	token  uint64        // fencing token of the leader at the time of the fault
-	placed time.Time     // first start of a task under a later token
+	label      string
+	kind       string
+	at         time.Time
+	duration   time.Duration // how long the controller was frozen; 0: it was killed
+	token      uint64        // fencing token of the leader at the time of the fault
+	firstStart time.Time     // first start of a task under a later token
 }
 
 // Detection reports how one fault was detected and how leadership failed over. Times are in milliseconds since the
@@ -43,20 +43,20 @@
 func newDetection() *detection { return &detection{now: time.Now} }
 
 // faultInjected records a fault with the current time and the leader's fencing token.
-func (d *detection) faultInjected(label, kind string, lasts time.Duration, token uint64) {
-	d.faults = append(d.faults, &controllerFault{label: label, kind: kind, at: d.now(), lasts: lasts, token: token})
+func (d *detection) faultInjected(label, kind string, duration time.Duration, token uint64) {
+	d.faults = append(d.faults, &controllerFault{label: label, kind: kind, at: d.now(), duration: duration, token: token})
 }
 
 // taskStarted records the start of a task under a fencing token.
 func (d *detection) taskStarted(token uint64) {
 	for _, f := range d.faults {
-		if f.placed.IsZero() && token > f.token {
-			f.placed = d.now()
+		if f.firstStart.IsZero() && token > f.token {
+			f.firstStart = d.now()
 		}
 	}
 }
 
-// Messages in the controllers' logs that detection and upgradeMonitor evaluate. Constants with the suffix Before are
+// Messages in the controllers' logs that detection and upgradeMonitor evaluate. Constants with the suffix Legacy are
 // the wording of older program versions, which plans with an upgrade also run.
 const (
 	messageSuspect = "controller is suspect"
@@ -64,12 +64,12 @@
 	messageAlive   = "controller is alive"
 
 	messageElected       = "elected leader"
-	messageElectedBefore = "leader"
+	messageElectedLegacy = "leader"
 	messageLoaded        = "cluster state loaded"
-	messageLoadedBefore  = "ledger read"
+	messageLoadedLegacy  = "ledger read"
 
 	messageUnreadable       = "stored record is unreadable"
-	messageUnreadableBefore = "a record can't be read"
+	messageUnreadableLegacy = "a record can't be read"
 )
 
 // logLine is a parsed line of a controller's log: its time, its message and the node that wrote it. controller is the
@@ -93,21 +93,21 @@
 		return nil // the controller never started
 	}
 	defer closeQuietly(file)
-	var out []logLine
-	lines := bufio.NewScanner(file)
-	lines.Buffer(make([]byte, logBufferBytes), maxLogLineBytes)
-	for lines.Scan() {
-		found := logPattern.FindStringSubmatch(lines.Text())
-		if found == nil {
+	var matched []logLine
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(make([]byte, logBufferBytes), maxLogLineBytes)
+	for scanner.Scan() {
+		groups := logPattern.FindStringSubmatch(scanner.Text())
+		if groups == nil {
 			continue
 		}
-		at, err := time.Parse(time.RFC3339Nano, found[1])
+		at, err := time.Parse(time.RFC3339Nano, groups[1])
 		if err != nil {
 			continue
 		}
-		out = append(out, logLine{at, strings.Trim(found[2], `"`), found[3], found[4]})
+		matched = append(matched, logLine{at, strings.Trim(groups[2], `"`), groups[3], groups[4]})
 	}
-	return out
+	return matched
 }
 
 // results evaluates each fault from the logs of all controllers. If the next fault hits the same controller, log
@@ -117,35 +117,36 @@
 	for _, path := range logs {
 		lines = append(lines, readLog(path)...)
 	}
-	var out []Detection
+	var detections []Detection
 	for i, f := range d.faults {
 		until := time.Time{}
 		if i+1 < len(d.faults) && d.faults[i+1].label == f.label {
 			until = d.faults[i+1].at
 		}
-		out = append(out, f.result(lines, until))
+		detections = append(detections, f.result(lines, until))
 	}
-	return out
+	return detections
 }
 
-// result evaluates the fault from the log lines between the fault and until; zero until means no upper bound.
+// result evaluates the fault from the log lines between the fault and until. If until is the zero time, there is no
+// upper bound.
 func (f *controllerFault) result(lines []logLine, until time.Time) Detection {
-	out := Detection{Kind: f.kind, ForS: f.lasts.Seconds()}
-	for _, l := range lines {
-		if l.at.Before(f.at) || !until.IsZero() && l.at.After(until) {
+	measured := Detection{Kind: f.kind, ForS: f.duration.Seconds()}
+	for _, line := range lines {
+		if line.at.Before(f.at) || !until.IsZero() && line.at.After(until) {
 			continue
 		}
-		if l.controller == f.label {
-			out.addMembership(l.message, f.millisTo(l.at))
+		if line.controller == f.label {
+			measured.recordMembership(line.message, f.millisTo(line.at))
 		}
-		if l.node != f.label {
-			out.addLeadership(l.message, f.millisTo(l.at))
+		if line.node != f.label {
+			measured.recordLeadership(line.message, f.millisTo(line.at))
 		}
 	}
-	if !f.placed.IsZero() {
-		out.FirstPlacementMS = f.millisTo(f.placed)
+	if !f.firstStart.IsZero() {
+		measured.FirstPlacementMS = f.millisTo(f.firstStart)
 	}
-	return out
+	return measured
 }
 
 // millisTo returns the milliseconds from the fault to t.
@@ -153,9 +154,9 @@
 	return float64(t.Sub(f.at).Microseconds()) / microsPerMilli
 }
 
-// addMembership records that a controller changed the membership state of the failed controller. atMS is in
+// recordMembership records that a controller changed the membership state of the failed controller. atMS is in
 // milliseconds since the fault.
-func (d *Detection) addMembership(message string, atMS float64) {
+func (d *Detection) recordMembership(message string, atMS float64) {
 	switch message {
 	case messageSuspect:
 		setEarliest(&d.FirstSuspectMS, atMS)
@@ -168,13 +169,13 @@
 	}
 }
 
-// addLeadership records that another controller was elected or has loaded the cluster state. atMS is in milliseconds
-// since the fault.
-func (d *Detection) addLeadership(message string, atMS float64) {
+// recordLeadership records that another controller was elected or has loaded the cluster state. atMS is in
+// milliseconds since the fault.
+func (d *Detection) recordLeadership(message string, atMS float64) {
 	switch message {
-	case messageElected, messageElectedBefore:
+	case messageElected, messageElectedLegacy:
 		setEarliest(&d.ElectedMS, atMS)
-	case messageLoaded, messageLoadedBefore:
+	case messageLoaded, messageLoadedLegacy:
 		setEarliest(&d.LoadedMS, atMS)
 	}
 }
--- a/internal/scalerun/faults.go
+++ b/internal/scalerun/faults.go
@@ -52,8 +52,8 @@
 }
 
 func (i *faultInjector) killLeader(ctx context.Context, fault FaultPlan) {
-	leader, leads := i.leader.current()
-	if !leads {
+	leader, hasLeader := i.leader.current()
+	if !hasLeader {
 		return
 	}
 	i.leader.markLost()
@@ -71,7 +71,7 @@
 }
 
 func (i *faultInjector) freezeLeader(fault FaultPlan) {
-	if leader, leads := i.leader.current(); leads {
+	if leader, hasLeader := i.leader.current(); hasLeader {
 		i.freeze(i.controlPlane.find(leader.Label), leader.Label, fault)
 	}
 }
@@ -108,12 +108,12 @@
 
 // randomWorkers returns a random selection of the given share of the running workers.
 func (i *faultInjector) randomWorkers(share float64) []*emulator.Worker {
-	var up []*emulator.Worker
+	var running []*emulator.Worker
 	for _, worker := range i.fleet.Sorted() {
 		if worker.Up && !worker.Deleted {
-			up = append(up, worker)
+			running = append(running, worker)
 		}
 	}
-	i.random.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
-	return up[:int(share*float64(len(up)))]
+	i.random.Shuffle(len(running), func(a, b int) { running[a], running[b] = running[b], running[a] })
+	return running[:int(share*float64(len(running)))]
 }
--- a/internal/scalerun/fleet.go
+++ b/internal/scalerun/fleet.go
@@ -15,8 +15,8 @@
 const (
 	heartbeatJitter    = 0.25 // fraction of workers.report_s, in both directions
 	minHeartbeatPause  = 500 * time.Millisecond
-	nextControllerWait = time.Second
-	redirectWait       = 250 * time.Millisecond
+	failoverDelay      = time.Second
+	redirectDelay      = 250 * time.Millisecond
 	leaseCheckInterval = 100 * time.Millisecond
 	spotDiscount       = 2 // ratio of the regular price to the spot price
 	minRunTimeShare    = 0.8
@@ -59,31 +59,31 @@
 
 // newFleet creates the region's fleet of emulated workers, which send heartbeats to the real controllers.
 func (r *region) newFleet() {
-	w := r.plan.Workers
-	f := emulator.NewFleet(r.loop.queue, emulator.Timing{HeartbeatInterval: seconds(w.ReportS), Jitter: heartbeatJitter, MinHeartbeatPause: minHeartbeatPause,
-		FailoverDelay: nextControllerWait, RedirectDelay: redirectWait, LeaseTTL: seconds(w.LeaseS),
-		GangStartTimeout: seconds(w.GangWaitS), GangPeerTimeout: seconds(w.GangPeerS), CheckInterval: leaseCheckInterval})
-	f.Random, f.RefuseUnfit, f.FetchTime = r.random.Float64, true, emulator.FetchImage
+	timing := r.plan.Workers
+	fleet := emulator.NewFleet(r.loop.queue, emulator.Timing{HeartbeatInterval: seconds(timing.ReportS), Jitter: heartbeatJitter, MinHeartbeatPause: minHeartbeatPause,
+		FailoverDelay: failoverDelay, RedirectDelay: redirectDelay, LeaseTTL: seconds(timing.LeaseS),
+		GangStartTimeout: seconds(timing.GangWaitS), GangPeerTimeout: seconds(timing.GangPeerS), CheckInterval: leaseCheckInterval})
+	fleet.Random, fleet.RefuseUnfit, fleet.FetchTime = r.random.Float64, true, emulator.FetchImage
 	var addresses, labels []string
 	for i := range r.plan.Control.Controllers {
 		addresses = append(addresses, r.plan.clientAddress(r.number, i))
 		labels = append(labels, controllerLabel(i))
 	}
-	r.carrier = newHeartbeatCarrier(r.loop, addresses, r.metrics)
-	r.carrier.onAnswer = func(machine string, controller int) {
+	r.heartbeatSender = newHeartbeatSender(r.loop, addresses, r.metrics)
+	r.heartbeatSender.onAnswer = func(machine string, controller int) {
 		r.ownership.workerAnswered(machine, controller, r.loop.queue.Now())
 	}
-	f.SendHeartbeat, f.Controllers = r.carrier.send, len(addresses)
-	f.ControllerByName = func(name string) int { return slices.Index(labels, name) }
-	f.Jobs = func(uid string) *emulator.Job {
+	fleet.SendHeartbeat, fleet.Controllers = r.heartbeatSender.send, len(addresses)
+	fleet.ControllerByName = func(name string) int { return slices.Index(labels, name) }
+	fleet.Jobs = func(uid string) *emulator.Job {
 		if j := r.invariants.jobs[uid]; j != nil {
 			return &j.Job
 		}
 		return nil
 	}
-	f.RunTime = r.runTime
-	f.Observer = emulator.Observer{TaskStarted: r.onTaskStarted, TaskStopped: r.onTaskStopped, TaskCompleted: r.onTaskCompleted, WorkerDied: r.onWorkerDied, Violation: r.failOnProtocolError}
-	r.fleet = f
+	fleet.RunTime = r.runTime
+	fleet.Observer = emulator.Observer{TaskStarted: r.onTaskStarted, TaskStopped: r.onTaskStopped, TaskCompleted: r.onTaskCompleted, WorkerDied: r.onWorkerDied, Violation: r.failOnProtocolError}
+	r.fleet = fleet
 }
 
 // runTime draws a random run time for a task. It returns 0 if the task's job has no record any more.
@@ -99,7 +99,7 @@
 	worker := r.fleet.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
 	worker.MachineType = r.typeOf(m.Type)
 	worker.Controller = r.random.IntN(r.plan.Control.Controllers)
-	r.byAddress[m.Addr] = worker
+	r.workersByAddress[m.Addr] = worker
 	return worker
 }
 
@@ -117,19 +117,19 @@
 
 // machineTypes returns the types of n machines, interleaved in proportion to their shares of the fleet.
 func (p *Plan) machineTypes(n int) []string {
-	var out []string
-	given := make([]float64, len(p.Fleet.Types))
+	var types []string
+	assigned := make([]float64, len(p.Fleet.Types))
 	for range n {
-		next := 0
+		nextType := 0
 		for i, t := range p.Fleet.Types {
-			if given[i]/t.Share < given[next]/p.Fleet.Types[next].Share {
-				next = i
+			if assigned[i]/t.Share < assigned[nextType]/p.Fleet.Types[nextType].Share {
+				nextType = i
 			}
 		}
-		given[next]++
-		out = append(out, p.Fleet.Types[next].Name)
+		assigned[nextType]++
+		types = append(types, p.Fleet.Types[nextType].Name)
 	}
-	return out
+	return types
 }
 
 // onTaskStarted is called by the fleet for each task that starts on a machine.
@@ -142,7 +142,7 @@
 	r.detection.taskStarted(t.Attempt >> attemptBlockBits)
 	if r.ownership.taskStarted(t.UID, t.Attempt, now) {
 		r.jobsOwnedTwice++
-		r.invariants.violate(j, "owned_twice", "%s was started by attempt %d after a leader with a later fencing token had started tasks of the job", task, t.Attempt)
+		r.invariants.reportViolation(j, "owned_twice", "%s was started by attempt %d after a leader with a later fencing token had started tasks of the job", task, t.Attempt)
 	}
 	if j != nil && !j.started[task] {
 		j.started[task] = true
@@ -168,7 +168,7 @@
 // onWorkerDied is called by the fleet for each machine that has failed or was deleted.
 func (r *region) onWorkerDied(worker *emulator.Worker) {
 	r.cloud.Fail(worker.ID)
-	r.carrier.closeConnection(worker.ID)
-	delete(r.byAddress, worker.Addr)
+	r.heartbeatSender.closeConnection(worker.ID)
+	delete(r.workersByAddress, worker.Addr)
 	delete(r.fleet.Workers, worker.ID)
 }
--- a/internal/scalerun/heartbeats.go
+++ b/internal/scalerun/heartbeats.go
@@ -13,9 +13,9 @@
 	"claybarrow/internal/emulator"
 )
 
-// heartbeatCarrier sends the workers' heartbeats to the controllers. Like a real worker, each emulated worker has one
+// heartbeatSender sends the workers' heartbeats to the controllers. Like a real worker, each emulated worker has one
 // connection, which stays open between heartbeats.
-type heartbeatCarrier struct {
+type heartbeatSender struct {
 	loop      *eventLoop
 	addresses []string // of the controllers
 	metrics   *metrics
@@ -41,14 +41,14 @@
 	readerBufferSize = 4096
 )
 
-func newHeartbeatCarrier(l *eventLoop, addresses []string, m *metrics) *heartbeatCarrier {
-	return &heartbeatCarrier{loop: l, addresses: addresses, metrics: m, connections: map[string]*connection{},
+func newHeartbeatSender(l *eventLoop, addresses []string, m *metrics) *heartbeatSender {
+	return &heartbeatSender{loop: l, addresses: addresses, metrics: m, connections: map[string]*connection{},
 		readers: sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readerBufferSize) }}}
 }
 
 // send implements emulator.Fleet.SendHeartbeat. It must be called on the event loop, and it calls answer on the event
 // loop.
-func (c *heartbeatCarrier) send(worker *emulator.Worker, controller int, body []byte, answer emulator.Reply) {
+func (c *heartbeatSender) send(worker *emulator.Worker, controller int, body []byte, answer emulator.Reply) {
 	if worker.HeartbeatsLost {
 		c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
 		return
@@ -57,7 +57,7 @@
 	go func() {
 		status, reply, traffic := c.exchange(id, controller, body)
 		c.loop.post(func() {
-			c.metrics.heartbeat(status, time.Since(sent), traffic)
+			c.metrics.heartbeatCompleted(status, time.Since(sent), traffic)
 			if worker.Hung || worker.RepliesLost {
 				c.loop.queue.After(heartbeatTimeout, func() { answer(0, nil) })
 				return
@@ -72,34 +72,34 @@
 
 // takeConnection removes the worker's open connection and returns it if it leads to the given controller. It closes a
 // connection to another controller and returns nil.
-func (c *heartbeatCarrier) takeConnection(id string, controller int) net.Conn {
+func (c *heartbeatSender) takeConnection(id string, controller int) net.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := c.connections[id]
-	if l == nil {
+	open := c.connections[id]
+	if open == nil {
 		return nil
 	}
 	delete(c.connections, id)
-	if l.controller != controller {
-		closeQuietly(l.conn)
+	if open.controller != controller {
+		closeQuietly(open.conn)
 		return nil
 	}
-	return l.conn
+	return open.conn
 }
 
-// keepConnection stores an open connection for the worker's next heartbeat.
-func (c *heartbeatCarrier) keepConnection(id string, controller int, conn net.Conn) {
+// storeConnection stores an open connection for the worker's next heartbeat.
+func (c *heartbeatSender) storeConnection(id string, controller int, conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.connections[id] = &connection{conn, controller}
 }
 
 // closeConnection closes the open connection of a worker whose machine has ended, if there is one.
-func (c *heartbeatCarrier) closeConnection(id string) {
+func (c *heartbeatSender) closeConnection(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.connections[id]; l != nil {
-		closeQuietly(l.conn)
+	if open := c.connections[id]; open != nil {
+		closeQuietly(open.conn)
 		delete(c.connections, id)
 	}
 }
@@ -107,7 +107,7 @@
 // exchange sends one heartbeat and reads the response. Status 0 means that no response arrived in time. The controller
 // may have closed the worker's open connection since the last heartbeat; therefore a failure on that connection is
 // retried on a new one. traffic counts the bytes in both directions.
-func (c *heartbeatCarrier) exchange(id string, controller int, body []byte) (status int, reply []byte, traffic int64) {
+func (c *heartbeatSender) exchange(id string, controller int, body []byte) (status int, reply []byte, traffic int64) {
 	deadline := time.Now().Add(heartbeatTimeout)
 	if conn := c.takeConnection(id, controller); conn != nil {
 		status, reply, traffic = c.roundTrip(id, controller, conn, body, deadline)
@@ -119,13 +119,13 @@
 	if err != nil {
 		return 0, nil, traffic
 	}
-	var more int64
-	status, reply, more = c.roundTrip(id, controller, conn, body, deadline)
-	return status, reply, traffic + more
+	var retryTraffic int64
+	status, reply, retryTraffic = c.roundTrip(id, controller, conn, body, deadline)
+	return status, reply, traffic + retryTraffic
 }
 
 // roundTrip sends one heartbeat over a connection, and stores the connection for the next heartbeat if it is reusable.
-func (c *heartbeatCarrier) roundTrip(id string, controller int, conn net.Conn, body []byte, deadline time.Time) (int, []byte, int64) {
+func (c *heartbeatSender) roundTrip(id string, controller int, conn net.Conn, body []byte, deadline time.Time) (int, []byte, int64) {
 	_ = conn.SetDeadline(deadline) // on an error, the write below fails too
 	var request bytes.Buffer
 	fmt.Fprintf(&request, "POST /hello HTTP/1.1\r\nHost: %s\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", c.addresses[controller], len(body))
@@ -154,7 +154,7 @@
 	if response.Close || response.StatusCode == http.StatusMisdirectedRequest {
 		closeQuietly(conn)
 	} else {
-		c.keepConnection(id, controller, conn)
+		c.storeConnection(id, controller, conn)
 	}
 	return response.StatusCode, reply, traffic
 }
--- a/internal/scalerun/invariants.go
+++ b/internal/scalerun/invariants.go
@@ -26,14 +26,14 @@
 }
 
 // teamUsage holds the resources that a team's tasks use now, and the team's limits (0: no limit).
-type teamUsage struct{ cores, accel, coresMax, accelMax float64 }
+type teamUsage struct{ cores, accelerators, coresMax, acceleratorsMax float64 }
 
 // quotaSlack is the tolerance for rounding errors in a team's usage.
 const quotaSlack = 1e-3
 
 // overLimit reports whether the usage exceeds one of the limits.
 func (u *teamUsage) overLimit() bool {
-	return u.coresMax > 0 && u.cores > u.coresMax+quotaSlack || u.accelMax > 0 && u.accel > u.accelMax+quotaSlack
+	return u.coresMax > 0 && u.cores > u.coresMax+quotaSlack || u.acceleratorsMax > 0 && u.accelerators > u.acceleratorsMax+quotaSlack
 }
 
 // invariants checks the protocol's rules at each event. It must be used on the event loop only.
@@ -52,7 +52,7 @@
 		cancelDeadline: seconds(plan.Workers.CancelS), violations: make(chan *RuleViolation, 1)}
 	regions := float64(plan.Fleet.Regions)
 	for n := range plan.Teams.Count {
-		checks.teams[teamName(n)] = &teamUsage{coresMax: plan.Teams.CoresMax / regions, accelMax: plan.Teams.AcceleratorsMax / regions}
+		checks.teams[teamName(n)] = &teamUsage{coresMax: plan.Teams.CoresMax / regions, acceleratorsMax: plan.Teams.AcceleratorsMax / regions}
 	}
 	return checks
 }
@@ -61,8 +61,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// violate reports a violation. The first violation ends the run; later violations are dropped. j may be nil.
-func (i *invariants) violate(j *job, rule, format string, args ...any) {
+// reportViolation reports a violation. The first violation ends the run; later violations are dropped. j may be nil.
+func (i *invariants) reportViolation(j *job, rule, format string, args ...any) {
 	violation := &RuleViolation{Rule: rule, Problem: fmt.Sprintf(format, args...), AtS: i.queue.Now().Seconds(), Region: i.region}
 	if j != nil {
 		violation.History = j.history
@@ -77,26 +77,26 @@
 func (i *invariants) taskStarted(worker *emulator.Worker, task string, t *emulator.Task) {
 	j := i.jobs[t.UID]
 	if j == nil {
-		i.violate(nil, "invented", "%s runs, but no client submitted its job", task)
+		i.reportViolation(nil, "invented", "%s runs, but no client submitted its job", task)
 		return
 	}
-	j.note(i.queue.Now(), "%s starts on %s (%s, attempt %d)", task, worker.ID, worker.Zone, t.Attempt)
-	if other := j.placements[task]; other != nil {
-		i.violate(j, "ran_twice", "%s starts on %s while it is still on %s", task, worker.ID, other.worker.ID)
+	j.addHistory(i.queue.Now(), "%s starts on %s (%s, attempt %d)", task, worker.ID, worker.Zone, t.Attempt)
+	if current := j.placements[task]; current != nil {
+		i.reportViolation(j, "ran_twice", "%s starts on %s while it is still on %s", task, worker.ID, current.worker.ID)
 	}
 	if j.reportedCancelledAt > 0 {
-		i.violate(j, "ran_cancelled", "%s starts after its job was reported cancelled", task)
+		i.reportViolation(j, "ran_cancelled", "%s starts after its job was reported cancelled", task)
 	}
 	j.placements[task] = &placement{worker, t}
 	j.tasksByZone[worker.Zone]++
 	if maxInZone := (j.Tasks + 1) / 2; j.spread && j.tasksByZone[worker.Zone] > maxInZone {
-		i.violate(j, "wrong_place", "%d of %d tasks of %s are in zone %s, at most %d may be in one zone", j.tasksByZone[worker.Zone], j.Tasks, j.uid, worker.Zone, maxInZone)
+		i.reportViolation(j, "wrong_place", "%d of %d tasks of %s are in zone %s, at most %d may be in one zone", j.tasksByZone[worker.Zone], j.Tasks, j.uid, worker.Zone, maxInZone)
 	}
 	team := i.teams[j.team]
 	team.cores += j.Cores
-	team.accel += j.Accelerators
+	team.accelerators += j.Accelerators
 	if team.overLimit() {
-		i.violate(j, "quota", "%s uses %.1f cores and %.1f accelerators", j.team, team.cores, team.accel)
+		i.reportViolation(j, "quota", "%s uses %.1f cores and %.1f accelerators", j.team, team.cores, team.accelerators)
 	}
 }
 
@@ -106,28 +106,28 @@
 	if j == nil || j.placements[task] == nil || j.placements[task].task != t {
 		return
 	}
-	j.note(i.queue.Now(), "%s stops on %s (%s %s)", task, worker.ID, t.State, t.Cause)
+	j.addHistory(i.queue.Now(), "%s stops on %s (%s %s)", task, worker.ID, t.State, t.Cause)
 	delete(j.placements, task)
 	j.tasksByZone[worker.Zone]--
 	team := i.teams[j.team]
 	team.cores -= j.Cores
-	team.accel -= j.Accelerators
+	team.accelerators -= j.Accelerators
 }
 
-// statusReported checks a job state that a response reported to the client. sent is when the client sent the request.
+// statusReported checks a job state that a response reported to the client. sentAt is when the client sent the request.
 // A response to a request that was sent before the client received the current state may carry an older state; it is
 // ignored.
-func (i *invariants) statusReported(j *job, state protocol.JobState, sent time.Duration) {
-	before := j.reportedState
-	if state == before || sent < j.reportedAt {
+func (i *invariants) statusReported(j *job, state protocol.JobState, sentAt time.Duration) {
+	previous := j.reportedState
+	if state == previous || sentAt < j.reportedAt {
 		return
 	}
-	j.note(i.queue.Now(), "client receives state %s", state)
-	if before == protocol.JobDone || before == protocol.JobCancelled {
-		i.violate(j, "went_back", "%s was reported %s, now %s", j.uid, before, state)
+	j.addHistory(i.queue.Now(), "client receives state %s", state)
+	if previous == protocol.JobDone || previous == protocol.JobCancelled {
+		i.reportViolation(j, "went_back", "%s was reported %s, now %s", j.uid, previous, state)
 	}
 	if state == protocol.JobDone && len(j.completed) < j.Tasks {
-		i.violate(j, "not_done", "%s was reported done, but %d of %d tasks have completed", j.uid, len(j.completed), j.Tasks)
+		i.reportViolation(j, "not_done", "%s was reported done, but %d of %d tasks have completed", j.uid, len(j.completed), j.Tasks)
 	}
 	if state == protocol.JobCancelled {
 		i.cancellationReported(j)
@@ -139,12 +139,12 @@
 // after cancelDeadline.
 func (i *invariants) cancellationReported(j *job) {
 	if !j.cancelRequested {
-		i.violate(j, "went_back", "%s was reported cancelled, but its client did not request that", j.uid)
+		i.reportViolation(j, "went_back", "%s was reported cancelled, but its client did not request that", j.uid)
 	}
 	j.reportedCancelledAt = i.queue.Now()
 	i.queue.After(i.cancelDeadline, func() {
 		if len(j.placements) > 0 {
-			i.violate(j, "ran_cancelled", "%s still has %d tasks %v after it was reported cancelled", j.uid, len(j.placements), i.cancelDeadline)
+			i.reportViolation(j, "ran_cancelled", "%s still has %d tasks %v after it was reported cancelled", j.uid, len(j.placements), i.cancelDeadline)
 		}
 	})
 }
@@ -154,7 +154,7 @@
 func (i *invariants) answerReceived(j *job, op string, status int) {
 	rejected := op == opSubmit && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity)
 	if j.acceptedAt > 0 && (status == http.StatusNotFound || rejected) {
-		i.violate(j, "forgotten", "%s was accepted, but status %d was returned to %s", j.uid, status, op)
+		i.reportViolation(j, "forgotten", "%s was accepted, but status %d was returned to %s", j.uid, status, op)
 	}
 }
 
@@ -168,37 +168,37 @@
 // checkForgottenJobs reports a violation if requests about some job went unanswered for forgottenTimeout.
 func (i *invariants) checkForgottenJobs() {
 	if example, _ := i.unansweredJobs(forgottenTimeout); example != nil {
-		i.violate(example, "forgotten", "no request about %s was answered for %v", example.uid, forgottenTimeout)
+		i.reportViolation(example, "forgotten", "no request about %s was answered for %v", example.uid, forgottenTimeout)
 	}
 }
 
 // checkOrphanedJobs reports a violation at the end of a run if requests about some jobs went unanswered for
 // orphanTimeout, and returns the number of these jobs.
 func (i *invariants) checkOrphanedJobs() int {
-	example, n := i.unansweredJobs(orphanTimeout)
+	example, unanswered := i.unansweredJobs(orphanTimeout)
 	if example != nil {
-		i.violate(example, "orphaned", "no controller answers requests about %s and %d other jobs", example.uid, n-1)
+		i.reportViolation(example, "orphaned", "no controller answers requests about %s and %d other jobs", example.uid, unanswered-1)
 	}
-	return n
+	return unanswered
 }
 
 // unansweredJobs counts the accepted, unfinished jobs for which no request was answered within timeout, and returns one
 // of them. It returns none unless the other accepted, unfinished jobs are the majority: a region that answers no
 // requests at all is down and has not lost jobs.
-func (i *invariants) unansweredJobs(timeout time.Duration) (example *job, n int) {
+func (i *invariants) unansweredJobs(timeout time.Duration) (example *job, unanswered int) {
 	now, answered := i.queue.Now(), 0
 	for _, j := range i.jobs {
 		switch {
 		case j.acceptedAt == 0 || j.finished():
 		case now > max(j.answeredAt, j.acceptedAt)+timeout:
 			example = j
-			n++
+			unanswered++
 		default:
 			answered++
 		}
 	}
-	if answered <= n {
+	if answered <= unanswered {
 		return nil, 0
 	}
-	return example, n
+	return example, unanswered
 }
--- a/internal/scalerun/invariants_test.go
+++ b/internal/scalerun/invariants_test.go
@@ -8,28 +8,28 @@
 	"claybarrow/internal/protocol"
 )
 
-// invariantsBench is a fixture: invariants with one job of four tasks (two cores each, in a team limited to five
+// invariantsFixture holds invariants with one job of four tasks (two cores each, in a team limited to five
 // cores) and two workers in different zones.
-type invariantsBench struct {
+type invariantsFixture struct {
 	*invariants
-	job        *job
-	one, other *emulator.Worker
+	job                          *job
+	workerInZoneA, workerInZoneB *emulator.Worker
 }
 
-func newInvariantsBench() *invariantsBench {
+func newInvariantsFixture() *invariantsFixture {
 	plan := DefaultPlan()
 	plan.Teams = TeamPlan{Count: 1, CoresMax: 5}
 	plan.Workers.CancelS = 30
 	queue := &emulator.EventQueue{}
 	fleet := emulator.NewFleet(queue, emulator.Timing{})
-	b := &invariantsBench{invariants: newInvariants(queue, 0, &plan), one: fleet.Add("i-1", "", "m", "a", false), other: fleet.Add("i-2", "", "m", "b", false)}
+	b := &invariantsFixture{invariants: newInvariants(queue, 0, &plan), workerInZoneA: fleet.Add("i-1", "", "m", "a", false), workerInZoneB: fleet.Add("i-2", "", "m", "b", false)}
 	b.job = &job{uid: "j-1", team: teamName(0), Job: emulator.Job{Tasks: 4, Cores: 2}, completed: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
 	b.jobs["j-1"] = b.job
 	return b
 }
 
 // start starts tasks of the job on a worker.
-func (b *invariantsBench) start(worker *emulator.Worker, tasks ...string) {
+func (b *invariantsFixture) start(worker *emulator.Worker, tasks ...string) {
 	for _, task := range tasks {
 		b.taskStarted(worker, task, runningTask())
 	}
@@ -40,12 +40,12 @@
 }
 
 // report delivers a state to the job's client, in response to a request sent now.
-func (b *invariantsBench) report(state protocol.JobState) {
+func (b *invariantsFixture) report(state protocol.JobState) {
 	b.statusReported(b.job, state, b.queue.Now())
 }
 
 // violation returns the first violated rule, or "".
-func (b *invariantsBench) violation() string {
+func (b *invariantsFixture) violation() string {
 	select {
 	case violation := <-b.violations:
 		return violation.Rule
@@ -57,15 +57,15 @@
 // invariantsCase is a sequence of events and the rule that it must violate; an empty rule means none.
 type invariantsCase struct {
 	name, rule string
-	do         func(b *invariantsBench)
+	steps      func(b *invariantsFixture)
 }
 
 func testInvariants(t *testing.T, cases []invariantsCase) {
 	t.Helper()
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newInvariantsBench()
-			tc.do(b)
+			b := newInvariantsFixture()
+			tc.steps(b)
 			if got := b.violation(); got != tc.rule {
 				t.Errorf("violated rule %q, want %q", got, tc.rule)
 			}
@@ -75,32 +75,32 @@
 
 func TestPlacementInvariants(t *testing.T) {
 	testInvariants(t, []invariantsCase{
-		{"a task moves", "", func(b *invariantsBench) {
+		{"a task moves", "", func(b *invariantsFixture) {
 			first := runningTask()
-			b.taskStarted(b.one, "j-1/0", first)
-			b.taskStopped(b.one, "j-1/0", first)
-			b.start(b.other, "j-1/0")
+			b.taskStarted(b.workerInZoneA, "j-1/0", first)
+			b.taskStopped(b.workerInZoneA, "j-1/0", first)
+			b.start(b.workerInZoneB, "j-1/0")
 		}},
-		{"a task runs on two machines", "ran_twice", func(b *invariantsBench) {
-			b.start(b.one, "j-1/0")
-			b.start(b.other, "j-1/0")
+		{"a task runs on two machines", "ran_twice", func(b *invariantsFixture) {
+			b.start(b.workerInZoneA, "j-1/0")
+			b.start(b.workerInZoneB, "j-1/0")
 		}},
-		{"a team exceeds its limit", "quota", func(b *invariantsBench) { b.start(b.one, "j-1/0", "j-1/1", "j-1/2") }},
-		{"a spread job has three of four tasks in one zone", "wrong_place", func(b *invariantsBench) {
+		{"a team exceeds its limit", "quota", func(b *invariantsFixture) { b.start(b.workerInZoneA, "j-1/0", "j-1/1", "j-1/2") }},
+		{"a spread job has three of four tasks in one zone", "wrong_place", func(b *invariantsFixture) {
 			b.job.spread = true
 			b.job.Cores = 0
-			b.start(b.one, "j-1/0", "j-1/1", "j-1/2")
+			b.start(b.workerInZoneA, "j-1/0", "j-1/1", "j-1/2")
 		}},
-		{"a task of an unknown job", "invented", func(b *invariantsBench) { b.taskStarted(b.one, "j-2/0", &emulator.Task{UID: "j-2"}) }},
-		{"a task starts after the cancellation", "ran_cancelled", func(b *invariantsBench) {
+		{"a task of an unknown job", "invented", func(b *invariantsFixture) { b.taskStarted(b.workerInZoneA, "j-2/0", &emulator.Task{UID: "j-2"}) }},
+		{"a task starts after the cancellation", "ran_cancelled", func(b *invariantsFixture) {
 			b.job.cancelRequested = true
 			b.queue.RunUntil(time.Second)
 			b.report(protocol.JobCancelled)
-			b.start(b.one, "j-1/0")
+			b.start(b.workerInZoneA, "j-1/0")
 		}},
-		{"a task keeps running after the cancellation", "ran_cancelled", func(b *invariantsBench) {
+		{"a task keeps running after the cancellation", "ran_cancelled", func(b *invariantsFixture) {
 			b.job.cancelRequested = true
-			b.start(b.one, "j-1/0")
+			b.start(b.workerInZoneA, "j-1/0")
 			b.queue.RunUntil(time.Second)
 			b.report(protocol.JobCancelled)
 			b.queue.RunUntil(time.Minute)
@@ -110,20 +110,20 @@
 
 func TestReportedStateInvariants(t *testing.T) {
 	testInvariants(t, []invariantsCase{
-		{"cancelled without a request", "went_back", func(b *invariantsBench) { b.report(protocol.JobCancelled) }},
-		{"running after cancelled", "went_back", func(b *invariantsBench) {
+		{"cancelled without a request", "went_back", func(b *invariantsFixture) { b.report(protocol.JobCancelled) }},
+		{"running after cancelled", "went_back", func(b *invariantsFixture) {
 			b.job.cancelRequested = true
 			b.report(protocol.JobCancelled)
 			b.report(protocol.JobRunning)
 		}},
-		{"an older state answers a request sent before the cancellation was reported", "", func(b *invariantsBench) {
+		{"an older state answers a request sent before the cancellation was reported", "", func(b *invariantsFixture) {
 			b.job.cancelRequested = true
 			b.queue.RunUntil(time.Second)
 			b.report(protocol.JobCancelled)
 			b.statusReported(b.job, protocol.JobPending, b.queue.Now()/2)
 		}},
-		{"done before its tasks have completed", "not_done", func(b *invariantsBench) { b.report(protocol.JobDone) }},
-		{"done reported twice, and not found before acceptance", "", func(b *invariantsBench) {
+		{"done before its tasks have completed", "not_done", func(b *invariantsFixture) { b.report(protocol.JobDone) }},
+		{"done reported twice, and not found before acceptance", "", func(b *invariantsFixture) {
 			b.answerReceived(b.job, opPoll, 404)
 			b.job.completed["j-1/0"], b.job.completed["j-1/1"], b.job.completed["j-1/2"], b.job.completed["j-1/3"] = true, true, true, true
 			b.report(protocol.JobDone)
@@ -134,18 +134,18 @@
 
 func TestForgottenJobs(t *testing.T) {
 	testInvariants(t, []invariantsCase{
-		{"an accepted job is not found", "forgotten", func(b *invariantsBench) {
+		{"an accepted job is not found", "forgotten", func(b *invariantsFixture) {
 			b.job.acceptedAt = 1
 			b.answerReceived(b.job, opPoll, 404)
 		}},
-		{"requests about one job of three are unanswered", "forgotten", func(b *invariantsBench) {
+		{"requests about one job of three are unanswered", "forgotten", func(b *invariantsFixture) {
 			b.job.acceptedAt = 1
 			b.queue.RunUntil(2 * time.Minute)
 			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1, answeredAt: time.Minute}
 			b.jobs["j-3"] = &job{uid: "j-3", acceptedAt: 1, answeredAt: time.Minute}
 			b.checkForgottenJobs()
 		}},
-		{"requests about all jobs are unanswered", "", func(b *invariantsBench) {
+		{"requests about all jobs are unanswered", "", func(b *invariantsFixture) {
 			b.job.acceptedAt = 1
 			b.queue.RunUntil(2 * time.Minute)
 			b.jobs["j-2"] = &job{uid: "j-2", acceptedAt: 1}
--- a/internal/scalerun/job.go
+++ b/internal/scalerun/job.go
@@ -40,8 +40,8 @@
 // maxHistory is how many lines of history are kept for a job.
 const maxHistory = 60
 
-// note appends a line to the job's history, prefixed with the time in seconds. It drops lines beyond maxHistory.
-func (j *job) note(now time.Duration, format string, args ...any) {
+// addHistory appends a line to the job's history, prefixed with the time in seconds. It drops lines beyond maxHistory.
+func (j *job) addHistory(now time.Duration, format string, args ...any) {
 	if len(j.history) < maxHistory {
 		j.history = append(j.history, fmt.Sprintf("%.3f ", now.Seconds())+fmt.Sprintf(format, args...))
 	}
--- a/internal/scalerun/leader.go
+++ b/internal/scalerun/leader.go
@@ -46,8 +46,8 @@
 // poll updates the counts from the current leader's record and returns the record.
 func (m *leaderMonitor) poll() leaderRecord {
 	now := m.queue.Now()
-	record, leads := m.current()
-	if !leads {
+	record, hasLeader := m.current()
+	if !hasLeader {
 		m.markLost()
 		return record
 	}
--- a/internal/scalerun/metrics.go
+++ b/internal/scalerun/metrics.go
@@ -21,18 +21,18 @@
 type distribution struct{ histogram *hdrhistogram.Histogram }
 
 const (
-	longestMicros      = 600_000_000
+	maxDurationMicros  = 600_000_000
 	significantFigures = 3
 	microsPerMilli     = 1000.0
 	millisPerSecond    = 1000
 )
 
 func newDistribution() distribution {
-	return distribution{hdrhistogram.New(1, longestMicros, significantFigures)}
+	return distribution{hdrhistogram.New(1, maxDurationMicros, significantFigures)}
 }
 
 func (d distribution) add(t time.Duration) {
-	_ = d.histogram.RecordValue(min(longestMicros, max(1, t.Microseconds()))) // can't fail: the value is clamped to the histogram's range
+	_ = d.histogram.RecordValue(min(maxDurationMicros, max(1, t.Microseconds()))) // can't fail: the value is clamped to the histogram's range
 }
 
 func (d distribution) quantiles() Quantiles {
@@ -51,37 +51,37 @@
 
 // watchedProcess is the current process of a label. CPU times are in seconds, peakRSS is in bytes.
 type watchedProcess struct {
-	handle       *process.Process
-	starts       int
-	cpuOfEarlier float64 // used by earlier processes of the label in the measured phase
-	cpuBase      float64 // when the measured phase began; 0 for a process that started later
-	cpuLast      float64 // last sample
-	peakRSS      uint64
+	handle     *process.Process
+	starts     int
+	earlierCPU float64 // used by earlier processes of the label in the measured phase
+	cpuAtBegin float64 // when the measured phase began; 0 for a process that started later
+	lastCPU    float64 // last sample
+	peakRSS    uint64
 }
 
-// metrics holds the counters of one region. They must be used on the event loop only, except for processes, which mu
-// guards.
+// metrics holds the counters of one region. All fields except processes must be used on the event loop only; mu guards
+// processes.
 type metrics struct {
 	measuring bool
-	began     time.Duration
-
-	starts             int64
-	tasksCompleted     int64
-	running            int
-	peakRunning        int
-	peakSecond         int64
-	startsThisSecond   int64
-	timeToStart        map[string]distribution
-	timeToAccept       distribution
-	heartbeatRoundTrip distribution
-	answers            map[string]int64
-	heartbeats         int64
-	heartbeatsRefused  int64
-	workerBytes        int64
-	directMessages     int64
-	leaderChanges      int
-	leaderGaps         distribution
-	requestsGivenUp    int64
+	beganAt   time.Duration
+
+	starts              int64
+	tasksCompleted      int64
+	running             int
+	peakRunning         int
+	peakStartsPerSecond int64
+	startsThisSecond    int64
+	timeToStart         map[string]distribution
+	timeToAccept        distribution
+	heartbeatRoundTrip  distribution
+	answers             map[string]int64
+	heartbeats          int64
+	heartbeatsRefused   int64
+	workerBytes         int64
+	directMessages      int64
+	leaderChanges       int
+	leaderGaps          distribution
+	requestsGivenUp     int64
 
 	mu        sync.Mutex
 	processes map[string]*watchedProcess
@@ -94,48 +94,48 @@
 
 // begin starts the measured phase.
 func (m *metrics) begin(now time.Duration) {
-	m.measuring, m.began = true, now
+	m.measuring, m.beganAt = true, now
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range m.processes {
-		p.cpuBase, p.cpuOfEarlier, p.peakRSS = p.cpuLast, 0, 0
+		p.cpuAtBegin, p.earlierCPU, p.peakRSS = p.lastCPU, 0, 0
 	}
 }
 
-// heartbeat records the exchange of a heartbeat and its response, and their size in bytes.
-func (m *metrics) heartbeat(status int, took time.Duration, bytes int64) {
+// heartbeatCompleted records the exchange of a heartbeat and its response, and their size in bytes.
+func (m *metrics) heartbeatCompleted(status int, duration time.Duration, bytes int64) {
 	if !m.measuring {
 		return
 	}
 	m.workerBytes += bytes
 	if status == http.StatusOK {
 		m.heartbeats++
-		m.heartbeatRoundTrip.add(took)
+		m.heartbeatRoundTrip.add(duration)
 	} else {
 		m.heartbeatsRefused++
 	}
 }
 
-// directHeader is the approximate size of the HTTP header of a direct request or response, in bytes.
-const directHeader = 150
+// directHeaderBytes is the approximate size of the HTTP header of a direct request or response, in bytes.
+const directHeaderBytes = 150
 
-// direct records a direct request to a worker or its response, with the size of the body in bytes.
-func (m *metrics) direct(bytes int) {
+// directMessage records a direct request to a worker or its response, with the size of the body in bytes.
+func (m *metrics) directMessage(bytes int) {
 	if m.measuring {
 		m.directMessages++
-		m.workerBytes += int64(bytes + directHeader)
+		m.workerBytes += int64(bytes + directHeaderBytes)
 	}
 }
 
 // jobAccepted records the time from a job's first submission attempt to its acceptance.
-func (m *metrics) jobAccepted(took time.Duration) {
+func (m *metrics) jobAccepted(duration time.Duration) {
 	if m.measuring {
-		m.timeToAccept.add(took)
+		m.timeToAccept.add(duration)
 	}
 }
 
-// answer counts the responses to clients by operation and status (0: no response).
-func (m *metrics) answer(op string, status int) {
+// answerReceived counts the responses to clients by operation and status (0: no response).
+func (m *metrics) answerReceived(op string, status int) {
 	if m.measuring {
 		m.answers[statusKey(op, status)]++
 	}
@@ -148,7 +148,7 @@
 		return
 	}
 	m.starts++
-	if _, known := m.timeToStart[class]; !known {
+	if _, exists := m.timeToStart[class]; !exists {
 		m.timeToStart[class] = newDistribution()
 	}
 	m.timeToStart[class].add(wait)
@@ -157,7 +157,7 @@
 // endSecond updates the peaks and resets the counter of starts per second. It must be called once a second.
 func (m *metrics) endSecond() {
 	if m.measuring {
-		m.peakSecond = max(m.peakSecond, m.startsThisSecond)
+		m.peakStartsPerSecond = max(m.peakStartsPerSecond, m.startsThisSecond)
 		m.peakRunning = max(m.peakRunning, m.running)
 	}
 	m.startsThisSecond = 0
@@ -167,7 +167,7 @@
 func (m *metrics) watchProcess(label string, pid int) {
 	handle, err := process.NewProcess(int32(pid))
 	if err != nil {
-		return // the process has already exited; controlPlane.await handles that
+		return // the process has already exited; controlPlane.awaitExit handles that
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -176,8 +176,8 @@
 		p = &watchedProcess{}
 		m.processes[label] = p
 	}
-	p.cpuOfEarlier += p.cpuLast - p.cpuBase
-	p.handle, p.cpuBase, p.cpuLast = handle, 0, 0
+	p.earlierCPU += p.lastCPU - p.cpuAtBegin
+	p.handle, p.cpuAtBegin, p.lastCPU = handle, 0, 0
 	p.starts++
 }
 
@@ -188,7 +188,7 @@
 	total := uint64(0)
 	for _, p := range m.processes {
 		if times, err := p.handle.Times(); err == nil {
-			p.cpuLast = times.User + times.System
+			p.lastCPU = times.User + times.System
 		}
 		if memory, err := p.handle.MemoryInfo(); err == nil {
 			p.peakRSS = max(p.peakRSS, memory.RSS)
@@ -202,10 +202,10 @@
 func (m *metrics) processUse(measured time.Duration) map[string]ProcessUse {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	out := map[string]ProcessUse{}
+	use := map[string]ProcessUse{}
 	for label, p := range m.processes {
-		cpu := p.cpuOfEarlier + p.cpuLast - p.cpuBase
-		out[label] = ProcessUse{CPUSeconds: cpu, CPUShare: cpu / measured.Seconds(), PeakMB: float64(p.peakRSS) / (1 << 20), Restarts: p.starts - 1}
+		cpu := p.earlierCPU + p.lastCPU - p.cpuAtBegin
+		use[label] = ProcessUse{CPUSeconds: cpu, CPUShare: cpu / measured.Seconds(), PeakMB: float64(p.peakRSS) / (1 << 20), Restarts: p.starts - 1}
 	}
-	return out
+	return use
 }
--- a/internal/scalerun/ownership.go
+++ b/internal/scalerun/ownership.go
@@ -10,12 +10,12 @@
 // owner of a machine is the controller that last answered its heartbeat. The owner of a job is the fencing token under
 // which one of its tasks last started; the token is part of the attempt number.
 type ownership struct {
-	machines map[string]*owned
-	jobs     map[string]*owned
+	machines map[string]*ownerRecord
+	jobs     map[string]*ownerRecord
 }
 
-// owned records the owner of a machine or a job.
-type owned struct {
+// ownerRecord records the owner of a machine or a job.
+type ownerRecord struct {
 	owner     uint64 // a controller's index or a fencing token
 	changes   int
 	changedAt time.Duration
@@ -38,7 +38,7 @@
 const attemptBlockBits = 24
 
 func newOwnership() *ownership {
-	return &ownership{machines: map[string]*owned{}, jobs: map[string]*owned{}}
+	return &ownership{machines: map[string]*ownerRecord{}, jobs: map[string]*ownerRecord{}}
 }
 
 // workerAnswered records that a controller answered a machine's heartbeat.
@@ -47,21 +47,21 @@
 }
 
 // recordOwner sets the owner of key and counts a change if the previous owner differs.
-func (o *ownership) recordOwner(table map[string]*owned, key string, owner uint64, now time.Duration) {
-	switch e := table[key]; {
-	case e == nil:
-		table[key] = &owned{owner: owner, changedAt: now}
-	case e.owner != owner:
-		e.owner, e.changedAt = owner, now
-		e.changes++
+func (o *ownership) recordOwner(records map[string]*ownerRecord, key string, owner uint64, now time.Duration) {
+	switch record := records[key]; {
+	case record == nil:
+		records[key] = &ownerRecord{owner: owner, changedAt: now}
+	case record.owner != owner:
+		record.owner, record.changedAt = owner, now
+		record.changes++
 	}
 }
 
 // taskStarted records the start of a job's task. It returns true if a leader with a later fencing token has already
 // started tasks of the job, which means that two leaders own the job.
-func (o *ownership) taskStarted(uid string, try uint64, now time.Duration) (twice bool) {
-	token := try >> attemptBlockBits
-	if e := o.jobs[uid]; e != nil && token < e.owner {
+func (o *ownership) taskStarted(uid string, attempt uint64, now time.Duration) (ownedTwice bool) {
+	token := attempt >> attemptBlockBits
+	if record := o.jobs[uid]; record != nil && token < record.owner {
 		return true
 	}
 	o.recordOwner(o.jobs, uid, token, now)
@@ -70,24 +70,24 @@
 
 // reset clears the counts for the measured phase and keeps the owners.
 func (o *ownership) reset() {
-	for _, table := range []map[string]*owned{o.machines, o.jobs} {
-		for _, e := range table {
-			e.changes = 0
+	for _, records := range []map[string]*ownerRecord{o.machines, o.jobs} {
+		for _, record := range records {
+			record.changes = 0
 		}
 	}
 }
 
 // totals returns the sums over all machines and jobs.
 func (o *ownership) totals() Ownership {
-	out := Ownership{Machines: len(o.machines), Jobs: len(o.jobs)}
-	for _, e := range o.machines {
-		out.MachineMoves += e.changes
-		out.MaxMoves = max(out.MaxMoves, e.changes)
+	sums := Ownership{Machines: len(o.machines), Jobs: len(o.jobs)}
+	for _, record := range o.machines {
+		sums.MachineMoves += record.changes
+		sums.MaxMoves = max(sums.MaxMoves, record.changes)
 	}
-	for _, e := range o.jobs {
-		out.JobHandovers += e.changes
+	for _, record := range o.jobs {
+		sums.JobHandovers += record.changes
 	}
-	return out
+	return sums
 }
 
 // expiredSessions counts the running machines whose lease has expired at least once.
--- a/internal/scalerun/plan.go
+++ b/internal/scalerun/plan.go
@@ -24,7 +24,7 @@
 
 // RunPlan sets the programs under test, the duration of the run and the ports of its processes.
 type RunPlan struct {
-	Program string `toml:"program"` // path of the release build
+	Program string `toml:"program"` // path of the program under test, a deployment build
 	// Older is the program that the controllers run before an upgrade; if empty, they run Program from the start.
 	Older     string  `toml:"older"`
 	WarmupS   float64 `toml:"warmup_s"`   // before the measured phase
--- a/internal/scalerun/plan_machine.go
+++ b/internal/scalerun/plan_machine.go
@@ -22,7 +22,7 @@
 const (
 	workerBytes    = 60 << 10  // memory of an emulated worker and its connections in the region's process
 	regionBytes    = 200 << 20 // memory of a region's process without its workers
-	spareFiles     = 200       // open files of a region's process other than the workers' connections
+	reservedFiles  = 200       // open files of a region's process other than the workers' connections
 	filesPerWorker = 1.3       // the worker's heartbeat connection, and on average 0.3 connections for direct commands
 )
 
@@ -49,18 +49,18 @@
 	if err != nil {
 		return fmt.Errorf("read the memory size of this host: %w", err)
 	}
-	if most := float64(memory.Total) * p.Limits.MemoryShare; p.memoryBytes() > most {
-		return fmt.Errorf("%w: needs %.0f MB, allowed %.0f MB", errMemory, p.memoryBytes()/(1<<20), most/(1<<20))
+	if maxBytes := float64(memory.Total) * p.Limits.MemoryShare; p.memoryBytes() > maxBytes {
+		return fmt.Errorf("%w: needs %.0f MB, allowed %.0f MB", errMemory, p.memoryBytes()/(1<<20), maxBytes/(1<<20))
 	}
 	if n := p.processes(); n > p.Limits.Processes {
 		return fmt.Errorf("%w: needs %d, allowed %d", errProcesses, n, p.Limits.Processes)
 	}
-	var files unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &files); err != nil {
+	var fileLimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &fileLimit); err != nil {
 		return fmt.Errorf("read the limit of open files: %w", err)
 	}
-	if need := uint64(float64(p.regionWorkers(0))*filesPerWorker) + spareFiles; need > files.Cur {
-		return fmt.Errorf("%w: a region's process needs %d, allowed %d", errFiles, need, files.Cur)
+	if neededFiles := uint64(float64(p.regionWorkers(0))*filesPerWorker) + reservedFiles; neededFiles > fileLimit.Cur {
+		return fmt.Errorf("%w: a region's process needs %d, allowed %d", errFiles, neededFiles, fileLimit.Cur)
 	}
 	return p.checkPorts()
 }
@@ -70,11 +70,11 @@
 	for region := range p.Fleet.Regions {
 		for i := range portsPerRegion {
 			addr := fmt.Sprintf("127.0.0.1:%d", p.port(region, i))
-			l, err := net.Listen("tcp4", addr)
+			listener, err := net.Listen("tcp4", addr)
 			if err != nil {
 				return planError("run.base_port", "%s is in use", addr)
 			}
-			closeQuietly(l)
+			closeQuietly(listener)
 		}
 	}
 	return nil
--- a/internal/scalerun/plan_test.go
+++ b/internal/scalerun/plan_test.go
@@ -22,8 +22,8 @@
 images = 1
 `
 
-func smallPlan(run, fleet, rest string) string {
-	return "[run]\n" + run + "\n[fleet]\n" + fleet + "\n" + smallTypes + "\n" + rest + "\n" + smallLoad
+func smallPlan(run, fleet, sections string) string {
+	return "[run]\n" + run + "\n[fleet]\n" + fleet + "\n" + smallTypes + "\n" + sections + "\n" + smallLoad
 }
 
 func TestPlanErrorNamesTheSetting(t *testing.T) {
@@ -63,7 +63,7 @@
 
 // CheckMachine rejects a plan that exceeds the host's memory, processes or open files, or whose ports are in use.
 func TestPlanThatIsTooLargeIsRefused(t *testing.T) {
-	plan := func(change func(*Plan)) error {
+	checkChanged := func(change func(*Plan)) error {
 		p, err := ParsePlan(smallPlan("base_port = 32000", "", ""))
 		if err != nil {
 			t.Fatal(err)
@@ -71,26 +71,26 @@
 		change(p)
 		return p.CheckMachine()
 	}
-	if err := plan(func(p *Plan) { p.Control.MemoryMB = 1 << 20 }); !errors.Is(err, errMemory) {
+	if err := checkChanged(func(p *Plan) { p.Control.MemoryMB = 1 << 20 }); !errors.Is(err, errMemory) {
 		t.Errorf("a terabyte of memory for each controller: error %v, want errMemory", err)
 	}
-	if err := plan(func(p *Plan) { p.Limits.Processes = 2 }); !errors.Is(err, errProcesses) {
+	if err := checkChanged(func(p *Plan) { p.Limits.Processes = 2 }); !errors.Is(err, errProcesses) {
 		t.Errorf("more processes than limits.processes: error %v, want errProcesses", err)
 	}
-	if err := plan(func(p *Plan) { p.Fleet.Workers, p.Limits.MemoryShare = 1<<30, 0.5; p.Control.MemoryMB = 16 }); !errors.Is(err, errMemory) && !errors.Is(err, errFiles) {
+	if err := checkChanged(func(p *Plan) { p.Fleet.Workers, p.Limits.MemoryShare = 1<<30, 0.5; p.Control.MemoryMB = 16 }); !errors.Is(err, errMemory) && !errors.Is(err, errFiles) {
 		t.Errorf("2^30 workers: error %v, want errMemory or errFiles", err)
 	}
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if err := l.Close(); err != nil {
+		if err := listener.Close(); err != nil {
 			t.Error(err)
 		}
 	})
-	port := l.Addr().(*net.TCPAddr).Port
-	err = plan(func(p *Plan) { p.Run.BasePort = port })
+	port := listener.Addr().(*net.TCPAddr).Port
+	err = checkChanged(func(p *Plan) { p.Run.BasePort = port })
 	if err == nil || !strings.Contains(err.Error(), fmt.Sprint(port)) {
 		t.Errorf("port %d in use: error %v, want one that names the port", port, err)
 	}
--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -19,27 +19,27 @@
 	plan   *Plan
 	number int
 
-	loop         *eventLoop
-	state        *emulator.StateService
-	cloud        *emulator.Cloud
-	fleet        *emulator.Fleet
-	byAddress    map[string]*emulator.Worker
-	carrier      *heartbeatCarrier
-	clients      *clients
-	controlPlane *controlPlane
-	random       *rand.Rand // used by the event loop only
-	closing      bool       // the run is ending; clients start no new requests
-
-	invariants     *invariants
-	metrics        *metrics
-	ownership      *ownership
-	jobsOwnedTwice int
-	leader         *leaderMonitor
-	detection      *detection
-	upgrade        *upgradeMonitor
-	faults         *faultInjector
-	stateBase      emulator.StateStats // at the start of the measured phase
-	failures       chan error
+	loop             *eventLoop
+	state            *emulator.StateService
+	cloud            *emulator.Cloud
+	fleet            *emulator.Fleet
+	workersByAddress map[string]*emulator.Worker
+	heartbeatSender  *heartbeatSender
+	clients          *clients
+	controlPlane     *controlPlane
+	random           *rand.Rand // used by the event loop only
+	closing          bool       // the run is ending; clients start no new requests
+
+	invariants        *invariants
+	metrics           *metrics
+	ownership         *ownership
+	jobsOwnedTwice    int
+	leader            *leaderMonitor
+	detection         *detection
+	upgrade           *upgradeMonitor
+	faults            *faultInjector
+	stateStatsAtBegin emulator.StateStats // at the start of the measured phase
+	failures          chan error
 }
 
 // processLabel is the key of the region's own process in RegionResult.Processes.
@@ -61,7 +61,7 @@
 	defer stop()
 	r := newRegion(plan, number, dir)
 	go r.loop.run(ctx)
-	if err := r.serveAll(ctx); err != nil {
+	if err := r.startServers(ctx); err != nil {
 		return nil, err
 	}
 	if err := r.controlPlane.prepare(); err != nil {
@@ -126,7 +126,7 @@
 func newRegion(plan *Plan, number int, dir string) *region {
 	loop, metrics := newEventLoop(), newMetrics()
 	queue := loop.queue
-	r := &region{plan: plan, number: number, loop: loop, byAddress: map[string]*emulator.Worker{}, metrics: metrics,
+	r := &region{plan: plan, number: number, loop: loop, workersByAddress: map[string]*emulator.Worker{}, metrics: metrics,
 		invariants: newInvariants(queue, number, plan), random: rand.New(rand.NewPCG(plan.Run.Seed, uint64(number))),
 		ownership: newOwnership(), detection: newDetection(), upgrade: newUpgradeMonitor(), failures: make(chan error, 1)}
 	r.controlPlane = &controlPlane{plan: plan, region: number, dir: dir, metrics: metrics, fail: r.fail}
@@ -153,7 +153,7 @@
 	r.clients.startArrivals()
 	r.loop.every(stepInterval, func() {
 		r.fleet.StepGangs()
-		r.upgrade.gateState(r.leader.poll(), r.controlPlane.controllers, r.loop.queue.Now())
+		r.upgrade.recordGateState(r.leader.poll(), r.controlPlane.controllers, r.loop.queue.Now())
 	})
 	r.loop.every(checkInterval, func() {
 		r.metrics.endSecond()
@@ -165,7 +165,7 @@
 func (r *region) beginMeasuring(ctx context.Context) {
 	r.metrics.begin(r.loop.queue.Now())
 	r.ownership.reset()
-	r.stateBase = r.state.Stats
+	r.stateStatsAtBegin = r.state.Stats
 	r.metrics.peakRunning = r.metrics.running
 	for _, fault := range r.plan.Faults {
 		r.loop.queue.After(seconds(fault.AtS), func() { r.faults.inject(ctx, fault) })
@@ -188,16 +188,16 @@
 	r.fail(fmt.Errorf("%w: %s", errProtocol, problem))
 }
 
-// errMemoryPassed ends a run whose processes use more memory than limits.memory_share allows.
-var errMemoryPassed = errors.New("the run uses more memory than limits.memory_share allows")
+// errMemoryExceeded ends a run whose processes use more memory than limits.memory_share allows.
+var errMemoryExceeded = errors.New("the run uses more memory than limits.memory_share allows")
 
 // wait waits for d. It returns early with an error on the first failure or violation, when the context ends, or when
 // the region's processes use more than the region's share of limits.memory_share.
 func (r *region) wait(ctx context.Context, d time.Duration) error {
-	over := time.NewTimer(d)
-	defer over.Stop()
-	second := time.NewTicker(time.Second)
-	defer second.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	memory, err := mem.VirtualMemory()
 	if err != nil {
 		return err
@@ -211,11 +211,11 @@
 			return err
 		case violation := <-r.invariants.violations:
 			return violation
-		case <-second.C:
+		case <-ticker.C:
 			if total := r.metrics.sample(); total > maxBytes {
-				return fmt.Errorf("%w: %d MB, allowed %d MB in region %d", errMemoryPassed, total>>20, maxBytes>>20, r.number)
+				return fmt.Errorf("%w: %d MB, allowed %d MB in region %d", errMemoryExceeded, total>>20, maxBytes>>20, r.number)
 			}
-		case <-over.C:
+		case <-timer.C:
 			return nil
 		}
 	}
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -45,29 +45,29 @@
 
 // result returns the measurements of the measured phase. It must be called on the event loop.
 func (r *region) result(measured time.Duration) *RegionResult {
-	m, s, base := r.metrics, r.state.Stats, r.stateBase
-	per := func(n float64) float64 { return n / measured.Seconds() }
-	out := &RegionResult{Region: r.number, MeasuredS: measured.Seconds(), Workers: len(r.fleet.Workers),
-		Starts: m.starts, StartsPerS: per(float64(m.starts)), PeakStartsPerS: m.peakSecond, TasksDone: m.tasksCompleted, PeakRunning: m.peakRunning,
+	m, stateStats, statsAtBegin := r.metrics, r.state.Stats, r.stateStatsAtBegin
+	perSecond := func(n float64) float64 { return n / measured.Seconds() }
+	result := &RegionResult{Region: r.number, MeasuredS: measured.Seconds(), Workers: len(r.fleet.Workers),
+		Starts: m.starts, StartsPerS: perSecond(float64(m.starts)), PeakStartsPerS: m.peakStartsPerSecond, TasksDone: m.tasksCompleted, PeakRunning: m.peakRunning,
 		TimeToStart: map[string]Quantiles{}, TimeToAccept: m.timeToAccept.quantiles(), Answers: m.answers, RequestsGivenUp: m.requestsGivenUp,
-		HeartbeatRoundTrip: m.heartbeatRoundTrip.quantiles(), HeartbeatsPerS: per(float64(m.heartbeats)), HeartbeatsRefused: m.heartbeatsRefused,
-		DirectMessagesPerS: per(float64(m.directMessages)), WorkerBytesPerS: per(float64(m.workerBytes)) / float64(max(1, len(r.fleet.Workers))),
+		HeartbeatRoundTrip: m.heartbeatRoundTrip.quantiles(), HeartbeatsPerS: perSecond(float64(m.heartbeats)), HeartbeatsRefused: m.heartbeatsRefused,
+		DirectMessagesPerS: perSecond(float64(m.directMessages)), WorkerBytesPerS: perSecond(float64(m.workerBytes)) / float64(max(1, len(r.fleet.Workers))),
 		LeaderChanges: m.leaderChanges, LeaderGaps: m.leaderGaps.quantiles(),
-		StateRequestsPerS: per(float64(s.Requests - base.Requests)), StateChangesPerS: per(float64(s.Changes - base.Changes)),
-		StateBytesPerS: per(float64(s.Bytes - base.Bytes)), StateRateLimited: s.RateLimited - base.RateLimited, StateConflicts: s.Conflicts - base.Conflicts,
+		StateRequestsPerS: perSecond(float64(stateStats.Requests - statsAtBegin.Requests)), StateChangesPerS: perSecond(float64(stateStats.Changes - statsAtBegin.Changes)),
+		StateBytesPerS: perSecond(float64(stateStats.Bytes - statsAtBegin.Bytes)), StateRateLimited: stateStats.RateLimited - statsAtBegin.RateLimited, StateConflicts: stateStats.Conflicts - statsAtBegin.Conflicts,
 		StateKeys: len(r.state.Keys()), Processes: m.processUse(measured), MaxEventDelayS: r.loop.maxDelay.Seconds()}
-	out.Ownership = r.ownership.totals()
-	out.Ownership.JobsOwnedTwice = r.jobsOwnedTwice
-	out.Ownership.SessionsExpired = expiredSessions(r.fleet)
+	result.Ownership = r.ownership.totals()
+	result.Ownership.JobsOwnedTwice = r.jobsOwnedTwice
+	result.Ownership.SessionsExpired = expiredSessions(r.fleet)
 	logs := r.controlPlane.logs()
-	out.Detections = r.detection.results(logs)
+	result.Detections = r.detection.results(logs)
 	if r.plan.Run.Older != "" {
-		out.Upgrade = r.upgrade.result(logs)
+		result.Upgrade = r.upgrade.result(logs)
 	}
 	for class, d := range m.timeToStart {
-		out.TimeToStart[class] = d.quantiles()
+		result.TimeToStart[class] = d.quantiles()
 	}
-	return out
+	return result
 }
 
 // Result is the result of a whole run. Its plan gives the programs' file names without their directories.
@@ -108,9 +108,9 @@
 	fmt.Fprintf(b, "  per worker        %.0f bytes/s\n", r.WorkerBytesPerS)
 	fmt.Fprintf(b, "  state service     %.0f requests/s, %.0f changes/s, %.0f bytes/s, 429s %d, 409s %d, %d keys\n", r.StateRequestsPerS, r.StateChangesPerS, r.StateBytesPerS, r.StateRateLimited, r.StateConflicts, r.StateKeys)
 	fmt.Fprintf(b, "  leader changes    %d, time without a leader %s\n", r.LeaderChanges, r.LeaderGaps)
-	o := r.Ownership
-	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one machine at most %d times; %d leases expired\n", o.Machines, o.MachineMoves, o.MaxMoves, o.SessionsExpired)
-	fmt.Fprintf(b, "  jobs              %d, handed over %d times, owned twice %d, orphaned %d\n", o.Jobs, o.JobHandovers, o.JobsOwnedTwice, o.JobsOrphaned)
+	ownership := r.Ownership
+	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one machine at most %d times; %d leases expired\n", ownership.Machines, ownership.MachineMoves, ownership.MaxMoves, ownership.SessionsExpired)
+	fmt.Fprintf(b, "  jobs              %d, handed over %d times, owned twice %d, orphaned %d\n", ownership.Jobs, ownership.JobHandovers, ownership.JobsOwnedTwice, ownership.JobsOrphaned)
 	for _, d := range r.Detections {
 		fmt.Fprintf(b, "  %-17s suspect %.0f to %.0f ms, dead %.0f to %.0f ms, alive %.0f ms; elected %.0f ms, loaded %.0f ms, placed %.0f ms\n",
 			d.Kind, d.FirstSuspectMS, d.LastSuspectMS, d.FirstDeadMS, d.LastDeadMS, d.AliveAgainMS, d.ElectedMS, d.LoadedMS, d.FirstPlacementMS)
--- a/internal/scalerun/run.go
+++ b/internal/scalerun/run.go
@@ -36,10 +36,10 @@
 	}()
 	result, err := RunRegion(ctx, plan, number)
 	exit := regionExit{Result: result}
-	var broken *RuleViolation
+	var violation *RuleViolation
 	switch {
-	case errors.As(err, &broken):
-		exit.Violation = broken
+	case errors.As(err, &violation):
+		exit.Violation = violation
 	case err != nil:
 		exit.Error = err.Error()
 	}
@@ -58,26 +58,26 @@
 // Error returns the region's number and the problem.
 func (e *RegionError) Error() string { return fmt.Sprintf("region %d: %s", e.Region, e.Problem) }
 
-// Run runs a plan. Each region runs in a separate process, which executes self with regionArgs and the region's number.
-// The result is not nil if the run ended early after its start. The error is that of CheckMachine, a *PlanError if the
-// program does not exist, a *RuleViolation or a *RegionError.
-func Run(ctx context.Context, plan *Plan, self string, regionArgs []string) (*Result, error) {
+// Run runs a plan. Each region runs in a separate process, which runs executable with regionArgs and the region's
+// number. The result is not nil if the run ended early after its start. The error is that of CheckMachine, a *PlanError
+// if the program does not exist, a *RuleViolation or a *RegionError.
+func Run(ctx context.Context, plan *Plan, executable string, regionArgs []string) (*Result, error) {
 	if err := plan.CheckMachine(); err != nil {
 		return nil, err
 	}
 	if _, err := os.Stat(plan.Run.Program); err != nil {
 		return nil, planError("run.program", "%v", err)
 	}
-	shown := *plan
-	shown.Run.Program = filepath.Base(plan.Run.Program) // the directory means nothing to readers of the result
+	reportedPlan := *plan
+	reportedPlan.Run.Program = filepath.Base(plan.Run.Program) // the directory means nothing to readers of the result
 	if plan.Run.Older != "" {
-		shown.Run.Older = filepath.Base(plan.Run.Older)
+		reportedPlan.Run.Older = filepath.Base(plan.Run.Older)
 	}
-	result := &Result{Plan: &shown, Version: programVersion(ctx, plan.Run.Program), Regions: make([]*RegionResult, plan.Fleet.Regions)}
+	result := &Result{Plan: &reportedPlan, Version: programVersion(ctx, plan.Run.Program), Regions: make([]*RegionResult, plan.Fleet.Regions)}
 	group, ctx := errgroup.WithContext(ctx)
 	for number := range plan.Fleet.Regions {
 		group.Go(func() error {
-			exit, err := runChild(ctx, self, append(append([]string(nil), regionArgs...), strconv.Itoa(number)))
+			exit, err := runChild(ctx, executable, append(append([]string(nil), regionArgs...), strconv.Itoa(number)))
 			if err != nil {
 				return &RegionError{number, err.Error()}
 			}
@@ -101,13 +101,13 @@
 
 // withoutNil returns the non-nil results.
 func withoutNil(list []*RegionResult) []*RegionResult {
-	var out []*RegionResult
+	var results []*RegionResult
 	for _, r := range list {
 		if r != nil {
-			out = append(out, r)
+			results = append(results, r)
 		}
 	}
-	return out
+	return results
 }
 
 // childShutdownTimeout is how long a region's process may take to exit after its standard input was closed. It is then
@@ -116,12 +116,12 @@
 
 // runChild runs a region's process and returns its output. When the context ends, runChild closes the process's
 // standard input; the process then kills its controllers and exits.
-func runChild(ctx context.Context, self string, args []string) (*regionExit, error) {
-	command := exec.Command(self, args...)
+func runChild(ctx context.Context, executable string, args []string) (*regionExit, error) {
+	command := exec.Command(executable, args...)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM, Setpgid: true}
-	var out, log bytes.Buffer
-	command.Stdout, command.Stderr = &out, &log
-	in, err := command.StdinPipe()
+	var stdout, stderr bytes.Buffer
+	command.Stdout, command.Stderr = &stdout, &stderr
+	stdin, err := command.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
@@ -129,15 +129,15 @@
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, func() {
-		closeQuietly(in)                                                            // asks the child to exit
+		closeQuietly(stdin)                                                         // asks the child to exit
 		time.AfterFunc(childShutdownTimeout, func() { _ = command.Process.Kill() }) // fails if the process has exited
 	})
 	defer stop()
-	if err := command.Wait(); err != nil && out.Len() == 0 {
-		return nil, fmt.Errorf("%w: %s", err, strings.TrimSpace(log.String()))
+	if err := command.Wait(); err != nil && stdout.Len() == 0 {
+		return nil, fmt.Errorf("%w: %s", err, strings.TrimSpace(stderr.String()))
 	}
 	var exit regionExit
-	if err := json.Unmarshal(out.Bytes(), &exit); err != nil {
+	if err := json.Unmarshal(stdout.Bytes(), &exit); err != nil {
 		return nil, fmt.Errorf("decode the result of the region's process: %w", err)
 	}
 	return &exit, nil
--- a/internal/scalerun/run_test.go
+++ b/internal/scalerun/run_test.go
@@ -38,17 +38,17 @@
 	return program
 }
 
-// planFile writes and loads a plan with 50 workers and the given program, and sets SCALERUN_TEST_PLAN so that the test
-// binary runs its regions. rest is further TOML text.
-func planFile(t *testing.T, program, rest string) *Plan {
+// writePlan writes and loads a plan with 50 workers and the given program, and sets SCALERUN_TEST_PLAN so that the test
+// binary runs its regions. sections is further TOML text.
+func writePlan(t *testing.T, program, sections string) *Plan {
 	t.Helper()
-	return planFileFor(t, "program = \""+program+"\"\nduration_s = 8.0", rest)
+	return writePlanWithRun(t, "program = \""+program+"\"\nduration_s = 8.0", sections)
 }
 
-// planFileFor is like planFile, but takes the settings of the [run] table.
-func planFileFor(t *testing.T, run, rest string) *Plan {
+// writePlanWithRun is like writePlan, but takes the settings of the [run] table.
+func writePlanWithRun(t *testing.T, run, sections string) *Plan {
 	t.Helper()
-	text := smallPlan(run+"\nwarmup_s = 6.0\nbase_port = 31000", "workers = 50", rest)
+	text := smallPlan(run+"\nwarmup_s = 6.0\nbase_port = 31000", "workers = 50", sections)
 	file := filepath.Join(t.TempDir(), "plan.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -61,8 +61,8 @@
 	return plan
 }
 
-// children returns the /proc links of the running processes of a program.
-func children(t *testing.T, program string) (found []string) {
+// controllerProcesses returns the /proc links of the running processes of a program.
+func controllerProcesses(t *testing.T, program string) (found []string) {
 	t.Helper()
 	links, err := filepath.Glob("/proc/[0-9]*/exe")
 	if err != nil {
@@ -76,22 +76,22 @@
 	return found
 }
 
-func noChildren(t *testing.T, program string) {
+func assertNoProcesses(t *testing.T, program string) {
 	t.Helper()
 	for range 50 {
-		if len(children(t, program)) == 0 {
+		if len(controllerProcesses(t, program)) == 0 {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	t.Errorf("processes still running after the run: %v", children(t, program))
+	t.Errorf("processes still running after the run: %v", controllerProcesses(t, program))
 }
 
 // With 50 workers and three controllers, the leader is killed: tasks keep starting, no rule is violated, and no
 // process outlives the run.
 func TestSmallRun(t *testing.T) {
 	program := buildProgram(t)
-	plan := planFile(t, program, "[[faults]]\nkind = \"kill_leader\"\nat_s = 1.0")
+	plan := writePlan(t, program, "[[faults]]\nkind = \"kill_leader\"\nat_s = 1.0")
 	result, err := Run(context.Background(), plan, os.Args[0], nil)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, result.Summary())
@@ -103,14 +103,14 @@
 	if use := r.Processes["controller-0"]; use.PeakMB < 1 {
 		t.Errorf("no memory figure for controller-0: %+v", r.Processes)
 	}
-	noChildren(t, program)
+	assertNoProcesses(t, program)
 }
 
 // With failure detection enabled, the leader is frozen and a follower is killed while tasks are being placed: the
 // third controller becomes leader, and no job is owned twice or orphaned, also after the frozen controller resumes.
 func TestFreezeAndKill(t *testing.T) {
 	program := buildProgram(t)
-	plan := planFile(t, program, `[control]
+	plan := writePlan(t, program, `[control]
 operator = "[membership]\nenabled = true\n[telemetry]\nmetrics = true\n"
 [[faults]]
 kind = "freeze_leader"
@@ -132,13 +132,13 @@
 		r.Detections[0].FirstPlacementMS <= 0 || r.Detections[1].FirstSuspectMS <= 0 {
 		t.Errorf("detections %+v, want both faults suspected and the first followed by an election and a placement\n%s", r.Detections, result.Summary())
 	}
-	noChildren(t, program)
+	assertNoProcesses(t, program)
 }
 
 // An interrupt during a run ends all child processes.
 func TestInterruptLeavesNothingBehind(t *testing.T) {
 	program := buildProgram(t)
-	plan := planFile(t, program, "")
+	plan := writePlan(t, program, "")
 	ctx, interrupt := context.WithCancel(context.Background())
 	time.AfterFunc(2*time.Second, interrupt)
 	started := time.Now()
@@ -148,22 +148,22 @@
 	if took := time.Since(started); took > 6*time.Second {
 		t.Errorf("the run took %v to end after an interrupt at 2 s, want at most 6 s", took)
 	}
-	noChildren(t, program)
+	assertNoProcesses(t, program)
 }
 
 // A missing program is reported as an invalid plan. A program that exits at once is reported with its controller's
 // label and the last line of its log.
 func TestProgramThatDoesNotRun(t *testing.T) {
-	plan := planFile(t, "/nowhere/claybarrow", "")
+	plan := writePlan(t, "/nowhere/claybarrow", "")
 	var planErr *PlanError
 	if _, err := Run(context.Background(), plan, os.Args[0], nil); !errors.As(err, &planErr) || planErr.Field != "run.program" {
 		t.Errorf("error %v, want a *PlanError for run.program", err)
 	}
-	ends := filepath.Join(t.TempDir(), "ends")
-	if err := os.WriteFile(ends, []byte("#!/bin/sh\necho unsupported kernel >&2\nexit 3\n"), 0o700); err != nil {
+	exitingProgram := filepath.Join(t.TempDir(), "ends")
+	if err := os.WriteFile(exitingProgram, []byte("#!/bin/sh\necho unsupported kernel >&2\nexit 3\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	plan = planFile(t, ends, "")
+	plan = writePlan(t, exitingProgram, "")
 	_, err := Run(context.Background(), plan, os.Args[0], nil)
 	if err == nil || !strings.Contains(err.Error(), "controller-") || !strings.Contains(err.Error(), "unsupported kernel") {
 		t.Errorf("error %v, want one with the controller's label and the last line of its log", err)
--- a/internal/scalerun/servers.go
+++ b/internal/scalerun/servers.go
@@ -20,23 +20,23 @@
 	portWorkers
 	portClients // of the controllers, each on its own address: see controllerHost
 	portPeers   // of the controllers, each on its own address: see controllerHost
-	// networkOctets is the second octet of region 0's loopback addresses; each further region uses the next one.
-	networkOctets = 16
+	// firstRegionOctet is the second octet of region 0's loopback addresses; each further region uses the next one.
+	firstRegionOctet = 16
 )
 
 // workerAddress returns the address of a region's n-th worker; each worker has a separate loopback address.
 func (p *Plan) workerAddress(region, n int) string {
-	const perOctet = 250
-	return fmt.Sprintf("127.%d.%d.%d:%d", networkOctets+region, n/perOctet, n%perOctet+1, p.port(region, portWorkers))
+	const hostsPerOctet = 250
+	return fmt.Sprintf("127.%d.%d.%d:%d", firstRegionOctet+region, n/hostsPerOctet, n%hostsPerOctet+1, p.port(region, portWorkers))
 }
 
 // controllerHost returns the loopback address of a region's n-th controller.
 func controllerHost(region, n int) string {
-	return fmt.Sprintf("127.%d.255.%d", networkOctets+region, n+1)
+	return fmt.Sprintf("127.%d.255.%d", firstRegionOctet+region, n+1)
 }
 
-// answer is the response of an emulated server.
-type answer struct {
+// response is an HTTP response of an emulated server.
+type response struct {
 	status int
 	body   []byte
 }
@@ -48,16 +48,17 @@
 	serverMaxHeaderBytes = 8 << 10
 )
 
-// serveAll starts the servers of the emulated state service, cloud and workers. They are closed when the context ends.
-func (r *region) serveAll(ctx context.Context) error {
+// startServers starts the servers of the emulated state service, cloud and workers. It closes them when the context
+// ends.
+func (r *region) startServers(ctx context.Context) error {
 	listen := func(addr string, handler http.Handler) error {
-		l, err := net.Listen("tcp4", addr)
+		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
 			return err
 		}
 		server := &http.Server{Handler: handler, ReadTimeout: serverReadTimeout, IdleTimeout: serverIdleTimeout, MaxHeaderBytes: serverMaxHeaderBytes}
 		go func() {
-			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 				r.fail(fmt.Errorf("emulated server on %s: %w", addr, err))
 			}
 		}()
@@ -83,17 +84,17 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		answers := make(chan answer, 1)
+		responses := make(chan response, 1)
 		r.loop.post(func() {
-			serve(request, body, func(status int, body []byte) { answers <- answer{status, body} })
+			serve(request, body, func(status int, body []byte) { responses <- response{status, body} })
 		})
 		select {
-		case a := <-answers:
+		case a := <-responses:
 			w.Header().Set("Content-Type", "application/msgpack")
 			w.WriteHeader(a.status)
 			_, _ = w.Write(a.body) // fails if the client has closed the connection
 		case <-request.Context().Done():
-		case <-r.loop.done:
+		case <-r.loop.stopped:
 		}
 	})
 }
@@ -118,13 +119,13 @@
 		reply(http.StatusForbidden, nil)
 		return
 	}
-	worker := r.byAddress[local.String()]
+	worker := r.workersByAddress[local.String()]
 	if worker == nil || !worker.Reachable() {
 		return
 	}
-	r.metrics.direct(len(body))
+	r.metrics.directMessage(len(body))
 	worker.Serve(request.URL.Path, body, func(status int, answer []byte) {
-		r.metrics.direct(len(answer))
+		r.metrics.directMessage(len(answer))
 		reply(status, answer)
 	})
 }
--- a/internal/scalerun/upgrade.go
+++ b/internal/scalerun/upgrade.go
@@ -14,16 +14,16 @@
 // upgradeMonitor counts errors during a rolling upgrade of a region's controllers: they start with run.older, are
 // restarted with run.program one after another, and may be rolled back. It must be used on the event loop only.
 type upgradeMonitor struct {
-	// left holds the tasks that completed, and the tasks that ended without an exit report because their worker's lease
-	// expired or its machine failed.
-	left        map[string]bool
+	// endedTasks holds the tasks that completed, and the tasks that ended without an exit report because their
+	// worker's lease expired or its machine failed.
+	endedTasks  map[string]bool
 	dropped     int
 	gateChanges []string
 	gateOpen    bool
 	openedEarly string // names a controller that ran the older program when the gate opened
 }
 
-func newUpgradeMonitor() *upgradeMonitor { return &upgradeMonitor{left: map[string]bool{}} }
+func newUpgradeMonitor() *upgradeMonitor { return &upgradeMonitor{endedTasks: map[string]bool{}} }
 
 // UpgradeResult reports the errors and the feature gate changes of an upgrade.
 type UpgradeResult struct {
@@ -83,9 +83,9 @@
 	p.kill(ctx, c)
 }
 
-// gateState records when the feature gate opens and closes according to the leader's record, and whether a controller
-// ran the older program when the gate opened.
-func (u *upgradeMonitor) gateState(leader leaderRecord, controllers []*controller, now time.Duration) {
+// recordGateState records when the feature gate opens and closes according to the leader's record, and whether a
+// controller ran the older program when the gate opened.
+func (u *upgradeMonitor) recordGateState(leader leaderRecord, controllers []*controller, now time.Duration) {
 	if leader.Token == 0 || (leader.Form != 0) == u.gateOpen {
 		return
 	}
@@ -104,30 +104,31 @@
 	}
 }
 
-// taskStopped adds a task to left if it completed or ended without an exit report.
+// taskStopped adds a task to endedTasks if it completed or ended without an exit report.
 func (u *upgradeMonitor) taskStopped(task string, t *emulator.Task) {
 	if t.State != protocol.TaskExited || t.Cause == protocol.CauseDone {
-		u.left[task] = true
+		u.endedTasks[task] = true
 	}
 }
 
-// taskStarted counts the start of a task that is in left, unless its client requested cancellation. j may be nil.
+// taskStarted counts the start of a task that is in endedTasks, unless its client requested cancellation. j may be
+// nil.
 func (u *upgradeMonitor) taskStarted(task string, j *job, now time.Duration) {
-	if u.left[task] && j != nil && !j.cancelRequested {
+	if u.endedTasks[task] && j != nil && !j.cancelRequested {
 		u.dropped++
-		j.note(now, "the placement of %s was dropped; the task starts again", task)
+		j.addHistory(now, "the placement of %s was dropped; the task starts again", task)
 	}
 }
 
 // result returns the recorded errors and changes, and the unreadable records found in the controllers' logs.
 func (u *upgradeMonitor) result(logs []string) *UpgradeResult {
-	out := &UpgradeResult{DroppedPlacements: u.dropped, GateChanges: u.gateChanges, OpenedEarly: u.openedEarly}
+	summary := &UpgradeResult{DroppedPlacements: u.dropped, GateChanges: u.gateChanges, OpenedEarly: u.openedEarly}
 	for _, path := range logs {
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			continue // the controller never started
 		}
-		out.UnreadableRecords += bytes.Count(raw, []byte(messageUnreadable)) + bytes.Count(raw, []byte(messageUnreadableBefore))
+		summary.UnreadableRecords += bytes.Count(raw, []byte(messageUnreadable)) + bytes.Count(raw, []byte(messageUnreadableLegacy))
 	}
-	return out
+	return summary
 }
--- a/internal/scalerun/upgrade_test.go
+++ b/internal/scalerun/upgrade_test.go
@@ -14,7 +14,7 @@
 // feature disabled in its settings.
 func TestUpgradeAndRollback(t *testing.T) {
 	program := buildProgram(t)
-	plan := planFileFor(t, fmt.Sprintf("program = %q\nolder = %q\nduration_s = 36.0", program, program), `[control]
+	plan := writePlanWithRun(t, fmt.Sprintf("program = %q\nolder = %q\nduration_s = 36.0", program, program), `[control]
 operator = "[end_journal]\nenabled = true\n"
 restart_s = 1.0
 [[faults]]
@@ -43,7 +43,7 @@
 	if u == nil || u.DroppedPlacements+u.UnreadableRecords > 0 || len(u.GateChanges) != 2 || !strings.HasPrefix(u.GateChanges[0], "open at") || !strings.HasPrefix(u.GateChanges[1], "closed at") {
 		t.Errorf("upgrade %+v, want no errors and the gate changes open, closed\n%s", u, result.Summary())
 	}
-	noChildren(t, program)
+	assertNoProcesses(t, program)
 }
 
 // Each error of an upgrade is reported as a RuleViolation.
