--- a/internal/scalerun/clients.go
+++ b/internal/scalerun/clients.go
@@ -16,36 +16,37 @@
 	"claybarrow/internal/protocol"
 )
 
-// Operations of a client; they are keys of RegionResult.Statuses.
+// Operations of a client. statusKey builds the keys of RegionResult.Answers from them.
 const (
 	opSubmit = "submit"
 	opPoll   = "poll"
 	opCancel = "cancel"
 )
 
-// Times of the protocol's clients. A submission that is not decided within submitDeadline is given up.
+// Timing of the emulated clients. A client abandons a submission that the controllers have neither accepted nor
+// rejected within submitDeadline.
 const (
 	pollInterval    = 5 * time.Second
 	pollTimeout     = 2 * time.Second
 	decisionTimeout = 5 * time.Second
-	retryPause      = time.Second
-	maxRetryPause   = 30 * time.Second
+	minRetryDelay   = time.Second
+	maxRetryDelay   = 30 * time.Second
 	submitDeadline  = 60 * time.Second
 )
 
 const (
-	maxIdleConnections    = 64 // to each controller
+	maxIdleConnections    = 64 // for each controller
 	idleConnectionTimeout = 30 * time.Second
-	// clientSeedOffset keeps the clients' random numbers apart from those of the regions.
+	// clientSeedOffset gives the clients a random sequence that differs from that of every region.
 	clientSeedOffset = 100
 )
 
-// clients are all clients of a region. They submit jobs at set rates, whatever becomes of those before
-// (an open-loop load), poll each until it has ended, and cancel some.
+// clients emulates all clients of a region. They submit jobs at fixed rates, independent of the progress of
+// earlier jobs (an open-loop load), poll each job until it has ended, and cancel some of the jobs.
 type clients struct {
 	region        *region
 	httpClient    *http.Client
-	random        *rand.Rand // used by the event loop alone
+	random        *rand.Rand // used by the event loop only
 	jobsSubmitted int
 }
 
@@ -55,7 +56,7 @@
 			DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}}}
 }
 
-// startArrivals starts the arrivals of each class. The event loop calls it.
+// startArrivals starts the arrival process of each job class. It must be called on the event loop.
 func (c *clients) startArrivals() {
 	for i := range c.region.plan.Load {
 		load := &c.region.plan.Load[i]
@@ -64,8 +65,8 @@
 	}
 }
 
-// scheduleArrival submits a job of a class after an exponentially distributed time, and schedules the
-// next one (a Poisson process).
+// scheduleArrival submits a job of a class after an exponentially distributed delay and then schedules the next
+// arrival (a Poisson process).
 func (c *clients) scheduleArrival(load *LoadPlan, perSecond float64) {
 	c.region.loop.queue.After(time.Duration(c.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		if c.region.closing {
@@ -76,7 +77,7 @@
 	})
 }
 
-// submit makes a job of a class and submits it until it is decided.
+// submit creates a job of a class and sends its submission until the controllers have accepted it.
 func (c *clients) submit(load *LoadPlan) {
 	r := c.region
 	c.jobsSubmitted++
@@ -86,11 +87,11 @@
 			Gang: load.Shape == "group", Service: load.Shape == "service", Cores: load.Cores, Accelerators: load.Accelerators, MemoryGB: load.MemoryGB},
 		submittedAt: r.loop.queue.Now(), completed: map[string]bool{}, started: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
 	r.invariants.jobs[uid] = j
-	c.requestUntilDecided(j, opSubmit, c.description(j), func() { c.onAccepted(j) })
+	c.requestUntilDecided(j, opSubmit, c.submissionBody(j), func() { c.onAccepted(j) })
 }
 
-// description returns the body of a submission.
-func (c *clients) description(j *job) []byte {
+// submissionBody returns the encoded body of a job's submission.
+func (c *clients) submissionBody(j *job) []byte {
 	estimate := j.load.RunS
 	if j.Service {
 		estimate = 0
@@ -101,8 +102,8 @@
 		"saveEveryS": 0.0, "saveTakesS": 0.0, "dueS": nil})
 }
 
-// onAccepted begins to poll a job, and schedules its cancellation: services are cancelled at the end of
-// their time, a share of the other jobs halfway.
+// onAccepted starts polling an accepted job and schedules its cancellation: each service is cancelled after run_s,
+// and the configured share of the other jobs after half of run_s.
 func (c *clients) onAccepted(j *job) {
 	r := c.region
 	if j.acceptedAt == 0 {
@@ -110,29 +111,29 @@
 		r.metrics.jobAccepted(j.acceptedAt - j.submittedAt)
 		c.poll(j)
 	}
-	end := j.load.RunS
+	cancelAfterS := j.load.RunS
 	switch {
 	case j.Service:
 	case c.random.Float64() < j.load.Cancelled:
-		end /= 2
+		cancelAfterS /= 2
 	default:
 		return
 	}
-	r.loop.queue.After(seconds(end), func() {
+	r.loop.queue.After(seconds(cancelAfterS), func() {
 		if !j.finished() && !r.closing {
 			j.cancelRequested = true
-			j.note(r.loop.queue.Now(), "its user asks to cancel it")
+			j.addHistory(r.loop.queue.Now(), "client requests to cancel the job")
 			c.requestUntilDecided(j, opCancel, nil, func() {})
 		}
 	})
 }
 
-// poll asks about a job every pollInterval until the client is told that it has ended.
+// poll requests a job's status every pollInterval until a response reports that the job has ended.
 func (c *clients) poll(j *job) {
 	r := c.region
 	r.loop.queue.After(pollInterval, func() {
 		if j.finished() || r.closing {
-			c.forgetFinished(j)
+			c.deleteFinished(j)
 			return
 		}
 		c.send(j, opPoll, nil, func(int, time.Duration) {})
@@ -140,9 +141,9 @@
 	})
 }
 
-// forgetFinished drops the record of a job that has ended, once the deadline for its tasks has passed
-// twice and they are gone; it bounds the memory of a long run.
-func (c *clients) forgetFinished(j *job) {
+// deleteFinished deletes the record of a finished job after twice the cancellation deadline, if none of its tasks
+// is still on a machine. This bounds the memory of a long run.
+func (c *clients) deleteFinished(j *job) {
 	r := c.region
 	r.loop.queue.After(2*r.invariants.cancelDeadline, func() {
 		if len(j.placements) == 0 {
@@ -151,68 +152,70 @@
 	})
 }
 
-// requestUntilDecided retries a request until it succeeds, after the pause that the answer names. It gives
-// up when the run is over, and a submission after submitDeadline.
-func (c *clients) requestUntilDecided(j *job, op string, body []byte, decided func()) {
+// requestUntilDecided retries a request until it succeeds. It waits for the response's Retry-After between attempts,
+// limited to the range from minRetryDelay to maxRetryDelay. It stops retrying when the run is closing, and stops
+// retrying a submission after submitDeadline.
+func (c *clients) requestUntilDecided(j *job, op string, body []byte, onDecided func()) {
 	r := c.region
-	first := r.loop.queue.Now()
-	var again func()
-	again = func() {
-		c.send(j, op, body, func(status int, wait time.Duration) {
+	firstSentAt := r.loop.queue.Now()
+	var attempt func()
+	attempt = func() {
+		c.send(j, op, body, func(status int, retryAfter time.Duration) {
 			if succeeded(status) {
-				decided()
+				onDecided()
 				return
 			}
-			if r.closing || r.loop.queue.Now() > first+submitDeadline && op == opSubmit {
+			if r.closing || r.loop.queue.Now() > firstSentAt+submitDeadline && op == opSubmit {
 				r.metrics.requestsGivenUp++
 				return
 			}
-			r.loop.queue.After(max(retryPause, min(wait, maxRetryPause)), again)
+			r.loop.queue.After(max(minRetryDelay, min(retryAfter, maxRetryDelay)), attempt)
 		})
 	}
-	again()
+	attempt()
 }
 
-// succeeded says whether a status accepts a request.
+// succeeded reports whether a status is 200 or 201.
 func succeeded(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// send makes one request, and calls then with its answer on the event loop; status 0: there was none.
-func (c *clients) send(j *job, op string, body []byte, then func(status int, retryAfter time.Duration)) {
+// send makes one request and calls onResult with its result on the event loop. Status 0 means that there was no
+// response.
+func (c *clients) send(j *job, op string, body []byte, onResult func(status int, retryAfter time.Duration)) {
 	r := c.region
 	controller := r.controlPlane.pick()
 	if controller == nil {
-		r.metrics.answer(op, 0)
-		then(0, 0)
+		r.metrics.answerReceived(op, 0)
+		onResult(0, 0)
 		return
 	}
-	sent := r.loop.queue.Now()
+	sentAt := r.loop.queue.Now()
 	go func() {
-		status, answer, wait := c.roundTrip(controller.clientAddress, op, j.uid, body)
+		status, answer, retryAfter := c.roundTrip(controller.clientAddress, op, j.uid, body)
 		r.loop.post(func() {
-			r.metrics.answer(op, status)
-			c.checkAnswer(j, op, status, answer, sent)
-			then(status, wait)
+			r.metrics.answerReceived(op, status)
+			c.checkAnswer(j, op, status, answer, sentAt)
+			onResult(status, retryAfter)
 		})
 	}()
 }
 
-// checkAnswer checks an answer against the invariants.
-func (c *clients) checkAnswer(j *job, op string, status int, body []byte, sent time.Duration) {
+// checkAnswer checks a response against the invariants.
+func (c *clients) checkAnswer(j *job, op string, status int, body []byte, sentAt time.Duration) {
 	r := c.region
 	r.invariants.answerReceived(j, op, status)
 	if !succeeded(status) {
 		return
 	}
-	var s protocol.JobStatus
-	if err := protocol.Decode(body, &s); err != nil {
-		r.fail(fmt.Errorf("an answer about %s can't be read: %w", j.uid, err))
+	var reported protocol.JobStatus
+	if err := protocol.Decode(body, &reported); err != nil {
+		r.fail(fmt.Errorf("decode response about job %s: %w", j.uid, err))
 		return
 	}
 	j.answeredAt = r.loop.queue.Now()
-	r.invariants.statusReported(j, s.State, sent)
+	r.invariants.statusReported(j, reported.State, sentAt)
 }
 
-// roundTrip makes one request and reads its answer; status 0: there was none in time.
+// roundTrip makes one request and reads its response. Status 0 means that no complete response arrived in time.
 func (c *clients) roundTrip(addr, op, uid string, body []byte) (status int, answer []byte, retryAfter time.Duration) {
 	method, path, timeout := http.MethodPost, "/api/jobs", decisionTimeout
 	switch op {
@@ -236,6 +239,6 @@
 	if err != nil {
 		return 0, nil, 0
 	}
-	after, _ := strconv.Atoi(strings.TrimSpace(response.Header.Get("Retry-After"))) // absent: 0
-	return response.StatusCode, answer, time.Duration(after) * time.Second
+	retryAfterS, _ := strconv.Atoi(strings.TrimSpace(response.Header.Get("Retry-After"))) // absent: 0
+	return response.StatusCode, answer, time.Duration(retryAfterS) * time.Second
 }
--- a/internal/scalerun/servers.go
+++ b/internal/scalerun/servers.go
@@ -13,29 +13,30 @@
 	"claybarrow/internal/protocol"
 )
 
-// Ports of a region, as offsets from its first.
+// Ports of a region, as offsets from its first port.
 const (
 	portState = iota
 	portCloud
 	portWorkers
-	portClients   // of the controllers, by zone and number: see controllerHost
-	portPeers     //
-	networkOctets = 16
+	portClients // of the controllers, each on its own address: see controllerHost
+	portPeers   // of the controllers, each on its own address: see controllerHost
+	// firstRegionOctet is the second octet of region 0's loopback addresses; each further region uses the next one.
+	firstRegionOctet = 16
 )
 
-// workerAddress gives each worker an address of its own on the loopback network.
+// workerAddress returns the address of a region's n-th worker; each worker has a separate loopback address.
 func (p *Plan) workerAddress(region, n int) string {
-	const perOctet = 250
-	return fmt.Sprintf("127.%d.%d.%d:%d", networkOctets+region, n/perOctet, n%perOctet+1, p.port(region, portWorkers))
+	const hostsPerOctet = 250
+	return fmt.Sprintf("127.%d.%d.%d:%d", firstRegionOctet+region, n/hostsPerOctet, n%hostsPerOctet+1, p.port(region, portWorkers))
 }
 
-// controllerHost is a controller's address on the loopback network.
+// controllerHost returns the loopback address of a region's n-th controller.
 func controllerHost(region, n int) string {
-	return fmt.Sprintf("127.%d.255.%d", networkOctets+region, n+1)
+	return fmt.Sprintf("127.%d.255.%d", firstRegionOctet+region, n+1)
 }
 
-// answer is what an emulated server answers.
-type answer struct {
+// response is an HTTP response of an emulated server.
+type response struct {
 	status int
 	body   []byte
 }
@@ -47,17 +48,17 @@
 	serverMaxHeaderBytes = 8 << 10
 )
 
-// serveAll starts the servers of the emulated state service, cloud and workers; they end with the
-// context.
-func (r *region) serveAll(ctx context.Context) error {
+// startServers starts the servers of the emulated state service, cloud and workers. It closes them when the context
+// ends.
+func (r *region) startServers(ctx context.Context) error {
 	listen := func(addr string, handler http.Handler) error {
-		l, err := net.Listen("tcp4", addr)
+		listener, err := net.Listen("tcp4", addr)
 		if err != nil {
 			return err
 		}
 		server := &http.Server{Handler: handler, ReadTimeout: serverReadTimeout, IdleTimeout: serverIdleTimeout, MaxHeaderBytes: serverMaxHeaderBytes}
 		go func() {
-			if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 				r.fail(fmt.Errorf("emulated server on %s: %w", addr, err))
 			}
 		}()
@@ -70,12 +71,12 @@
 	if err := listen(fmt.Sprintf("127.0.0.1:%d", r.plan.port(r.number, portCloud)), r.handle(r.serveCloud)); err != nil {
 		return err
 	}
-	// One listener takes the connections to all workers' addresses. serveWorker refuses requests to
-	// addresses outside the loopback network.
+	// One listener accepts the connections to all workers' addresses. serveWorker rejects requests to addresses outside
+	// the loopback network.
 	return listen(fmt.Sprintf(":%d", r.plan.port(r.number, portWorkers)), r.handle(r.serveWorker))
 }
 
-// handle serves requests on the event loop.
+// handle returns a handler that calls serve on the event loop and writes its reply.
 func (r *region) handle(serve func(request *http.Request, body []byte, reply emulator.Reply)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, 2*protocol.MaxBodyBytes))
@@ -83,22 +84,22 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		answers := make(chan answer, 1)
+		responses := make(chan response, 1)
 		r.loop.post(func() {
-			serve(request, body, func(status int, body []byte) { answers <- answer{status, body} })
+			serve(request, body, func(status int, body []byte) { responses <- response{status, body} })
 		})
 		select {
-		case a := <-answers:
+		case a := <-responses:
 			w.Header().Set("Content-Type", "application/msgpack")
 			w.WriteHeader(a.status)
-			_, _ = w.Write(a.body) // the client may have gone
+			_, _ = w.Write(a.body) // fails if the client has closed the connection
 		case <-request.Context().Done():
-		case <-r.loop.done:
+		case <-r.loop.stopped:
 		}
 	})
 }
 
-// serveState serves a request to the state service, and answers after the plan's latency.
+// serveState serves a request to the state service and replies after the plan's latency.
 func (r *region) serveState(request *http.Request, body []byte, reply emulator.Reply) {
 	r.state.Serve(0, request.Method, request.URL.RequestURI(), body, func(status int, body []byte) {
 		r.loop.queue.After(seconds(r.plan.State.LatencyMS/millisPerSecond), func() { reply(status, body) })
@@ -110,21 +111,21 @@
 	reply(r.cloud.Serve(request.Method, request.URL.RequestURI(), body))
 }
 
-// serveWorker serves a direct request to the worker whose address it was sent to. A worker that can't
-// be reached does not answer.
+// serveWorker serves a direct request to the worker with the request's destination address. It sends no reply if there
+// is no such worker or the worker is unreachable.
 func (r *region) serveWorker(request *http.Request, body []byte, reply emulator.Reply) {
 	local, _ := request.Context().Value(http.LocalAddrContextKey).(*net.TCPAddr)
 	if local == nil || !local.IP.IsLoopback() {
 		reply(http.StatusForbidden, nil)
 		return
 	}
-	worker := r.byAddress[local.String()]
+	worker := r.workersByAddress[local.String()]
 	if worker == nil || !worker.Reachable() {
 		return
 	}
-	r.metrics.direct(len(body))
+	r.metrics.directMessage(len(body))
 	worker.Serve(request.URL.Path, body, func(status int, answer []byte) {
-		r.metrics.direct(len(answer))
+		r.metrics.directMessage(len(answer))
 		reply(status, answer)
 	})
 }
