--- a/internal/controller/heartbeat_bench_test.go
+++ b/internal/controller/heartbeat_bench_test.go
@@ -7,7 +7,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// heartbeat returns the heartbeat of a machine of the fleet that agrees with the cluster state.
+// heartbeat returns a heartbeat of the machine that reports exactly the attempts in the cluster state.
 func (f *slopeFleet) heartbeat(m *clusterstate.Machine) *protocol.WorkerHeartbeat {
 	msg := &protocol.WorkerHeartbeat{Machine: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Epoch: 1, Sequence: m.Sequence + 1, Token: 1}
 	for _, a := range m.SortedAttempts() {
@@ -16,14 +16,15 @@
 	return msg
 }
 
-// benchmarkHeartbeats measures heartbeats of the fleet's machines in turn, modified by change.
+// benchmarkHeartbeats measures the handling of heartbeats, which the fleet's machines send in turn. The function change
+// modifies each heartbeat before it is sent; forwarded heartbeats arrive from another controller.
 func benchmarkHeartbeats(b *testing.B, change func(f *slopeFleet, m *clusterstate.Machine, msg *protocol.WorkerHeartbeat), forwarded bool) {
 	b.Helper()
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		l := f.leadership
 		l.placement.fillAt, l.placement.roundAt, l.placement.planAt = 1<<60, 1<<60, 1<<60
-		f.keepBusy() // no fill: that is measured by itself
+		f.keepBusy() // prevents fills, which BenchmarkSlopeFill measures separately
 		list := l.machines.sortedMachines()
 		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
 		n, bytes := 0, 0
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -11,9 +11,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The workers of a zone lose the route to their zone's controller, which stays in contact with the
-// leader: none is redirected there again and again, so that no lease expires and nothing has to
-// move. Once the route is restored, they send their heartbeats there again.
+// TestControllerThatWorkersCannotReach covers a zone whose workers cannot reach their zone's controller while that
+// controller stays in contact with the leader. The leader must not redirect the workers to it repeatedly, because they
+// would lose their leases and their tasks. When the route works again, the workers return to the zone's controller.
 func TestControllerThatWorkersCannotReach(t *testing.T) {
 	w := newWorld(t, 37)
 	lead := w.awaitLeader()
@@ -29,7 +29,7 @@
 		}
 	}
 	if len(far) < 2 {
-		t.Fatalf("%d workers in the second zone", len(far))
+		t.Fatalf("%d workers with tasks in the second zone, want at least 2", len(far))
 	}
 	there := func() bool {
 		for _, worker := range far {
@@ -39,7 +39,7 @@
 		}
 		return true
 	}
-	w.until(30*second, "their heartbeats go to their zone's controller", there)
+	w.until(30*second, "the workers of zone b send heartbeats to their zone's controller", there)
 	w.run(40 * second)
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
 	started := map[string]int{}
@@ -49,27 +49,27 @@
 	w.run(60 * second)
 	for _, worker := range far {
 		if worker.Epoch > 1 {
-			t.Errorf("the lease of %s ran out", worker.ID)
+			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
 	}
 	for task, n := range w.starts {
 		if n > started[task] {
-			t.Errorf("%s was moved", task)
+			t.Errorf("task %s was started again", task)
 		}
 	}
 	w.heartbeatFault = nil
-	w.until(120*second, "their heartbeats go there again", there)
+	w.until(120*second, "the workers of zone b send heartbeats to their zone's controller again", there)
 	w.requireNoViolations()
 }
 
-// Workers are redirected to a controller one at a time until heartbeats arrive by it, at growing
-// intervals if they come back.
+// TestRouteIsTriedOneWorkerAtATime checks that the leader probes a route with a single worker until a heartbeat is
+// forwarded by that controller, and that it backs off between probes if the workers return to the leader.
 func TestRouteIsTriedOneWorkerAtATime(t *testing.T) {
 	const interval, lease = time.Second, 10 * time.Second
 	var rt heartbeatRoute
 	now := time.Minute
 	if !rt.accepts(now, interval) || rt.accepts(now, interval) {
-		t.Error("the first trial is not a single worker")
+		t.Error("the first probe of the route does not use exactly one worker")
 	}
 	waits := []time.Duration{}
 	for range 3 {
@@ -82,20 +82,20 @@
 		waits = append(waits, now-from)
 	}
 	if waits[0] < lease/2 || waits[1] < lease || waits[2] < 2*lease {
-		t.Errorf("trials after %v", waits)
+		t.Errorf("probes of the route after %v, want an increasing back-off", waits)
 	}
 	rt.noteForwarded(now)
 	if !rt.accepts(now, interval) || !rt.accepts(now+interval, interval) {
-		t.Error("heartbeats arrive by it, and workers are not redirected there")
+		t.Error("the route forwards heartbeats, but workers are not redirected to it")
 	}
 	if rt.noteReturn(now+interval, lease); rt.accepts(now+interval, interval) {
-		t.Error("a worker that came back is no reason to wait")
+		t.Error("no back-off after a worker returned from the route")
 	}
 }
 
-// The leader's process is paused and another controller has ended: the controller of a zone keeps
-// its workers meanwhile. Redirected to the leader, they would wait for both of the others, for
-// longer than their lease.
+// TestLeaderProcessPause covers a pause of the leader's process while another controller is down: the remaining
+// controller renews the leases of its zone's workers. Workers redirected to the leader would time out at both
+// unresponsive controllers in turn, which takes longer than their lease.
 func TestLeaderProcessPause(t *testing.T) {
 	for seed := range uint64(6) {
 		checkLeaderProcessPause(t, 380+seed)
@@ -128,7 +128,7 @@
 	w.run(25 * second)
 	for _, worker := range w.workers() {
 		if worker.Zone == "b" && worker.Epoch > 1 {
-			t.Errorf("the lease of %s ran out", worker.ID)
+			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
 	}
 	if w.leader() != 2 {
@@ -137,7 +137,8 @@
 	w.requireNoViolations()
 }
 
-// Workers that search for a controller for less than a lease keep their tasks.
+// TestWorkerFindsAControllerBeforeItsLeaseEnds checks that workers which reach a controller again within their lease
+// keep their tasks.
 func TestWorkerFindsAControllerBeforeItsLeaseEnds(t *testing.T) {
 	w := newWorld(t, 39)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
@@ -151,14 +152,15 @@
 	w.run(10 * second)
 	for task, n := range w.starts {
 		if n > 1 {
-			t.Errorf("%s was moved", task)
+			t.Errorf("task %s was started again", task)
 		}
 	}
 	w.settle()
 }
 
-// While the state service still names a leader that does not answer, a zone's controller renews its
-// workers' leases; if that state lasts, they are redirected to the leader.
+// TestLeaderDoesNotAnswerItsFollower covers a leader that is still stored in the state service but does not answer a
+// follower. The follower first renews the leases of its zone's workers; if the leader stays silent for longer than a
+// failover takes, the follower redirects the workers to the leader.
 func TestLeaderDoesNotAnswerItsFollower(t *testing.T) {
 	w := newWorld(t, 40)
 	lead := w.awaitLeader()
@@ -169,16 +171,17 @@
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(1500 * time.Millisecond)
 	if sendHeartbeat(); status != http.StatusOK {
-		t.Errorf("the worker is answered %d", status)
+		t.Errorf("status %d for a heartbeat right after the leader fell silent", status)
 	}
 	w.run(6 * second)
 	if sendHeartbeat(); status != http.StatusMisdirectedRequest || w.leader() != lead {
-		t.Errorf("the worker of a leader that goes on is answered %d", status)
+		t.Errorf("status %d for a heartbeat while the leader stays in office", status)
 	}
 }
 
-// A worker that sends a heartbeat while a new leader still loads the cluster state keeps its lease,
-// and nothing is started or proved by that.
+// TestHeartbeatBeforeClusterStateIsLoaded checks that a new leader which is still loading the cluster state renews a
+// worker's lease but sends no commands. The leader records the time of the reply, because a lease counts as expired only
+// when enough time has passed since then.
 func TestHeartbeatBeforeClusterStateIsLoaded(t *testing.T) {
 	w := newWorld(t, 42)
 	lead := w.awaitLeader()
@@ -188,7 +191,7 @@
 	}
 	w.crash(lead)
 	next := -1
-	w.until(20*second, "another is elected", func() bool {
+	w.until(20*second, "another leader is elected", func() bool {
 		for i, n := range w.nodes {
 			if n.alive && n.controller.leadership != nil {
 				next = i
@@ -199,7 +202,7 @@
 	w.run(second)
 	l := w.nodes[next].controller.leadership
 	if l.loader.ready {
-		t.Fatal("the cluster state is loaded")
+		t.Fatal("the cluster state is loaded already")
 	}
 	var got Reply
 	sendHeartbeat := func(token uint64) {
@@ -209,17 +212,17 @@
 	sendHeartbeat(1)
 	var reply protocol.WorkerHeartbeatReply
 	if got.Status != http.StatusOK || protocol.Decode(got.Body, &reply) != nil || reply.Token != 1 || len(reply.Commands) > 0 {
-		t.Errorf("answered %d with %+v", got.Status, reply)
+		t.Errorf("status %d with reply %+v", got.Status, reply)
 	}
 	if l.heartbeats.leaseOnlyReplyAt != l.controller.env.now {
-		t.Error("the answer does not count against the proof by time")
+		t.Error("the time of the reply is not recorded for the proof of lease expiry")
 	}
 	sendHeartbeat(0)
 	if got.Status != http.StatusServiceUnavailable {
-		t.Errorf("a worker without a leader yet is answered %d", got.Status)
+		t.Errorf("status %d for a worker that has had no leader yet", got.Status)
 	}
 	sendHeartbeat(l.lease.token + 1)
 	if got.Status != http.StatusServiceUnavailable || w.nodes[next].controller.leadership != nil {
-		t.Errorf("a worker with a higher token is answered %d", got.Status)
+		t.Errorf("status %d for a worker with a higher fencing token", got.Status)
 	}
 }
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -8,9 +8,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// A list from the cloud with machines of an unknown status, out of order, listed twice or without a
-// name, and heartbeats with tasks that nobody knows, end nothing and start nothing where it may not
-// run.
+// TestInvalidListsAndHeartbeats covers cloud listings with unknown states, duplicate, unordered or unnamed machines, and
+// heartbeats with unknown tasks or malformed bodies. They must neither stop tasks, nor start tasks on machines that may
+// not run them, nor end the leadership.
 func TestInvalidListsAndHeartbeats(t *testing.T) {
 	w := newWorld(t, 97)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -29,7 +29,7 @@
 		l.machines.onListed(&listed)
 	}
 	if known.Type != "m8" || len(known.Attempts) != before || known.Releasing {
-		t.Errorf("a listed machine changed: %+v", known)
+		t.Errorf("an invalid listing changed the machine: %+v", known)
 	}
 	heartbeat := w.machines.Workers[known.ID].Heartbeat()
 	heartbeat.Tasks = append(heartbeat.Tasks, []protocol.TaskStatus{
@@ -40,23 +40,23 @@
 	status := 0
 	w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: body}, func(reply Reply) { status = reply.Status })
 	if status != http.StatusOK {
-		t.Errorf("the heartbeat is answered %d", status)
+		t.Errorf("status %d for a heartbeat with unknown tasks", status)
 	}
 	for _, bad := range [][]byte{nil, {0xc1}, {0x81, 0xa4}, protocol.Encode(map[string]any{"host": 7}), protocol.Encode([]int{1}), protocol.Encode(map[string]any{})} {
 		w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: bad}, func(reply Reply) { status = reply.Status })
 		if status != http.StatusBadRequest {
-			t.Errorf("the body %x is answered %d", bad, status)
+			t.Errorf("malformed heartbeat body %x: status %d", bad, status)
 		}
 	}
 	w.run(30 * second)
 	if w.leadership() != l {
-		t.Error("the leader has ended")
+		t.Error("the leadership ended")
 	}
 	for key := range known.UnknownTasks {
-		t.Errorf("the unknown task %v is still there", key)
+		t.Errorf("the unknown task %v has not been stopped", key)
 	}
 	if _, odd := l.state.Jobs["j-999999"]; odd || l.state.Machines[""] != nil && len(l.state.Machines[""].Attempts) > 0 {
-		t.Error("odd input made jobs or tasks")
+		t.Error("invalid input created a job or a task")
 	}
 	var ghosts []*clusterstate.Machine
 	for _, m := range l.machines.sortedMachines() {
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(ghosts) > 0 {
-		t.Errorf("machines of unknown types are used: %v", ghosts)
+		t.Errorf("machines of unknown types are schedulable: %v", ghosts)
 	}
 	w.awaitStatus(30*second, "j-1", protocol.JobRunning)
 	w.requireNoViolations()
--- a/internal/controller/late_messages_test.go
+++ b/internal/controller/late_messages_test.go
@@ -9,8 +9,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// Every fifth transaction applies but its answer is lost, and every seventh applies late, long
-// after its sender gave it up.
+// TestLostTransactionAnswers checks that jobs complete when every fifth transaction is applied but its reply is lost,
+// and every seventh is applied long after its sender has timed out.
 func TestLostTransactionAnswers(t *testing.T) {
 	w := newWorld(t, 4)
 	n := 0
@@ -40,12 +40,12 @@
 	w.requireNoViolations()
 }
 
-// A direct run command is delayed for minutes and executed late: the task must not have been
-// started elsewhere meanwhile, nor start after its cancellation.
+// TestLateRun covers run commands that reach their machines after a long delay: a task must not have been started on
+// another machine in the meantime, and must not start after its job was cancelled.
 func TestLateRun(t *testing.T) {
 	w := newWorld(t, 5)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
-	w.until(60*second, "a machine is up", func() bool { return w.running("j-0") == 1 })
+	w.until(60*second, "the first job runs", func() bool { return w.running("j-0") == 1 })
 	held := 0
 	w.script = func(_ int, c Call) deliveryFault {
 		if c.Target == ToWorker && held < 3 {
@@ -66,15 +66,15 @@
 	w.requireNoViolations()
 }
 
-// Copies of old heartbeats arrive right after a failover, before the machine's own: they prove
-// neither that a task is absent nor that a machine is alive.
+// TestStaleHeartbeatsAfterFailover covers duplicates of old heartbeats that reach a new leader before any current
+// heartbeat: they must prove neither that a task is absent nor that a machine is alive.
 func TestStaleHeartbeatsAfterFailover(t *testing.T) {
 	w := newWorld(t, 6)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 4.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.run(5 * second)
 	old := w.awaitLeader()
-	// The workers are cut off when the leader ends, and their tasks run on.
+	// The workers are partitioned before the leader crashes; their tasks keep running.
 	for _, worker := range w.workers() {
 		worker.Partitioned = true
 	}
@@ -89,33 +89,33 @@
 		w.run(second)
 	}
 	if w.running("j-1") > 4 {
-		t.Errorf("%d replicas of 4 run", w.running("j-1"))
+		t.Errorf("%d replicas run while the workers are partitioned, want at most 4", w.running("j-1"))
 	}
 	for _, worker := range w.workers() {
 		worker.Partitioned = false
 	}
 	w.run(60 * second)
 	if n := w.running("j-1"); n != 4 {
-		t.Errorf("%d replicas of 4 run", n)
+		t.Errorf("%d of 4 replicas run", n)
 	}
 	w.requireNoViolations()
 }
 
-// A copy of a heartbeat from before the task started reaches the new leader, while the machine
-// itself is cut off and there is room elsewhere: without the new fencing token it is no proof of
-// absence.
+// TestOldCopyIsNoProof covers a duplicate of a heartbeat that was sent before the task started. It reaches a new leader
+// while the machine is partitioned and another machine has room. Without the new leader's fencing token, the heartbeat
+// must not prove that the task is absent.
 func TestOldCopyIsNoProof(t *testing.T) {
 	w := newWorld(t, 15)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
-	w.until(60*second, "first machine", func() bool { return w.running("j-0") == 1 })
+	w.until(60*second, "the first machine runs a task", func() bool { return w.running("j-0") == 1 })
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 2.0})
-	w.until(60*second, "second machine", func() bool { return w.running("j-1") == 1 })
+	w.until(60*second, "the second machine runs a task", func() bool { return w.running("j-1") == 1 })
 	w.cancel("j-0")
 	w.submit("j-2", map[string]any{"shape": "service", "cores": 7.0})
-	w.until(20*second, "third job on the first machine", func() bool { return w.running("j-2") == 1 })
+	w.until(20*second, "the third job runs on the first machine", func() bool { return w.running("j-2") == 1 })
 	w.cancel("j-2")
 	w.submit("j-3", map[string]any{"shape": "service", "cores": 6.5})
-	w.until(20*second, "room for one on the first machine", func() bool { return w.running("j-3") == 1 })
+	w.until(20*second, "the first machine has room for one more task", func() bool { return w.running("j-3") == 1 })
 	var machine *emulator.Worker
 	for _, worker := range w.workers() {
 		for _, task := range worker.Tasks {
@@ -136,13 +136,13 @@
 		w.run(second)
 	}
 	if n := w.running("j-1"); n != 1 {
-		t.Errorf("%d replicas of 1 run", n)
+		t.Errorf("%d replicas run, want 1", n)
 	}
 	w.requireNoViolations()
 }
 
-// The first attempt of the transaction that accepts a job is delayed, its repeat applies, the job
-// is cancelled, and then the first attempt arrives: it must not restore the accepted job.
+// TestLateTransactionChangesNothing covers a delayed transaction that accepts a job: its retry is applied, the job is
+// cancelled, and then the original transaction arrives. It must not restore the accepted job.
 func TestLateTransactionChangesNothing(t *testing.T) {
 	w := newWorld(t, 16)
 	w.awaitLeader()
@@ -156,7 +156,7 @@
 		return deliveryFault{}
 	}
 	w.submit("j-1", map[string]any{"shape": "service"})
-	w.until(8*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
+	w.until(8*second, "the job is accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	w.cancel("j-1")
 	w.awaitStatus(5*second, "j-1", protocol.JobCancelled)
 	w.run(15 * second)
@@ -167,7 +167,7 @@
 	}
 	w.run(60 * second)
 	if !held || w.running("j-1") > 0 {
-		t.Errorf("held %v, %d replicas of a cancelled job run", held, w.running("j-1"))
+		t.Errorf("transaction delayed %v, %d replicas of a cancelled job run", held, w.running("j-1"))
 	}
 	w.requireNoViolations()
 }
--- a/internal/controller/leader_keys_test.go
+++ b/internal/controller/leader_keys_test.go
@@ -9,9 +9,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// The leader record of older versions (686f0af to 0eeb63e, which agree), byte by byte: it is
-// decoded with its meaning, and encoded the same while the gate is closed. They decode the record
-// of an open gate as one of their own.
+// TestLeaderRecordsOfBothVersions checks the compatibility of leader records with versions 686f0af to 0eeb63e, which all
+// use the same encoding. This version decodes their record, and encodes the same bytes while the feature gate is closed.
+// The older versions decode the record of an open gate as a valid record and ignore the new fields.
 func TestLeaderRecordsOfBothVersions(t *testing.T) {
 	const wrote = "84a16ca26e31a169a26162a16e07a17409"
 	rec := leaderRecord{Label: "n1", Incarnation: "ab", Token: 7, LeaseID: 9}
@@ -21,10 +21,10 @@
 	}
 	var read leaderRecord
 	if err := protocol.Decode(raw, &read); err != nil || read != rec {
-		t.Errorf("%+v, %v", read, err)
+		t.Errorf("the older record is decoded as %+v, %v", read, err)
 	}
 	if got := hex.EncodeToString(protocol.Encode(rec)); got != wrote {
-		t.Errorf("it is written as %s", got)
+		t.Errorf("the record is encoded as %s", got)
 	}
 	type olderRecord struct {
 		Label       string `msgpack:"l"`
@@ -36,19 +36,19 @@
 	open.StorageVersion, open.Closing = 1, true
 	var older olderRecord
 	if err := protocol.Decode(protocol.Encode(open), &older); err != nil || older != (olderRecord{"n1", "ab", 7, 9}) {
-		t.Errorf("an older version reads %+v, %v", older, err)
+		t.Errorf("an older version decodes the record as %+v, %v", older, err)
 	}
 }
 
-// The conditions of an election: with the gate closed those of older versions; else that the leader
-// key is as it was read, and that the lease key is absent.
+// TestElectionConditions checks the conditions of the transaction that elects a leader. While the gate is closed they
+// equal those of older versions. Otherwise the leader key must be unchanged since it was read, and the lease key absent.
 func TestElectionConditions(t *testing.T) {
 	former := &leaderRecord{Label: "n9", Token: 4, StorageVersion: 1, Closing: true}
 	for _, c := range []struct {
 		name   string
 		view   leaderKeys
 		want   []protocol.Condition
-		puts   map[string]uint64 // with their leases
+		puts   map[string]uint64 // lease of each key that the transaction puts
 		record leaderRecord
 	}{
 		{"closed", leaderKeys{counter: 4, counterVersion: 30},
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -12,13 +12,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// partitionZones partitions the two zones: nothing gets from one to the other, while the state
-// service and the cloud can be reached from both. Connections between them are refused, or delayed:
-// then what controllers had sent to each other arrives when the partition ends.
+// partitionZones partitions the two zones from each other, while both reach the state service and the cloud.
+// Connections between the zones are either refused or delayed. Delayed requests between controllers arrive when the
+// partition ends.
 func (w *world) partitionZones(refused bool, lasts time.Duration) {
 	end := w.Now() + lasts
 	nothing := deliveryFault{lost: !refused, refused: refused}
-	w.unreachable = map[string]bool{} // a new connection that is delayed is not made in time
+	w.unreachable = map[string]bool{} // a delayed connection attempt times out
 	for _, cfg := range w.cfgs {
 		w.unreachable[cfg.PeerListen] = !refused
 	}
@@ -36,7 +36,7 @@
 				return deliveryFault{hold: end - w.Now(), answerLost: true}
 			}
 			return nothing
-		case ToState, ToCloud: // reached from both zones
+		case ToState, ToCloud: // reachable from both zones
 		}
 		return deliveryFault{}
 	}
@@ -48,19 +48,19 @@
 	}
 }
 
-// The two zones can't reach each other for four leases, while both reach the state service, so that
-// it goes on naming the leader to the controllers on the other side: they keep their zone's
-// workers. Redirected to the leader, all of the workers lost their tasks (clamping line with
-// partitioned zones: 133 to 204 tasks).
+// TestZonesPartitioned partitions the two zones for four leases while both reach the state service, so that the
+// controllers in the other zone still read the leader from it. They must renew the leases of their zone's workers:
+// workers that were redirected to the unreachable leader lost all their tasks (133 to 204 in the "clamping line"
+// deployment with partitioned zones).
 func TestZonesPartitioned(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		for _, refused := range []bool{false, true} {
-			t.Run(fmt.Sprintf("leader in the single one's zone %v, refused %v", inside, refused), func(t *testing.T) { checkZonesPartitioned(t, inside, refused) })
+			t.Run(fmt.Sprintf("leader in the zone with one controller %v, refused %v", inside, refused), func(t *testing.T) { checkZonesPartitioned(t, inside, refused) })
 		}
 	}
 }
 
-// zoneOfPeer returns the zone of the controller with that address for other controllers.
+// zoneOfPeer returns the zone of the controller that listens to its peers on addr.
 func (w *world) zoneOfPeer(addr string) string {
 	for i, cfg := range w.cfgs {
 		if cfg.PeerListen == addr {
@@ -70,7 +70,7 @@
 	return ""
 }
 
-// totalStarts returns how many tasks have begun so far.
+// totalStarts returns the number of task starts so far.
 func (w *world) totalStarts() int {
 	n := 0
 	for _, starts := range w.starts {
@@ -100,17 +100,17 @@
 	for range 40 {
 		w.run(second)
 		if w.running("j-1") != 4 || w.running("j-2") != 2 {
-			t.Fatalf("%d and %d replicas run", w.running("j-1"), w.running("j-2"))
+			t.Fatalf("%d of 4 and %d of 2 replicas run during the partition", w.running("j-1"), w.running("j-2"))
 		}
 	}
 	if w.leader() != lead {
 		t.Errorf("leader %d, was %d", w.leader(), lead)
 	}
 	if n := strings.Count(out.String(), "leader observed"); n > 0 {
-		t.Errorf("the same leader is logged %d times", n)
+		t.Errorf("the unchanged leader was logged %d times as observed", n)
 	}
-	// The partition has ended, and the leader's direct requests to machines are answered before the
-	// first heartbeat comes by their zone's controller: no task is moved because of that.
+	// After the partition, machines answer the leader's direct requests before the first heartbeat is forwarded by their
+	// zone's controller. The leader must not move tasks in that interval.
 	starts := w.totalStarts()
 	w.script, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
@@ -122,18 +122,18 @@
 	w.script = nil
 	w.run(20 * second)
 	if n := w.totalStarts(); n != starts {
-		t.Errorf("%d tasks were moved", n-starts)
+		t.Errorf("%d tasks were started again after the partition", n-starts)
 	}
 	for _, worker := range w.workers() {
 		if epoch, had := epochs[worker.ID]; had && epoch != worker.Epoch {
-			t.Errorf("the lease of %s ran out", worker.ID)
+			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
 	}
 	w.requireNoViolations()
 }
 
-// Only the controllers refuse each other's connections: the workers of a zone without the leader
-// are redirected to it, and it goes on giving them work.
+// TestControllersRefuseEachOther checks that, when only the connections between controllers are refused, the workers of
+// a zone without the leader are redirected to the leader, and keep their leases.
 func TestControllersRefuseEachOther(t *testing.T) {
 	w := newWorld(t, 62)
 	lead := w.awaitLeader()
@@ -154,14 +154,15 @@
 	})
 	for _, worker := range w.workers() {
 		if worker.Epoch > 1 {
-			t.Errorf("the lease of %s ran out", worker.ID)
+			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
 	}
 	w.requireNoViolations()
 }
 
-// Where the leader's controller does not answer, one worker at a time tries whether it reaches the
-// leader, and one with tasks only when the leader could no longer coast for long.
+// TestOneWorkerAtATimeIsRedirectedToALostLeader checks that a follower which gets no answer from the leader redirects
+// one worker at a time to probe whether workers reach the leader. A worker with tasks is redirected only after half of
+// the outage tolerance.
 func TestOneWorkerAtATimeIsRedirectedToALostLeader(t *testing.T) {
 	w := newWorld(t, 63)
 	w.awaitLeader()
@@ -174,29 +175,29 @@
 		return !core.follower.tryRenewLeaseForLeader(msg)
 	}
 	if sent("i-1", 3) {
-		t.Error("a worker with tasks is sent first")
+		t.Error("a worker with tasks is redirected first")
 	}
 	if !sent("i-2", 0) || sent("i-3", 0) {
-		t.Error("not one worker without tasks is sent")
+		t.Error("not exactly one worker without tasks is redirected")
 	}
 	w.run(5 * second)
 	if sent("i-2", 0) {
-		t.Error("a worker that came back is sent again")
+		t.Error("a worker that returned from the leader is redirected again")
 	}
 	w.run(core.env.workerFailoverTime() + time.Second)
 	if !sent("i-3", 0) || sent("i-2", 0) {
-		t.Error("the next trial is not made")
+		t.Error("the next probe does not use exactly one other worker")
 	}
-	w.until(core.env.cfg.OutageTolerance(), "one with tasks is sent", func() bool { return sent("i-1", 3) })
+	w.until(core.env.cfg.OutageTolerance(), "a worker with tasks is redirected", func() bool { return sent("i-1", 3) })
 	if core.env.now < core.follower.contact.leaderLostAt+core.env.cfg.OutageTolerance()/2 {
-		t.Error("a worker with tasks is sent early")
+		t.Error("a worker with tasks is redirected before half of the outage tolerance")
 	}
 }
 
-// A machine answers direct requests and none of its heartbeats has come for long. A heartbeat of
-// its zone's controller that echoes an old reading of the leader's clock was delayed: the
-// controller may have renewed the machine's lease since, and nothing is stopped there (rough, seed
-// 23: 125 tasks).
+// TestDelayedHeartbeatIsNoProofOfContact covers a machine that answers direct requests but whose heartbeats have not
+// reached the leader for a whole lease. A heartbeat of its zone's controller that echoes an old reading of the leader's
+// clock was delayed: the controller may have renewed the machine's lease since then, so the leader must not stop tasks
+// there (125 tasks were stopped in the "rough" deployment with seed 23).
 func TestDelayedHeartbeatIsNoProofOfContact(t *testing.T) {
 	w := newWorld(t, 64)
 	lead := w.awaitLeader()
@@ -209,14 +210,14 @@
 	p := l.peers[w.cfgs[2].Label]
 	p.lastHeard, p.servedKnownUntil, p.lastServed = c.env.now, c.env.now, 0
 	if !l.health.cannotReachControllers(m) {
-		t.Fatal("with the zone's controller in contact, its heartbeats are not taken for lost")
+		t.Fatal("the machine counts as able to reach its zone's controller, which is in contact with the leader")
 	}
 	p.servedKnownUntil = c.env.now - c.env.cfg.WorkerLease()
 	if l.health.cannotReachControllers(m) {
-		t.Error("a heartbeat that was delayed passes for contact")
+		t.Error("a delayed heartbeat of the zone's controller counts as current contact")
 	}
 	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.WorkerLease()/4
 	if l.health.cannotReachControllers(m) {
-		t.Error("the zone's controller renewed its lease")
+		t.Error("the machine counts as unable to reach a controller although its zone's controller renewed its lease")
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -12,10 +12,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// lowerLimits are the future limits that the settings announce in these tests.
+// lowerLimits are the state service's future limits, as announced by the settings in these tests.
 var lowerLimits = emulator.StateLimits{ValueBytes: 2 << 10, Changes: 10}
 
-// announceLimits makes the settings of all controllers name the future limits.
+// announceLimits restarts all controllers with settings that announce the future limits.
 func (w *world) announceLimits() {
 	for i, cfg := range w.cfgs {
 		cfg.Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
@@ -25,15 +25,15 @@
 	w.awaitLeader()
 }
 
-// The lower limits come into force without notice, with a backlog of writes, before, during or
-// after a failover: nothing is refused because of them, and nothing is lost.
+// TestLowerLimitsWithABacklog lets the announced limits take effect while writes are queued, before, during or after a
+// failover. No transaction may exceed the limits, and no write may be lost.
 func TestLowerLimitsWithABacklog(t *testing.T) {
 	for _, crash := range []time.Duration{-second, 0, 20 * time.Millisecond, second} {
-		t.Run(fmt.Sprintf("leader ends %v after the limits", crash), func(t *testing.T) {
+		t.Run(fmt.Sprintf("leader crashes %v after the limits take effect", crash), func(t *testing.T) {
 			w := newWorld(t, 131)
 			w.announceLimits()
 			w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 2.0})
-			w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
+			w.until(60*second, "the replicas run", func() bool { return w.running("j-0") == 3 })
 			for i := range 40 {
 				w.submit(fmt.Sprintf("j-%d", 100+i), map[string]any{"cores": 0.5, "shards": 2})
 			}
@@ -45,16 +45,16 @@
 				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.JobDone)
 			}
 			if w.state.TooLarge > 0 {
-				t.Errorf("%d transactions were over the limits", w.state.TooLarge)
+				t.Errorf("%d transactions exceeded the limits", w.state.TooLarge)
 			}
 			w.settle()
 		})
 	}
 }
 
-// An array of 40,000 tasks, nearly done, was stored under the former limit. Its last tasks end
-// under the lower one while leaders change: what was done is not started again, what ends is
-// stored, and the job becomes done.
+// TestLargeArrayAcrossLowerLimits covers an array of 40,000 tasks whose completions were stored under the previous limit.
+// Its last tasks complete under the lower limit, across a failover. Completed tasks must not be started again, the new
+// completions must be stored, and the job must become done.
 func TestLargeArrayAcrossLowerLimits(t *testing.T) {
 	const tasks = 40_000
 	open := []int{5, 20_000, 39_998, 39_999}
@@ -95,43 +95,43 @@
 	for task, times := range w.starts {
 		started += times
 		if times > 1 {
-			t.Errorf("%s started %d times", task, times)
+			t.Errorf("task %s started %d times", task, times)
 		}
 	}
 	if started != len(open) || w.state.TooLarge > 0 {
-		t.Errorf("%d tasks were started, %d transactions over the limits", started, w.state.TooLarge)
+		t.Errorf("%d tasks were started, %d transactions exceeded the limits", started, w.state.TooLarge)
 	}
 	w.run(5 * second)
 	for _, key := range w.state.Keys() {
 		if strings.HasPrefix(key, clusterstate.CompletionPrefix) || strings.HasPrefix(key, clusterstate.CompletionPartPrefix) {
-			t.Errorf("%s is left", key)
+			t.Errorf("key %s has not been deleted", key)
 		}
 	}
 	w.settle()
 }
 
-// A machine's record was stored under the former limit, and the machine can't be reached. It is
-// released all the same, and its tasks run elsewhere.
+// TestMachineWithAnOversizedRecordIsReleased covers an unreachable machine whose record was stored under the previous
+// limit and exceeds the lower one. The machine must be released and its tasks restarted on other machines.
 func TestMachineWithAnOversizedRecordIsReleased(t *testing.T) {
 	w := newWorld(t, 133)
 	w.runs = func(string) time.Duration { return 200 * second }
 	w.submit("j-1", map[string]any{"shards": 70, "cores": 0.1, "ramGb": 0.1})
-	w.until(90*second, "all run", func() bool { return w.running("j-1") == 70 })
+	w.until(90*second, "all tasks run", func() bool { return w.running("j-1") == 70 })
 	worker := w.machinesWithTasksOf("j-1")[0]
 	w.state.Limits = lowerLimits
 	if len(worker.Tasks) < 60 {
-		t.Fatalf("%d tasks on the machine", len(worker.Tasks))
+		t.Fatalf("%d tasks on the machine, want at least 60", len(worker.Tasks))
 	}
 	worker.Partitioned = true
 	w.announceLimits()
-	w.until(100*second, "it is deleted", func() bool { return worker.Deleted })
+	w.until(100*second, "the unreachable machine is deleted", func() bool { return worker.Deleted })
 	w.runs = func(string) time.Duration { return second }
 	w.awaitStatus(300*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
-// Completions of a finished job that an earlier leader left in the store are deleted by the next
-// leader.
+// TestCompletionsOfJobsThatAreOverAreDeleted checks that a new leader deletes completion records of finished jobs that
+// an earlier leader left in the store.
 func TestCompletionsOfJobsThatAreOverAreDeleted(t *testing.T) {
 	w := newWorld(t, 134)
 	lead := w.awaitLeader()
@@ -142,7 +142,7 @@
 	w.run(10 * second)
 	for _, key := range []string{"d/j-7/0", "p/j-7/3"} {
 		if w.state.Item(key) != nil {
-			t.Errorf("%s is left", key)
+			t.Errorf("key %s has not been deleted", key)
 		}
 	}
 	w.settle()
--- a/internal/controller/machine_redirection_test.go
+++ b/internal/controller/machine_redirection_test.go
@@ -8,8 +8,7 @@
 	"claybarrow/internal/membership"
 )
 
-// sameZone moves all controllers into the first zone, so that its machines are divided between
-// them.
+// sameZone moves all controllers into the first zone, so that they share the ownership of its machines.
 func (w *world) sameZone() {
 	for i, cfg := range w.cfgs {
 		cfg.Zone = "a"
@@ -40,9 +39,9 @@
 	return nil
 }
 
-// The machines of a controller that died are redirected to the others once each, and no other
-// machine is; they are redirected back once it has been steady, and not all at once. Suspicion
-// alone moves none.
+// TestMachinesMoveOncePerDeath checks that the machines of a dead controller are redirected exactly once to another
+// controller, that no other machine moves, and that they return only after the restarted controller has been steady.
+// Suspicion of a controller must not move any machine.
 func TestMachinesMoveOncePerDeath(t *testing.T) {
 	w := newMembershipWorld(t, 970)
 	w.sameZone()
@@ -59,7 +58,7 @@
 		}
 		return true
 	}
-	w.until(60*second, "each machine sends heartbeats to its owner", settled)
+	w.until(60*second, "each machine sends heartbeats to the controller that owns it", settled)
 	lead := w.awaitLeader()
 	before := w.controllersInFirstZone()
 	victim := -1
@@ -69,9 +68,9 @@
 		}
 	}
 	if victim < 0 {
-		t.Fatalf("all machines send heartbeats to the leader: %v", before)
+		t.Fatalf("all machines send heartbeats to the leader, none to another controller: %v", before)
 	}
-	// Suspicion alone, shorter than the timeout: the probes are lost, everything else works.
+	// Only probes are lost, for less than the suspicion timeout.
 	began := w.Now()
 	w.script = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Path == probePath && (node == victim || c.Addr == w.cfgs[victim].PeerListen)}
@@ -79,46 +78,46 @@
 	w.run(2800 * time.Millisecond)
 	for id, c := range w.controllersInFirstZone() {
 		if c != before[id] {
-			t.Errorf("%s moved from %d to %d while it was suspected", id, before[id], c)
+			t.Errorf("machine %s moved from controller %d to %d while the controller was suspected", id, before[id], c)
 		}
 	}
 	w.script = nil
 	w.run(10 * second)
 	if w.nodes[lead].observer.became(label(victim), membership.Suspect, began) == 0 || w.nodes[lead].observer.became(label(victim), membership.Dead, began) > 0 {
-		t.Errorf("it is not just suspected: %+v", w.nodes[lead].observer.changes)
+		t.Errorf("the controller was not suspected, or was declared dead: %+v", w.nodes[lead].observer.changes)
 	}
 	for id, c := range w.controllersInFirstZone() {
 		if c != before[id] {
-			t.Errorf("%s moved from %d to %d at a suspicion", id, before[id], c)
+			t.Errorf("machine %s moved from controller %d to %d after a suspicion", id, before[id], c)
 		}
 	}
-	w.until(60*second, "each machine sends heartbeats to its owner", settled)
+	w.until(60*second, "each machine sends heartbeats to the controller that owns it", settled)
 	w.nodes[lead].observer.redirected = nil
 	before = w.controllersInFirstZone()
 	w.crash(victim)
 	w.run(30 * second)
 	if !settled() {
-		t.Errorf("not all machines send heartbeats to their owners")
+		t.Errorf("not all machines send heartbeats to the controllers that own them")
 	}
 	for id, c := range w.controllersInFirstZone() {
 		if before[id] != victim && c != before[id] {
-			t.Errorf("%s moved from %d to %d though %d died", id, before[id], c, victim)
+			t.Errorf("machine %s moved from controller %d to %d although controller %d died", id, before[id], c, victim)
 		}
 		if sent := len(w.nodes[lead].observer.redirected[id]); sent > 1 {
-			t.Errorf("%s was sent elsewhere %d times for one death", id, sent)
+			t.Errorf("machine %s was redirected %d times for one death", id, sent)
 		}
 	}
 	w.boot(victim)
 	w.run(10 * second)
 	for id, c := range w.controllersInFirstZone() {
 		if c == victim {
-			t.Errorf("%s is back at a controller that is not steady yet", id)
+			t.Errorf("machine %s returned to a controller that is not steady yet", id)
 		}
 	}
-	w.until(60*second, "each machine is back", settled)
+	w.until(60*second, "each machine sends heartbeats to the controller that owns it again", settled)
 	for _, worker := range w.workers() {
 		if worker.Up && !worker.Deleted && worker.Epoch > 1 {
-			t.Errorf("the lease of %s ran out", worker.ID)
+			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
 	}
 	w.settle()
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -71,7 +71,7 @@
 	w.machines = f
 }
 
-// jobOf returns what a worker knows of a job.
+// jobOf returns the description of a job that its workers have; nil if the job is unknown.
 func (w *world) jobOf(uid string) *emulator.Job {
 	spec := w.specs[uid]
 	if spec == nil {
@@ -81,7 +81,7 @@
 		CheckpointS: spec["saveTakesS"].(float64), Cores: spec["cores"].(float64)}
 }
 
-// workers returns the workers in a fixed order, so that runs repeat.
+// workers returns the workers in a fixed order, so that runs are reproducible.
 func (w *world) workers() []*emulator.Worker { return w.machines.Sorted() }
 
 func (w *world) byAddr(addr string) *emulator.Worker {
@@ -93,15 +93,15 @@
 	return nil
 }
 
-// recordHeartbeat keeps a heartbeat's body, and has a copy of it arrive late if the test requires
-// it.
+// recordHeartbeat stores a heartbeat's body, and schedules a late duplicate of the heartbeat if the test injects this
+// fault.
 func (w *world) recordHeartbeat(worker *emulator.Worker, body []byte) {
 	w.copies[worker.ID] = append(w.copies[worker.ID], body)
 	if w.lateCopy == nil {
 		return
 	}
 	if late := w.lateCopy(); late > 0 {
-		// A copy goes to any one of the controllers; its answer is dropped.
+		// The duplicate goes to a random controller; its reply is dropped.
 		to := w.rng.IntN(3)
 		w.at(late, func() { w.ask(to, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {}) })
 	}
@@ -133,14 +133,13 @@
 	})
 }
 
-// checkStart checks the rules for the moment at which a task begins to be on its machine.
+// checkStart checks the invariants that must hold when a task starts to occupy its machine.
 func (w *world) checkStart(worker *emulator.Worker, task string, t *emulator.Task) {
 	spec := w.specs[t.UID]
 	w.starts[task]++
-	// Stricter than the protocol's page, which allows cancel_s: "from then on no task of the job
-	// may be started".
+	// This is stricter than the protocol, which allows cancel_s: "from then on no task of the job may be started".
 	if _, confirmed := w.cancelledAt[t.UID]; confirmed {
-		w.violated("ran_cancelled: %s starts", task)
+		w.violated("ran_cancelled: %s starts after its cancellation was confirmed", task)
 	}
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
 	for _, holder := range w.machines.Workers {
@@ -150,7 +149,7 @@
 			}
 			other, _, _ := strings.Cut(name, "@")
 			if other == task && (holder != worker || otherTask != t) {
-				w.violated("ran_twice: %s on %s and %s", task, holder.ID, worker.ID)
+				w.violated("ran_twice: %s occupies %s and %s", task, holder.ID, worker.ID)
 			}
 			if otherTask.UID == t.UID {
 				zones[holder.Zone]++
@@ -163,16 +162,16 @@
 		w.violated("wrong_place: %d of %d tasks of %s in one zone", zones[worker.Zone], n, t.UID)
 	}
 	if spec["together"].(bool) && total != zones[worker.Zone] {
-		w.violated("wrong_place: %s in two zones", t.UID)
+		w.violated("wrong_place: tasks of %s in two zones", t.UID)
 	}
 	for team, most := range map[string]float64{"red": 32, "blue": 16} {
 		if used[team] > most {
-			w.violated("quota: %s uses %v", team, used[team])
+			w.violated("quota: team %s uses %v cores", team, used[team])
 		}
 	}
 }
 
-// running counts a job's tasks on machines.
+// running returns the number of a job's tasks that occupy machines.
 func (w *world) running(uid string) int {
 	n := 0
 	for _, worker := range w.workers() {
@@ -185,14 +184,15 @@
 	return n
 }
 
-// checkCancelledTasksEnded checks the rule ran_cancelled for tasks that stay.
+// checkCancelledTasksEnded checks the invariant ran_cancelled for tasks that keep running after their cancellation was
+// confirmed.
 func (w *world) checkCancelledTasksEnded() {
 	for uid, confirmedAt := range w.cancelledAt {
 		if w.Now() > confirmedAt+35*time.Second && w.running(uid) > 0 {
-			w.violated("ran_cancelled: %s is still there", uid)
+			w.violated("ran_cancelled: tasks of %s still occupy machines", uid)
 		}
 	}
 }
 
-// gangPeer is gang_peer_s of testConfig.
+// gangPeer equals gang_peer_s in testConfig.
 const gangPeer = 5 * time.Second
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// networkFaults are the network faults in force while a compound failure lasts.
+// networkFaults holds the network faults that are active during a compound failure.
 type networkFaults struct {
 	w *world
-	// isolated are the controllers that reach neither the state service nor other controllers.
+	// isolated lists the controllers that reach neither the state service nor other controllers.
 	isolated map[int]bool
-	// commandsLost are the controllers whose direct commands are lost.
+	// commandsLost lists the controllers whose direct commands to machines are lost.
 	commandsLost map[int]bool
-	// Shares of calls: transactions that are applied late and never answered, direct commands that
-	// are delayed for seconds, direct commands whose answer is lost.
+	// lateTransactions, delayedCommands and lostAnswers are shares of calls: transactions that are applied late without a
+	// reply, direct commands that are delayed by seconds, and direct commands whose reply is lost.
 	lateTransactions, delayedCommands, lostAnswers float64
-	// slowState and slowLinks are the upper bounds of the delay of each call.
+	// slowState and slowLinks are upper bounds of the random delay of calls to the state service and of all calls.
 	slowState, slowLinks time.Duration
 }
 
@@ -63,7 +63,7 @@
 			return deliveryFault{hold: 2*second + faults.randomUpTo(25*second), answerLost: faults.chance(0.5)}
 		}
 		f.answerLost = faults.chance(faults.lostAnswers)
-	case ToCloud: // delayed at the most
+	case ToCloud: // only delayed
 	}
 	return f
 }
--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -6,14 +6,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// A controller of a version without the feature gate is simulated by the current version, with the
-// feature off and everything that such a version does not know removed from what it sends and
-// receives: the version statement in heartbeats, the gate's state in the leader record, the lease
-// key. To its decoder they do not exist: unknown fields are dropped, unknown keys ignored. Its own
-// messages and transactions are those of 0eeb63e, byte for byte (TestStoredBytesWithoutTheJournal,
-// TestPeersBytes).
+// A controller without the feature gate is simulated by the current version with the feature off. The functions of this
+// file remove from its messages what such a version neither sends nor decodes: the version statement in heartbeats, the
+// gate's state in the leader record, and the lease key. The decoder of such a version drops unknown fields and ignores
+// unknown keys. The simulated controller's own messages and transactions equal those of 0eeb63e byte for byte, see
+// TestStoredBytesWithoutTheJournal.
 
-// logSink passes on what is logged.
+// logSink passes each log line to a function.
 type logSink func(line []byte)
 
 // Write implements io.Writer.
@@ -22,7 +21,7 @@
 	return len(line), nil
 }
 
-// olderCall removes from a call what an older version does not send.
+// olderCall removes from a request the fields that an older version does not send.
 func olderCall(c Call) Call {
 	var ask protocol.PeerHeartbeat
 	if c.Path == "/heartbeat" && protocol.DecodePeer(c.Body, &ask) == nil {
@@ -32,7 +31,7 @@
 	return c
 }
 
-// olderReply removes from an answer to another controller what an older version does not send.
+// olderReply removes from a reply to another controller the fields that an older version does not send.
 func olderReply(c Call, body []byte) []byte {
 	var reply protocol.PeerHeartbeatReply
 	if c.Path == "/heartbeat" && protocol.DecodePeer(body, &reply) == nil {
@@ -42,7 +41,7 @@
 	return body
 }
 
-// olderAnswer removes from the state service's answer what an older version does not read.
+// olderAnswer removes from a reply of the state service the keys and fields that an older version does not read.
 func olderAnswer(c Call, body []byte) []byte {
 	if c.Target != ToState || len(body) == 0 {
 		return body
@@ -80,7 +79,7 @@
 	return body
 }
 
-// olderLeader returns the leader record as an older version decodes it.
+// olderLeader returns the value of a key as an older version decodes it: a leader record without the gate's state.
 func olderLeader(key string, value []byte) []byte {
 	var rec leaderRecord
 	if key != keyLeader || len(value) == 0 || protocol.Decode(value, &rec) != nil {
--- a/internal/controller/placing_steps_test.go
+++ b/internal/controller/placing_steps_test.go
@@ -8,10 +8,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// placingStep is a step of placing a replica at which the leader ends.
+// placingStep is a step in the placement of a replica at which the leader crashes.
 type placingStep struct {
 	name string
-	// matches reports whether a call of the leader is the step; delivered: the call still arrives.
+	// matches reports whether a call of the leader is this step. If delivered is set, the call still arrives.
 	matches   func(c Call) bool
 	delivered bool
 }
@@ -47,38 +47,38 @@
 
 var placingSteps = []placingStep{
 	{"before the job's write", func(c Call) bool { return writesUnder(c, "j/") }, false},
-	{"after the job's write without its answer", func(c Call) bool { return writesUnder(c, "j/") }, true},
-	{"before the write of the place", func(c Call) bool { return writesUnder(c, "m/") }, false},
-	{"after the write without its answer", func(c Call) bool { return writesUnder(c, "m/") }, true},
-	{"before the run", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, false},
-	{"after the run without its answer", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, true},
+	{"after the job's write, before its reply", func(c Call) bool { return writesUnder(c, "j/") }, true},
+	{"before the machine record's write", func(c Call) bool { return writesUnder(c, "m/") }, false},
+	{"after the machine record's write, before its reply", func(c Call) bool { return writesUnder(c, "m/") }, true},
+	{"before the run command", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, false},
+	{"after the run command, before its reply", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, true},
 	{"before the completion's write", func(c Call) bool { return writesUnder(c, "d/") }, false},
 	{"after the completion's write", func(c Call) bool { return writesUnder(c, "d/") }, true},
-	{"before the clear", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, false},
-	{"after the clear", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, true},
+	{"before the clear command", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, false},
+	{"after the clear command", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, true},
 }
 
-// placingFault is a further fault while the leader ends.
+// placingFault is an additional fault around the crash of the leader.
 type placingFault struct {
 	name string
-	// fault affects each call; second: the next leader ends too, while it reads the stored records.
+	// fault applies to each call. If second is set, the next leader crashes too, while it loads the stored records.
 	fault  func(w *world, c Call) deliveryFault
 	second bool
 }
 
 var placingFaults = []placingFault{
-	{name: "alone"},
-	{name: "the state service slow", fault: func(w *world, c Call) deliveryFault {
+	{name: "no other fault"},
+	{name: "slow state service", fault: func(w *world, c Call) deliveryFault {
 		if c.Target == ToState {
 			return deliveryFault{hold: time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))}
 		}
 		return deliveryFault{}
 	}},
-	{name: "a second death during the failover", second: true},
+	{name: "a second crash during the failover", second: true},
 }
 
-// A leader that dies at each single step of placing: nothing runs twice and no job is orphaned,
-// whichever other fault there is.
+// TestLeaderDiesAtEachStepOfPlacing crashes the leader at each step of a placement, alone and combined with a second
+// fault. No task may run twice, and no job may be orphaned.
 func TestLeaderDiesAtEachStepOfPlacing(t *testing.T) {
 	for s, step := range placingSteps {
 		for k, fault := range placingFaults {
@@ -117,16 +117,17 @@
 	}
 	w.submit("j-2", map[string]any{"shards": 2})
 	w.submit("j-3", map[string]any{"shape": "service", "shards": 2, "owner": "blue"})
-	w.until(60*second, "the leader ends at "+step.name, func() bool { return died })
-	w.until(120*second, "all runs", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
+	w.until(60*second, "the leader crashes "+step.name, func() bool { return died })
+	w.until(120*second, "all replicas run", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
 	w.awaitStatus(120*second, "j-2", protocol.JobDone)
 	if fault.second && !again {
-		w.t.Error("the second leader did not end")
+		w.t.Error("the second leader did not crash")
 	}
 	w.settle()
 }
 
-// A late transaction of the former leader changes nothing, at whatever step it ended.
+// TestLateTransactionOfALeaderThatDied checks that a delayed transaction of a crashed leader, which arrives after the
+// failover, violates no invariant, whichever kind of record it writes.
 func TestLateTransactionOfALeaderThatDied(t *testing.T) {
 	for _, prefix := range []string{"j/", "m/", "d/"} {
 		t.Run("a write under "+strings.TrimSuffix(prefix, "/"), func(t *testing.T) {
@@ -144,7 +145,7 @@
 				return deliveryFault{}
 			}
 			w.submit("j-3", map[string]any{"shards": 2})
-			w.until(60*second, "the leader ends", func() bool { return died })
+			w.until(60*second, "the leader crashes", func() bool { return died })
 			w.awaitStatus(120*second, "j-3", protocol.JobDone)
 			w.run(20 * second)
 			w.settle()
--- a/internal/controller/preload_test.go
+++ b/internal/controller/preload_test.go
@@ -10,15 +10,16 @@
 	"claybarrow/internal/protocol"
 )
 
-// storeMany stores records of completed jobs, so that a failover reads them in pages.
+// storeMany stores n records of completed jobs, so that a failover reads several pages.
 func (w *world) storeMany(n int) {
 	for i := range n {
 		w.state.Change(fmt.Sprintf("j/j-9%06d", i), &emulator.Item{Value: protocol.Encode(map[string]any{"s": protocol.JobDone, "n": 1})})
 	}
 }
 
-// A successor preloads the stored records while the leader is suspected; what the leader wrote
-// after that is known all the same, and if too much has changed everything is read anew.
+// TestSuccessorPreloadsClusterState checks that a follower preloads the stored records while it suspects the leader. When
+// the follower is elected, it must also know the leader's later writes. If there were more changes than the state
+// service keeps, it must read all records again.
 func TestSuccessorPreloadsClusterState(t *testing.T) {
 	for _, tooMuch := range []bool{false, true} {
 		t.Run(fmt.Sprintf("too many changes %v", tooMuch), func(t *testing.T) {
@@ -27,8 +28,8 @@
 			w.replicas()
 			lead := w.awaitLeader()
 			w.submit("j-5", map[string]any{"shape": "service", "owner": "blue"})
-			w.until(60*second, "it runs", func() bool { return w.running("j-5") == 1 })
-			// The other controllers don't reach the leader, so that they suspect it while it works on.
+			w.until(60*second, "the first job runs", func() bool { return w.running("j-5") == 1 })
+			// The other controllers cannot reach the leader: they suspect it while it continues to work.
 			w.script = func(node int, c Call) deliveryFault {
 				return deliveryFault{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
 			}
@@ -40,11 +41,11 @@
 				}
 				return false
 			}
-			w.until(10*second, "records are read ahead", ahead)
-			// Its last write: a job that no preload has read.
+			w.until(10*second, "a follower has preloaded the records", ahead)
+			// The leader's last writes: a submitted job and a cancellation, which no preload has read.
 			w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
 				if r.Status != http.StatusCreated {
-					t.Errorf("the submission is answered %d", r.Status)
+					t.Errorf("status %d for the submission", r.Status)
 				}
 				w.recordStatus("j-6", protocol.JobStatus{UID: "j-6", State: protocol.JobPending}, w.Now())
 				w.startPolling("j-6")
@@ -55,7 +56,7 @@
 			w.crash(lead)
 			w.script = func(_ int, c Call) deliveryFault {
 				if tooMuch && writesUnder(c, keyLeader) {
-					w.storeMany(25_000) // more changes than the state service keeps, just before the election
+					w.storeMany(25_000) // more changes than the state service keeps, immediately before the election
 				}
 				return deliveryFault{}
 			}
@@ -64,21 +65,21 @@
 			w.run(15 * second)
 			h := w.nodes[next].observer.failovers
 			if len(h) == 0 {
-				t.Fatal("no failover is observed")
+				t.Fatal("no failover was observed")
 			}
 			if got := h[len(h)-1].Preloaded; (got >= 3500) == tooMuch {
-				t.Errorf("too much %v: %d records were preloaded", tooMuch, got)
+				t.Errorf("too many changes %v: %d records were preloaded", tooMuch, got)
 			}
-			w.until(60*second, "the last job runs", func() bool { return w.running("j-6") == 1 })
+			w.until(60*second, "the job submitted last runs", func() bool { return w.running("j-6") == 1 })
 			if w.running("j-5") > 0 {
-				t.Error("the cancelled job runs")
+				t.Error("the cancelled job still runs")
 			}
 			w.settle()
 		})
 	}
 }
 
-// Candidates do not all campaign in the same instant.
+// TestCandidatesDoNotCampaignAtOnce checks that candidates start their campaigns at different times.
 func TestCandidatesDoNotCampaignAtOnce(t *testing.T) {
 	w := newMembershipWorld(t, 995)
 	w.replicas()
@@ -88,12 +89,12 @@
 		if c.Path == "/multi" && w.nodes[node].controller.leadership == nil && campaigns[node] == 0 {
 			campaigns[node] = w.Now()
 		}
-		return deliveryFault{lost: c.Path == "/multi"} // nobody wins, so that all of them try
+		return deliveryFault{lost: c.Path == "/multi"} // no candidate wins, so that each of them campaigns
 	}
 	w.crash(lead)
 	w.run(4 * second)
 	if len(campaigns) != 2 {
-		t.Fatalf("campaigns: %v", campaigns)
+		t.Fatalf("campaigns by controller: %v, want 2", campaigns)
 	}
 	var first, last time.Duration
 	for _, at := range campaigns {
@@ -103,7 +104,7 @@
 		last = max(last, at)
 	}
 	if last-first < 50*time.Millisecond {
-		t.Errorf("they campaign %v apart", last-first)
+		t.Errorf("the campaigns started %v apart, want at least 50 ms", last-first)
 	}
 	w.settle()
 }
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// pauseProcess makes a controller handle nothing for a while; events are queued meanwhile.
+// pauseProcess pauses a controller's process for the duration d. Events for it are queued and handled afterwards.
 func (w *world) pauseProcess(i int, d time.Duration) {
 	n := w.nodes[i]
 	n.paused = true
@@ -25,8 +25,8 @@
 	})
 }
 
-// A leader whose process was paused for longer than its lease, and which resumes while another
-// leads, sends no command and declares no machine lost before it has found out.
+// TestPausedLeaderAfterFailover covers a leader whose process is paused beyond its lease and resumes after another leader
+// was elected. It must step down before it sends a command to a worker or declares a machine lost.
 func TestPausedLeaderAfterFailover(t *testing.T) {
 	for _, d := range []time.Duration{8 * second, 30 * second, 2 * time.Minute} {
 		t.Run(fmt.Sprintf("paused for %v", d), func(t *testing.T) {
@@ -42,7 +42,7 @@
 				replaced = replaced || i != lead && n.controller.leadership != nil && n.controller.leadership.loader.ready
 			}
 			if !replaced {
-				t.Fatalf("after %v nobody else leads", d)
+				t.Fatalf("no other leader was elected during a pause of %v", d)
 			}
 			old := w.nodes[lead].controller
 			commands := 0
@@ -54,14 +54,14 @@
 			}
 			w.run(3 * second)
 			if old.leadership != nil {
-				t.Errorf("after %v it still leads", d)
+				t.Errorf("the former leader has not stepped down after a pause of %v", d)
 			}
 			if commands > 0 {
-				t.Errorf("after %v it sent %d requests to workers first", d, commands)
+				t.Errorf("after a pause of %v, the former leader sent %d requests to workers before it stepped down", d, commands)
 			}
 			for task, n := range w.starts {
 				if n > 1 {
-					t.Errorf("after %v %s was moved", d, task)
+					t.Errorf("after a pause of %v, task %s was started again", d, task)
 				}
 			}
 			w.script = nil
@@ -70,7 +70,8 @@
 	}
 }
 
-// Nobody else could be elected meanwhile: the leader goes on where it was.
+// TestPausedLeaderWithoutFailover covers a pause of the leader during an outage of the state service, when no other
+// controller can be elected. The leader must verify its lease and keep leading.
 func TestPausedLeaderWithoutFailover(t *testing.T) {
 	w := newWorld(t, 44)
 	lead := w.awaitLeader()
@@ -81,15 +82,15 @@
 	w.pauseProcess(lead, 4*second)
 	w.run(15 * second)
 	if l := w.nodes[lead].controller.leadership; l == nil || l.lease.verifiesLease() {
-		t.Error("it does not lead any more")
+		t.Error("the leader stepped down or has not verified its lease")
 	}
 	w.awaitStatus(90*second, "j-1", "done")
 	w.settle()
 }
 
-// Process pauses of half a lease, one and several leases, of the leader, of a zone's relay, and of
-// both at once: no task is on two machines, and nothing moves for a pause shorter than the workers'
-// leases.
+// TestStallsAndResumes pauses the leader, the controller that relays a zone's heartbeats, or both, for half a lease up to
+// six leases. No task may run on two machines, and no task may be restarted because of a pause that is shorter than the
+// workers' leases.
 func TestStallsAndResumes(t *testing.T) {
 	lease := 1500 * time.Millisecond
 	for k, stall := range []time.Duration{lease / 2, lease, 3 * lease, 6 * lease} {
@@ -114,7 +115,7 @@
 					for i, n := range w.nodes {
 						for _, c := range n.observer.changes {
 							if c.at >= began && c.To == membership.Dead {
-								t.Errorf("n%d: %+v", i, c)
+								t.Errorf("n%d declared a paused controller dead: %+v", i, c)
 							}
 						}
 					}
@@ -122,7 +123,7 @@
 				if stall <= 6*lease {
 					for task, n := range w.starts {
 						if n > 1 && who != "both" {
-							t.Errorf("%s was moved", task)
+							t.Errorf("task %s was started again", task)
 						}
 					}
 				}
@@ -132,8 +133,9 @@
 	}
 }
 
-// A controller that resumes has nothing refused and refuses everything until it has had contact
-// with another one: no answer, command or write follows from what it believed before.
+// TestResumedLeaderDoesNothingFirst checks that a leader which resumes from a process pause rejects user requests with a
+// retry, renews no lease, claims no leadership, and sends no commands, writes or relayed requests until it has had
+// contact with another controller. Until then its state may be stale.
 func TestResumedLeaderDoesNothingFirst(t *testing.T) {
 	w := newMembershipWorld(t, 951)
 	w.replicas()
@@ -152,14 +154,14 @@
 		return deliveryFault{}
 	}
 	n.paused = false
-	w.feed(lead, Tick{}) // it resumes
+	w.feed(lead, Tick{}) // the process resumes
 	if !n.controller.pause.isRecovering() {
-		t.Fatal("it does not notice that its process was paused")
+		t.Fatal("the controller did not detect the pause of its process")
 	}
 	for _, op := range []Op{OpPoll, OpCancel} {
 		w.ask(lead, Request{Op: op, UID: "j-1"}, func(r Reply) {
 			if r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
-				t.Errorf("%s is answered %d, come back in %d", op, r.Status, r.RetryAfter)
+				t.Errorf("%s: status %d, retry after %d", op, r.Status, r.RetryAfter)
 			}
 		})
 	}
@@ -171,22 +173,22 @@
 	}
 	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
 		if r.Status == http.StatusOK {
-			t.Error("a worker's lease is renewed")
+			t.Error("the resumed leader renewed a worker's lease")
 		}
 	})
 	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.lease.token}
 	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(beat)}, func(r Reply) {
 		var reply protocol.PeerHeartbeatReply
 		if err := protocol.DecodePeer(r.Body, &reply); err != nil || reply.Leader != "" || reply.LeaderClock != 0 {
-			t.Errorf("it says that it leads: %+v, %v", reply, err)
+			t.Errorf("the resumed controller claims to lead: %+v, %v", reply, err)
 		}
 	})
 	w.run(5 * second)
 	if len(early) > 0 {
-		t.Errorf("it sent %v first", early)
+		t.Errorf("calls %v before contact with another controller", early)
 	}
 	if n.controller.pause.isRecovering() {
-		t.Error("it has heard of nobody")
+		t.Error("the controller is still recovering after 5 s")
 	}
 	w.settle()
 }
--- a/internal/controller/random_failures_test.go
+++ b/internal/controller/random_failures_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Random combinations of two or three faults, each with a fixed seed.
+// TestCompoundFailuresAtRandom injects random combinations of two or three faults, one combination per fixed seed.
 func TestCompoundFailuresAtRandom(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// injectRandomFault begins one of the listed faults, which lasts for the given time.
+// injectRandomFault starts a random fault that ends after the given duration.
 func (w *world) injectRandomFault(faults *networkFaults, lasts time.Duration) {
 	node := w.leaderOrFirst()
 	if w.rng.IntN(3) == 0 {
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -7,7 +7,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// recordedOutcomes records the outcomes of a comparison.
+// recordedOutcomes records the outcomes of a reconciliation by task name.
 type recordedOutcomes struct {
 	absent, exits, runs, unknown []string
 }
@@ -29,24 +29,24 @@
 	r.absent = append(r.absent, a.Key().Task)
 }
 
-// Each proof of absence alone, and the cases that prove nothing.
+// TestAbsenceProofs covers each proof that an attempt is absent from its machine, and the cases that are no proof.
 func TestAbsenceProofs(t *testing.T) {
 	for name, tc := range map[string]struct {
 		attempt clusterstate.Attempt
 		ours    bool
 		proved  bool
 	}{
-		"our token, its run was answered":                {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2}, true, true},
+		"our token, its run was acknowledged":            {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2}, true, true},
 		"an older token":                                 {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2}, false, false},
-		"our token, its run was not answered":            {clusterstate.Attempt{Sent: true, Epoch: 2}, true, false},
-		"our token, a direct run is under way":           {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2, RunsInFlight: 1}, true, false},
+		"our token, its run was not acknowledged":        {clusterstate.Attempt{Sent: true, Epoch: 2}, true, false},
+		"our token, a direct run is in flight":           {clusterstate.Attempt{Sent: true, Acknowledged: true, Epoch: 2, RunsInFlight: 1}, true, false},
 		"a later epoch":                                  {clusterstate.Attempt{Sent: true, Epoch: 1}, false, true},
-		"a later epoch, of an earlier leader":            {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, false, false},
-		"our token, of an earlier leader":                {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, true, true},
+		"a later epoch, run by an earlier leader":        {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, false, false},
+		"our token, run by an earlier leader":            {clusterstate.Attempt{Sent: true, Loaded: true, Epoch: 1}, true, true},
 		"its run was not sent":                           {clusterstate.Attempt{Acknowledged: true, Epoch: 1}, true, false},
-		"to be stopped, a heartbeat after the answer":    {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 6, Epoch: 2}, true, true},
-		"to be stopped, the heartbeat before the answer": {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 7, Epoch: 2}, true, false},
-		"to be stopped, a direct run had no answer":      {clusterstate.Attempt{Sent: true, StopRequested: true, RunLost: true, RunSequence: 6, Epoch: 2}, true, false},
+		"stop requested, a heartbeat after the reply":    {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 6, Epoch: 2}, true, true},
+		"stop requested, the heartbeat before the reply": {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 7, Epoch: 2}, true, false},
+		"stop requested, a direct run had no reply":      {clusterstate.Attempt{Sent: true, StopRequested: true, RunLost: true, RunSequence: 6, Epoch: 2}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := clusterstate.New(16<<10, 16<<10)
@@ -59,14 +59,14 @@
 			var noted recordedOutcomes
 			reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 2}, tc.ours, &noted)
 			if got := len(noted.absent) > 0; got != tc.proved {
-				t.Errorf("proved absent %v", got)
+				t.Errorf("attempt proved absent: %v", got)
 			}
 		})
 	}
 }
 
-// Each task that a message names gets the outcome of its state, and none of them is taken for
-// absent.
+// TestReconciliationOfReportedTasks checks that each task in a heartbeat has the outcome of its reported state, and that
+// none of them counts as absent.
 func TestReconciliationOfReportedTasks(t *testing.T) {
 	state := clusterstate.New(16<<10, 16<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
@@ -83,6 +83,6 @@
 		{Task: "j-9/0", Attempt: 1, State: protocol.TaskRunning},
 	}}, true, &noted)
 	if len(noted.absent) > 0 || len(noted.exits) != 1 || len(noted.runs) != 1 || len(noted.unknown) != 1 {
-		t.Errorf("%+v", noted)
+		t.Errorf("outcomes: %+v", noted)
 	}
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -10,11 +10,11 @@
 	"claybarrow/internal/protocol"
 )
 
-// An asymmetric partition between a follower and the leader: the requests of its users are relayed
-// by the third controller, and nobody is suspected.
+// TestRelayAroundAnAsymmetricPartition covers a partition in one direction between a follower and the leader. The
+// follower must relay its users' requests by the third controller, and no controller may suspect the leader.
 func TestRelayAroundAnAsymmetricPartition(t *testing.T) {
 	for _, toLeader := range []bool{true, false} {
-		t.Run(fmt.Sprintf("to the leader %v", toLeader), func(t *testing.T) {
+		t.Run(fmt.Sprintf("requests to the leader lost %v", toLeader), func(t *testing.T) {
 			w := newMembershipWorld(t, 952)
 			w.replicas()
 			lead := w.awaitLeader()
@@ -37,10 +37,10 @@
 				w.run(second)
 			}
 			if answered < 5 {
-				t.Errorf("requests lost %v: %d of 5 questions are answered", toLeader, answered)
+				t.Errorf("requests to the leader lost %v: %d of 5 user requests were answered", toLeader, answered)
 			}
 			if w.nodes[from].observer.reroutes == 0 {
-				t.Error("no request went round")
+				t.Error("no request was relayed by the third controller")
 			}
 			for i, n := range w.nodes {
 				if at := n.observer.became(label(lead), membership.Suspect, began); at > 0 {
@@ -52,8 +52,8 @@
 	}
 }
 
-// A refused connection to the leader is tried once more, after a pause, and not again: a user is
-// answered by the second try, or told at once to come back.
+// TestRefusedConnectionIsTriedOnceMore checks that a refused connection to the leader is retried exactly once, after a
+// pause. A user's request succeeds on the retry, or fails within the decision timeout with a request to retry later.
 func TestRefusedConnectionIsTriedOnceMore(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		t.Run(fmt.Sprintf("refused again %v", again), func(t *testing.T) {
@@ -78,10 +78,10 @@
 				want = 503
 			}
 			if len(tries) != 2 || status != want || answered-asked > decisionTimeout {
-				t.Errorf("refused again %v: %d tries, %d after %v", again, len(tries), status, answered-asked)
+				t.Errorf("refused again %v: %d attempts, status %d after %v", again, len(tries), status, answered-asked)
 			}
 			if len(tries) == 2 && tries[1]-tries[0] < 50*time.Millisecond {
-				t.Errorf("tried again after %v", tries[1]-tries[0])
+				t.Errorf("retried after %v, want at least 50 ms", tries[1]-tries[0])
 			}
 			w.settle()
 		})
--- a/internal/controller/request_bench_test.go
+++ b/internal/controller/request_bench_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// BenchmarkSlopeCancel measures a user's cancellation of a running job.
+// BenchmarkSlopeCancel measures the handling of a user's request to cancel a running job.
 func BenchmarkSlopeCancel(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
--- a/internal/controller/request_burst_test.go
+++ b/internal/controller/request_burst_test.go
@@ -9,7 +9,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// Random faults in random order, each with a fixed seed.
+// TestManyRequestsAtOnce sends random submissions and cancellations under random faults, one sequence per fixed seed.
 func TestManyRequestsAtOnce(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRequestBurst(t, 100+seed) })
@@ -100,7 +100,7 @@
 		}
 	}
 	w.run(40 * second)
-	// Services may use a team's whole quota: they end like any other job.
+	// Services may use up a team's quota, so they are cancelled before the remaining jobs are awaited.
 	for _, uid := range jobs {
 		if w.specs[uid]["shape"] == "service" {
 			w.cancel(uid)
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -17,28 +17,27 @@
 	"claybarrow/internal/protocol"
 )
 
-// upgradeWorld is a world whose controllers are upgraded one at a time under steady load, together with
-// the invariants that hold at all times.
+// upgradeWorld is a world whose controllers are upgraded one at a time under steady load, while it checks the invariants
+// of the feature gate and the completion journal.
 type upgradeWorld struct {
 	*world
-	// newerSince is the time since which each controller runs the newer version; 0: it runs the
-	// older one.
+	// newerSince holds the time at which each controller started the newer version; 0 if it runs the older version.
 	newerSince []time.Duration
-	// operators are the operators' settings of each controller; nil: it runs the older version.
+	// operators holds the operators' settings of each controller; nil if it runs the older version.
 	operators [][]byte
-	// announced are the controllers whose settings name future limits.
+	// announced lists the controllers whose settings announce future limits of the state service.
 	announced map[int]bool
-	// onStep returns the fault for a transaction that changes the state of the gate, or the
-	// journal; nil: there are no faults.
+	// onStep returns the fault for a transaction that changes the gate's state or the journal; nil if no faults are
+	// injected.
 	onStep func(step gateStep, node int) deliveryFault
-	steps  map[gateStep]int // transactions sent so far
-	// states are the states of the gate that the leader key has had, in their order.
+	steps  map[gateStep]int // number of transactions sent, by step
+	// states lists the states of the gate in the order in which the leader key had them.
 	states []string
 	jobs   int
-	// moved counts how often the scheduler stopped a task by its own plan, to drain its machine or
-	// to preempt it: that loses nothing.
+	// moved counts, by task, how often the scheduler stopped the task to drain its machine or to preempt it. Such a task
+	// may be started once more for each stop.
 	moved map[string]int
-	// interrupts: tasks may be started again, as workers' leases expire.
+	// interrupts allows tasks to be started again, because the test lets workers' leases expire.
 	interrupts bool
 }
 
@@ -59,7 +58,7 @@
 
 var wideShape = topology{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: defaultTopology.teams}
 
-// newerOperator returns the operators' settings of the newer version.
+// newerOperator returns the operators' settings of the newer version, followed by more.
 func newerOperator(more string) []byte {
 	if os.Getenv("CLAYBARROW_TEST_MEMBERSHIP") != "" {
 		more += membershipOn
@@ -69,7 +68,8 @@
 
 const holdOn = "[upgrade]\nhold = true\n"
 
-// newUpgradeWorld creates a world of older controllers, with replicas and a steady sequence of arrays.
+// newUpgradeWorld creates a world with controllers of the older version, running replicas, and an array submitted every
+// loadEvery.
 func newUpgradeWorld(t *testing.T, seed uint64, shape topology) *upgradeWorld {
 	t.Helper()
 	u := &upgradeWorld{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
@@ -90,7 +90,7 @@
 	return u
 }
 
-// readLog handles a line that a controller logs.
+// readLog reports unreadable records and counts planned stops in a log line of a controller.
 func (u *upgradeWorld) readLog(node int, line []byte) {
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
 		u.violated("n%d: %s", node, line)
@@ -106,7 +106,7 @@
 	}
 }
 
-// submitArrays submits a small array every few seconds.
+// submitArrays submits a small array every loadEvery until the world settles.
 func (u *upgradeWorld) submitArrays() {
 	var next func()
 	next = func() {
@@ -120,8 +120,8 @@
 	next()
 }
 
-// restart ends a controller's process and starts the version with these operators' settings; nil:
-// the older one.
+// restart crashes a controller and starts the newer version with the given operators' settings, or the older version if
+// operator is nil.
 func (u *upgradeWorld) restart(i int, operator []byte) {
 	u.crash(i)
 	u.newerSince[i], u.operators[i] = 0, operator
@@ -136,7 +136,7 @@
 	u.boot(i)
 }
 
-// restartAll restarts controllers one after the other.
+// restartAll restarts the controllers in the given order, one at a time.
 func (u *upgradeWorld) restartAll(order []int, operator []byte) {
 	for _, i := range order {
 		u.restart(i, operator)
@@ -144,7 +144,7 @@
 	}
 }
 
-// leaderAt orders the controllers so that the current leader has the given place among them.
+// leaderAt returns all controllers in an order in which the current leader has the given position.
 func (u *upgradeWorld) leaderAt(place int) []int {
 	lead := u.awaitLeader()
 	var order []int
@@ -156,7 +156,7 @@
 	return slices.Insert(order, place, lead)
 }
 
-// fault inspects each transaction on its way to the state service and returns its fault.
+// fault inspects each transaction that is sent to the state service, and returns the fault to inject for it.
 func (u *upgradeWorld) fault(node int, c Call) deliveryFault {
 	if c.Target != ToState || c.Path != "/multi" {
 		return deliveryFault{}
@@ -169,7 +169,7 @@
 	if step == opens {
 		for i, since := range u.newerSince {
 			if since == 0 || u.Now() < since+u.cfgs[i].LeaderLease() {
-				u.violated("the gate opens while n%d is of the older version, or has just been upgraded", i)
+				u.violated("the gate opens while n%d runs the older version, or has run the newer one for less than a leader lease", i)
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 	return deliveryFault{}
 }
 
-// stepOf returns the effect of a transaction on the gate or the journal.
+// stepOf returns the effect of an encoded transaction on the gate or the journal.
 func (u *upgradeWorld) stepOf(body []byte) gateStep {
 	var txn struct {
 		Then []struct {
@@ -212,7 +212,7 @@
 	return step
 }
 
-// stored returns the stored leader record and its lease.
+// stored returns the stored leader record and the lease of its key.
 func (u *upgradeWorld) stored() (rec leaderRecord, lease uint64) {
 	it := u.state.Item(keyLeader)
 	if it == nil {
@@ -229,7 +229,7 @@
 	return rec.gateState().String() == state
 }
 
-// journalKeys returns the stored values of the journal.
+// journalKeys returns the stored keys of the completion journal.
 func (u *upgradeWorld) journalKeys() (out []string) {
 	for _, key := range u.state.Keys() {
 		if strings.HasPrefix(key, completionjournal.Prefix) {
@@ -239,24 +239,24 @@
 	return out
 }
 
-// watchStore checks the store at each tick: the journal exists only while no older version can
-// lead, and no older version leads while it exists.
+// watchStore checks the stored keys at each tick: the journal exists only while the leader record prevents the election of
+// an older version, and no older version leads while the gate is not closed.
 func (u *upgradeWorld) watchStore() {
 	var look func()
 	look = func() {
 		rec, lease := u.stored()
 		if rec.StorageVersion == 0 && len(u.journalKeys()) > 0 {
-			u.violated("the journal is stored while an older version may lead: %v", u.journalKeys())
+			u.violated("the journal is stored while an older version can be elected: %v", u.journalKeys())
 		}
 		if rec.Token != 0 && (rec.StorageVersion == 0) != (lease != 0) {
-			u.violated("form %d with the lease %d", rec.StorageVersion, lease)
+			u.violated("leader record of storage version %d has the lease %d", rec.StorageVersion, lease)
 		}
 		if state := rec.gateState().String(); rec.Token != 0 && (len(u.states) == 0 || u.states[len(u.states)-1] != state) {
 			u.states = append(u.states, state)
 		}
 		for i, n := range u.nodes {
 			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.lease.holdsLease() && rec.StorageVersion != 0 {
-				u.violated("n%d of the older version leads with the gate %s", i, rec.gateState())
+				u.violated("n%d runs the older version and leads while the gate is %s", i, rec.gateState())
 			}
 		}
 		u.at(tick, look)
@@ -264,7 +264,8 @@
 	look()
 }
 
-// settleAndCheck ends the faults and checks the outcome of everything that was submitted.
+// settleAndCheck ends the faults, waits for the outcome of all submitted jobs, and checks that no task was restarted
+// unexpectedly.
 func (u *upgradeWorld) settleAndCheck() {
 	u.t.Helper()
 	u.onStep = nil
@@ -276,7 +277,7 @@
 	}
 	for _, task := range slices.Sorted(maps.Keys(u.starts)) {
 		if n := u.starts[task]; n > 1+u.moved[task] {
-			u.t.Errorf("%s began %d times", task, n)
+			u.t.Errorf("task %s started %d times", task, n)
 		}
 	}
 }
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -8,12 +8,12 @@
 	"claybarrow/internal/protocol"
 )
 
-// The benchmarks of this file measure what the leader's work costs as its fleet grows. They
-// are the source of the slopes in docs/CAPACITY.md:
+// The benchmarks of this file measure how the cost of the leader's work grows with the size of the fleet. The slopes in
+// docs/CAPACITY.md come from them:
 //
 //	go test -run '^$' -bench 'Slope' -benchtime 20x -cpu 1 ./internal/controller
 
-// BenchmarkSlopeFill measures a fill after a dozen tasks have ended, with all jobs waiting.
+// BenchmarkSlopeFill measures a fill after twelve tasks have ended, while all jobs have waiting tasks.
 func BenchmarkSlopeFill(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -36,7 +36,7 @@
 	})
 }
 
-// BenchmarkSlopeFillBurst measures a fill that finds all free room at once.
+// BenchmarkSlopeFillBurst measures the first fill of a new leader, in which all free capacity is available.
 func BenchmarkSlopeFillBurst(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		placed := 0
@@ -75,8 +75,8 @@
 	})
 }
 
-// BenchmarkSlopeRoundStops measures a round in which all waiting jobs have a higher priority than
-// what runs, so that it preempts as much as a round may.
+// BenchmarkSlopeRoundStops measures a round that preempts as many tasks as a round may, because all waiting jobs have a
+// higher priority than the running tasks.
 func BenchmarkSlopeRoundStops(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		stops := 0
@@ -104,8 +104,8 @@
 	})
 }
 
-// BenchmarkSlopeConsolidation measures the search for machines to drain, where replicas run and a
-// third of the machines has room.
+// BenchmarkSlopeConsolidation measures the search for machines to drain in a fleet that runs replicas and has room on a
+// third of its machines.
 func BenchmarkSlopeConsolidation(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -129,7 +129,7 @@
 	})
 }
 
-// BenchmarkSlopeSweep measures what a fill does for machines that have not changed.
+// BenchmarkSlopeSweep measures the update of the scheduler cache by a fill when no machine has changed.
 func BenchmarkSlopeSweep(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -16,13 +16,13 @@
 	"claybarrow/internal/scheduler"
 )
 
-// compareEvery is the number of events between two comparisons of whole snapshots: an odd number,
-// so that they coincide with all kinds of events.
+// compareEvery is the number of events between two comparisons of complete snapshots. It is odd so that the comparisons
+// follow every kind of event, also when events alternate.
 const compareEvery = 499
 
-// checkSchedulerCache compares a leader's scheduler cache with the cluster state: after each event
-// the entries that nothing seems to have changed, and now and then a whole snapshot with one built
-// anew. All worlds are checked so.
+// checkSchedulerCache compares a leader's scheduler cache with the cluster state. After each event it compares the cache
+// entries that are not marked as changed. After every compareEvery events it compares complete snapshots with snapshots
+// that are built without the cache. Every simulated world runs this check.
 func (w *world) checkSchedulerCache(l *leadership) {
 	for _, e := range l.cache.cachedMachines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
@@ -33,7 +33,7 @@
 		kept := l.cache.cachedJobs[j]
 		if kept == nil {
 			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.JobsToSchedule(), j) {
-				w.violated("%s waits and is not in the scheduler cache", j.Spec.UID)
+				w.violated("job %s waits but is not in the scheduler cache", j.Spec.UID)
 			}
 			continue
 		}
@@ -43,13 +43,13 @@
 	}
 	if w.leaderEvents++; w.leaderEvents%compareEvery == 0 {
 		if d := differenceOfSnapshots(l); d != "" {
-			w.violated("the cached snapshot differs from one built anew: %s", d)
+			w.violated("the cached snapshot differs from one built without the cache: %s", d)
 		}
 	}
 }
 
-// differenceOfSnapshots compares the snapshots from which fills, plans and rounds would decide with
-// snapshots built anew.
+// differenceOfSnapshots compares the cached snapshots for fills, plans and rounds with snapshots that are built without the
+// cache. It returns the first difference, or an empty string.
 func differenceOfSnapshots(l *leadership) string {
 	since := map[*clusterstate.Job]time.Duration{}
 	for _, j := range l.state.Jobs {
@@ -63,15 +63,15 @@
 	want, got := l.snapshot(false, false), l.cache.snapshotForFill()
 	if len(want.Jobs) == 0 || len(want.Machines) == 0 {
 		if got != nil {
-			return "there is nothing to decide"
+			return "fill: a snapshot although there are no jobs or no machines"
 		}
 	} else if got == nil {
-		return "there is something to decide"
+		return "fill: no snapshot although there are jobs and machines"
 	} else if d := firstDifference(want, got); d != "" {
 		return "fill: " + d
 	}
 	if d := firstDifference(want, l.cache.fullSnapshot()); d != "" {
-		return "whole: " + d
+		return "full: " + d
 	}
 	got = l.cache.snapshotForPlan()
 	d := firstDifference(l.snapshot(false, true), got)
@@ -99,8 +99,8 @@
 		cmpopts.IgnoreFields(scheduler.Snapshot{}, "Fleet"), cmpopts.IgnoreFields(scheduler.Machine{}, "Dirty"), cmpopts.EquateEmpty())
 }
 
-// snapshot builds a snapshot of all machines and jobs anew, as each pass did before there was a
-// scheduler cache. It is the oracle of that cache.
+// snapshot builds a snapshot of all machines and jobs from the cluster state, without the scheduler cache. It is the test
+// oracle of the cache.
 func (l *leadership) snapshot(running, booting bool) *scheduler.Snapshot {
 	c := l.controller
 	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperQueueCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.views.readyCapacity()}
@@ -127,7 +127,7 @@
 		jobs[j] = sj
 		s.Jobs = append(s.Jobs, sj)
 	}
-	views := make([]scheduler.Machine, 0, len(l.state.Machines)) // one allocation for all
+	views := make([]scheduler.Machine, 0, len(l.state.Machines)) // allocated once for all machines
 	for _, m := range l.machines.sortedMachines() {
 		t := c.catalog.machineType(m.Type)
 		if t == nil {
@@ -154,8 +154,8 @@
 	return s
 }
 
-// A change of the cluster state of which the cache was not notified is found by the check, logged
-// once, and the next fill decides by the cluster state.
+// TestCacheDriftIsDetectedAndRepaired changes the cluster state without a notification of the cache. The cache's own
+// verification must detect the difference, log it once, and rebuild the cache for the next fill.
 func TestCacheDriftIsDetectedAndRepaired(t *testing.T) {
 	w := newWorld(t, 91)
 	lead := w.awaitLeader()
@@ -166,7 +166,7 @@
 	c.env.log = slog.New(slog.NewTextHandler(&logged, nil))
 	l := c.leadership
 	j := l.state.AddJob(&protocol.JobSpec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
-	j.Stored = true // it waits for ever, so that fills have a job to consider
+	j.Stored = true // no machine type matches, so that each fill has a waiting job
 	l.placement.runFill()
 	if d := differenceOfSnapshots(l); d != "" {
 		t.Fatal(d)
@@ -177,15 +177,15 @@
 		l.cache.verify()
 	}
 	if n := strings.Count(logged.String(), "differs from the cluster state"); n != 1 || !strings.Contains(logged.String(), m.ID) {
-		t.Errorf("logged %d times: %s", n, logged.String())
+		t.Errorf("the difference was logged %d times: %s", n, logged.String())
 	}
 	if d := differenceOfSnapshots(l); d != "" {
-		t.Errorf("after it was found: %s", d)
+		t.Errorf("difference after the repair: %s", d)
 	}
 }
 
-// A fill that can't place anything leaves the scheduler cache as it was: room that is kept for what
-// is expected, or held back for a gang, does not outlive the fill.
+// TestFillReservationsDoNotOutliveTheFill checks that a fill leaves no reservations in the scheduler cache: capacity that
+// it reserves for forecast arrivals or for a waiting gang must be released at its end.
 func TestFillReservationsDoNotOutliveTheFill(t *testing.T) {
 	w := newWorld(t, 92)
 	w.awaitLeader()
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -10,16 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// storedByOlder is the hash of everything that 0eeb63e, the last version without a feature gate,
-// sends to the state service in this test, with its times, by the tests' site.
+// storedByOlder holds, by test site, the hash of all requests and their times that 0eeb63e, the last version without a
+// feature gate, sends to the state service in this test.
 var storedByOlder = map[string]string{
 	"":       "c8a6f7db8bba2b04",
 	"scarce": "e4f172e11ea81db6",
 }
 
-// With the completion journal off, what is stored, and when, is byte for byte what the last version
-// without a feature gate stores: jobs, arrays, gangs, cancellations, machines that die, and two
-// failovers.
+// TestStoredBytesWithoutTheJournal checks that with the completion journal off, the requests to the state service and
+// their times equal those of the last version without a feature gate byte for byte. The history contains services,
+// arrays, gangs, a cancellation and failovers.
 func TestStoredBytesWithoutTheJournal(t *testing.T) {
 	w := newWorldWith(t, 191, nil)
 	hash := xxhash.New()
@@ -51,6 +51,6 @@
 	w.requireNoViolations()
 	got, want := fmt.Sprintf("%016x", hash.Sum64()), storedByOlder[os.Getenv("CLAYBARROW_TEST_SITE")]
 	if got != want {
-		t.Errorf("what is stored has the hash %s, 0eeb63e's is %s", got, want)
+		t.Errorf("hash %s of the requests to the state service, want %s as for 0eeb63e", got, want)
 	}
 }
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -15,8 +15,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// simulateFailover returns what a leader elected now would find: a leadership that has read the
-// store.
+// simulateFailover returns the leadership of a hypothetical new leader that has loaded all records from the store at this
+// moment.
 func (u *upgradeWorld) simulateFailover() *leadership {
 	core := New(u.cfgs[0], u.rng, u.nodes[0].controller.env.log)
 	core.env.now = u.Now()
@@ -35,9 +35,9 @@
 	return l
 }
 
-// checkSimulatedFailover compares what a failover would find with what runs: each attempt that is
-// on a machine is known there, and what was cleared from the workers' heartbeats is done. lost are
-// tasks that were done on a machine that died with them: they may be unknown.
+// checkSimulatedFailover compares the records that a new leader would load with the state of the machines: each attempt
+// that occupies a machine must be recorded for it, and each finished task that no worker reports any more must be
+// recorded as done. The tasks in lost may be missing, because they finished on a machine that died.
 func (u *upgradeWorld) checkSimulatedFailover(lost map[string]bool) {
 	l := u.simulateFailover()
 	reported := maps.Clone(lost)
@@ -54,20 +54,20 @@
 				continue
 			}
 			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Attempt}] == nil {
-				u.violated("a failover does not know that %s, attempt %d, is on %s", id, task.Attempt, worker.ID)
+				u.violated("the stored records lack %s, attempt %d, which runs on %s", id, task.Attempt, worker.ID)
 			}
 		}
 	}
 	for id := range u.finished {
 		uid, index, _ := clusterstate.ParseTaskName(id)
 		if j := l.state.Jobs[uid]; j != nil && !reported[id] && !j.IsDone(index) && !j.Spec.Service {
-			u.violated("a failover does not know that %s is done, and nobody reports it", id)
+			u.violated("the stored records lack the completion of %s, and no worker reports it", id)
 		}
 	}
 }
 
-// At each moment of a history with the journal a failover would find what it needs: while arrays
-// end, machines die, leaders end, transactions are late and their answers lost.
+// TestFailoverAtEachMoment checks at each tick that a new leader would load complete records, with the completion journal
+// on, while arrays complete, machines die, leaders crash, transactions are delayed and their replies are lost.
 func TestFailoverAtEachMoment(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -104,16 +104,16 @@
 				}
 			}
 			if u.steps[journals] < 10 {
-				t.Errorf("the journal was written %d times", u.steps[journals])
+				t.Errorf("the journal was written %d times, want at least 10", u.steps[journals])
 			}
 			u.settleAndCheck()
 		})
 	}
 }
 
-// Journal entries that can't be decoded are logged and left where they are, and stop nothing else.
-// Entries of no use are compacted away, and a machine's record that is newer than an entry takes
-// precedence.
+// TestDamagedJournal checks that journal values which cannot be decoded are logged and kept, and do not prevent the
+// election of a leader. Entries for unknown jobs or machines are compacted, and a machine's record takes precedence over
+// an older journal entry.
 func TestDamagedJournal(t *testing.T) {
 	u := newUpgradeWorld(t, 510, defaultTopology)
 	u.openGate()
@@ -136,8 +136,8 @@
 	}
 	store(completionjournal.Key(1, 7), good(1, 7, completionjournal.Entry{Job: "j-999999"},
 		completionjournal.Entry{Job: "j-999999", Machine: "i-999999", Attempt: 3}, completionjournal.Entry{Job: "j-1", Index: 99_999}))
-	// A value that records that a replica has left, and the machine's record, which was written
-	// after it.
+	// A journal entry states that a replica has left its machine; the machine's record, which was written later, still
+	// holds the replica.
 	holder := u.machinesWithTasksOf("j-1")[0]
 	var rec clusterstate.MachineRecord
 	key := clusterstate.MachinePrefix + holder.ID
@@ -154,35 +154,35 @@
 	u.run(60 * second)
 	for _, key := range unreadable {
 		if u.state.Item(key) == nil {
-			t.Errorf("%s, which can't be decoded, is deleted", key)
+			t.Errorf("the undecodable journal value %s was deleted", key)
 		}
 		if !strings.Contains(logged.String(), fmt.Sprintf("key=%s ", key)) {
-			t.Errorf("%s is not logged", key)
+			t.Errorf("the undecodable journal value %s was not logged", key)
 		}
 	}
 	for _, n := range []uint64{7, 8} {
 		if u.state.Item(completionjournal.Key(1, n)) != nil {
-			t.Errorf("%s is still there", completionjournal.Key(1, n))
+			t.Errorf("the journal value %s was not deleted by compaction", completionjournal.Key(1, n))
 		}
 	}
 	if !strings.Contains(logged.String(), "unreadable=6") {
-		t.Error("the number of unreadable values is not logged")
+		t.Error("the number of unreadable journal values was not logged")
 	}
 	for _, task := range []string{"j-1/0", "j-1/1", "j-1/2", "j-1/3"} {
 		if u.starts[task] > 1+u.moved[task] {
-			t.Errorf("%s began %d times", task, u.starts[task])
+			t.Errorf("task %s started %d times", task, u.starts[task])
 		}
 	}
 	u.requireNoViolations()
 }
 
-// A leader record in an unknown form, or one that can't be decoded: nobody campaigns, users are
-// told to retry later, and what is stored stays as it is.
+// TestLeaderRecordFromTheFuture covers a leader record with an unknown storage version and one that cannot be decoded. No
+// controller may campaign, users are told to retry later, and the stored record stays unchanged.
 func TestLeaderRecordFromTheFuture(t *testing.T) {
 	for name, value := range map[string]any{
-		"a later form":      leaderRecord{Label: "n9", Token: 40, StorageVersion: uint64(newestStorageVersion) + 1},
-		"other than a map":  []int{1, 2},
-		"fields of another": map[string]any{"l": 7, "n": "token"},
+		"a later version": leaderRecord{Label: "n9", Token: 40, StorageVersion: uint64(newestStorageVersion) + 1},
+		"not a map":       []int{1, 2},
+		"fields mistyped": map[string]any{"l": 7, "n": "token"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			u := newUpgradeWorld(t, 520, defaultTopology)
@@ -204,33 +204,33 @@
 			u.user(0, OpPoll, "j-1", func(s int, _ protocol.JobStatus) { status = s })
 			u.run(3 * second)
 			if u.leader() >= 0 || status != http.StatusServiceUnavailable || !bytes.Equal(u.state.Item(keyLeader).Value, stored) {
-				t.Errorf("leader %d, answer %d", u.leader(), status)
+				t.Errorf("leader %d, status %d, or the stored record has changed", u.leader(), status)
 			}
 		})
 	}
 }
 
-// The version statements of controllers keep the gate closed or close it; forms beyond the known
-// ones do neither.
+// TestStatementsOfForms checks which version statements of a controller prevent the feature gate from opening. A
+// statement of storage versions later than the known ones does not.
 func TestStatementsOfForms(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		statement *protocol.VersionStatement
 		open      bool
 	}{
-		{"later forms", &protocol.VersionStatement{Reads: 99, Writes: 99}, true},
+		{"later versions", &protocol.VersionStatement{Reads: 99, Writes: 99}, true},
 		{"reads less", &protocol.VersionStatement{}, false},
 		{"does not write", &protocol.VersionStatement{Reads: 1}, false},
 		{"writes what it does not read", &protocol.VersionStatement{Writes: 1}, false},
 		{"holds", &protocol.VersionStatement{Reads: 1, Writes: 1, Hold: true}, false},
-		{"nothing", nil, false},
+		{"no statement", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			u := newUpgradeWorld(t, 530, defaultTopology)
 			lead := u.awaitLeader()
 			stating := (lead + 1) % 3
 			u.script = func(node int, call Call) deliveryFault {
-				// This controller never leads, and the test sends its heartbeats.
+				// This controller cannot be elected, and the test sends its heartbeats.
 				return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
 			}
 			u.restartAll([]int{lead, stating, 3 - lead - stating}, newerOperator(""))
@@ -242,10 +242,10 @@
 				}
 			}
 			if lead := u.awaitLeader(); lead == stating {
-				t.Fatal("the controller with the statement leads")
+				t.Fatal("the controller whose statement is tested was elected")
 			}
 			if u.gateIs("open") != c.open {
-				t.Errorf("the gate is open %v", !c.open)
+				t.Errorf("gate open: %v", !c.open)
 			}
 		})
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -13,9 +13,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// ganglessLeader simulates, by script, a leader of the version that knows no gangs (4297efa): it
-// holds the leader key as that version writes it, answers the workers with its token, and does to
-// records and tasks what that version would, which takes a gang for an array.
+// ganglessLeader simulates a leader of version 4297efa, which does not support gangs. It stores the leader key as that
+// version does, replies to workers with its fencing token, and changes records and tasks as that version would, which
+// treats a gang as an array. The tests script its actions.
 type ganglessLeader struct {
 	w     *world
 	node  int
@@ -23,14 +23,14 @@
 	tries uint64
 }
 
-// startOlderLeader ends all controllers and makes the older version lead from one of them; the others
-// restart as they are now.
+// startOlderLeader crashes all controllers and makes one of them a leader of the older version. The other controllers
+// restart with the current version.
 func (w *world) startOlderLeader() *ganglessLeader {
 	w.t.Helper()
 	for i := range w.nodes {
 		w.crash(i)
 	}
-	w.until(10*second, "nobody leads", func() bool { return w.state.Item(keyLeader) == nil })
+	w.until(10*second, "the leader key has expired", func() bool { return w.state.Item(keyLeader) == nil })
 	var counter counterRecord
 	if err := protocol.Decode(w.state.Item(keyCounter).Value, &counter); err != nil {
 		w.t.Fatal(err)
@@ -50,7 +50,7 @@
 	return o
 }
 
-// resign resigns the leadership, and its process restarts as the newer version.
+// resign deletes the leader key and restarts the controller with the newer version.
 func (l *ganglessLeader) resign() {
 	l.w.t.Helper()
 	l.w.state.Change(keyLeader, nil)
@@ -58,7 +58,7 @@
 	l.w.awaitLeader()
 }
 
-// command sends commands to a machine; it returns false if they were refused.
+// command sends commands to a machine and reports whether the machine accepted them.
 func (l *ganglessLeader) command(worker *emulator.Worker, orders ...protocol.Command) bool {
 	body := protocol.CommandRequest{Token: l.token, Epoch: worker.Epoch, Commands: orders}
 	taken := false
@@ -66,8 +66,7 @@
 	return taken
 }
 
-// startTask starts a single task, under an attempt number of its own, which is made durable first, as
-// always.
+// startTask starts a single task with a new attempt number, which it first stores in the machine's record.
 func (l *ganglessLeader) startTask(worker *emulator.Worker, uid string, index int) {
 	l.w.t.Helper()
 	l.tries++
@@ -76,7 +75,7 @@
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Try: try})
 	})
 	if !l.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: clusterstate.TaskName(uid, index), Attempt: try}) {
-		l.w.t.Fatal("a run was refused")
+		l.w.t.Fatal("the machine rejected a run command")
 	}
 }
 
@@ -92,13 +91,13 @@
 	key := clusterstate.MachinePrefix + worker.ID
 	var rec clusterstate.MachineRecord
 	if it := l.w.state.Item(key); it == nil || protocol.Decode(it.Value, &rec) != nil {
-		l.w.t.Fatalf("no record of %s", worker.ID)
+		l.w.t.Fatalf("no readable record of machine %s", worker.ID)
 	}
 	change(&rec)
 	l.w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
 }
 
-// tasksOf returns the tasks of a job on a machine, by name and attempt number.
+// tasksOf returns the names and attempt numbers of a job's tasks on a machine, sorted.
 func tasksOf(worker *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
 	for name, t := range worker.Tasks {
 		if task, _, _ := strings.Cut(name, "@"); t.UID == uid {
@@ -109,39 +108,40 @@
 	return out
 }
 
-// startGangOnTwoMachines starts a gang of four on two machines beside replicas.
+// startGangOnTwoMachines submits a gang of four tasks that is spread over two machines, after replicas run.
 func (w *world) startGangOnTwoMachines() {
 	w.t.Helper()
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
-	w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
+	w.until(90*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
 	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
 }
 
-// A gang that the newer version accepted and started runs on under an older leader, and under the
-// next one, until its only end.
+// TestRunningGangUnderAnOlderLeader checks that a gang which the newer version started keeps running under an older
+// leader and under the next newer leader, and completes without a restart.
 func TestRunningGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 121)
 	w.startGangOnTwoMachines()
-	w.until(30*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	o := w.startOlderLeader()
 	w.run(8 * second)
 	o.resign()
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	if w.machines.GangStarts["j-1"] != 1 {
-		t.Errorf("it began %d times", w.machines.GangStarts["j-1"])
+		t.Errorf("the gang started %d times", w.machines.GangStarts["j-1"])
 	}
 	w.settle()
 }
 
-// A gang that is gathering loses a task; an older leader replaces it alone, under another attempt
-// number. The next leader clears all of the gang and starts it whole.
+// TestHalfGatheredGangUnderAnOlderLeader covers a gathering gang that loses the tasks of one machine. An older leader
+// replaces only these tasks, with other attempt numbers, so the gang must not start. The next newer leader must clear the
+// whole gang and start it again with one attempt number.
 func TestHalfGatheredGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 122)
 	w.pulls = func(string) time.Duration { return 15 * second }
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
-	w.until(120*second, "machines are up", func() bool { return w.running("j-9") == 3 })
+	w.until(120*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
 	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
-	w.until(10*second, "it is pulling", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
+	w.until(10*second, "tasks of the gang are on two machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
 	lost := w.machinesWithTasksOf("j-1")[0]
 	tasks := tasksOf(lost, "j-1")
 	lost.Die()
@@ -154,21 +154,21 @@
 	}
 	w.run(5 * second)
 	if w.machines.GangStarts["j-1"] != 0 {
-		t.Fatal("two numbers make a whole")
+		t.Fatal("the gang started with two attempt numbers")
 	}
 	o.resign()
-	w.until(40*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(40*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
-// An older leader stops a part of a running gang, as it would stop an array's tasks. The gang falls
-// back and starts again, whole, when the version of the leader changes.
+// TestHalfStoppedGangUnderAnOlderLeader covers an older leader that stops some tasks of a running gang, as it would stop an
+// array's tasks. After the next failover to a newer leader the whole gang must start again.
 func TestHalfStoppedGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 123)
 	w.runs = func(string) time.Duration { return 40 * second }
 	w.startGangOnTwoMachines()
-	w.until(30*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	o := w.startOlderLeader()
 	worker := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasksOf(worker, "j-1") {
@@ -176,21 +176,22 @@
 	}
 	w.run(time.Second)
 	o.resign()
-	w.until(40*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+	w.until(40*second, "the gang has started again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
 	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
-// All tasks of a gang are done; an older leader has stored and cleared only some of them when it
-// ends, and the machine with the others dies. One is done, so all are: nothing is started again.
+// TestHalfDoneGangUnderAnOlderLeader covers a gang whose tasks are all done when an older leader ends after it has stored
+// and cleared only some of the completions, and the machine with the other tasks dies. Because a gang's tasks complete
+// together, one stored completion marks the gang as done, and no task may be started again.
 func TestHalfDoneGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 124)
 	w.runs = func(string) time.Duration { return 12 * second }
 	w.startGangOnTwoMachines()
-	w.until(30*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(8 * second)
 	o := w.startOlderLeader()
-	w.until(10*second, "it is done", func() bool { return w.finished["j-1/0"] })
+	w.until(10*second, "the gang is done", func() bool { return w.finished["j-1/0"] })
 	state := clusterstate.New(16<<10, 16<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 4}, 1)
 	stored := 0
@@ -219,13 +220,13 @@
 	w.awaitStatus(5*second, "j-1", protocol.JobDone)
 	w.run(40 * second)
 	if w.machines.GangStarts["j-1"] != 1 {
-		t.Errorf("it began %d times", w.machines.GangStarts["j-1"])
+		t.Errorf("the gang started %d times", w.machines.GangStarts["j-1"])
 	}
 	w.settle()
 }
 
-// An older leader stores the request to cancel a gang, in a record that no longer states that it is
-// a gang, and ends. The next leader stops all of it, and its user gets the confirmation.
+// TestCancelledGangUnderAnOlderLeader covers an older leader that stores the cancellation of a gang in a job record without
+// the gang flag, and then ends. The next leader must stop all tasks of the gang and confirm the cancellation to the user.
 func TestCancelledGangUnderAnOlderLeader(t *testing.T) {
 	for _, state := range []string{"gathering", "running"} {
 		t.Run(state, func(t *testing.T) {
@@ -239,7 +240,7 @@
 				}
 			}
 			w.startGangOnTwoMachines()
-			w.until(30*second, "it is on machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
+			w.until(30*second, "tasks of the gang are on two machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
 			w.run(3 * second)
 			o := w.startOlderLeader()
 			key := clusterstate.JobPrefix + "j-1"
@@ -258,17 +259,17 @@
 	}
 }
 
-// An older process comes back after all were upgraded, leads for longer than a gang waits, and
-// starts the tasks of a waiting gang one by one. What it still sends after its end is refused, and
-// the gang runs whole.
+// TestOldProcessComesBackAfterTheUpgrade covers a process of the older version that is elected after all controllers were
+// upgraded, and starts tasks of a waiting gang one at a time. It leads for less or for more time than a gang's tasks wait
+// for each other. Machines must reject its commands after it has resigned, and the gang must start as a whole.
 func TestOldProcessComesBackAfterTheUpgrade(t *testing.T) {
 	for _, leads := range []time.Duration{2 * second, 33 * second} {
 		t.Run(fmt.Sprintf("leads for %v", leads), func(t *testing.T) {
 			w := newGateClosedWorld(t, 126)
 			w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
-			w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
+			w.until(90*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
 			w.cloud.Down = true
-			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // room for three
+			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // there is room for three of the four tasks
 			w.run(3 * second)
 			o := w.startOlderLeader()
 			for i, worker := range w.machinesWithTasksOf("j-9") {
@@ -279,22 +280,22 @@
 			w.run(5 * second)
 			worker := w.machinesWithTasksOf("j-9")[0]
 			if o.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
-				t.Error("a command of the old process was taken")
+				t.Error("a machine accepted a command of the older leader after it had resigned")
 			}
 			w.cloud.Down = false
-			w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+			w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			w.awaitStatus(60*second, "j-1", protocol.JobDone)
 			w.settle()
 		})
 	}
 }
 
-// Older and newer leaders alternate while gangs and arrays come and go, with machines that die in
-// between: at the end everything is done, and no rule was violated.
+// TestLeadersOfBothVersionsTakeTurns alternates older and newer leaders while gangs and arrays are submitted and machines
+// die. All jobs must complete without a violated invariant.
 func TestLeadersOfBothVersionsTakeTurns(t *testing.T) {
 	w := newGateClosedWorld(t, 127)
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 4.0, "apart": true})
-	w.until(90*second, "machines are up", func() bool { return w.running("j-9") == 3 })
+	w.until(90*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
 	for turn := range 5 {
 		w.submit(fmt.Sprintf("j-%d0", turn), group(3, 1, map[string]any{"owner": "blue"}))
 		w.submit(fmt.Sprintf("j-%d1", turn), map[string]any{"shards": 3, "cores": 1.0})
@@ -314,8 +315,8 @@
 	w.settle()
 }
 
-// newGateClosedWorld creates a world whose operators hold the feature gate closed, as older
-// versions are to lead.
+// newGateClosedWorld creates a world whose operators' settings hold the feature gate closed, so that older versions can be
+// elected.
 func newGateClosedWorld(t *testing.T, seed uint64) *world {
 	t.Helper()
 	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdOn)))
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -7,23 +7,23 @@
 	"claybarrow/internal/protocol"
 )
 
-// The state service refuses the leader alone: it must not confirm to anybody what it can't know,
-// and another leads soon.
+// TestRefusedByStateAlone covers a leader whose requests the state service rejects, while it serves the other controllers.
+// The leader must not answer users from state that may be stale, and another leader must be elected within 10 s.
 func TestRefusedByStateAlone(t *testing.T) {
 	w := newWorld(t, 11)
 	w.submit("j-1", map[string]any{"shards": 4})
 	w.until(60*second, "tasks run", func() bool { return w.running("j-1") > 0 })
 	old := w.awaitLeader()
 	w.state.RefusedClients[old] = true
-	w.until(10*second, "another leader", func() bool { l := w.leader(); return l >= 0 && l != old })
+	w.until(10*second, "another leader is elected", func() bool { l := w.leader(); return l >= 0 && l != old })
 	w.user(old, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
 		if s != http.StatusServiceUnavailable && s != http.StatusOK {
-			t.Errorf("the refused leader answers %d", s)
+			t.Errorf("status %d for a known job from the leader that the state service rejects", s)
 		}
 	})
 	w.user(old, OpPoll, "j-99", func(s int, _ protocol.JobStatus) {
 		if s != http.StatusServiceUnavailable && s != http.StatusNotFound {
-			t.Errorf("the refused leader answers %d", s)
+			t.Errorf("status %d for an unknown job from the leader that the state service rejects", s)
 		}
 	})
 	w.run(20 * second)
@@ -32,7 +32,7 @@
 	w.requireNoViolations()
 }
 
-// The answers that users must get, also from a controller that does not lead.
+// TestUsersAnswers checks the status codes of replies to users, from the leader and from followers.
 func TestUsersAnswers(t *testing.T) {
 	w := newWorld(t, 12)
 	w.awaitLeader()
@@ -44,7 +44,7 @@
 			w.ask(i, Request{Op: op, UID: uid, Body: body}, func(r Reply) { got = r.Status })
 			w.run(second)
 			if got != want {
-				t.Errorf("%s at node %d: %d, want %d", name, i, got, want)
+				t.Errorf("%s at controller %d: status %d, want %d", name, i, got, want)
 			}
 		}
 	}
@@ -59,14 +59,14 @@
 	check("unknown cancel", OpCancel, "j-77", nil, 404)
 	w.submit("j-1", nil)
 	w.run(second)
-	// A malformed repeat of an accepted job is no reason to refuse it.
+	// A repeated submission of an accepted job is confirmed even if the repeat is malformed.
 	check("damaged repeat", OpSubmit, "", protocol.Encode(w.spec("j-1", map[string]any{"rank": "top"})), 200)
 	w.requireNoViolations()
 }
 
-// Connections between controllers are refused while all reach the state service: only the leader is
-// ready for users, and the others report that they are not. When they reach it again they are ready
-// too.
+// TestNotReadyWithoutTheLeader checks the readiness endpoint while requests between controllers are lost and all of them
+// reach the state service. Only the leader may report that it is ready. The followers become ready again when they reach
+// the leader.
 func TestNotReadyWithoutTheLeader(t *testing.T) {
 	w := newWorld(t, 33)
 	lead := w.awaitLeader()
@@ -82,16 +82,16 @@
 		return n
 	}
 	if n := fit(); n != 3 {
-		t.Fatalf("%d of 3 controllers are fit", n)
+		t.Fatalf("%d of 3 controllers are ready", n)
 	}
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(6 * second)
 	if n := fit(); n != 1 || w.leader() != lead {
-		t.Fatalf("%d controllers are fit, the leader is %d, was %d", n, w.leader(), lead)
+		t.Fatalf("%d controllers are ready, the leader is %d, was %d", n, w.leader(), lead)
 	}
 	w.script = nil
 	w.run(2 * second)
 	if n := fit(); n != 3 {
-		t.Fatalf("%d of 3 controllers are fit again", n)
+		t.Fatalf("%d of 3 controllers are ready again", n)
 	}
 }
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// The start of a replica is written before the starts of an array that waits already, also on a
-// machine that has one of these to be written.
+// TestReplicasStartBeforeAnArray checks that the start of a replica is written before the queued starts of an array, also
+// if a start of the array is queued for the same machine.
 func TestReplicasStartBeforeAnArray(t *testing.T) {
 	w := newWorld(t, 96)
 	l := w.leadership()
@@ -29,11 +29,11 @@
 	}
 	txn := l.store.BuildTransaction()
 	if txn == nil || len(txn.Puts) < 2 {
-		t.Fatal("no transaction")
+		t.Fatal("no transaction with at least two writes")
 	}
 	for i, id := range []string{"i-900099", "i-900098"} {
 		if got := txn.Puts[i]; got != clusterstate.MachinePrefix+id {
-			t.Errorf("write %d is %s, not that of %s", i, got, id)
+			t.Errorf("write %d puts %s, want the record of machine %s", i, got, id)
 		}
 	}
 }
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -10,7 +10,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// partitionZoneB cuts zone b, with the last controller, off from everything.
+// partitionZoneB partitions zone b, which holds the last controller, from the other zone, the state service and the
+// cloud.
 func (w *world) partitionZoneB() {
 	outside := func(addr string) bool {
 		worker := w.byAddr(addr)
@@ -22,7 +23,7 @@
 			return deliveryFault{lost: (node == 2) == outside(c.Addr)}
 		case ToPeer:
 			return deliveryFault{lost: (node == 2) != (c.Addr == "10.0.0.2:1")}
-		case ToState, ToCloud: // cut off from the last controller
+		case ToState, ToCloud: // unreachable for the last controller
 		}
 		return deliveryFault{lost: node == 2}
 	}
@@ -31,8 +32,8 @@
 	}
 }
 
-// replicasOverZones creates a world with two services that are spread over the zones, led from zone
-// b if inside is set.
+// replicasOverZones creates a world with two services whose replicas are spread over the zones. The leader is in zone b
+// if inside is set.
 func replicasOverZones(t *testing.T, seed uint64, inside bool) *world {
 	t.Helper()
 	w := newWorld(t, seed)
@@ -52,10 +53,9 @@
 	return w
 }
 
-// A zone is cut off for much longer than a lease, once without and once with the leader in it: its
-// controller keeps the zone's workers, so that replicas which must be spread, and have nowhere else
-// to go, live on. A cancellation meanwhile is not confirmed before the task that nobody reaches is
-// proved absent.
+// TestFollowerKeepsItsZone partitions a zone for much longer than a lease, without and with the leader in it. The zone's
+// controller must keep renewing its workers' leases, so that replicas which must be spread, and fit nowhere else, keep
+// running. A cancellation during the partition must not be confirmed before the unreachable task is proved absent.
 func TestFollowerKeepsItsZone(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
@@ -71,7 +71,7 @@
 				w.run(second)
 				w.checkCancelledTasksEnded()
 				if w.lastReplies["j-2"] == protocol.JobCancelled && w.running("j-2") > 0 {
-					t.Fatal("a cancellation is confirmed with a task still there")
+					t.Fatal("the cancellation was confirmed while a task still runs")
 				}
 				if n := w.running("j-1"); n < 3 {
 					t.Fatalf("%d replicas run during the partition", n)
@@ -85,15 +85,15 @@
 	}
 }
 
-// The follower of a zone that is cut off ends. Nobody can know, so its tasks are started elsewhere
-// only when its lease has expired as well.
+// TestFollowerEndsDuringPartition covers a follower that crashes while its zone is partitioned. The leader cannot detect
+// the crash, so the zone's tasks may be started elsewhere only after the workers' leases have expired too.
 func TestFollowerEndsDuringPartition(t *testing.T) {
 	w := newWorld(t, 32)
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	if w.leader() == 2 {
-		t.Fatal("the leader is in the zone")
+		t.Fatal("the leader is in the partitioned zone")
 	}
 	w.partitionZoneB()
 	w.cloud.Down = true
@@ -107,8 +107,9 @@
 	w.requireNoViolations()
 }
 
-// The follower of a zone that is cut off ends and restarts at once: it has no state, but goes on
-// answering the zone's workers with the token they present.
+// TestFollowerRestartsDuringPartition covers a follower that crashes and restarts immediately while its zone is
+// partitioned. Although it has lost its state, it must keep renewing the leases of the zone's workers with the fencing
+// token that they present.
 func TestFollowerRestartsDuringPartition(t *testing.T) {
 	w := newWorld(t, 34)
 	w.awaitLeader()
@@ -123,7 +124,7 @@
 		if worker.Zone == "b" && worker.Up {
 			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(worker.Heartbeat())}, func(r Reply) {
 				if r.Status != http.StatusOK {
-					t.Errorf("a worker of the zone got %d", r.Status)
+					t.Errorf("status %d for a heartbeat of a worker in the partitioned zone", r.Status)
 				}
 			})
 		}
@@ -137,14 +138,14 @@
 	w.script, w.heartbeatFault = nil, nil
 	w.run(30 * second)
 	if n := w.running("j-1"); n != 4 {
-		t.Fatalf("%d of 4 replicas run after the cut", n)
+		t.Fatalf("%d of 4 replicas run after the partition", n)
 	}
 	w.requireNoViolations()
 }
 
-// A zone with the leader and one more controller is cut off, another leads outside, and the former
-// leader ends and restarts. It leads nobody, and must not be taken for the leader because of what
-// the other controller tells it: that one would stop renewing the zone's leases.
+// TestFormerLeaderRestartsDuringPartition partitions a zone with the leader and a follower. Another leader is elected
+// outside, and the former leader crashes and restarts. The follower's heartbeats must not make the restarted process
+// report itself as the leader: the follower would then stop renewing the leases of the zone's workers.
 func TestFormerLeaderRestartsDuringPartition(t *testing.T) {
 	for _, back := range []time.Duration{500 * time.Millisecond, 3 * second} {
 		t.Run(fmt.Sprintf("restarts after %v", back), func(t *testing.T) {
@@ -158,13 +159,13 @@
 			w.run(15 * second)
 			w.partitionZoneB()
 			cut := w.script
-			w.script = func(node int, c Call) deliveryFault { // from the rest, as it is the other zone's turn
+			w.script = func(node int, c Call) deliveryFault { // in this test, only zone b reaches the state service and the cloud
 				if c.Target == ToState || c.Target == ToCloud {
 					return deliveryFault{lost: node != 2}
 				}
 				return cut(node, c)
 			}
-			w.until(10*second, "another leads outside", func() bool { return w.nodes[2].controller.leadership != nil })
+			w.until(10*second, "a leader is elected in zone b", func() bool { return w.nodes[2].controller.leadership != nil })
 			w.run(15 * second)
 			w.crash(lead)
 			w.at(back, func() { w.boot(lead) })
@@ -172,12 +173,12 @@
 			for range 400 {
 				w.run(tick)
 				if n := w.running("j-1"); n != 6 {
-					t.Fatalf("back after %v: %d of 6 replicas run", back, n)
+					t.Fatalf("restart after %v: %d of 6 replicas run", back, n)
 				}
 				w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
 					var answer protocol.PeerHeartbeatReply
 					if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
-						w.violated("a follower calls itself the leader")
+						w.violated("the restarted former leader reports itself as the leader")
 					}
 				})
 			}
@@ -186,8 +187,9 @@
 	}
 }
 
-// A process that ends forgets whom it served: the leader has to assume that a new incarnation has
-// served until it was heard.
+// TestNewIncarnationMayHaveServed checks that the leader treats a new incarnation of a controller as if the previous one
+// had renewed workers' leases until the first heartbeat of the new one, because a restarted process has lost the time of
+// its last renewal.
 func TestNewIncarnationMayHaveServed(t *testing.T) {
 	w := newWorld(t, 35)
 	lead := w.awaitLeader()
@@ -197,25 +199,26 @@
 		w.ask(lead, Request{Op: OpPeerHeartbeat, Body: body}, func(Reply) {})
 	}
 	if lead == 2 {
-		t.Fatal("the leader is the peer")
+		t.Fatal("the leader is the controller whose heartbeats the test sends")
 	}
-	w.crash(2) // the script answers in its place
+	w.crash(2) // the test sends its heartbeats
 	touch("one", -1)
 	first := l.peers["n2"].lastServed
 	w.run(30 * second)
 	touch("one", 12_000)
 	if got := l.peers["n2"].lastServed; got != w.Now()-12*second || got <= first {
-		t.Fatalf("served at %v, 12 s ago was reported at %v", got, w.Now())
+		t.Fatalf("last lease renewal at %v, reported as 12 s ago at %v", got, w.Now())
 	}
 	w.run(5 * second)
 	touch("two", -1)
 	if got := l.peers["n2"].lastServed; got != w.Now() {
-		t.Fatalf("a new incarnation counts as having served until %v, not %v", got, w.Now())
+		t.Fatalf("last lease renewal of a new incarnation at %v, want %v", got, w.Now())
 	}
 }
 
-// A worker that comes back because it can't reach its zone's controller sends its heartbeats to the
-// leader for a while; but not if that controller has only ended.
+// TestWorkerComesBack covers a worker that returns to the leader because it cannot reach its zone's controller. It must
+// send its heartbeats to the leader for increasing periods. A short crash of the controller does not count as an
+// unreachable controller.
 func TestWorkerComesBack(t *testing.T) {
 	w := newWorld(t, 36)
 	lead := w.awaitLeader()
@@ -230,14 +233,14 @@
 	if far == nil || lead == 2 {
 		t.Fatal("no worker of the other zone, or the leader is there")
 	}
-	w.until(20*second, "its heartbeats go to its zone's controller", func() bool { return far.Controller == 2 })
+	w.until(20*second, "the worker sends heartbeats to its zone's controller", func() bool { return far.Controller == 2 })
 	l := w.nodes[lead].controller.leadership
 	w.crash(2)
 	w.run(4 * second)
 	w.boot(2)
-	w.until(30*second, "its heartbeats go there again", func() bool { return far.Controller == 2 })
+	w.until(30*second, "the worker sends heartbeats to its zone's controller again", func() bool { return far.Controller == 2 })
 	if n := l.state.Machines[far.ID].FailedRedirects; n > 1 {
-		t.Errorf("the end of a controller was taken for one that can't be reached %d times", n)
+		t.Errorf("%d failed redirects after a crash of the controller, want at most 1", n)
 	}
 	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
 		return deliveryFault{lost: worker == far && node == 2}
@@ -251,24 +254,24 @@
 		}
 	}
 	if n := l.state.Machines[far.ID].FailedRedirects; n < 3 || away > 6 {
-		t.Errorf("it came back %d times and still spends %d of 40 s at a controller that it can't reach", n, away)
+		t.Errorf("after %d failed redirects, the worker still sends heartbeats to the unreachable controller for %d of 40 s", n, away)
 	}
 	w.requireNoViolations()
 }
 
-// All controllers end during a partition, and the zone's only one with them: its workers search for
-// longer than a lease, so their tasks go on elsewhere without waiting for the partition to end. The
-// end of a leader alone is no such sign.
+// TestZoneIsDeclaredLost covers a crash of all controllers during a partition, including the only controller of the
+// partitioned zone. The zone's workers find no controller for longer than a lease, so the new leader must start their
+// tasks elsewhere without waiting for the end of the partition. A crash of the leader alone must not have this effect.
 func TestZoneIsDeclaredLost(t *testing.T) {
 	for _, all := range []bool{true, false} {
-		t.Run(fmt.Sprintf("all controllers end %v", all), func(t *testing.T) {
+		t.Run(fmt.Sprintf("all controllers crash %v", all), func(t *testing.T) {
 			w := newWorld(t, 37)
 			lead := w.awaitLeader()
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 4})
 			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 			w.run(15 * second)
 			if lead == 2 {
-				t.Fatal("the leader is in the zone")
+				t.Fatal("the leader is in the partitioned zone")
 			}
 			w.partitionZoneB()
 			w.run(8 * second)
@@ -291,11 +294,11 @@
 				}
 			}
 			if all != (returned > 0) {
-				t.Errorf("all ended %v, but %d machines of the zone were returned", all, returned)
+				t.Errorf("all controllers crashed: %v, but %d machines of the zone were released", all, returned)
 			}
 			w.run(20 * second)
 			if w.running("j-1") != 4 {
-				t.Errorf("all ended %v: %d of 4 replicas run 45 s later", all, w.running("j-1"))
+				t.Errorf("all controllers crashed: %v, %d of 4 replicas run 45 s later", all, w.running("j-1"))
 			}
 			w.script, w.heartbeatFault = nil, nil
 			w.run(30 * second)
