--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -22,24 +22,24 @@
 	}
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "apart": true, "cores": 4.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 8 })
-	var far []*emulator.Worker
+	var zoneWorkers []*emulator.Worker
 	for _, worker := range w.workers() {
 		if worker.Zone == "b" && len(worker.Tasks) > 0 {
-			far = append(far, worker)
+			zoneWorkers = append(zoneWorkers, worker)
 		}
 	}
-	if len(far) < 2 {
-		t.Fatalf("%d workers with tasks in the second zone, want at least 2", len(far))
+	if len(zoneWorkers) < 2 {
+		t.Fatalf("%d workers with tasks in the second zone, want at least 2", len(zoneWorkers))
 	}
-	there := func() bool {
-		for _, worker := range far {
+	sendToZoneController := func() bool {
+		for _, worker := range zoneWorkers {
 			if worker.Controller != 2 {
 				return false
 			}
 		}
 		return true
 	}
-	w.until(30*second, "the workers of zone b send heartbeats to their zone's controller", there)
+	w.until(30*second, "the workers of zone b send heartbeats to their zone's controller", sendToZoneController)
 	w.run(40 * second)
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
 	started := map[string]int{}
@@ -47,7 +47,7 @@
 		started[task] = n
 	}
 	w.run(60 * second)
-	for _, worker := range far {
+	for _, worker := range zoneWorkers {
 		if worker.Epoch > 1 {
 			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
@@ -58,13 +58,13 @@
 		}
 	}
 	w.heartbeatFault = nil
-	w.until(120*second, "the workers of zone b send heartbeats to their zone's controller again", there)
+	w.until(120*second, "the workers of zone b send heartbeats to their zone's controller again", sendToZoneController)
 	w.requireNoViolations()
 }
 
-// TestRouteIsTriedOneWorkerAtATime checks that the leader probes a route with a single worker until a heartbeat is
+// TestRouteProbesUseOneWorker checks that the leader probes a route with a single worker until a heartbeat is
 // forwarded by that controller, and that it backs off between probes if the workers return to the leader.
-func TestRouteIsTriedOneWorkerAtATime(t *testing.T) {
+func TestRouteProbesUseOneWorker(t *testing.T) {
 	const interval, lease = time.Second, 10 * time.Second
 	var rt heartbeatRoute
 	now := time.Minute
@@ -180,8 +180,8 @@
 }
 
 // TestHeartbeatBeforeClusterStateIsLoaded checks that a new leader which is still loading the cluster state renews a
-// worker's lease but sends no commands. The leader records the time of the reply, because a lease counts as expired only
-// when enough time has passed since then.
+// worker's lease but sends no commands. The leader records the time of the reply, because a lease counts as expired
+// only when enough time has passed since then.
 func TestHeartbeatBeforeClusterStateIsLoaded(t *testing.T) {
 	w := newWorld(t, 42)
 	lead := w.awaitLeader()
--- a/internal/controller/late_messages_test.go
+++ b/internal/controller/late_messages_test.go
@@ -9,9 +9,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// TestLostTransactionAnswers checks that jobs complete when every fifth transaction is applied but its reply is lost,
+// TestLostTransactionReplies checks that jobs complete when every fifth transaction is applied but its reply is lost,
 // and every seventh is applied long after its sender has timed out.
-func TestLostTransactionAnswers(t *testing.T) {
+func TestLostTransactionReplies(t *testing.T) {
 	w := newWorld(t, 4)
 	n := 0
 	w.script = func(_ int, c Call) deliveryFault {
@@ -40,9 +40,9 @@
 	w.requireNoViolations()
 }
 
-// TestLateRun covers run commands that reach their machines after a long delay: a task must not have been started on
-// another machine in the meantime, and must not start after its job was cancelled.
-func TestLateRun(t *testing.T) {
+// TestDelayedRunCommand covers run commands that reach their machines after a long delay: a task must not have been
+// started on another machine in the meantime, and must not start after its job was cancelled.
+func TestDelayedRunCommand(t *testing.T) {
 	w := newWorld(t, 5)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "the first job runs", func() bool { return w.running("j-0") == 1 })
@@ -73,12 +73,12 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 4.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.run(5 * second)
-	old := w.awaitLeader()
+	formerLeader := w.awaitLeader()
 	// The workers are partitioned before the leader crashes; their tasks keep running.
 	for _, worker := range w.workers() {
 		worker.Partitioned = true
 	}
-	w.crash(old)
+	w.crash(formerLeader)
 	l := w.awaitLeader()
 	for range 8 {
 		for _, worker := range w.workers() {
@@ -101,10 +101,10 @@
 	w.requireNoViolations()
 }
 
-// TestOldCopyIsNoProof covers a duplicate of a heartbeat that was sent before the task started. It reaches a new leader
-// while the machine is partitioned and another machine has room. Without the new leader's fencing token, the heartbeat
-// must not prove that the task is absent.
-func TestOldCopyIsNoProof(t *testing.T) {
+// TestOldHeartbeatIsNoProofOfAbsence covers a duplicate of a heartbeat that was sent before the task started. It
+// reaches a new leader while the machine is partitioned and another machine has room. Without the new leader's fencing
+// token, the heartbeat must not prove that the task is absent.
+func TestOldHeartbeatIsNoProofOfAbsence(t *testing.T) {
 	w := newWorld(t, 15)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "the first machine runs a task", func() bool { return w.running("j-0") == 1 })
@@ -141,9 +141,9 @@
 	w.requireNoViolations()
 }
 
-// TestLateTransactionChangesNothing covers a delayed transaction that accepts a job: its retry is applied, the job is
+// TestDelayedTransactionIsNotApplied covers a delayed transaction that accepts a job: its retry is applied, the job is
 // cancelled, and then the original transaction arrives. It must not restore the accepted job.
-func TestLateTransactionChangesNothing(t *testing.T) {
+func TestDelayedTransactionIsNotApplied(t *testing.T) {
 	w := newWorld(t, 16)
 	w.awaitLeader()
 	w.run(2 * second)
--- a/internal/controller/leader_keys_test.go
+++ b/internal/controller/leader_keys_test.go
@@ -9,13 +9,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// TestLeaderRecordsOfBothVersions checks the compatibility of leader records with versions 686f0af to 0eeb63e, which all
-// use the same encoding. This version decodes their record, and encodes the same bytes while the feature gate is closed.
-// The older versions decode the record of an open gate as a valid record and ignore the new fields.
+// TestLeaderRecordsOfBothVersions checks the compatibility of leader records with versions 686f0af to 0eeb63e, which
+// all use the same encoding. This version decodes their record, and encodes the same bytes while the feature gate is
+// closed. The older versions decode the record of an open gate as a valid record and ignore the new fields.
 func TestLeaderRecordsOfBothVersions(t *testing.T) {
-	const wrote = "84a16ca26e31a169a26162a16e07a17409"
+	const olderEncoding = "84a16ca26e31a169a26162a16e07a17409"
 	rec := leaderRecord{Label: "n1", Incarnation: "ab", Token: 7, LeaseID: 9}
-	raw, err := hex.DecodeString(wrote)
+	raw, err := hex.DecodeString(olderEncoding)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	if err := protocol.Decode(raw, &read); err != nil || read != rec {
 		t.Errorf("the older record is decoded as %+v, %v", read, err)
 	}
-	if got := hex.EncodeToString(protocol.Encode(rec)); got != wrote {
+	if got := hex.EncodeToString(protocol.Encode(rec)); got != olderEncoding {
 		t.Errorf("the record is encoded as %s", got)
 	}
 	type olderRecord struct {
@@ -41,7 +41,8 @@
 }
 
 // TestElectionConditions checks the conditions of the transaction that elects a leader. While the gate is closed they
-// equal those of older versions. Otherwise the leader key must be unchanged since it was read, and the lease key absent.
+// equal those of older versions. Otherwise the leader key must be unchanged since it was read, and the lease key
+// absent.
 func TestElectionConditions(t *testing.T) {
 	former := &leaderRecord{Label: "n9", Token: 4, StorageVersion: 1, Closing: true}
 	for _, c := range []struct {
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -17,7 +17,7 @@
 // partition ends.
 func (w *world) partitionZones(refused bool, lasts time.Duration) {
 	end := w.Now() + lasts
-	nothing := deliveryFault{lost: !refused, refused: refused}
+	cut := deliveryFault{lost: !refused, refused: refused}
 	w.unreachable = map[string]bool{} // a delayed connection attempt times out
 	for _, cfg := range w.cfgs {
 		w.unreachable[cfg.PeerListen] = !refused
@@ -26,7 +26,7 @@
 		switch c.Target {
 		case ToWorker:
 			if worker := w.byAddr(c.Addr); worker != nil && worker.Zone != w.topology.controllers[node] {
-				return nothing
+				return cut
 			}
 		case ToPeer:
 			if w.zoneOfPeer(c.Addr) == w.topology.controllers[node] {
@@ -35,14 +35,14 @@
 			if !refused {
 				return deliveryFault{hold: end - w.Now(), answerLost: true}
 			}
-			return nothing
+			return cut
 		case ToState, ToCloud: // reachable from both zones
 		}
 		return deliveryFault{}
 	}
 	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
 		if worker.Zone != w.topology.controllers[node] {
-			return nothing
+			return cut
 		}
 		return deliveryFault{}
 	}
@@ -92,9 +92,9 @@
 			epochs[worker.ID] = worker.Epoch
 		}
 	}
-	var out bytes.Buffer
+	var logged bytes.Buffer
 	for _, n := range w.nodes {
-		n.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
+		n.controller.env.log = slog.New(slog.NewTextHandler(&logged, nil))
 	}
 	w.partitionZones(refused, 40*second)
 	for range 40 {
@@ -106,11 +106,11 @@
 	if w.leader() != lead {
 		t.Errorf("leader %d, was %d", w.leader(), lead)
 	}
-	if n := strings.Count(out.String(), "leader observed"); n > 0 {
+	if n := strings.Count(logged.String(), "leader observed"); n > 0 {
 		t.Errorf("the unchanged leader was logged %d times as observed", n)
 	}
-	// After the partition, machines answer the leader's direct requests before the first heartbeat is forwarded by their
-	// zone's controller. The leader must not move tasks in that interval.
+	// After the partition, machines answer the leader's direct requests before the first heartbeat is forwarded by
+	// their zone's controller. The leader must not move tasks in that interval.
 	starts := w.totalStarts()
 	w.script, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
@@ -125,7 +125,7 @@
 		t.Errorf("%d tasks were started again after the partition", n-starts)
 	}
 	for _, worker := range w.workers() {
-		if epoch, had := epochs[worker.ID]; had && epoch != worker.Epoch {
+		if epoch, recorded := epochs[worker.ID]; recorded && epoch != worker.Epoch {
 			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
 	}
@@ -170,25 +170,25 @@
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(8 * second)
 	core := w.nodes[2].controller
-	sent := func(machine string, tasks int) bool {
+	redirected := func(machine string, tasks int) bool {
 		msg := &protocol.WorkerHeartbeat{Machine: machine, Zone: "b", Token: 1, Tasks: make([]protocol.TaskStatus, tasks)}
 		return !core.follower.tryRenewLeaseForLeader(msg)
 	}
-	if sent("i-1", 3) {
+	if redirected("i-1", 3) {
 		t.Error("a worker with tasks is redirected first")
 	}
-	if !sent("i-2", 0) || sent("i-3", 0) {
+	if !redirected("i-2", 0) || redirected("i-3", 0) {
 		t.Error("not exactly one worker without tasks is redirected")
 	}
 	w.run(5 * second)
-	if sent("i-2", 0) {
+	if redirected("i-2", 0) {
 		t.Error("a worker that returned from the leader is redirected again")
 	}
 	w.run(core.env.workerFailoverTime() + time.Second)
-	if !sent("i-3", 0) || sent("i-2", 0) {
+	if !redirected("i-3", 0) || redirected("i-2", 0) {
 		t.Error("the next probe does not use exactly one other worker")
 	}
-	w.until(core.env.cfg.OutageTolerance(), "a worker with tasks is redirected", func() bool { return sent("i-1", 3) })
+	w.until(core.env.cfg.OutageTolerance(), "a worker with tasks is redirected", func() bool { return redirected("i-1", 3) })
 	if core.env.now < core.follower.contact.leaderLostAt+core.env.cfg.OutageTolerance()/2 {
 		t.Error("a worker with tasks is redirected before half of the outage tolerance")
 	}
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -52,12 +52,12 @@
 	}
 }
 
-// TestLargeArrayAcrossLowerLimits covers an array of 40,000 tasks whose completions were stored under the previous limit.
-// Its last tasks complete under the lower limit, across a failover. Completed tasks must not be started again, the new
-// completions must be stored, and the job must become done.
+// TestLargeArrayAcrossLowerLimits covers an array of 40,000 tasks whose completions were stored under the previous
+// limit. Its last tasks complete under the lower limit, across a failover. Completed tasks must not be started again,
+// the new completions must be stored, and the job must become done.
 func TestLargeArrayAcrossLowerLimits(t *testing.T) {
 	const tasks = 40_000
-	open := []int{5, 20_000, 39_998, 39_999}
+	waitingTasks := []int{5, 20_000, 39_998, 39_999}
 	w := newWorld(t, 132)
 	w.awaitLeader()
 	w.runs = func(task string) time.Duration {
@@ -75,7 +75,7 @@
 	state := clusterstate.New(16<<10, 16<<10)
 	j := state.AddJob(spec, 1)
 	for i := range tasks {
-		if i != open[0] && i != open[1] && i < open[2] {
+		if i != waitingTasks[0] && i != waitingTasks[1] && i < waitingTasks[2] {
 			j.MarkDone(i)
 			w.finished[clusterstate.TaskName("j-1", i)] = true
 		}
@@ -98,7 +98,7 @@
 			t.Errorf("task %s started %d times", task, times)
 		}
 	}
-	if started != len(open) || w.state.TooLarge > 0 {
+	if started != len(waitingTasks) || w.state.TooLarge > 0 {
 		t.Errorf("%d tasks were started, %d transactions exceeded the limits", started, w.state.TooLarge)
 	}
 	w.run(5 * second)
@@ -130,9 +130,9 @@
 	w.settle()
 }
 
-// TestCompletionsOfJobsThatAreOverAreDeleted checks that a new leader deletes completion records of finished jobs that
+// TestCompletionsOfFinishedJobsAreDeleted checks that a new leader deletes completion records of finished jobs that
 // an earlier leader left in the store.
-func TestCompletionsOfJobsThatAreOverAreDeleted(t *testing.T) {
+func TestCompletionsOfFinishedJobsAreDeleted(t *testing.T) {
 	w := newWorld(t, 134)
 	lead := w.awaitLeader()
 	for _, key := range []string{"d/j-7/0", "p/j-7/3"} {
--- a/internal/controller/machine_redirection_test.go
+++ b/internal/controller/machine_redirection_test.go
@@ -8,8 +8,9 @@
 	"claybarrow/internal/membership"
 )
 
-// sameZone moves all controllers into the first zone, so that they share the ownership of its machines.
-func (w *world) sameZone() {
+// moveControllersToFirstZone moves all controllers into the first zone, so that they share the ownership of its
+// machines.
+func (w *world) moveControllersToFirstZone() {
 	for i, cfg := range w.cfgs {
 		cfg.Zone = "a"
 		for k := range cfg.Siblings {
@@ -21,16 +22,16 @@
 
 // controllersInFirstZone maps each running machine of the first zone to the index of its controller.
 func (w *world) controllersInFirstZone() map[string]int {
-	out := map[string]int{}
+	controllers := map[string]int{}
 	for _, worker := range w.workers() {
 		if worker.Up && !worker.Deleted && worker.Zone == w.topology.zones[0] {
-			out[worker.ID] = worker.Controller
+			controllers[worker.ID] = worker.Controller
 		}
 	}
-	return out
+	return controllers
 }
 
-func (w *world) byID(id string) *emulator.Worker {
+func (w *world) workerByID(id string) *emulator.Worker {
 	for _, worker := range w.workers() {
 		if worker.ID == id {
 			return worker
@@ -44,21 +45,21 @@
 // Suspicion of a controller must not move any machine.
 func TestMachinesMoveOncePerDeath(t *testing.T) {
 	w := newMembershipWorld(t, 970)
-	w.sameZone()
+	w.moveControllersToFirstZone()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "cores": 4.0, "yard": "a"})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "cores": 4.0, "yard": "a", "owner": "blue"})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 8 && w.running("j-2") == 4 })
-	settled := func() bool {
+	allWithOwners := func() bool {
 		l := w.leadership()
 		for _, m := range l.state.Machines {
-			worker := w.byID(m.ID)
+			worker := w.workerByID(m.ID)
 			if worker != nil && worker.Up && !worker.Deleted && m.Zone == "a" && label(worker.Controller) != l.router.ownerOf(m) {
 				return false
 			}
 		}
 		return true
 	}
-	w.until(60*second, "each machine sends heartbeats to the controller that owns it", settled)
+	w.until(60*second, "each machine sends heartbeats to the controller that owns it", allWithOwners)
 	lead := w.awaitLeader()
 	before := w.controllersInFirstZone()
 	victim := -1
@@ -91,12 +92,12 @@
 			t.Errorf("machine %s moved from controller %d to %d after a suspicion", id, before[id], c)
 		}
 	}
-	w.until(60*second, "each machine sends heartbeats to the controller that owns it", settled)
+	w.until(60*second, "each machine sends heartbeats to the controller that owns it", allWithOwners)
 	w.nodes[lead].observer.redirected = nil
 	before = w.controllersInFirstZone()
 	w.crash(victim)
 	w.run(30 * second)
-	if !settled() {
+	if !allWithOwners() {
 		t.Errorf("not all machines send heartbeats to the controllers that own them")
 	}
 	for id, c := range w.controllersInFirstZone() {
@@ -114,7 +115,7 @@
 			t.Errorf("machine %s returned to a controller that is not steady yet", id)
 		}
 	}
-	w.until(60*second, "each machine sends heartbeats to the controller that owns it again", settled)
+	w.until(60*second, "each machine sends heartbeats to the controller that owns it again", allWithOwners)
 	for _, worker := range w.workers() {
 		if worker.Up && !worker.Deleted && worker.Epoch > 1 {
 			t.Errorf("the lease of worker %s expired", worker.ID)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -31,7 +31,7 @@
 // newMachines creates a fleet whose workers send their heartbeats to the world's controllers.
 func (w *world) newMachines() {
 	f := emulator.NewFleet(w.queue, emulator.Timing{HeartbeatInterval: time.Second, LeaseTTL: 10 * time.Second, FailoverDelay: time.Second,
-		RedirectDelay: 100 * time.Millisecond, GangStartTimeout: 30 * time.Second, GangPeerTimeout: gangPeer, CheckInterval: tick})
+		RedirectDelay: 100 * time.Millisecond, GangStartTimeout: 30 * time.Second, GangPeerTimeout: gangPeerTimeout, CheckInterval: tick})
 	f.Controllers = len(w.topology.controllers)
 	f.ControllerByName = func(name string) int {
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "n"))
@@ -113,19 +113,19 @@
 	if w.heartbeatFault != nil {
 		f = w.heartbeatFault(worker, node)
 	}
-	none := func() { w.at(w.heartbeatTimeout, func() { answer(0, nil) }) }
+	timeOut := func() { w.at(w.heartbeatTimeout, func() { answer(0, nil) }) }
 	if f.refused {
 		w.at(latency, func() { answer(0, nil) })
 		return
 	}
 	if f.lost || worker.HeartbeatsLost {
-		none()
+		timeOut()
 		return
 	}
 	w.at(latency, func() {
 		w.ask(node, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {
 			if f.answerLost || worker.Hung || worker.RepliesLost {
-				none()
+				timeOut()
 				return
 			}
 			answer(r.Status, r.Body)
@@ -164,8 +164,8 @@
 	if spec["together"].(bool) && total != zones[worker.Zone] {
 		w.violated("wrong_place: tasks of %s in two zones", t.UID)
 	}
-	for team, most := range map[string]float64{"red": 32, "blue": 16} {
-		if used[team] > most {
+	for team, quota := range map[string]float64{"red": 32, "blue": 16} {
+		if used[team] > quota {
 			w.violated("quota: team %s uses %v cores", team, used[team])
 		}
 	}
@@ -194,5 +194,5 @@
 	}
 }
 
-// gangPeer equals gang_peer_s in testConfig.
-const gangPeer = 5 * time.Second
+// gangPeerTimeout equals gang_peer_s in testConfig.
+const gangPeerTimeout = 5 * time.Second
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -12,8 +12,8 @@
 	isolated map[int]bool
 	// commandsLost lists the controllers whose direct commands to machines are lost.
 	commandsLost map[int]bool
-	// lateTransactions, delayedCommands and lostAnswers are shares of calls: transactions that are applied late without a
-	// reply, direct commands that are delayed by seconds, and direct commands whose reply is lost.
+	// lateTransactions, delayedCommands and lostAnswers are shares of calls: transactions that are applied late without
+	// a reply, direct commands that are delayed by seconds, and direct commands whose reply is lost.
 	lateTransactions, delayedCommands, lostAnswers float64
 	// slowState and slowLinks are upper bounds of the random delay of calls to the state service and of all calls.
 	slowState, slowLinks time.Duration
--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -10,7 +10,7 @@
 // file remove from its messages what such a version neither sends nor decodes: the version statement in heartbeats, the
 // gate's state in the leader record, and the lease key. The decoder of such a version drops unknown fields and ignores
 // unknown keys. The simulated controller's own messages and transactions equal those of 0eeb63e byte for byte, see
-// TestStoredBytesWithoutTheJournal.
+// TestStoredBytesWithoutJournal.
 
 // logSink passes each log line to a function.
 type logSink func(line []byte)
@@ -52,28 +52,28 @@
 		if protocol.Decode(body, &events) != nil {
 			return body
 		}
-		kept := events.Events[:0]
+		readable := events.Events[:0]
 		for _, e := range events.Events {
 			if e.Put != keyLease && e.Delete != keyLease {
 				e.Value = olderLeader(e.Put, e.Value)
-				kept = append(kept, e)
+				readable = append(readable, e)
 			}
 		}
-		events.Events = kept
+		events.Events = readable
 		return protocol.Encode(events)
 	case strings.HasPrefix(c.Path, "/store?under="+keyPrefix):
 		var items protocol.KeyValuePage
 		if protocol.Decode(body, &items) != nil {
 			return body
 		}
-		kept := items.Items[:0]
+		readable := items.Items[:0]
 		for _, it := range items.Items {
 			if it.Key != keyLease {
 				it.Value = olderLeader(it.Key, it.Value)
-				kept = append(kept, it)
+				readable = append(readable, it)
 			}
 		}
-		items.Items = kept
+		items.Items = readable
 		return protocol.Encode(items)
 	}
 	return body
--- a/internal/controller/placing_steps_test.go
+++ b/internal/controller/placing_steps_test.go
@@ -8,15 +8,15 @@
 	"claybarrow/internal/protocol"
 )
 
-// placingStep is a step in the placement of a replica at which the leader crashes.
-type placingStep struct {
+// placementStep is a step in the placement of a replica at which the leader crashes.
+type placementStep struct {
 	name string
 	// matches reports whether a call of the leader is this step. If delivered is set, the call still arrives.
 	matches   func(c Call) bool
 	delivered bool
 }
 
-func carriesVerb(c Call, verb string) bool {
+func sendsCommand(c Call, verb string) bool {
 	var body protocol.CommandRequest
 	if c.Target != ToWorker || protocol.Decode(c.Body, &body) != nil {
 		return false
@@ -29,8 +29,8 @@
 	return false
 }
 
-// writesUnder reports whether a transaction puts a key with the prefix.
-func writesUnder(c Call, prefix string) bool {
+// putsKeyWithPrefix reports whether a transaction puts a key with the prefix.
+func putsKeyWithPrefix(c Call, prefix string) bool {
 	var body struct {
 		Then []protocol.Change `msgpack:"apply"`
 	}
@@ -45,28 +45,28 @@
 	return false
 }
 
-var placingSteps = []placingStep{
-	{"before the job's write", func(c Call) bool { return writesUnder(c, "j/") }, false},
-	{"after the job's write, before its reply", func(c Call) bool { return writesUnder(c, "j/") }, true},
-	{"before the machine record's write", func(c Call) bool { return writesUnder(c, "m/") }, false},
-	{"after the machine record's write, before its reply", func(c Call) bool { return writesUnder(c, "m/") }, true},
-	{"before the run command", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, false},
-	{"after the run command, before its reply", func(c Call) bool { return carriesVerb(c, protocol.VerbRun) }, true},
-	{"before the completion's write", func(c Call) bool { return writesUnder(c, "d/") }, false},
-	{"after the completion's write", func(c Call) bool { return writesUnder(c, "d/") }, true},
-	{"before the clear command", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, false},
-	{"after the clear command", func(c Call) bool { return carriesVerb(c, protocol.VerbClear) }, true},
+var placementSteps = []placementStep{
+	{"before the job's write", func(c Call) bool { return putsKeyWithPrefix(c, "j/") }, false},
+	{"after the job's write, before its reply", func(c Call) bool { return putsKeyWithPrefix(c, "j/") }, true},
+	{"before the machine record's write", func(c Call) bool { return putsKeyWithPrefix(c, "m/") }, false},
+	{"after the machine record's write, before its reply", func(c Call) bool { return putsKeyWithPrefix(c, "m/") }, true},
+	{"before the run command", func(c Call) bool { return sendsCommand(c, protocol.VerbRun) }, false},
+	{"after the run command, before its reply", func(c Call) bool { return sendsCommand(c, protocol.VerbRun) }, true},
+	{"before the completion's write", func(c Call) bool { return putsKeyWithPrefix(c, "d/") }, false},
+	{"after the completion's write", func(c Call) bool { return putsKeyWithPrefix(c, "d/") }, true},
+	{"before the clear command", func(c Call) bool { return sendsCommand(c, protocol.VerbClear) }, false},
+	{"after the clear command", func(c Call) bool { return sendsCommand(c, protocol.VerbClear) }, true},
 }
 
-// placingFault is an additional fault around the crash of the leader.
-type placingFault struct {
+// placementFault is an additional fault around the crash of the leader.
+type placementFault struct {
 	name string
 	// fault applies to each call. If second is set, the next leader crashes too, while it loads the stored records.
-	fault  func(w *world, c Call) deliveryFault
-	second bool
+	fault             func(w *world, c Call) deliveryFault
+	crashSecondLeader bool
 }
 
-var placingFaults = []placingFault{
+var placingFaults = []placementFault{
 	{name: "no other fault"},
 	{name: "slow state service", fault: func(w *world, c Call) deliveryFault {
 		if c.Target == ToState {
@@ -74,41 +74,41 @@
 		}
 		return deliveryFault{}
 	}},
-	{name: "a second crash during the failover", second: true},
+	{name: "a second crash during the failover", crashSecondLeader: true},
 }
 
-// TestLeaderDiesAtEachStepOfPlacing crashes the leader at each step of a placement, alone and combined with a second
+// TestLeaderCrashAtEachPlacementStep crashes the leader at each step of a placement, alone and combined with a second
 // fault. No task may run twice, and no job may be orphaned.
-func TestLeaderDiesAtEachStepOfPlacing(t *testing.T) {
-	for s, step := range placingSteps {
+func TestLeaderCrashAtEachPlacementStep(t *testing.T) {
+	for s, step := range placementSteps {
 		for k, fault := range placingFaults {
 			t.Run(step.name+", "+fault.name, func(t *testing.T) {
 				w := newMembershipWorld(t, uint64(910+100*s+k))
-				killLeaderWhilePlacing(w, step, fault)
+				crashLeaderWhilePlacing(w, step, fault)
 			})
 		}
 	}
 }
 
-func killLeaderWhilePlacing(w *world, step placingStep, fault placingFault) {
+func crashLeaderWhilePlacing(w *world, step placementStep, fault placementFault) {
 	w.runs = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 3})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 3 })
 	w.run(10 * second)
-	died, again := false, false
+	crashed, secondCrashed := false, false
 	w.script = func(node int, c Call) deliveryFault {
 		f := deliveryFault{}
 		if fault.fault != nil {
 			f = fault.fault(w, c)
 		}
 		switch {
-		case !died && step.matches(c):
-			died = true
+		case !crashed && step.matches(c):
+			crashed = true
 			w.restart(node, 3*second)
 			w.crash(node)
 			f.lost, f.answerLost = !step.delivered, true
-		case died && fault.second && !again && c.Target == ToState && strings.HasPrefix(c.Path, "/store?under=j/"):
-			again = true
+		case crashed && fault.crashSecondLeader && !secondCrashed && c.Target == ToState && strings.HasPrefix(c.Path, "/store?under=j/"):
+			secondCrashed = true
 			w.restart(node, 3*second)
 			w.crash(node)
 			f.lost = true
@@ -117,27 +117,27 @@
 	}
 	w.submit("j-2", map[string]any{"shards": 2})
 	w.submit("j-3", map[string]any{"shape": "service", "shards": 2, "owner": "blue"})
-	w.until(60*second, "the leader crashes "+step.name, func() bool { return died })
+	w.until(60*second, "the leader crashes "+step.name, func() bool { return crashed })
 	w.until(120*second, "all replicas run", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
 	w.awaitStatus(120*second, "j-2", protocol.JobDone)
-	if fault.second && !again {
+	if fault.crashSecondLeader && !secondCrashed {
 		w.t.Error("the second leader did not crash")
 	}
 	w.settle()
 }
 
-// TestLateTransactionOfALeaderThatDied checks that a delayed transaction of a crashed leader, which arrives after the
+// TestDelayedTransactionOfCrashedLeader checks that a delayed transaction of a crashed leader, which arrives after the
 // failover, violates no invariant, whichever kind of record it writes.
-func TestLateTransactionOfALeaderThatDied(t *testing.T) {
+func TestDelayedTransactionOfCrashedLeader(t *testing.T) {
 	for _, prefix := range []string{"j/", "m/", "d/"} {
 		t.Run("a write under "+strings.TrimSuffix(prefix, "/"), func(t *testing.T) {
 			w := newMembershipWorld(t, 931)
 			w.runs = func(string) time.Duration { return 6 * second }
 			w.replicas()
-			died := false
+			crashed := false
 			w.script = func(node int, c Call) deliveryFault {
-				if !died && writesUnder(c, prefix) {
-					died = true
+				if !crashed && putsKeyWithPrefix(c, prefix) {
+					crashed = true
 					w.restart(node, 2*second)
 					w.crash(node)
 					return deliveryFault{hold: 15 * second, answerLost: true}
@@ -145,7 +145,7 @@
 				return deliveryFault{}
 			}
 			w.submit("j-3", map[string]any{"shards": 2})
-			w.until(60*second, "the leader crashes", func() bool { return died })
+			w.until(60*second, "the leader crashes", func() bool { return crashed })
 			w.awaitStatus(120*second, "j-3", protocol.JobDone)
 			w.run(20 * second)
 			w.settle()
--- a/internal/controller/preload_test.go
+++ b/internal/controller/preload_test.go
@@ -10,21 +10,21 @@
 	"claybarrow/internal/protocol"
 )
 
-// storeMany stores n records of completed jobs, so that a failover reads several pages.
-func (w *world) storeMany(n int) {
+// storeCompletedJobs stores n records of completed jobs, so that a failover reads several pages.
+func (w *world) storeCompletedJobs(n int) {
 	for i := range n {
 		w.state.Change(fmt.Sprintf("j/j-9%06d", i), &emulator.Item{Value: protocol.Encode(map[string]any{"s": protocol.JobDone, "n": 1})})
 	}
 }
 
-// TestSuccessorPreloadsClusterState checks that a follower preloads the stored records while it suspects the leader. When
-// the follower is elected, it must also know the leader's later writes. If there were more changes than the state
+// TestSuccessorPreloadsClusterState checks that a follower preloads the stored records while it suspects the leader.
+// When the follower is elected, it must also know the leader's later writes. If there were more changes than the state
 // service keeps, it must read all records again.
 func TestSuccessorPreloadsClusterState(t *testing.T) {
 	for _, tooMuch := range []bool{false, true} {
 		t.Run(fmt.Sprintf("too many changes %v", tooMuch), func(t *testing.T) {
 			w := newMembershipWorld(t, 990)
-			w.storeMany(3500)
+			w.storeCompletedJobs(3500)
 			w.replicas()
 			lead := w.awaitLeader()
 			w.submit("j-5", map[string]any{"shape": "service", "owner": "blue"})
@@ -33,15 +33,15 @@
 			w.script = func(node int, c Call) deliveryFault {
 				return deliveryFault{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
 			}
-			ahead := func() bool {
+			preloaded := func() bool {
 				for i, n := range w.nodes {
-					if a := n.controller.preparer.preparation.preload; i != lead && a != nil && a.finished {
+					if preload := n.controller.preparer.preparation.preload; i != lead && preload != nil && preload.finished {
 						return true
 					}
 				}
 				return false
 			}
-			w.until(10*second, "a follower has preloaded the records", ahead)
+			w.until(10*second, "a follower has preloaded the records", preloaded)
 			// The leader's last writes: a submitted job and a cancellation, which no preload has read.
 			w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
 				if r.Status != http.StatusCreated {
@@ -55,19 +55,19 @@
 			w.run(300 * time.Millisecond)
 			w.crash(lead)
 			w.script = func(_ int, c Call) deliveryFault {
-				if tooMuch && writesUnder(c, keyLeader) {
-					w.storeMany(25_000) // more changes than the state service keeps, immediately before the election
+				if tooMuch && putsKeyWithPrefix(c, keyLeader) {
+					w.storeCompletedJobs(25_000) // more changes than the state service keeps, immediately before the election
 				}
 				return deliveryFault{}
 			}
 			next := w.awaitLeader()
 			w.script = nil
 			w.run(15 * second)
-			h := w.nodes[next].observer.failovers
-			if len(h) == 0 {
+			failovers := w.nodes[next].observer.failovers
+			if len(failovers) == 0 {
 				t.Fatal("no failover was observed")
 			}
-			if got := h[len(h)-1].Preloaded; (got >= 3500) == tooMuch {
+			if got := failovers[len(failovers)-1].Preloaded; (got >= 3500) == tooMuch {
 				t.Errorf("too many changes %v: %d records were preloaded", tooMuch, got)
 			}
 			w.until(60*second, "the job submitted last runs", func() bool { return w.running("j-6") == 1 })
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -19,14 +19,14 @@
 		w.feed(i, Tick{})
 		held := n.held
 		n.held = nil
-		for _, do := range held {
-			do()
+		for _, handle := range held {
+			handle()
 		}
 	})
 }
 
-// TestPausedLeaderAfterFailover covers a leader whose process is paused beyond its lease and resumes after another leader
-// was elected. It must step down before it sends a command to a worker or declares a machine lost.
+// TestPausedLeaderAfterFailover covers a leader whose process is paused beyond its lease and resumes after another
+// leader was elected. It must step down before it sends a command to a worker or declares a machine lost.
 func TestPausedLeaderAfterFailover(t *testing.T) {
 	for _, d := range []time.Duration{8 * second, 30 * second, 2 * time.Minute} {
 		t.Run(fmt.Sprintf("paused for %v", d), func(t *testing.T) {
@@ -44,16 +44,16 @@
 			if !replaced {
 				t.Fatalf("no other leader was elected during a pause of %v", d)
 			}
-			old := w.nodes[lead].controller
+			formerLeader := w.nodes[lead].controller
 			commands := 0
 			w.script = func(node int, c Call) deliveryFault {
-				if node == lead && c.Target == ToWorker && old.leadership != nil {
+				if node == lead && c.Target == ToWorker && formerLeader.leadership != nil {
 					commands++
 				}
 				return deliveryFault{}
 			}
 			w.run(3 * second)
-			if old.leadership != nil {
+			if formerLeader.leadership != nil {
 				t.Errorf("the former leader has not stepped down after a pause of %v", d)
 			}
 			if commands > 0 {
@@ -88,14 +88,14 @@
 	w.settle()
 }
 
-// TestStallsAndResumes pauses the leader, the controller that relays a zone's heartbeats, or both, for half a lease up to
+// TestProcessPauses pauses the leader, the controller that relays a zone's heartbeats, or both, for half a lease up to
 // six leases. No task may run on two machines, and no task may be restarted because of a pause that is shorter than the
 // workers' leases.
-func TestStallsAndResumes(t *testing.T) {
+func TestProcessPauses(t *testing.T) {
 	lease := 1500 * time.Millisecond
 	for k, stall := range []time.Duration{lease / 2, lease, 3 * lease, 6 * lease} {
-		for _, who := range []string{"leader", "relay", "both"} {
-			t.Run(fmt.Sprintf("%s for %v", who, stall), func(t *testing.T) {
+		for _, pausedProcess := range []string{"leader", "relay", "both"} {
+			t.Run(fmt.Sprintf("%s for %v", pausedProcess, stall), func(t *testing.T) {
 				w := newMembershipWorld(t, uint64(940+k))
 				w.replicas()
 				lead := w.awaitLeader()
@@ -104,10 +104,10 @@
 					relay = 0
 				}
 				began := w.Now()
-				if who != "relay" {
+				if pausedProcess != "relay" {
 					w.pauseProcess(lead, stall)
 				}
-				if who != "leader" {
+				if pausedProcess != "leader" {
 					w.pauseProcess(relay, stall)
 				}
 				w.run(stall + 30*second)
@@ -122,7 +122,7 @@
 				}
 				if stall <= 6*lease {
 					for task, n := range w.starts {
-						if n > 1 && who != "both" {
+						if n > 1 && pausedProcess != "both" {
 							t.Errorf("task %s was started again", task)
 						}
 					}
@@ -133,22 +133,22 @@
 	}
 }
 
-// TestResumedLeaderDoesNothingFirst checks that a leader which resumes from a process pause rejects user requests with a
+// TestResumedLeaderWaitsForContact checks that a leader which resumes from a process pause rejects user requests with a
 // retry, renews no lease, claims no leadership, and sends no commands, writes or relayed requests until it has had
 // contact with another controller. Until then its state may be stale.
-func TestResumedLeaderDoesNothingFirst(t *testing.T) {
+func TestResumedLeaderWaitsForContact(t *testing.T) {
 	w := newMembershipWorld(t, 951)
 	w.replicas()
 	lead := w.awaitLeader()
 	n := w.nodes[lead]
 	w.pauseProcess(lead, 8*second)
 	w.run(8*second - time.Millisecond)
-	early := []string{}
+	prematureCalls := []string{}
 	w.script = func(node int, c Call) deliveryFault {
 		if node == lead && n.controller.pause.isRecovering() {
 			switch {
 			case c.Target == ToWorker, c.Path == "/multi", c.Path == "/relay", c.Path == "/forward":
-				early = append(early, c.Path)
+				prematureCalls = append(prematureCalls, c.Path)
 			}
 		}
 		return deliveryFault{}
@@ -184,8 +184,8 @@
 		}
 	})
 	w.run(5 * second)
-	if len(early) > 0 {
-		t.Errorf("calls %v before contact with another controller", early)
+	if len(prematureCalls) > 0 {
+		t.Errorf("calls %v before contact with another controller", prematureCalls)
 	}
 	if n.controller.pause.isRecovering() {
 		t.Error("the controller is still recovering after 5 s")
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestReconciliationOfReportedTasks checks that each task in a heartbeat has the outcome of its reported state, and that
-// none of them counts as absent.
+// TestReconciliationOfReportedTasks checks that each task in a heartbeat has the outcome of its reported state, and
+// that none of them counts as absent.
 func TestReconciliationOfReportedTasks(t *testing.T) {
 	state := clusterstate.New(16<<10, 16<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 2, Cores: 1}, 0)
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -52,36 +52,36 @@
 	}
 }
 
-// TestRefusedConnectionIsTriedOnceMore checks that a refused connection to the leader is retried exactly once, after a
+// TestRefusedConnectionIsRetriedOnce checks that a refused connection to the leader is retried exactly once, after a
 // pause. A user's request succeeds on the retry, or fails within the decision timeout with a request to retry later.
-func TestRefusedConnectionIsTriedOnceMore(t *testing.T) {
-	for _, again := range []bool{true, false} {
-		t.Run(fmt.Sprintf("refused again %v", again), func(t *testing.T) {
+func TestRefusedConnectionIsRetriedOnce(t *testing.T) {
+	for _, refusedAgain := range []bool{true, false} {
+		t.Run(fmt.Sprintf("refused again %v", refusedAgain), func(t *testing.T) {
 			w := newMembershipWorld(t, 956)
 			w.replicas()
 			lead := w.awaitLeader()
 			from := (lead + 1) % 3
-			var tries []time.Duration
+			var attempts []time.Duration
 			w.script = func(node int, c Call) deliveryFault {
 				if node != from || c.Path != "/relay" {
 					return deliveryFault{}
 				}
-				tries = append(tries, w.Now())
-				return deliveryFault{refused: again || len(tries) == 1}
+				attempts = append(attempts, w.Now())
+				return deliveryFault{refused: refusedAgain || len(attempts) == 1}
 			}
 			asked := w.Now()
 			status, answered := 0, time.Duration(0)
 			w.user(from, OpPoll, "j-1", func(got int, _ protocol.JobStatus) { status, answered = got, w.Now() })
 			w.run(2 * second)
 			want := 200
-			if again {
+			if refusedAgain {
 				want = 503
 			}
-			if len(tries) != 2 || status != want || answered-asked > decisionTimeout {
-				t.Errorf("refused again %v: %d attempts, status %d after %v", again, len(tries), status, answered-asked)
+			if len(attempts) != 2 || status != want || answered-asked > decisionTimeout {
+				t.Errorf("refused again %v: %d attempts, status %d after %v", refusedAgain, len(attempts), status, answered-asked)
 			}
-			if len(tries) == 2 && tries[1]-tries[0] < 50*time.Millisecond {
-				t.Errorf("retried after %v, want at least 50 ms", tries[1]-tries[0])
+			if len(attempts) == 2 && attempts[1]-attempts[0] < 50*time.Millisecond {
+				t.Errorf("retried after %v, want at least 50 ms", attempts[1]-attempts[0])
 			}
 			w.settle()
 		})
--- a/internal/controller/request_burst_test.go
+++ b/internal/controller/request_burst_test.go
@@ -9,14 +9,15 @@
 	"claybarrow/internal/protocol"
 )
 
-// TestManyRequestsAtOnce sends random submissions and cancellations under random faults, one sequence per fixed seed.
-func TestManyRequestsAtOnce(t *testing.T) {
+// TestRandomRequestsUnderFaults sends random submissions and cancellations under random faults, one sequence per fixed
+// seed.
+func TestRandomRequestsUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRequestBurst(t, 100+seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRandomRequests(t, 100+seed) })
 	}
 }
 
-func checkRequestBurst(t *testing.T, seed uint64) {
+func checkRandomRequests(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	var jobs []string
 	cancelled := map[string]bool{}
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -17,8 +17,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// upgradeWorld is a world whose controllers are upgraded one at a time under steady load, while it checks the invariants
-// of the feature gate and the completion journal.
+// upgradeWorld is a world whose controllers are upgraded one at a time under steady load, while it checks the
+// invariants of the feature gate and the completion journal.
 type upgradeWorld struct {
 	*world
 	// newerSince holds the time at which each controller started the newer version; 0 if it runs the older version.
@@ -32,11 +32,11 @@
 	onStep func(step gateStep, node int) deliveryFault
 	steps  map[gateStep]int // number of transactions sent, by step
 	// states lists the states of the gate in the order in which the leader key had them.
-	states []string
-	jobs   int
-	// moved counts, by task, how often the scheduler stopped the task to drain its machine or to preempt it. Such a task
-	// may be started once more for each stop.
-	moved map[string]int
+	states          []string
+	submittedArrays int
+	// plannedStops counts, by task, how often the scheduler stopped the task to drain its machine or to preempt it.
+	// Such a task may be started once more for each stop.
+	plannedStops map[string]int
 	// interrupts allows tasks to be started again, because the test lets workers' leases expire.
 	interrupts bool
 }
@@ -45,15 +45,15 @@
 type gateStep string
 
 const (
-	noStep    gateStep = ""
-	opens     gateStep = "opens"
-	closes    gateStep = "begins to close"
-	closed    gateStep = "closes"
-	elects    gateStep = "elects"
-	journals  gateStep = "writes the journal"
-	deletes   gateStep = "deletes from the journal"
-	loadEvery          = 3 * time.Second
-	loadRuns           = 5 * time.Second
+	noStep           gateStep = ""
+	opens            gateStep = "opens"
+	closes           gateStep = "begins to close"
+	closed           gateStep = "closes"
+	elects           gateStep = "elects"
+	journals         gateStep = "writes the journal"
+	deletes          gateStep = "deletes from the journal"
+	arrayInterval             = 3 * time.Second
+	arrayTaskRunTime          = 5 * time.Second
 )
 
 var wideShape = topology{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: defaultTopology.teams}
@@ -69,29 +69,29 @@
 const holdOn = "[upgrade]\nhold = true\n"
 
 // newUpgradeWorld creates a world with controllers of the older version, running replicas, and an array submitted every
-// loadEvery.
+// arrayInterval.
 func newUpgradeWorld(t *testing.T, seed uint64, shape topology) *upgradeWorld {
 	t.Helper()
 	u := &upgradeWorld{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
-		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, moved: map[string]int{}, announced: map[int]bool{}}
+		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, plannedStops: map[string]int{}, announced: map[int]bool{}}
 	w := u.world
-	w.runs = func(string) time.Duration { return loadRuns }
-	w.logged = u.readLog
+	w.runs = func(string) time.Duration { return arrayTaskRunTime }
+	w.logged = u.handleLogLine
 	w.script = u.fault
 	for i := range w.nodes {
 		u.restart(i, nil)
 	}
-	u.watchStore()
+	u.monitorStore()
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 2.0})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	u.submitArrays()
-	w.run(3 * loadEvery)
+	w.run(3 * arrayInterval)
 	return u
 }
 
-// readLog reports unreadable records and counts planned stops in a log line of a controller.
-func (u *upgradeWorld) readLog(node int, line []byte) {
+// handleLogLine reports unreadable records and counts planned stops in a log line of a controller.
+func (u *upgradeWorld) handleLogLine(node int, line []byte) {
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
 		u.violated("n%d: %s", node, line)
 	}
@@ -100,24 +100,24 @@
 		return
 	}
 	for field := range strings.FieldsSeq(string(line)) {
-		if task, is := strings.CutPrefix(field, "task="); is {
-			u.moved[task]++
+		if task, found := strings.CutPrefix(field, "task="); found {
+			u.plannedStops[task]++
 		}
 	}
 }
 
-// submitArrays submits a small array every loadEvery until the world settles.
+// submitArrays submits a small array every arrayInterval until the world settles.
 func (u *upgradeWorld) submitArrays() {
-	var next func()
-	next = func() {
+	var submitNext func()
+	submitNext = func() {
 		if u.calmSince != 0 {
 			return
 		}
-		u.jobs++
-		u.submit(fmt.Sprintf("j-%d", 1000+u.jobs), map[string]any{"shards": 3, "cores": 1.0, "owner": []string{"red", "blue"}[u.jobs%2]})
-		u.at(loadEvery, next)
+		u.submittedArrays++
+		u.submit(fmt.Sprintf("j-%d", 1000+u.submittedArrays), map[string]any{"shards": 3, "cores": 1.0, "owner": []string{"red", "blue"}[u.submittedArrays%2]})
+		u.at(arrayInterval, submitNext)
 	}
-	next()
+	submitNext()
 }
 
 // restart crashes a controller and starts the newer version with the given operators' settings, or the older version if
@@ -145,7 +145,7 @@
 }
 
 // leaderAt returns all controllers in an order in which the current leader has the given position.
-func (u *upgradeWorld) leaderAt(place int) []int {
+func (u *upgradeWorld) leaderAt(position int) []int {
 	lead := u.awaitLeader()
 	var order []int
 	for i := range u.nodes {
@@ -153,7 +153,7 @@
 			order = append(order, i)
 		}
 	}
-	return slices.Insert(order, place, lead)
+	return slices.Insert(order, position, lead)
 }
 
 // fault inspects each transaction that is sent to the state service, and returns the fault to inject for it.
@@ -230,20 +230,20 @@
 }
 
 // journalKeys returns the stored keys of the completion journal.
-func (u *upgradeWorld) journalKeys() (out []string) {
+func (u *upgradeWorld) journalKeys() (keys []string) {
 	for _, key := range u.state.Keys() {
 		if strings.HasPrefix(key, completionjournal.Prefix) {
-			out = append(out, key)
+			keys = append(keys, key)
 		}
 	}
-	return out
+	return keys
 }
 
-// watchStore checks the stored keys at each tick: the journal exists only while the leader record prevents the election of
-// an older version, and no older version leads while the gate is not closed.
-func (u *upgradeWorld) watchStore() {
-	var look func()
-	look = func() {
+// monitorStore checks the stored keys at each tick: the journal exists only while the leader record prevents the
+// election of an older version, and no older version leads while the gate is not closed.
+func (u *upgradeWorld) monitorStore() {
+	var check func()
+	check = func() {
 		rec, lease := u.stored()
 		if rec.StorageVersion == 0 && len(u.journalKeys()) > 0 {
 			u.violated("the journal is stored while an older version can be elected: %v", u.journalKeys())
@@ -259,9 +259,9 @@
 				u.violated("n%d runs the older version and leads while the gate is %s", i, rec.gateState())
 			}
 		}
-		u.at(tick, look)
+		u.at(tick, check)
 	}
-	look()
+	check()
 }
 
 // settleAndCheck ends the faults, waits for the outcome of all submitted jobs, and checks that no task was restarted
@@ -269,14 +269,14 @@
 func (u *upgradeWorld) settleAndCheck() {
 	u.t.Helper()
 	u.onStep = nil
-	restore := u.script
+	script := u.script
 	u.settle()
-	u.script = restore
+	u.script = script
 	if u.interrupts {
 		return
 	}
 	for _, task := range slices.Sorted(maps.Keys(u.starts)) {
-		if n := u.starts[task]; n > 1+u.moved[task] {
+		if n := u.starts[task]; n > 1+u.plannedStops[task] {
 			u.t.Errorf("task %s started %d times", task, n)
 		}
 	}
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -16,13 +16,13 @@
 	"claybarrow/internal/scheduler"
 )
 
-// compareEvery is the number of events between two comparisons of complete snapshots. It is odd so that the comparisons
-// follow every kind of event, also when events alternate.
-const compareEvery = 499
+// eventsPerComparison is the number of events between two comparisons of complete snapshots. It is odd so that the
+// comparisons follow every kind of event, also when events alternate.
+const eventsPerComparison = 499
 
-// checkSchedulerCache compares a leader's scheduler cache with the cluster state. After each event it compares the cache
-// entries that are not marked as changed. After every compareEvery events it compares complete snapshots with snapshots
-// that are built without the cache. Every simulated world runs this check.
+// checkSchedulerCache compares a leader's scheduler cache with the cluster state. After each event it compares the
+// cache entries that are not marked as changed. After every eventsPerComparison events it compares complete snapshots
+// with snapshots that are built without the cache. Every simulated world runs this check.
 func (w *world) checkSchedulerCache(l *leadership) {
 	for _, e := range l.cache.cachedMachines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
@@ -30,33 +30,33 @@
 		}
 	}
 	for _, j := range l.state.Jobs {
-		kept := l.cache.cachedJobs[j]
-		if kept == nil {
+		cached := l.cache.cachedJobs[j]
+		if cached == nil {
 			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.JobsToSchedule(), j) {
 				w.violated("job %s waits but is not in the scheduler cache", j.Spec.UID)
 			}
 			continue
 		}
-		if fresh, _ := j.WaitingTasks(maxWaitingTasks); kept.filled && kept.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finalizing && !slices.Equal(fresh, kept.waiting) {
-			w.violated("%s: waiting tasks %v, the scheduler cache has %v", j.Spec.UID, fresh, kept.waiting)
+		if fresh, _ := j.WaitingTasks(maxWaitingTasks); cached.filled && cached.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finalizing && !slices.Equal(fresh, cached.waiting) {
+			w.violated("%s: waiting tasks %v, the scheduler cache has %v", j.Spec.UID, fresh, cached.waiting)
 		}
 	}
-	if w.leaderEvents++; w.leaderEvents%compareEvery == 0 {
-		if d := differenceOfSnapshots(l); d != "" {
+	if w.leaderEvents++; w.leaderEvents%eventsPerComparison == 0 {
+		if d := compareSnapshots(l); d != "" {
 			w.violated("the cached snapshot differs from one built without the cache: %s", d)
 		}
 	}
 }
 
-// differenceOfSnapshots compares the cached snapshots for fills, plans and rounds with snapshots that are built without the
+// compareSnapshots compares the cached snapshots for fills, plans and rounds with snapshots that are built without the
 // cache. It returns the first difference, or an empty string.
-func differenceOfSnapshots(l *leadership) string {
-	since := map[*clusterstate.Job]time.Duration{}
+func compareSnapshots(l *leadership) string {
+	waitingSince := map[*clusterstate.Job]time.Duration{}
 	for _, j := range l.state.Jobs {
-		since[j] = j.WaitingSince
+		waitingSince[j] = j.WaitingSince
 	}
 	defer func() {
-		for j, at := range since {
+		for j, at := range waitingSince {
 			j.WaitingSince = at
 		}
 	}()
@@ -99,8 +99,8 @@
 		cmpopts.IgnoreFields(scheduler.Snapshot{}, "Fleet"), cmpopts.IgnoreFields(scheduler.Machine{}, "Dirty"), cmpopts.EquateEmpty())
 }
 
-// snapshot builds a snapshot of all machines and jobs from the cluster state, without the scheduler cache. It is the test
-// oracle of the cache.
+// snapshot builds a snapshot of all machines and jobs from the cluster state, without the scheduler cache. It is the
+// test oracle of the cache.
 func (l *leadership) snapshot(running, booting bool) *scheduler.Snapshot {
 	c := l.controller
 	s := &scheduler.Snapshot{Quotas: map[string]*scheduler.Quota{}, UpperQueueCap: c.env.cfg.Operator.Green.UpperCap, Capacity: l.views.readyCapacity()}
@@ -168,7 +168,7 @@
 	j := l.state.AddJob(&protocol.JobSpec{UID: "j-9", Class: "x", Team: "red", Tasks: 1, Cores: 1, MemoryGB: 1, Types: []string{"none"}}, c.env.wall)
 	j.Stored = true // no machine type matches, so that each fill has a waiting job
 	l.placement.runFill()
-	if d := differenceOfSnapshots(l); d != "" {
+	if d := compareSnapshots(l); d != "" {
 		t.Fatal(d)
 	}
 	m := w.leadership().machines.sortedMachines()[0]
@@ -179,13 +179,13 @@
 	if n := strings.Count(logged.String(), "differs from the cluster state"); n != 1 || !strings.Contains(logged.String(), m.ID) {
 		t.Errorf("the difference was logged %d times: %s", n, logged.String())
 	}
-	if d := differenceOfSnapshots(l); d != "" {
+	if d := compareSnapshots(l); d != "" {
 		t.Errorf("difference after the repair: %s", d)
 	}
 }
 
-// TestFillReservationsDoNotOutliveTheFill checks that a fill leaves no reservations in the scheduler cache: capacity that
-// it reserves for forecast arrivals or for a waiting gang must be released at its end.
+// TestFillReservationsDoNotOutliveTheFill checks that a fill leaves no reservations in the scheduler cache: capacity
+// that it reserves for forecast arrivals or for a waiting gang must be released at its end.
 func TestFillReservationsDoNotOutliveTheFill(t *testing.T) {
 	w := newWorld(t, 92)
 	w.awaitLeader()
@@ -210,7 +210,7 @@
 	add("j-3", func(s *protocol.JobSpec) { s.Cores = 7 })
 	for range 3 {
 		l.placement.runFill()
-		if d := differenceOfSnapshots(l); d != "" {
+		if d := compareSnapshots(l); d != "" {
 			t.Fatal(d)
 		}
 	}
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -10,17 +10,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// storedByOlder holds, by test site, the hash of all requests and their times that 0eeb63e, the last version without a
-// feature gate, sends to the state service in this test.
-var storedByOlder = map[string]string{
+// requestHashWithoutGate holds, by test site, the hash of all requests and their times that 0eeb63e, the last version
+// without a feature gate, sends to the state service in this test.
+var requestHashWithoutGate = map[string]string{
 	"":       "c8a6f7db8bba2b04",
 	"scarce": "e4f172e11ea81db6",
 }
 
-// TestStoredBytesWithoutTheJournal checks that with the completion journal off, the requests to the state service and
+// TestStoredBytesWithoutJournal checks that with the completion journal off, the requests to the state service and
 // their times equal those of the last version without a feature gate byte for byte. The history contains services,
 // arrays, gangs, a cancellation and failovers.
-func TestStoredBytesWithoutTheJournal(t *testing.T) {
+func TestStoredBytesWithoutJournal(t *testing.T) {
 	w := newWorldWith(t, 191, nil)
 	hash := xxhash.New()
 	w.script = func(node int, c Call) deliveryFault {
@@ -49,7 +49,7 @@
 	w.cancel("j-1")
 	w.run(60 * time.Second)
 	w.requireNoViolations()
-	got, want := fmt.Sprintf("%016x", hash.Sum64()), storedByOlder[os.Getenv("CLAYBARROW_TEST_SITE")]
+	got, want := fmt.Sprintf("%016x", hash.Sum64()), requestHashWithoutGate[os.Getenv("CLAYBARROW_TEST_SITE")]
 	if got != want {
 		t.Errorf("hash %s of the requests to the state service, want %s as for 0eeb63e", got, want)
 	}
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -15,8 +15,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// simulateFailover returns the leadership of a hypothetical new leader that has loaded all records from the store at this
-// moment.
+// simulateFailover returns the leadership of a hypothetical new leader that has loaded all records from the store at
+// this moment.
 func (u *upgradeWorld) simulateFailover() *leadership {
 	core := New(u.cfgs[0], u.rng, u.nodes[0].controller.env.log)
 	core.env.now = u.Now()
@@ -66,21 +66,22 @@
 	}
 }
 
-// TestFailoverAtEachMoment checks at each tick that a new leader would load complete records, with the completion journal
-// on, while arrays complete, machines die, leaders crash, transactions are delayed and their replies are lost.
-func TestFailoverAtEachMoment(t *testing.T) {
+// TestSimulatedFailoverAtEachTick checks at each tick that a new leader would load complete records, with the
+// completion journal on, while arrays complete, machines die, leaders crash, transactions are delayed and their replies
+// are lost.
+func TestSimulatedFailoverAtEachTick(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			u := newUpgradeWorld(t, 500+seed, defaultTopology)
 			u.openGate()
 			u.interrupts = true
-			turn, lost := 0, map[string]bool{}
+			stepCount, lost := 0, map[string]bool{}
 			u.onStep = func(step gateStep, _ int) deliveryFault {
-				turn++
-				if step != journals || turn%3 != 0 {
+				stepCount++
+				if step != journals || stepCount%3 != 0 {
 					return deliveryFault{}
 				}
-				return deliveryFault{hold: u.randomMilliseconds(0, 2000), answerLost: turn%2 == 0}
+				return deliveryFault{hold: u.randomMilliseconds(0, 2000), answerLost: stepCount%2 == 0}
 			}
 			for second := range 60 {
 				for range 10 {
@@ -112,8 +113,8 @@
 }
 
 // TestDamagedJournal checks that journal values which cannot be decoded are logged and kept, and do not prevent the
-// election of a leader. Entries for unknown jobs or machines are compacted, and a machine's record takes precedence over
-// an older journal entry.
+// election of a leader. Entries for unknown jobs or machines are compacted, and a machine's record takes precedence
+// over an older journal entry.
 func TestDamagedJournal(t *testing.T) {
 	u := newUpgradeWorld(t, 510, defaultTopology)
 	u.openGate()
@@ -128,24 +129,24 @@
 	good := func(token, number uint64, ends ...completionjournal.Entry) completionjournal.Value {
 		return completionjournal.Encode(token, number, ends)
 	}
-	truncated, altered, later := good(1, 1, completionjournal.Entry{Job: "j-1"}), good(1, 2, completionjournal.Entry{Job: "j-1"}), good(1, 3)
-	truncated.Body, altered.Sum, later.Form = truncated.Body[:4], altered.Sum+1, completionjournal.FormatVersion+1
+	truncated, altered, laterFormat := good(1, 1, completionjournal.Entry{Job: "j-1"}), good(1, 2, completionjournal.Entry{Job: "j-1"}), good(1, 3)
+	truncated.Body, altered.Sum, laterFormat.Form = truncated.Body[:4], altered.Sum+1, completionjournal.FormatVersion+1
 	unreadable := []string{completionjournal.Key(1, 1), completionjournal.Key(1, 2), completionjournal.Key(1, 3), completionjournal.Key(1, 4), "g/1/five", "g/1/6"}
-	for i, v := range []any{truncated, altered, later, good(2, 4), good(1, 5), "text"} {
+	for i, v := range []any{truncated, altered, laterFormat, good(2, 4), good(1, 5), "text"} {
 		store(unreadable[i], v)
 	}
 	store(completionjournal.Key(1, 7), good(1, 7, completionjournal.Entry{Job: "j-999999"},
 		completionjournal.Entry{Job: "j-999999", Machine: "i-999999", Attempt: 3}, completionjournal.Entry{Job: "j-1", Index: 99_999}))
 	// A journal entry states that a replica has left its machine; the machine's record, which was written later, still
 	// holds the replica.
-	holder := u.machinesWithTasksOf("j-1")[0]
+	machine := u.machinesWithTasksOf("j-1")[0]
 	var rec clusterstate.MachineRecord
-	key := clusterstate.MachinePrefix + holder.ID
+	key := clusterstate.MachinePrefix + machine.ID
 	if err := protocol.Decode(u.state.Item(key).Value, &rec); err != nil {
 		t.Fatal(err)
 	}
 	at := slices.IndexFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == "j-1" })
-	store(completionjournal.Key(1, 8), good(1, 8, completionjournal.Entry{Job: "j-1", Index: rec.Attempts[at].Index, Machine: holder.ID, Attempt: rec.Attempts[at].Try}))
+	store(completionjournal.Key(1, 8), good(1, 8, completionjournal.Entry{Job: "j-1", Index: rec.Attempts[at].Index, Machine: machine.ID, Attempt: rec.Attempts[at].Try}))
 	store(key, rec)
 	for i := range u.nodes {
 		u.boot(i)
@@ -169,16 +170,16 @@
 		t.Error("the number of unreadable journal values was not logged")
 	}
 	for _, task := range []string{"j-1/0", "j-1/1", "j-1/2", "j-1/3"} {
-		if u.starts[task] > 1+u.moved[task] {
+		if u.starts[task] > 1+u.plannedStops[task] {
 			t.Errorf("task %s started %d times", task, u.starts[task])
 		}
 	}
 	u.requireNoViolations()
 }
 
-// TestLeaderRecordFromTheFuture covers a leader record with an unknown storage version and one that cannot be decoded. No
+// TestUnknownLeaderRecord covers a leader record with an unknown storage version and one that cannot be decoded. No
 // controller may campaign, users are told to retry later, and the stored record stays unchanged.
-func TestLeaderRecordFromTheFuture(t *testing.T) {
+func TestUnknownLeaderRecord(t *testing.T) {
 	for name, value := range map[string]any{
 		"a later version": leaderRecord{Label: "n9", Token: 40, StorageVersion: uint64(newestStorageVersion) + 1},
 		"not a map":       []int{1, 2},
@@ -210,9 +211,9 @@
 	}
 }
 
-// TestStatementsOfForms checks which version statements of a controller prevent the feature gate from opening. A
+// TestVersionStatements checks which version statements of a controller prevent the feature gate from opening. A
 // statement of storage versions later than the known ones does not.
-func TestStatementsOfForms(t *testing.T) {
+func TestVersionStatements(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		statement *protocol.VersionStatement
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -17,10 +17,10 @@
 // version does, replies to workers with its fencing token, and changes records and tasks as that version would, which
 // treats a gang as an array. The tests script its actions.
 type ganglessLeader struct {
-	w     *world
-	node  int
-	token uint64
-	tries uint64
+	w            *world
+	node         int
+	token        uint64
+	attemptCount uint64
 }
 
 // startOlderLeader crashes all controllers and makes one of them a leader of the older version. The other controllers
@@ -59,18 +59,18 @@
 }
 
 // command sends commands to a machine and reports whether the machine accepted them.
-func (l *ganglessLeader) command(worker *emulator.Worker, orders ...protocol.Command) bool {
-	body := protocol.CommandRequest{Token: l.token, Epoch: worker.Epoch, Commands: orders}
-	taken := false
-	worker.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { taken = status == http.StatusOK })
-	return taken
+func (l *ganglessLeader) command(worker *emulator.Worker, commands ...protocol.Command) bool {
+	body := protocol.CommandRequest{Token: l.token, Epoch: worker.Epoch, Commands: commands}
+	accepted := false
+	worker.Serve("/commands", protocol.Encode(body), func(status int, _ []byte) { accepted = status == http.StatusOK })
+	return accepted
 }
 
 // startTask starts a single task with a new attempt number, which it first stores in the machine's record.
 func (l *ganglessLeader) startTask(worker *emulator.Worker, uid string, index int) {
 	l.w.t.Helper()
-	l.tries++
-	try := l.token<<24 | l.tries
+	l.attemptCount++
+	try := l.token<<24 | l.attemptCount
 	l.updateMachineRecord(worker, func(rec *clusterstate.MachineRecord) {
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: uid, Index: index, Try: try})
 	})
@@ -98,14 +98,14 @@
 }
 
 // tasksOf returns the names and attempt numbers of a job's tasks on a machine, sorted.
-func tasksOf(worker *emulator.Worker, uid string) (out []clusterstate.AttemptKey) {
+func tasksOf(worker *emulator.Worker, uid string) (attempts []clusterstate.AttemptKey) {
 	for name, t := range worker.Tasks {
 		if task, _, _ := strings.Cut(name, "@"); t.UID == uid {
-			out = append(out, clusterstate.AttemptKey{Task: task, Attempt: t.Attempt})
+			attempts = append(attempts, clusterstate.AttemptKey{Task: task, Attempt: t.Attempt})
 		}
 	}
-	slices.SortFunc(out, compareAttemptKeys)
-	return out
+	slices.SortFunc(attempts, compareAttemptKeys)
+	return attempts
 }
 
 // startGangOnTwoMachines submits a gang of four tasks that is spread over two machines, after replicas run.
@@ -133,8 +133,8 @@
 }
 
 // TestHalfGatheredGangUnderAnOlderLeader covers a gathering gang that loses the tasks of one machine. An older leader
-// replaces only these tasks, with other attempt numbers, so the gang must not start. The next newer leader must clear the
-// whole gang and start it again with one attempt number.
+// replaces only these tasks, with other attempt numbers, so the gang must not start. The next newer leader must clear
+// the whole gang and start it again with one attempt number.
 func TestHalfGatheredGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 122)
 	w.pulls = func(string) time.Duration { return 15 * second }
@@ -147,10 +147,10 @@
 	lost.Die()
 	o := w.startOlderLeader()
 	w.pulls = nil
-	other := w.machinesWithTasksOf("j-1")[0]
+	remaining := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasks {
 		_, index, _ := clusterstate.ParseTaskName(key.Task)
-		o.startTask(other, "j-1", index)
+		o.startTask(remaining, "j-1", index)
 	}
 	w.run(5 * second)
 	if w.machines.GangStarts["j-1"] != 0 {
@@ -162,8 +162,8 @@
 	w.settle()
 }
 
-// TestHalfStoppedGangUnderAnOlderLeader covers an older leader that stops some tasks of a running gang, as it would stop an
-// array's tasks. After the next failover to a newer leader the whole gang must start again.
+// TestHalfStoppedGangUnderAnOlderLeader covers an older leader that stops some tasks of a running gang, as it would
+// stop an array's tasks. After the next failover to a newer leader the whole gang must start again.
 func TestHalfStoppedGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 123)
 	w.runs = func(string) time.Duration { return 40 * second }
@@ -181,9 +181,9 @@
 	w.settle()
 }
 
-// TestHalfDoneGangUnderAnOlderLeader covers a gang whose tasks are all done when an older leader ends after it has stored
-// and cleared only some of the completions, and the machine with the other tasks dies. Because a gang's tasks complete
-// together, one stored completion marks the gang as done, and no task may be started again.
+// TestHalfDoneGangUnderAnOlderLeader covers a gang whose tasks are all done when an older leader ends after it has
+// stored and cleared only some of the completions, and the machine with the other tasks dies. Because a gang's tasks
+// complete together, one stored completion marks the gang as done, and no task may be started again.
 func TestHalfDoneGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 124)
 	w.runs = func(string) time.Duration { return 12 * second }
@@ -225,8 +225,9 @@
 	w.settle()
 }
 
-// TestCancelledGangUnderAnOlderLeader covers an older leader that stores the cancellation of a gang in a job record without
-// the gang flag, and then ends. The next leader must stop all tasks of the gang and confirm the cancellation to the user.
+// TestCancelledGangUnderAnOlderLeader covers an older leader that stores the cancellation of a gang in a job record
+// without the gang flag, and then ends. The next leader must stop all tasks of the gang and confirm the cancellation to
+// the user.
 func TestCancelledGangUnderAnOlderLeader(t *testing.T) {
 	for _, state := range []string{"gathering", "running"} {
 		t.Run(state, func(t *testing.T) {
@@ -259,10 +260,10 @@
 	}
 }
 
-// TestOldProcessComesBackAfterTheUpgrade covers a process of the older version that is elected after all controllers were
-// upgraded, and starts tasks of a waiting gang one at a time. It leads for less or for more time than a gang's tasks wait
-// for each other. Machines must reject its commands after it has resigned, and the gang must start as a whole.
-func TestOldProcessComesBackAfterTheUpgrade(t *testing.T) {
+// TestOlderLeaderAfterTheUpgrade covers a process of the older version that is elected after all controllers were
+// upgraded, and starts tasks of a waiting gang one at a time. It leads for less or for more time than a gang's tasks
+// wait for each other. Machines must reject its commands after it has resigned, and the gang must start as a whole.
+func TestOlderLeaderAfterTheUpgrade(t *testing.T) {
 	for _, leads := range []time.Duration{2 * second, 33 * second} {
 		t.Run(fmt.Sprintf("leads for %v", leads), func(t *testing.T) {
 			w := newGateClosedWorld(t, 126)
@@ -290,9 +291,9 @@
 	}
 }
 
-// TestLeadersOfBothVersionsTakeTurns alternates older and newer leaders while gangs and arrays are submitted and machines
-// die. All jobs must complete without a violated invariant.
-func TestLeadersOfBothVersionsTakeTurns(t *testing.T) {
+// TestLeadersOfBothVersionsAlternate alternates older and newer leaders while gangs and arrays are submitted and
+// machines die. All jobs must complete without a violated invariant.
+func TestLeadersOfBothVersionsAlternate(t *testing.T) {
 	w := newGateClosedWorld(t, 127)
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 4.0, "apart": true})
 	w.until(90*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
@@ -315,8 +316,8 @@
 	w.settle()
 }
 
-// newGateClosedWorld creates a world whose operators' settings hold the feature gate closed, so that older versions can be
-// elected.
+// newGateClosedWorld creates a world whose operators' settings hold the feature gate closed, so that older versions can
+// be elected.
 func newGateClosedWorld(t *testing.T, seed uint64) *world {
 	t.Helper()
 	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdOn)))
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -7,33 +7,34 @@
 	"claybarrow/internal/protocol"
 )
 
-// TestRefusedByStateAlone covers a leader whose requests the state service rejects, while it serves the other controllers.
-// The leader must not answer users from state that may be stale, and another leader must be elected within 10 s.
-func TestRefusedByStateAlone(t *testing.T) {
+// TestLeaderRejectedByStateService covers a leader whose requests the state service rejects, while it serves the other
+// controllers. The leader must not answer users from state that may be stale, and another leader must be elected within
+// 10 s.
+func TestLeaderRejectedByStateService(t *testing.T) {
 	w := newWorld(t, 11)
 	w.submit("j-1", map[string]any{"shards": 4})
 	w.until(60*second, "tasks run", func() bool { return w.running("j-1") > 0 })
-	old := w.awaitLeader()
-	w.state.RefusedClients[old] = true
-	w.until(10*second, "another leader is elected", func() bool { l := w.leader(); return l >= 0 && l != old })
-	w.user(old, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
+	rejected := w.awaitLeader()
+	w.state.RefusedClients[rejected] = true
+	w.until(10*second, "another leader is elected", func() bool { l := w.leader(); return l >= 0 && l != rejected })
+	w.user(rejected, OpPoll, "j-1", func(s int, _ protocol.JobStatus) {
 		if s != http.StatusServiceUnavailable && s != http.StatusOK {
 			t.Errorf("status %d for a known job from the leader that the state service rejects", s)
 		}
 	})
-	w.user(old, OpPoll, "j-99", func(s int, _ protocol.JobStatus) {
+	w.user(rejected, OpPoll, "j-99", func(s int, _ protocol.JobStatus) {
 		if s != http.StatusServiceUnavailable && s != http.StatusNotFound {
 			t.Errorf("status %d for an unknown job from the leader that the state service rejects", s)
 		}
 	})
 	w.run(20 * second)
-	w.state.RefusedClients[old] = false
+	w.state.RefusedClients[rejected] = false
 	w.awaitStatus(120*second, "j-1", protocol.JobDone)
 	w.requireNoViolations()
 }
 
-// TestUsersAnswers checks the status codes of replies to users, from the leader and from followers.
-func TestUsersAnswers(t *testing.T) {
+// TestUserReplyStatus checks the status codes of replies to users, from the leader and from followers.
+func TestUserReplyStatus(t *testing.T) {
 	w := newWorld(t, 12)
 	w.awaitLeader()
 	w.run(2 * second)
@@ -48,13 +49,13 @@
 			}
 		}
 	}
-	sub := func(change map[string]any) []byte { return protocol.Encode(w.spec("j-50", change)) }
+	submission := func(change map[string]any) []byte { return protocol.Encode(w.spec("j-50", change)) }
 	check("malformed", OpSubmit, "", []byte("x"), 400)
-	check("wrong field", OpSubmit, "", sub(map[string]any{"rank": "top"}), 400)
-	check("unknown team", OpSubmit, "", sub(map[string]any{"owner": "green"}), 422)
-	check("too large", OpSubmit, "", sub(map[string]any{"cores": 9.0}), 422)
-	check("over the limit", OpSubmit, "", sub(map[string]any{"shape": "service", "shards": 9}), 422)
-	check("no type", OpSubmit, "", sub(map[string]any{"flavours": []string{}}), 422)
+	check("wrong field", OpSubmit, "", submission(map[string]any{"rank": "top"}), 400)
+	check("unknown team", OpSubmit, "", submission(map[string]any{"owner": "green"}), 422)
+	check("too large", OpSubmit, "", submission(map[string]any{"cores": 9.0}), 422)
+	check("over the limit", OpSubmit, "", submission(map[string]any{"shape": "service", "shards": 9}), 422)
+	check("no type", OpSubmit, "", submission(map[string]any{"flavours": []string{}}), 422)
 	check("unknown", OpPoll, "j-77", nil, 404)
 	check("unknown cancel", OpCancel, "j-77", nil, 404)
 	w.submit("j-1", nil)
@@ -64,14 +65,14 @@
 	w.requireNoViolations()
 }
 
-// TestNotReadyWithoutTheLeader checks the readiness endpoint while requests between controllers are lost and all of them
-// reach the state service. Only the leader may report that it is ready. The followers become ready again when they reach
-// the leader.
+// TestNotReadyWithoutTheLeader checks the readiness endpoint while requests between controllers are lost and all of
+// them reach the state service. Only the leader may report that it is ready. The followers become ready again when they
+// reach the leader.
 func TestNotReadyWithoutTheLeader(t *testing.T) {
 	w := newWorld(t, 33)
 	lead := w.awaitLeader()
 	w.run(5 * second)
-	fit := func() (n int) {
+	countReady := func() (n int) {
 		for i := range 3 {
 			w.ask(i, Request{Op: OpReady}, func(r Reply) {
 				if r.Status == http.StatusOK {
@@ -81,17 +82,17 @@
 		}
 		return n
 	}
-	if n := fit(); n != 3 {
+	if n := countReady(); n != 3 {
 		t.Fatalf("%d of 3 controllers are ready", n)
 	}
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(6 * second)
-	if n := fit(); n != 1 || w.leader() != lead {
+	if n := countReady(); n != 1 || w.leader() != lead {
 		t.Fatalf("%d controllers are ready, the leader is %d, was %d", n, w.leader(), lead)
 	}
 	w.script = nil
 	w.run(2 * second)
-	if n := fit(); n != 3 {
+	if n := countReady(); n != 3 {
 		t.Fatalf("%d of 3 controllers are ready again", n)
 	}
 }
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// TestReplicasStartBeforeAnArray checks that the start of a replica is written before the queued starts of an array, also
-// if a start of the array is queued for the same machine.
+// TestReplicasStartBeforeAnArray checks that the start of a replica is written before the queued starts of an array,
+// also if a start of the array is queued for the same machine.
 func TestReplicasStartBeforeAnArray(t *testing.T) {
 	w := newWorld(t, 96)
 	l := w.leadership()
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -53,10 +53,11 @@
 	return w
 }
 
-// TestFollowerKeepsItsZone partitions a zone for much longer than a lease, without and with the leader in it. The zone's
-// controller must keep renewing its workers' leases, so that replicas which must be spread, and fit nowhere else, keep
-// running. A cancellation during the partition must not be confirmed before the unreachable task is proved absent.
-func TestFollowerKeepsItsZone(t *testing.T) {
+// TestFollowerRenewsLeasesDuringPartition partitions a zone for much longer than a lease, without and with the leader
+// in it. The zone's controller must keep renewing its workers' leases, so that replicas which must be spread, and fit
+// nowhere else, keep running. A cancellation during the partition must not be confirmed before the unreachable task is
+// proved absent.
+func TestFollowerRenewsLeasesDuringPartition(t *testing.T) {
 	for _, inside := range []bool{false, true} {
 		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
 			w := replicasOverZones(t, 31, inside)
@@ -85,8 +86,8 @@
 	}
 }
 
-// TestFollowerEndsDuringPartition covers a follower that crashes while its zone is partitioned. The leader cannot detect
-// the crash, so the zone's tasks may be started elsewhere only after the workers' leases have expired too.
+// TestFollowerEndsDuringPartition covers a follower that crashes while its zone is partitioned. The leader cannot
+// detect the crash, so the zone's tasks may be started elsewhere only after the workers' leases have expired too.
 func TestFollowerEndsDuringPartition(t *testing.T) {
 	w := newWorld(t, 32)
 	w.awaitLeader()
@@ -147,8 +148,8 @@
 // outside, and the former leader crashes and restarts. The follower's heartbeats must not make the restarted process
 // report itself as the leader: the follower would then stop renewing the leases of the zone's workers.
 func TestFormerLeaderRestartsDuringPartition(t *testing.T) {
-	for _, back := range []time.Duration{500 * time.Millisecond, 3 * second} {
-		t.Run(fmt.Sprintf("restarts after %v", back), func(t *testing.T) {
+	for _, downtime := range []time.Duration{500 * time.Millisecond, 3 * second} {
+		t.Run(fmt.Sprintf("restarts after %v", downtime), func(t *testing.T) {
 			w := newWorld(t, 36)
 			w.crash(2)
 			lead := w.awaitLeader()
@@ -158,22 +159,22 @@
 			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 6 })
 			w.run(15 * second)
 			w.partitionZoneB()
-			cut := w.script
+			zonePartition := w.script
 			w.script = func(node int, c Call) deliveryFault { // in this test, only zone b reaches the state service and the cloud
 				if c.Target == ToState || c.Target == ToCloud {
 					return deliveryFault{lost: node != 2}
 				}
-				return cut(node, c)
+				return zonePartition(node, c)
 			}
 			w.until(10*second, "a leader is elected in zone b", func() bool { return w.nodes[2].controller.leadership != nil })
 			w.run(15 * second)
 			w.crash(lead)
-			w.at(back, func() { w.boot(lead) })
+			w.at(downtime, func() { w.boot(lead) })
 			ask := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
 			for range 400 {
 				w.run(tick)
 				if n := w.running("j-1"); n != 6 {
-					t.Fatalf("restart after %v: %d of 6 replicas run", back, n)
+					t.Fatalf("restart after %v: %d of 6 replicas run", downtime, n)
 				}
 				w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
 					var answer protocol.PeerHeartbeatReply
@@ -187,14 +188,14 @@
 	}
 }
 
-// TestNewIncarnationMayHaveServed checks that the leader treats a new incarnation of a controller as if the previous one
-// had renewed workers' leases until the first heartbeat of the new one, because a restarted process has lost the time of
-// its last renewal.
+// TestNewIncarnationMayHaveServed checks that the leader treats a new incarnation of a controller as if the previous
+// one had renewed workers' leases until the first heartbeat of the new one, because a restarted process has lost the
+// time of its last renewal.
 func TestNewIncarnationMayHaveServed(t *testing.T) {
 	w := newWorld(t, 35)
 	lead := w.awaitLeader()
 	l := w.nodes[lead].controller.leadership
-	touch := func(incarnation string, served int64) {
+	sendHeartbeat := func(incarnation string, served int64) {
 		body := protocol.EncodePeer(protocol.PeerHeartbeat{From: "n2", Incarnation: incarnation, Token: l.lease.token, ServedMS: served})
 		w.ask(lead, Request{Op: OpPeerHeartbeat, Body: body}, func(Reply) {})
 	}
@@ -202,59 +203,59 @@
 		t.Fatal("the leader is the controller whose heartbeats the test sends")
 	}
 	w.crash(2) // the test sends its heartbeats
-	touch("one", -1)
+	sendHeartbeat("one", -1)
 	first := l.peers["n2"].lastServed
 	w.run(30 * second)
-	touch("one", 12_000)
+	sendHeartbeat("one", 12_000)
 	if got := l.peers["n2"].lastServed; got != w.Now()-12*second || got <= first {
 		t.Fatalf("last lease renewal at %v, reported as 12 s ago at %v", got, w.Now())
 	}
 	w.run(5 * second)
-	touch("two", -1)
+	sendHeartbeat("two", -1)
 	if got := l.peers["n2"].lastServed; got != w.Now() {
 		t.Fatalf("last lease renewal of a new incarnation at %v, want %v", got, w.Now())
 	}
 }
 
-// TestWorkerComesBack covers a worker that returns to the leader because it cannot reach its zone's controller. It must
-// send its heartbeats to the leader for increasing periods. A short crash of the controller does not count as an
-// unreachable controller.
-func TestWorkerComesBack(t *testing.T) {
+// TestWorkerReturnsFromUnreachableController covers a worker that returns to the leader because it cannot reach its
+// zone's controller. It must send its heartbeats to the leader for increasing periods. A short crash of the controller
+// does not count as an unreachable controller.
+func TestWorkerReturnsFromUnreachableController(t *testing.T) {
 	w := newWorld(t, 36)
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
-	var far *emulator.Worker
+	var zoneWorker *emulator.Worker
 	for _, worker := range w.workers() {
 		if worker.Zone == "b" {
-			far = worker
+			zoneWorker = worker
 		}
 	}
-	if far == nil || lead == 2 {
+	if zoneWorker == nil || lead == 2 {
 		t.Fatal("no worker of the other zone, or the leader is there")
 	}
-	w.until(20*second, "the worker sends heartbeats to its zone's controller", func() bool { return far.Controller == 2 })
+	w.until(20*second, "the worker sends heartbeats to its zone's controller", func() bool { return zoneWorker.Controller == 2 })
 	l := w.nodes[lead].controller.leadership
 	w.crash(2)
 	w.run(4 * second)
 	w.boot(2)
-	w.until(30*second, "the worker sends heartbeats to its zone's controller again", func() bool { return far.Controller == 2 })
-	if n := l.state.Machines[far.ID].FailedRedirects; n > 1 {
+	w.until(30*second, "the worker sends heartbeats to its zone's controller again", func() bool { return zoneWorker.Controller == 2 })
+	if n := l.state.Machines[zoneWorker.ID].FailedRedirects; n > 1 {
 		t.Errorf("%d failed redirects after a crash of the controller, want at most 1", n)
 	}
 	w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
-		return deliveryFault{lost: worker == far && node == 2}
+		return deliveryFault{lost: worker == zoneWorker && node == 2}
 	}
 	w.run(90 * second)
-	away := 0
+	secondsAtController := 0
 	for range 40 {
 		w.run(second)
-		if far.Controller == 2 {
-			away++
+		if zoneWorker.Controller == 2 {
+			secondsAtController++
 		}
 	}
-	if n := l.state.Machines[far.ID].FailedRedirects; n < 3 || away > 6 {
-		t.Errorf("after %d failed redirects, the worker still sends heartbeats to the unreachable controller for %d of 40 s", n, away)
+	if n := l.state.Machines[zoneWorker.ID].FailedRedirects; n < 3 || secondsAtController > 6 {
+		t.Errorf("after %d failed redirects, the worker still sends heartbeats to the unreachable controller for %d of 40 s", n, secondsAtController)
 	}
 	w.requireNoViolations()
 }
@@ -275,26 +276,26 @@
 			}
 			w.partitionZoneB()
 			w.run(8 * second)
-			ends := []int{lead}
+			crashed := []int{lead}
 			if all {
-				ends = []int{0, 1, 2}
+				crashed = []int{0, 1, 2}
 			}
-			for _, i := range ends {
+			for _, i := range crashed {
 				w.crash(i)
 			}
 			w.run(6 * second)
-			for _, i := range ends {
+			for _, i := range crashed {
 				w.boot(i)
 			}
 			w.run(25 * second)
-			returned := 0
+			released := 0
 			for _, id := range w.cloud.Deleted {
 				if w.machines.Workers[id].Zone == "b" {
-					returned++
+					released++
 				}
 			}
-			if all != (returned > 0) {
-				t.Errorf("all controllers crashed: %v, but %d machines of the zone were released", all, returned)
+			if all != (released > 0) {
+				t.Errorf("all controllers crashed: %v, but %d machines of the zone were released", all, released)
 			}
 			w.run(20 * second)
 			if w.running("j-1") != 4 {
