--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -132,7 +132,7 @@
 		}
 	}
 	if w.leader() != 2 {
-		t.Errorf("leader %d", w.leader())
+		t.Errorf("the leader is controller %d, want 2", w.leader())
 	}
 	w.requireNoViolations()
 }
@@ -175,7 +175,7 @@
 	}
 	w.run(6 * second)
 	if sendHeartbeat(); status != http.StatusMisdirectedRequest || w.leader() != lead {
-		t.Errorf("status %d for a heartbeat while the leader stays in office", status)
+		t.Errorf("status %d for a heartbeat after a failover would have completed", status)
 	}
 }
 
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -17,7 +17,7 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	l := w.leadership()
 	machine := l.machines.sortedMachines()[0]
-	before := len(machine.Attempts)
+	attemptsBefore := len(machine.Attempts)
 	for _, listed := range []protocol.ListedMachine{
 		{ID: "i-900009", Type: "m8", Zone: "a", State: "paused", AgeS: 5},
 		{ID: "i-900001", Type: "m8", Zone: "a", State: "booting", AgeS: -5},
@@ -28,7 +28,7 @@
 	} {
 		l.machines.onListed(&listed)
 	}
-	if machine.Type != "m8" || len(machine.Attempts) != before || machine.Releasing {
+	if machine.Type != "m8" || len(machine.Attempts) != attemptsBefore || machine.Releasing {
 		t.Errorf("an invalid listing changed the machine: %+v", machine)
 	}
 	heartbeat := w.machines.Workers[machine.ID].Heartbeat()
@@ -42,10 +42,10 @@
 	if status != http.StatusOK {
 		t.Errorf("status %d for a heartbeat with unknown tasks", status)
 	}
-	for _, bad := range [][]byte{nil, {0xc1}, {0x81, 0xa4}, protocol.Encode(map[string]any{"host": 7}), protocol.Encode([]int{1}), protocol.Encode(map[string]any{})} {
-		w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: bad}, func(reply Reply) { status = reply.Status })
+	for _, malformed := range [][]byte{nil, {0xc1}, {0x81, 0xa4}, protocol.Encode(map[string]any{"host": 7}), protocol.Encode([]int{1}), protocol.Encode(map[string]any{})} {
+		w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: malformed}, func(reply Reply) { status = reply.Status })
 		if status != http.StatusBadRequest {
-			t.Errorf("malformed heartbeat body %x: status %d", bad, status)
+			t.Errorf("malformed heartbeat body %x: status %d", malformed, status)
 		}
 	}
 	w.run(30 * second)
@@ -55,7 +55,7 @@
 	for key := range machine.UnknownTasks {
 		t.Errorf("the unknown task %v has not been stopped", key)
 	}
-	if _, odd := l.state.Jobs["j-999999"]; odd || l.state.Machines[""] != nil && len(l.state.Machines[""].Attempts) > 0 {
+	if _, created := l.state.Jobs["j-999999"]; created || l.state.Machines[""] != nil && len(l.state.Machines[""].Attempts) > 0 {
 		t.Error("invalid input created a job or a task")
 	}
 	var unknownTypeMachines []*clusterstate.Machine
--- a/internal/controller/late_messages_test.go
+++ b/internal/controller/late_messages_test.go
@@ -46,11 +46,11 @@
 	w := newWorld(t, 5)
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "the first job runs", func() bool { return w.running("j-0") == 1 })
-	held := 0
+	delayedCommands := 0
 	w.script = func(_ int, c Call) deliveryFault {
-		if c.Target == ToWorker && held < 3 {
-			held++
-			return deliveryFault{hold: time.Duration(20*held) * second}
+		if c.Target == ToWorker && delayedCommands < 3 {
+			delayedCommands++
+			return deliveryFault{hold: time.Duration(20*delayedCommands) * second}
 		}
 		return deliveryFault{}
 	}
@@ -147,10 +147,10 @@
 	w := newWorld(t, 16)
 	w.awaitLeader()
 	w.run(2 * second)
-	held := false
+	delayed := false
 	w.script = func(_ int, c Call) deliveryFault {
-		if c.Target == ToState && c.Path == "/multi" && !held {
-			held = true
+		if c.Target == ToState && c.Path == "/multi" && !delayed {
+			delayed = true
 			return deliveryFault{hold: 15 * second}
 		}
 		return deliveryFault{}
@@ -166,8 +166,8 @@
 		w.user(i, OpPoll, "j-1", nil)
 	}
 	w.run(60 * second)
-	if !held || w.running("j-1") > 0 {
-		t.Errorf("transaction delayed %v, %d replicas of a cancelled job run", held, w.running("j-1"))
+	if !delayed || w.running("j-1") > 0 {
+		t.Errorf("transaction delayed %v, %d replicas of a cancelled job run", delayed, w.running("j-1"))
 	}
 	w.requireNoViolations()
 }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -53,9 +53,9 @@
 // workers that were redirected to the unreachable leader lost all their tasks (133 to 204 in the "clamping line"
 // deployment with partitioned zones).
 func TestZonesPartitioned(t *testing.T) {
-	for _, inside := range []bool{false, true} {
+	for _, leaderInZoneB := range []bool{false, true} {
 		for _, refused := range []bool{false, true} {
-			t.Run(fmt.Sprintf("leader in the zone with one controller %v, refused %v", inside, refused), func(t *testing.T) { checkZonesPartitioned(t, inside, refused) })
+			t.Run(fmt.Sprintf("leader in the zone with one controller %v, refused %v", leaderInZoneB, refused), func(t *testing.T) { checkZonesPartitioned(t, leaderInZoneB, refused) })
 		}
 	}
 }
@@ -79,12 +79,12 @@
 	return n
 }
 
-func checkZonesPartitioned(t *testing.T, inside, refused bool) {
-	w := replicasOverZones(t, 61, inside)
+func checkZonesPartitioned(t *testing.T, leaderInZoneB, refused bool) {
+	w := replicasOverZones(t, 61, leaderInZoneB)
 	w.run(10 * second)
 	lead := w.leader()
-	if (lead == 2) != inside {
-		t.Fatalf("leader %d", lead)
+	if (lead == 2) != leaderInZoneB {
+		t.Fatalf("controller %d leads from the wrong zone", lead)
 	}
 	epochs := map[string]uint64{}
 	for _, worker := range w.workers() {
@@ -104,7 +104,7 @@
 		}
 	}
 	if w.leader() != lead {
-		t.Errorf("leader %d, was %d", w.leader(), lead)
+		t.Errorf("the leader is controller %d, was %d", w.leader(), lead)
 	}
 	if n := strings.Count(logged.String(), "leader observed"); n > 0 {
 		t.Errorf("the unchanged leader was logged %d times as observed", n)
@@ -169,10 +169,10 @@
 	w.run(5 * second)
 	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(8 * second)
-	core := w.nodes[2].controller
+	controller := w.nodes[2].controller
 	redirected := func(machine string, tasks int) bool {
 		msg := &protocol.WorkerHeartbeat{Machine: machine, Zone: "b", Token: 1, Tasks: make([]protocol.TaskStatus, tasks)}
-		return !core.follower.tryRenewLeaseForLeader(msg)
+		return !controller.follower.tryRenewLeaseForLeader(msg)
 	}
 	if redirected("i-1", 3) {
 		t.Error("a worker with tasks is redirected first")
@@ -184,12 +184,12 @@
 	if redirected("i-2", 0) {
 		t.Error("a worker that returned from the leader is redirected again")
 	}
-	w.run(core.env.workerFailoverTime() + time.Second)
+	w.run(controller.env.workerFailoverTime() + time.Second)
 	if !redirected("i-3", 0) || redirected("i-2", 0) {
 		t.Error("the next probe does not use exactly one other worker")
 	}
-	w.until(core.env.cfg.OutageTolerance(), "a worker with tasks is redirected", func() bool { return redirected("i-1", 3) })
-	if core.env.now < core.follower.contact.leaderLostAt+core.env.cfg.OutageTolerance()/2 {
+	w.until(controller.env.cfg.OutageTolerance(), "a worker with tasks is redirected", func() bool { return redirected("i-1", 3) })
+	if controller.env.now < controller.follower.contact.leaderLostAt+controller.env.cfg.OutageTolerance()/2 {
 		t.Error("a worker with tasks is redirected before half of the outage tolerance")
 	}
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -28,8 +28,8 @@
 // TestLowerLimitsWithABacklog lets the announced limits take effect while writes are queued, before, during or after a
 // failover. No transaction may exceed the limits, and no write may be lost.
 func TestLowerLimitsWithABacklog(t *testing.T) {
-	for _, crash := range []time.Duration{-second, 0, 20 * time.Millisecond, second} {
-		t.Run(fmt.Sprintf("leader crashes %v after the limits take effect", crash), func(t *testing.T) {
+	for _, crashDelay := range []time.Duration{-second, 0, 20 * time.Millisecond, second} {
+		t.Run(fmt.Sprintf("leader crashes %v after the limits take effect", crashDelay), func(t *testing.T) {
 			w := newWorld(t, 131)
 			w.announceLimits()
 			w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 2.0})
@@ -39,7 +39,7 @@
 			}
 			w.submit("j-1", group(8, 0.5, nil))
 			w.at(2*second, func() { w.state.Limits = lowerLimits })
-			w.at(2*second+crash, func() { w.restart(w.leaderOrFirst(), second) })
+			w.at(2*second+crashDelay, func() { w.restart(w.leaderOrFirst(), second) })
 			w.awaitStatus(200*second, "j-1", protocol.JobDone)
 			for i := range 40 {
 				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.JobDone)
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -100,10 +100,10 @@
 	if w.lateCopy == nil {
 		return
 	}
-	if late := w.lateCopy(); late > 0 {
+	if delay := w.lateCopy(); delay > 0 {
 		// The duplicate goes to a random controller; its reply is dropped.
 		to := w.rng.IntN(3)
-		w.at(late, func() { w.ask(to, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {}) })
+		w.at(delay, func() { w.ask(to, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {}) })
 	}
 }
 
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -50,7 +50,7 @@
 	case ToPeer:
 		to := -1
 		if _, err := fmt.Sscanf(c.Addr, "10.0.0.%d:", &to); err != nil {
-			faults.w.t.Errorf("the address of a peer %q: %v", c.Addr, err)
+			faults.w.t.Errorf("invalid address of a peer %q: %v", c.Addr, err)
 		}
 		if faults.isolated[node] || faults.isolated[to] {
 			return deliveryFault{lost: true}
--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -23,10 +23,10 @@
 
 // olderCall removes from a request the fields that an older version does not send.
 func olderCall(c Call) Call {
-	var ask protocol.PeerHeartbeat
-	if c.Path == "/heartbeat" && protocol.DecodePeer(c.Body, &ask) == nil {
-		ask.Versions = nil
-		c.Body = protocol.EncodePeer(ask)
+	var heartbeat protocol.PeerHeartbeat
+	if c.Path == "/heartbeat" && protocol.DecodePeer(c.Body, &heartbeat) == nil {
+		heartbeat.Versions = nil
+		c.Body = protocol.EncodePeer(heartbeat)
 	}
 	return c
 }
--- a/internal/controller/placing_steps_test.go
+++ b/internal/controller/placing_steps_test.go
@@ -61,7 +61,8 @@
 // placementFault is an additional fault around the crash of the leader.
 type placementFault struct {
 	name string
-	// fault applies to each call. If second is set, the next leader crashes too, while it loads the stored records.
+	// fault applies to each call. If crashSecondLeader is set, the next leader crashes too, while it loads the stored
+	// records.
 	fault             func(w *world, c Call) deliveryFault
 	crashSecondLeader bool
 }
--- a/internal/controller/preload_test.go
+++ b/internal/controller/preload_test.go
@@ -21,8 +21,8 @@
 // When the follower is elected, it must also know the leader's later writes. If there were more changes than the state
 // service keeps, it must read all records again.
 func TestSuccessorPreloadsClusterState(t *testing.T) {
-	for _, tooMuch := range []bool{false, true} {
-		t.Run(fmt.Sprintf("too many changes %v", tooMuch), func(t *testing.T) {
+	for _, tooManyChanges := range []bool{false, true} {
+		t.Run(fmt.Sprintf("too many changes %v", tooManyChanges), func(t *testing.T) {
 			w := newMembershipWorld(t, 990)
 			w.storeCompletedJobs(3500)
 			w.replicas()
@@ -55,7 +55,7 @@
 			w.run(300 * time.Millisecond)
 			w.crash(lead)
 			w.script = func(_ int, c Call) deliveryFault {
-				if tooMuch && putsKeyWithPrefix(c, keyLeader) {
+				if tooManyChanges && putsKeyWithPrefix(c, keyLeader) {
 					w.storeCompletedJobs(25_000) // more changes than the state service keeps, immediately before the election
 				}
 				return deliveryFault{}
@@ -67,8 +67,8 @@
 			if len(failovers) == 0 {
 				t.Fatal("no failover was observed")
 			}
-			if got := failovers[len(failovers)-1].Preloaded; (got >= 3500) == tooMuch {
-				t.Errorf("too many changes %v: %d records were preloaded", tooMuch, got)
+			if got := failovers[len(failovers)-1].Preloaded; (got >= 3500) == tooManyChanges {
+				t.Errorf("too many changes %v: %d records were preloaded", tooManyChanges, got)
 			}
 			w.until(60*second, "the job submitted last runs", func() bool { return w.running("j-6") == 1 })
 			if w.running("j-5") > 0 {
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -28,21 +28,21 @@
 // TestPausedLeaderAfterFailover covers a leader whose process is paused beyond its lease and resumes after another
 // leader was elected. It must step down before it sends a command to a worker or declares a machine lost.
 func TestPausedLeaderAfterFailover(t *testing.T) {
-	for _, d := range []time.Duration{8 * second, 30 * second, 2 * time.Minute} {
-		t.Run(fmt.Sprintf("paused for %v", d), func(t *testing.T) {
+	for _, pause := range []time.Duration{8 * second, 30 * second, 2 * time.Minute} {
+		t.Run(fmt.Sprintf("paused for %v", pause), func(t *testing.T) {
 			w := newWorld(t, 43)
 			lead := w.awaitLeader()
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 			w.run(5 * second)
-			w.pauseProcess(lead, d)
-			w.run(d - time.Millisecond)
+			w.pauseProcess(lead, pause)
+			w.run(pause - time.Millisecond)
 			replaced := false
 			for i, n := range w.nodes {
 				replaced = replaced || i != lead && n.controller.leadership != nil && n.controller.leadership.loader.ready
 			}
 			if !replaced {
-				t.Fatalf("no other leader was elected during a pause of %v", d)
+				t.Fatalf("no other leader was elected during a pause of %v", pause)
 			}
 			formerLeader := w.nodes[lead].controller
 			commands := 0
@@ -54,14 +54,14 @@
 			}
 			w.run(3 * second)
 			if formerLeader.leadership != nil {
-				t.Errorf("the former leader has not stepped down after a pause of %v", d)
+				t.Errorf("the former leader has not stepped down after a pause of %v", pause)
 			}
 			if commands > 0 {
-				t.Errorf("after a pause of %v, the former leader sent %d requests to workers before it stepped down", d, commands)
+				t.Errorf("after a pause of %v, the former leader sent %d requests to workers before it stepped down", pause, commands)
 			}
 			for task, n := range w.starts {
 				if n > 1 {
-					t.Errorf("after a pause of %v, task %s was started again", d, task)
+					t.Errorf("after a pause of %v, task %s was started again", pause, task)
 				}
 			}
 			w.script = nil
@@ -93,9 +93,9 @@
 // workers' leases.
 func TestProcessPauses(t *testing.T) {
 	lease := 1500 * time.Millisecond
-	for k, stall := range []time.Duration{lease / 2, lease, 3 * lease, 6 * lease} {
+	for k, pause := range []time.Duration{lease / 2, lease, 3 * lease, 6 * lease} {
 		for _, pausedProcess := range []string{"leader", "relay", "both"} {
-			t.Run(fmt.Sprintf("%s for %v", pausedProcess, stall), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s for %v", pausedProcess, pause), func(t *testing.T) {
 				w := newMembershipWorld(t, uint64(940+k))
 				w.replicas()
 				lead := w.awaitLeader()
@@ -105,13 +105,13 @@
 				}
 				began := w.Now()
 				if pausedProcess != "relay" {
-					w.pauseProcess(lead, stall)
+					w.pauseProcess(lead, pause)
 				}
 				if pausedProcess != "leader" {
-					w.pauseProcess(relay, stall)
+					w.pauseProcess(relay, pause)
 				}
-				w.run(stall + 30*second)
-				if stall < lease {
+				w.run(pause + 30*second)
+				if pause < lease {
 					for i, n := range w.nodes {
 						for _, c := range n.observer.changes {
 							if c.at >= began && c.To == membership.Dead {
@@ -120,7 +120,7 @@
 						}
 					}
 				}
-				if stall <= 6*lease {
+				if pause <= 6*lease {
 					for task, n := range w.starts {
 						if n > 1 && pausedProcess != "both" {
 							t.Errorf("task %s was started again", task)
@@ -176,8 +176,8 @@
 			t.Error("the resumed leader renewed a worker's lease")
 		}
 	})
-	beat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.lease.token}
-	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(beat)}, func(r Reply) {
+	peerHeartbeat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.lease.token}
+	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(peerHeartbeat)}, func(r Reply) {
 		var reply protocol.PeerHeartbeatReply
 		if err := protocol.DecodePeer(r.Body, &reply); err != nil || reply.Leader != "" || reply.LeaderClock != 0 {
 			t.Errorf("the resumed controller claims to lead: %+v, %v", reply, err)
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -69,16 +69,16 @@
 				attempts = append(attempts, w.Now())
 				return deliveryFault{refused: refusedAgain || len(attempts) == 1}
 			}
-			asked := w.Now()
-			status, answered := 0, time.Duration(0)
-			w.user(from, OpPoll, "j-1", func(got int, _ protocol.JobStatus) { status, answered = got, w.Now() })
+			requestedAt := w.Now()
+			status, repliedAt := 0, time.Duration(0)
+			w.user(from, OpPoll, "j-1", func(got int, _ protocol.JobStatus) { status, repliedAt = got, w.Now() })
 			w.run(2 * second)
 			want := 200
 			if refusedAgain {
 				want = 503
 			}
-			if len(attempts) != 2 || status != want || answered-asked > decisionTimeout {
-				t.Errorf("refused again %v: %d attempts, status %d after %v", refusedAgain, len(attempts), status, answered-asked)
+			if len(attempts) != 2 || status != want || repliedAt-requestedAt > decisionTimeout {
+				t.Errorf("refused again %v: %d attempts, status %d after %v", refusedAgain, len(attempts), status, repliedAt-requestedAt)
 			}
 			if len(attempts) == 2 && attempts[1]-attempts[0] < 50*time.Millisecond {
 				t.Errorf("retried after %v, want at least 50 ms", attempts[1]-attempts[0])
--- a/internal/controller/request_burst_test.go
+++ b/internal/controller/request_burst_test.go
@@ -21,9 +21,9 @@
 	w := newWorld(t, seed)
 	var jobs []string
 	cancelled := map[string]bool{}
-	lossy := false
+	lossyNetwork := false
 	w.script = func(_ int, _ Call) deliveryFault {
-		if !lossy {
+		if !lossyNetwork {
 			return deliveryFault{}
 		}
 		f := deliveryFault{lost: w.rng.IntN(12) == 0, answerLost: w.rng.IntN(12) == 0}
@@ -33,7 +33,7 @@
 		return f
 	}
 	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault {
-		return deliveryFault{lost: lossy && w.rng.IntN(8) == 0, answerLost: lossy && w.rng.IntN(8) == 0}
+		return deliveryFault{lost: lossyNetwork && w.rng.IntN(8) == 0, answerLost: lossyNetwork && w.rng.IntN(8) == 0}
 	}
 	w.runs = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
 	for step := range 50 {
@@ -69,7 +69,7 @@
 				}
 			}
 		case 8:
-			lossy = !lossy
+			lossyNetwork = !lossyNetwork
 		case 9:
 			for _, worker := range w.workers() {
 				if len(w.copies[worker.ID]) > 0 {
@@ -93,7 +93,7 @@
 			w.checkCancelledTasksEnded()
 		}
 	}
-	lossy = false
+	lossyNetwork = false
 	w.state.RefusedClients = map[int]bool{}
 	for i := range 3 {
 		if !w.nodes[i].alive {
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -110,7 +110,7 @@
 	}
 	l.views.reserveServiceQuota(s.Quotas)
 	jobs := map[*clusterstate.Job]*scheduler.Job{}
-	claims := l.placement.activeReservations()
+	reservations := l.placement.activeReservations()
 	for _, j := range l.state.SortedJobs() {
 		if !j.Stored {
 			continue
@@ -120,7 +120,7 @@
 			continue
 		}
 		sj := &scheduler.Job{}
-		l.views.updateJobView(sj, j, waiting, resume, claims[j.Spec.UID])
+		l.views.updateJobView(sj, j, waiting, resume, reservations[j.Spec.UID])
 		if len(waiting) > 0 {
 			sj.InZone = j.AttemptsByZone()
 		}
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -40,9 +40,9 @@
 			w.crash(w.awaitLeader())
 		}
 		w.run(7 * second)
-		for k, n := range w.nodes {
+		for node, n := range w.nodes {
 			if !n.alive {
-				w.boot(k)
+				w.boot(node)
 			}
 		}
 	}
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -18,10 +18,10 @@
 // simulateFailover returns the leadership of a hypothetical new leader that has loaded all records from the store at
 // this moment.
 func (u *upgradeWorld) simulateFailover() *leadership {
-	core := New(u.cfgs[0], u.rng, u.nodes[0].controller.env.log)
-	core.env.now = u.Now()
+	controller := New(u.cfgs[0], u.rng, u.nodes[0].controller.env.log)
+	controller.env.now = u.Now()
 	rec, _ := u.stored()
-	l := newLeadership(core, &rec, 1, 0)
+	l := newLeadership(controller, &rec, 1, 0)
 	for _, prefix := range loadOrder(rec.storageVersion()) {
 		var items []protocol.KeyValue
 		for _, key := range u.state.Keys() {
@@ -75,7 +75,7 @@
 			u := newUpgradeWorld(t, 500+seed, defaultTopology)
 			u.openGate()
 			u.interrupts = true
-			stepCount, lost := 0, map[string]bool{}
+			stepCount, lostTasks := 0, map[string]bool{}
 			u.onStep = func(step gateStep, _ int) deliveryFault {
 				stepCount++
 				if step != journals || stepCount%3 != 0 {
@@ -83,12 +83,12 @@
 				}
 				return deliveryFault{hold: u.randomMilliseconds(0, 2000), answerLost: stepCount%2 == 0}
 			}
-			for second := range 60 {
+			for elapsed := range 60 {
 				for range 10 {
 					u.run(tick)
-					u.checkSimulatedFailover(lost)
+					u.checkSimulatedFailover(lostTasks)
 				}
-				switch second % 20 {
+				switch elapsed % 20 {
 				case 7:
 					u.endSoon(u.awaitLeader())
 				case 17:
@@ -96,7 +96,7 @@
 						if !worker.Deleted && worker.Up && len(worker.Tasks) > 0 {
 							for name := range worker.Tasks {
 								id, _, _ := strings.Cut(name, "@")
-								lost[id] = true
+								lostTasks[id] = true
 							}
 							worker.Die()
 							break
@@ -126,16 +126,16 @@
 	}
 	u.run(second)
 	store := func(key string, v any) { u.state.Change(key, &emulator.Item{Value: protocol.Encode(v)}) }
-	good := func(token, number uint64, ends ...completionjournal.Entry) completionjournal.Value {
+	encodeValue := func(token, number uint64, ends ...completionjournal.Entry) completionjournal.Value {
 		return completionjournal.Encode(token, number, ends)
 	}
-	truncated, altered, laterFormat := good(1, 1, completionjournal.Entry{Job: "j-1"}), good(1, 2, completionjournal.Entry{Job: "j-1"}), good(1, 3)
+	truncated, altered, laterFormat := encodeValue(1, 1, completionjournal.Entry{Job: "j-1"}), encodeValue(1, 2, completionjournal.Entry{Job: "j-1"}), encodeValue(1, 3)
 	truncated.Body, altered.Sum, laterFormat.Form = truncated.Body[:4], altered.Sum+1, completionjournal.FormatVersion+1
 	unreadable := []string{completionjournal.Key(1, 1), completionjournal.Key(1, 2), completionjournal.Key(1, 3), completionjournal.Key(1, 4), "g/1/five", "g/1/6"}
-	for i, v := range []any{truncated, altered, laterFormat, good(2, 4), good(1, 5), "text"} {
+	for i, v := range []any{truncated, altered, laterFormat, encodeValue(2, 4), encodeValue(1, 5), "text"} {
 		store(unreadable[i], v)
 	}
-	store(completionjournal.Key(1, 7), good(1, 7, completionjournal.Entry{Job: "j-999999"},
+	store(completionjournal.Key(1, 7), encodeValue(1, 7, completionjournal.Entry{Job: "j-999999"},
 		completionjournal.Entry{Job: "j-999999", Machine: "i-999999", Attempt: 3}, completionjournal.Entry{Job: "j-1", Index: 99_999}))
 	// A journal entry states that a replica has left its machine; the machine's record, which was written later, still
 	// holds the replica.
@@ -145,8 +145,8 @@
 	if err := protocol.Decode(u.state.Item(key).Value, &rec); err != nil {
 		t.Fatal(err)
 	}
-	at := slices.IndexFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == "j-1" })
-	store(completionjournal.Key(1, 8), good(1, 8, completionjournal.Entry{Job: "j-1", Index: rec.Attempts[at].Index, Machine: machine.ID, Attempt: rec.Attempts[at].Try}))
+	entry := slices.IndexFunc(rec.Attempts, func(e clusterstate.AttemptEntry) bool { return e.Job == "j-1" })
+	store(completionjournal.Key(1, 8), encodeValue(1, 8, completionjournal.Entry{Job: "j-1", Index: rec.Attempts[entry].Index, Machine: machine.ID, Attempt: rec.Attempts[entry].Try}))
 	store(key, rec)
 	for i := range u.nodes {
 		u.boot(i)
@@ -205,7 +205,7 @@
 			u.user(0, OpPoll, "j-1", func(s int, _ protocol.JobStatus) { status = s })
 			u.run(3 * second)
 			if u.leader() >= 0 || status != http.StatusServiceUnavailable || !bytes.Equal(u.state.Item(keyLeader).Value, stored) {
-				t.Errorf("leader %d, status %d, or the stored record has changed", u.leader(), status)
+				t.Errorf("leader %d, status %d, or the stored leader record has changed", u.leader(), status)
 			}
 		})
 	}
@@ -238,8 +238,8 @@
 			for range 60 {
 				u.run(tick * 5)
 				if to := u.leader(); to >= 0 && to != stating {
-					ask := protocol.PeerHeartbeat{From: label(stating), Incarnation: "x", Versions: c.statement}
-					u.ask(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(ask)}, func(Reply) {})
+					heartbeat := protocol.PeerHeartbeat{From: label(stating), Incarnation: "x", Versions: c.statement}
+					u.ask(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(heartbeat)}, func(Reply) {})
 				}
 			}
 			if lead := u.awaitLeader(); lead == stating {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -35,19 +35,19 @@
 	if err := protocol.Decode(w.state.Item(keyCounter).Value, &counter); err != nil {
 		w.t.Fatal(err)
 	}
-	o := &ganglessLeader{w: w, node: 2, token: counter.Token + 1}
-	w.state.Change(keyCounter, &emulator.Item{Value: protocol.Encode(counterRecord{Token: o.token})})
-	w.state.Change(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: o.token, LeaseID: 1 << 30})})
-	w.nodes[o.node].scripted = func(req Request) Reply {
+	older := &ganglessLeader{w: w, node: 2, token: counter.Token + 1}
+	w.state.Change(keyCounter, &emulator.Item{Value: protocol.Encode(counterRecord{Token: older.token})})
+	w.state.Change(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: older.token, LeaseID: 1 << 30})})
+	w.nodes[older.node].scripted = func(req Request) Reply {
 		if req.Op == OpWorkerHeartbeat {
-			return Reply{Status: 200, Body: protocol.Encode(protocol.WorkerHeartbeatReply{Token: o.token})}
+			return Reply{Status: 200, Body: protocol.Encode(protocol.WorkerHeartbeatReply{Token: older.token})}
 		}
 		return Reply{Status: 503, RetryAfter: 1}
 	}
 	w.boot(0)
 	w.boot(1)
 	w.run(2 * second)
-	return o
+	return older
 }
 
 // resign deletes the leader key and restarts the controller with the newer version.
@@ -122,9 +122,9 @@
 	w := newGateClosedWorld(t, 121)
 	w.startGangOnTwoMachines()
 	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
-	o := w.startOlderLeader()
+	olderLeader := w.startOlderLeader()
 	w.run(8 * second)
-	o.resign()
+	olderLeader.resign()
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	if w.machines.GangStarts["j-1"] != 1 {
 		t.Errorf("the gang started %d times", w.machines.GangStarts["j-1"])
@@ -142,21 +142,21 @@
 	w.until(120*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
 	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
 	w.until(10*second, "tasks of the gang are on two machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
-	lost := w.machinesWithTasksOf("j-1")[0]
-	tasks := tasksOf(lost, "j-1")
-	lost.Die()
-	o := w.startOlderLeader()
+	lostMachine := w.machinesWithTasksOf("j-1")[0]
+	tasks := tasksOf(lostMachine, "j-1")
+	lostMachine.Die()
+	olderLeader := w.startOlderLeader()
 	w.pulls = nil
 	remaining := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasks {
 		_, index, _ := clusterstate.ParseTaskName(key.Task)
-		o.startTask(remaining, "j-1", index)
+		olderLeader.startTask(remaining, "j-1", index)
 	}
 	w.run(5 * second)
 	if w.machines.GangStarts["j-1"] != 0 {
 		t.Fatal("the gang started with two attempt numbers")
 	}
-	o.resign()
+	olderLeader.resign()
 	w.until(40*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
@@ -169,13 +169,13 @@
 	w.runs = func(string) time.Duration { return 40 * second }
 	w.startGangOnTwoMachines()
 	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
-	o := w.startOlderLeader()
+	olderLeader := w.startOlderLeader()
 	worker := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasksOf(worker, "j-1") {
-		o.command(worker, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
+		olderLeader.command(worker, protocol.Command{Verb: protocol.VerbStop, Task: key.Task, Attempt: key.Attempt, GraceS: 2})
 	}
 	w.run(time.Second)
-	o.resign()
+	olderLeader.resign()
 	w.until(40*second, "the gang has started again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
 	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	w.settle()
@@ -190,7 +190,7 @@
 	w.startGangOnTwoMachines()
 	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(8 * second)
-	o := w.startOlderLeader()
+	olderLeader := w.startOlderLeader()
 	w.until(10*second, "the gang is done", func() bool { return w.finished["j-1/0"] })
 	state := clusterstate.New(16<<10, 16<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 4}, 1)
@@ -208,15 +208,15 @@
 			_, index, _ := clusterstate.ParseTaskName(key.Task)
 			j.MarkDone(index)
 			stored++
-			o.command(worker, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
+			olderLeader.command(worker, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
 		w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
-		o.removeAttempts(worker, "j-1")
+		olderLeader.removeAttempts(worker, "j-1")
 	}
 	if stored == 0 || stored == 4 {
 		t.Fatalf("%d of 4 completions are stored", stored)
 	}
-	o.resign()
+	olderLeader.resign()
 	w.awaitStatus(5*second, "j-1", protocol.JobDone)
 	w.run(40 * second)
 	if w.machines.GangStarts["j-1"] != 1 {
@@ -243,7 +243,7 @@
 			w.startGangOnTwoMachines()
 			w.until(30*second, "tasks of the gang are on two machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
 			w.run(3 * second)
-			o := w.startOlderLeader()
+			olderLeader := w.startOlderLeader()
 			key := clusterstate.JobPrefix + "j-1"
 			var rec clusterstate.JobRecord
 			if err := protocol.Decode(w.state.Item(key).Value, &rec); err != nil {
@@ -252,7 +252,7 @@
 			rec.State, rec.Spec.Gang = clusterstate.Cancelling, false
 			w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
 			w.cancelRequested["j-1"] = true
-			o.resign()
+			olderLeader.resign()
 			w.cancel("j-1")
 			w.awaitStatus(20*second, "j-1", protocol.JobCancelled)
 			w.settle()
@@ -272,15 +272,15 @@
 			w.cloud.Down = true
 			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // there is room for three of the four tasks
 			w.run(3 * second)
-			o := w.startOlderLeader()
+			olderLeader := w.startOlderLeader()
 			for i, worker := range w.machinesWithTasksOf("j-9") {
-				o.startTask(worker, "j-1", i)
+				olderLeader.startTask(worker, "j-1", i)
 			}
 			w.run(leads)
-			o.resign()
+			olderLeader.resign()
 			w.run(5 * second)
 			worker := w.machinesWithTasksOf("j-9")[0]
-			if o.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: o.token<<24 | 99}) {
+			if olderLeader.command(worker, protocol.Command{Verb: protocol.VerbRun, Task: "j-1/3", Attempt: olderLeader.token<<24 | 99}) {
 				t.Error("a machine accepted a command of the older leader after it had resigned")
 			}
 			w.cloud.Down = false
@@ -301,12 +301,12 @@
 		w.submit(fmt.Sprintf("j-%d0", turn), group(3, 1, map[string]any{"owner": "blue"}))
 		w.submit(fmt.Sprintf("j-%d1", turn), map[string]any{"shards": 3, "cores": 1.0})
 		w.run(time.Duration(turn) * 1300 * time.Millisecond)
-		o := w.startOlderLeader()
-		if held := w.machinesWithTasksOf(fmt.Sprintf("j-%d0", turn)); len(held) > 0 && turn%2 == 1 {
-			held[0].Die()
+		olderLeader := w.startOlderLeader()
+		if machines := w.machinesWithTasksOf(fmt.Sprintf("j-%d0", turn)); len(machines) > 0 && turn%2 == 1 {
+			machines[0].Die()
 		}
 		w.run(time.Duration(turn*2) * second)
-		o.resign()
+		olderLeader.resign()
 		w.run(3 * second)
 	}
 	for turn := range 5 {
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -33,17 +33,17 @@
 }
 
 // replicasOverZones creates a world with two services whose replicas are spread over the zones. The leader is in zone b
-// if inside is set.
-func replicasOverZones(t *testing.T, seed uint64, inside bool) *world {
+// if leaderInZoneB is set.
+func replicasOverZones(t *testing.T, seed uint64, leaderInZoneB bool) *world {
 	t.Helper()
 	w := newWorld(t, seed)
-	if inside {
+	if leaderInZoneB {
 		w.crash(0)
 		w.crash(1)
 	}
 	w.awaitLeader()
 	w.run(3 * second)
-	if inside {
+	if leaderInZoneB {
 		w.boot(0)
 		w.boot(1)
 	}
@@ -58,12 +58,12 @@
 // nowhere else, keep running. A cancellation during the partition must not be confirmed before the unreachable task is
 // proved absent.
 func TestFollowerRenewsLeasesDuringPartition(t *testing.T) {
-	for _, inside := range []bool{false, true} {
-		t.Run(fmt.Sprintf("leader inside %v", inside), func(t *testing.T) {
-			w := replicasOverZones(t, 31, inside)
+	for _, leaderInZoneB := range []bool{false, true} {
+		t.Run(fmt.Sprintf("leader inside %v", leaderInZoneB), func(t *testing.T) {
+			w := replicasOverZones(t, 31, leaderInZoneB)
 			w.run(5 * second)
-			if (w.leader() == 2) != inside {
-				t.Fatalf("leader %d", w.leader())
+			if (w.leader() == 2) != leaderInZoneB {
+				t.Fatalf("controller %d leads from the wrong zone", w.leader())
 			}
 			w.partitionZoneB()
 			w.run(12 * second)
@@ -170,13 +170,13 @@
 			w.run(15 * second)
 			w.crash(lead)
 			w.at(downtime, func() { w.boot(lead) })
-			ask := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
+			heartbeat := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
 			for range 400 {
 				w.run(tick)
 				if n := w.running("j-1"); n != 6 {
 					t.Fatalf("restart after %v: %d of 6 replicas run", downtime, n)
 				}
-				w.ask(lead, Request{Op: OpPeerHeartbeat, Body: ask}, func(r Reply) {
+				w.ask(lead, Request{Op: OpPeerHeartbeat, Body: heartbeat}, func(r Reply) {
 					var answer protocol.PeerHeartbeatReply
 					if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
 						w.violated("the restarted former leader reports itself as the leader")
@@ -232,7 +232,7 @@
 		}
 	}
 	if zoneWorker == nil || lead == 2 {
-		t.Fatal("no worker of the other zone, or the leader is there")
+		t.Fatal("zone b has no worker, or its controller leads")
 	}
 	w.until(20*second, "the worker sends heartbeats to its zone's controller", func() bool { return zoneWorker.Controller == 2 })
 	l := w.nodes[lead].controller.leadership
@@ -264,8 +264,8 @@
 // partitioned zone. The zone's workers find no controller for longer than a lease, so the new leader must start their
 // tasks elsewhere without waiting for the end of the partition. A crash of the leader alone must not have this effect.
 func TestZoneIsDeclaredLost(t *testing.T) {
-	for _, all := range []bool{true, false} {
-		t.Run(fmt.Sprintf("all controllers crash %v", all), func(t *testing.T) {
+	for _, allCrash := range []bool{true, false} {
+		t.Run(fmt.Sprintf("all controllers crash %v", allCrash), func(t *testing.T) {
 			w := newWorld(t, 37)
 			lead := w.awaitLeader()
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 4})
@@ -277,7 +277,7 @@
 			w.partitionZoneB()
 			w.run(8 * second)
 			crashed := []int{lead}
-			if all {
+			if allCrash {
 				crashed = []int{0, 1, 2}
 			}
 			for _, i := range crashed {
@@ -294,12 +294,12 @@
 					released++
 				}
 			}
-			if all != (released > 0) {
-				t.Errorf("all controllers crashed: %v, but %d machines of the zone were released", all, released)
+			if allCrash != (released > 0) {
+				t.Errorf("all controllers crashed: %v, but %d machines of the zone were released", allCrash, released)
 			}
 			w.run(20 * second)
 			if w.running("j-1") != 4 {
-				t.Errorf("all controllers crashed: %v, %d of 4 replicas run 45 s later", all, w.running("j-1"))
+				t.Errorf("all controllers crashed: %v, %d of 4 replicas run 45 s later", allCrash, w.running("j-1"))
 			}
 			w.script, w.heartbeatFault = nil, nil
 			w.run(30 * second)
