--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -6,14 +6,13 @@
 	"claybarrow/internal/protocol"
 )
 
-// A controller of a version without the feature gate is simulated by the current version, with the
-// feature off and everything that such a version does not know removed from what it sends and
-// receives: the version statement in heartbeats, the gate's state in the leader record, the lease
-// key. To its decoder they do not exist: unknown fields are dropped, unknown keys ignored. Its own
-// messages and transactions are those of 0eeb63e, byte for byte (TestStoredBytesWithoutTheJournal,
-// TestPeersBytes).
+// A controller without the feature gate is simulated by the current version with the feature off. The functions of this
+// file remove from its messages what such a version neither sends nor decodes: the version statement in heartbeats, the
+// gate's state in the leader record, and the lease key. The decoder of such a version drops unknown fields and ignores
+// unknown keys. The simulated controller's own messages and transactions equal those of 0eeb63e byte for byte, see
+// TestStoredBytesWithoutJournal.
 
-// logSink passes on what is logged.
+// logSink passes each log line to a function.
 type logSink func(line []byte)
 
 // Write implements io.Writer.
@@ -22,17 +21,17 @@
 	return len(line), nil
 }
 
-// olderCall removes from a call what an older version does not send.
+// olderCall removes from a request the fields that an older version does not send.
 func olderCall(c Call) Call {
-	var ask protocol.PeerHeartbeat
-	if c.Path == "/heartbeat" && protocol.DecodePeer(c.Body, &ask) == nil {
-		ask.Versions = nil
-		c.Body = protocol.EncodePeer(ask)
+	var heartbeat protocol.PeerHeartbeat
+	if c.Path == "/heartbeat" && protocol.DecodePeer(c.Body, &heartbeat) == nil {
+		heartbeat.Versions = nil
+		c.Body = protocol.EncodePeer(heartbeat)
 	}
 	return c
 }
 
-// olderReply removes from an answer to another controller what an older version does not send.
+// olderReply removes from a reply to another controller the fields that an older version does not send.
 func olderReply(c Call, body []byte) []byte {
 	var reply protocol.PeerHeartbeatReply
 	if c.Path == "/heartbeat" && protocol.DecodePeer(body, &reply) == nil {
@@ -42,7 +41,7 @@
 	return body
 }
 
-// olderAnswer removes from the state service's answer what an older version does not read.
+// olderAnswer removes from a reply of the state service the keys and fields that an older version does not read.
 func olderAnswer(c Call, body []byte) []byte {
 	if c.Target != ToState || len(body) == 0 {
 		return body
@@ -53,34 +52,34 @@
 		if protocol.Decode(body, &events) != nil {
 			return body
 		}
-		kept := events.Events[:0]
+		readable := events.Events[:0]
 		for _, e := range events.Events {
 			if e.Put != keyLease && e.Delete != keyLease {
 				e.Value = olderLeader(e.Put, e.Value)
-				kept = append(kept, e)
+				readable = append(readable, e)
 			}
 		}
-		events.Events = kept
+		events.Events = readable
 		return protocol.Encode(events)
 	case strings.HasPrefix(c.Path, "/store?under="+keyPrefix):
 		var items protocol.KeyValuePage
 		if protocol.Decode(body, &items) != nil {
 			return body
 		}
-		kept := items.Items[:0]
+		readable := items.Items[:0]
 		for _, it := range items.Items {
 			if it.Key != keyLease {
 				it.Value = olderLeader(it.Key, it.Value)
-				kept = append(kept, it)
+				readable = append(readable, it)
 			}
 		}
-		items.Items = kept
+		items.Items = readable
 		return protocol.Encode(items)
 	}
 	return body
 }
 
-// olderLeader returns the leader record as an older version decodes it.
+// olderLeader returns the value of a key as an older version decodes it: a leader record without the gate's state.
 func olderLeader(key string, value []byte) []byte {
 	var rec leaderRecord
 	if key != keyLeader || len(value) == 0 || protocol.Decode(value, &rec) != nil {
--- a/internal/controller/request_burst_test.go
+++ b/internal/controller/request_burst_test.go
@@ -9,20 +9,21 @@
 	"claybarrow/internal/protocol"
 )
 
-// Random faults in random order, each with a fixed seed.
-func TestManyRequestsAtOnce(t *testing.T) {
+// TestRandomRequestsUnderFaults sends random submissions and cancellations under random faults, one sequence per fixed
+// seed.
+func TestRandomRequestsUnderFaults(t *testing.T) {
 	for seed := range uint64(12) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRequestBurst(t, 100+seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRandomRequests(t, 100+seed) })
 	}
 }
 
-func checkRequestBurst(t *testing.T, seed uint64) {
+func checkRandomRequests(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	var jobs []string
 	cancelled := map[string]bool{}
-	lossy := false
+	lossyNetwork := false
 	w.script = func(_ int, _ Call) deliveryFault {
-		if !lossy {
+		if !lossyNetwork {
 			return deliveryFault{}
 		}
 		f := deliveryFault{lost: w.rng.IntN(12) == 0, answerLost: w.rng.IntN(12) == 0}
@@ -32,7 +33,7 @@
 		return f
 	}
 	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault {
-		return deliveryFault{lost: lossy && w.rng.IntN(8) == 0, answerLost: lossy && w.rng.IntN(8) == 0}
+		return deliveryFault{lost: lossyNetwork && w.rng.IntN(8) == 0, answerLost: lossyNetwork && w.rng.IntN(8) == 0}
 	}
 	w.runs = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
 	for step := range 50 {
@@ -68,7 +69,7 @@
 				}
 			}
 		case 8:
-			lossy = !lossy
+			lossyNetwork = !lossyNetwork
 		case 9:
 			for _, worker := range w.workers() {
 				if len(w.copies[worker.ID]) > 0 {
@@ -92,7 +93,7 @@
 			w.checkCancelledTasksEnded()
 		}
 	}
-	lossy = false
+	lossyNetwork = false
 	w.state.RefusedClients = map[int]bool{}
 	for i := range 3 {
 		if !w.nodes[i].alive {
@@ -100,7 +101,7 @@
 		}
 	}
 	w.run(40 * second)
-	// Services may use a team's whole quota: they end like any other job.
+	// Services may use up a team's quota, so they are cancelled before the remaining jobs are awaited.
 	for _, uid := range jobs {
 		if w.specs[uid]["shape"] == "service" {
 			w.cancel(uid)
