--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -11,62 +11,62 @@
 	"claybarrow/internal/protocol"
 )
 
-// Limits of the cloud that the protocol's page names.
+// Limits that the protocol documentation sets for the cloud.
 const (
 	maxListed    = 500
 	maxLaunched  = 50
 	maxDeleted   = 100
-	burstSeconds = 2 // of requests at the rate limit
-	// failureListingDelay is how long a machine that has failed is still listed as running.
+	burstSeconds = 2 // burst of requests, in seconds at the rate limit
+	// failureListingDelay is how long a failed machine is still listed in its state before the failure.
 	failureListingDelay = 30 * time.Second
 )
 
-// Pool is a kind of machine that the cloud has a capacity of: type, zone, and spot or not.
+// Pool identifies the machines that share one capacity limit: machines of one type and zone, either spot or not.
 type Pool struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Machine is a machine as the cloud knows it.
+// Machine is the cloud's record of a machine.
 type Machine struct {
 	ID, Addr string
 	Pool
 	LaunchedAt time.Duration
 	Up         bool
-	Deleted    bool          // deleted or preempted: no longer listed
-	FailedAt   time.Duration // when it stopped on its own; 0: it has not
+	Deleted    bool          // the machine was deleted or preempted, and is no longer listed
+	FailedAt   time.Duration // when the machine failed; 0: it has not failed
 }
 
 // Cloud emulates a cloud that launches and deletes machines.
 type Cloud struct {
 	queue    *EventQueue
-	machines []*Machine // in the order of creation, which is the order of names
+	machines []*Machine // in the order of creation, which is also the order of their names
 	byName   map[string]*Machine
-	// launchedByRequest holds the names of the machines launched by each request's key: launch requests
-	// are idempotent.
+	// launchedByRequest maps the idempotency key of each launch request to the names of the machines that it launched.
 	launchedByRequest map[string][]string
 	requestBudget     tokenBucket
 
 	Types []protocol.MachineType
-	// Name returns the n-th machine's name, with n from 1, and Addr its worker's address. Names must
-	// sort in the order of n.
+	// Name returns the name of the n-th machine, counted from 1; the names must sort in the order of n. Addr returns
+	// the address of the machine's worker.
 	Name func(n int) string
 	Addr func(id string) string
-	// Capacity is how many more machines of each pool can be launched; nil: any number.
+	// Capacity is the number of further machines that each pool can launch; nil: no limit.
 	Capacity map[Pool]int
-	// ListLag is how long a new machine is missing from the list, BootTime how long a machine takes to boot,
-	// and Rate the limit of requests a second; 0: no limit.
+	// ListLag is how long a new machine is missing from the list, BootTime returns how long a machine of a type takes
+	// to boot, and RequestRate is the limit of requests per second; 0: no limit.
 	ListLag     time.Duration
 	BootTime    func(typ string) time.Duration
 	RequestRate float64
-	// Down has all requests fail, Full all launches (injected faults).
+	// Injected faults: Down makes all requests fail, OutOfCapacity all launch requests.
 	Down, OutOfCapacity bool
-	// Deleted are the names in the requests for deletion, in their order.
+	// Deleted lists the machine names in all deletion requests, in the order of arrival.
 	Deleted []string
-	// OnLaunch is called for each machine that begins to boot, Remove for each that is deleted.
+	// OnLaunch is called for each machine that a launch request creates, OnDelete for each machine that is deleted on
+	// request.
 	OnLaunch func(m *Machine)
 	OnDelete func(m *Machine)
-	// Violation is called for requests that violate the protocol; nil: they are only refused.
+	// Violation is called for each request that violates the protocol, in addition to refusing it; nil: not called.
 	Violation func(what string)
 }
 
@@ -75,7 +75,7 @@
 	return &Cloud{queue: queue, byName: map[string]*Machine{}, launchedByRequest: map[string][]string{}}
 }
 
-// Create makes a machine that begins to boot now, without a call of Launch.
+// Create adds a machine that was launched now, without a launch request and without calling OnLaunch.
 func (c *Cloud) Create(pool Pool) *Machine {
 	id := c.Name(len(c.machines) + 1)
 	m := &Machine{ID: id, Addr: c.Addr(id), Pool: pool, LaunchedAt: c.queue.Now()}
@@ -87,10 +87,10 @@
 	return m
 }
 
-// Machine returns a machine by its name, or nil.
+// Machine returns the machine with the given name, or nil if there is none.
 func (c *Cloud) Machine(id string) *Machine { return c.byName[id] }
 
-// Fail records that a machine has stopped on its own.
+// Fail records the failure of a machine and releases its capacity.
 func (c *Cloud) Fail(id string) {
 	if m := c.byName[id]; m != nil && !m.Deleted && m.FailedAt == 0 {
 		m.FailedAt = c.queue.Now()
@@ -98,14 +98,14 @@
 	}
 }
 
-// releaseCapacity lets a machine's place be launched again.
+// releaseCapacity returns a machine's capacity to its pool.
 func (c *Cloud) releaseCapacity(m *Machine) {
 	if c.Capacity != nil {
 		c.Capacity[m.Pool]++
 	}
 }
 
-// Serve answers one request with an HTTP status and a body.
+// Serve handles one request and returns an HTTP status and a body.
 func (c *Cloud) Serve(method, target string, body []byte) (int, []byte) {
 	if c.Down {
 		return statusUnavailable, protocol.Encode(map[string]any{"error": "trouble"})
@@ -132,19 +132,19 @@
 	return http.StatusBadRequest, nil
 }
 
-// reportViolation tells of a request that violates the protocol.
+// reportViolation passes a request that violates the protocol to Violation.
 func (c *Cloud) reportViolation(what string) {
 	if c.Violation != nil {
 		c.Violation("cloud: " + what)
 	}
 }
 
-// launchMachines launches up to as many machines as asked for. A request that is repeated under the same
-// key is answered with the machines that it launched first.
+// launchMachines launches the requested number of machines, or fewer if the pool's capacity is lower. A repeated
+// request with the same idempotency key launches nothing and returns the machines of the first one.
 func (c *Cloud) launchMachines(body []byte) (int, []byte) {
 	var request protocol.LaunchRequest
 	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 || request.Count > maxLaunched {
-		c.reportViolation("a rental can't be read or asks for too many")
+		c.reportViolation("launch request cannot be decoded, or its number of machines is out of range")
 		return http.StatusBadRequest, nil
 	}
 	pool := Pool{request.Type, request.Zone, request.Spot}
@@ -166,7 +166,7 @@
 	return http.StatusOK, protocol.Encode(protocol.MachineIDs{Machines: c.launchedByRequest[request.Request]})
 }
 
-// list returns one page of the machines in the order of their names.
+// list returns one page of the machines, ordered by name.
 func (c *Cloud) list(values url.Values) protocol.MachineList {
 	limit, _ := strconv.Atoi(values.Get("limit")) // absent: 0
 	if limit <= 0 || limit > maxListed {
@@ -197,11 +197,11 @@
 	return out
 }
 
-// deleteMachines deletes machines by their names; unknown ones are ignored.
+// deleteMachines deletes the named machines; unknown names are ignored.
 func (c *Cloud) deleteMachines(body []byte) (int, []byte) {
 	var request protocol.MachineIDs
 	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > maxDeleted {
-		c.reportViolation("a deletion can't be read or names too many")
+		c.reportViolation("deletion request cannot be decoded, or names too many machines")
 		return http.StatusBadRequest, nil
 	}
 	for _, id := range request.Machines {
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,7 +1,7 @@
-// Package emulator emulates what a controller talks to, as the protocol's page describes it: the state
-// service, the cloud and the workers with their tasks.
+// Package emulator emulates the systems that a controller communicates with, as the protocol documentation specifies
+// them: the state service, the cloud, and the workers with their tasks.
 //
-// All of it is one deterministic state machine on an EventQueue: tests advance the queue by a clock of
-// their own, the scale run by the real one. Nothing here is safe for concurrent use: the goroutine that
-// owns the queue owns all parts.
+// The emulated systems run on a shared EventQueue. Tests advance the queue by a simulated clock, the scale run by the
+// real clock. The package is not safe for concurrent use: only the goroutine that owns the queue may use the systems
+// that run on it.
 package emulator
--- a/internal/emulator/eventqueue.go
+++ b/internal/emulator/eventqueue.go
@@ -5,32 +5,31 @@
 	"time"
 )
 
-// EventQueue is a queue of functions that are due at given times, with the clock that they are due by.
-// The zero value is an empty queue at time 0.
+// EventQueue is a queue of functions that are scheduled on its own clock. The zero value is an empty queue at time 0.
 type EventQueue struct {
 	now    time.Duration
 	seq    int
 	events eventHeap
 }
 
-// event is a function that is due at a time; seq orders those of the same time.
+// event is a function that is due at a time; seq orders the events of the same time.
 type event struct {
 	at     time.Duration
 	seq    int
 	action func()
 }
 
-// Now returns the time that the queue has reached.
+// Now returns the current time of the queue's clock.
 func (q *EventQueue) Now() time.Duration { return q.now }
 
-// After schedules a function for a time from now; a negative time counts as 0. Functions that are due
-// at the same time run in the order in which they were scheduled.
+// After schedules a function to run after d; a negative d counts as 0. Functions that are due at the same time run in
+// the order in which they were scheduled.
 func (q *EventQueue) After(d time.Duration, do func()) {
 	q.seq++
 	heap.Push(&q.events, event{q.now + max(d, 0), q.seq, do})
 }
 
-// RunUntil runs all that is due up to a time, which becomes now.
+// RunUntil runs all functions that are due up to end and advances the clock to end.
 func (q *EventQueue) RunUntil(end time.Duration) {
 	for len(q.events) > 0 && q.events[0].at <= end {
 		next := heap.Pop(&q.events).(event)
@@ -40,7 +39,7 @@
 	q.now = max(q.now, end)
 }
 
-// Next returns when the next function is due; false: there is none.
+// Next returns the time at which the next function is due; false: the queue is empty.
 func (q *EventQueue) Next() (time.Duration, bool) {
 	if len(q.events) == 0 {
 		return 0, false
@@ -48,10 +47,10 @@
 	return q.events[0].at, true
 }
 
-// Empty says whether nothing is scheduled.
+// Empty reports whether no function is scheduled.
 func (q *EventQueue) Empty() bool { return len(q.events) == 0 }
 
-// eventHeap is a heap by time, for container/heap.
+// eventHeap implements heap.Interface, ordered by time and then by seq.
 type eventHeap []event
 
 // Len implements heap.Interface.
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -7,28 +7,32 @@
 	"time"
 )
 
-// Timing holds the workers' times: those of the settings and those that the protocol's page names.
+// Timing holds the intervals and timeouts of the workers, from the settings and from the protocol documentation.
 type Timing struct {
-	// HeartbeatInterval is the time between two heartbeats, give or take the share Jitter of it.
+	// HeartbeatInterval is the time between two heartbeats. Each interval varies randomly by up to the fraction Jitter
+	// in either direction.
 	HeartbeatInterval time.Duration
 	Jitter            float64
-	// MinHeartbeatPause is the shortest time between two heartbeats when something has changed; 0: changes
-	// wait for the next regular heartbeat.
+	// MinHeartbeatPause is the minimum time between two heartbeats if the state of the worker has changed; 0: a change
+	// is sent with the next regular heartbeat.
 	MinHeartbeatPause time.Duration
-	// HeartbeatTimeout is how long the answer to a heartbeat is waited for. FailoverDelay is how long after a
-	// failure the next controller is tried, RedirectDelay how long after a redirect the one that it names.
+	// HeartbeatTimeout is how long a worker waits for the reply to a heartbeat. FailoverDelay is how long it waits after
+	// a failed heartbeat before it tries the next controller, and RedirectDelay how long it waits before it follows a
+	// redirect to another controller.
 	HeartbeatTimeout, FailoverDelay, RedirectDelay time.Duration
-	// LeaseTTL is how long after the last answered heartbeat a worker ends its tasks.
+	// LeaseTTL is the validity of a worker's lease, counted from when the last answered heartbeat was sent. A worker
+	// ends its tasks when its lease expires.
 	LeaseTTL time.Duration
-	// GangStartTimeout is how long a gang's task waits for the others to start, GangPeerTimeout how long one runs on
-	// without them.
+	// GangStartTimeout is how long a gang's task waits for the other tasks of the gang to start, and GangPeerTimeout how
+	// long a task continues to run while others of its gang are missing.
 	GangStartTimeout, GangPeerTimeout time.Duration
-	// CheckInterval is how often expired leases and the ends of tasks on hung machines are checked for.
+	// CheckInterval is the shortest interval of lease checks, and the interval at which the completion of a task on a
+	// hung machine is retried.
 	CheckInterval time.Duration
 }
 
-// Job is the part of a job's description that workers need: cores, accelerators and memory (GB) of each
-// task, the image, and the time in seconds that a task takes to save a checkpoint (0: it saves none).
+// Job is the part of a job's specification that workers need. Cores, Accelerators and MemoryGB are per task.
+// CheckpointS is the time in seconds that a task takes to save a checkpoint (0: the job saves none).
 type Job struct {
 	Image        string
 	ImageGB      float64
@@ -41,54 +45,56 @@
 	MemoryGB     float64
 }
 
-// HeartbeatSender sends a worker's heartbeat to a controller, and gives the answer: status 0 if there was none in
-// time.
+// HeartbeatSender sends a worker's heartbeat to a controller and passes the reply to answer: status 0 if no reply
+// arrived in time.
 type HeartbeatSender func(worker *Worker, controller int, body []byte, answer Reply)
 
-// Observer is called for what happens on workers. Nil functions are not called.
+// Observer holds callbacks for events on the workers. Nil functions are not called.
 type Observer struct {
-	// TaskStarted is called when a task starts on a machine, Leaves when it is no longer there.
+	// TaskStarted is called when a task starts to occupy its machine, TaskStopped when it no longer does.
 	TaskStarted func(worker *Worker, task string, t *Task)
 	TaskStopped func(worker *Worker, task string, t *Task)
-	// TaskCompleted is called for each task that has completed.
+	// TaskCompleted is called for each task that completes.
 	TaskCompleted func(task string, t *Task)
-	// WorkerDied is called for each machine that has ended.
+	// WorkerDied is called for each worker whose machine is terminated.
 	WorkerDied func(worker *Worker)
-	// GangStopRequested is called for the first command to stop a gang's task, with its grace period in seconds.
+	// GangStopRequested is called when a gang's task receives a stop command, with the grace period in seconds. It is
+	// not called again once the task is waiting to save its checkpoint.
 	GangStopRequested func(t *Task, graceS float64)
-	// Violation is called for messages that violate the protocol.
+	// Violation is called for each message that violates the protocol.
 	Violation func(what string)
 }
 
-// Fleet is all workers, with what is the same for all of them.
+// Fleet holds all workers and their common configuration.
 type Fleet struct {
 	queue         *EventQueue
 	Timing        Timing
 	Workers       map[string]*Worker
 	SendHeartbeat HeartbeatSender
 	Observer
-	// Controllers is the number of controllers; Label returns the number of the one with a name,
-	// negative if there is none.
+	// Controllers is the number of controllers. ControllerByName returns the number of the controller with the given
+	// name, or a negative number if there is none.
 	Controllers      int
 	ControllerByName func(name string) int
-	// Jobs returns a job's description; nil: there is no such job.
+	// Jobs returns a job's specification, or nil if there is no such job.
 	Jobs func(uid string) *Job
 	// RunTime returns how long a task runs, FetchTime how long it waits for its image.
 	RunTime   func(task string) time.Duration
 	FetchTime func(worker *Worker, task string, j *Job) time.Duration
-	// FailsAtStart says whether a task fails as soon as it starts; nil: none does.
+	// FailsAtStart reports whether a task fails as soon as it starts; nil: no task does.
 	FailsAtStart func(worker *Worker, t *Task) bool
-	// Random returns numbers from 0 to 1, for the jitter of heartbeats.
+	// Random returns a random number from 0 to 1, for the jitter of heartbeats.
 	Random func() float64
-	// RefuseUnfit has workers refuse tasks that they have no room for or run already.
+	// RefuseUnfit makes workers refuse tasks of unknown jobs, tasks that do not fit into the machine's free resources,
+	// and tasks of which the machine already has another attempt.
 	RefuseUnfit bool
 
-	// gangs are the tasks of each attempt that workers know, with their workers. checkpointedTasks
-	// counts those that have ended with a checkpoint.
+	// gangs maps each attempt of a gang to its tasks that workers still report, and each task to its worker.
+	// checkpointedTasks counts the tasks of each attempt that have ended with a checkpoint.
 	gangs             map[GangAttempt]map[*Task]*Worker
 	checkpointedTasks map[GangAttempt]int
-	// GangStarts counts by job how often a gang has started to run with all its tasks, and Saves how often
-	// one was stopped with a checkpoint.
+	// GangStarts counts for each job how often its gang has started to run with all tasks, and GangCheckpoints how often
+	// the gang was stopped with a checkpoint.
 	GangStarts, GangCheckpoints map[string]int
 }
 
@@ -105,7 +111,7 @@
 	return worker
 }
 
-// Sorted returns the workers in the order of their names, so that runs are reproducible.
+// Sorted returns the workers ordered by ID, so that runs are reproducible.
 func (f *Fleet) Sorted() []*Worker {
 	var out []*Worker
 	for _, id := range slices.Sorted(maps.Keys(f.Workers)) {
@@ -114,7 +120,7 @@
 	return out
 }
 
-// reportViolation tells of a message that violates the protocol.
+// reportViolation passes a message that violates the protocol to Violation.
 func (f *Fleet) reportViolation(format string, args ...any) {
 	if f.Violation != nil {
 		f.Violation(fmt.Sprintf(format, args...))
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -11,13 +11,14 @@
 	"claybarrow/internal/protocol"
 )
 
-// GangAttempt identifies an attempt of a gang by its job and the attempt's number.
+// GangAttempt identifies an attempt of a gang by the UID of its job and the number of the attempt.
 type GangAttempt struct {
 	UID     string
 	Attempt uint64
 }
 
-// gangTasks lists the tasks of a gang's attempt that occupy machines, in the order of their starts.
+// gangTasks returns the tasks of a gang's attempt that occupy machines, ordered by Task.generation: the number of the
+// start on its worker.
 func (f *Fleet) gangTasks(attempt GangAttempt) (out []*Task) {
 	for t, worker := range f.gangs[attempt] {
 		if t.OccupiesMachine() && !worker.Deleted {
@@ -30,7 +31,7 @@
 
 func (t *Task) gangAttempt() GangAttempt { return GangAttempt{t.UID, t.Attempt} }
 
-// joinGang adds a task to those of its gang's attempt.
+// joinGang adds a task to the attempt of its gang.
 func (f *Fleet) joinGang(worker *Worker, t *Task) {
 	attempt := t.gangAttempt()
 	if f.gangs[attempt] == nil {
@@ -39,7 +40,7 @@
 	f.gangs[attempt][t] = worker
 }
 
-// leaveGang removes a task that its worker no longer knows from its gang.
+// leaveGang removes a task that its worker no longer reports from the attempt of its gang.
 func (f *Fleet) leaveGang(t *Task) {
 	attempt := t.gangAttempt()
 	delete(f.gangs[attempt], t)
@@ -48,8 +49,8 @@
 	}
 }
 
-// waitForGang has a gang's task wait for the others, and starts the gang with the last one. Without it
-// the task ends after Timing.GangStartTimeout.
+// waitForGang makes a gang's task wait for the other tasks of the gang, and starts the gang if this task was the last
+// missing one. A task whose gang does not start within Timing.GangStartTimeout ends.
 func (w *Worker) waitForGang(name string, t *Task, job *Job) {
 	f := w.fleet
 	w.setState(name, t, protocol.TaskWaitingForGang, "")
@@ -62,7 +63,7 @@
 	})
 }
 
-// startGangIfComplete starts a gang whose tasks all wait. They complete together.
+// startGangIfComplete starts a gang once all of its tasks are waiting. The tasks complete together.
 func (f *Fleet) startGangIfComplete(attempt GangAttempt, job *Job) {
 	all := f.gangTasks(attempt)
 	whole := func(state protocol.TaskState) bool {
@@ -104,7 +105,7 @@
 	}
 }
 
-// attemptKey returns the key of a task among the worker's Tasks.
+// attemptKey returns the key of a task in the worker's Tasks.
 func (w *Worker) attemptKey(t *Task) string {
 	for name, other := range w.Tasks {
 		if other == t {
@@ -114,8 +115,9 @@
 	return AttemptKey(t.UID, t.Attempt)
 }
 
-// stopGangTask stops a gang's task: at once, unless it runs and the grace period (seconds) is long
-// enough to save a checkpoint. Until it ends it is reported as running, as the protocol's page says.
+// stopGangTask stops a gang's task. A running task whose grace period (in seconds) is long enough to save a checkpoint
+// is ended later by stepGangStop and is reported as running until then, as the protocol documentation specifies. Any
+// other task ends at once.
 func (w *Worker) stopGangTask(name string, t *Task, job *Job, graceS float64) {
 	f := w.fleet
 	if t.StopRequestedAt == 0 && f.GangStopRequested != nil {
@@ -130,8 +132,8 @@
 	}
 }
 
-// StepGangs has the running tasks of gangs react to the end or the stop of one of them, as the protocol's
-// page says. The owner of the fleet calls it at short intervals.
+// StepGangs makes the running tasks of gangs react to missing or stopping tasks of the same gang, as the protocol
+// documentation specifies. The owner of the fleet calls it at short intervals.
 func (f *Fleet) StepGangs() {
 	attempts := slices.SortedFunc(maps.Keys(f.gangs), func(a, b GangAttempt) int {
 		return cmp.Or(strings.Compare(a.UID, b.UID), cmp.Compare(a.Attempt, b.Attempt))
@@ -152,8 +154,8 @@
 	}
 }
 
-// checkGangPeers ends a task when for gang_peer_s others of its gang have been missing, or were told to
-// stop and it was not.
+// checkGangPeers ends a task that has not received a stop command if, for Timing.GangPeerTimeout, other tasks of its
+// gang have been missing or stopping.
 func (f *Fleet) checkGangPeers(worker *Worker, t *Task, job *Job) {
 	running := 0
 	for _, peer := range f.gangTasks(t.gangAttempt()) {
@@ -172,11 +174,12 @@
 	}
 }
 
-// stepGangStop ends a task that was told to stop: with a checkpoint once it has saved and all others were
-// told to stop too, or without one if they were not within gang_peer_s.
+// stepGangStop ends a task that has received a stop command: with a checkpoint once the time to save one has passed and
+// all tasks of the gang have received a stop command, or without a checkpoint if the others have received none within
+// Timing.GangPeerTimeout of the first one.
 func (f *Fleet) stepGangStop(worker *Worker, t *Task, job *Job) {
 	attempt := t.gangAttempt()
-	stopping, first := f.checkpointedTasks[attempt], t.StopRequestedAt // those that have ended were told
+	stopping, first := f.checkpointedTasks[attempt], t.StopRequestedAt // tasks that ended with a checkpoint had received a stop command
 	for _, peer := range f.gangTasks(attempt) {
 		if peer.StopRequestedAt > 0 {
 			stopping++
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -10,7 +10,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// Heartbeat returns the worker's next heartbeat, under the next sequence number.
+// Heartbeat returns the worker's next heartbeat, with the next sequence number.
 func (w *Worker) Heartbeat() protocol.WorkerHeartbeat {
 	w.Seq++
 	m := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Epoch, Sequence: w.Seq, Token: w.Token,
@@ -27,7 +27,7 @@
 	return m
 }
 
-// scheduleHeartbeat sends the next heartbeat after a while, in place of the one that was due.
+// scheduleHeartbeat schedules the next heartbeat after d, and cancels the heartbeat that was scheduled before.
 func (w *Worker) scheduleHeartbeat(d time.Duration) {
 	w.heartbeatTimer++
 	generation := w.heartbeatTimer
@@ -38,7 +38,7 @@
 	})
 }
 
-// heartbeatInterval returns the time until the next heartbeat if nothing changes.
+// heartbeatInterval returns the time until the next regular heartbeat, with its jitter.
 func (w *Worker) heartbeatInterval() time.Duration {
 	t := w.fleet.Timing
 	if t.Jitter == 0 {
@@ -47,8 +47,8 @@
 	return time.Duration(float64(t.HeartbeatInterval) * (1 + t.Jitter*(2*w.fleet.Random()-1)))
 }
 
-// heartbeatSoon sends a heartbeat as soon as Timing.MinHeartbeatPause allows, because its content has changed.
-// If one is in flight the next follows its answer.
+// heartbeatSoon schedules a heartbeat as early as Timing.MinHeartbeatPause allows, because its content has changed. If
+// a heartbeat is in flight, the next one is scheduled when its reply arrives.
 func (w *Worker) heartbeatSoon() {
 	f := w.fleet
 	if f.Timing.MinHeartbeatPause == 0 || !w.Up || w.Deleted {
@@ -63,7 +63,7 @@
 	}
 }
 
-// sendHeartbeat sends the heartbeat that is due, or tries again later if the machine is cut off or hung.
+// sendHeartbeat sends a heartbeat, or retries after Timing.FailoverDelay if the machine is partitioned or hung.
 func (w *Worker) sendHeartbeat() {
 	f := w.fleet
 	if w.Deleted {
@@ -85,9 +85,9 @@
 	})
 }
 
-// handleHeartbeatReply carries out the commands of a controller that leads, follows a redirect, or turns
-// to the next controller. An answer under an earlier fencing token, or to an earlier session's heartbeat,
-// is ignored.
+// handleHeartbeatReply renews the lease and executes the commands in a reply of the leader, follows a redirect, or
+// fails over to the next controller. The content of a reply is ignored if its fencing token is lower than the worker's,
+// or if the heartbeat was sent in an earlier epoch.
 func (w *Worker) handleHeartbeatReply(sent time.Duration, session uint64, status int, body []byte) {
 	f := w.fleet
 	if w.Deleted {
@@ -97,7 +97,7 @@
 	case http.StatusOK:
 		var reply protocol.WorkerHeartbeatReply
 		if err := protocol.Decode(body, &reply); err != nil {
-			f.reportViolation("a report's answer can't be read: %v", err)
+			f.reportViolation("heartbeat reply cannot be decoded: %v", err)
 		}
 		if reply.Token >= w.Token && session == w.Epoch {
 			w.advanceToken(reply.Token)
@@ -111,7 +111,7 @@
 		w.scheduleHeartbeat(wait)
 	case http.StatusMisdirectedRequest:
 		var elsewhere protocol.Redirect
-		_ = protocol.Decode(body, &elsewhere) // a missing name is allowed
+		_ = protocol.Decode(body, &elsewhere) // the reply may name no leader
 		if n := f.ControllerByName(elsewhere.Leader); n >= 0 && n != w.Controller {
 			w.Controller = n
 			w.scheduleHeartbeat(f.Timing.RedirectDelay)
@@ -123,7 +123,7 @@
 	}
 }
 
-// tryNextController sends the next heartbeat to the next controller.
+// tryNextController schedules the next heartbeat to the next controller, after Timing.FailoverDelay.
 func (w *Worker) tryNextController() {
 	w.Controller = (w.Controller + 1) % w.fleet.Controllers
 	w.scheduleHeartbeat(w.fleet.Timing.FailoverDelay)
--- a/internal/emulator/http.go
+++ b/internal/emulator/http.go
@@ -2,12 +2,12 @@
 
 import "net/http"
 
-// Reply takes the answer to a request: an HTTP status, 0 for none, and the body.
+// Reply receives the response to a request: the HTTP status, 0 if there was no response, and the body.
 type Reply func(status int, body []byte)
 
-// Statuses by which the emulated services refuse requests.
+// HTTP statuses with which the emulated services refuse requests.
 const (
-	statusTooOld      = http.StatusGone            // the events that a watch asks for are no longer kept
-	statusTooMany     = http.StatusTooManyRequests // over the rate limit
+	statusTooOld      = http.StatusGone            // the events after the requested revision are no longer retained
+	statusTooMany     = http.StatusTooManyRequests // the request exceeds the rate limit
 	statusUnavailable = http.StatusServiceUnavailable
 )
--- a/internal/emulator/images.go
+++ b/internal/emulator/images.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// imageCache holds the images on a machine; the least recently used are evicted first.
+// imageCache tracks the images on a machine, and evicts the least recently used ones first.
 type imageCache struct {
-	readyAt map[string]time.Duration // when the fetch of each is, or was, complete
+	readyAt map[string]time.Duration // when the fetch of each image completes or completed
 	sizeGB  map[string]float64
 	usedAt  map[string]time.Duration
 }
 
-// minFetchGBPerS keeps the fetch time finite for machine types without a rate.
+// minFetchGBPerS keeps the fetch time finite for machine types without a fetch rate.
 const minFetchGBPerS = 1e-3
 
-// FetchImage returns how long a task waits for its image on the worker, and is meant as a Fleet's
-// FetchTime. A machine fetches an image once for all tasks that need it, at its type's rate.
+// FetchImage returns how long a task waits for its image on the worker. It is an implementation of Fleet.FetchTime. A
+// machine fetches an image once for all tasks that need it, at the fetch rate of its machine type.
 func FetchImage(worker *Worker, _ string, job *Job) time.Duration {
 	c, now := &worker.images, worker.fleet.queue.Now()
 	if c.readyAt == nil {
@@ -31,7 +31,7 @@
 	return wait
 }
 
-// evict drops the least recently used images that no task needs, until the rest fits the cache.
+// evict removes the least recently used images that no task of the worker needs, until the others fit into the cache.
 func (c *imageCache) evict(worker *Worker) {
 	total := 0.0
 	for _, gb := range c.sizeGB {
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -13,33 +13,32 @@
 	"claybarrow/internal/protocol"
 )
 
-// Limits of the state service that the protocol's page names.
+// Limits that the protocol documentation sets for the state service.
 const (
 	maxPageItems           = 1_000
 	maxPageBytes           = 512 << 10
-	maxKeptEvents          = 10_000 // changes that watches can ask for
+	maxKeptEvents          = 10_000 // number of latest events that watches can read
 	maxConditionsPerChange = 4
 	maxWatchMillis         = 60_000
 )
 
-// Item is the value of a key, with the revision that changed it last and the lease that it is attached
-// to (0: none).
+// Item is the value of a key, with the revision of its last change and the lease that it is attached to (0: none).
 type Item struct {
 	Value   []byte
 	Version uint64
 	Lease   uint64
 }
 
-// StateLimits bounds what the state service takes. Zero: no limit.
+// StateLimits holds the limits of the state service. A zero field means no limit.
 type StateLimits struct {
-	ValueBytes int // bytes of one value, as JSON
-	Changes    int // in a transaction
-	// RequestRate and ChangeRate are per second, with bursts of one second's worth.
+	ValueBytes int // size of one value, encoded as JSON
+	Changes    int // number of changes in a transaction
+	// RequestRate and ChangeRate are per second; a burst may use one second's quota at once.
 	RequestRate, ChangeRate float64
 }
 
-// StateStats counts what the state service did. Bytes are those of the transactions' bodies, RateLimited the
-// requests over a rate limit, Conflicts the transactions whose conditions did not hold.
+// StateStats counts the work of the state service. Bytes is the total size of the transactions' bodies, RateLimited
+// counts the requests that exceeded a rate limit, and Conflicts the transactions whose conditions did not hold.
 type StateStats struct {
 	Requests, Transactions, Changes, Bytes, RateLimited, Conflicts int64
 }
@@ -56,19 +55,19 @@
 	requestBudget tokenBucket
 	changeBudget  tokenBucket
 
-	// Down has the service answer nobody, Refuse these clients not (injected faults).
+	// Injected faults: Down makes the service unavailable to all clients, RefusedClients to the clients in it.
 	Down           bool
 	RefusedClients map[int]bool
-	// Malformed says which transactions are refused as malformed (an injected fault); nil: none.
+	// Malformed reports whether a transaction is refused as malformed (an injected fault); nil: none is.
 	Malformed func(protocol.Transaction) bool
 	Limits    StateLimits
-	// MaxChanges is how many changes the settings allow in a transaction, whatever Limits says now;
-	// more are a protocol violation of the controller. 0: not checked.
+	// MaxChanges is the number of changes that the settings allow in a transaction, independent of the current Limits.
+	// A transaction with more changes violates the protocol. 0: not checked.
 	MaxChanges int
-	// TooLarge counts the transactions that were refused for their size.
+	// TooLarge counts the transactions that were refused because they exceeded Limits.
 	TooLarge int
 	Stats    StateStats
-	// Violation is called for requests that violate the protocol; nil: they are only refused.
+	// Violation is called for each request that violates the protocol; nil: not called.
 	Violation func(what string)
 }
 
@@ -77,7 +76,7 @@
 	return &StateService{queue: queue, leases: map[uint64]*lease{}, RefusedClients: map[int]bool{}, Limits: limits}
 }
 
-// Item returns a key's item, or nil.
+// Item returns the item of a key, or nil if the key does not exist.
 func (s *StateService) Item(key string) *Item {
 	it, _ := s.items.Get(key)
 	return it
@@ -86,17 +85,17 @@
 // Keys returns the keys in order.
 func (s *StateService) Keys() []string { return s.items.Keys() }
 
-// Change puts or, with nil, deletes a key as a transaction of its own, without any check.
+// Change puts a key, or deletes it if the item is nil, in a separate revision and without any checks.
 func (s *StateService) Change(key string, it *Item) {
 	s.revision++
 	s.applyChange(key, it)
 	s.notifyWatches()
 }
 
-// Preset puts a key without a new revision and without an event, as if it had always been there.
+// Preset puts a key without a new revision and without an event, as part of the initial contents of the store.
 func (s *StateService) Preset(key string, it *Item) { s.items.Set(key, it) }
 
-// applyChange puts or deletes a key under the present revision, and keeps the event for watches.
+// applyChange puts or deletes a key in the current revision, and retains the event for watches.
 func (s *StateService) applyChange(key string, it *Item) {
 	event := protocol.WatchEvent{Delete: key, Version: s.revision}
 	if it == nil {
@@ -112,7 +111,7 @@
 	}
 }
 
-// Outage takes the service down for a while. All leases are renewed when it is up again.
+// Outage makes the service unavailable for d. All leases are renewed at the end of the outage.
 func (s *StateService) Outage(d time.Duration) {
 	s.Down = true
 	s.queue.After(d, func() {
@@ -124,10 +123,10 @@
 	})
 }
 
-// Serve answers one request of a client, identified by its number for Refuse.
+// Serve handles one request of a client. The client's number is its key in RefusedClients.
 func (s *StateService) Serve(client int, method, target string, body []byte, reply Reply) {
 	s.Stats.Requests++
-	// While the service is down, watches stay open without an answer.
+	// While the service is unavailable, watches stay open without a response.
 	if isWatch := strings.HasPrefix(target, watchPath); !isWatch && (s.Down || s.RefusedClients[client]) {
 		reply(statusUnavailable, nil)
 		return
@@ -149,10 +148,10 @@
 	}
 }
 
-// watchPath is the beginning of the path of watches.
+// watchPath is the path prefix of watch requests.
 const watchPath = "/follow"
 
-// serveKeys answers reads, watches and transactions; false: the request is none of them.
+// serveKeys handles reads, watches and transactions; false: the request is of another kind.
 func (s *StateService) serveKeys(client int, method, path string, values url.Values, body []byte, reply Reply) bool {
 	switch {
 	case method == http.MethodGet && path == "/store":
@@ -169,7 +168,7 @@
 	return true
 }
 
-// serveLease answers requests that concern a lease; false: the request is none of them.
+// serveLease handles requests to open, renew or revoke a lease; false: the request is of another kind.
 func (s *StateService) serveLease(method, path string, body []byte, reply Reply) bool {
 	switch {
 	case method == http.MethodPost && path == "/leases":
@@ -182,14 +181,14 @@
 	return true
 }
 
-// reportViolation tells of a request that violates the protocol.
+// reportViolation passes a request that violates the protocol to Violation.
 func (s *StateService) reportViolation(format string, args ...any) {
 	if s.Violation != nil {
 		s.Violation("state service: " + fmt.Sprintf(format, args...))
 	}
 }
 
-// list answers one page of the keys under a prefix, with their values.
+// list replies with one page of the keys under a prefix, with their values.
 func (s *StateService) list(values url.Values, reply Reply) {
 	limit, _ := strconv.Atoi(values.Get("limit")) // absent: 0
 	if limit <= 0 {
@@ -217,7 +216,7 @@
 	reply(http.StatusOK, protocol.Encode(out))
 }
 
-// get answers one key.
+// get replies with the value of one key.
 func (s *StateService) get(key string, reply Reply) {
 	it := s.Item(key)
 	if it == nil {
--- a/internal/emulator/state_lease.go
+++ b/internal/emulator/state_lease.go
@@ -9,18 +9,18 @@
 	"claybarrow/internal/protocol"
 )
 
-// lease is a lease of a client: the keys that are attached to it are deleted when it expires.
+// lease is a lease held by a client. The keys that are attached to it are deleted when it expires.
 type lease struct{ expiresAt, ttl time.Duration }
 
-// leaseExpiryRetry is how soon a lease is looked at again that was due to expire while the service was
-// down: it expires only once the service is up.
+// leaseExpiryRetry is the shortest wait before the expiry of a lease is checked again. It applies to a lease whose time
+// has run out while the service is down: leases expire only while the service is up.
 const leaseExpiryRetry = 20 * time.Millisecond
 
-// openLease grants a lease for the time that the client asks for.
+// openLease grants a lease with the TTL that the client requests.
 func (s *StateService) openLease(body []byte, reply Reply) {
 	var request protocol.LeaseRequest
 	if err := protocol.Decode(body, &request); err != nil {
-		s.reportViolation("a lease request can't be read: %v", err)
+		s.reportViolation("lease request cannot be decoded: %v", err)
 		reply(http.StatusBadRequest, nil)
 		return
 	}
@@ -34,7 +34,7 @@
 // changeLease renews a lease, or revokes it on DELETE.
 func (s *StateService) changeLease(method, path string, reply Reply) {
 	id, _ := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/extend"), 10, 64)
-	l := s.leases[id] // an id that can't be parsed is 0, which no lease has
+	l := s.leases[id] // an ID that cannot be parsed yields 0, which is no lease's ID
 	switch {
 	case l == nil:
 		reply(http.StatusNotFound, nil)
@@ -47,7 +47,7 @@
 	}
 }
 
-// expireLease revokes a lease whose time is over, or looks again when it will be.
+// expireLease revokes a lease that has expired, or else schedules the next check.
 func (s *StateService) expireLease(id uint64) {
 	l := s.leases[id]
 	if l == nil {
@@ -60,7 +60,7 @@
 	s.revokeLease(id)
 }
 
-// revokeLease ends a lease and deletes the keys that are attached to it, each as a change of its own.
+// revokeLease ends a lease and deletes the keys that are attached to it, each in a separate revision.
 func (s *StateService) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var attached []string
--- a/internal/emulator/state_test.go
+++ b/internal/emulator/state_test.go
@@ -8,7 +8,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// stateBench is a state service with small limits, and a clock.
+// stateBench is a state service with small limits, and the event queue that it runs on.
 type stateBench struct {
 	*StateService
 	queue *EventQueue
@@ -19,14 +19,14 @@
 	return &stateBench{NewStateService(queue, StateLimits{ValueBytes: 100, Changes: 4, ChangeRate: 5}), queue}
 }
 
-// ask makes one request; status -1: it has not been answered.
+// ask sends one request and returns the response; status -1: there is no response yet.
 func (b *stateBench) ask(method, path string, body any) (status int, answer []byte) {
 	status = -1
 	b.Serve(0, method, path, protocol.Encode(body), func(got int, raw []byte) { status, answer = got, raw })
 	return status, answer
 }
 
-// want makes one request and checks the status of its answer.
+// want sends one request and checks the status of the response.
 func (b *stateBench) want(t *testing.T, what string, want int, method, path string, body any) []byte {
 	t.Helper()
 	got, answer := b.ask(method, path, body)
@@ -63,7 +63,7 @@
 	}
 }
 
-// The expiry of a lease deletes its keys, of which watches are told.
+// The expiry of a lease deletes its keys and notifies the watches of these keys.
 func TestLeaseExpiry(t *testing.T) {
 	b := newStateBench()
 	b.queue.RunUntil(time.Second)
@@ -81,7 +81,7 @@
 	}
 	b.queue.RunUntil(2200 * time.Millisecond)
 	if watched != 200 || b.Item("a/lease") != nil {
-		t.Errorf("after the lease has expired: watch %d, item %v", watched, b.Item("a/lease"))
+		t.Errorf("after the lease has expired: watch status %d, item %v; want 200 and no item", watched, b.Item("a/lease"))
 	}
 }
 
@@ -102,7 +102,7 @@
 	for range 3 * maxKeptEvents {
 		b.Change("b", &Item{Value: protocol.Encode(1)})
 	}
-	b.want(t, "a watch of events that are no longer kept", 410, "GET", "/follow?under=a/&after=1", nil)
+	b.want(t, "a watch of events that are no longer retained", 410, "GET", "/follow?under=a/&after=1", nil)
 }
 
 func TestOutage(t *testing.T) {
--- a/internal/emulator/state_transaction.go
+++ b/internal/emulator/state_transaction.go
@@ -9,7 +9,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// transaction is protocol.Txn with undecoded values, so that they are stored as they came.
+// transaction is a protocol.Transaction whose values are not decoded, so that they are stored as they were received.
 type transaction struct {
 	If   []protocol.Condition `msgpack:"if"`
 	Then []struct {
@@ -20,11 +20,11 @@
 	} `msgpack:"apply"`
 }
 
-// maxJSONGrowth is how many times longer a value's JSON may be than its MessagePack: values that are
-// shorter than the limit by that much need not be converted to be measured.
+// maxJSONGrowth is the highest ratio of a value's size in JSON to its size in MessagePack. A value that is smaller than
+// the limit by this factor is accepted without converting it to JSON.
 const maxJSONGrowth = 6
 
-// tooLarge says whether a transaction is over the limits.
+// tooLarge reports whether a transaction exceeds Limits.
 func (s *StateService) tooLarge(t *transaction) bool {
 	if s.Limits.Changes > 0 && len(t.Then) > s.Limits.Changes {
 		return true
@@ -47,18 +47,18 @@
 	return false
 }
 
-// transact applies a transaction, unless it is malformed, too large or over the rate of changes.
+// transact applies a transaction, unless it is malformed, too large or exceeds the rate limit of changes.
 func (s *StateService) transact(body []byte, reply Reply) {
 	s.Stats.Transactions++
 	s.Stats.Bytes += int64(len(body))
 	var t transaction
 	if err := protocol.Decode(body, &t); err != nil {
-		s.reportViolation("a transaction can't be read: %v", err)
+		s.reportViolation("transaction cannot be decoded: %v", err)
 		reply(http.StatusBadRequest, nil)
 		return
 	}
 	if limit := s.MaxChanges; limit > 0 && (len(body) > protocol.MaxBodyBytes || len(t.Then) > limit || len(t.If) > maxConditionsPerChange*limit) {
-		s.reportViolation("a transaction over the limits: %d changes, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
+		s.reportViolation("transaction exceeds the limits: %d changes, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
 	}
 	if s.tooLarge(&t) {
 		s.TooLarge++
@@ -77,7 +77,7 @@
 	s.apply(&t, reply)
 }
 
-// calledMalformed says whether the injected fault Malformed refuses a transaction.
+// calledMalformed reports whether the injected fault Malformed refuses a transaction.
 func (s *StateService) calledMalformed(body []byte) bool {
 	if s.Malformed == nil {
 		return false
@@ -86,8 +86,8 @@
 	return protocol.Decode(body, &txn) != nil || s.Malformed(txn)
 }
 
-// apply makes a transaction's changes under one revision, if all its conditions hold: each compares a
-// key's version, 0 for a key that does not exist (compare-and-swap).
+// apply performs a transaction as a compare-and-swap: if all conditions hold, it makes the changes in one revision. A
+// condition holds if the key has the given version; the version of a key that does not exist is 0.
 func (s *StateService) apply(t *transaction, reply Reply) {
 	if failed := s.failedConditions(t.If); len(failed) > 0 {
 		s.Stats.Conflicts++
@@ -115,7 +115,7 @@
 	s.notifyWatches()
 }
 
-// failedConditions lists the keys whose versions are not those that the conditions name.
+// failedConditions returns the keys of the conditions that do not hold.
 func (s *StateService) failedConditions(conditions []protocol.Condition) (failed []string) {
 	for _, condition := range conditions {
 		version := uint64(0)
--- a/internal/emulator/state_watch.go
+++ b/internal/emulator/state_watch.go
@@ -11,7 +11,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// watch is an open long-polling request for the changes of keys under a prefix.
+// watch is a long-polling request for the changes of keys under a prefix.
 type watch struct {
 	client        int
 	prefix        string
@@ -20,8 +20,8 @@
 	done          bool
 }
 
-// openWatch answers a watch at once if there are changes already, otherwise with the next one or, without
-// any, after the time that the client names.
+// openWatch replies to a watch at once if there are changes after its revision. Otherwise the reply follows with the
+// next change, or without changes when the timeout that the client requests has passed.
 func (s *StateService) openWatch(client int, values url.Values, reply Reply) {
 	after, _ := strconv.ParseUint(values.Get("after"), 10, 64) // absent: 0
 	block, _ := strconv.Atoi(values.Get("blockMs"))            // absent: 0
@@ -37,19 +37,19 @@
 	s.queue.After(time.Duration(min(block, maxWatchMillis))*time.Millisecond, func() { s.answerWatch(open, true) })
 }
 
-// notifyWatches answers the watches that the latest changes concern.
+// notifyWatches replies to the watches that match the latest changes.
 func (s *StateService) notifyWatches() {
 	s.watches = slices.DeleteFunc(s.watches, func(open *watch) bool { return s.answerWatch(open, false) })
 }
 
-// answerWatch answers with the changes after the watch's revision, if there are any or its time is over.
-// It returns whether the watch has been answered.
+// answerWatch replies with the changes after the watch's revision, if there are any or the watch has timed out. It
+// returns whether the watch has been answered.
 func (s *StateService) answerWatch(open *watch, over bool) bool {
 	if open.done || s.Down || s.RefusedClients[open.client] {
 		return open.done
 	}
 	out := protocol.WatchReply{Revision: s.revision}
-	first := len(s.events) // of the events after the watch's revision
+	first := len(s.events) // index of the first event after the watch's revision
 	for first > 0 && s.events[first-1].Version > open.afterRevision {
 		first--
 	}
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -8,27 +8,28 @@
 	"claybarrow/internal/protocol"
 )
 
-// Task is an attempt of a task on a worker. Times are those of the event queue; 0: not yet.
+// Task is an attempt of a task on a worker. Its times are on the clock of the event queue; 0: not yet.
 type Task struct {
 	UID               string
 	Attempt           uint64
 	State             protocol.TaskState
 	Cause             protocol.ExitCause
-	CheckpointSaved   bool          // a checkpoint was saved
-	StopRequestedAt   time.Duration // when a gang's task was told to stop
-	peersMissingSince time.Duration // since when another task of its gang is missing or stopping
-	generation        int           // number of the worker's task starts when it was made
+	CheckpointSaved   bool          // whether the task has saved a checkpoint
+	StopRequestedAt   time.Duration // when a gang's task received the stop command
+	peersMissingSince time.Duration // when another task of its gang began to be missing or stopping
+	generation        int           // the worker's TasksStarted at the start of this task
 }
 
-// OccupiesMachine says whether a task occupies its machine, as the protocol's page counts it.
+// OccupiesMachine reports whether a task occupies its machine, as the protocol documentation defines it.
 func (t *Task) OccupiesMachine() bool {
 	return t.State == protocol.TaskRunning || t.State == protocol.TaskSavingCheckpoint || t.State == protocol.TaskWaitingForGang
 }
 
-// AttemptKey returns the key of a task's attempt among its worker's Tasks.
+// AttemptKey returns the key of a task's attempt in the Tasks of its worker.
 func AttemptKey(task string, attempt uint64) string { return fmt.Sprintf("%s@%d", task, attempt) }
 
-// Execute carries out commands in order. Each is idempotent: a repeated one has no effect.
+// Execute executes commands in order. Repeated run and clear commands have no effect. A repeated stop command ends a
+// task that is still saving its checkpoint.
 func (w *Worker) Execute(commands []protocol.Command) {
 	for _, c := range commands {
 		name := AttemptKey(c.Task, c.Attempt)
@@ -52,7 +53,7 @@
 	}
 }
 
-// AddTask puts a task on the machine that no command has started.
+// AddTask adds a task to the machine without a command.
 func (w *Worker) AddTask(task string, t *Task) {
 	w.Tasks[AttemptKey(task, t.Attempt)] = t
 	if job := w.fleet.Jobs(t.UID); job != nil && job.Gang {
@@ -60,7 +61,8 @@
 	}
 }
 
-// setState changes a task's state, which is reported soon, and tells the observer if it leaves.
+// setState changes a task's state and schedules a heartbeat. It notifies the observer if the task no longer occupies its
+// machine.
 func (w *Worker) setState(name string, t *Task, state protocol.TaskState, cause protocol.ExitCause) {
 	wasRunning := t.OccupiesMachine()
 	t.State, t.Cause = state, cause
@@ -70,7 +72,7 @@
 	w.heartbeatSoon()
 }
 
-// notifyLeft tells the observer of a task that is no longer on the machine, if it was.
+// notifyLeft notifies the observer that a task no longer occupies its machine, if it did before.
 func (w *Worker) notifyLeft(name string, t *Task, wasRunning bool) {
 	if wasRunning && w.fleet.TaskStopped != nil {
 		task, _, _ := strings.Cut(name, "@")
@@ -78,7 +80,7 @@
 	}
 }
 
-// startTask begins to fetch a task's image, unless the worker refuses the task.
+// startTask adds a task and begins to fetch its image, unless the worker refuses the task.
 func (w *Worker) startTask(task, name string, attempt uint64) {
 	f := w.fleet
 	uid, _, _ := strings.Cut(task, "/")
@@ -102,7 +104,7 @@
 	})
 }
 
-// refusalCause returns why a task can't start on this worker, or nothing.
+// refusalCause returns the cause with which the worker refuses a task, or an empty cause if the task can start.
 func (w *Worker) refusalCause(task string, started *Task, job *Job) protocol.ExitCause {
 	if job == nil {
 		return "no_such"
@@ -119,14 +121,14 @@
 			cores, accel, memory = cores+j.Cores, accel+j.Accelerators, memory+j.MemoryGB
 		}
 	}
-	const slack = 1e-3 // for the rounding of sums
+	const slack = 1e-3 // tolerance for rounding errors of the sums
 	if cores > w.MachineType.Cores+slack || accel > w.MachineType.Accelerators+slack || memory > w.MachineType.MemoryGB+slack {
 		return protocol.CauseInsufficientResources
 	}
 	return ""
 }
 
-// imageReady starts to run a task whose image has been fetched.
+// imageReady starts a task whose image has been fetched. A gang's task then waits for its gang.
 func (w *Worker) imageReady(task, name string, t *Task, job *Job) {
 	f := w.fleet
 	if f.FailsAtStart != nil && f.FailsAtStart(w, t) {
@@ -145,11 +147,11 @@
 	}
 }
 
-// finishTask completes a task whose time is over.
+// finishTask completes a task whose run time has passed.
 func (w *Worker) finishTask(task, name string, t *Task, generation int) {
 	f := w.fleet
 	if w.Hung {
-		// A hung machine does not execute its tasks, so that they end when it goes on.
+		// A task on a hung machine makes no progress: it completes after the machine resumes.
 		f.queue.After(f.Timing.CheckInterval, func() { w.finishTask(task, name, t, generation) })
 		return
 	}
@@ -162,8 +164,8 @@
 	}
 }
 
-// stopTask stops a task: at once or, if it saves checkpoints and the grace period (seconds) is long
-// enough, once it has saved one.
+// stopTask stops a task. A running task that saves checkpoints, and whose grace period (in seconds) is long enough, ends
+// after the time to save one. Any other task ends at once.
 func (w *Worker) stopTask(name string, t *Task, graceS float64) {
 	job := w.fleet.Jobs(t.UID)
 	if job.Gang {
--- a/internal/emulator/tokenbucket.go
+++ b/internal/emulator/tokenbucket.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// tokenBucket limits a rate. The zero value is a bucket that is full at its first use.
+// tokenBucket is a rate limiter. The zero value is a bucket that is full at its first use.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt time.Duration
 	started    bool
 }
 
-// allow takes n tokens from a bucket that holds one second's worth, and says whether it had them. A
-// rate of 0 is no limit.
+// allow takes n tokens from a bucket whose capacity is one second's refill, and reports whether the bucket held enough.
+// A rate of 0 means no limit.
 func (b *tokenBucket) allow(now time.Duration, perSecond, n float64) bool {
 	if perSecond <= 0 {
 		return true
@@ -18,7 +18,7 @@
 	return b.allowBurst(now, perSecond, perSecond, n)
 }
 
-// allowBurst is allow with a bucket that holds burst tokens.
+// allowBurst takes n tokens from a bucket with a capacity of burst tokens, and reports whether the bucket held enough.
 func (b *tokenBucket) allowBurst(now time.Duration, perSecond, burst, n float64) bool {
 	if !b.started {
 		b.started, b.tokens = true, burst
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -9,40 +9,40 @@
 	"claybarrow/internal/protocol"
 )
 
-// Worker emulates the worker of one machine.
+// Worker emulates the worker agent of one machine, and the machine itself.
 type Worker struct {
 	fleet *Fleet
 
 	ID, Addr, Type, Zone string
 	Spot, Up, Deleted    bool
 	MachineType          protocol.MachineType
-	// Injected faults. Cut: no message reaches it or leaves it. RepliesLost: its heartbeats arrive, answers
-	// and direct commands don't. HeartbeatsLost: the other way round. Hung: it does nothing until it goes on,
-	// or for ever.
+	// Injected faults. Partitioned: all messages to and from the worker are lost. RepliesLost: its heartbeats arrive, but
+	// replies and direct requests to it are lost. HeartbeatsLost: its heartbeats are lost, but direct requests to it
+	// arrive. Hung: the worker sends no heartbeats, defers direct requests and completes no tasks.
 	Partitioned, RepliesLost, HeartbeatsLost, Hung bool
-	deferredRequests                               []func() // that came while it hung
+	deferredRequests                               []func() // direct requests that arrived while the worker was hung
 
 	Epoch, Seq, Token uint64
-	Tasks             map[string]*Task // by task and attempt, see Name
-	LeaseRenewedAt    time.Duration    // when the last heartbeat that was answered was sent
-	Controller        int              // number of the controller that it sends heartbeats to
-	TasksStarted      int              // number of tasks that it was told to run
-	// PreemptedAt is when the cloud takes a spot machine back, of which it has notice; 0: it does not.
+	Tasks             map[string]*Task // by AttemptKey
+	LeaseRenewedAt    time.Duration    // when the last answered heartbeat was sent
+	Controller        int              // number of the controller that receives the worker's heartbeats
+	TasksStarted      int              // number of tasks that commands have started, including refused tasks
+	// PreemptedAt is when the cloud will preempt a spot machine, according to its notice; 0: no notice was given.
 	PreemptedAt time.Duration
-	// OnHeartbeat is called with each heartbeat's body before it is sent; nil: it is not.
+	// OnHeartbeat is called with the body of each heartbeat before it is sent; nil: not called.
 	OnHeartbeat func(body []byte)
 
 	heartbeatInFlight bool
 	changePending     bool
 	lastHeartbeat     time.Duration
-	heartbeatTimer    int // number of the timer of the next heartbeat; earlier ones are void
+	heartbeatTimer    int // number of the current heartbeat timer; timers with a lower number are cancelled
 	images            imageCache
 }
 
-// Reachable says whether direct commands get through.
+// Reachable reports whether direct requests reach the worker.
 func (w *Worker) Reachable() bool { return w.Up && !w.Deleted && !w.Partitioned && !w.RepliesLost }
 
-// Boot brings the machine up: it sends heartbeats from now on.
+// Boot brings the worker up: it starts to send heartbeats and to check its lease.
 func (w *Worker) Boot() {
 	if w.Deleted {
 		return
@@ -52,7 +52,7 @@
 	w.checkLease()
 }
 
-// Die ends the machine with all its tasks.
+// Die terminates the machine and drops all its tasks.
 func (w *Worker) Die() {
 	w.Deleted, w.Up = true, false
 	w.dropAllTasks()
@@ -61,14 +61,14 @@
 	}
 }
 
-// dropAllTasks ends all tasks; the worker no longer reports them.
+// dropAllTasks removes all tasks, which the worker no longer reports.
 func (w *Worker) dropAllTasks() {
 	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
 		w.dropTask(name)
 	}
 }
 
-// dropTask ends a task, which the worker no longer reports.
+// dropTask removes a task, which the worker no longer reports.
 func (w *Worker) dropTask(name string) {
 	t := w.Tasks[name]
 	delete(w.Tasks, name)
@@ -76,8 +76,8 @@
 	w.fleet.leaveGang(t)
 }
 
-// Hang stops a machine for a while. Direct requests that come meanwhile are served when it goes on; commands
-// are then refused if the lease, and with it the session, has expired.
+// Hang makes the machine hang for d. Direct requests that arrive in the meantime are served when the machine resumes.
+// Commands among them are refused if the lease has expired by then, because the worker has begun a new epoch.
 func (w *Worker) Hang(d time.Duration) {
 	w.Hung = true
 	w.fleet.queue.After(d, func() {
@@ -93,7 +93,7 @@
 	})
 }
 
-// checkLease ends all tasks and begins a new session (agent epoch) when the lease has expired.
+// checkLease drops all tasks and begins a new epoch if the lease has expired. It then schedules the next check.
 func (w *Worker) checkLease() {
 	f := w.fleet
 	if w.Deleted {
@@ -112,7 +112,7 @@
 	f.queue.After(wait, w.checkLease)
 }
 
-// Serve answers a direct request, at once or, if the machine is hung, when it goes on.
+// Serve handles a direct request: at once, or when the machine resumes if it is hung.
 func (w *Worker) Serve(path string, body []byte, reply Reply) {
 	if w.Hung {
 		w.deferredRequests = append(w.deferredRequests, func() { reply(w.executeDirect(path, body)) })
@@ -121,15 +121,15 @@
 	reply(w.executeDirect(path, body))
 }
 
-// executeDirect carries out a direct request. Commands under an earlier fencing token or of another
-// session are refused.
+// executeDirect executes a direct request. It refuses commands with a fencing token that is lower than the worker's, or
+// with another epoch.
 func (w *Worker) executeDirect(path string, body []byte) (int, []byte) {
 	if path == "/status" {
 		return http.StatusOK, protocol.Encode(w.Heartbeat())
 	}
 	var request protocol.CommandRequest
 	if err := protocol.Decode(body, &request); err != nil {
-		w.fleet.reportViolation("commands can't be read: %v", err)
+		w.fleet.reportViolation("command request cannot be decoded: %v", err)
 		return http.StatusBadRequest, nil
 	}
 	if request.Token < w.Token || request.Epoch != w.Epoch {
--- a/internal/emulator/worker_test.go
+++ b/internal/emulator/worker_test.go
@@ -7,7 +7,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// A machine caches what it used last, fetches an image once, and refuses what does not fit.
+// A machine fetches an image once for all tasks that need it, and evicts images that no task needs. It refuses a task
+// that exceeds its free resources, and a second attempt of a task that it already has.
 func TestWorkerImagesAndRefusals(t *testing.T) {
 	queue := &EventQueue{}
 	f := NewFleet(queue, Timing{HeartbeatInterval: time.Second, LeaseTTL: time.Minute, CheckInterval: time.Second, FailoverDelay: time.Second})
@@ -31,31 +32,31 @@
 	first, second := run("j-1", "x", 4, 1), run("j-2", "x", 4, 1)
 	queue.RunUntil(3 * time.Second)
 	if first.State != protocol.TaskFetchingImage {
-		t.Error("it runs before its image is there")
+		t.Error("a task started before its image was fetched")
 	}
 	queue.RunUntil(5 * time.Second)
 	if first.State != protocol.TaskRunning || second.State != protocol.TaskRunning {
-		t.Errorf("after one fetch: %s and %s", first.State, second.State)
+		t.Errorf("after one fetch: task states %s and %s, want both running", first.State, second.State)
 	}
 	if third := run("j-3", "x", 4, 3); third.Cause != protocol.CauseInsufficientResources {
-		t.Errorf("no room: %s", third.Cause)
+		t.Errorf("a task that exceeds the free cores: exit cause %s, want insufficient resources", third.Cause)
 	}
 	worker.Execute([]protocol.Command{{Verb: protocol.VerbRun, Task: "j-1/0", Attempt: 2}})
 	if again := worker.Tasks[AttemptKey("j-1/0", 2)]; again.Cause != protocol.CauseBusy {
-		t.Errorf("the same task again: %s", again.Cause)
+		t.Errorf("a second attempt of a task on the machine: exit cause %s, want busy", again.Cause)
 	}
 	run("j-4", "y", 5, 0)
 	queue.RunUntil(20 * time.Second)
-	run("j-5", "z", 6, 0) // of x, y and z only two fit, and tasks run with x and y
+	run("j-5", "z", 6, 0) // x, y and z exceed the cache together, but tasks need all three
 	if len(worker.images.readyAt) != 3 {
-		t.Errorf("images that are needed were dropped: %v", worker.images.readyAt)
+		t.Errorf("an image that a task needs was evicted: %v", worker.images.readyAt)
 	}
 	delete(worker.Tasks, AttemptKey("j-4/0", 1))
 	run("j-6", "w", 1, 0)
 	if _, kept := worker.images.readyAt["y"]; kept {
-		t.Error("the image that was used longest ago stays")
+		t.Error("the only image that no task needs was not evicted")
 	}
 	if worker.Token != 1 || worker.Epoch != 1 {
-		t.Errorf("token %d, session %d", worker.Token, worker.Epoch)
+		t.Errorf("token %d, epoch %d, want 1 and 1", worker.Token, worker.Epoch)
 	}
 }
