--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -13,10 +13,10 @@
 
 // Limits that the protocol documentation sets for the cloud.
 const (
-	maxListed    = 500
-	maxLaunched  = 50
-	maxDeleted   = 100
-	burstSeconds = 2 // burst of requests, in seconds at the rate limit
+	maxMachinesPerPage    = 500
+	maxLaunchedPerRequest = 50
+	maxDeletedPerRequest  = 100
+	burstSeconds          = 2 // burst of requests, in seconds at the rate limit
 	// failureListingDelay is how long a failed machine is still listed in its state before the failure.
 	failureListingDelay = 30 * time.Second
 )
@@ -133,9 +133,9 @@
 }
 
 // reportViolation passes a request that violates the protocol to Violation.
-func (c *Cloud) reportViolation(what string) {
+func (c *Cloud) reportViolation(description string) {
 	if c.Violation != nil {
-		c.Violation("cloud: " + what)
+		c.Violation("cloud: " + description)
 	}
 }
 
@@ -143,7 +143,7 @@
 // request with the same idempotency key launches nothing and returns the machines of the first one.
 func (c *Cloud) launchMachines(body []byte) (int, []byte) {
 	var request protocol.LaunchRequest
-	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 || request.Count > maxLaunched {
+	if err := protocol.Decode(body, &request); err != nil || request.Count < 1 || request.Count > maxLaunchedPerRequest {
 		c.reportViolation("launch request cannot be decoded, or its number of machines is out of range")
 		return http.StatusBadRequest, nil
 	}
@@ -169,19 +169,19 @@
 // list returns one page of the machines, ordered by name.
 func (c *Cloud) list(values url.Values) protocol.MachineList {
 	limit, _ := strconv.Atoi(values.Get("limit")) // absent: 0
-	if limit <= 0 || limit > maxListed {
-		limit = maxListed
+	if limit <= 0 || limit > maxMachinesPerPage {
+		limit = maxMachinesPerPage
 	}
 	after := values.Get("after")
 	now := c.queue.Now()
-	first, _ := slices.BinarySearchFunc(c.machines, after, func(m *Machine, name string) int { return strings.Compare(m.ID, name) })
-	out := protocol.MachineList{}
-	for _, m := range c.machines[first:] {
+	firstIndex, _ := slices.BinarySearchFunc(c.machines, after, func(m *Machine, name string) int { return strings.Compare(m.ID, name) })
+	page := protocol.MachineList{}
+	for _, m := range c.machines[firstIndex:] {
 		if m.ID <= after || m.Deleted || now < m.LaunchedAt+c.ListLag {
 			continue
 		}
-		if len(out.Machines) == limit {
-			out.More = true
+		if len(page.Machines) == limit {
+			page.More = true
 			break
 		}
 		state := "booting"
@@ -191,16 +191,16 @@
 		case m.Up:
 			state = "running"
 		}
-		out.Machines = append(out.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
+		page.Machines = append(page.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone,
 			Spot: m.Spot, State: state, AgeS: (now - m.LaunchedAt).Seconds()})
 	}
-	return out
+	return page
 }
 
 // deleteMachines deletes the named machines; unknown names are ignored.
 func (c *Cloud) deleteMachines(body []byte) (int, []byte) {
 	var request protocol.MachineIDs
-	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > maxDeleted {
+	if err := protocol.Decode(body, &request); err != nil || len(request.Machines) > maxDeletedPerRequest {
 		c.reportViolation("deletion request cannot be decoded, or names too many machines")
 		return http.StatusBadRequest, nil
 	}
--- a/internal/emulator/eventqueue.go
+++ b/internal/emulator/eventqueue.go
@@ -14,7 +14,7 @@
 
 // event is a function that is due at a time; seq orders the events of the same time.
 type event struct {
-	at     time.Duration
+	dueAt  time.Duration
 	seq    int
 	action func()
 }
@@ -24,16 +24,16 @@
 
 // After schedules a function to run after d; a negative d counts as 0. Functions that are due at the same time run in
 // the order in which they were scheduled.
-func (q *EventQueue) After(d time.Duration, do func()) {
+func (q *EventQueue) After(delay time.Duration, action func()) {
 	q.seq++
-	heap.Push(&q.events, event{q.now + max(d, 0), q.seq, do})
+	heap.Push(&q.events, event{q.now + max(delay, 0), q.seq, action})
 }
 
 // RunUntil runs all functions that are due up to end and advances the clock to end.
 func (q *EventQueue) RunUntil(end time.Duration) {
-	for len(q.events) > 0 && q.events[0].at <= end {
+	for len(q.events) > 0 && q.events[0].dueAt <= end {
 		next := heap.Pop(&q.events).(event)
-		q.now = max(q.now, next.at)
+		q.now = max(q.now, next.dueAt)
 		next.action()
 	}
 	q.now = max(q.now, end)
@@ -44,7 +44,7 @@
 	if len(q.events) == 0 {
 		return 0, false
 	}
-	return q.events[0].at, true
+	return q.events[0].dueAt, true
 }
 
 // Empty reports whether no function is scheduled.
@@ -58,7 +58,7 @@
 
 // Less implements heap.Interface.
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
+	return h[i].dueAt < h[j].dueAt || h[i].dueAt == h[j].dueAt && h[i].seq < h[j].seq
 }
 
 // Swap implements heap.Interface.
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -113,11 +113,11 @@
 
 // Sorted returns the workers ordered by ID, so that runs are reproducible.
 func (f *Fleet) Sorted() []*Worker {
-	var out []*Worker
+	var workers []*Worker
 	for _, id := range slices.Sorted(maps.Keys(f.Workers)) {
-		out = append(out, f.Workers[id])
+		workers = append(workers, f.Workers[id])
 	}
-	return out
+	return workers
 }
 
 // reportViolation passes a message that violates the protocol to Violation.
--- a/internal/emulator/gang.go
+++ b/internal/emulator/gang.go
@@ -17,16 +17,16 @@
 	Attempt uint64
 }
 
-// gangTasks returns the tasks of a gang's attempt that occupy machines, ordered by Task.generation: the number of the
-// start on its worker.
-func (f *Fleet) gangTasks(attempt GangAttempt) (out []*Task) {
+// gangTasks returns the tasks of a gang's attempt that occupy machines, ordered by the number of their start on
+// their own worker (startNumber).
+func (f *Fleet) gangTasks(attempt GangAttempt) (tasks []*Task) {
 	for t, worker := range f.gangs[attempt] {
 		if t.OccupiesMachine() && !worker.Deleted {
-			out = append(out, t)
+			tasks = append(tasks, t)
 		}
 	}
-	slices.SortFunc(out, func(a, b *Task) int { return cmp.Compare(a.generation, b.generation) })
-	return out
+	slices.SortFunc(tasks, func(a, b *Task) int { return cmp.Compare(a.startNumber, b.startNumber) })
+	return tasks
 }
 
 func (t *Task) gangAttempt() GangAttempt { return GangAttempt{t.UID, t.Attempt} }
@@ -51,54 +51,54 @@
 
 // waitForGang makes a gang's task wait for the other tasks of the gang, and starts the gang if this task was the last
 // missing one. A task whose gang does not start within Timing.GangStartTimeout ends.
-func (w *Worker) waitForGang(name string, t *Task, job *Job) {
+func (w *Worker) waitForGang(key string, t *Task, job *Job) {
 	f := w.fleet
-	w.setState(name, t, protocol.TaskWaitingForGang, "")
+	w.setState(key, t, protocol.TaskWaitingForGang, "")
 	f.joinGang(w, t)
 	f.startGangIfComplete(t.gangAttempt(), job)
 	f.queue.After(f.Timing.GangStartTimeout, func() {
 		if t.State == protocol.TaskWaitingForGang {
-			w.setState(name, t, protocol.TaskExited, protocol.CauseIncomplete)
+			w.setState(key, t, protocol.TaskExited, protocol.CauseIncomplete)
 		}
 	})
 }
 
 // startGangIfComplete starts a gang once all of its tasks are waiting. The tasks complete together.
 func (f *Fleet) startGangIfComplete(attempt GangAttempt, job *Job) {
-	all := f.gangTasks(attempt)
-	whole := func(state protocol.TaskState) bool {
-		n := 0
-		for _, t := range all {
+	tasks := f.gangTasks(attempt)
+	allInState := func(state protocol.TaskState) bool {
+		count := 0
+		for _, t := range tasks {
 			if t.State == state && t.StopRequestedAt == 0 {
-				n++
+				count++
 			}
 		}
-		return n == job.Tasks
+		return count == job.Tasks
 	}
-	if !whole(protocol.TaskWaitingForGang) {
+	if !allInState(protocol.TaskWaitingForGang) {
 		return
 	}
-	for _, t := range all {
+	for _, t := range tasks {
 		t.State = protocol.TaskRunning
 		f.gangs[attempt][t].heartbeatSoon()
 	}
 	f.GangStarts[attempt.UID]++
 	f.queue.After(f.RunTime(attempt.UID+"/0"), func() {
-		if len(f.gangTasks(attempt)) != len(all) || !whole(protocol.TaskRunning) {
+		if len(f.gangTasks(attempt)) != len(tasks) || !allInState(protocol.TaskRunning) {
 			return
 		}
-		f.finishGang(attempt, all)
+		f.finishGang(attempt, tasks)
 	})
 }
 
 // finishGang completes all tasks of a gang.
-func (f *Fleet) finishGang(attempt GangAttempt, all []*Task) {
-	for _, t := range all {
+func (f *Fleet) finishGang(attempt GangAttempt, tasks []*Task) {
+	for _, t := range tasks {
 		worker := f.gangs[attempt][t]
-		name := worker.attemptKey(t)
-		worker.setState(name, t, protocol.TaskExited, protocol.CauseDone)
+		key := worker.attemptKey(t)
+		worker.setState(key, t, protocol.TaskExited, protocol.CauseDone)
 	}
-	for i, t := range all {
+	for i, t := range tasks {
 		if f.TaskCompleted != nil {
 			f.TaskCompleted(attempt.UID+"/"+strconv.Itoa(i), t)
 		}
@@ -107,9 +107,9 @@
 
 // attemptKey returns the key of a task in the worker's Tasks.
 func (w *Worker) attemptKey(t *Task) string {
-	for name, other := range w.Tasks {
+	for key, other := range w.Tasks {
 		if other == t {
-			return name
+			return key
 		}
 	}
 	return AttemptKey(t.UID, t.Attempt)
@@ -118,13 +118,13 @@
 // stopGangTask stops a gang's task. A running task whose grace period (in seconds) is long enough to save a checkpoint
 // is ended later by stepGangStop and is reported as running until then, as the protocol documentation specifies. Any
 // other task ends at once.
-func (w *Worker) stopGangTask(name string, t *Task, job *Job, graceS float64) {
+func (w *Worker) stopGangTask(key string, t *Task, job *Job, graceS float64) {
 	f := w.fleet
 	if t.StopRequestedAt == 0 && f.GangStopRequested != nil {
 		f.GangStopRequested(t, graceS)
 	}
 	if t.State != protocol.TaskRunning || job.CheckpointS == 0 || graceS < job.CheckpointS {
-		w.setState(name, t, protocol.TaskExited, protocol.CauseStopped)
+		w.setState(key, t, protocol.TaskExited, protocol.CauseStopped)
 		return
 	}
 	if t.StopRequestedAt == 0 {
@@ -179,25 +179,26 @@
 // Timing.GangPeerTimeout of the first one.
 func (f *Fleet) stepGangStop(worker *Worker, t *Task, job *Job) {
 	attempt := t.gangAttempt()
-	stopping, first := f.checkpointedTasks[attempt], t.StopRequestedAt // tasks that ended with a checkpoint had received a stop command
+	// Tasks that have ended with a checkpoint had received a stop command.
+	stopRequested, firstStopAt := f.checkpointedTasks[attempt], t.StopRequestedAt
 	for _, peer := range f.gangTasks(attempt) {
 		if peer.StopRequestedAt > 0 {
-			stopping++
-			first = min(first, peer.StopRequestedAt)
+			stopRequested++
+			firstStopAt = min(firstStopAt, peer.StopRequestedAt)
 		}
 	}
-	takes := time.Duration(job.CheckpointS * float64(time.Second))
+	saveDuration := time.Duration(job.CheckpointS * float64(time.Second))
 	now := f.queue.Now()
 	switch {
-	case now < t.StopRequestedAt+takes:
-	case stopping == job.Tasks:
+	case now < t.StopRequestedAt+saveDuration:
+	case stopRequested == job.Tasks:
 		t.CheckpointSaved = true
 		worker.setState(worker.attemptKey(t), t, protocol.TaskExited, protocol.CauseStopped)
 		if f.checkpointedTasks[attempt] == 0 {
 			f.GangCheckpoints[t.UID]++
 		}
 		f.checkpointedTasks[attempt]++
-	case now >= first+f.Timing.GangPeerTimeout:
+	case now >= firstStopAt+f.Timing.GangPeerTimeout:
 		worker.setState(worker.attemptKey(t), t, protocol.TaskExited, protocol.CausePeersLost)
 	}
 }
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -13,26 +13,26 @@
 // Heartbeat returns the worker's next heartbeat, with the next sequence number.
 func (w *Worker) Heartbeat() protocol.WorkerHeartbeat {
 	w.Seq++
-	m := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Epoch, Sequence: w.Seq, Token: w.Token,
+	heartbeat := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Epoch, Sequence: w.Seq, Token: w.Token,
 		Tasks: []protocol.TaskStatus{}}
 	if w.PreemptedAt > 0 {
 		notice := max(0, (w.PreemptedAt - w.fleet.queue.Now()).Seconds())
-		m.SpotNoticeS = &notice
+		heartbeat.SpotNoticeS = &notice
 	}
-	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
-		t := w.Tasks[name]
-		task, _, _ := strings.Cut(name, "@")
-		m.Tasks = append(m.Tasks, protocol.TaskStatus{Task: task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, CheckpointSaved: t.CheckpointSaved})
+	for _, key := range slices.Sorted(maps.Keys(w.Tasks)) {
+		t := w.Tasks[key]
+		task, _, _ := strings.Cut(key, "@")
+		heartbeat.Tasks = append(heartbeat.Tasks, protocol.TaskStatus{Task: task, Attempt: t.Attempt, State: t.State, Cause: t.Cause, CheckpointSaved: t.CheckpointSaved})
 	}
-	return m
+	return heartbeat
 }
 
 // scheduleHeartbeat schedules the next heartbeat after d, and cancels the heartbeat that was scheduled before.
-func (w *Worker) scheduleHeartbeat(d time.Duration) {
-	w.heartbeatTimer++
-	generation := w.heartbeatTimer
-	w.fleet.queue.After(d, func() {
-		if w.heartbeatTimer == generation {
+func (w *Worker) scheduleHeartbeat(delay time.Duration) {
+	w.heartbeatTimerID++
+	timerID := w.heartbeatTimerID
+	w.fleet.queue.After(delay, func() {
+		if w.heartbeatTimerID == timerID {
 			w.sendHeartbeat()
 		}
 	})
@@ -40,11 +40,11 @@
 
 // heartbeatInterval returns the time until the next regular heartbeat, with its jitter.
 func (w *Worker) heartbeatInterval() time.Duration {
-	t := w.fleet.Timing
-	if t.Jitter == 0 {
-		return t.HeartbeatInterval
+	timing := w.fleet.Timing
+	if timing.Jitter == 0 {
+		return timing.HeartbeatInterval
 	}
-	return time.Duration(float64(t.HeartbeatInterval) * (1 + t.Jitter*(2*w.fleet.Random()-1)))
+	return time.Duration(float64(timing.HeartbeatInterval) * (1 + timing.Jitter*(2*w.fleet.Random()-1)))
 }
 
 // heartbeatSoon schedules a heartbeat as early as Timing.MinHeartbeatPause allows, because its content has changed. If
@@ -77,18 +77,18 @@
 	if w.OnHeartbeat != nil {
 		w.OnHeartbeat(body)
 	}
-	sent, session := f.queue.Now(), w.Epoch
-	w.heartbeatInFlight, w.changePending, w.lastHeartbeat = true, false, sent
+	sentAt, epoch := f.queue.Now(), w.Epoch
+	w.heartbeatInFlight, w.changePending, w.lastHeartbeat = true, false, sentAt
 	f.SendHeartbeat(w, w.Controller, body, func(status int, answer []byte) {
 		w.heartbeatInFlight = false
-		w.handleHeartbeatReply(sent, session, status, answer)
+		w.handleHeartbeatReply(sentAt, epoch, status, answer)
 	})
 }
 
 // handleHeartbeatReply renews the lease and executes the commands in a reply of the leader, follows a redirect, or
 // fails over to the next controller. The content of a reply is ignored if its fencing token is lower than the worker's,
 // or if the heartbeat was sent in an earlier epoch.
-func (w *Worker) handleHeartbeatReply(sent time.Duration, session uint64, status int, body []byte) {
+func (w *Worker) handleHeartbeatReply(sentAt time.Duration, epoch uint64, status int, body []byte) {
 	f := w.fleet
 	if w.Deleted {
 		return
@@ -99,9 +99,9 @@
 		if err := protocol.Decode(body, &reply); err != nil {
 			f.reportViolation("heartbeat reply cannot be decoded: %v", err)
 		}
-		if reply.Token >= w.Token && session == w.Epoch {
+		if reply.Token >= w.Token && epoch == w.Epoch {
 			w.advanceToken(reply.Token)
-			w.LeaseRenewedAt = sent
+			w.LeaseRenewedAt = sentAt
 			w.Execute(reply.Commands)
 		}
 		wait := w.heartbeatInterval()
@@ -110,10 +110,10 @@
 		}
 		w.scheduleHeartbeat(wait)
 	case http.StatusMisdirectedRequest:
-		var elsewhere protocol.Redirect
-		_ = protocol.Decode(body, &elsewhere) // the reply may name no leader
-		if n := f.ControllerByName(elsewhere.Leader); n >= 0 && n != w.Controller {
-			w.Controller = n
+		var redirect protocol.Redirect
+		_ = protocol.Decode(body, &redirect) // the reply may name no leader
+		if controller := f.ControllerByName(redirect.Leader); controller >= 0 && controller != w.Controller {
+			w.Controller = controller
 			w.scheduleHeartbeat(f.Timing.RedirectDelay)
 			return
 		}
--- a/internal/emulator/images.go
+++ b/internal/emulator/images.go
@@ -22,8 +22,8 @@
 		c.readyAt, c.sizeGB, c.usedAt = map[string]time.Duration{}, map[string]float64{}, map[string]time.Duration{}
 	}
 	c.usedAt[job.Image] = now
-	if ready, known := c.readyAt[job.Image]; known {
-		return max(0, ready-now)
+	if readyAt, cached := c.readyAt[job.Image]; cached {
+		return max(0, readyAt-now)
 	}
 	wait := time.Duration(job.ImageGB / max(worker.MachineType.FetchGBPerS, minFetchGBPerS) * float64(time.Second))
 	c.readyAt[job.Image], c.sizeGB[job.Image] = now+wait, job.ImageGB
@@ -33,15 +33,15 @@
 
 // evict removes the least recently used images that no task of the worker needs, until the others fit into the cache.
 func (c *imageCache) evict(worker *Worker) {
-	total := 0.0
+	totalGB := 0.0
 	for _, gb := range c.sizeGB {
-		total += gb
+		totalGB += gb
 	}
-	for total > worker.MachineType.CacheGB && worker.MachineType.CacheGB > 0 {
+	for totalGB > worker.MachineType.CacheGB && worker.MachineType.CacheGB > 0 {
 		needed := map[string]bool{}
 		for _, t := range worker.Tasks {
-			if j := worker.fleet.Jobs(t.UID); j != nil {
-				needed[j.Image] = true
+			if job := worker.fleet.Jobs(t.UID); job != nil {
+				needed[job.Image] = true
 			}
 		}
 		oldest := ""
@@ -53,7 +53,7 @@
 		if oldest == "" {
 			return
 		}
-		total -= c.sizeGB[oldest]
+		totalGB -= c.sizeGB[oldest]
 		delete(c.readyAt, oldest)
 		delete(c.sizeGB, oldest)
 		delete(c.usedAt, oldest)
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -15,9 +15,9 @@
 
 // Limits that the protocol documentation sets for the state service.
 const (
-	maxPageItems           = 1_000
-	maxPageBytes           = 512 << 10
-	maxKeptEvents          = 10_000 // number of latest events that watches can read
+	maxItemsPerPage        = 1_000
+	maxBytesPerPage        = 512 << 10
+	maxRetainedEvents      = 10_000 // number of latest events that watches can read
 	maxConditionsPerChange = 4
 	maxWatchMillis         = 60_000
 )
@@ -49,7 +49,7 @@
 	items         btree.Map[string, *Item]
 	leases        map[uint64]*lease
 	revision      uint64
-	lastID        uint64
+	lastLeaseID   uint64
 	events        []protocol.WatchEvent
 	watches       []*watch
 	requestBudget tokenBucket
@@ -78,43 +78,43 @@
 
 // Item returns the item of a key, or nil if the key does not exist.
 func (s *StateService) Item(key string) *Item {
-	it, _ := s.items.Get(key)
-	return it
+	item, _ := s.items.Get(key)
+	return item
 }
 
 // Keys returns the keys in order.
 func (s *StateService) Keys() []string { return s.items.Keys() }
 
 // Change puts a key, or deletes it if the item is nil, in a separate revision and without any checks.
-func (s *StateService) Change(key string, it *Item) {
+func (s *StateService) Change(key string, item *Item) {
 	s.revision++
-	s.applyChange(key, it)
+	s.applyChange(key, item)
 	s.notifyWatches()
 }
 
 // Preset puts a key without a new revision and without an event, as part of the initial contents of the store.
-func (s *StateService) Preset(key string, it *Item) { s.items.Set(key, it) }
+func (s *StateService) Preset(key string, item *Item) { s.items.Set(key, item) }
 
 // applyChange puts or deletes a key in the current revision, and retains the event for watches.
-func (s *StateService) applyChange(key string, it *Item) {
+func (s *StateService) applyChange(key string, item *Item) {
 	event := protocol.WatchEvent{Delete: key, Version: s.revision}
-	if it == nil {
+	if item == nil {
 		s.items.Delete(key)
 	} else {
-		it.Version = s.revision
-		s.items.Set(key, it)
-		event = protocol.WatchEvent{Put: key, Value: it.Value, Version: s.revision}
+		item.Version = s.revision
+		s.items.Set(key, item)
+		event = protocol.WatchEvent{Put: key, Value: item.Value, Version: s.revision}
 	}
 	s.events = append(s.events, event)
-	if len(s.events) >= 2*maxKeptEvents {
-		s.events = append([]protocol.WatchEvent(nil), s.events[len(s.events)-maxKeptEvents:]...)
+	if len(s.events) >= 2*maxRetainedEvents {
+		s.events = append([]protocol.WatchEvent(nil), s.events[len(s.events)-maxRetainedEvents:]...)
 	}
 }
 
 // Outage makes the service unavailable for d. All leases are renewed at the end of the outage.
-func (s *StateService) Outage(d time.Duration) {
+func (s *StateService) Outage(duration time.Duration) {
 	s.Down = true
-	s.queue.After(d, func() {
+	s.queue.After(duration, func() {
 		s.Down = false
 		for _, l := range s.leases {
 			l.expiresAt = s.queue.Now() + l.ttl
@@ -192,36 +192,36 @@
 func (s *StateService) list(values url.Values, reply Reply) {
 	limit, _ := strconv.Atoi(values.Get("limit")) // absent: 0
 	if limit <= 0 {
-		limit = maxPageItems
+		limit = maxItemsPerPage
 	}
-	limit = min(limit, maxPageItems)
+	limit = min(limit, maxItemsPerPage)
 	prefix, after := values.Get("under"), values.Get("after")
-	out := protocol.KeyValuePage{Revision: s.revision}
-	size := 0
-	s.items.Ascend(max(prefix, after), func(key string, it *Item) bool {
+	page := protocol.KeyValuePage{Revision: s.revision}
+	pageBytes := 0
+	s.items.Ascend(max(prefix, after), func(key string, item *Item) bool {
 		if key <= after && after != "" {
 			return true
 		}
 		if !strings.HasPrefix(key, prefix) {
 			return false
 		}
-		size += len(key) + len(it.Value)
-		if len(out.Items) == limit || size > maxPageBytes {
-			out.More = true
+		pageBytes += len(key) + len(item.Value)
+		if len(page.Items) == limit || pageBytes > maxBytesPerPage {
+			page.More = true
 			return false
 		}
-		out.Items = append(out.Items, protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease})
+		page.Items = append(page.Items, protocol.KeyValue{Key: key, Value: item.Value, Version: item.Version, Lease: item.Lease})
 		return true
 	})
-	reply(http.StatusOK, protocol.Encode(out))
+	reply(http.StatusOK, protocol.Encode(page))
 }
 
 // get replies with the value of one key.
 func (s *StateService) get(key string, reply Reply) {
-	it := s.Item(key)
-	if it == nil {
+	item := s.Item(key)
+	if item == nil {
 		reply(http.StatusNotFound, protocol.Encode(protocol.TransactionReply{Revision: s.revision}))
 		return
 	}
-	reply(http.StatusOK, protocol.Encode(protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease}))
+	reply(http.StatusOK, protocol.Encode(protocol.KeyValue{Key: key, Value: item.Value, Version: item.Version, Lease: item.Lease}))
 }
--- a/internal/emulator/state_lease.go
+++ b/internal/emulator/state_lease.go
@@ -24,8 +24,8 @@
 		reply(http.StatusBadRequest, nil)
 		return
 	}
-	s.lastID++
-	id, ttl := s.lastID, time.Duration(request.TTLMillis)*time.Millisecond
+	s.lastLeaseID++
+	id, ttl := s.lastLeaseID, time.Duration(request.TTLMillis)*time.Millisecond
 	s.leases[id] = &lease{expiresAt: s.queue.Now() + ttl, ttl: ttl}
 	s.queue.After(ttl, func() { s.expireLease(id) })
 	reply(http.StatusOK, protocol.Encode(protocol.LeaseReply{Lease: id}))
@@ -64,8 +64,8 @@
 func (s *StateService) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var attached []string
-	s.items.Scan(func(key string, it *Item) bool {
-		if it.Lease == id {
+	s.items.Scan(func(key string, item *Item) bool {
+		if item.Lease == id {
 			attached = append(attached, key)
 		}
 		return true
--- a/internal/emulator/state_transaction.go
+++ b/internal/emulator/state_transaction.go
@@ -65,7 +65,7 @@
 		reply(http.StatusBadRequest, nil)
 		return
 	}
-	if s.calledMalformed(body) {
+	if s.refusedByInjectedFault(body) {
 		reply(http.StatusBadRequest, nil)
 		return
 	}
@@ -77,8 +77,8 @@
 	s.apply(&t, reply)
 }
 
-// calledMalformed reports whether the injected fault Malformed refuses a transaction.
-func (s *StateService) calledMalformed(body []byte) bool {
+// refusedByInjectedFault reports whether the injected fault Malformed refuses a transaction.
+func (s *StateService) refusedByInjectedFault(body []byte) bool {
 	if s.Malformed == nil {
 		return false
 	}
--- a/internal/emulator/state_watch.go
+++ b/internal/emulator/state_watch.go
@@ -24,45 +24,45 @@
 // next change, or without changes when the timeout that the client requests has passed.
 func (s *StateService) openWatch(client int, values url.Values, reply Reply) {
 	after, _ := strconv.ParseUint(values.Get("after"), 10, 64) // absent: 0
-	block, _ := strconv.Atoi(values.Get("blockMs"))            // absent: 0
-	if len(s.events) >= maxKeptEvents && after+1 < s.events[0].Version {
+	blockMillis, _ := strconv.Atoi(values.Get("blockMs"))      // absent: 0
+	if len(s.events) >= maxRetainedEvents && after+1 < s.events[0].Version {
 		reply(statusTooOld, nil)
 		return
 	}
-	open := &watch{client: client, prefix: values.Get("under"), afterRevision: after, reply: reply}
-	if s.answerWatch(open, false) {
+	pending := &watch{client: client, prefix: values.Get("under"), afterRevision: after, reply: reply}
+	if s.answerWatch(pending, false) {
 		return
 	}
-	s.watches = append(s.watches, open)
-	s.queue.After(time.Duration(min(block, maxWatchMillis))*time.Millisecond, func() { s.answerWatch(open, true) })
+	s.watches = append(s.watches, pending)
+	s.queue.After(time.Duration(min(blockMillis, maxWatchMillis))*time.Millisecond, func() { s.answerWatch(pending, true) })
 }
 
 // notifyWatches replies to the watches that match the latest changes.
 func (s *StateService) notifyWatches() {
-	s.watches = slices.DeleteFunc(s.watches, func(open *watch) bool { return s.answerWatch(open, false) })
+	s.watches = slices.DeleteFunc(s.watches, func(pending *watch) bool { return s.answerWatch(pending, false) })
 }
 
 // answerWatch replies with the changes after the watch's revision, if there are any or the watch has timed out. It
 // returns whether the watch has been answered.
-func (s *StateService) answerWatch(open *watch, over bool) bool {
-	if open.done || s.Down || s.RefusedClients[open.client] {
-		return open.done
+func (s *StateService) answerWatch(pending *watch, timedOut bool) bool {
+	if pending.done || s.Down || s.RefusedClients[pending.client] {
+		return pending.done
 	}
-	out := protocol.WatchReply{Revision: s.revision}
-	first := len(s.events) // index of the first event after the watch's revision
-	for first > 0 && s.events[first-1].Version > open.afterRevision {
-		first--
+	watchReply := protocol.WatchReply{Revision: s.revision}
+	firstIndex := len(s.events) // index of the first event after the watch's revision
+	for firstIndex > 0 && s.events[firstIndex-1].Version > pending.afterRevision {
+		firstIndex--
 	}
-	for _, e := range s.events[first:] {
-		if strings.HasPrefix(e.Put, open.prefix) && e.Put != "" || strings.HasPrefix(e.Delete, open.prefix) && e.Delete != "" {
-			out.Events = append(out.Events, e)
+	for _, event := range s.events[firstIndex:] {
+		if strings.HasPrefix(event.Put, pending.prefix) && event.Put != "" || strings.HasPrefix(event.Delete, pending.prefix) && event.Delete != "" {
+			watchReply.Events = append(watchReply.Events, event)
 		}
 	}
-	if len(out.Events) == 0 && !over {
-		open.afterRevision = s.revision
+	if len(watchReply.Events) == 0 && !timedOut {
+		pending.afterRevision = s.revision
 		return false
 	}
-	open.done = true
-	open.reply(http.StatusOK, protocol.Encode(out))
+	pending.done = true
+	pending.reply(http.StatusOK, protocol.Encode(watchReply))
 	return true
 }
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -17,7 +17,7 @@
 	CheckpointSaved   bool          // whether the task has saved a checkpoint
 	StopRequestedAt   time.Duration // when a gang's task received the stop command
 	peersMissingSince time.Duration // when another task of its gang began to be missing or stopping
-	generation        int           // the worker's TasksStarted at the start of this task
+	startNumber       int           // the worker's TasksStarted at the start of this task
 }
 
 // OccupiesMachine reports whether a task occupies its machine, as the protocol documentation defines it.
@@ -31,21 +31,21 @@
 // Execute executes commands in order. Repeated run and clear commands have no effect. A repeated stop command ends a
 // task that is still saving its checkpoint.
 func (w *Worker) Execute(commands []protocol.Command) {
-	for _, c := range commands {
-		name := AttemptKey(c.Task, c.Attempt)
-		existing := w.Tasks[name]
-		switch c.Verb {
+	for _, command := range commands {
+		key := AttemptKey(command.Task, command.Attempt)
+		existing := w.Tasks[key]
+		switch command.Verb {
 		case protocol.VerbRun:
 			if existing == nil {
-				w.startTask(c.Task, name, c.Attempt)
+				w.startTask(command.Task, key, command.Attempt)
 			}
 		case protocol.VerbStop:
 			if existing != nil && existing.State != protocol.TaskExited {
-				w.stopTask(name, existing, c.GraceS)
+				w.stopTask(key, existing, command.GraceS)
 			}
 		case protocol.VerbClear:
 			if existing != nil && existing.State == protocol.TaskExited {
-				delete(w.Tasks, name)
+				delete(w.Tasks, key)
 				w.fleet.leaveGang(existing)
 				w.heartbeatSoon()
 			}
@@ -63,31 +63,31 @@
 
 // setState changes a task's state and schedules a heartbeat. It notifies the observer if the task no longer occupies its
 // machine.
-func (w *Worker) setState(name string, t *Task, state protocol.TaskState, cause protocol.ExitCause) {
-	wasRunning := t.OccupiesMachine()
+func (w *Worker) setState(key string, t *Task, state protocol.TaskState, cause protocol.ExitCause) {
+	occupiedMachine := t.OccupiesMachine()
 	t.State, t.Cause = state, cause
 	if !t.OccupiesMachine() {
-		w.notifyLeft(name, t, wasRunning)
+		w.notifyTaskStopped(key, t, occupiedMachine)
 	}
 	w.heartbeatSoon()
 }
 
-// notifyLeft notifies the observer that a task no longer occupies its machine, if it did before.
-func (w *Worker) notifyLeft(name string, t *Task, wasRunning bool) {
-	if wasRunning && w.fleet.TaskStopped != nil {
-		task, _, _ := strings.Cut(name, "@")
+// notifyTaskStopped notifies the observer that a task no longer occupies its machine, if it did before.
+func (w *Worker) notifyTaskStopped(key string, t *Task, occupiedMachine bool) {
+	if occupiedMachine && w.fleet.TaskStopped != nil {
+		task, _, _ := strings.Cut(key, "@")
 		w.fleet.TaskStopped(w, task, t)
 	}
 }
 
 // startTask adds a task and begins to fetch its image, unless the worker refuses the task.
-func (w *Worker) startTask(task, name string, attempt uint64) {
+func (w *Worker) startTask(task, key string, attempt uint64) {
 	f := w.fleet
 	uid, _, _ := strings.Cut(task, "/")
 	job := f.Jobs(uid)
 	w.TasksStarted++
-	t := &Task{UID: uid, Attempt: attempt, State: protocol.TaskFetchingImage, generation: w.TasksStarted}
-	w.Tasks[name] = t
+	t := &Task{UID: uid, Attempt: attempt, State: protocol.TaskFetchingImage, startNumber: w.TasksStarted}
+	w.Tasks[key] = t
 	w.heartbeatSoon()
 	if f.RefuseUnfit {
 		if cause := w.refusalCause(task, t, job); cause != "" {
@@ -95,70 +95,70 @@
 			return
 		}
 	}
-	generation := t.generation
+	startNumber := t.startNumber
 	f.queue.After(f.FetchTime(w, task, job), func() {
-		if w.Tasks[name] != t || t.State != protocol.TaskFetchingImage || t.generation != generation || w.Deleted {
+		if w.Tasks[key] != t || t.State != protocol.TaskFetchingImage || t.startNumber != startNumber || w.Deleted {
 			return
 		}
-		w.imageReady(task, name, t, job)
+		w.startFetchedTask(task, key, t, job)
 	})
 }
 
 // refusalCause returns the cause with which the worker refuses a task, or an empty cause if the task can start.
-func (w *Worker) refusalCause(task string, started *Task, job *Job) protocol.ExitCause {
+func (w *Worker) refusalCause(task string, candidate *Task, job *Job) protocol.ExitCause {
 	if job == nil {
 		return "no_such"
 	}
-	cores, accel, memory := job.Cores, job.Accelerators, job.MemoryGB
-	for name, t := range w.Tasks {
-		if t == started || t.State == protocol.TaskExited {
+	cores, accelerators, memory := job.Cores, job.Accelerators, job.MemoryGB
+	for key, t := range w.Tasks {
+		if t == candidate || t.State == protocol.TaskExited {
 			continue
 		}
-		if other, _, _ := strings.Cut(name, "@"); other == task {
+		if otherTask, _, _ := strings.Cut(key, "@"); otherTask == task {
 			return protocol.CauseBusy
 		}
-		if j := w.fleet.Jobs(t.UID); j != nil {
-			cores, accel, memory = cores+j.Cores, accel+j.Accelerators, memory+j.MemoryGB
+		if otherJob := w.fleet.Jobs(t.UID); otherJob != nil {
+			cores, accelerators, memory = cores+otherJob.Cores, accelerators+otherJob.Accelerators, memory+otherJob.MemoryGB
 		}
 	}
-	const slack = 1e-3 // tolerance for rounding errors of the sums
-	if cores > w.MachineType.Cores+slack || accel > w.MachineType.Accelerators+slack || memory > w.MachineType.MemoryGB+slack {
+	const tolerance = 1e-3 // for rounding errors of the sums
+	if cores > w.MachineType.Cores+tolerance || accelerators > w.MachineType.Accelerators+tolerance || memory > w.MachineType.MemoryGB+tolerance {
 		return protocol.CauseInsufficientResources
 	}
 	return ""
 }
 
-// imageReady starts a task whose image has been fetched. A gang's task then waits for its gang.
-func (w *Worker) imageReady(task, name string, t *Task, job *Job) {
+// startFetchedTask starts a task whose image has been fetched. A gang's task then waits for its gang.
+func (w *Worker) startFetchedTask(task, key string, t *Task, job *Job) {
 	f := w.fleet
 	if f.FailsAtStart != nil && f.FailsAtStart(w, t) {
-		w.setState(name, t, protocol.TaskExited, protocol.CauseError)
+		w.setState(key, t, protocol.TaskExited, protocol.CauseError)
 		return
 	}
-	w.setState(name, t, protocol.TaskRunning, "")
+	w.setState(key, t, protocol.TaskRunning, "")
 	if f.TaskStarted != nil {
 		f.TaskStarted(w, task, t)
 	}
 	if job.Gang {
-		w.waitForGang(name, t, job)
+		w.waitForGang(key, t, job)
 	}
 	if !job.Service && !job.Gang {
-		f.queue.After(f.RunTime(task), func() { w.finishTask(task, name, t, t.generation) })
+		f.queue.After(f.RunTime(task), func() { w.finishTask(task, key, t, t.startNumber) })
 	}
 }
 
 // finishTask completes a task whose run time has passed.
-func (w *Worker) finishTask(task, name string, t *Task, generation int) {
+func (w *Worker) finishTask(task, key string, t *Task, startNumber int) {
 	f := w.fleet
 	if w.Hung {
 		// A task on a hung machine makes no progress: it completes after the machine resumes.
-		f.queue.After(f.Timing.CheckInterval, func() { w.finishTask(task, name, t, generation) })
+		f.queue.After(f.Timing.CheckInterval, func() { w.finishTask(task, key, t, startNumber) })
 		return
 	}
-	if w.Deleted || t.State != protocol.TaskRunning || t.generation != generation || w.Tasks[name] != t {
+	if w.Deleted || t.State != protocol.TaskRunning || t.startNumber != startNumber || w.Tasks[key] != t {
 		return
 	}
-	w.setState(name, t, protocol.TaskExited, protocol.CauseDone)
+	w.setState(key, t, protocol.TaskExited, protocol.CauseDone)
 	if f.TaskCompleted != nil {
 		f.TaskCompleted(task, t)
 	}
@@ -166,20 +166,20 @@
 
 // stopTask stops a task. A running task that saves checkpoints, and whose grace period (in seconds) is long enough, ends
 // after the time to save one. Any other task ends at once.
-func (w *Worker) stopTask(name string, t *Task, graceS float64) {
+func (w *Worker) stopTask(key string, t *Task, graceS float64) {
 	job := w.fleet.Jobs(t.UID)
 	if job.Gang {
-		w.stopGangTask(name, t, job, graceS)
+		w.stopGangTask(key, t, job, graceS)
 		return
 	}
 	if t.State == protocol.TaskRunning && job.CheckpointS > 0 && graceS >= job.CheckpointS {
-		w.setState(name, t, protocol.TaskSavingCheckpoint, "")
+		w.setState(key, t, protocol.TaskSavingCheckpoint, "")
 		w.fleet.queue.After(time.Duration(job.CheckpointS*float64(time.Second)), func() {
-			if t.State == protocol.TaskSavingCheckpoint && w.Tasks[name] == t {
-				w.setState(name, t, protocol.TaskExited, protocol.CauseStopped)
+			if t.State == protocol.TaskSavingCheckpoint && w.Tasks[key] == t {
+				w.setState(key, t, protocol.TaskExited, protocol.CauseStopped)
 			}
 		})
 		return
 	}
-	w.setState(name, t, protocol.TaskExited, protocol.CauseStopped)
+	w.setState(key, t, protocol.TaskExited, protocol.CauseStopped)
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -35,7 +35,7 @@
 	heartbeatInFlight bool
 	changePending     bool
 	lastHeartbeat     time.Duration
-	heartbeatTimer    int // number of the current heartbeat timer; timers with a lower number are cancelled
+	heartbeatTimerID  int // number of the current heartbeat timer; timers with a lower number are cancelled
 	images            imageCache
 }
 
@@ -63,32 +63,32 @@
 
 // dropAllTasks removes all tasks, which the worker no longer reports.
 func (w *Worker) dropAllTasks() {
-	for _, name := range slices.Sorted(maps.Keys(w.Tasks)) {
-		w.dropTask(name)
+	for _, key := range slices.Sorted(maps.Keys(w.Tasks)) {
+		w.dropTask(key)
 	}
 }
 
 // dropTask removes a task, which the worker no longer reports.
-func (w *Worker) dropTask(name string) {
-	t := w.Tasks[name]
-	delete(w.Tasks, name)
-	w.notifyLeft(name, t, t.OccupiesMachine())
+func (w *Worker) dropTask(key string) {
+	t := w.Tasks[key]
+	delete(w.Tasks, key)
+	w.notifyTaskStopped(key, t, t.OccupiesMachine())
 	w.fleet.leaveGang(t)
 }
 
 // Hang makes the machine hang for d. Direct requests that arrive in the meantime are served when the machine resumes.
 // Commands among them are refused if the lease has expired by then, because the worker has begun a new epoch.
-func (w *Worker) Hang(d time.Duration) {
+func (w *Worker) Hang(duration time.Duration) {
 	w.Hung = true
-	w.fleet.queue.After(d, func() {
+	w.fleet.queue.After(duration, func() {
 		w.Hung = false
-		held := w.deferredRequests
+		deferred := w.deferredRequests
 		w.deferredRequests = nil
 		if w.Deleted {
 			return
 		}
-		for _, do := range held {
-			do()
+		for _, handle := range deferred {
+			handle()
 		}
 	})
 }
@@ -106,8 +106,8 @@
 		w.heartbeatSoon()
 	}
 	wait := f.Timing.CheckInterval
-	if left := w.LeaseRenewedAt + f.Timing.LeaseTTL - f.queue.Now(); left > wait {
-		wait = left
+	if remaining := w.LeaseRenewedAt + f.Timing.LeaseTTL - f.queue.Now(); remaining > wait {
+		wait = remaining
 	}
 	f.queue.After(wait, w.checkLease)
 }
--- a/internal/emulator/worker_test.go
+++ b/internal/emulator/worker_test.go
@@ -11,17 +11,17 @@
 // that exceeds its free resources, and a second attempt of a task that it already has.
 func TestWorkerImagesAndRefusals(t *testing.T) {
 	queue := &EventQueue{}
-	f := NewFleet(queue, Timing{HeartbeatInterval: time.Second, LeaseTTL: time.Minute, CheckInterval: time.Second, FailoverDelay: time.Second})
+	fleet := NewFleet(queue, Timing{HeartbeatInterval: time.Second, LeaseTTL: time.Minute, CheckInterval: time.Second, FailoverDelay: time.Second})
 	jobs := map[string]*Job{}
-	f.Jobs = func(uid string) *Job { return jobs[uid] }
-	f.RunTime = func(string) time.Duration { return time.Hour }
-	f.FetchTime, f.RefuseUnfit, f.Controllers = FetchImage, true, 1
-	f.SendHeartbeat = func(_ *Worker, _ int, _ []byte, answer Reply) {
+	fleet.Jobs = func(uid string) *Job { return jobs[uid] }
+	fleet.RunTime = func(string) time.Duration { return time.Hour }
+	fleet.FetchTime, fleet.RefuseUnfit, fleet.Controllers = FetchImage, true, 1
+	fleet.SendHeartbeat = func(_ *Worker, _ int, _ []byte, answer Reply) {
 		queue.After(time.Millisecond, func() {
 			answer(200, protocol.Encode(protocol.WorkerHeartbeatReply{Token: 1, Commands: []protocol.Command{}}))
 		})
 	}
-	worker := f.Add("i-1", "", "m", "a", false)
+	worker := fleet.Add("i-1", "", "m", "a", false)
 	worker.MachineType = protocol.MachineType{Cores: 4, MemoryGB: 8, CacheGB: 10, FetchGBPerS: 1}
 	worker.Boot()
 	run := func(uid string, image string, gb, cores float64) *Task {
@@ -42,8 +42,8 @@
 		t.Errorf("a task that exceeds the free cores: exit cause %s, want insufficient resources", third.Cause)
 	}
 	worker.Execute([]protocol.Command{{Verb: protocol.VerbRun, Task: "j-1/0", Attempt: 2}})
-	if again := worker.Tasks[AttemptKey("j-1/0", 2)]; again.Cause != protocol.CauseBusy {
-		t.Errorf("a second attempt of a task on the machine: exit cause %s, want busy", again.Cause)
+	if secondAttempt := worker.Tasks[AttemptKey("j-1/0", 2)]; secondAttempt.Cause != protocol.CauseBusy {
+		t.Errorf("a second attempt of a task on the machine: exit cause %s, want busy", secondAttempt.Cause)
 	}
 	run("j-4", "y", 5, 0)
 	queue.RunUntil(20 * time.Second)
@@ -53,7 +53,7 @@
 	}
 	delete(worker.Tasks, AttemptKey("j-4/0", 1))
 	run("j-6", "w", 1, 0)
-	if _, kept := worker.images.readyAt["y"]; kept {
+	if _, cached := worker.images.readyAt["y"]; cached {
 		t.Error("the only image that no task needs was not evicted")
 	}
 	if worker.Token != 1 || worker.Epoch != 1 {
