--- a/internal/emulator/eventqueue.go
+++ b/internal/emulator/eventqueue.go
@@ -22,7 +22,7 @@
 // Now returns the current time of the queue's clock.
 func (q *EventQueue) Now() time.Duration { return q.now }
 
-// After schedules a function to run after d; a negative d counts as 0. Functions that are due at the same time run in
+// After schedules a function to run after a delay; a negative delay counts as 0. Functions that are due at the same time run in
 // the order in which they were scheduled.
 func (q *EventQueue) After(delay time.Duration, action func()) {
 	q.seq++
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -27,7 +27,7 @@
 	return heartbeat
 }
 
-// scheduleHeartbeat schedules the next heartbeat after d, and cancels the heartbeat that was scheduled before.
+// scheduleHeartbeat schedules the next heartbeat after a delay, and cancels the heartbeat that was scheduled before.
 func (w *Worker) scheduleHeartbeat(delay time.Duration) {
 	w.heartbeatTimerID++
 	timerID := w.heartbeatTimerID
@@ -47,7 +47,7 @@
 	return time.Duration(float64(timing.HeartbeatInterval) * (1 + timing.Jitter*(2*w.fleet.Random()-1)))
 }
 
-// heartbeatSoon schedules a heartbeat as early as Timing.MinHeartbeatPause allows, because its content has changed. If
+// heartbeatSoon schedules a heartbeat as early as Timing.MinHeartbeatPause allows, after a change of its content. If
 // a heartbeat is in flight, the next one is scheduled when its reply arrives.
 func (w *Worker) heartbeatSoon() {
 	f := w.fleet
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// Outage makes the service unavailable for d. All leases are renewed at the end of the outage.
+// Outage makes the service unavailable for a duration. All leases are renewed at the end of the outage.
 func (s *StateService) Outage(duration time.Duration) {
 	s.Down = true
 	s.queue.After(duration, func() {
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// AddTask adds a task to the machine without a command.
+// AddTask adds a task to the worker directly, without a run command.
 func (w *Worker) AddTask(task string, t *Task) {
 	w.Tasks[AttemptKey(task, t.Attempt)] = t
 	if job := w.fleet.Jobs(t.UID); job != nil && job.Gang {
