--- a/internal/emulator/eventqueue.go
+++ b/internal/emulator/eventqueue.go
@@ -22,8 +22,8 @@
 // Now returns the current time of the queue's clock.
 func (q *EventQueue) Now() time.Duration { return q.now }
 
-// After schedules a function to run after a delay; a negative delay counts as 0. Functions that are due at the same time run in
-// the order in which they were scheduled.
+// After schedules a function to run after a delay; a negative delay counts as 0. Functions that are due at the same
+// time run in the order in which they were scheduled.
 func (q *EventQueue) After(delay time.Duration, action func()) {
 	q.seq++
 	heap.Push(&q.events, event{q.now + max(delay, 0), q.seq, action})
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// setState changes a task's state and schedules a heartbeat. It notifies the observer if the task no longer occupies its
-// machine.
+// setState changes a task's state and schedules a heartbeat. It notifies the observer if the task no longer occupies
+// its machine.
 func (w *Worker) setState(key string, t *Task, state protocol.TaskState, cause protocol.ExitCause) {
 	occupiedMachine := t.OccupiesMachine()
 	t.State, t.Cause = state, cause
@@ -164,8 +164,8 @@
 	}
 }
 
-// stopTask stops a task. A running task that saves checkpoints, and whose grace period (in seconds) is long enough, ends
-// after the time to save one. Any other task ends at once.
+// stopTask stops a task. A running task that saves checkpoints, and whose grace period (in seconds) is long enough,
+// ends after the time to save one. Any other task ends at once.
 func (w *Worker) stopTask(key string, t *Task, graceS float64) {
 	job := w.fleet.Jobs(t.UID)
 	if job.Gang {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -76,8 +76,8 @@
 	w.fleet.leaveGang(t)
 }
 
-// Hang makes the machine hang for a duration. Direct requests that arrive in the meantime are served when the machine resumes.
-// Commands among them are refused if the lease has expired by then, because the worker has begun a new epoch.
+// Hang makes the machine hang for a duration. Direct requests that arrive in the meantime are served when the machine
+// resumes. Commands among them are refused if the lease has expired by then, because the worker has begun a new epoch.
 func (w *Worker) Hang(duration time.Duration) {
 	w.Hung = true
 	w.fleet.queue.After(duration, func() {
