--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -13,33 +13,32 @@
 	"claybarrow/internal/protocol"
 )
 
-// Limits of the state service that the protocol's page names.
+// Limits that the protocol documentation sets for the state service.
 const (
-	maxPageItems           = 1_000
-	maxPageBytes           = 512 << 10
-	maxKeptEvents          = 10_000 // changes that watches can ask for
+	maxItemsPerPage        = 1_000
+	maxBytesPerPage        = 512 << 10
+	maxRetainedEvents      = 10_000 // number of latest events that watches can read
 	maxConditionsPerChange = 4
 	maxWatchMillis         = 60_000
 )
 
-// Item is the value of a key, with the revision that changed it last and the lease that it is attached
-// to (0: none).
+// Item is the value of a key, with the revision of its last change and the lease that it is attached to (0: none).
 type Item struct {
 	Value   []byte
 	Version uint64
 	Lease   uint64
 }
 
-// StateLimits bounds what the state service takes. Zero: no limit.
+// StateLimits holds the limits of the state service. A zero field means no limit.
 type StateLimits struct {
-	ValueBytes int // bytes of one value, as JSON
-	Changes    int // in a transaction
-	// RequestRate and ChangeRate are per second, with bursts of one second's worth.
+	ValueBytes int // size of one value, encoded as JSON
+	Changes    int // number of changes in a transaction
+	// RequestRate and ChangeRate are per second; a burst may use one second's quota at once.
 	RequestRate, ChangeRate float64
 }
 
-// StateStats counts what the state service did. Bytes are those of the transactions' bodies, RateLimited the
-// requests over a rate limit, Conflicts the transactions whose conditions did not hold.
+// StateStats counts the work of the state service. Bytes is the total size of the transactions' bodies, RateLimited
+// counts the requests that exceeded a rate limit, and Conflicts the transactions whose conditions did not hold.
 type StateStats struct {
 	Requests, Transactions, Changes, Bytes, RateLimited, Conflicts int64
 }
@@ -50,25 +49,25 @@
 	items         btree.Map[string, *Item]
 	leases        map[uint64]*lease
 	revision      uint64
-	lastID        uint64
+	lastLeaseID   uint64
 	events        []protocol.WatchEvent
 	watches       []*watch
 	requestBudget tokenBucket
 	changeBudget  tokenBucket
 
-	// Down has the service answer nobody, Refuse these clients not (injected faults).
+	// Injected faults: Down makes the service unavailable to all clients, RefusedClients to the clients in it.
 	Down           bool
 	RefusedClients map[int]bool
-	// Malformed says which transactions are refused as malformed (an injected fault); nil: none.
+	// Malformed reports whether a transaction is refused as malformed (an injected fault); nil: none is.
 	Malformed func(protocol.Transaction) bool
 	Limits    StateLimits
-	// MaxChanges is how many changes the settings allow in a transaction, whatever Limits says now;
-	// more are a protocol violation of the controller. 0: not checked.
+	// MaxChanges is the number of changes that the settings allow in a transaction, independent of the current Limits.
+	// A transaction with more changes violates the protocol. 0: not checked.
 	MaxChanges int
-	// TooLarge counts the transactions that were refused for their size.
+	// TooLarge counts the transactions that were refused because they exceeded Limits.
 	TooLarge int
 	Stats    StateStats
-	// Violation is called for requests that violate the protocol; nil: they are only refused.
+	// Violation is called for each request that violates the protocol; nil: not called.
 	Violation func(what string)
 }
 
@@ -77,45 +76,45 @@
 	return &StateService{queue: queue, leases: map[uint64]*lease{}, RefusedClients: map[int]bool{}, Limits: limits}
 }
 
-// Item returns a key's item, or nil.
+// Item returns the item of a key, or nil if the key does not exist.
 func (s *StateService) Item(key string) *Item {
-	it, _ := s.items.Get(key)
-	return it
+	item, _ := s.items.Get(key)
+	return item
 }
 
 // Keys returns the keys in order.
 func (s *StateService) Keys() []string { return s.items.Keys() }
 
-// Change puts or, with nil, deletes a key as a transaction of its own, without any check.
-func (s *StateService) Change(key string, it *Item) {
+// Change puts a key, or deletes it if the item is nil, in a separate revision and without any checks.
+func (s *StateService) Change(key string, item *Item) {
 	s.revision++
-	s.applyChange(key, it)
+	s.applyChange(key, item)
 	s.notifyWatches()
 }
 
-// Preset puts a key without a new revision and without an event, as if it had always been there.
-func (s *StateService) Preset(key string, it *Item) { s.items.Set(key, it) }
+// Preset puts a key without a new revision and without an event, as part of the initial contents of the store.
+func (s *StateService) Preset(key string, item *Item) { s.items.Set(key, item) }
 
-// applyChange puts or deletes a key under the present revision, and keeps the event for watches.
-func (s *StateService) applyChange(key string, it *Item) {
+// applyChange puts or deletes a key in the current revision, and retains the event for watches.
+func (s *StateService) applyChange(key string, item *Item) {
 	event := protocol.WatchEvent{Delete: key, Version: s.revision}
-	if it == nil {
+	if item == nil {
 		s.items.Delete(key)
 	} else {
-		it.Version = s.revision
-		s.items.Set(key, it)
-		event = protocol.WatchEvent{Put: key, Value: it.Value, Version: s.revision}
+		item.Version = s.revision
+		s.items.Set(key, item)
+		event = protocol.WatchEvent{Put: key, Value: item.Value, Version: s.revision}
 	}
 	s.events = append(s.events, event)
-	if len(s.events) >= 2*maxKeptEvents {
-		s.events = append([]protocol.WatchEvent(nil), s.events[len(s.events)-maxKeptEvents:]...)
+	if len(s.events) >= 2*maxRetainedEvents {
+		s.events = append([]protocol.WatchEvent(nil), s.events[len(s.events)-maxRetainedEvents:]...)
 	}
 }
 
-// Outage takes the service down for a while. All leases are renewed when it is up again.
-func (s *StateService) Outage(d time.Duration) {
+// Outage makes the service unavailable for a duration. All leases are renewed at the end of the outage.
+func (s *StateService) Outage(duration time.Duration) {
 	s.Down = true
-	s.queue.After(d, func() {
+	s.queue.After(duration, func() {
 		s.Down = false
 		for _, l := range s.leases {
 			l.expiresAt = s.queue.Now() + l.ttl
@@ -124,10 +123,10 @@
 	})
 }
 
-// Serve answers one request of a client, identified by its number for Refuse.
+// Serve handles one request of a client. The client's number is its key in RefusedClients.
 func (s *StateService) Serve(client int, method, target string, body []byte, reply Reply) {
 	s.Stats.Requests++
-	// While the service is down, watches stay open without an answer.
+	// While the service is unavailable, watches stay open without a response.
 	if isWatch := strings.HasPrefix(target, watchPath); !isWatch && (s.Down || s.RefusedClients[client]) {
 		reply(statusUnavailable, nil)
 		return
@@ -149,10 +148,10 @@
 	}
 }
 
-// watchPath is the beginning of the path of watches.
+// watchPath is the path prefix of watch requests.
 const watchPath = "/follow"
 
-// serveKeys answers reads, watches and transactions; false: the request is none of them.
+// serveKeys handles reads, watches and transactions; false: the request is of another kind.
 func (s *StateService) serveKeys(client int, method, path string, values url.Values, body []byte, reply Reply) bool {
 	switch {
 	case method == http.MethodGet && path == "/store":
@@ -169,7 +168,7 @@
 	return true
 }
 
-// serveLease answers requests that concern a lease; false: the request is none of them.
+// serveLease handles requests to open, renew or revoke a lease; false: the request is of another kind.
 func (s *StateService) serveLease(method, path string, body []byte, reply Reply) bool {
 	switch {
 	case method == http.MethodPost && path == "/leases":
@@ -182,47 +181,47 @@
 	return true
 }
 
-// reportViolation tells of a request that violates the protocol.
+// reportViolation passes a request that violates the protocol to Violation.
 func (s *StateService) reportViolation(format string, args ...any) {
 	if s.Violation != nil {
 		s.Violation("state service: " + fmt.Sprintf(format, args...))
 	}
 }
 
-// list answers one page of the keys under a prefix, with their values.
+// list replies with one page of the keys under a prefix, with their values.
 func (s *StateService) list(values url.Values, reply Reply) {
 	limit, _ := strconv.Atoi(values.Get("limit")) // absent: 0
 	if limit <= 0 {
-		limit = maxPageItems
+		limit = maxItemsPerPage
 	}
-	limit = min(limit, maxPageItems)
+	limit = min(limit, maxItemsPerPage)
 	prefix, after := values.Get("under"), values.Get("after")
-	out := protocol.KeyValuePage{Revision: s.revision}
-	size := 0
-	s.items.Ascend(max(prefix, after), func(key string, it *Item) bool {
+	page := protocol.KeyValuePage{Revision: s.revision}
+	pageBytes := 0
+	s.items.Ascend(max(prefix, after), func(key string, item *Item) bool {
 		if key <= after && after != "" {
 			return true
 		}
 		if !strings.HasPrefix(key, prefix) {
 			return false
 		}
-		size += len(key) + len(it.Value)
-		if len(out.Items) == limit || size > maxPageBytes {
-			out.More = true
+		pageBytes += len(key) + len(item.Value)
+		if len(page.Items) == limit || pageBytes > maxBytesPerPage {
+			page.More = true
 			return false
 		}
-		out.Items = append(out.Items, protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease})
+		page.Items = append(page.Items, protocol.KeyValue{Key: key, Value: item.Value, Version: item.Version, Lease: item.Lease})
 		return true
 	})
-	reply(http.StatusOK, protocol.Encode(out))
+	reply(http.StatusOK, protocol.Encode(page))
 }
 
-// get answers one key.
+// get replies with the value of one key.
 func (s *StateService) get(key string, reply Reply) {
-	it := s.Item(key)
-	if it == nil {
+	item := s.Item(key)
+	if item == nil {
 		reply(http.StatusNotFound, protocol.Encode(protocol.TransactionReply{Revision: s.revision}))
 		return
 	}
-	reply(http.StatusOK, protocol.Encode(protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version, Lease: it.Lease}))
+	reply(http.StatusOK, protocol.Encode(protocol.KeyValue{Key: key, Value: item.Value, Version: item.Version, Lease: item.Lease}))
 }
