--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -8,9 +8,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// A new leader computes the fleet's capacity once for all counters that it reads. Computing it for
-// each job kept a leader of 3,600 machines and 1,700 jobs from renewing its lease for longer than
-// the lease lasts, and each leader after it: eight leaders in ten seconds.
+// A new leader computes the fleet's capacity once for all counters that it loads. When it was
+// computed for each job, loading 3,600 machines and 1,700 jobs took longer than the leader's lease, so
+// each new leader lost its lease in turn: eight leaders in ten seconds.
 func TestCapacityIsComputedOnceForAllCounters(t *testing.T) {
 	w := newWorld(t, 73)
 	c := w.nodes[w.awaitLeader()].controller
@@ -34,6 +34,6 @@
 	}
 	load("j-2")
 	if first.Scale.Attained == 0 || first.Scale.Attained != second.Scale.Attained {
-		t.Errorf("the same minute counts %v and %v", first.Scale.Attained, second.Scale.Attained)
+		t.Errorf("attained service of the same minute is %v for the first job and %v for the second, want equal and not 0", first.Scale.Attained, second.Scale.Attained)
 	}
 }
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -6,15 +6,15 @@
 	"claybarrow/internal/protocol"
 )
 
-// leaveAttemptNumbers leaves the leader only so many unused attempt numbers of its block.
+// leaveAttemptNumbers leaves the leader the given number of unused attempt numbers in its block.
 func (w *world) leaveAttemptNumbers(left uint64) {
 	n := w.leadership().attemptNumbers
 	n.used = 1<<attemptBlockBits - 1 - left
 }
 
-// A leadership that started more tasks than a block has numbers used those of the next leader's
-// block, so that two attempts of a task had the same number and a run command was taken for an
-// earlier one.
+// A leader that starts more tasks than its block has attempt numbers must reserve another block. When
+// it continued into the next leader's block, two attempts of a task got the same number, and a run
+// command was mistaken for an earlier one.
 func TestAttemptNumbersBeyondABlock(t *testing.T) {
 	w := newWorld(t, 71)
 	w.awaitLeader()
@@ -39,23 +39,24 @@
 	}
 	for try := range tries {
 		if block := try >> attemptBlockBits; block != token && block > counter.Token {
-			t.Errorf("number %d is of a block that a later leader gets, the counter is %d", try, counter.Token)
+			t.Errorf("attempt number %d belongs to a block that a later leader will use, the token counter is %d", try, counter.Token)
 		}
 	}
 	if w.leadership().lease.token != token {
 		t.Error("the leader changed")
 	}
-	// The next leader's fencing token is beyond the block.
+	// The next leader's fencing token must be higher than each block that this leader has used.
 	w.crash(w.leader())
 	w.awaitLeader()
 	if next := w.leadership().lease.token; next <= counter.Token {
-		t.Errorf("the next leader has token %d, block %d was used", next, counter.Token)
+		t.Errorf("the next leader has token %d, want more than %d, the last reserved block", next, counter.Token)
 	}
 	w.awaitStatus(90*second, "j-1", "done")
 	w.settle()
 }
 
-// Nothing is started from a used-up block until the reservation of the next one is durable.
+// When the block of attempt numbers is nearly used up, no task is started until the reservation of the
+// next block is durable.
 func TestNoStartWithoutAttemptNumbers(t *testing.T) {
 	w := newWorld(t, 72)
 	lead := w.awaitLeader()
@@ -65,7 +66,7 @@
 	w.leaveAttemptNumbers(3)
 	w.run(second)
 	if l := w.leadership(); l.attemptNumbers.enough() {
-		t.Error("a fill may begin with three numbers left")
+		t.Error("a fill may begin with only three attempt numbers left")
 	}
 	w.script = nil
 	w.run(5 * second)
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/config"
 )
 
-// Direct calls are bounded by what a core can handle in a moment, however many sockets there are;
-// with the number of sockets of today's deployments the bounds are unchanged.
+// The number of concurrent direct calls is bounded by CPU capacity even if more sockets are available.
+// For the numbers of sockets of today's deployments, the number of sockets sets the bound.
 func TestConcurrentCallsAreBoundedByTheCore(t *testing.T) {
 	for _, tc := range []struct {
 		sockets int
@@ -25,8 +25,8 @@
 	}
 }
 
-// A new leader asks all machines for their state. It does so at a rate that leaves processor time
-// for renewing its lease, and continues as time passes.
+// A new leader calls all machines to learn their state. The rate of these calls is limited, so that
+// CPU time is left for renewing the leader's lease, and the remaining calls follow as time passes.
 func TestManyCallsAreSpreadOverTime(t *testing.T) {
 	w := newWorld(t, 58)
 	c := w.nodes[w.awaitLeader()].controller
@@ -52,7 +52,7 @@
 		return len(c.outbox.effects)
 	}
 	if n := ask(); n == 0 || n > callsPerCoreBurst {
-		t.Errorf("%d calls at once", n)
+		t.Errorf("%d calls in the first burst, want 1 to %d", n, callsPerCoreBurst)
 	}
 	asked := 0
 	for range 20 {
@@ -60,6 +60,6 @@
 		asked += ask()
 	}
 	if asked < 2000 {
-		t.Errorf("%d calls in two seconds", asked)
+		t.Errorf("%d calls in two seconds, want at least 2000", asked)
 	}
 }
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -9,38 +9,39 @@
 	"claybarrow/internal/protocol"
 )
 
-// checker holds what the rules are checked against: what users requested and were answered, and
-// what ran where. It is part of every world, so every test has it. Tests assert on nothing else:
-// neither on the cluster state nor on who leads.
+// checker records users' requests, the replies to them and the tasks that ran on each machine, and
+// checks the scheduler's invariants against these records. It is embedded in every world, so every
+// test runs it. The checker uses only externally visible behavior, neither the cluster state nor the
+// identity of the leader.
 type checker struct {
-	cancelRequested map[string]bool          // users asked to cancel these
-	invalid         map[string]bool          // must be refused
-	accepted        map[string]time.Duration // when the user first got this answer
-	answered        map[string]time.Duration // when a poll was last answered
-	waitingSince    map[string]time.Duration // since when it has waited although there is room
-	turn            int
+	cancelRequested map[string]bool          // jobs whose cancellation users have requested
+	invalid         map[string]bool          // submissions that must be rejected
+	accepted        map[string]time.Duration // time of the first reply that confirmed the job to its user
+	answered        map[string]time.Duration // time of the last successful reply about the job
+	waitingSince    map[string]time.Duration // time since which the job has waited although there is free capacity
+	turn            int                      // polls sent so far; selects the controller of the next poll
 	stopCommands    map[string][]stopCommand
-	starts          map[string]int // how often a task has begun to be on a machine
-	// calmSince is the time at which all faults ended; 0: they have not ended.
+	starts          map[string]int // how many times each task was started on a machine
+	// calmSince is the time at which all injected faults ended; 0 while faults may still occur.
 	calmSince time.Duration
-	// lateCopy returns how much later a copy of a heartbeat arrives; 0: there is no copy.
+	// lateCopy returns the delay after which a duplicate of a heartbeat arrives; 0: no duplicate is sent.
 	lateCopy func() time.Duration
 	// ended is called at the completion of each task.
 	ended func(uid string)
 }
 
-// stopCommand is the first stop command that a task got.
+// stopCommand is the first stop command that a task received.
 type stopCommand struct {
 	at    time.Duration
 	grace float64
 }
 
-// The bounds that the operators set, counted from the end of all faults.
+// Bounds stated by the operators, measured from the end of all faults.
 const (
 	forgottenAfter = 75 * time.Second
 	waitsAtMost    = 90 * time.Second
 	cancelWithin   = 35 * time.Second // cancel_s of testConfig
-	machineCores   = 8.0              // of the cloud's only type
+	machineCores   = 8.0              // cores of the cloud's only machine type
 )
 
 func newChecker() checker {
@@ -49,8 +50,8 @@
 		starts: map[string]int{}}
 }
 
-// watch checks the rules every second and polls each accepted job every five seconds, as its user
-// does.
+// watch schedules the checks of the invariants every second and the progress of gangs every tick.
+// The polls of accepted jobs are scheduled by startPolling.
 func (w *world) watch() {
 	var look func()
 	look = func() {
@@ -72,7 +73,8 @@
 	return w.lastReplies[uid] == protocol.JobDone || w.lastReplies[uid] == protocol.JobCancelled
 }
 
-// startPolling begins the polling of a job when its user first gets an answer about it.
+// startPolling records a successful reply about a job. After the first one it polls the job every
+// five seconds, at each controller in turn, until the job has ended.
 func (w *world) startPolling(uid string) {
 	w.answered[uid] = w.Now()
 	if _, known := w.accepted[uid]; known {
@@ -91,31 +93,35 @@
 	w.at(5*time.Second, poll)
 }
 
+// checkAnswer reports a violation if an invalid submission is accepted, if a job that was never
+// submitted is confirmed, or if a request about a confirmed job is rejected as invalid.
 func (w *world) checkAnswer(op Op, uid string, status int) {
 	switch {
 	case w.invalid[uid] && (status == http.StatusOK || status == http.StatusCreated):
 		w.violated("an invalid submission was accepted: %s", uid)
 	case w.specs[uid] == nil && status == http.StatusOK:
-		w.violated("invented: %s", uid)
+		w.violated("invented: %s was never submitted, and %s returned its status", uid, op)
 	case w.lastReplies[uid] != "" && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
-		w.violated("forgotten: %s answered %d to %s", uid, status, op)
+		w.violated("forgotten: %[3]s of the accepted job %[1]s returned status %[2]d", uid, status, op)
 	}
 }
 
+// checkForgotten reports a violation if, after the end of all faults, no request about an accepted
+// job has succeeded for longer than forgottenAfter.
 func (w *world) checkForgotten() {
 	if w.calmSince == 0 {
 		return
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
 		if since := max(w.answered[uid], w.calmSince); !w.jobEnded(uid) && w.Now() > since+forgottenAfter {
-			w.violated("forgotten: no question about %s was answered since %v", uid, since)
+			w.violated("forgotten: no request about %s has succeeded since %v", uid, since)
 			w.answered[uid] = w.Now()
 		}
 	}
 }
 
-// checkWaiting measures how long a job has had no task on any machine although a machine that fits
-// has room and its team is below its quota.
+// checkWaiting reports a violation if, for longer than waitsAtMost, a job has had no task on any
+// machine although machines that fit have free capacity and its team is below its quota.
 func (w *world) checkWaiting() {
 	if w.calmSince == 0 {
 		clear(w.waitingSince)
@@ -135,7 +141,7 @@
 		need, owner := spec["cores"].(float64), spec["owner"].(string)
 		limit := map[string]float64{"red": 32, "blue": 16}[owner]
 		if spec["shape"] == "group" {
-			need *= float64(spec["shards"].(int)) // it waits for room for all of it
+			need *= float64(spec["shards"].(int)) // a gang needs capacity for all of its tasks
 		}
 		if w.jobEnded(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
 			delete(w.waitingSince, uid)
@@ -145,13 +151,14 @@
 			w.waitingSince[uid] = w.Now()
 		}
 		if w.Now() > w.waitingSince[uid]+waitsAtMost {
-			w.violated("waiting: %s has waited since %v though there is room", uid, w.waitingSince[uid])
+			w.violated("waiting: %s has waited since %v although there is free capacity", uid, w.waitingSince[uid])
 			w.waitingSince[uid] = w.Now()
 		}
 	}
 }
 
-// hasRoom says whether a task of the job fits somewhere, or all of a gang.
+// hasRoom reports whether the usable machines have free capacity for one task of the job or, if the
+// job is a gang, for all of its tasks. For a gang with one task per machine it returns false.
 func (w *world) hasRoom(spec map[string]any) bool {
 	most, all, zones := 0, 0, map[string]int{}
 	for _, worker := range w.workers() {
@@ -179,8 +186,8 @@
 	return all >= spec["shards"].(int) && !spec["apart"].(bool)
 }
 
-// settle ends all faults, waits for as long as the operators' bounds reach, and then ends what is
-// left: services are cancelled, arrays have to complete.
+// settle ends all faults and runs the world for longer than the operators' bounds. It then cancels
+// the services, waits until all jobs have ended, and fails the test if an invariant was violated.
 func (w *world) settle() {
 	w.t.Helper()
 	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
@@ -201,9 +208,9 @@
 		}
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		w.until(400*time.Second, uid+" is over", func() bool { return w.jobEnded(uid) })
+		w.until(400*time.Second, uid+" has ended", func() bool { return w.jobEnded(uid) })
 	}
-	// Wait until the bound of each confirmed cancellation has passed everywhere.
+	// The tasks of each confirmed cancellation must have ended within this bound.
 	w.run(cancelWithin + 5*time.Second)
 	w.requireNoViolations()
 }
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -10,10 +10,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// The combinations of faults that the operators have named, one test for each, and random
-// combinations of two or three. All are judged by the checker alone.
+// The tests of this file inject the combinations of faults that the operators have named, one test
+// for each combination. The checker alone decides whether a test passes.
 
-// startCompoundFailure runs a compound failure with several seeds.
+// startCompoundFailure runs a combination of faults with several seeds.
 func startCompoundFailure(t *testing.T, seeds int, play func(w *world, faults *networkFaults)) {
 	t.Helper()
 	for seed := range seeds {
@@ -27,14 +27,14 @@
 	}
 }
 
-// The state service refuses the leader alone and another controller confirms cancellations; then
-// the service is down for all for longer than cancel_s, while the workers go on sending heartbeats
-// to the old leader.
+// The state service refuses only the leader's requests, and cancellations are requested; then the
+// service is down for all controllers for longer than cancel_s, while the workers continue to send
+// heartbeats to the old leader.
 func TestCompoundRefusalThenOutage(t *testing.T) {
 	startCompoundFailure(t, 12, func(w *world, faults *networkFaults) {
 		old := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
-			// The other controllers can't reach the workers with commands either.
+			// Direct commands of the other controllers get lost.
 			for i := range 3 {
 				faults.commandsLost[i] = i != old
 			}
@@ -57,8 +57,8 @@
 	})
 }
 
-// Jobs are cancelled at the very moment at which the state service refuses the
-// leader alone, and a second later it is out for longer than cancel_s.
+// Jobs are cancelled just before and just after the state service begins to refuse only the leader's
+// requests; about a second later the service is down for longer than cancel_s.
 func TestCompoundCancelAtRefusal(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		old := w.awaitLeader()
@@ -71,8 +71,7 @@
 	})
 }
 
-// Several failovers in a row, then all controllers end, and one is started again, also within a
-// second.
+// After several failovers in a row all controllers crash, and one of them restarts within a second.
 func TestCompoundFailoverAndBack(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for range 8 {
@@ -94,8 +93,8 @@
 	})
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't get the new leader's
-// answers.
+// The leader crashes while some machines are partitioned and others don't receive the answers to
+// their heartbeats.
 func TestCompoundLeaderEndsMachinesUnreachable(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for n, worker := range w.randomMachines(0.6) {
@@ -114,8 +113,9 @@
 	})
 }
 
-// A machine gets no answer from the failover on: no heartbeat of it can prove the absence of a
-// task, and a job that waits for this proof must not wait for ever.
+// From the failover on, the answers to the heartbeats of all machines with tasks get lost: their
+// heartbeats can't prove the absence of a task, and a job that waits for this proof must not wait
+// without bound.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
 	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
 		for _, worker := range w.workers() {
@@ -126,8 +126,8 @@
 		w.restart(w.leaderOrFirst(), 2*second)
 		w.run(second)
 		w.cancelSome("j-s2")
-		w.until(60*second, "j-s2 is called off", func() bool { return w.lastReplies["j-s2"] == protocol.JobCancelled })
-		w.until(60*second, "j-s3 runs elsewhere", func() bool {
+		w.until(60*second, "j-s2 is reported as cancelled", func() bool { return w.lastReplies["j-s2"] == protocol.JobCancelled })
+		w.until(60*second, "j-s3 runs on another machine", func() bool {
 			for _, worker := range w.workers() {
 				for _, task := range worker.Tasks {
 					if task.UID == "j-s3" && task.State == protocol.TaskRunning && !worker.RepliesLost && !worker.Deleted {
@@ -140,8 +140,8 @@
 	})
 }
 
-// The state service answers slowly, or refuses the leader alone and then
-// everybody for longer than cancel_s, while users cancel and ask.
+// The state service answers slowly, then refuses only the leader's requests, and then is down for
+// longer than cancel_s, while users cancel and submit jobs.
 func TestCompoundSlowThenRefused(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		faults.slowState = w.randomMilliseconds(300, 900)
@@ -159,7 +159,8 @@
 	})
 }
 
-// More work is submitted than there is room for, urgent and not, over slow links.
+// More work of all priorities is submitted than there is capacity for, over slow links, and the
+// leader restarts.
 func TestCompoundOverload(t *testing.T) {
 	startCompoundFailure(t, 4, func(w *world, faults *networkFaults) {
 		faults.slowLinks = 400 * time.Millisecond
@@ -179,7 +180,7 @@
 	})
 }
 
-// All controllers are down for longer than lease_s.
+// All controllers are down for longer than lease_s, right after jobs have been cancelled.
 func TestCompoundAllControllersDown(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.cancelSome("j-s1", "j-b1")
@@ -199,8 +200,8 @@
 	})
 }
 
-// A leader is cut off from the state service and from the other controllers while workers and users
-// still reach it, and jobs are cancelled through the new leader.
+// The leader is partitioned from the state service and from the other controllers while workers and
+// users still reach it, and jobs are cancelled through the new leader.
 func TestCompoundLeaderPartitioned(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		old := w.awaitLeader()
@@ -219,7 +220,7 @@
 	})
 }
 
-// A heartbeat is delayed until a new leader has acted, and then arrives there.
+// Heartbeats that were sent before a failover arrive after the new leader has taken decisions.
 func TestCompoundDelayedHeartbeat(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		type copied struct {
@@ -252,7 +253,7 @@
 	})
 }
 
-// Jobs of two or three tasks end far apart across a change of leader.
+// The tasks of a job complete far apart, with failovers in between.
 func TestCompoundTasksEndFarApart(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, faults *networkFaults) {
 		w.runs = func(task string) time.Duration {
@@ -270,8 +271,8 @@
 	})
 }
 
-// A cancellation, a poll or a repeated submission coincides with the end of a job's last task,
-// without any other fault.
+// A cancellation, a poll or a repeated submission coincides with the completion of a job's task,
+// without any injected fault.
 func TestCompoundCancelAtJobCompletion(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.ended = func(uid string) {
@@ -292,7 +293,7 @@
 	})
 }
 
-// A zone with workers and a controller is cut off for longer than lease_s.
+// A zone with workers and a controller is partitioned for longer than lease_s.
 func TestCompoundZonePartitioned(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		inB := func(addr string) bool {
@@ -319,8 +320,8 @@
 	})
 }
 
-// Workers can't open connections to any controller, while direct commands still reach them: the
-// leader must not start tasks there again and again.
+// Some workers' heartbeats get lost while direct commands still reach the workers: the leader must
+// not start tasks there repeatedly.
 func TestCompoundHeartbeatsLost(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		var heartbeatsLost []*emulator.Worker
@@ -341,10 +342,10 @@
 		w.run(60 * second)
 		for _, worker := range heartbeatsLost {
 			if worker.TasksStarted > began[worker]+2 {
-				w.violated("a machine whose heartbeats are lost was given %d tasks, all of which die with its lease", worker.TasksStarted-began[worker])
+				w.violated("%d tasks were started on a machine whose heartbeats are lost; they end when its lease expires", worker.TasksStarted-began[worker])
 			}
 		}
-		// Their tasks run elsewhere.
+		// Each service must also run on machines whose heartbeats arrive.
 		for _, uid := range []string{"j-s1", "j-s2", "j-s3"} {
 			n := 0
 			for _, worker := range w.workers() {
@@ -361,7 +362,7 @@
 	})
 }
 
-// An old heartbeat arrives after newer ones, also one of an earlier epoch or attempt.
+// Old heartbeats, also of earlier epochs and attempts, arrive after newer ones.
 func TestCompoundOldHeartbeats(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.lateCopy = func() time.Duration {
@@ -371,7 +372,7 @@
 			return 0
 		}
 		for _, worker := range w.randomMachines(0.4) {
-			worker.Partitioned = true // a new epoch, while copies of heartbeats of the earlier one are in flight
+			worker.Partitioned = true // the worker starts a new epoch while duplicates of earlier heartbeats are in flight
 			w.at(w.randomMilliseconds(9000, 16_000), func() { worker.Partitioned = false })
 		}
 		w.run(w.randomMilliseconds(4000, 14_000))
@@ -383,8 +384,8 @@
 	})
 }
 
-// A team is at its quota when the leader changes, some of its machines can't be reached, and a
-// cancellation is requested in that interval.
+// A team is at its quota when the leader changes and some of its machines are unreachable, and jobs
+// are cancelled in the meantime.
 func TestCompoundTeamAtItsQuota(t *testing.T) {
 	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for i := range 6 {
@@ -403,7 +404,7 @@
 	})
 }
 
-// A command or its answer is delayed for seconds, and the machine then goes on.
+// Commands are delayed for seconds, or their answers get lost, while machines hang and then resume.
 func TestCompoundDelayedCommands(t *testing.T) {
 	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
 		faults.delayedCommands, faults.lostAnswers = 0.4, 0.2
@@ -441,7 +442,7 @@
 	})
 }
 
-// Jobs that are bound to one zone, arrays among them, lose machines.
+// Jobs that are restricted to one zone, arrays among them, lose machines.
 func TestCompoundBoundToAZone(t *testing.T) {
 	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
@@ -465,7 +466,7 @@
 	})
 }
 
-// Transactions that got no answer are applied late, after newer ones of the same controller.
+// Transactions without an answer are applied late, after newer transactions of the same controller.
 func TestCompoundLateTransactions(t *testing.T) {
 	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
 		faults.lateTransactions = 0.35
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -9,7 +9,7 @@
 	"claybarrow/internal/scheduler"
 )
 
-// A condition is logged when it begins and when it ends, not in between.
+// A condition is logged once when it begins and once when it ends.
 func TestConditionsAreLoggedOnce(t *testing.T) {
 	w := newWorld(t, 95)
 	l := w.leadership()
@@ -34,7 +34,7 @@
 	l.scaler.watchBootTimes()
 	l.scaler.watchBootTimes()
 	if logged("on time again") != 1 {
-		t.Errorf("boots in time again: %s", out.String())
+		t.Errorf("boots on time again: %s", out.String())
 	}
 	p := scheduler.Pool{Type: "m8", Zone: "a"}
 	for _, short := range []bool{true, true, false, false, true} {
--- a/internal/controller/deployment_test.go
+++ b/internal/controller/deployment_test.go
@@ -10,13 +10,14 @@
 	"claybarrow/internal/config"
 )
 
-// site describes the deployment of a simulated world: its limits and the size of its controllers.
+// site describes the deployment of a simulated world: the limits of its services and the resources
+// of each controller.
 type site struct {
 	state              stateLimits
 	cloudRPS, listLagS int
 	cores              float64
 	memoryMB, sockets  int
-	fetch              time.Duration // of an image
+	fetch              time.Duration // time to fetch an image
 }
 
 // stateLimits are the limits of the state service.
@@ -24,8 +25,8 @@
 	requestsPerSecond, changesPerSecond, valueKB, changes int
 }
 
-// testSite is the site of all tests. CI runs them once more on a site with few changes a second,
-// small transactions, little processor time, a slow cloud and large images.
+// testSite is the site of all tests. CI runs the tests a second time on a site with few changes per
+// second, small transactions, little CPU time, a slow cloud and large images.
 var testSite = func() site {
 	if os.Getenv("CLAYBARROW_TEST_SITE") == "scarce" {
 		return site{state: stateLimits{250, 25, 8, 12}, cloudRPS: 3, listLagS: 8, cores: 0.072, memoryMB: 70, sockets: 500,
@@ -35,8 +36,9 @@
 		fetch: 200 * time.Millisecond}
 }()
 
-// testOperator are the operators' settings of all tests that don't set their own: CI runs the tests
-// with failure detection and the completion journal off, and once more with each of them on.
+// testOperator holds the operators' settings of all tests that don't set their own. CI runs the
+// tests with failure detection and the completion journal disabled, and again with each of them
+// enabled.
 var testOperator = func() []byte {
 	var operator []byte
 	if os.Getenv("CLAYBARROW_TEST_MEMBERSHIP") != "" {
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -10,9 +10,9 @@
 	"claybarrow/internal/membership"
 )
 
-// The benchmarks of this file measure in the deterministic world how failed controllers are noticed
-// and what follows, with detection off and on. They are the source of the figures in
-// docs/failure-detection.md (simulated time; the leader's lease is 1.5 s, the workers' 10 s):
+// The benchmarks of this file measure the detection of failed controllers and the subsequent failover
+// in the simulated world, with failure detection off and on. They produce the figures in
+// docs/failure-detection.md (simulated time; the leader's lease is 1.5 s, the workers' lease 10 s):
 //
 //	go test -run '^$' -bench Detection -benchtime 1x ./internal/controller
 
@@ -21,9 +21,10 @@
 	testLeaderLease = 1500 * time.Millisecond
 )
 
-// durations are the times measured in several runs.
+// durations holds the times measured in several runs.
 type durations []time.Duration
 
+// report reports the median, the 99th percentile and the maximum; without any times it does nothing.
 func (s durations) report(b *testing.B, name string) {
 	b.Helper()
 	if len(s) == 0 {
@@ -35,6 +36,7 @@
 	b.ReportMetric(s[len(s)-1].Seconds(), name+"-most-s")
 }
 
+// eachDetection runs a benchmark with failure detection off and on.
 func eachDetection(b *testing.B, run func(b *testing.B, operator []byte)) {
 	b.Helper()
 	b.Run("off", func(b *testing.B) { run(b, nil) })
@@ -54,9 +56,9 @@
 	next()
 }
 
-// BenchmarkDetectionOfDeath kills the leader and measures the times from its end to the first
-// suspicion, to the last controller's suspicion, to its being declared dead by all, to the next
-// election and to the first task that the new leader starts.
+// BenchmarkDetectionOfDeath crashes the leader and measures the times from the crash to the first
+// controller's suspicion, to the last controller's suspicion, to each controller's declaration of its
+// death, to the next election and to the first task that the new leader starts.
 func BenchmarkDetectionOfDeath(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
@@ -77,7 +79,7 @@
 				}
 				died := w.Now()
 				w.crash(lead)
-				w.until(10*second, "another leads", func() bool { return w.leader() >= 0 })
+				w.until(10*second, "another controller leads", func() bool { return w.leader() >= 0 })
 				elected = append(elected, w.Now()-died)
 				w.run(20 * second)
 				if first > 0 {
@@ -105,10 +107,12 @@
 	})
 }
 
-// falseAlarms are the effects of an hour of a fault although no controller died.
+// falseAlarms counts the effects of a fault during which no controller crashed: false suspicions and
+// deaths, leader changes, moved tasks and expired worker leases.
 type falseAlarms struct{ suspicions, deaths, leaders, moves, lapses float64 }
 
-// countFalseAlarms runs a fault for some minutes with several seeds.
+// countFalseAlarms injects a fault for ten minutes with each of several seeds and reports the false
+// alarms per hour.
 func countFalseAlarms(b *testing.B, operator []byte, inject func(w *world)) {
 	b.Helper()
 	const lasts, seeds = 10 * time.Minute, 4
@@ -149,7 +153,7 @@
 	b.ReportMetric(sum.lapses/hours, "leases-run-out/h")
 }
 
-// stallsEvery pauses each controller in turn, one every twenty seconds.
+// stallsEvery pauses the controllers in turn, one every twenty seconds, for the given duration.
 func stallsEvery(d time.Duration) func(*world) {
 	return func(w *world) {
 		node := 0
@@ -163,8 +167,8 @@
 	}
 }
 
-// BenchmarkDetectionInStalls counts false suspicions and deaths while controllers pause, one every
-// twenty seconds: 180 pauses an hour.
+// BenchmarkDetectionInStalls counts false alarms while controllers pause, one every twenty seconds:
+// 180 pauses an hour.
 func BenchmarkDetectionInStalls(b *testing.B) {
 	for _, d := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, second, 2 * second, 5 * second, 10 * second} {
 		b.Run(d.String(), func(b *testing.B) {
@@ -177,8 +181,8 @@
 	}
 }
 
-// BenchmarkDetectionInLoss counts them while a share of the messages between controllers and of
-// their answers is lost.
+// BenchmarkDetectionInLoss counts false alarms while a share of the messages between controllers and
+// of their answers is lost.
 func BenchmarkDetectionInLoss(b *testing.B) {
 	for _, loss := range []float64{0.05, 0.1, 0.2} {
 		b.Run(fmt.Sprintf("%.0f%%", loss*100), func(b *testing.B) {
@@ -195,8 +199,8 @@
 	}
 }
 
-// BenchmarkDetectionWhileStarved counts them while one controller handles nothing for seven tenths
-// of each second.
+// BenchmarkDetectionWhileStarved counts false alarms while one controller handles no events for seven
+// tenths of each second.
 func BenchmarkDetectionWhileStarved(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
@@ -212,8 +216,8 @@
 	})
 }
 
-// BenchmarkDetectionCost counts a controller's messages to the others and their bytes without any
-// fault.
+// BenchmarkDetectionCost measures the rate and the bytes of one controller's membership messages to
+// the others without faults.
 func BenchmarkDetectionCost(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -8,23 +8,24 @@
 	"testing"
 )
 
-// effectsFileVariable names a file to which each simulated world appends a line at the end of its
-// test: the test's name and a hash of every effect of its controllers. Two versions of the program
-// with the same hashes behave the same, so a clean-up can be checked against the version before it.
-// The worlds of a few tests differ from run to run by themselves.
+// effectsFileVariable is the environment variable with the path of a file to which each simulated
+// world appends a line at the end of its test: the test's name and a hash of all effects of the
+// world's controllers. Two versions of the program with equal hashes behave the same, which verifies
+// a refactoring against the version before it. A few tests are not deterministic: their hashes
+// differ from run to run.
 const effectsFileVariable = "CLAYBARROW_TEST_EFFECTS"
 
-// effectRecorder hashes the effects of a world's controllers: who, when, to whom, path, status and
-// the length of the body (its bytes are not compared, as maps are encoded in no order).
+// effectRecorder hashes the effects of a world's controllers: node, time, target, path, status and
+// length of the body. The bytes of a body are left out because maps are encoded in random order.
 type effectRecorder struct {
 	hash hash.Hash64
 }
 
-// newEffectRecorder returns nil unless effects are to be recorded.
+// newEffectRecorder returns nil if effectsFileVariable is not set or t is a benchmark.
 func newEffectRecorder(t testing.TB) *effectRecorder {
 	t.Helper()
 	file := os.Getenv(effectsFileVariable)
-	test, isTest := t.(*testing.T) // benchmarks run as many rounds as they have time for
+	test, isTest := t.(*testing.T) // the number of iterations of a benchmark varies
 	if file == "" || !isTest {
 		return nil
 	}
@@ -33,7 +34,7 @@
 	return recorder
 }
 
-// record adds the effects of one event; it writes to memory, which does not fail.
+// record adds the effects of one event to the hash. Writes to a hash never return an error.
 func (r *effectRecorder) record(w *world, node int, effects []Effect) {
 	if r == nil {
 		return
@@ -47,12 +48,12 @@
 			_, _ = fmt.Fprintf(r.hash, "%d %d call %d %d %s %s %s %d %d %d\n", node, w.Now(), e.ID, e.Target, e.Addr, e.Method,
 				e.Path, len(e.Body), e.Timeout, e.ValidUntil)
 		default:
-			w.t.Errorf("an effect of an unknown type: %T", e)
+			w.t.Errorf("unknown type of effect: %T", e)
 		}
 	}
 }
 
-// write adds the world's line to the file.
+// write appends the world's line to the file.
 func (r *effectRecorder) write(t *testing.T, name string) {
 	file, err := os.OpenFile(name, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
--- a/internal/controller/failover_attempts_test.go
+++ b/internal/controller/failover_attempts_test.go
@@ -9,9 +9,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// Of the recorded attempts of a task a new leader keeps the latest and has the others stopped, in a
-// time that grows with the fleet and not with its square: with a third of the tasks recorded twice,
-// 3,200 workers took 31 s, and each leader lost its lease meanwhile.
+// A new leader keeps the latest recorded attempt of each task and requests the stop of the others, in
+// time linear in the size of the fleet. When the time was quadratic, 3,200 workers with a third of the
+// tasks recorded twice took 31 s, and each new leader lost its lease in the meantime.
 func TestFailoverStopsOlderAttempts(t *testing.T) {
 	const machines = 5000
 	w := newWorld(t, 75)
@@ -27,12 +27,12 @@
 	began := time.Now()
 	l.loader.onStateLoaded()
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("loading the state took %v, want at most 1 s", took)
 	}
 	for _, m := range l.machines.sortedMachines() {
 		for _, a := range m.SortedAttempts() {
 			if a.StopRequested != (a.Number == 7) {
-				t.Fatalf("attempt %d of task %d is to be stopped: %v", a.Number, a.Index, a.StopRequested)
+				t.Fatalf("attempt %d of task %d: stop requested %v", a.Number, a.Index, a.StopRequested)
 			}
 		}
 	}
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -12,8 +12,8 @@
 	"claybarrow/internal/statestore"
 )
 
-// BenchmarkSlopeTransaction measures composing and encoding one transaction of starts, as many as
-// the state service accepts in one.
+// BenchmarkSlopeTransaction measures building and encoding one transaction with as many changes as the
+// state service accepts in one.
 func BenchmarkSlopeTransaction(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -40,8 +40,8 @@
 	})
 }
 
-// BenchmarkSlopeFailover measures reading the records of the whole fleet, as a new leader does,
-// with ten completed jobs for each worker.
+// BenchmarkSlopeFailover measures how long a new leader takes to load the records of the whole fleet,
+// with ten completed jobs per worker.
 func BenchmarkSlopeFailover(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -83,8 +83,9 @@
 	})
 }
 
-// BenchmarkSlopeFailoverOldRecords measures the begin of a leadership whose records have an older
-// attempt of every third task, as machines' records are written lazily when a task leaves.
+// BenchmarkSlopeFailoverOldRecords measures the start of a leadership whose records hold an older
+// attempt of every third task. Such attempts remain because the removal of a task from a machine's
+// record is written lazily.
 func BenchmarkSlopeFailoverOldRecords(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
@@ -103,7 +104,7 @@
 	})
 }
 
-// counters returns the stored counters of the fleet's arrays.
+// counters returns counters of the fleet's arrays, split into batches that fit into one stored value.
 func (f *slopeFleet) counters() []map[string]clusterstate.CounterRow {
 	limit := f.controller.env.cfg.MaxValueBytes() / (2 * clusterstate.MaxEntryBytes)
 	batches := []map[string]clusterstate.CounterRow{{}}
@@ -121,20 +122,20 @@
 	return batches
 }
 
-// heapOf measures the memory that stays allocated after build, which returns what holds it.
+// heapOf returns the bytes of heap that remain allocated after build while its result is reachable.
 func heapOf(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := build()
+	result := build()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// BenchmarkSlopeMemory reports the bytes that one of each kind costs the leader for as long as it
-// is kept.
+// BenchmarkSlopeMemory reports the leader's heap bytes per machine, per waiting job, per running task
+// and per ended job.
 func BenchmarkSlopeMemory(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		for b.Loop() {
@@ -163,7 +164,7 @@
 			}
 			return f
 		}) / float64(workers*slopeTasksPerJob)
-		perOver := heapOf(func() any {
+		perEnded := heapOf(func() any {
 			for i := range 10 * workers {
 				uid := fmt.Sprintf("j-o%07d", i)
 				f.leadership.state.TerminalJobs[uid] = clusterstate.TerminalState{Tasks: 12}
@@ -174,6 +175,6 @@
 		b.ReportMetric(perWorker, "B/worker")
 		b.ReportMetric(perWaiting, "B/job-alive")
 		b.ReportMetric(perTask, "B/running-task")
-		b.ReportMetric(perOver, "B/job-over")
+		b.ReportMetric(perEnded, "B/job-over")
 	})
 }
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -10,12 +10,12 @@
 	"claybarrow/internal/protocol"
 )
 
-// The leader loses contact with the workers while the other controllers do not: it resigns before
-// any lease expires. A few machines that get no answer are no reason to, also if they lose it at
-// once.
+// The leader resigns before any worker's lease expires when it alone loses contact with the workers.
+// It does not resign when only the direct calls to minMissedMachines machines get lost, all at the
+// same time, while heartbeats and the other machines' answers still arrive.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	for _, answersLost := range []bool{false, true} {
-		t.Run(fmt.Sprintf("answers lost %v", answersLost), func(t *testing.T) {
+		t.Run(fmt.Sprintf("calls to a few machines lost %v", answersLost), func(t *testing.T) {
 			w := newWorld(t, 51)
 			w.awaitLeader()
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "apart": true})
@@ -36,16 +36,16 @@
 			if !answersLost {
 				w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
 			}
-			// There have to be commands for the machines, or the loss of contact would not be noticed.
+			// The leader notices the loss of contact only when it sends commands.
 			w.submit("j-3", map[string]any{"shards": 4})
 			for range 30 {
 				w.run(second)
 				if !answersLost && !all() {
-					t.Fatal("a lease ran out")
+					t.Fatal("a worker's lease expired before the leader resigned")
 				}
 			}
 			if (w.leader() == lead) != answersLost {
-				t.Errorf("machines that hear nothing %v: the leader is %d, was %d", answersLost, w.leader(), lead)
+				t.Errorf("calls to a few machines lost %v: the leader is %d, was %d", answersLost, w.leader(), lead)
 			}
 			w.script, w.heartbeatFault = nil, nil
 			w.awaitStatus(200*second, "j-3", "done")
@@ -54,8 +54,9 @@
 	}
 }
 
-// Several machines that get no answer become overdue at once, while there were no commands for
-// others: those others are given time for a sign of life first.
+// Several machines become overdue at the same time while the leader had no reason to call any other
+// machine. The leader does not conclude that it can't reach the workers before the probes of other
+// machines have had time to succeed.
 func TestSuspicionWaitsForProbes(t *testing.T) {
 	w := newWorld(t, 57)
 	c := w.nodes[w.awaitLeader()].controller
@@ -69,24 +70,25 @@
 	l.reach.lastReachedAt, c.env.now = c.env.now, c.env.now+lease
 	miss()
 	if l.reach.cannotReachWorkers() {
-		t.Error("out of reach before the others could be asked")
+		t.Error("workers considered unreachable before the other machines could be probed")
 	}
 	c.env.now += lease / 20
 	l.reach.noteReached(c.env.now)
 	if l.reach.cannotReachWorkers() {
-		t.Error("out of reach though a machine answered")
+		t.Error("workers considered unreachable although a machine answered")
 	}
 	c.env.now += lease
 	miss()
 	c.env.now += lease/20 + second
 	if !l.reach.cannotReachWorkers() {
-		t.Error("not out of reach though none answered")
+		t.Error("workers considered reachable although no machine answered")
 	}
 }
 
-// With a lease longer than a worker needs to try all controllers, the workers of a zone find their
-// controller again when it has ended during a partition together with all others: its machines are
-// not declared lost (in the fleet of the credit checks with loss, 158 machines were).
+// All controllers restart while a zone is partitioned. The workers' lease is longer than a worker
+// needs to try all controllers, so the workers of the zone find the controller of their zone again,
+// and the leader must not declare their machines lost. A large deployment with message loss lost 158
+// machines this way.
 func TestLongLeaseZoneIsNotDeclaredLost(t *testing.T) {
 	w := newWorld(t, 37)
 	for _, cfg := range w.cfgs {
@@ -112,11 +114,11 @@
 	w.run(55 * second)
 	lead = w.leader()
 	if l := w.nodes[lead].controller.leadership; !l.partitions.isPartitioned("b") {
-		t.Fatal("the zone is not dark: the test shows nothing")
+		t.Fatal("zone b is not considered partitioned: the test checks nothing")
 	}
 	for _, id := range w.cloud.Deleted {
 		if worker := w.machines.Workers[id]; worker.Zone == "b" && worker.Seq > 0 {
-			t.Errorf("machine %s of the zone was returned", id)
+			t.Errorf("machine %s of the partitioned zone was deleted", id)
 		}
 	}
 	w.script, w.heartbeatFault = nil, nil
@@ -124,8 +126,8 @@
 	w.requireNoViolations()
 }
 
-// Many direct calls that hang at once, as when a zone is cut off, are bounded, and leave room for
-// calls to machines that answer.
+// When many direct calls hang at the same time, as in a zone partition, their number is bounded, and
+// calls to responsive machines are still sent.
 func TestHangingCallsAreBounded(t *testing.T) {
 	w := newWorld(t, 52)
 	lead := w.awaitLeader()
@@ -140,7 +142,7 @@
 		l.dispatcher.dispatchCommands(m)
 	}
 	if l.dispatcher.callLimiter.inFlight != l.dispatcher.callLimiter.mayHangInFlight || l.dispatcher.callLimiter.mayHangInFlight != fds/12 {
-		t.Errorf("%d calls under way, %d of them may hang, with %d sockets", l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.mayHangInFlight, fds)
+		t.Errorf("%d calls in flight, %d of them may hang, with %d sockets", l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.mayHangInFlight, fds)
 	}
 	m := l.state.AddMachine("i-000001")
 	m.Type, m.Zone, m.Addr, m.Seen, m.TokenAcknowledged, m.EverReported = "m8", "a", "10.2.1.1:1", true, true, true
@@ -148,13 +150,13 @@
 	m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{{Task: "j-9/0", Attempt: 1}: -time.Hour}
 	l.dispatcher.dispatchCommands(m)
 	if l.dispatcher.callLimiter.inFlight != fds/12+1 {
-		t.Error("a machine that answers waits for those that don't")
+		t.Error("the call to a responsive machine waits for calls that hang")
 	}
 }
 
-// The cost of a tick and of a heartbeat for a machine without commands does not grow with the
-// fleet: no lists are made or sorted, measured in allocations.
-func TestTickOfAQuietFleet(t *testing.T) {
+// The cost of a tick, and of a heartbeat of a machine without pending commands, must not grow with
+// the fleet: neither may build or sort lists. The test counts allocations.
+func TestIdleTickCostIsIndependentOfFleetSize(t *testing.T) {
 	count := func(machines int) (tick, heartbeat float64) {
 		w := newWorld(t, 53)
 		c := w.nodes[w.awaitLeader()].controller
@@ -187,18 +189,19 @@
 	tick, heartbeat := count(1000)
 	tick2, heartbeat2 := count(2000)
 	if tick != 0 || tick2 != 0 {
-		t.Errorf("a tick made %v lists for 1000 machines, %v for 2000", tick, tick2)
+		t.Errorf("a tick made %v allocations for 1000 machines, %v for 2000, want 0", tick, tick2)
 	}
 	if heartbeat2 > heartbeat {
-		t.Errorf("a heartbeat took %v allocations among 1000 machines, %v among 2000", heartbeat, heartbeat2)
+		t.Errorf("a heartbeat made %v allocations with 1000 machines, %v with 2000", heartbeat, heartbeat2)
 	}
 }
 
-// A machine that refuses connections while others of its zone are heard is deleted long before its
-// lease expires, and its tasks go on elsewhere; one that accepts connections and does not answer
-// hangs, and is left alone. In a zone that has just been cut off nothing is heard, and nothing is
-// deleted; nor is a machine whose replicas would fetch images for longer than a lease, or have no
-// room elsewhere, as it may come back.
+// A machine that refuses connections while other machines of its zone send heartbeats is deleted
+// long before its lease expires, and its tasks are restarted elsewhere. A machine is not deleted if
+//   - it accepts connections and does not answer: it may only hang;
+//   - its zone has just been partitioned, so no machine of the zone sends heartbeats;
+//   - its replicas would fetch their images for longer than a lease, or there is no capacity for
+//     them elsewhere: the machine may recover sooner.
 func TestUnreachableMachineIsDeleted(t *testing.T) {
 	for _, what := range []string{"dead", "hanging", "cut zone", "long fetch", "no room"} {
 		t.Run(what, func(t *testing.T) {
@@ -216,7 +219,7 @@
 			w.until(120*second, "replicas run", func() bool { return w.running("j-1") == 8 && w.running("j-2") == 4 })
 			w.run(15 * second)
 			if w.leader() == 2 {
-				t.Fatal("the leader is in the zone to be cut")
+				t.Fatal("the leader is in zone b, which the test partitions")
 			}
 			w.cloud.OutOfCapacity = what == "no room"
 			w.unreachable = map[string]bool{}
@@ -239,20 +242,20 @@
 				t.Errorf("%s: deleted %v", what, w.cloud.Deleted)
 			}
 			if what == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
-				t.Errorf("28 s later %d of 12 replicas run, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
+				t.Errorf("%d of 12 replicas run after 28 s, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
 			}
 			w.requireNoViolations()
 		})
 	}
 }
 
-// A zone that was cut off a moment ago is not known to be partitioned yet: machines whose last
-// heartbeat came well before the partition become overdue first. The evidence is that nothing from
-// there was heard since the call failed.
-func TestNothingIsUnreachableInASilentZone(t *testing.T) {
+// Just after a zone is partitioned, the leader has not yet detected the partition: the machines whose
+// last heartbeat came well before it become overdue first. A failed call marks a machine unreachable
+// only if heartbeats from its zone have arrived since the call failed.
+func TestNoMachineIsUnreachableWithoutHeartbeatsFromItsZone(t *testing.T) {
 	w := newWorld(t, 55)
 	l := w.nodes[w.awaitLeader()].controller.leadership
-	w.run(20 * second) // the machine types have been read
+	w.run(20 * second) // until the machine types have been read
 	now := time.Minute
 	for i := range 40 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
@@ -266,23 +269,23 @@
 	}{{now - 2*second, true}, {now + second, false}} {
 		m.LastFailedCallAt = tc.failed
 		if got := l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()); got != tc.want {
-			t.Errorf("call failed at %v, zone heard up to %v: unreachable %v", tc.failed, now, got)
+			t.Errorf("call failed at %v, last heartbeat from the zone at %v: unreachable %v", tc.failed, now, got)
 		}
 	}
 	m.LastFailedCallAt = now - 2*second
 	l.reach.noteMissed("i-900007", now)
 	if l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()) {
-		t.Error("unreachable, though others hear what the leader can't reach")
+		t.Error("machine considered unreachable although other controllers receive heartbeats that the leader misses")
 	}
 }
 
-// While machines do not answer, no others are drained, and the free room goes to the replicas that
-// may be lost, not to arrays.
-func TestRoomIsKeptWhileMachinesAreLate(t *testing.T) {
+// While machines are unresponsive, no other machine is drained, and the free capacity is kept for the
+// replicas that may be lost instead of being given to arrays.
+func TestCapacityIsReservedWhileMachinesAreUnresponsive(t *testing.T) {
 	w := newWorld(t, 56)
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
-	w.run(20 * second) // the machine types and the list of machines have been read
+	w.run(20 * second) // until the machine types and the list of machines have been read
 	add := func(uid string, service bool, tasks int) *clusterstate.Job {
 		j := l.state.AddJob(&protocol.JobSpec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
@@ -301,20 +304,20 @@
 		all = append(all, m)
 	}
 	if l.consolidator.manyUnresponsive() {
-		t.Error("late though all answer")
+		t.Error("machines considered unresponsive although all answer")
 	}
 	all[0].FailedCalls, all[0].LastSeen, l.lease.electedAt = 2, c.env.now-c.env.cfg.WorkerLease()/2, c.env.now-c.env.cfg.WorkerLease()
 	if !l.consolidator.manyUnresponsive() {
-		t.Error("one machine of three is late, and others would be emptied")
+		t.Error("one machine of three is unresponsive, and consolidation may drain others")
 	}
 	batch := add("j-2", false, 1)
 	l.placement.runFill()
 	if batch.ActiveAttempts != 0 {
-		t.Error("a batch took the room that a late machine's replica may need")
+		t.Error("an array's task took the capacity that the replica of an unresponsive machine may need")
 	}
 	all[0].FailedCalls, all[0].LastSeen = 0, c.env.now
 	l.placement.runFill()
 	if batch.ActiveAttempts != 1 {
-		t.Error("a batch waits though no machine is late")
+		t.Error("an array's task waits although no machine is unresponsive")
 	}
 }
--- a/internal/controller/observer_test.go
+++ b/internal/controller/observer_test.go
@@ -12,12 +12,13 @@
 	w          *world
 	node       int
 	changes    []memberChange
-	redirected map[string][]time.Duration // machines that were redirected, and when
+	redirected map[string][]time.Duration // times of the redirections of each machine
 	failovers  []Failover
 	reroutes   int
 	retries    int
 }
 
+// memberChange is a change of a member's state and the time at which it was reported.
 type memberChange struct {
 	at time.Duration
 	membership.StateChange
@@ -40,8 +41,8 @@
 
 func (o *worldObserver) RequestRetried() { o.retries++ }
 
-// became returns when a controller's view of another one first changed to a state, at or after a
-// time; 0: never.
+// became returns the time of the first change of the member with this label to the given state, at
+// or after since; 0: there was no such change.
 func (o *worldObserver) became(label string, state membership.State, since time.Duration) time.Duration {
 	for _, c := range o.changes {
 		if c.at >= since && c.Label == label && c.To == state {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -22,7 +22,7 @@
 	w.cancel("j-2")
 	w.awaitStatus(5*second, "j-2", protocol.JobCancelled)
 	w.until(2*second, "replicas have ended", func() bool { return w.running("j-2") == 0 })
-	w.submit("j-1", map[string]any{"shards": 5}) // a late repeat
+	w.submit("j-1", map[string]any{"shards": 5}) // repeated after the job is done
 	w.run(120 * second)
 	up := 0
 	for _, worker := range w.workers() {
@@ -31,13 +31,13 @@
 		}
 	}
 	if up > 2 {
-		t.Errorf("%d machines are still there with nothing to do", up)
+		t.Errorf("%d idle machines are kept, want at most 2", up)
 	}
 	w.requireNoViolations()
 }
 
-// All controllers end together, at any moment of a job's life: nothing that was accepted is
-// forgotten, nothing runs twice.
+// All controllers crash at the same time, at different stages of the jobs: no accepted job is lost,
+// and no task runs twice.
 func TestAllControllersCrash(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -60,36 +60,37 @@
 	}
 }
 
-// A leader that is cut off from the state service goes on answering its workers while another is
-// elected: two leaders, one fencing token.
+// A leader that can't reach the state service continues to answer its workers while another leader
+// is elected: there are two leaders, and only the new one holds the latest fencing token.
 func TestTwoLeaders(t *testing.T) {
 	w := newWorld(t, 3)
 	w.submit("j-1", map[string]any{"shards": 6, "cores": 4.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2})
-	w.until(60*second, "they run", func() bool { return w.running("j-1") >= 4 && w.running("j-2") == 2 })
+	w.until(60*second, "tasks and replicas run", func() bool { return w.running("j-1") >= 4 && w.running("j-2") == 2 })
 	old := w.awaitLeader()
-	// The old leader keeps its workers, but loses the state service and the other controllers; the
-	// workers can't be reached by the others' direct commands.
+	// The old leader still reaches its workers, and loses the state service and the other controllers.
+	// Direct commands of the other controllers don't reach the workers.
 	w.script = func(node int, c Call) deliveryFault {
 		lost := (node == old && (c.Target == ToState || c.Target == ToPeer)) ||
 			(node != old && c.Target == ToWorker) || (c.Target == ToPeer && strings.HasPrefix(c.Addr, fmt.Sprintf("10.0.0.%d:", old)))
 		return deliveryFault{lost: lost}
 	}
-	w.until(15*second, "a second leader", func() bool { l := w.leader(); return l >= 0 && l != old })
+	w.until(15*second, "a second leader is elected", func() bool { l := w.leader(); return l >= 0 && l != old })
 	w.cancel("j-2")
 	for range 150 {
 		w.run(second)
 		w.checkCancelledTasksEnded()
 	}
 	if w.nodes[old].controller.leadership != nil {
-		t.Error("the old leader coasts without end")
+		t.Error("the old leader has not resigned after 150 s without the state service")
 	}
 	w.script = nil
 	w.awaitStatus(200*second, "j-1", protocol.JobDone)
 	w.requireNoViolations()
 }
 
-// A job is cancelled while the machine with its tasks is cut off.
+// A job is cancelled while the machines with its tasks are partitioned: the cancellation is confirmed
+// only when the workers' leases have expired and the tasks have ended.
 func TestCancelWhilePartitioned(t *testing.T) {
 	w := newWorld(t, 7)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -97,7 +98,7 @@
 	for _, worker := range w.workers() {
 		worker.Partitioned = true
 	}
-	w.cloud.Down = true // no deletion proves anything faster
+	w.cloud.Down = true // no deletion of a machine proves the absence of its tasks sooner
 	w.cancel("j-1")
 	for range 60 {
 		w.run(second)
@@ -109,7 +110,7 @@
 	w.requireNoViolations()
 }
 
-// A team's quota and `apart` count tasks on machines that can't be reached.
+// Tasks on unreachable machines count towards the team's quota, and `apart` takes them into account.
 func TestUnreachableTasksCount(t *testing.T) {
 	w := newWorld(t, 8)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 8.0, "apart": true}) // 32 of 32 cores
@@ -124,13 +125,14 @@
 	}
 	w.run(90 * second)
 	if w.running("j-1") != 4 {
-		t.Errorf("%d of 4 replicas run after their machines were lost", w.running("j-1"))
+		t.Errorf("%d of 4 replicas run after two of their machines were lost", w.running("j-1"))
 	}
 	w.requireNoViolations()
 }
 
-// An outage longer than a worker's lease: the leader coasts, so nothing is lost; the jobs go on and
-// users are told at once to retry later.
+// The state service is down for longer than a worker's lease. The leader continues to renew the
+// workers' leases, so no replica is lost, and user requests are answered at once with 503 and
+// Retry-After.
 func TestOutageLongerThanLease(t *testing.T) {
 	w := newWorld(t, 9)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -143,20 +145,21 @@
 	w.user(w.awaitNode(), OpSubmit, "j-2", func(s int, _ protocol.JobStatus) { status = s })
 	w.run(tick)
 	if status != http.StatusServiceUnavailable {
-		t.Errorf("a submission in the outage got %d, not 503 at once", status)
+		t.Errorf("a submission during the outage got status %d, want 503 at once", status)
 	}
 	if w.running("j-1") != 2 {
-		t.Error("the outage cost replicas")
+		t.Error("replicas were lost during the outage")
 	}
 	w.run(10 * second)
 	w.submit("j-2", nil)
 	w.awaitStatus(90*second, "j-2", protocol.JobDone)
 	if w.running("j-1") != 2 {
-		t.Error("the outage cost replicas in the end")
+		t.Error("replicas were lost after the outage")
 	}
 	w.requireNoViolations()
 }
 
+// awaitNode returns the first live controller that has a leadership, or 0 if there is none.
 func (w *world) awaitNode() int {
 	for i, n := range w.nodes {
 		if n.alive && n.controller.leadership != nil {
@@ -166,9 +169,9 @@
 	return 0
 }
 
-// Heartbeats arrive, answers and direct commands don't: the tasks die with the worker's lease, and
-// the leader places no tasks on the machine again.
-func TestMachineThatHearsNoAnswer(t *testing.T) {
+// A machine's heartbeats arrive, and the answers and the direct commands to it get lost: its tasks end
+// when the worker's lease expires, and the leader places no more tasks on the machine.
+func TestMachineThatReceivesNoAnswers(t *testing.T) {
 	w := newWorld(t, 10)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 8.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
@@ -184,14 +187,14 @@
 	w.script = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker && c.Addr == answersLost.Addr}
 	}
-	w.until(60*second, "the replica is back elsewhere", func() bool {
+	w.until(60*second, "the replica runs on another machine", func() bool {
 		return w.running("j-1") == 2 && len(answersLost.Tasks) == 0
 	})
 	w.requireNoViolations()
 }
 
-// A controller that finds its own label with another incarnation, during an election, ends that
-// lease and goes on.
+// During an election, a restarted controller finds a leader record with its own label and an earlier
+// incarnation: it ends the lease of that incarnation instead of waiting for it to expire.
 func TestQuickRestart(t *testing.T) {
 	w := newWorld(t, 13)
 	for range 12 {
@@ -209,8 +212,8 @@
 	w.requireNoViolations()
 }
 
-// The watch reports the controller's own key before the transaction's answer comes: a process once
-// ended because it began its leadership twice.
+// The watch reports the controller's own leader key before the answer to the election's transaction
+// arrives: a process once started its leadership twice and crashed.
 func TestWatchOvertakesElection(t *testing.T) {
 	w := newWorld(t, 14)
 	w.script = func(_ int, c Call) deliveryFault {
@@ -222,9 +225,9 @@
 	w.requireNoViolations()
 }
 
-// A machine that hangs longer than its lease and comes back is not released as idle meanwhile: its
-// replicas go back to where their images are.
-func TestSilentMachineIsNotIdle(t *testing.T) {
+// A machine that is unreachable for longer than its lease and then recovers is not released as idle in
+// the meantime, as its replicas can be restarted there with their images in the cache.
+func TestUnreachableMachineIsNotReleasedAsIdle(t *testing.T) {
 	w := newWorld(t, 17)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "a replica runs", func() bool { return w.running("j-1") == 1 })
@@ -235,10 +238,10 @@
 	w.run(20 * second)
 	for _, worker := range w.workers() {
 		if worker.Deleted && worker.TasksStarted > 0 {
-			t.Errorf("%s was returned while it could not be reached", worker.ID)
+			t.Errorf("%s was deleted while it was unreachable", worker.ID)
 		}
 		worker.Partitioned = false
 	}
-	w.until(30*second, "the replica is back", func() bool { return w.running("j-1") == 1 })
+	w.until(30*second, "the replica runs again", func() bool { return w.running("j-1") == 1 })
 	w.requireNoViolations()
 }
--- a/internal/controller/slope_fleet_test.go
+++ b/internal/controller/slope_fleet_test.go
@@ -16,10 +16,10 @@
 	"claybarrow/internal/statestore"
 )
 
-// slopeSizes are numbers of workers, over more than a decade.
+// slopeSizes are the fleet sizes of the scaling benchmarks, in workers.
 var slopeSizes = []int{800, 1_600, 3_200, 5_500, 11_000, 22_000}
 
-// Ratios of the planned size: 230,000 tasks on 22,000 workers, 8,250 waiting jobs, and 1,000 teams.
+// Ratios of the planned fleet: 230,000 tasks, 8,250 waiting jobs and 1,000 teams for 22,000 workers.
 const (
 	slopeTasksPerWorker   = 230_000.0 / 22_000
 	slopeWaitingPerWorker = 8_250.0 / 22_000
@@ -27,17 +27,18 @@
 	slopeTasksPerJob      = 12
 )
 
-// slopeFleet is a leader with a busy fleet, created without any messages.
+// slopeFleet is a leader with a fleet whose state is created directly, without any messages.
 type slopeFleet struct {
 	controller *Controller
 	leadership *leadership
 	tasks      []*clusterstate.Attempt
 	waiting    []*clusterstate.Job
 	random     *rand.Rand
-	// revision is the store's revision after the last transaction that applied.
+	// revision is the state service's revision after the last applied transaction.
 	revision uint64
 }
 
+// slopeConfig returns the configuration of a controller for a fleet of this many workers.
 func slopeConfig(b *testing.B, workers int) *config.Config {
 	b.Helper()
 	var teams []string
@@ -79,15 +80,15 @@
 	return f
 }
 
-// freshPool replaces the machine pool by one that has rented nothing and has read a list of the
-// fleet.
+// freshPool replaces the machine pool with a new one that has rented no machines and has read the
+// list of the fleet's machines.
 func (f *slopeFleet) freshPool() {
 	var list protocol.MachineList
 	for _, m := range f.leadership.machines.sortedMachines() {
 		list.Machines = append(list.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, State: "running"})
 	}
 	f.leadership.pool = f.leadership.newPool()
-	f.leadership.wire() // the components get the new pool
+	f.leadership.wire() // passes the new pool to the components
 	f.controller.outbox.cloudRequests.Refill()
 	f.leadership.pool.Tick()
 	for _, e := range f.controller.outbox.effects {
@@ -100,8 +101,8 @@
 	f.controller.outbox.effects = f.controller.outbox.effects[:0]
 }
 
-// newSlopeFleet creates a leader whose fleet is busy: each machine has about ten tasks, every third
-// has room for a few more, and jobs of twelve tasks wait.
+// newSlopeFleet creates a leader with a busy fleet: each machine has about ten tasks, every third
+// machine has free capacity for a few more, and jobs of twelve tasks wait.
 func newSlopeFleet(b *testing.B, workers int) *slopeFleet {
 	b.Helper()
 	f := newSlopeLeader(b, workers)
@@ -148,7 +149,7 @@
 	return job
 }
 
-// run places a task on a machine, as one that has run for a while.
+// run places a task on a machine; the task has been running there for a minute.
 func (f *slopeFleet) run(job *clusterstate.Job, index int, m *clusterstate.Machine) {
 	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.take(), f.controller.env.now-time.Minute)
 	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
@@ -156,7 +157,7 @@
 	f.tasks = append(f.tasks, a)
 }
 
-// fillMachines leaves room only on every third machine: one task's worth of cores, and two accelerators.
+// fillMachines leaves free capacity only on every third machine: 14 cores and two accelerators.
 func (f *slopeFleet) fillMachines() {
 	big := f.addJob("j-big", 0, false, scheduler.Resources{})
 	for i, m := range f.leadership.machines.sortedMachines() {
@@ -170,7 +171,7 @@
 	f.leadership.state.RemoveJob(big.Spec.UID)
 }
 
-// endOneTask removes one running task from the cluster state and makes another task of its job wait.
+// endOneTask removes a random running attempt from the cluster state, so that its task waits again.
 func (f *slopeFleet) endOneTask() {
 	i := f.random.IntN(len(f.tasks))
 	f.leadership.state.RemoveAttempt(f.tasks[i])
@@ -178,8 +179,8 @@
 	f.tasks = f.tasks[:len(f.tasks)-1]
 }
 
-// settleStarts marks what the last fill started as running, so that the next one finds the fleet as
-// it would be.
+// settleStarts applies the transactions that the last fill queued until none is left, so that the
+// next fill finds its starts stored.
 func (f *slopeFleet) settleStarts() {
 	for {
 		f.controller.outbox.effects = f.controller.outbox.effects[:0]
@@ -194,8 +195,8 @@
 	clear(f.controller.outbox.calls)
 }
 
-// answerTransaction makes the transaction that was just sent apply; it returns false if there is
-// none.
+// answerTransaction answers the transaction among the outbox's effects as applied. It returns false
+// if there is none.
 func (f *slopeFleet) answerTransaction() bool {
 	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
@@ -207,12 +208,13 @@
 	return false
 }
 
-// keepBusy keeps a transaction in flight that is never answered, so that no fill begins.
+// keepBusy sends a transaction that is never answered: while it is in flight, no fill begins.
 func (f *slopeFleet) keepBusy() {
 	f.leadership.store.QueueWrite("x/busy", statestore.PriorityUser, func() any { return 1 }, nil)
 	f.leadership.flush()
 }
 
+// eachSlopeSize runs a benchmark with each fleet size.
 func eachSlopeSize(b *testing.B, run func(b *testing.B, workers int)) {
 	b.Helper()
 	for _, workers := range slopeSizes {
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -7,8 +7,7 @@
 	"claybarrow/internal/protocol"
 )
 
-// Unusual topologies are served like any other: replicas and arrays run, a leader's end loses
-// nothing, and two partitioned zones keep what runs in them.
+// With unusual topologies, replicas and arrays run as usual, and a failover restarts no task.
 func TestUnusualTopologies(t *testing.T) {
 	for name, shape := range map[string]topology{
 		"one zone":                           {controllers: []string{"a", "a", "a"}, zones: []string{"a"}, teams: defaultTopology.teams},
@@ -25,7 +24,7 @@
 func checkTopologyIsServed(t *testing.T, shape topology) {
 	w := newWorldWithTopology(t, 66, testOperator, shape)
 	if len(w.workers()) > 0 {
-		t.Fatal("there are machines at the start")
+		t.Fatal("the cloud has machines before any job is submitted")
 	}
 	w.awaitLeader()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 3})
@@ -41,13 +40,13 @@
 	w.awaitLeader()
 	w.run(30 * second)
 	if w.running("j-1") != 3 || w.running("j-3") != 2 || w.totalStarts() != started {
-		t.Errorf("%d and %d replicas run after a leader's end, %d tasks were started", w.running("j-1"), w.running("j-3"), w.totalStarts()-started)
+		t.Errorf("%d and %d replicas run after a failover, want 3 and 2; %d tasks were started, want none", w.running("j-1"), w.running("j-3"), w.totalStarts()-started)
 	}
 	w.settle()
 }
 
-// Two zones with one controller each are partitioned, whichever of them leads: both keep what runs
-// there.
+// Two zones with one controller each are partitioned from each other, with connections refused or
+// timing out. The replicas of both zones keep running and none is restarted.
 func TestTwoControllersPartitioned(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		t.Run(fmt.Sprintf("refused %v", refused), func(t *testing.T) {
@@ -62,7 +61,7 @@
 			w.script, w.heartbeatFault, w.unreachable = nil, nil, nil
 			w.run(20 * second)
 			if w.running("j-1") != 4 || w.totalStarts() != started {
-				t.Errorf("refused %v: %d replicas run, %d tasks were started", refused, w.running("j-1"), w.totalStarts()-started)
+				t.Errorf("refused %v: %d replicas run, want 4; %d tasks were started, want none", refused, w.running("j-1"), w.totalStarts()-started)
 			}
 			w.settle()
 		})
--- a/internal/controller/world_faults_test.go
+++ b/internal/controller/world_faults_test.go
@@ -6,8 +6,8 @@
 	"claybarrow/internal/emulator"
 )
 
-// initialJobs submits jobs of all kinds: services of both teams, spread over machines and not, and
-// arrays whose tasks run for long or save their checkpoints slowly. It waits until most of them
+// initialJobs submits jobs of all kinds: services of both teams, with and without anti-affinity,
+// arrays with and without checkpoints, and gangs. It waits until all services and the first array
 // run.
 func (w *world) initialJobs() {
 	w.t.Helper()
@@ -20,13 +20,12 @@
 	w.submit("j-g1", map[string]any{"shape": "group", "shards": 3, "cores": 1.0, "together": true, "saveEveryS": 5.0, "saveTakesS": 2.0})
 	w.submit("j-g2", map[string]any{"shape": "group", "shards": 2, "cores": 1.0, "owner": "blue", "rank": "high"})
 	w.submit("j-b333", map[string]any{"shards": 2, "cores": 1.0, "yard": "a"})
-	w.until(90*second, "all services run", func() bool {
+	w.until(90*second, "all services and tasks of j-b1 run", func() bool {
 		return w.running("j-s1") == 2 && w.running("j-s2") == 2 && w.running("j-s3") == 1 && w.running("j-b1") > 0
 	})
 }
 
-// cancelSome has the users of the jobs request cancellation at once, each repeating the request as
-// users do.
+// cancelSome cancels several jobs at the same time; each request is repeated until it succeeds.
 func (w *world) cancelSome(uids ...string) {
 	for _, uid := range uids {
 		w.cancel(uid)
@@ -44,7 +43,7 @@
 	return out
 }
 
-// restart ends a controller and starts it again after a time.
+// restart crashes a controller and boots it again after a delay.
 func (w *world) restart(i int, after time.Duration) {
 	w.crash(i)
 	w.at(after, func() {
@@ -54,9 +53,10 @@
 	})
 }
 
-// leaderOrFirst is the index of the leader or, without one, of the first controller.
+// leaderOrFirst returns the index of the leader or, without a leader, of the first controller.
 func (w *world) leaderOrFirst() int { return max(0, w.leader()) }
 
+// randomMilliseconds returns a random whole number of milliseconds within the bounds.
 func (w *world) randomMilliseconds(least, most int) time.Duration {
 	return time.Duration(least+w.rng.IntN(most-least+1)) * time.Millisecond
 }
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -17,23 +17,24 @@
 	"claybarrow/internal/protocol"
 )
 
-// A world consists of controllers with the emulator's state service, cloud and workers, and a
-// network between them, on a simulated clock. A script injects faults; the world checks the rules
-// all the time.
+// A world simulates a deployment on a simulated clock: controllers, the emulators of the state
+// service, the cloud and the workers, and the network between them. Tests inject faults; the world
+// checks the scheduler's invariants continuously.
 
 const (
 	tick    = 100 * time.Millisecond
 	latency = 2 * time.Millisecond
 )
 
-// deliveryFault is the fault that the script injects into one call: the request is delayed or lost,
-// or its response is lost.
+// deliveryFault is a fault that a test injects into the delivery of one call: the request is refused,
+// delayed or lost, or its response is lost.
 type deliveryFault struct {
 	lost, answerLost bool
-	refused          bool // the connection is refused at once
-	hold             time.Duration
+	refused          bool          // the connection is refused at once
+	hold             time.Duration // delay of the request
 }
 
+// world is a simulated deployment.
 type world struct {
 	t            testing.TB
 	topology     topology
@@ -44,51 +45,55 @@
 	state        *emulator.StateService
 	cloud        *emulator.Cloud
 	machines     *emulator.Fleet
-	copies       map[string][][]byte // heartbeats by machine, for late copies of them
+	copies       map[string][][]byte // bodies of sent heartbeats by machine, to be delivered again later
 	finished     map[string]bool     // tasks that have completed
 	specs        map[string]map[string]any
-	lastReplies  map[string]protocol.JobState // the last state that users were told
-	lastReplyAt  map[string]time.Duration     // since when
-	cancelledAt  map[string]time.Duration     // when a cancellation was confirmed to users
+	lastReplies  map[string]protocol.JobState // the job's state in the last reply to its user
+	lastReplyAt  map[string]time.Duration     // time of the first reply with that state
+	cancelledAt  map[string]time.Duration     // time of the reply that confirmed the cancellation
 	violations   []string
 	leaderEvents int // events that leaders have handled
 	effects      *effectRecorder
 	checker
-	// script returns the fault of a call from a node; nil: there are no faults.
+	// script returns the fault to inject into a call from a node; nil: no faults.
 	script func(node int, c Call) deliveryFault
-	// heartbeatFault returns the fault of a worker's heartbeat to a node; nil: there are no faults.
+	// heartbeatFault returns the fault to inject into a worker's heartbeat to a node; nil: no faults.
 	heartbeatFault func(w *emulator.Worker, node int) deliveryFault
-	runs           func(task string) time.Duration
-	// pulls returns how long a task waits for its image; nil: a moment.
+	// runs returns the run time of a task.
+	runs func(task string) time.Duration
+	// pulls returns the time to fetch a task's image; nil: the fetch time of testSite.
 	pulls func(task string) time.Duration
-	// fails reports whether a task fails as soon as it begins; failures counts those that did.
-	fails    func(worker *emulator.Worker, uid string) bool
+	// fails reports whether a task fails as soon as it starts; nil: no task fails.
+	fails func(worker *emulator.Worker, uid string) bool
+	// failures counts the tasks that failed.
 	failures int
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout time.Duration
-	// unreachable are the addresses that accept no connections.
+	// unreachable holds the addresses to which no connection can be established: a call that gets no
+	// answer from there is reported as a failed connection.
 	unreachable map[string]bool
-	// logged is called with each line that a controller logs; nil: it is dropped.
+	// logged is called with each line that a controller logs; nil: it is not called.
 	logged func(node int, line []byte)
 }
 
+// simNode is a controller process of a world.
 type simNode struct {
 	controller  *Controller
 	alive       bool
 	incarnation int
-	startedAt   time.Duration // the monotonic clock of a process starts with it
-	last        uint64
+	startedAt   time.Duration // zero of the process's monotonic clock, in the world's time
+	last        uint64        // ID of the last request to the controller
 	waiters     map[uint64]func(Reply)
-	// older: its version knows no probes; withoutGate: it knows no feature gate either, see
-	// olderCall.
+	// older: the node's version does not support probes. withoutGate: it supports neither probes nor
+	// the feature gate, see olderCall.
 	older, withoutGate bool
-	// paused: the process handles nothing; held are the events that wait for it.
+	// paused: the process handles no events. held queues the events that arrive in the meantime.
 	paused bool
 	held   []func()
-	// drift is how much faster its monotonic clock runs.
+	// drift is the relative error of the monotonic clock; a positive value makes it run fast.
 	drift    float64
 	observer *worldObserver
-	// scripted answers in place of a process that is not alive; nil: there is no answer.
+	// scripted answers requests while the process is not alive; nil: requests get no answer.
 	scripted func(Request) Reply
 }
 
@@ -97,14 +102,14 @@
 	return newWorldWith(t, seed, testOperator)
 }
 
-// newWorldWith creates a world whose controllers have these operators' settings.
+// newWorldWith creates a world of the default topology with the given operators' settings.
 func newWorldWith(t testing.TB, seed uint64, operator []byte) *world {
 	t.Helper()
 	return newWorldWithTopology(t, seed, operator, defaultTopology)
 }
 
-// topology is what the settings of a world describe: the zone of each controller, the zones of the
-// cloud, and the teams.
+// topology describes a world: the zone of each controller, the zones of the cloud, and the teams as
+// JSON objects.
 type topology struct {
 	controllers, zones []string
 	teams              string
@@ -113,7 +118,7 @@
 var defaultTopology = topology{controllers: []string{"a", "a", "b"}, zones: []string{"a", "b"},
 	teams: `{"name":"red","cpus":16,"cpus_max":32},{"name":"blue","cpus":8,"cpus_max":16}`}
 
-// newWorldWithTopology creates a world of another topology than the default one.
+// newWorldWithTopology creates a world of the given topology.
 func newWorldWithTopology(t testing.TB, seed uint64, operator []byte, shape topology) *world {
 	t.Helper()
 	w := &world{topology: shape, t: t, effects: newEffectRecorder(t), queue: &emulator.EventQueue{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
@@ -137,28 +142,32 @@
 // Now returns the world's time.
 func (w *world) Now() time.Duration { return w.queue.Now() }
 
+// at calls do after a delay.
 func (w *world) at(d time.Duration, do func()) { w.queue.After(d, do) }
 
+// run advances the world by a duration.
 func (w *world) run(d time.Duration) { w.queue.RunUntil(w.Now() + d) }
 
-// until runs the world until a condition holds, and fails the test after the limit.
+// until runs the world until a condition holds. If it does not hold within the limit, the test fails.
 func (w *world) until(limit time.Duration, what string, holds func() bool) {
 	w.t.Helper()
 	end := w.Now() + limit
 	for !holds() {
 		if w.Now() >= end {
-			w.t.Fatalf("after %v: still not: %s", limit, what)
+			w.t.Fatalf("condition not met within %v: %s", limit, what)
 		}
 		w.run(tick)
 	}
 }
 
+// violated records the violation of an invariant; only the first 20 are kept.
 func (w *world) violated(format string, args ...any) {
 	if len(w.violations) < 20 {
 		w.violations = append(w.violations, fmt.Sprintf("%v: ", w.Now())+fmt.Sprintf(format, args...))
 	}
 }
 
+// requireNoViolations fails the test if violations of invariants have been recorded.
 func (w *world) requireNoViolations() {
 	w.t.Helper()
 	for _, b := range w.violations {
@@ -168,6 +177,7 @@
 
 // --- controllers
 
+// boot starts a new process of a controller.
 func (w *world) boot(i int) {
 	n := w.nodes[i]
 	n.alive, n.incarnation, n.startedAt, n.scripted = true, n.incarnation+1, w.Now(), nil
@@ -197,8 +207,11 @@
 	w.at(time.Duration(i)*time.Millisecond, beat)
 }
 
+// crash ends a controller's process without a graceful shutdown.
 func (w *world) crash(i int) { w.nodes[i].alive = false }
 
+// feed has a node handle an event and carries out the resulting effects. Events for a paused node are
+// queued until it resumes.
 func (w *world) feed(i int, ev Event) {
 	n := w.nodes[i]
 	if n.paused {
@@ -226,12 +239,13 @@
 		case Call:
 			w.deliver(i, e)
 		default:
-			w.t.Errorf("an effect of an unknown type: %T", e)
+			w.t.Errorf("unknown type of effect: %T", e)
 		}
 	}
 }
 
-// ask sends a request to a node; the answer may be none (status 0).
+// ask sends a request to a node and passes the reply to then. If the node is not alive or does not
+// answer within five seconds, the reply has status 0.
 func (w *world) ask(i int, req Request, then func(Reply)) {
 	n := w.nodes[i]
 	if !n.alive && n.scripted != nil {
@@ -259,6 +273,7 @@
 	})
 }
 
+// deliver carries out a node's call, subject to the test's faults, and feeds the result to the node.
 func (w *world) deliver(i int, c Call) {
 	incarnation, answered := w.nodes[i].incarnation, false
 	result := func(status int, body []byte) {
@@ -301,7 +316,7 @@
 	})
 }
 
-// serve has the target of a node's call answer it.
+// serve passes a node's call to its target, which answers through reply.
 func (w *world) serve(i int, c Call, reply func(status int, body []byte)) {
 	switch c.Target {
 	case ToState:
@@ -321,7 +336,7 @@
 	}
 }
 
-// serveAsPeer has a node answer a call of another controller.
+// serveAsPeer passes a call of another controller to node k, which answers through reply.
 func (w *world) serveAsPeer(k int, c Call, reply func(status int, body []byte)) {
 	n := w.nodes[k]
 	if c.Path == probePath && n.older {
@@ -342,6 +357,8 @@
 	})
 }
 
+// leader returns the index of the first live controller that has loaded the cluster state and holds
+// the leader's lease, or -1 if there is none.
 func (w *world) leader() int {
 	for i, n := range w.nodes {
 		if n.alive && n.controller.leadership != nil && n.controller.leadership.loader.ready && n.controller.leadership.lease.holdsLease() {
@@ -354,14 +371,16 @@
 // leadership waits for a leader and returns its leadership.
 func (w *world) leadership() *leadership { return w.nodes[w.awaitLeader()].controller.leadership }
 
+// awaitLeader waits for a leader and returns its index.
 func (w *world) awaitLeader() int {
 	w.t.Helper()
-	w.until(30*time.Second, "a leader", func() bool { return w.leader() >= 0 })
+	w.until(30*time.Second, "a controller leads", func() bool { return w.leader() >= 0 })
 	return w.leader()
 }
 
 // --- users
 
+// spec records and returns the submission of a job: the default one with the given changes.
 func (w *world) spec(uid string, change map[string]any) map[string]any {
 	m := map[string]any{"uid": uid, "tier": "jobs", "owner": "red", "shape": "batch", "rank": "normal", "shards": 1,
 		"cores": 4.0, "accelerators": 0.0, "ramGb": 4.0, "bundle": "img", "sizeGb": 1.0, "flavours": nil, "yard": nil,
@@ -371,7 +390,7 @@
 	return m
 }
 
-// user sends one request and records the answer.
+// user sends one request to a node, checks the answer and records the job's status.
 func (w *world) user(node int, op Op, uid string, then func(int, protocol.JobStatus)) {
 	req := Request{Op: op, UID: uid}
 	if op == OpSubmit {
@@ -385,17 +404,17 @@
 		var s protocol.JobStatus
 		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
 			if err := protocol.Decode(r.Body, &s); err != nil {
-				w.violated("an answer can't be read: %v", err)
+				w.violated("reply to %s of %s can't be decoded: %v", op, uid, err)
 			}
 			w.recordStatus(uid, s, sent)
 			w.startPolling(uid)
 		}
 		w.checkAnswer(op, uid, r.Status)
 		if r.Status == http.StatusNotFound && w.lastReplies[uid] != "" {
-			w.violated("forgotten: %s", uid)
+			w.violated("forgotten: %s of the accepted job %s returned 404", op, uid)
 		}
 		if (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests) && r.RetryAfter == 0 {
-			w.violated("%d without Retry-After", r.Status)
+			w.violated("reply to %s of %s with status %d has no Retry-After", op, uid, r.Status)
 		}
 		if then != nil {
 			then(r.Status, s)
@@ -403,9 +422,9 @@
 	})
 }
 
-// recordStatus checks and records the status that a user got in answer to a request that was sent
-// at a time. A poll that was in flight while the user got another answer may be answered with the
-// earlier state: the leader answered it first, and its answer took longer.
+// recordStatus checks and records the job status in the reply to a request that was sent at the given
+// time. A reply to a request that was already in flight when the state last changed may hold the
+// earlier state, as replies can arrive out of order; it is ignored.
 func (w *world) recordStatus(uid string, s protocol.JobStatus, sent time.Duration) {
 	before := w.lastReplies[uid]
 	if s.State != before && sent < w.lastReplyAt[uid] {
@@ -418,14 +437,14 @@
 		n := w.specs[uid]["shards"].(int)
 		for k := range n {
 			if !w.finished[uid+"/"+strconv.Itoa(k)] {
-				w.violated("not_done: %s/%d", uid, k)
+				w.violated("not_done: %[1]s is reported as done, and task %[1]s/%[2]d has not completed", uid, k)
 			}
 		}
 	}
 	if s.State == protocol.JobCancelled && before != s.State {
 		w.cancelledAt[uid] = w.Now()
 		if !w.cancelRequested[uid] {
-			w.violated("went_back: %s is called cancelled, and nobody asked for it", uid)
+			w.violated("went_back: %s is reported as cancelled without a request for cancellation", uid)
 		}
 	}
 	if s.State != before {
@@ -434,7 +453,7 @@
 	w.lastReplies[uid] = s.State
 }
 
-// persist repeats a request at the nodes in turn until an answer satisfies ok, as users do.
+// persist sends a request to the nodes in turn, one a second, until an answer satisfies ok.
 func (w *world) persist(op Op, uid string, ok func(int, protocol.JobStatus) bool) {
 	node := 0
 	var again func()
@@ -449,19 +468,22 @@
 	again()
 }
 
+// submit submits a job, and repeats the request until it is accepted.
 func (w *world) submit(uid string, change map[string]any) {
 	w.spec(uid, change)
 	w.persist(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK || s == http.StatusCreated })
 }
 
+// cancel requests a job's cancellation, and repeats the request until it succeeds.
 func (w *world) cancel(uid string) {
 	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK })
 }
 
+// awaitStatus polls a job until its status is the given state, and fails the test after the limit.
 func (w *world) awaitStatus(limit time.Duration, uid string, state protocol.JobState) {
 	w.t.Helper()
 	n := 0
-	w.until(limit, uid+" is answered "+string(state), func() bool {
+	w.until(limit, uid+" is reported as "+string(state), func() bool {
 		if n++; n%20 == 1 {
 			w.user(n/20%len(w.nodes), OpPoll, uid, nil)
 		}
