--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -9,14 +9,16 @@
 	"claybarrow/internal/membership"
 )
 
+// newMembershipWorld creates a world with failure detection enabled.
 func newMembershipWorld(t *testing.T, seed uint64) *world {
 	t.Helper()
 	return newWorldWith(t, seed, []byte(membershipOn))
 }
 
+// label returns the label of controller i.
 func label(i int) string { return fmt.Sprintf("n%d", i) }
 
-// replicas starts services in both zones.
+// replicas starts services of both teams and runs the world for a while.
 func (w *world) replicas() {
 	w.t.Helper()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 4.0})
@@ -25,8 +27,8 @@
 	w.run(20 * second)
 }
 
-// Without failures nobody is suspected, whatever the load at the start.
-func TestNobodySuspectedWithoutFailures(t *testing.T) {
+// Without failures, no controller suspects another one, not even during the initial load.
+func TestNoSuspicionWithoutFailures(t *testing.T) {
 	w := newMembershipWorld(t, 901)
 	w.replicas()
 	for _, n := range w.nodes {
@@ -37,9 +39,9 @@
 	w.settle()
 }
 
-// A link that flaps every few seconds, and a share of the messages between controllers lost: no
-// controller is declared dead, the leader does not change and no lease expires; up to a loss of one
-// in twenty, nothing moves.
+// The leader's links flap every few seconds, or a share of the messages between controllers gets lost:
+// no controller is declared dead, the leader does not change and no worker's lease expires. Up to a
+// loss of 5 %, no task is restarted elsewhere.
 func TestFlappingLinkAndLoss(t *testing.T) {
 	for k, loss := range []float64{0, 0.05, 0.10, 0.20} {
 		t.Run(fmt.Sprintf("loss %v", loss), func(t *testing.T) {
@@ -71,12 +73,12 @@
 			}
 			for _, worker := range w.workers() {
 				if worker.Up && !worker.Deleted && worker.Epoch > 1 {
-					t.Errorf("loss %v: the lease of %s ran out", loss, worker.ID)
+					t.Errorf("loss %v: the lease of %s expired", loss, worker.ID)
 				}
 			}
 			for task, n := range w.starts {
 				if n > 1 && loss <= 0.05 {
-					t.Errorf("loss %v: %s was moved", loss, task)
+					t.Errorf("loss %v: %s was started %d times", loss, task, n)
 				}
 			}
 			w.settle()
@@ -84,7 +86,7 @@
 	}
 }
 
-// Monotonic clocks that drift apart by the bound.
+// The monotonic clocks of the controllers drift apart by the tolerated bound during a failover.
 func TestDriftingClocks(t *testing.T) {
 	w := newMembershipWorld(t, 965)
 	w.nodes[0].drift, w.nodes[1].drift = 0.0005, 0.0002
@@ -94,8 +96,8 @@
 	w.settle()
 }
 
-// A controller of an older version is judged by its heartbeats, never suspected for its 404 to
-// probes, and leads and follows as before.
+// A controller of an older version, which answers probes with 404, is never suspected because of that:
+// failure detection relies on its heartbeats. It leads and follows as before, and its crash is detected.
 func TestMixedVersions(t *testing.T) {
 	for older := range 3 {
 		t.Run(fmt.Sprintf("older controller %v", older), func(t *testing.T) {
@@ -116,7 +118,7 @@
 			w.run(20 * second)
 			for i, n := range w.nodes {
 				if i != older && n.observer.became(label(older), membership.Dead, began) == 0 {
-					t.Errorf("n%d does not hold n%d dead", i, older)
+					t.Errorf("n%d has not declared n%d dead", i, older)
 				}
 			}
 			w.boot(older)
@@ -126,18 +128,19 @@
 	}
 }
 
-// Probes are answered 404 while the feature is off, as by a version that does not know them.
+// While failure detection is disabled, probes are answered with 404, as by a version without probes.
 func TestProbesReturn404WhileDisabled(t *testing.T) {
 	w := newWorldWith(t, 985, nil)
 	w.awaitLeader()
 	w.ask(0, Request{Op: OpProbe, Body: []byte{0xa0}}, func(r Reply) {
 		if r.Status != http.StatusNotFound {
-			t.Errorf("a probe is answered %d", r.Status)
+			t.Errorf("probe answered with status %d, want 404", r.Status)
 		}
 	})
 }
 
-// A graceful shutdown of the leader causes a failover at once, and is not taken for a death.
+// A graceful shutdown of the leader causes an immediate failover: the other controllers see that it
+// left, and never suspect it.
 func TestGracefulShutdown(t *testing.T) {
 	w := newMembershipWorld(t, 986)
 	w.replicas()
@@ -146,24 +149,24 @@
 	w.feed(lead, Shutdown{})
 	w.run(20 * time.Millisecond)
 	w.crash(lead)
-	w.until(second, "another leads", func() bool { l := w.leader(); return l >= 0 && l != lead })
+	w.until(second, "another controller leads", func() bool { l := w.leader(); return l >= 0 && l != lead })
 	w.run(20 * second)
 	for i, n := range w.nodes {
 		if i == lead {
 			continue
 		}
 		if n.observer.became(label(lead), membership.Left, began) == 0 {
-			t.Errorf("n%d does not know that it left: %+v", i, n.observer.changes)
+			t.Errorf("n%d has not recorded that the former leader left: %+v", i, n.observer.changes)
 		}
 		if n.observer.became(label(lead), membership.Suspect, began) > 0 {
-			t.Errorf("n%d suspects it", i)
+			t.Errorf("n%d suspected the former leader", i)
 		}
 	}
 	w.settle()
 }
 
-// Random sequences of process pauses, deaths, partitions, loss and outages, judged by the checker
-// alone.
+// Random sequences of process pauses, crashes, partitions, message loss and outages of the state
+// service; the checker alone decides whether the test passes.
 func TestRandomFailuresOfControllers(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -10,45 +10,45 @@
 	"claybarrow/internal/protocol"
 )
 
-// failTasks makes the tasks of the named jobs fail as soon as they begin, on the given machines or
-// on all.
+// failTasks makes the tasks of the given jobs fail as soon as they start on the given machines; nil
+// stands for all jobs or all machines.
 func (w *world) failTasks(jobs map[string]bool, machines map[string]bool) {
 	w.fails = func(worker *emulator.Worker, uid string) bool {
 		return (jobs == nil || jobs[uid]) && (machines == nil || machines[worker.ID])
 	}
 }
 
-// A faulty job fails on every machine: it is retried at growing intervals with one task at a time,
-// has no machine quarantined, leaves the room to others, and can be cancelled at any time.
+// A faulty job fails on every machine: it is retried with back-off and one task at a time, causes no
+// machine to be quarantined, leaves the capacity to other jobs, and can be cancelled at any time.
 func TestJobThatFailsEverywhere(t *testing.T) {
 	w := newWorld(t, 91)
 	w.failTasks(map[string]bool{"j-9": true}, nil)
 	w.runs = func(string) time.Duration { return 50 * second }
 	w.submit("j-9", map[string]any{"shards": 12, "cores": 1.0})
 	w.submit("j-1", map[string]any{"shards": 6})
-	w.until(90*second, "it is found out", func() bool {
+	w.until(90*second, "the failures of j-9 are attributed to the job", func() bool {
 		return w.leadership().state.Jobs["j-9"] != nil && w.leadership().state.Jobs["j-9"].Failures.IsJobFault
 	})
 	for _, m := range w.leadership().machines.sortedMachines() {
 		if m.Faults.Faulty || len(m.Faults.SuspectJobs) > 0 || m.QuarantinedUntil > 0 {
-			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
+			t.Errorf("failures of the job are attributed to machine %s: %+v", m.ID, m.Faults)
 		}
 	}
 	w.awaitStatus(120*second, "j-1", protocol.JobDone)
 	w.submit("j-2", map[string]any{"shape": "service"})
-	w.until(60*second, "another runs beside it", func() bool { return w.running("j-2") == 1 })
+	w.until(60*second, "j-2 runs", func() bool { return w.running("j-2") == 1 })
 	before := w.failures
 	w.run(105 * second)
 	if n := w.failures - before; n < 2 || n > 6 {
-		t.Errorf("tried %d times in three times cancel_s", n)
+		t.Errorf("%d attempts in three times cancel_s, want 2 to 6", n)
 	}
 	w.cancel("j-9")
 	w.awaitStatus(10*second, "j-9", protocol.JobCancelled)
 	w.settle()
 }
 
-// A faulty machine is given no more work: its tasks complete elsewhere, which shows that the fault
-// is the machine's.
+// Tasks that fail on a faulty machine complete on other machines, which shows that the machine is at
+// fault: it gets no more tasks.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	w := newWorld(t, 92)
 	w.runs = func(string) time.Duration { return 10 * second }
@@ -63,36 +63,37 @@
 		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i+1), protocol.JobDone)
 	}
 	if m := w.leadership().state.Machines[bad]; m != nil && !m.Faults.Faulty {
-		t.Errorf("%d tasks failed on it: %+v", w.failures, m.Faults)
+		t.Errorf("machine not considered faulty after %d failures: %+v", w.failures, m.Faults)
 	}
 	for _, m := range w.leadership().machines.sortedMachines() {
 		if m.ID != bad && (m.Faults.Faulty || m.Faults.ConfirmedJobs > 0) {
-			t.Errorf("%s bears the blame: %+v", m.ID, m.Faults)
+			t.Errorf("failures are attributed to machine %s: %+v", m.ID, m.Faults)
 		}
 	}
 	w.settle()
 }
 
-// Two faulty jobs on the same machines are not evidence enough against these machines.
+// Failures of two jobs on the same machine, neither confirmed by a completion elsewhere, are not
+// sufficient evidence that the machine is faulty.
 func TestEvidenceOfFailures(t *testing.T) {
 	var m clusterstate.MachineFaults
 	if m.AddSuspect("j-1") || m.AddSuspect("j-2") || len(m.SuspectJobs) != 2 {
-		t.Error("two jobs are enough")
+		t.Error("unconfirmed failures of two jobs make a machine faulty")
 	}
 	m.RemoveSuspect("j-2")
 	if m.AddSuspect("j-3") || !m.ConfirmSuspect("j-1") || !m.Faulty {
-		t.Errorf("a confirmed failure and a suspect: %+v", m)
+		t.Errorf("a confirmed and an unconfirmed failure do not make the machine faulty: %+v", m)
 	}
 	if m.Clear(); !m.Faulty {
-		t.Error("a task that was still running clears it")
+		t.Error("a completed task clears the faulty state")
 	}
 	var f clusterstate.JobFailures
 	if f.RecordFailure("a", 0) || f.IsProbing() || f.RecordFailure("a", 0) || f.RecordFailure("b", second) || !f.IsProbing() || f.IsJobFault || !f.RecordFailure("c", 0) || f.RecordFailure("d", 0) {
-		t.Errorf("%+v", f)
+		t.Errorf("evidence against the job: %+v", f)
 	}
 	f = clusterstate.JobFailures{}
 	f.RecordFailure("a", 0)
 	if !f.AvoidedMachines(second, 2*second)["a"] || len(f.AvoidedMachines(3*second, 2*second)) > 0 {
-		t.Error("a machine is avoided for a while")
+		t.Error("a machine is not avoided for exactly two seconds after a failure")
 	}
 }
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// A rolling upgrade: controllers are upgraded one at a time, the leader as the first, in the middle
-// and as the last. The new storage format is written only after the last controller has announced
-// it, and the gate opens then.
+// In a rolling upgrade, controllers are upgraded one at a time: the leader first, in the middle or
+// last. The gate opens, and the new storage format is written, only after all controllers have
+// announced support for it.
 func TestRollingUpgrade(t *testing.T) {
 	for _, shape := range []topology{defaultTopology, wideShape} {
 		last := len(shape.controllers) - 1
 		for _, place := range []int{0, last / 2, last} {
-			t.Run(fmt.Sprintf("%d controllers, the leader as number %d", last+1, place), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d controllers, leader at position %d", last+1, place), func(t *testing.T) {
 				u := newUpgradeWorld(t, uint64(300+10*last+place), shape)
 				order := u.leaderAt(place)
 				u.restartAll(order[:last], newerOperator(""))
 				u.run(40 * second)
 				if u.steps[opens]+u.steps[journals] > 0 || !u.gateIs("closed") {
-					t.Fatalf("with an older controller: %v", u.steps)
+					t.Fatalf("the gate opened or the journal was written with an older controller running: %v", u.steps)
 				}
 				u.restartAll(order[last:], newerOperator(""))
 				u.until(10*second, "the gate is open", func() bool { return u.gateIs("open") })
 				u.run(60 * second)
 				if u.steps[journals] == 0 {
-					t.Error("the journal is not written")
+					t.Error("the journal is not written although the gate is open")
 				}
 				u.settleAndCheck()
 			})
@@ -34,8 +34,8 @@
 	}
 }
 
-// A rollback: half way, and after the gate has opened, by operators who hold it closed first. Older
-// versions then lead and find all that they need.
+// A rollback halfway through the upgrade, or after the gate has opened, in which case the operators
+// close it first. The older version then leads and finds all records that it needs.
 func TestRollback(t *testing.T) {
 	for _, opened := range []bool{false, true} {
 		t.Run(fmt.Sprintf("gate opened %v", opened), func(t *testing.T) {
@@ -48,7 +48,7 @@
 				u.restart(follower, newerOperator(holdOn))
 				u.until(20*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 				if keys := u.journalKeys(); len(keys) > 0 {
-					t.Errorf("left of the journal: %v", keys)
+					t.Errorf("journal keys left after the gate has closed: %v", keys)
 				}
 				order = append([]int{follower}, slices.DeleteFunc(order, func(i int) bool { return i == follower })...)
 			} else {
@@ -57,16 +57,16 @@
 			u.restartAll(order, nil)
 			u.run(20 * second)
 			if lead := u.awaitLeader(); !u.nodes[lead].withoutGate {
-				t.Error("no older version leads")
+				t.Error("the leader does not run the older version")
 			}
 			u.settleAndCheck()
 		})
 	}
 }
 
-// All controllers are rolled back at once while the gate is open, against the advice of the
-// documentation. No older version leads, workers keep their leases, users are told to come back;
-// one controller of the newer version ends this state and has the gate closed.
+// All controllers are rolled back at once while the gate is open, contrary to the documentation. No
+// controller of the older version becomes leader and the replicas keep running. A single controller of
+// the newer version then takes the leadership and closes the gate.
 func TestAllRolledBackWithTheGateOpen(t *testing.T) {
 	u := newUpgradeWorld(t, 340, defaultTopology)
 	u.openGate()
@@ -78,30 +78,31 @@
 	u.run(25 * second)
 	for i, n := range u.nodes {
 		if n.controller.leadership != nil {
-			t.Errorf("n%d of the older version leads", i)
+			t.Errorf("n%d leads with the older version while the gate is open", i)
 		}
 	}
 	if now := u.running("j-1"); now != replicas {
-		t.Errorf("%d replicas run, %d did", now, replicas)
+		t.Errorf("%d replicas run, %d before the rollback", now, replicas)
 	}
 	u.restart(1, newerOperator(""))
 	u.until(10*second, "the newer version leads", func() bool { return u.leader() == 1 })
 	u.until(40*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 	u.restartAll([]int{1}, nil)
-	u.interrupts = true // some workers search for a leader for longer than their lease
+	u.interrupts = true // the leases of workers that find no leader in time expire
 	u.settleAndCheck()
 }
 
-// A process of the older version comes back after the gate has opened. One that stays has the gate
-// closed after a workers' lease; one that comes and goes, and two that do, close it at most once.
+// One or two controllers run the older version again after the gate has opened. If they keep it, the
+// gate closes after a worker's lease. If they alternate between the versions, the gate closes at most
+// once.
 func TestOlderProcessAfterTheOpening(t *testing.T) {
 	for _, count := range []int{1, 2} {
-		t.Run(fmt.Sprintf("stays, %d", count), func(t *testing.T) { checkOlderProcessesStay(t, count) })
-		t.Run(fmt.Sprintf("comes and goes, %d", count), func(t *testing.T) { checkOlderProcessesComeAndGo(t, count) })
+		t.Run(fmt.Sprintf("%d keep the older version", count), func(t *testing.T) { checkOlderProcessesStay(t, count) })
+		t.Run(fmt.Sprintf("%d alternate between versions", count), func(t *testing.T) { checkAlternatingVersions(t, count) })
 	}
 }
 
-// checkOlderProcessesStay has so many controllers run the older version until the gate has closed.
+// checkOlderProcessesStay has count controllers run the older version until the gate has closed.
 func checkOlderProcessesStay(t *testing.T, count int) {
 	u := newUpgradeWorld(t, 350, defaultTopology)
 	u.openGate()
@@ -111,20 +112,20 @@
 	}
 	u.run(u.cfgs[0].WorkerLease() - 2*second)
 	if !u.gateIs("open") {
-		t.Error("the gate closes before a workers' lease is over")
+		t.Error("the gate closed before a worker's lease has passed")
 	}
 	u.until(20*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 	u.restartAll(back, newerOperator(""))
 	u.run(20 * second)
 	if !u.gateIs("closed") {
-		t.Error("the gate opens again at once")
+		t.Error("the gate opened again within 20 s")
 	}
 	u.until(60*second, "the gate is open", func() bool { return u.gateIs("open") })
 	u.settleAndCheck()
 }
 
-// checkOlderProcessesComeAndGo has so many controllers alternate between the versions.
-func checkOlderProcessesComeAndGo(t *testing.T, count int) {
+// checkAlternatingVersions has count controllers alternate between the versions.
+func checkAlternatingVersions(t *testing.T, count int) {
 	u := newUpgradeWorld(t, 360, defaultTopology)
 	u.openGate()
 	back := u.leaderAt(0)[1 : 1+count]
@@ -139,64 +140,65 @@
 		u.run(3 * second)
 	}
 	if n := len(u.states); n > 4 { // closed, open, closing, closed
-		t.Errorf("the gate flaps: %v", u.states)
+		t.Errorf("the gate changed its state too often: %v", u.states)
 	}
 	u.interrupts = count == 2
 	u.settleAndCheck()
 }
 
-// gateFault is a fault injected when a transaction of the gate or the journal is sent.
+// gateFault is a fault that is injected when a transaction on the gate or the journal is sent.
 type gateFault struct {
 	name   string
 	inject func(u *upgradeWorld, node int) deliveryFault
 }
 
+// lateBy is the delay of transactions that are applied late.
 const lateBy = 4 * second
 
 var gateFaults = []gateFault{
-	{"its sender ends before it leaves", func(u *upgradeWorld, node int) deliveryFault {
+	{"the sender crashes and the transaction is lost", func(u *upgradeWorld, node int) deliveryFault {
 		u.endSoon(node)
 		return deliveryFault{lost: true}
 	}},
-	{"its sender ends when it is carried out", func(u *upgradeWorld, node int) deliveryFault {
+	{"the sender crashes and the transaction is applied", func(u *upgradeWorld, node int) deliveryFault {
 		u.endSoon(node)
 		return deliveryFault{}
 	}},
-	{"its sender ends, and it is carried out late", func(u *upgradeWorld, node int) deliveryFault {
+	{"the sender crashes and the transaction is applied late", func(u *upgradeWorld, node int) deliveryFault {
 		u.endSoon(node)
 		return deliveryFault{hold: lateBy}
 	}},
-	{"it is carried out late and not answered", func(*upgradeWorld, int) deliveryFault { return deliveryFault{hold: lateBy, answerLost: true} }},
-	{"its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{answerLost: true} }},
-	{"it is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{lost: true} }},
-	{"its sender's process pauses", func(u *upgradeWorld, node int) deliveryFault {
+	{"the transaction is applied late and its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{hold: lateBy, answerLost: true} }},
+	{"the answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{answerLost: true} }},
+	{"the transaction is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{lost: true} }},
+	{"the sender's process pauses", func(u *upgradeWorld, node int) deliveryFault {
 		u.at(0, func() { u.pauseProcess(node, 6*second) })
 		return deliveryFault{hold: second}
 	}},
-	{"the state service refuses its sender alone", func(u *upgradeWorld, node int) deliveryFault {
+	{"the state service refuses only the sender", func(u *upgradeWorld, node int) deliveryFault {
 		u.state.RefusedClients[node] = true
 		u.at(15*second, func() { u.state.RefusedClients[node] = false })
 		return deliveryFault{}
 	}},
-	{"the state service is out for longer than a lease", func(u *upgradeWorld, _ int) deliveryFault {
+	{"the state service is down for longer than a worker's lease", func(u *upgradeWorld, _ int) deliveryFault {
 		u.state.Outage(14 * second)
 		return deliveryFault{}
 	}},
-	{"another controller ends", func(u *upgradeWorld, node int) deliveryFault {
+	{"another controller crashes", func(u *upgradeWorld, node int) deliveryFault {
 		u.endSoon((node + 1) % len(u.nodes))
 		return deliveryFault{}
 	}},
-	{"two controllers end, its sender among them", func(u *upgradeWorld, node int) deliveryFault {
+	{"the sender and another controller crash", func(u *upgradeWorld, node int) deliveryFault {
 		u.endSoon(node)
 		u.endSoon((node + 1) % len(u.nodes))
 		return deliveryFault{hold: second}
 	}},
-	{"an older process comes back in the place of another controller", func(u *upgradeWorld, node int) deliveryFault {
+	{"another controller runs the older version for a while", func(u *upgradeWorld, node int) deliveryFault {
 		other := (node + 1) % len(u.nodes)
 		u.olderFor(other, 5*second)
 		return deliveryFault{}
 	}},
-	{"two older processes come back, its sender's place among them", func(u *upgradeWorld, node int) deliveryFault {
+	{"the sender and another controller run the older version for a while", func(u *upgradeWorld, node int) deliveryFault {
 		for _, i := range []int{node, (node + 1) % len(u.nodes)} {
 			u.olderFor(i, 5*second)
 		}
@@ -204,15 +206,16 @@
 	}},
 }
 
-// olderFor runs the older version in place of a controller for a while, and then the newer one with
-// the settings that it had.
+// olderFor restarts a controller with the older version and, after the given time, with the newer
+// version and its previous settings.
 func (u *upgradeWorld) olderFor(i int, lasts time.Duration) {
 	operator := u.operators[i]
 	u.at(0, func() { u.restart(i, nil) })
 	u.at(lasts, func() { u.restart(i, operator) })
 }
 
-// endSoon ends a process at the next event, and starts it again after a while.
+// endSoon crashes a controller once the current event has been handled, and boots it three seconds
+// later.
 func (u *upgradeWorld) endSoon(node int) {
 	u.at(0, func() { u.crash(node) })
 	u.at(3*second, func() {
@@ -225,10 +228,9 @@
 	})
 }
 
-// One controller, two controllers or the state service fail at each single step of the opening and
-// of the closing: the transaction that opens the gate, the first that writes the journal, the one
-// that begins to close the gate, the first that deletes from the journal, and the one that closes
-// the gate.
+// One controller, two controllers or the state service fail at each step of the gate's opening and
+// closing: the transaction that opens the gate, the first write to the journal, the transaction that
+// starts the closing, the first deletion from the journal, and the transaction that closes the gate.
 func TestFailureAtEachStepOfTheGate(t *testing.T) {
 	for _, step := range []gateStep{opens, journals, closes, deletes, closed} {
 		for number, fault := range gateFaults {
@@ -251,11 +253,11 @@
 					u.restart(holding, newerOperator(holdOn))
 					u.until(120*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 					if keys := u.journalKeys(); len(keys) > 0 {
-						t.Errorf("left of the journal: %v", keys)
+						t.Errorf("journal keys left after the gate has closed: %v", keys)
 					}
 				}
 				if !struck {
-					t.Fatal("the step did not come")
+					t.Fatalf("no transaction of step %q was sent", step)
 				}
 				u.settleAndCheck()
 			})
@@ -263,8 +265,8 @@
 	}
 }
 
-// The zones are partitioned during an upgrade, while both reach the state service: before the last
-// controller is upgraded, as the gate opens, and while it closes.
+// The zones are partitioned from each other during an upgrade, and both still reach the state service:
+// before the last controller is upgraded, when the gate opens, or while it closes.
 func TestUpgradeDuringZonePartition(t *testing.T) {
 	for _, when := range []gateStep{noStep, opens, closes} {
 		t.Run(string(when), func(t *testing.T) {
@@ -298,14 +300,14 @@
 			u.run(30 * second)
 			u.restart(u.leaderAt(0)[3], newerOperator(holdOn))
 			u.until(90*second, "the gate is closed", func() bool { return u.gateIs("closed") && len(u.journalKeys()) == 0 })
-			u.interrupts = true // a zone's only controller may be restarted while the zone is partitioned
+			u.interrupts = true // the only controller of a zone may restart while the zone is partitioned
 			u.settleAndCheck()
 		})
 	}
 }
 
-// The state service's lower limits come into force during an upgrade: journal values that were
-// written under the higher limits are compacted, and none is refused.
+// The limits of the state service are lowered during an upgrade: journal values that were written
+// under the higher limits are compacted, and no transaction exceeds the new limits.
 func TestUpgradeAcrossLowerLimits(t *testing.T) {
 	u := newUpgradeWorld(t, 380, defaultTopology)
 	for i := range u.cfgs {
@@ -321,31 +323,31 @@
 	u.endSoon(u.awaitLeader())
 	u.run(20 * second)
 	if u.state.TooLarge > 0 {
-		t.Errorf("%d transactions were over the limits", u.state.TooLarge)
+		t.Errorf("%d transactions exceeded the limits", u.state.TooLarge)
 	}
 	u.restart(u.leaderAt(0)[1], newerOperator(holdOn))
 	u.until(60*second, "the gate is closed", func() bool { return u.gateIs("closed") && len(u.journalKeys()) == 0 })
 	u.settleAndCheck()
 }
 
-// Transactions that are applied when the gate is in another state than when they were sent: those
-// of an older leader and an older candidate after the opening, those of the journal and the opening
-// itself after the closing. All fail because of their conditions.
+// Transactions that arrive at the state service after the gate has changed its state: those of a leader
+// or a candidate of the older version after the opening, writes to the journal and the opening itself
+// after the closing. All fail because of their conditions.
 func TestTransactionsThatCrossTheGate(t *testing.T) {
 	const late = 70 * second
 	for _, c := range []struct {
 		name    string
 		holds   func(u *upgradeWorld, step gateStep, node int) bool
-		closing bool // they arrive after the closing
+		closing bool // the transactions arrive after the gate has closed
 	}{
-		{"an older leader's", func(u *upgradeWorld, step gateStep, node int) bool {
+		{"writes of an older leader", func(u *upgradeWorld, step gateStep, node int) bool {
 			return u.nodes[node].withoutGate && step == noStep
 		}, false},
-		{"an older candidate's", func(u *upgradeWorld, step gateStep, node int) bool {
+		{"election of an older candidate", func(u *upgradeWorld, step gateStep, node int) bool {
 			return u.nodes[node].withoutGate && step == elects
 		}, false},
-		{"the journal's", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == journals }, true},
-		{"the opening", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == opens }, true},
+		{"writes to the journal", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == journals }, true},
+		{"opening of the gate", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == opens }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			u := newUpgradeWorld(t, 390, defaultTopology)
@@ -372,16 +374,16 @@
 				u.until(30*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 			}
 			if held == 0 || u.Now() >= until {
-				t.Fatalf("%d were held until %v, it is %v", held, until, u.Now())
+				t.Fatalf("%d transactions are delayed until %v, and the time is %v", held, until, u.Now())
 			}
 			gate := u.gateIs("open")
 			conflicts := u.state.Stats.Conflicts
 			u.queue.RunUntil(until + second)
 			if u.state.Stats.Conflicts == conflicts {
-				t.Error("what was late has met its conditions")
+				t.Error("no conflict: the conditions of the late transactions were met")
 			}
 			if u.gateIs("open") != gate {
-				t.Error("what was late has changed the gate")
+				t.Error("a late transaction has changed the gate")
 			}
 			u.settleAndCheck()
 		})
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// fullFleet fills so many machines with tasks of low priority that run for long, and makes the
-// cloud unavailable, so that nothing else can be rented.
+// fullFleet fills the given number of machines with long tasks of low priority and makes the cloud
+// unavailable, so that no more machines can be rented.
 func (w *world) fullFleet(machines int) {
 	w.t.Helper()
 	w.runs = func(task string) time.Duration {
@@ -25,17 +25,17 @@
 	w.cloud.Down = true
 }
 
-// In a fleet that is full of work of lower priority, a gang gets all of its room at the boundary of
-// a scheduling round, on one machine or not, and no more is preempted than it needs.
-func TestGangGetsItsRoomAtARound(t *testing.T) {
+// In a fleet full of tasks of lower priority, a scheduling round preempts the capacity for all tasks of
+// a gang, with or without the requirement of one zone, and preempts no more tasks than necessary.
+func TestRoundPreemptsForWholeGang(t *testing.T) {
 	for _, together := range []bool{false, true} {
 		t.Run(fmt.Sprintf("together %v", together), func(t *testing.T) {
 			w := newWorld(t, 111)
 			w.fullFleet(4)
 			w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
-			w.until(10*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+			w.until(10*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			if left := w.running("j-0"); left < 16-6 {
-				t.Errorf("together %v: %d of 16 tasks are left, 6 had to go", together, left)
+				t.Errorf("together %v: %d of 16 tasks still run, want at least 10", together, left)
 			}
 			w.awaitStatus(30*second, "j-1", protocol.JobDone)
 			w.cancel("j-0")
@@ -44,22 +44,22 @@
 	}
 }
 
-// A gang for which preemption would free only a part of its room preempts nothing.
-func TestNothingIsStoppedForAPartOfAGang(t *testing.T) {
+// If preemption can free capacity for only some of a gang's tasks, no task is preempted.
+func TestNoPreemptionForPartOfAGang(t *testing.T) {
 	w := newWorld(t, 112)
 	w.fullFleet(2)
 	w.submit("j-1", group(4, 5, map[string]any{"rank": "high"})) // one task per machine
 	w.run(40 * second)
 	if n := w.running("j-0"); n != 8 {
-		t.Errorf("%d of 8 tasks run", n)
+		t.Errorf("%d of 8 tasks run, want all", n)
 	}
 	w.cancel("j-0")
 	w.cancel("j-1")
 	w.settle()
 }
 
-// Small urgent gangs keep coming to a full fleet; large and small gangs of two teams, one of them
-// on one machine, start all the same, and none holds another's room without using it.
+// Small gangs of high priority are submitted to a full fleet continuously. Large and small gangs of two
+// teams must start all the same, and no gang may reserve capacity that it does not use.
 func TestNoGangStarvesInAFullFleet(t *testing.T) {
 	w := newWorld(t, 113)
 	w.fullFleet(4)
@@ -72,15 +72,16 @@
 		w.run(4 * second)
 	}
 	for _, uid := range []string{"j-1", "j-2", "j-3", "j-4"} {
-		w.until(40*second, uid+" has begun", func() bool { return w.machines.GangStarts[uid] > 0 })
+		w.until(40*second, uid+" has started", func() bool { return w.machines.GangStarts[uid] > 0 })
 	}
 	w.cancel("j-0")
 	w.settle()
 }
 
-// Room that is kept for expected replicas is not the gang's: a round preempts for it what has lower
-// priority, instead of placing it in the kept room and leaving it to wait for a machine to boot.
-func TestRoomForExpectedReplicasIsNoRoomForAGang(t *testing.T) {
+// Capacity that is reserved for expected replicas is not available to a gang: a round preempts tasks of
+// lower priority for the gang instead of counting on the reserved capacity, in which case the gang would
+// wait for a machine to boot.
+func TestGangDoesNotUseCapacityReservedForReplicas(t *testing.T) {
 	w := newWorld(t, 114)
 	w.fullFleet(3)
 	for i := range 8 {
@@ -92,7 +93,7 @@
 	}
 	w.run(6 * second)
 	w.submit("j-1", group(2, 1, map[string]any{"rank": "high", "owner": "blue"}))
-	w.until(7500*time.Millisecond, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(7500*time.Millisecond, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.awaitStatus(30*second, "j-1", protocol.JobDone)
 	w.cancel("j-0")
 	w.settle()
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -12,6 +12,7 @@
 	"claybarrow/internal/protocol"
 )
 
+// group returns the changes to the default submission for a gang with checkpoints, with further changes.
 func group(shards int, cores float64, change map[string]any) map[string]any {
 	m := map[string]any{"shape": "group", "shards": shards, "cores": cores, "saveEveryS": 5.0, "saveTakesS": 2.0}
 	for k, v := range change {
@@ -20,13 +21,13 @@
 	return m
 }
 
-// A gang for which there is room only in part waits whole, and runs once there is room for all of
-// it.
+// While there is capacity for only some of a gang's tasks, none of them is placed. The gang runs as soon
+// as there is capacity for all of them.
 func TestGangRunsWholeOrNotAtAll(t *testing.T) {
 	w := newWorld(t, 90)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 4.0})
 	w.until(60*second, "the replica runs", func() bool { return w.running("j-1") == 1 })
-	w.cloud.Down = true // nothing else can be rented
+	w.cloud.Down = true // no more machines can be rented
 	w.submit("j-2", group(3, 2, nil))
 	for range 40 {
 		w.run(second)
@@ -37,17 +38,17 @@
 	w.cancel("j-1")
 	w.awaitStatus(90*second, "j-2", protocol.JobDone)
 	if w.machines.GangStarts["j-2"] != 1 {
-		t.Errorf("the gang began %d times", w.machines.GangStarts["j-2"])
+		t.Errorf("the gang started %d times, want 1", w.machines.GangStarts["j-2"])
 	}
 	w.settle()
 }
 
-// A machine with a task of a running gang dies: what is left is cleared, and the gang starts again,
-// whole.
-func TestGangBeginsAgainAfterALoss(t *testing.T) {
+// A machine with tasks of a running gang dies: the remaining tasks are stopped, and the gang restarts as
+// a whole.
+func TestGangRestartsAfterMachineLoss(t *testing.T) {
 	w := newWorld(t, 91)
 	w.submit("j-1", group(4, 4, nil)) // two machines
-	w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(3 * second)
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 {
@@ -55,19 +56,19 @@
 			break
 		}
 	}
-	w.until(60*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+	w.until(60*second, "the gang has restarted", func() bool { return w.machines.GangStarts["j-1"] == 2 })
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
-// A gang on two machines has to leave one of them: all its tasks get the stop command within
-// gang_peer_s, with time enough to save (2 s) and to wait for the others (5 s): a second stop
-// command, which ends a save, counts from there.
+// A gang must leave one of its two machines: all its tasks receive a stop command within gang_peer_s of
+// the first one, with a grace period long enough to save (2 s) and to wait for the other tasks (5 s). A
+// second stop command would end a save when the grace period has passed.
 func TestGangStopsWhole(t *testing.T) {
 	w := newWorld(t, 92)
 	w.runs = func(string) time.Duration { return 60 * second }
 	w.submit("j-1", group(4, 4, nil))
-	w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(2 * second)
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 {
@@ -75,25 +76,25 @@
 			break
 		}
 	}
-	w.until(20*second, "it gets a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
+	w.until(20*second, "the gang receives a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	w.run(5 * second)
 	commands := w.stopCommands["j-1"]
 	if len(commands) != 4 {
-		t.Fatalf("%d of 4 tasks got a stop command", len(commands))
+		t.Fatalf("%d of 4 tasks received a stop command", len(commands))
 	}
 	for _, h := range commands {
 		if h.at > commands[0].at+5*second || h.grace < 2+5 {
-			t.Errorf("a stop command came %v after the first, with a grace period of %v s", h.at-commands[0].at, h.grace)
+			t.Errorf("stop command received %v after the first one, with a grace period of %v s; want at most 5 s and at least 7 s", h.at-commands[0].at, h.grace)
 		}
 	}
-	w.until(60*second, "it has begun again", func() bool { return w.machines.GangStarts["j-1"] == 2 })
+	w.until(60*second, "the gang has restarted", func() bool { return w.machines.GangStarts["j-1"] == 2 })
 	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
-// Leaders end at any moment of a gang's start: it runs whole all the same, never in parts under two
-// attempts.
-func TestGangStartsAcrossLeaders(t *testing.T) {
+// The leader crashes at different moments of a gang's start: the gang runs as a whole all the same,
+// never with tasks of two attempts.
+func TestGangStartAcrossFailover(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, 93)
@@ -110,8 +111,8 @@
 	}
 }
 
-// Two gangs that each need more than half of the fleet run one after the other, and small ones that
-// keep coming do not starve them.
+// Two gangs that each need more than half of the fleet run one after the other, and small gangs that
+// are submitted continuously do not starve them.
 func TestGangsTakeTurns(t *testing.T) {
 	w := newWorld(t, 94)
 	w.runs = func(string) time.Duration { return 8 * second }
@@ -129,7 +130,7 @@
 	w.settle()
 }
 
-// A gang is validated like other jobs, and its team's quota bounds all of it.
+// A gang is validated like other jobs, and all of its tasks together must fit into the team's quota.
 func TestGangValidation(t *testing.T) {
 	w := newWorld(t, 95)
 	w.awaitLeader()
@@ -151,7 +152,7 @@
 		w.invalid[uid] = tc.status >= http.StatusBadRequest
 		w.user(w.awaitLeader(), OpSubmit, uid, func(status int, _ protocol.JobStatus) {
 			if status != tc.status {
-				t.Errorf("%v: %d, want %d", tc.change, status, tc.status)
+				t.Errorf("submission %v: status %d, want %d", tc.change, status, tc.status)
 			}
 		})
 		w.run(second)
@@ -159,8 +160,8 @@
 	w.settle()
 }
 
-// An old version led for a while and started a gang's tasks as if they were an array's, under
-// attempt numbers of their own: they are cleared, and the gang runs whole.
+// A leader of an old version has started the tasks of a gang like those of an array, each with its own
+// attempt number: these tasks are stopped, and the gang runs as a whole.
 func TestGangInPartsFromAnOldVersion(t *testing.T) {
 	w := newWorld(t, 96)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
@@ -189,8 +190,8 @@
 	w.settle()
 }
 
-// A task is lost while the others still wait for their images: it is replaced under the same
-// attempt, and the gang starts once.
+// A task of a gang is lost while the other task still fetches its image: the task is replaced within the
+// same attempt, and the gang starts once.
 func TestGangReplacesALostTask(t *testing.T) {
 	w := newWorld(t, 97)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
@@ -207,7 +208,7 @@
 		}
 		return out
 	}
-	w.until(10*second, "it is pulling", func() bool { return try() > 0 })
+	w.until(10*second, "a task of the gang is on a machine", func() bool { return try() > 0 })
 	w.run(second)
 	first := try()
 	for _, worker := range w.workers() {
@@ -216,17 +217,17 @@
 		}
 	}
 	w.pulls = nil
-	w.until(60*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	if try() != first {
-		t.Errorf("attempt %d, first %d", try(), first)
+		t.Errorf("the gang runs in attempt %d, want the first attempt %d", try(), first)
 	}
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
-// Storing a gang's placement takes several transactions, and the state service is down after the
-// first of them: no part of the gang is started.
-func TestGangWaitsForAllItsPlaces(t *testing.T) {
+// A gang's placement is stored in several transactions, and the state service is down after the first of
+// them: no task of the gang is started before the whole placement is durable.
+func TestGangWaitsUntilItsPlacementIsDurable(t *testing.T) {
 	w := newWorld(t, 98)
 	for _, cfg := range w.cfgs {
 		cfg.Cluster.State.TxnOps = 3
@@ -236,7 +237,7 @@
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 4 && w.running("j-9") == 2 })
 	w.cancel("j-0")
 	w.cancel("j-9")
-	w.until(2*second, "they are empty", func() bool { return w.running("j-0")+w.running("j-9") == 0 })
+	w.until(2*second, "the machines are empty", func() bool { return w.running("j-0")+w.running("j-9") == 0 })
 	written := false
 	w.script = func(_ int, c Call) deliveryFault {
 		var txn protocol.Transaction
@@ -250,8 +251,8 @@
 		}
 		return deliveryFault{}
 	}
-	w.submit("j-1", group(4, 6, nil)) // one machine each
-	w.until(30*second, "a part of it is written", func() bool { return written })
+	w.submit("j-1", group(4, 6, nil)) // each task needs a machine of its own
+	w.until(30*second, "a part of the placement is written", func() bool { return written })
 	for range 18 {
 		w.run(second)
 		if n := w.running("j-1"); n > 0 && n < 4 {
@@ -263,9 +264,9 @@
 	w.settle()
 }
 
-// A task of a gang that is still gathering is lost together with the leader: what is left is
-// cleared as soon as that is known, not when the workers time out.
-func TestGangIsClearedAfterAFailover(t *testing.T) {
+// A task of a gang whose tasks wait for each other is lost together with the leader: the new leader
+// stops the remaining task as soon as it detects the loss, before the worker times out.
+func TestIncompleteGangIsStoppedAfterFailover(t *testing.T) {
 	w := newWorld(t, 99)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
@@ -279,7 +280,7 @@
 		}
 		return false
 	}
-	w.until(10*second, "it is pulling", func() bool {
+	w.until(10*second, "both tasks of the gang are on machines", func() bool {
 		n := 0
 		for _, worker := range w.workers() {
 			if at(worker) {
@@ -296,17 +297,17 @@
 	}
 	w.crash(w.awaitLeader())
 	w.pulls = nil
-	w.until(32*second, "it runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
+	w.until(32*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
 }
 
-// A gang that was accepted is answered with its state when it is submitted again, whatever the
-// repeated request contains: also one that would be refused as new.
+// A repeated submission of an accepted gang returns the gang's state even if its body has changed and
+// would be rejected as a new submission.
 func TestRepeatedGangSubmissionReturnsItsState(t *testing.T) {
 	w := newWorld(t, 100)
 	w.submit("j-1", group(2, 1, nil))
-	w.until(30*second, "it is accepted", func() bool { return w.lastReplies["j-1"] != "" })
+	w.until(30*second, "j-1 is accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	first := w.specs["j-1"]
 	for name, change := range map[string]map[string]any{
 		"no tasks": {"shards": 0}, "beyond the limit": {"shards": 500}, "unknown shape": {"shape": "heap"},
@@ -318,7 +319,7 @@
 		w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(repeat)}, func(r Reply) {
 			var s protocol.JobStatus
 			if r.Status != http.StatusOK || protocol.Decode(r.Body, &s) != nil || s.UID != "j-1" || s.State == "" {
-				t.Errorf("%s: %d, %+v", name, r.Status, s)
+				t.Errorf("repeated submission (%s): status %d, reply %+v", name, r.Status, s)
 			}
 		})
 		w.run(second)
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -12,8 +12,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// A user requests a cancellation once, is told to come back and never does; the leader ends. The
-// successor continues the cancellation all the same.
+// A user requests a cancellation, is told to retry later and does not; then the leader crashes. The new
+// leader completes the cancellation all the same.
 func TestCancellationOutlivesTheLeader(t *testing.T) {
 	w := newWorld(t, 70)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -25,31 +25,31 @@
 	asked := 0
 	w.user(lead, OpCancel, "j-1", func(status int, _ protocol.JobStatus) {
 		if asked++; status != http.StatusServiceUnavailable {
-			t.Errorf("answered %d before the proof", status)
+			t.Errorf("cancellation answered with status %d before the absence of the tasks is proved, want 503", status)
 		}
 	})
 	w.run(2 * second)
 	if w.lastReplies["j-1"] == protocol.JobCancelled || asked != 1 {
-		t.Fatalf("state %q after %d answers", w.lastReplies["j-1"], asked)
+		t.Fatalf("reported state %q after %d answers, want 1 answer and no cancellation yet", w.lastReplies["j-1"], asked)
 	}
 	w.crash(lead)
 	for _, worker := range w.workers() {
 		worker.Partitioned = false
 	}
-	w.until(40*second, "the successor has called it off", func() bool { return w.lastReplies["j-1"] == protocol.JobCancelled })
+	w.until(40*second, "j-1 is reported as cancelled by the new leader", func() bool { return w.lastReplies["j-1"] == protocol.JobCancelled })
 	if w.running("j-1") != 0 {
-		t.Error("a replica still runs")
+		t.Error("a replica of the cancelled job still runs")
 	}
 	w.settle()
 }
 
-// All tasks of a job complete while its cancellation waits for the proof of absence: the job is
-// done.
-func TestEndedBeforeItWasCancelled(t *testing.T) {
+// All tasks of a job complete while its cancellation waits for the proof of their absence: the job ends
+// as done.
+func TestJobCompletesDuringCancellation(t *testing.T) {
 	w := newWorld(t, 71)
 	w.runs = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shards": 2, "cores": 4.0})
-	w.until(60*second, "it runs", func() bool { return w.running("j-1") == 2 })
+	w.until(60*second, "j-1 runs", func() bool { return w.running("j-1") == 2 })
 	for _, worker := range w.workers() {
 		worker.Partitioned = true
 		w.at(8*second, func() { worker.Partitioned = false })
@@ -59,9 +59,9 @@
 	w.settle()
 }
 
-// A transaction that created keys has no answer, its repeat applies, the keys are deleted again,
-// and then the first copy arrives: absent keys have the version that it requires, so only the
-// condition on the leader key keeps it from applying.
+// A transaction that creates keys gets no answer, its retry applies, the keys are deleted, and then the
+// first transaction arrives late. Its conditions on the keys hold again, as it requires their absence:
+// only the condition on the leader key prevents it from applying.
 func TestLateCreationAfterDeletion(t *testing.T) {
 	w := newWorld(t, 72)
 	w.awaitLeader()
@@ -95,20 +95,20 @@
 	w.until(100*second, "the machines are deleted from the store", absent)
 	w.run(60 * second)
 	if !absent() {
-		t.Errorf("%v came back", held)
+		t.Errorf("deleted keys %v were created again by a late transaction", held)
 	}
 	w.settle()
 }
 
-// The state service refuses larger transactions as malformed, from a moment that nobody announced:
-// nothing that was confirmed to users is lost, and work goes on.
+// From some time on, without notice, the state service rejects larger transactions as malformed:
+// transactions are split, no confirmed job is lost, and all jobs complete.
 func TestMalformedTransactionsAreSplit(t *testing.T) {
 	w := newWorld(t, 73)
 	w.awaitLeader()
 	n := 0
 	w.script = func(_ int, c Call) deliveryFault {
 		n++
-		// Some attempts have no answer: those may have applied before the 400.
+		// Some transactions get no answer: they may have applied before their retry is rejected with 400.
 		return deliveryFault{answerLost: c.Path == "/multi" && n%7 == 0}
 	}
 	w.at(15*second, func() { w.state.Malformed = func(txn protocol.Transaction) bool { return len(txn.Then) > 3 } })
@@ -123,9 +123,9 @@
 	w.settle()
 }
 
-// A record that is refused by itself is given up: its user is told to come back, and the records of
-// others are not blocked by it.
-func TestRefusedRecordHoldsUpNobody(t *testing.T) {
+// If the state service rejects a transaction with a single record, that write is given up and the
+// submission is not confirmed. Other jobs' records must not be blocked by it.
+func TestRejectedRecordDoesNotBlockOthers(t *testing.T) {
 	w := newWorld(t, 74)
 	w.awaitLeader()
 	w.run(2 * second)
@@ -141,7 +141,7 @@
 	w.submit("j-2", nil)
 	w.awaitStatus(100*second, "j-2", protocol.JobDone)
 	if w.lastReplies["j-1"] != "" {
-		t.Errorf("j-1 is %q", w.lastReplies["j-1"])
+		t.Errorf("j-1, which was never stored, is reported as %q", w.lastReplies["j-1"])
 	}
 	w.state.Malformed = nil
 	w.submit("j-1", nil)
@@ -149,12 +149,13 @@
 	w.settle()
 }
 
-// A task that is in no record ends on the only machine with room: the machine takes work again.
+// A task without a record ends on the only machine with free capacity: once its absence is reported, the
+// machine gets tasks again.
 func TestUnknownTaskIsForgottenWhenAbsent(t *testing.T) {
 	w := newWorld(t, 75)
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 2.0})
 	w.until(60*second, "the replica runs", func() bool { return w.running("j-1") == 1 })
-	w.cloud.Down = true // nothing else can be rented
+	w.cloud.Down = true // no more machines can be rented
 	w.spec("j-9", nil)
 	for _, worker := range w.workers() {
 		worker.AddTask("j-9/0", &emulator.Task{UID: "j-9", Attempt: 7, State: protocol.TaskRunning})
@@ -166,8 +167,8 @@
 	w.settle()
 }
 
-// A machine no longer reaches any controller while commands still reach it: its tasks go on
-// elsewhere before its lease expires, where there is room.
+// A machine's heartbeats get lost while commands still reach it: its tasks are restarted elsewhere
+// before its lease expires, if there is capacity.
 func TestTasksLeaveMachineWhoseHeartbeatsAreLost(t *testing.T) {
 	w := newWorld(t, 76)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
@@ -175,19 +176,18 @@
 	w.run(5 * second)
 	worker := w.workers()[0]
 	worker.HeartbeatsLost = true
-	w.run(8500 * time.Millisecond) // of a lease of 10 s
+	w.run(8500 * time.Millisecond) // the worker's lease is 10 s
 	for name, task := range worker.Tasks {
 		if task.State == protocol.TaskRunning {
-			t.Errorf("%s is still on a machine that is about to end its epoch", name)
+			t.Errorf("%s still runs on a machine whose lease is about to expire", name)
 		}
 	}
-	w.until(15*second, "both run elsewhere", func() bool { return w.running("j-1") == 2 })
+	w.until(15*second, "both replicas run", func() bool { return w.running("j-1") == 2 })
 	w.settle()
 }
 
-// A run command was sent in the answer to a heartbeat, that answer was lost, and nothing else
-// carried the command: the next heartbeat without the task proves that a cancelled task never ran
-// there.
+// A run command was sent only in the answer to a heartbeat, and this answer was lost: the next heartbeat
+// without the task proves that the cancelled task never ran on the machine.
 func TestLostAnswerOfACancelledTask(t *testing.T) {
 	w := newWorld(t, 77)
 	c := w.nodes[w.awaitLeader()].controller
@@ -203,17 +203,17 @@
 	heartbeat := func(seq uint64, reported bool) {
 		l.heartbeats.applyHeartbeat(&protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Sequence: seq, Token: l.lease.token}, reported)
 	}
-	heartbeat(11, false) // an answer to a direct request: the run command may still be in the other
+	heartbeat(11, false) // a reply to a direct call: the answer with the run command may still be in flight
 	if j.ActiveAttempts != 1 {
-		t.Fatal("an answer to a direct request was taken for a proof")
+		t.Fatal("a reply to a direct call was taken for a proof of absence")
 	}
 	heartbeat(12, true)
 	if j.ActiveAttempts != 0 {
-		t.Error("a task that can't start any more is still waited for")
+		t.Error("the attempt of a task that can't start any more is still active")
 	}
 }
 
-// A job that keeps failing is retried at least once per lease.
+// The back-off of a job that fails repeatedly is bounded by a worker's lease.
 func TestBackoffIsBounded(t *testing.T) {
 	w := newWorld(t, 78)
 	c := w.nodes[w.awaitLeader()].controller
@@ -222,13 +222,13 @@
 		c.leadership.failures.backOffJob(j)
 	}
 	if j.NotBefore > c.env.now+c.env.cfg.WorkerLease() {
-		t.Errorf("waits for %v", j.NotBefore-c.env.now)
+		t.Errorf("back-off of %v, want at most %v", j.NotBefore-c.env.now, c.env.cfg.WorkerLease())
 	}
 }
 
-// A leader that has just been elected has no proof by time yet, also where it has no siblings: an
-// earlier leadership of its own may have answered the worker.
-func TestNoProofByTimeAtOnce(t *testing.T) {
+// A leader that has just been elected can't conclude yet that a worker's lease has expired, not even if
+// there are no other controllers: it may have answered the worker during an earlier leadership.
+func TestNoLeaseExpiryRightAfterElection(t *testing.T) {
 	w := newWorld(t, 79)
 	w.run(40 * second)
 	c := w.nodes[w.awaitLeader()].controller
@@ -236,18 +236,18 @@
 	clear(l.peers)
 	l.lease.electedAt = c.env.now
 	if l.health.isLeaseExpired(l.state.AddMachine("i-900000")) {
-		t.Error("a lease is called over at the election")
+		t.Error("a worker's lease is considered expired at the time of the election")
 	}
 }
 
-// Requests that the protocol calls invalid are refused, whatever else goes on, and a repeated
-// submission of an accepted job gets its state whatever its body contains.
+// Submissions that are invalid by the protocol are rejected, and a repeated submission of an accepted
+// job returns its state whatever the body contains.
 func TestInvalidRequests(t *testing.T) {
 	w := newWorld(t, 80)
 	w.awaitLeader()
 	w.run(5 * second)
 	w.submit("j-1", map[string]any{"shards": 2})
-	w.until(30*second, "accepted", func() bool { return w.lastReplies["j-1"] != "" })
+	w.until(30*second, "j-1 is accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	invalidSpecs := map[string]struct {
 		change map[string]any
 		status int
@@ -270,30 +270,30 @@
 		for node := range 3 {
 			w.user(node, OpSubmit, uid, func(status int, _ protocol.JobStatus) {
 				if status != tc.status {
-					t.Errorf("%v: %d, want %d", tc.change, status, tc.status)
+					t.Errorf("submission %v: status %d, want %d", tc.change, status, tc.status)
 				}
 			})
 		}
 		w.run(second)
 	}
-	w.specs["j-1"]["rank"] = "top" // a damaged repeat
+	w.specs["j-1"]["rank"] = "top" // an invalid value in the repeated submission
 	for node := range 3 {
 		w.user(node, OpSubmit, "j-1", func(status int, _ protocol.JobStatus) {
 			if status != http.StatusOK {
-				t.Errorf("a repeat got %d", status)
+				t.Errorf("repeated submission: status %d, want 200", status)
 			}
 		})
 	}
 	w.run(second)
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
-	w.cancel("j-1") // it stays done
+	w.cancel("j-1") // the job remains done
 	w.settle()
 }
 
-// A transaction applies, its answer is lost, and its repeat is refused as malformed because a limit
-// has been lowered meanwhile: it is known to have applied, and no leader loses its leadership
-// because of it.
-func TestMalformedRepeatOfWhatApplied(t *testing.T) {
+// A transaction applies, its answer is lost, and its retry is rejected as malformed because a limit has
+// been lowered in the meantime: the leader finds that the transaction has applied, and does not lose its
+// leadership.
+func TestRejectedRetryOfAppliedTransaction(t *testing.T) {
 	w := newWorld(t, 81)
 	w.awaitLeader()
 	w.run(2 * second)
@@ -316,7 +316,7 @@
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.awaitStatus(60*second, "j-2", protocol.JobDone)
 	if !lost || string(w.state.Item(keyCounter).Value) != token {
-		t.Errorf("lost %v, or another election was held", lost)
+		t.Errorf("answer lost %v, or the token counter has changed: a new leader was elected", lost)
 	}
 	w.settle()
 }
