--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -6,10 +6,10 @@
 	"claybarrow/internal/protocol"
 )
 
-// leaveAttemptNumbers leaves the leader the given number of unused attempt numbers in its block.
-func (w *world) leaveAttemptNumbers(left uint64) {
+// setRemainingAttemptNumbers leaves the leader the given number of unused attempt numbers in its block.
+func (w *world) setRemainingAttemptNumbers(remaining uint64) {
 	n := w.leadership().attemptNumbers
-	n.used = 1<<attemptBlockBits - 1 - left
+	n.used = 1<<attemptBlockBits - 1 - remaining
 }
 
 // A leader that starts more tasks than its block has attempt numbers must reserve another block. When
@@ -19,27 +19,27 @@
 	w := newWorld(t, 71)
 	w.awaitLeader()
 	token := w.leadership().lease.token
-	w.leaveAttemptNumbers(minNumbersLeft + 3)
+	w.setRemainingAttemptNumbers(minNumbersLeft + 3)
 	w.run(2 * second)
-	w.leaveAttemptNumbers(3)
+	w.setRemainingAttemptNumbers(3)
 	w.submit("j-1", map[string]any{"shards": 6})
 	w.until(90*second, "tasks run", func() bool { return w.running("j-1") == 6 })
-	tries := map[uint64]bool{}
+	numbers := map[uint64]bool{}
 	for _, m := range w.leadership().state.Machines {
 		for _, a := range m.Attempts {
-			if tries[a.Number] {
+			if numbers[a.Number] {
 				t.Errorf("two attempts have the number %d", a.Number)
 			}
-			tries[a.Number] = true
+			numbers[a.Number] = true
 		}
 	}
 	var counter counterRecord
 	if err := protocol.Decode(w.state.Item(keyCounter).Value, &counter); err != nil {
 		t.Fatal(err)
 	}
-	for try := range tries {
-		if block := try >> attemptBlockBits; block != token && block > counter.Token {
-			t.Errorf("attempt number %d belongs to a block that a later leader will use, the token counter is %d", try, counter.Token)
+	for number := range numbers {
+		if block := number >> attemptBlockBits; block != token && block > counter.Token {
+			t.Errorf("attempt number %d belongs to a block that a later leader will use, the token counter is %d", number, counter.Token)
 		}
 	}
 	if w.leadership().lease.token != token {
@@ -63,7 +63,7 @@
 	w.script = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: node == lead && c.Path == "/multi"}
 	}
-	w.leaveAttemptNumbers(3)
+	w.setRemainingAttemptNumbers(3)
 	w.run(second)
 	if l := w.leadership(); l.attemptNumbers.enough() {
 		t.Error("a fill may begin with only three attempt numbers left")
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -38,7 +38,7 @@
 		m.Type, m.Zone, m.Addr, m.ListedRunning, m.EverReported = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), true, true
 		m.KnownToExistAt, m.LaunchedAt = c.env.now, c.env.now
 	}
-	ask := func() int {
+	dispatchAll := func() int {
 		c.outbox.effects = nil
 		for _, m := range l.machines.sortedMachines() {
 			l.dispatcher.dispatchCommands(m)
@@ -51,15 +51,15 @@
 		}
 		return len(c.outbox.effects)
 	}
-	if n := ask(); n == 0 || n > callsPerCoreBurst {
+	if n := dispatchAll(); n == 0 || n > callsPerCoreBurst {
 		t.Errorf("%d calls in the first burst, want 1 to %d", n, callsPerCoreBurst)
 	}
-	asked := 0
+	calls := 0
 	for range 20 {
 		c.env.now += 100 * time.Millisecond
-		asked += ask()
+		calls += dispatchAll()
 	}
-	if asked < 2000 {
-		t.Errorf("%d calls in two seconds, want at least 2000", asked)
+	if calls < 2000 {
+		t.Errorf("%d calls in two seconds, want at least 2000", calls)
 	}
 }
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -16,10 +16,10 @@
 type checker struct {
 	cancelRequested map[string]bool          // jobs whose cancellation users have requested
 	invalid         map[string]bool          // submissions that must be rejected
-	accepted        map[string]time.Duration // time of the first reply that confirmed the job to its user
-	answered        map[string]time.Duration // time of the last successful reply about the job
+	acceptedAt      map[string]time.Duration // time of the first reply that confirmed the job to its user
+	lastAnsweredAt  map[string]time.Duration // time of the last successful reply about the job
 	waitingSince    map[string]time.Duration // time since which the job has waited although there is free capacity
-	turn            int                      // polls sent so far; selects the controller of the next poll
+	pollsSent       int                      // polls sent so far; selects the controller of the next poll
 	stopCommands    map[string][]stopCommand
 	starts          map[string]int // how many times each task was started on a machine
 	// calmSince is the time at which all injected faults ended; 0 while faults may still occur.
@@ -38,35 +38,35 @@
 
 // Bounds stated by the operators, measured from the end of all faults.
 const (
-	forgottenAfter = 75 * time.Second
-	waitsAtMost    = 90 * time.Second
-	cancelWithin   = 35 * time.Second // cancel_s of testConfig
-	machineCores   = 8.0              // cores of the cloud's only machine type
+	maxUnansweredTime = 75 * time.Second
+	maxWaitTime       = 90 * time.Second
+	cancelTimeout     = 35 * time.Second // cancel_s of testConfig
+	machineCores      = 8.0              // cores of the cloud's only machine type
 )
 
 func newChecker() checker {
-	return checker{cancelRequested: map[string]bool{}, invalid: map[string]bool{}, accepted: map[string]time.Duration{},
-		answered: map[string]time.Duration{}, waitingSince: map[string]time.Duration{}, stopCommands: map[string][]stopCommand{},
+	return checker{cancelRequested: map[string]bool{}, invalid: map[string]bool{}, acceptedAt: map[string]time.Duration{},
+		lastAnsweredAt: map[string]time.Duration{}, waitingSince: map[string]time.Duration{}, stopCommands: map[string][]stopCommand{},
 		starts: map[string]int{}}
 }
 
-// watch schedules the checks of the invariants every second and the progress of gangs every tick.
+// scheduleChecks schedules the checks of the invariants every second and the progress of gangs every tick.
 // The polls of accepted jobs are scheduled by startPolling.
-func (w *world) watch() {
-	var look func()
-	look = func() {
+func (w *world) scheduleChecks() {
+	var checkInvariants func()
+	checkInvariants = func() {
 		w.checkCancelledTasksEnded()
 		w.checkForgotten()
 		w.checkWaiting()
-		w.at(time.Second, look)
+		w.at(time.Second, checkInvariants)
 	}
-	w.at(time.Second, look)
-	var step func()
-	step = func() {
+	w.at(time.Second, checkInvariants)
+	var stepGangs func()
+	stepGangs = func() {
 		w.machines.StepGangs()
-		w.at(tick, step)
+		w.at(tick, stepGangs)
 	}
-	w.at(tick, step)
+	w.at(tick, stepGangs)
 }
 
 func (w *world) jobEnded(uid string) bool {
@@ -76,18 +76,18 @@
 // startPolling records a successful reply about a job. After the first one it polls the job every
 // five seconds, at each controller in turn, until the job has ended.
 func (w *world) startPolling(uid string) {
-	w.answered[uid] = w.Now()
-	if _, known := w.accepted[uid]; known {
+	w.lastAnsweredAt[uid] = w.Now()
+	if _, confirmed := w.acceptedAt[uid]; confirmed {
 		return
 	}
-	w.accepted[uid] = w.Now()
+	w.acceptedAt[uid] = w.Now()
 	var poll func()
 	poll = func() {
 		if w.jobEnded(uid) {
 			return
 		}
-		w.turn++
-		w.user(w.turn%len(w.nodes), OpPoll, uid, nil)
+		w.pollsSent++
+		w.user(w.pollsSent%len(w.nodes), OpPoll, uid, nil)
 		w.at(5*time.Second, poll)
 	}
 	w.at(5*time.Second, poll)
@@ -107,83 +107,83 @@
 }
 
 // checkForgotten reports a violation if, after the end of all faults, no request about an accepted
-// job has succeeded for longer than forgottenAfter.
+// job has succeeded for longer than maxUnansweredTime.
 func (w *world) checkForgotten() {
 	if w.calmSince == 0 {
 		return
 	}
-	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
-		if since := max(w.answered[uid], w.calmSince); !w.jobEnded(uid) && w.Now() > since+forgottenAfter {
+	for _, uid := range slices.Sorted(maps.Keys(w.acceptedAt)) {
+		if since := max(w.lastAnsweredAt[uid], w.calmSince); !w.jobEnded(uid) && w.Now() > since+maxUnansweredTime {
 			w.violated("forgotten: no request about %s has succeeded since %v", uid, since)
-			w.answered[uid] = w.Now()
+			w.lastAnsweredAt[uid] = w.Now()
 		}
 	}
 }
 
-// checkWaiting reports a violation if, for longer than waitsAtMost, a job has had no task on any
+// checkWaiting reports a violation if, for longer than maxWaitTime, a job has had no task on any
 // machine although machines that fit have free capacity and its team is below its quota.
 func (w *world) checkWaiting() {
 	if w.calmSince == 0 {
 		clear(w.waitingSince)
 		return
 	}
-	used, held := map[string]float64{}, map[string]int{}
+	usedCores, activeTasks := map[string]float64{}, map[string]int{}
 	for _, worker := range w.workers() {
 		for _, t := range worker.Tasks {
 			if t.State != protocol.TaskExited && !worker.Deleted {
-				used[w.specs[t.UID]["owner"].(string)] += w.specs[t.UID]["cores"].(float64)
-				held[t.UID]++
+				usedCores[w.specs[t.UID]["owner"].(string)] += w.specs[t.UID]["cores"].(float64)
+				activeTasks[t.UID]++
 			}
 		}
 	}
-	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
+	for _, uid := range slices.Sorted(maps.Keys(w.acceptedAt)) {
 		spec := w.specs[uid]
-		need, owner := spec["cores"].(float64), spec["owner"].(string)
-		limit := map[string]float64{"red": 32, "blue": 16}[owner]
+		neededCores, owner := spec["cores"].(float64), spec["owner"].(string)
+		quota := map[string]float64{"red": 32, "blue": 16}[owner]
 		if spec["shape"] == "group" {
-			need *= float64(spec["shards"].(int)) // a gang needs capacity for all of its tasks
+			neededCores *= float64(spec["shards"].(int)) // a gang needs capacity for all of its tasks
 		}
-		if w.jobEnded(uid) || w.cancelRequested[uid] || held[uid] > 0 || used[owner]+need > limit || !w.hasRoom(spec) {
+		if w.jobEnded(uid) || w.cancelRequested[uid] || activeTasks[uid] > 0 || usedCores[owner]+neededCores > quota || !w.hasCapacity(spec) {
 			delete(w.waitingSince, uid)
 			continue
 		}
-		if _, known := w.waitingSince[uid]; !known {
+		if _, waiting := w.waitingSince[uid]; !waiting {
 			w.waitingSince[uid] = w.Now()
 		}
-		if w.Now() > w.waitingSince[uid]+waitsAtMost {
+		if w.Now() > w.waitingSince[uid]+maxWaitTime {
 			w.violated("waiting: %s has waited since %v although there is free capacity", uid, w.waitingSince[uid])
 			w.waitingSince[uid] = w.Now()
 		}
 	}
 }
 
-// hasRoom reports whether the usable machines have free capacity for one task of the job or, if the
+// hasCapacity reports whether the usable machines have free capacity for one task of the job or, if the
 // job is a gang, for all of its tasks. For a gang with one task per machine it returns false.
-func (w *world) hasRoom(spec map[string]any) bool {
-	most, all, zones := 0, 0, map[string]int{}
+func (w *world) hasCapacity(spec map[string]any) bool {
+	largestZone, fitting, fittingByZone := 0, 0, map[string]int{}
 	for _, worker := range w.workers() {
 		if !worker.Up || worker.Deleted || worker.Partitioned || worker.Hung || worker.RepliesLost || worker.HeartbeatsLost || worker.Spot && !spec["borrowed"].(bool) ||
 			spec["yard"] != nil && spec["yard"] != worker.Zone {
 			continue
 		}
-		free := machineCores
+		freeCores := machineCores
 		for _, t := range worker.Tasks {
 			if t.State != protocol.TaskExited {
-				free -= w.specs[t.UID]["cores"].(float64)
+				freeCores -= w.specs[t.UID]["cores"].(float64)
 			}
 		}
-		n := int(free / spec["cores"].(float64))
-		zones[worker.Zone] += n
-		all += n
-		most = max(most, zones[worker.Zone])
+		n := int(freeCores / spec["cores"].(float64))
+		fittingByZone[worker.Zone] += n
+		fitting += n
+		largestZone = max(largestZone, fittingByZone[worker.Zone])
 	}
 	switch {
 	case spec["shape"] != "group":
-		return all > 0
+		return fitting > 0
 	case spec["together"].(bool):
-		return most >= spec["shards"].(int)
+		return largestZone >= spec["shards"].(int)
 	}
-	return all >= spec["shards"].(int) && !spec["apart"].(bool)
+	return fitting >= spec["shards"].(int) && !spec["apart"].(bool)
 }
 
 // settle ends all faults and runs the world for longer than the operators' bounds. It then cancels
@@ -201,16 +201,16 @@
 		}
 	}
 	w.calmSince = w.Now()
-	w.run(waitsAtMost + 30*time.Second)
-	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
+	w.run(maxWaitTime + 30*time.Second)
+	for _, uid := range slices.Sorted(maps.Keys(w.acceptedAt)) {
 		if w.specs[uid]["shape"] == "service" && !w.jobEnded(uid) {
 			w.cancel(uid)
 		}
 	}
-	for _, uid := range slices.Sorted(maps.Keys(w.accepted)) {
+	for _, uid := range slices.Sorted(maps.Keys(w.acceptedAt)) {
 		w.until(400*time.Second, uid+" has ended", func() bool { return w.jobEnded(uid) })
 	}
 	// The tasks of each confirmed cancellation must have ended within this bound.
-	w.run(cancelWithin + 5*time.Second)
+	w.run(cancelTimeout + 5*time.Second)
 	w.requireNoViolations()
 }
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -13,15 +13,15 @@
 // The tests of this file inject the combinations of faults that the operators have named, one test
 // for each combination. The checker alone decides whether a test passes.
 
-// startCompoundFailure runs a combination of faults with several seeds.
-func startCompoundFailure(t *testing.T, seeds int, play func(w *world, faults *networkFaults)) {
+// runCompoundFailure runs a combination of faults with several seeds.
+func runCompoundFailure(t *testing.T, seeds int, inject func(w *world, faults *networkFaults)) {
 	t.Helper()
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newWorld(t, uint64(1000+seed))
 			faults := w.injectNetworkFaults()
 			w.initialJobs()
-			play(w, faults)
+			inject(w, faults)
 			w.settle()
 		})
 	}
@@ -31,12 +31,12 @@
 // service is down for all controllers for longer than cancel_s, while the workers continue to send
 // heartbeats to the old leader.
 func TestCompoundRefusalThenOutage(t *testing.T) {
-	startCompoundFailure(t, 12, func(w *world, faults *networkFaults) {
-		old := w.awaitLeader()
+	runCompoundFailure(t, 12, func(w *world, faults *networkFaults) {
+		oldLeader := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
 			// Direct commands of the other controllers get lost.
 			for i := range 3 {
-				faults.commandsLost[i] = i != old
+				faults.commandsLost[i] = i != oldLeader
 			}
 		}
 		for _, worker := range w.randomMachines(0.3) {
@@ -47,12 +47,12 @@
 				worker.RepliesLost = true
 			}
 		}
-		w.state.RefusedClients[old] = true
+		w.state.RefusedClients[oldLeader] = true
 		w.at(w.randomMilliseconds(0, 2500), func() { w.cancelSome("j-s1", "j-b1", "j-s2") })
 		w.run(w.randomMilliseconds(1500, 12_000))
 		w.state.Outage(time.Duration(40+w.rng.IntN(40)) * second)
 		w.run(w.randomMilliseconds(0, 12_000))
-		w.state.RefusedClients[old] = false
+		w.state.RefusedClients[oldLeader] = false
 		w.run(90 * second)
 	})
 }
@@ -60,10 +60,10 @@
 // Jobs are cancelled just before and just after the state service begins to refuse only the leader's
 // requests; about a second later the service is down for longer than cancel_s.
 func TestCompoundCancelAtRefusal(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
-		old := w.awaitLeader()
+	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
+		oldLeader := w.awaitLeader()
 		w.cancelSome("j-s1", "j-s3")
-		w.state.RefusedClients[old] = true
+		w.state.RefusedClients[oldLeader] = true
 		w.cancelSome("j-b1", "j-s2")
 		w.run(w.randomMilliseconds(500, 1500))
 		w.state.Outage(45 * second)
@@ -73,7 +73,7 @@
 
 // After several failovers in a row all controllers crash, and one of them restarts within a second.
 func TestCompoundFailoverAndBack(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for range 8 {
 			w.restart(w.leaderOrFirst(), w.randomMilliseconds(50, 900))
 			w.run(w.randomMilliseconds(300, 4000))
@@ -96,7 +96,7 @@
 // The leader crashes while some machines are partitioned and others don't receive the answers to
 // their heartbeats.
 func TestCompoundLeaderEndsMachinesUnreachable(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for n, worker := range w.randomMachines(0.6) {
 			if n%2 == 0 {
 				worker.Partitioned = true
@@ -117,7 +117,7 @@
 // heartbeats can't prove the absence of a task, and a job that waits for this proof must not wait
 // without bound.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
-	startCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 4, func(w *world, _ *networkFaults) {
 		for _, worker := range w.workers() {
 			if worker.Up && len(worker.Tasks) > 0 {
 				worker.RepliesLost = true
@@ -143,12 +143,12 @@
 // The state service answers slowly, then refuses only the leader's requests, and then is down for
 // longer than cancel_s, while users cancel and submit jobs.
 func TestCompoundSlowThenRefused(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
+	runCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		faults.slowState = w.randomMilliseconds(300, 900)
 		w.cancelSome("j-s1")
 		w.run(10 * second)
-		old := w.leaderOrFirst()
-		w.state.RefusedClients[old] = true
+		oldLeader := w.leaderOrFirst()
+		w.state.RefusedClients[oldLeader] = true
 		w.cancelSome("j-b1")
 		w.run(w.randomMilliseconds(1000, 6000))
 		w.state.Outage(40 * second)
@@ -162,7 +162,7 @@
 // More work of all priorities is submitted than there is capacity for, over slow links, and the
 // leader restarts.
 func TestCompoundOverload(t *testing.T) {
-	startCompoundFailure(t, 4, func(w *world, faults *networkFaults) {
+	runCompoundFailure(t, 4, func(w *world, faults *networkFaults) {
 		faults.slowLinks = 400 * time.Millisecond
 		for i := range 12 {
 			rank := []string{"idle", "normal", "high", "production"}[i%4]
@@ -182,7 +182,7 @@
 
 // All controllers are down for longer than lease_s, right after jobs have been cancelled.
 func TestCompoundAllControllersDown(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.cancelSome("j-s1", "j-b1")
 		w.run(w.randomMilliseconds(0, 400))
 		for i := range 3 {
@@ -203,34 +203,34 @@
 // The leader is partitioned from the state service and from the other controllers while workers and
 // users still reach it, and jobs are cancelled through the new leader.
 func TestCompoundLeaderPartitioned(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
-		old := w.awaitLeader()
-		faults.isolated[old] = true
+	runCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
+		oldLeader := w.awaitLeader()
+		faults.isolated[oldLeader] = true
 		if w.rng.IntN(2) == 0 {
 			for i := range 3 {
-				faults.commandsLost[i] = i != old
+				faults.commandsLost[i] = i != oldLeader
 			}
 		}
 		w.run(w.randomMilliseconds(1500, 8000))
 		w.cancelSome("j-s1", "j-b1", "j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
 		w.run(w.randomMilliseconds(20_000, 80_000))
-		faults.isolated[old] = false
+		faults.isolated[oldLeader] = false
 		w.run(20 * second)
 	})
 }
 
 // Heartbeats that were sent before a failover arrive after the new leader has taken decisions.
 func TestCompoundDelayedHeartbeat(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
-		type copied struct {
-			k    *emulator.Worker
-			body []byte
+	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
+		type heartbeatCopy struct {
+			worker *emulator.Worker
+			body   []byte
 		}
-		var held []copied
+		var copies []heartbeatCopy
 		for _, worker := range w.workers() {
 			if worker.Up && !worker.Deleted {
-				held = append(held, copied{worker, protocol.Encode(worker.Heartbeat())})
+				copies = append(copies, heartbeatCopy{worker, protocol.Encode(worker.Heartbeat())})
 				if w.rng.IntN(2) == 0 {
 					worker.Partitioned = true
 					w.at(w.randomMilliseconds(2000, 25_000), func() { worker.Partitioned = false })
@@ -242,7 +242,7 @@
 		w.run(w.randomMilliseconds(2500, 15_000))
 		w.cancelSome("j-b1")
 		for range 3 {
-			for _, h := range held {
+			for _, h := range copies {
 				for i := range 3 {
 					w.ask(i, Request{Op: OpWorkerHeartbeat, Body: h.body}, func(Reply) {})
 				}
@@ -255,7 +255,7 @@
 
 // The tasks of a job complete far apart, with failovers in between.
 func TestCompoundTasksEndFarApart(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, faults *networkFaults) {
+	runCompoundFailure(t, 6, func(w *world, faults *networkFaults) {
 		w.runs = func(task string) time.Duration {
 			return time.Duration(5+35*int(task[len(task)-1]-'0')) * second
 		}
@@ -274,7 +274,7 @@
 // A cancellation, a poll or a repeated submission coincides with the completion of a job's task,
 // without any injected fault.
 func TestCompoundCancelAtJobCompletion(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.ended = func(uid string) {
 			switch w.rng.IntN(3) {
 			case 0:
@@ -295,7 +295,7 @@
 
 // A zone with workers and a controller is partitioned for longer than lease_s.
 func TestCompoundZonePartitioned(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
+	runCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		inB := func(addr string) bool {
 			if strings.HasPrefix(addr, "10.0.0.") {
 				return strings.HasPrefix(addr, "10.0.0.2:")
@@ -304,8 +304,8 @@
 			return worker != nil && worker.Zone == "b"
 		}
 		w.script = func(node int, c Call) deliveryFault {
-			there := c.Target == ToPeer || c.Target == ToWorker
-			return deliveryFault{lost: node == 2 && !there || there && inB(c.Addr) != (node == 2)}
+			isZonal := c.Target == ToPeer || c.Target == ToWorker
+			return deliveryFault{lost: node == 2 && !isZonal || isZonal && inB(c.Addr) != (node == 2)}
 		}
 		w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
 			return deliveryFault{lost: (worker.Zone == "b") != (node == 2)}
@@ -323,7 +323,7 @@
 // Some workers' heartbeats get lost while direct commands still reach the workers: the leader must
 // not start tasks there repeatedly.
 func TestCompoundHeartbeatsLost(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		var heartbeatsLost []*emulator.Worker
 		for _, worker := range w.randomMachines(0.6) {
 			worker.HeartbeatsLost = true
@@ -335,14 +335,14 @@
 			w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 		}
 		w.run(25 * second)
-		began := map[*emulator.Worker]int{}
+		startsBefore := map[*emulator.Worker]int{}
 		for _, worker := range heartbeatsLost {
-			began[worker] = worker.TasksStarted
+			startsBefore[worker] = worker.TasksStarted
 		}
 		w.run(60 * second)
 		for _, worker := range heartbeatsLost {
-			if worker.TasksStarted > began[worker]+2 {
-				w.violated("%d tasks were started on a machine whose heartbeats are lost; they end when its lease expires", worker.TasksStarted-began[worker])
+			if worker.TasksStarted > startsBefore[worker]+2 {
+				w.violated("%d tasks were started on a machine whose heartbeats are lost; they end when its lease expires", worker.TasksStarted-startsBefore[worker])
 			}
 		}
 		// Each service must also run on machines whose heartbeats arrive.
@@ -364,7 +364,7 @@
 
 // Old heartbeats, also of earlier epochs and attempts, arrive after newer ones.
 func TestCompoundOldHeartbeats(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		w.lateCopy = func() time.Duration {
 			if w.rng.IntN(3) == 0 {
 				return w.randomMilliseconds(2000, 45_000)
@@ -387,7 +387,7 @@
 // A team is at its quota when the leader changes and some of its machines are unreachable, and jobs
 // are cancelled in the meantime.
 func TestCompoundTeamAtItsQuota(t *testing.T) {
-	startCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		for i := range 6 {
 			w.submit(fmt.Sprintf("j-l%d", i), map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue"})
 		}
@@ -406,7 +406,7 @@
 
 // Commands are delayed for seconds, or their answers get lost, while machines hang and then resume.
 func TestCompoundDelayedCommands(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
+	runCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
 		faults.delayedCommands, faults.lostAnswers = 0.4, 0.2
 		for i := range 4 {
 			w.submit(fmt.Sprintf("j-h%d", i), map[string]any{"shards": 2, "cores": 1.0})
@@ -428,7 +428,7 @@
 
 // The leader changes ten times in two minutes, also during an outage of the state service.
 func TestCompoundTenLeaders(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for i := range 10 {
 			if i == 4 {
 				w.state.Outage(w.randomMilliseconds(5000, 30_000))
@@ -444,7 +444,7 @@
 
 // Jobs that are restricted to one zone, arrays among them, lose machines.
 func TestCompoundBoundToAZone(t *testing.T) {
-	startCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
+	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		w.submit("j-z1", map[string]any{"shards": 4, "cores": 2.0, "yard": "b"})
 		w.submit("j-z2", map[string]any{"shards": 3, "cores": 2.0, "together": true})
 		w.run(w.randomMilliseconds(5000, 20_000))
@@ -468,7 +468,7 @@
 
 // Transactions without an answer are applied late, after newer transactions of the same controller.
 func TestCompoundLateTransactions(t *testing.T) {
-	startCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
+	runCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
 		faults.lateTransactions = 0.35
 		for i := range 5 {
 			w.submit(fmt.Sprintf("j-t%d", i), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0, "shape": []string{"batch", "service"}[i%2]})
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -13,9 +13,9 @@
 func TestConditionsAreLoggedOnce(t *testing.T) {
 	w := newWorld(t, 95)
 	l := w.leadership()
-	var out bytes.Buffer
-	l.controller.env.log = slog.New(slog.NewTextHandler(&out, nil))
-	logged := func(what string) int { return strings.Count(out.String(), what) }
+	var logOutput bytes.Buffer
+	l.controller.env.log = slog.New(slog.NewTextHandler(&logOutput, nil))
+	logged := func(what string) int { return strings.Count(logOutput.String(), what) }
 	for _, id := range []string{"i-900001", "i-900002", "i-900003"} {
 		m := l.state.AddMachine(id)
 		m.Type, m.Zone, m.LaunchedAt = "m8", "a", l.controller.env.now
@@ -26,7 +26,7 @@
 		l.scaler.watchBootTimes()
 	}
 	if logged("machine boots are late") != 1 || logged("on time again") != 0 {
-		t.Errorf("late boots: %s", out.String())
+		t.Errorf("late boots: %s", logOutput.String())
 	}
 	for _, m := range l.machines.sortedMachines() {
 		m.EverReported = true
@@ -34,13 +34,13 @@
 	l.scaler.watchBootTimes()
 	l.scaler.watchBootTimes()
 	if logged("on time again") != 1 {
-		t.Errorf("boots on time again: %s", out.String())
+		t.Errorf("boots on time again: %s", logOutput.String())
 	}
 	p := scheduler.Pool{Type: "m8", Zone: "a"}
 	for _, short := range []bool{true, true, false, false, true} {
 		l.scaler.onPoolShortage(p, short)
 	}
 	if logged("pool short of capacity") != 2 || logged("pool has capacity") != 1 {
-		t.Errorf("pools: %s", out.String())
+		t.Errorf("pools: %s", logOutput.String())
 	}
 }
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -43,8 +43,8 @@
 	b.Run("on", func(b *testing.B) { run(b, []byte(membershipOn)) })
 }
 
-// steadyLoad submits a short task twice a second.
-func (w *world) steadyLoad() {
+// submitSteadily submits a short task twice a second.
+func (w *world) submitSteadily() {
 	w.runs = func(string) time.Duration { return 2 * second }
 	n := 0
 	var next func()
@@ -62,68 +62,68 @@
 func BenchmarkDetectionOfDeath(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			var suspect, all, dead, elected, placed durations
+			var firstSuspected, lastSuspected, declaredDead, elected, firstStarts durations
 			for seed := range uint64(measuredSeeds) {
 				w := newWorldWith(b, 3000+seed, operator)
-				w.steadyLoad()
+				w.submitSteadily()
 				w.run(70*second + time.Duration(seed)*testLeaderLease/measuredSeeds)
 				lead := w.awaitLeader()
 				token := w.leadership().lease.token
-				var first time.Duration
-				begins := w.machines.TaskStarted
+				var firstStart time.Duration
+				checkStart := w.machines.TaskStarted
 				w.machines.TaskStarted = func(worker *emulator.Worker, task string, t *emulator.Task) {
-					begins(worker, task, t)
-					if first == 0 && t.Attempt>>attemptBlockBits > token {
-						first = w.Now()
+					checkStart(worker, task, t)
+					if firstStart == 0 && t.Attempt>>attemptBlockBits > token {
+						firstStart = w.Now()
 					}
 				}
-				died := w.Now()
+				crashedAt := w.Now()
 				w.crash(lead)
 				w.until(10*second, "another controller leads", func() bool { return w.leader() >= 0 })
-				elected = append(elected, w.Now()-died)
+				elected = append(elected, w.Now()-crashedAt)
 				w.run(20 * second)
-				if first > 0 {
-					placed = append(placed, first-died)
+				if firstStart > 0 {
+					firstStarts = append(firstStarts, firstStart-crashedAt)
 				}
-				var seen durations
+				var suspected durations
 				for i, n := range w.nodes {
-					if at := n.observer.became(label(lead), membership.Suspect, died); i != lead && at > 0 {
-						seen = append(seen, at-died)
+					if at := n.observer.became(label(lead), membership.Suspect, crashedAt); i != lead && at > 0 {
+						suspected = append(suspected, at-crashedAt)
 					}
-					if at := n.observer.became(label(lead), membership.Dead, died); i != lead && at > 0 {
-						dead = append(dead, at-died)
+					if at := n.observer.became(label(lead), membership.Dead, crashedAt); i != lead && at > 0 {
+						declaredDead = append(declaredDead, at-crashedAt)
 					}
 				}
-				if len(seen) > 0 {
-					suspect, all = append(suspect, slices.Min(seen)), append(all, slices.Max(seen))
+				if len(suspected) > 0 {
+					firstSuspected, lastSuspected = append(firstSuspected, slices.Min(suspected)), append(lastSuspected, slices.Max(suspected))
 				}
 			}
-			suspect.report(b, "suspect")
-			all.report(b, "all-suspect")
-			dead.report(b, "dead")
+			firstSuspected.report(b, "suspect")
+			lastSuspected.report(b, "all-suspect")
+			declaredDead.report(b, "dead")
 			elected.report(b, "elected")
-			placed.report(b, "placed")
+			firstStarts.report(b, "placed")
 		}
 	})
 }
 
 // falseAlarms counts the effects of a fault during which no controller crashed: false suspicions and
 // deaths, leader changes, moved tasks and expired worker leases.
-type falseAlarms struct{ suspicions, deaths, leaders, moves, lapses float64 }
+type falseAlarms struct{ suspicions, deaths, leaderChanges, movedTasks, expiredLeases float64 }
 
 // countFalseAlarms injects a fault for ten minutes with each of several seeds and reports the false
 // alarms per hour.
 func countFalseAlarms(b *testing.B, operator []byte, inject func(w *world)) {
 	b.Helper()
-	const lasts, seeds = 10 * time.Minute, 4
+	const faultDuration, seeds = 10 * time.Minute, 4
 	var sum falseAlarms
 	for seed := range uint64(seeds) {
 		w := newWorldWith(b, 3100+seed, operator)
 		w.replicas()
 		began, token := w.Now(), w.leadership().lease.token
 		inject(w)
-		w.run(lasts)
-		sum.leaders += float64(w.leadership().lease.token - token)
+		w.run(faultDuration)
+		sum.leaderChanges += float64(w.leadership().lease.token - token)
 		for _, n := range w.nodes {
 			for _, c := range n.observer.changes {
 				switch {
@@ -136,25 +136,25 @@
 			}
 		}
 		for _, starts := range w.starts {
-			sum.moves += float64(starts - 1)
+			sum.movedTasks += float64(starts - 1)
 		}
 		for _, worker := range w.workers() {
 			if worker.Up && !worker.Deleted {
-				sum.lapses += float64(worker.Epoch - 1)
+				sum.expiredLeases += float64(worker.Epoch - 1)
 			}
 		}
 		w.requireNoViolations()
 	}
-	hours := (seeds * lasts).Hours()
+	hours := (seeds * faultDuration).Hours()
 	b.ReportMetric(sum.suspicions/hours, "suspicions/h")
 	b.ReportMetric(sum.deaths/hours, "deaths/h")
-	b.ReportMetric(sum.leaders/hours, "leader-changes/h")
-	b.ReportMetric(sum.moves/hours, "tasks-moved/h")
-	b.ReportMetric(sum.lapses/hours, "leases-run-out/h")
+	b.ReportMetric(sum.leaderChanges/hours, "leader-changes/h")
+	b.ReportMetric(sum.movedTasks/hours, "tasks-moved/h")
+	b.ReportMetric(sum.expiredLeases/hours, "leases-run-out/h")
 }
 
-// stallsEvery pauses the controllers in turn, one every twenty seconds, for the given duration.
-func stallsEvery(d time.Duration) func(*world) {
+// pauseInTurn pauses the controllers in turn, one every twenty seconds, for the given duration.
+func pauseInTurn(d time.Duration) func(*world) {
 	return func(w *world) {
 		node := 0
 		var next func()
@@ -174,7 +174,7 @@
 		b.Run(d.String(), func(b *testing.B) {
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
-					countFalseAlarms(b, operator, stallsEvery(d))
+					countFalseAlarms(b, operator, pauseInTurn(d))
 				}
 			})
 		})
@@ -221,7 +221,7 @@
 func BenchmarkDetectionCost(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			const lasts = 60 * second
+			const measuredTime = 60 * second
 			w := newWorldWith(b, 3200, operator)
 			w.replicas()
 			messages, bytes := 0, 0
@@ -232,9 +232,9 @@
 				}
 				return deliveryFault{}
 			}
-			w.run(lasts)
-			b.ReportMetric(float64(messages)/lasts.Seconds(), "messages/s")
-			b.ReportMetric(float64(bytes)/lasts.Seconds(), "bytes/s")
+			w.run(measuredTime)
+			b.ReportMetric(float64(messages)/measuredTime.Seconds(), "messages/s")
+			b.ReportMetric(float64(bytes)/measuredTime.Seconds(), "bytes/s")
 		}
 	})
 }
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -46,20 +46,20 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		var items []protocol.KeyValue
-		add := func(key string, value any) {
+		addRecord := func(key string, value any) {
 			items = append(items, protocol.KeyValue{Key: key, Value: protocol.Encode(value), Version: 1})
 		}
 		for _, j := range f.leadership.state.SortedJobs() {
-			add(clusterstate.JobPrefix+j.Spec.UID, j.Record())
+			addRecord(clusterstate.JobPrefix+j.Spec.UID, j.Record())
 		}
 		for i := range 10 * workers {
-			add(fmt.Sprintf("%sj-o%07d", clusterstate.JobPrefix, i), clusterstate.JobRecord{State: protocol.JobDone, Tasks: 12})
+			addRecord(fmt.Sprintf("%sj-o%07d", clusterstate.JobPrefix, i), clusterstate.JobRecord{State: protocol.JobDone, Tasks: 12})
 		}
 		for _, m := range f.leadership.machines.sortedMachines() {
-			add(clusterstate.MachinePrefix+m.ID, m.Record())
+			addRecord(clusterstate.MachinePrefix+m.ID, m.Record())
 		}
 		for i, rows := range f.counters() {
-			add(counterKey(i), clusterstate.Counters{At: f.controller.env.wall - 30_000, Jobs: rows})
+			addRecord(counterKey(i), clusterstate.Counters{At: f.controller.env.wall - 30_000, Jobs: rows})
 		}
 		bytes := 0
 		for _, it := range items {
@@ -122,8 +122,8 @@
 	return batches
 }
 
-// heapOf returns the bytes of heap that remain allocated after build while its result is reachable.
-func heapOf(build func() any) float64 {
+// retainedHeap returns the bytes of heap that remain allocated after build while its result is reachable.
+func retainedHeap(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -141,7 +141,7 @@
 		for b.Loop() {
 		}
 		var f *slopeFleet
-		perWorker := heapOf(func() any {
+		perWorker := retainedHeap(func() any {
 			f = newSlopeLeader(b, workers)
 			for i := range workers {
 				f.addMachine(i)
@@ -150,21 +150,21 @@
 		}) / float64(workers)
 		list := f.leadership.machines.sortedMachines()
 		var jobs []*clusterstate.Job
-		perWaiting := heapOf(func() any {
+		perWaiting := retainedHeap(func() any {
 			for i := range workers {
 				jobs = append(jobs, f.addJob(fmt.Sprintf("j-%08d", i), 0, i%3 == 0, scheduler.Resources{Cores: 1, Mem: 1}))
 			}
 			return f
 		}) / float64(workers)
-		perTask := heapOf(func() any {
+		perTask := retainedHeap(func() any {
 			for i, job := range jobs {
 				for index := range slopeTasksPerJob {
-					f.run(job, index, list[(i+index)%workers])
+					f.addRunningTask(job, index, list[(i+index)%workers])
 				}
 			}
 			return f
 		}) / float64(workers*slopeTasksPerJob)
-		perEnded := heapOf(func() any {
+		perEnded := retainedHeap(func() any {
 			for i := range 10 * workers {
 				uid := fmt.Sprintf("j-o%07d", i)
 				f.leadership.state.TerminalJobs[uid] = clusterstate.TerminalState{Tasks: 12}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -54,19 +54,19 @@
 	w.runs = func(string) time.Duration { return 10 * second }
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 2.0, "shards": 2, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-0") == 2 })
-	bad := w.workers()[0].ID
-	w.failTasks(nil, map[string]bool{bad: true})
+	faultyMachine := w.workers()[0].ID
+	w.failTasks(nil, map[string]bool{faultyMachine: true})
 	for i := range 2 {
 		w.submit(fmt.Sprintf("j-%d", i+1), map[string]any{"shards": 4, "cores": 1.0})
 	}
 	for i := range 2 {
 		w.awaitStatus(200*second, fmt.Sprintf("j-%d", i+1), protocol.JobDone)
 	}
-	if m := w.leadership().state.Machines[bad]; m != nil && !m.Faults.Faulty {
+	if m := w.leadership().state.Machines[faultyMachine]; m != nil && !m.Faults.Faulty {
 		t.Errorf("machine not considered faulty after %d failures: %+v", w.failures, m.Faults)
 	}
 	for _, m := range w.leadership().machines.sortedMachines() {
-		if m.ID != bad && (m.Faults.Faulty || m.Faults.ConfirmedJobs > 0) {
+		if m.ID != faultyMachine && (m.Faults.Faulty || m.Faults.ConfirmedJobs > 0) {
 			t.Errorf("failures are attributed to machine %s: %+v", m.ID, m.Faults)
 		}
 	}
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -13,10 +13,10 @@
 func TestRollingUpgrade(t *testing.T) {
 	for _, shape := range []topology{defaultTopology, wideShape} {
 		last := len(shape.controllers) - 1
-		for _, place := range []int{0, last / 2, last} {
-			t.Run(fmt.Sprintf("%d controllers, leader at position %d", last+1, place), func(t *testing.T) {
-				u := newUpgradeWorld(t, uint64(300+10*last+place), shape)
-				order := u.leaderAt(place)
+		for _, position := range []int{0, last / 2, last} {
+			t.Run(fmt.Sprintf("%d controllers, leader at position %d", last+1, position), func(t *testing.T) {
+				u := newUpgradeWorld(t, uint64(300+10*last+position), shape)
+				order := u.leaderAt(position)
 				u.restartAll(order[:last], newerOperator(""))
 				u.run(40 * second)
 				if u.steps[opens]+u.steps[journals] > 0 || !u.gateIs("closed") {
@@ -81,8 +81,8 @@
 			t.Errorf("n%d leads with the older version while the gate is open", i)
 		}
 	}
-	if now := u.running("j-1"); now != replicas {
-		t.Errorf("%d replicas run, %d before the rollback", now, replicas)
+	if running := u.running("j-1"); running != replicas {
+		t.Errorf("%d replicas run, %d before the rollback", running, replicas)
 	}
 	u.restart(1, newerOperator(""))
 	u.until(10*second, "the newer version leads", func() bool { return u.leader() == 1 })
@@ -106,8 +106,8 @@
 func checkOlderProcessesStay(t *testing.T, count int) {
 	u := newUpgradeWorld(t, 350, defaultTopology)
 	u.openGate()
-	back := u.leaderAt(0)[1 : 1+count]
-	for _, i := range back {
+	olderNodes := u.leaderAt(0)[1 : 1+count]
+	for _, i := range olderNodes {
 		u.restart(i, nil)
 	}
 	u.run(u.cfgs[0].WorkerLease() - 2*second)
@@ -115,7 +115,7 @@
 		t.Error("the gate closed before a worker's lease has passed")
 	}
 	u.until(20*second, "the gate is closed", func() bool { return u.gateIs("closed") })
-	u.restartAll(back, newerOperator(""))
+	u.restartAll(olderNodes, newerOperator(""))
 	u.run(20 * second)
 	if !u.gateIs("closed") {
 		t.Error("the gate opened again within 20 s")
@@ -128,9 +128,9 @@
 func checkAlternatingVersions(t *testing.T, count int) {
 	u := newUpgradeWorld(t, 360, defaultTopology)
 	u.openGate()
-	back := u.leaderAt(0)[1 : 1+count]
+	olderNodes := u.leaderAt(0)[1 : 1+count]
 	for turn := range 20 {
-		for _, i := range back {
+		for _, i := range olderNodes {
 			if turn%2 == 0 {
 				u.restart(i, nil)
 			} else {
@@ -152,8 +152,8 @@
 	inject func(u *upgradeWorld, node int) deliveryFault
 }
 
-// lateBy is the delay of transactions that are applied late.
-const lateBy = 4 * second
+// lateDelay is the delay of transactions that are applied late.
+const lateDelay = 4 * second
 
 var gateFaults = []gateFault{
 	{"the sender crashes and the transaction is lost", func(u *upgradeWorld, node int) deliveryFault {
@@ -166,9 +166,9 @@
 	}},
 	{"the sender crashes and the transaction is applied late", func(u *upgradeWorld, node int) deliveryFault {
 		u.endSoon(node)
-		return deliveryFault{hold: lateBy}
+		return deliveryFault{hold: lateDelay}
 	}},
-	{"the transaction is applied late and its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{hold: lateBy, answerLost: true} }},
+	{"the transaction is applied late and its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{hold: lateDelay, answerLost: true} }},
 	{"the answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{answerLost: true} }},
 	{"the transaction is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{lost: true} }},
 	{"the sender's process pauses", func(u *upgradeWorld, node int) deliveryFault {
@@ -195,23 +195,23 @@
 	}},
 	{"another controller runs the older version for a while", func(u *upgradeWorld, node int) deliveryFault {
 		other := (node + 1) % len(u.nodes)
-		u.olderFor(other, 5*second)
+		u.runOlderVersion(other, 5*second)
 		return deliveryFault{}
 	}},
 	{"the sender and another controller run the older version for a while", func(u *upgradeWorld, node int) deliveryFault {
 		for _, i := range []int{node, (node + 1) % len(u.nodes)} {
-			u.olderFor(i, 5*second)
+			u.runOlderVersion(i, 5*second)
 		}
 		return deliveryFault{hold: second}
 	}},
 }
 
-// olderFor restarts a controller with the older version and, after the given time, with the newer
+// runOlderVersion restarts a controller with the older version and, after the given time, with the newer
 // version and its previous settings.
-func (u *upgradeWorld) olderFor(i int, lasts time.Duration) {
+func (u *upgradeWorld) runOlderVersion(i int, duration time.Duration) {
 	operator := u.operators[i]
 	u.at(0, func() { u.restart(i, nil) })
-	u.at(lasts, func() { u.restart(i, operator) })
+	u.at(duration, func() { u.restart(i, operator) })
 }
 
 // endSoon crashes a controller once the current event has been handled, and boots it three seconds
@@ -236,12 +236,12 @@
 		for number, fault := range gateFaults {
 			t.Run(fmt.Sprintf("%s/%s", step, fault.name), func(t *testing.T) {
 				u := newUpgradeWorld(t, uint64(400+number), defaultTopology)
-				struck := false
+				injected := false
 				u.onStep = func(now gateStep, node int) deliveryFault {
-					if now != step || struck {
+					if now != step || injected {
 						return deliveryFault{}
 					}
-					struck = true
+					injected = true
 					return fault.inject(u, node)
 				}
 				u.restartAll(u.leaderAt(0), newerOperator(""))
@@ -256,7 +256,7 @@
 						t.Errorf("journal keys left after the gate has closed: %v", keys)
 					}
 				}
-				if !struck {
+				if !injected {
 					t.Fatalf("no transaction of step %q was sent", step)
 				}
 				u.settleAndCheck()
@@ -271,29 +271,29 @@
 	for _, when := range []gateStep{noStep, opens, closes} {
 		t.Run(string(when), func(t *testing.T) {
 			u := newUpgradeWorld(t, 370, wideShape)
-			part := func() {
+			partition := func() {
 				u.partitionZones(when != opens, 25*second)
-				parted := u.script
+				partitionFault := u.script
 				u.script = func(node int, c Call) deliveryFault {
-					if f := parted(node, c); f != (deliveryFault{}) {
+					if f := partitionFault(node, c); f != (deliveryFault{}) {
 						return f
 					}
 					return u.fault(node, c)
 				}
 				u.at(25*second, func() { u.script, u.heartbeatFault, u.unreachable = u.fault, nil, nil })
 			}
-			struck := false
+			injected := false
 			u.onStep = func(step gateStep, _ int) deliveryFault {
-				if step == when && !struck {
-					struck = true
-					u.at(0, part)
+				if step == when && !injected {
+					injected = true
+					u.at(0, partition)
 				}
 				return deliveryFault{}
 			}
 			order := u.leaderAt(2)
 			u.restartAll(order[:4], newerOperator(""))
 			if when == noStep {
-				part()
+				partition()
 			}
 			u.restartAll(order[4:], newerOperator(""))
 			u.until(90*second, "the gate is open", func() bool { return u.gateIs("open") })
@@ -351,12 +351,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			u := newUpgradeWorld(t, 390, defaultTopology)
-			held, until := 0, u.Now()+late
+			delayed, arrival := 0, u.Now()+late
 			u.script = func(node int, call Call) deliveryFault {
 				f := u.fault(node, call)
-				if call.Path == "/multi" && held < 3 && c.holds(u, u.stepOf(call.Body), node) {
-					held++
-					f.hold = until - u.Now()
+				if call.Path == "/multi" && delayed < 3 && c.holds(u, u.stepOf(call.Body), node) {
+					delayed++
+					f.hold = arrival - u.Now()
 					u.endSoon(node)
 				}
 				return f
@@ -373,12 +373,12 @@
 				u.restart(u.leaderAt(0)[1], newerOperator(holdOn))
 				u.until(30*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 			}
-			if held == 0 || u.Now() >= until {
-				t.Fatalf("%d transactions are delayed until %v, and the time is %v", held, until, u.Now())
+			if delayed == 0 || u.Now() >= arrival {
+				t.Fatalf("%d transactions are delayed until %v, and the time is %v", delayed, arrival, u.Now())
 			}
 			gate := u.gateIs("open")
 			conflicts := u.state.Stats.Conflicts
-			u.queue.RunUntil(until + second)
+			u.queue.RunUntil(arrival + second)
 			if u.state.Stats.Conflicts == conflicts {
 				t.Error("no conflict: the conditions of the late transactions were met")
 			}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -20,18 +20,18 @@
 			w.awaitLeader()
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "apart": true})
 			w.submit("j-2", map[string]any{"shape": "service", "shards": 4, "apart": true, "owner": "blue"})
-			all := func() bool { return w.running("j-1") == 6 && w.running("j-2") == 4 }
-			w.until(90*second, "replicas run", all)
+			allRunning := func() bool { return w.running("j-1") == 6 && w.running("j-2") == 4 }
+			w.until(90*second, "replicas run", allRunning)
 			w.run(15 * second)
 			lead := w.leader()
-			unhearing := map[string]bool{}
+			callsLostTo := map[string]bool{}
 			for _, worker := range w.workers() {
-				if len(unhearing) < minMissedMachines && len(worker.Tasks) > 0 {
-					unhearing[worker.Addr] = true
+				if len(callsLostTo) < minMissedMachines && len(worker.Tasks) > 0 {
+					callsLostTo[worker.Addr] = true
 				}
 			}
 			w.script = func(node int, c Call) deliveryFault {
-				return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || unhearing[c.Addr])}
+				return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || callsLostTo[c.Addr])}
 			}
 			if !answersLost {
 				w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
@@ -40,7 +40,7 @@
 			w.submit("j-3", map[string]any{"shards": 4})
 			for range 30 {
 				w.run(second)
-				if !answersLost && !all() {
+				if !answersLost && !allRunning() {
 					t.Fatal("a worker's lease expired before the leader resigned")
 				}
 			}
@@ -62,13 +62,13 @@
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	lease := c.env.cfg.WorkerLease()
-	miss := func() {
+	missThreeMachines := func() {
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
 			l.reach.noteMissed(id, c.env.now)
 		}
 	}
 	l.reach.lastReachedAt, c.env.now = c.env.now, c.env.now+lease
-	miss()
+	missThreeMachines()
 	if l.reach.cannotReachWorkers() {
 		t.Error("workers considered unreachable before the other machines could be probed")
 	}
@@ -78,7 +78,7 @@
 		t.Error("workers considered unreachable although a machine answered")
 	}
 	c.env.now += lease
-	miss()
+	missThreeMachines()
 	c.env.now += lease/20 + second
 	if !l.reach.cannotReachWorkers() {
 		t.Error("workers considered reachable although no machine answered")
@@ -157,7 +157,7 @@
 // The cost of a tick, and of a heartbeat of a machine without pending commands, must not grow with
 // the fleet: neither may build or sort lists. The test counts allocations.
 func TestIdleTickCostIsIndependentOfFleetSize(t *testing.T) {
-	count := func(machines int) (tick, heartbeat float64) {
+	measureAllocations := func(machines int) (tick, heartbeat float64) {
 		w := newWorld(t, 53)
 		c := w.nodes[w.awaitLeader()].controller
 		l := c.leadership
@@ -186,13 +186,13 @@
 		})
 		return tick, heartbeat
 	}
-	tick, heartbeat := count(1000)
-	tick2, heartbeat2 := count(2000)
-	if tick != 0 || tick2 != 0 {
-		t.Errorf("a tick made %v allocations for 1000 machines, %v for 2000, want 0", tick, tick2)
+	smallTick, smallHeartbeat := measureAllocations(1000)
+	largeTick, largeHeartbeat := measureAllocations(2000)
+	if smallTick != 0 || largeTick != 0 {
+		t.Errorf("a tick made %v allocations for 1000 machines, %v for 2000, want 0", smallTick, largeTick)
 	}
-	if heartbeat2 > heartbeat {
-		t.Errorf("a heartbeat made %v allocations with 1000 machines, %v with 2000", heartbeat, heartbeat2)
+	if largeHeartbeat > smallHeartbeat {
+		t.Errorf("a heartbeat made %v allocations with 1000 machines, %v with 2000", smallHeartbeat, largeHeartbeat)
 	}
 }
 
@@ -203,15 +203,15 @@
 //   - its replicas would fetch their images for longer than a lease, or there is no capacity for
 //     them elsewhere: the machine may recover sooner.
 func TestUnreachableMachineIsDeleted(t *testing.T) {
-	for _, what := range []string{"dead", "hanging", "cut zone", "long fetch", "no room"} {
-		t.Run(what, func(t *testing.T) {
+	for _, scenario := range []string{"dead", "hanging", "partitioned zone", "long fetch", "no capacity"} {
+		t.Run(scenario, func(t *testing.T) {
 			w := newWorld(t, 54)
 			for _, cfg := range w.cfgs {
 				cfg.Cluster.Workers.LeaseS, cfg.Cluster.Workers.HeartbeatS = 31, 2
 			}
 			w.awaitLeader()
 			size := 1.0
-			if what == "long fetch" {
+			if scenario == "long fetch" {
 				size = 40
 			}
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 8, "sizeGb": size})
@@ -221,27 +221,27 @@
 			if w.leader() == 2 {
 				t.Fatal("the leader is in zone b, which the test partitions")
 			}
-			w.cloud.OutOfCapacity = what == "no room"
+			w.cloud.OutOfCapacity = scenario == "no capacity"
 			w.unreachable = map[string]bool{}
 			var victim *emulator.Worker
 			for _, worker := range w.workers() {
-				if what == "cut zone" && worker.Zone == "b" {
+				if scenario == "partitioned zone" && worker.Zone == "b" {
 					w.unreachable[worker.Addr] = true
-				} else if what != "cut zone" && worker.Zone == "a" && len(worker.Tasks) > 0 && victim == nil {
+				} else if scenario != "partitioned zone" && worker.Zone == "a" && len(worker.Tasks) > 0 && victim == nil {
 					victim = worker
 					worker.Partitioned = true
-					w.unreachable[worker.Addr] = what != "hanging"
+					w.unreachable[worker.Addr] = scenario != "hanging"
 				}
 			}
-			if what == "cut zone" {
+			if scenario == "partitioned zone" {
 				w.partitionZoneB()
 			}
 			w.cloud.Deleted = nil
 			w.run(28 * second)
-			if want := what == "dead"; (len(w.cloud.Deleted) > 0) != want {
-				t.Errorf("%s: deleted %v", what, w.cloud.Deleted)
+			if want := scenario == "dead"; (len(w.cloud.Deleted) > 0) != want {
+				t.Errorf("%s: deleted %v", scenario, w.cloud.Deleted)
 			}
-			if what == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
+			if scenario == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
 				t.Errorf("%d of 12 replicas run after 28 s, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
 			}
 			w.requireNoViolations()
@@ -286,13 +286,13 @@
 	c := w.nodes[w.awaitLeader()].controller
 	l := c.leadership
 	w.run(20 * second) // until the machine types and the list of machines have been read
-	add := func(uid string, service bool, tasks int) *clusterstate.Job {
+	addJob := func(uid string, service bool, tasks int) *clusterstate.Job {
 		j := l.state.AddJob(&protocol.JobSpec{UID: uid, Class: uid, Team: "red", Service: service, Tasks: tasks, Cores: 8, MemoryGB: 1}, c.env.wall)
 		j.Stored = true
 		return j
 	}
-	web := add("j-1", true, 3)
-	var all []*clusterstate.Machine
+	web := addJob("j-1", true, 3)
+	var machines []*clusterstate.Machine
 	for i := range 4 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), l.machines.machineSize("m8")
@@ -301,21 +301,21 @@
 			a := l.state.AddAttempt(m, web, i, l.attemptNumbers.take(), c.env.now)
 			a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.TaskRunning, 1
 		}
-		all = append(all, m)
+		machines = append(machines, m)
 	}
 	if l.consolidator.manyUnresponsive() {
 		t.Error("machines considered unresponsive although all answer")
 	}
-	all[0].FailedCalls, all[0].LastSeen, l.lease.electedAt = 2, c.env.now-c.env.cfg.WorkerLease()/2, c.env.now-c.env.cfg.WorkerLease()
+	machines[0].FailedCalls, machines[0].LastSeen, l.lease.electedAt = 2, c.env.now-c.env.cfg.WorkerLease()/2, c.env.now-c.env.cfg.WorkerLease()
 	if !l.consolidator.manyUnresponsive() {
 		t.Error("one machine of three is unresponsive, and consolidation may drain others")
 	}
-	batch := add("j-2", false, 1)
+	batch := addJob("j-2", false, 1)
 	l.placement.runFill()
 	if batch.ActiveAttempts != 0 {
 		t.Error("an array's task took the capacity that the replica of an unresponsive machine may need")
 	}
-	all[0].FailedCalls, all[0].LastSeen = 0, c.env.now
+	machines[0].FailedCalls, machines[0].LastSeen = 0, c.env.now
 	l.placement.runFill()
 	if batch.ActiveAttempts != 1 {
 		t.Error("an array's task waits although no machine is unresponsive")
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -8,9 +8,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// fullFleet fills the given number of machines with long tasks of low priority and makes the cloud
+// fillFleet fills the given number of machines with long tasks of low priority and makes the cloud
 // unavailable, so that no more machines can be rented.
-func (w *world) fullFleet(machines int) {
+func (w *world) fillFleet(machines int) {
 	w.t.Helper()
 	w.runs = func(task string) time.Duration {
 		if task[:3] == "j-0" {
@@ -31,11 +31,11 @@
 	for _, together := range []bool{false, true} {
 		t.Run(fmt.Sprintf("together %v", together), func(t *testing.T) {
 			w := newWorld(t, 111)
-			w.fullFleet(4)
+			w.fillFleet(4)
 			w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
 			w.until(10*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
-			if left := w.running("j-0"); left < 16-6 {
-				t.Errorf("together %v: %d of 16 tasks still run, want at least 10", together, left)
+			if running := w.running("j-0"); running < 16-6 {
+				t.Errorf("together %v: %d of 16 tasks still run, want at least 10", together, running)
 			}
 			w.awaitStatus(30*second, "j-1", protocol.JobDone)
 			w.cancel("j-0")
@@ -47,7 +47,7 @@
 // If preemption can free capacity for only some of a gang's tasks, no task is preempted.
 func TestNoPreemptionForPartOfAGang(t *testing.T) {
 	w := newWorld(t, 112)
-	w.fullFleet(2)
+	w.fillFleet(2)
 	w.submit("j-1", group(4, 5, map[string]any{"rank": "high"})) // one task per machine
 	w.run(40 * second)
 	if n := w.running("j-0"); n != 8 {
@@ -62,7 +62,7 @@
 // teams must start all the same, and no gang may reserve capacity that it does not use.
 func TestNoGangStarvesInAFullFleet(t *testing.T) {
 	w := newWorld(t, 113)
-	w.fullFleet(4)
+	w.fillFleet(4)
 	w.submit("j-1", group(6, 2, map[string]any{"owner": "blue"}))
 	w.submit("j-2", group(7, 2, map[string]any{"owner": "red"}))
 	w.submit("j-3", group(4, 2, map[string]any{"owner": "blue", "together": true}))
@@ -83,7 +83,7 @@
 // wait for a machine to boot.
 func TestGangDoesNotUseCapacityReservedForReplicas(t *testing.T) {
 	w := newWorld(t, 114)
-	w.fullFleet(3)
+	w.fillFleet(3)
 	for i := range 8 {
 		w.submit(fmt.Sprintf("j-2%d", i), map[string]any{"tier": "web", "shape": "service", "rank": "high", "cores": 0.5, "owner": "blue"})
 	}
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -18,16 +18,16 @@
 }
 
 // machinesWithTasksOf returns the machines that run or prepare tasks of a job.
-func (w *world) machinesWithTasksOf(uid string) (out []*emulator.Worker) {
+func (w *world) machinesWithTasksOf(uid string) (machines []*emulator.Worker) {
 	for _, worker := range w.workers() {
 		for _, t := range worker.Tasks {
 			if t.UID == uid && t.State != protocol.TaskExited && !worker.Deleted {
-				out = append(out, worker)
+				machines = append(machines, worker)
 				break
 			}
 		}
 	}
-	return out
+	return machines
 }
 
 // The image of one task of a gang is fetched too late, so the other tasks time out: the attempt is
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -82,9 +82,9 @@
 	if len(commands) != 4 {
 		t.Fatalf("%d of 4 tasks received a stop command", len(commands))
 	}
-	for _, h := range commands {
-		if h.at > commands[0].at+5*second || h.grace < 2+5 {
-			t.Errorf("stop command received %v after the first one, with a grace period of %v s; want at most 5 s and at least 7 s", h.at-commands[0].at, h.grace)
+	for _, command := range commands {
+		if command.at > commands[0].at+5*second || command.grace < 2+5 {
+			t.Errorf("stop command received %v after the first one, with a grace period of %v s; want at most 5 s and at least 7 s", command.at-commands[0].at, command.grace)
 		}
 	}
 	w.until(60*second, "the gang has restarted", func() bool { return w.machines.GangStarts["j-1"] == 2 })
@@ -173,17 +173,17 @@
 	}
 	w.state.Preset(clusterstate.JobPrefix+"j-2", &emulator.Item{Version: 1, Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
 	w.startPolling("j-2")
-	try := uint64(1 << 20)
+	attempt := uint64(1 << 20)
 	for i, worker := range w.workers() {
 		it := w.state.Item(clusterstate.MachinePrefix + worker.ID)
 		var rec clusterstate.MachineRecord
 		if it == nil || i > 1 || protocol.Decode(it.Value, &rec) != nil {
 			continue
 		}
-		try++
-		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Try: try})
+		attempt++
+		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Try: attempt})
 		it.Value = protocol.Encode(rec)
-		worker.AddTask(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Attempt: try, State: protocol.TaskWaitingForGang})
+		worker.AddTask(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Attempt: attempt, State: protocol.TaskWaitingForGang})
 	}
 	w.restart(w.awaitLeader(), second)
 	w.awaitStatus(120*second, "j-2", protocol.JobDone)
@@ -198,28 +198,28 @@
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
 	w.pulls = func(string) time.Duration { return 12 * second }
 	w.submit("j-1", group(2, 2, nil))
-	try := func() (out uint64) {
+	highestAttempt := func() (highest uint64) {
 		for _, worker := range w.workers() {
 			for _, task := range worker.Tasks {
 				if task.UID == "j-1" && !worker.Deleted {
-					out = max(out, task.Attempt)
+					highest = max(highest, task.Attempt)
 				}
 			}
 		}
-		return out
+		return highest
 	}
-	w.until(10*second, "a task of the gang is on a machine", func() bool { return try() > 0 })
+	w.until(10*second, "a task of the gang is on a machine", func() bool { return highestAttempt() > 0 })
 	w.run(second)
-	first := try()
+	first := highestAttempt()
 	for _, worker := range w.workers() {
-		if _, here := worker.Tasks[fmt.Sprintf("j-1/0@%d", first)]; here {
+		if _, found := worker.Tasks[fmt.Sprintf("j-1/0@%d", first)]; found {
 			worker.Die()
 		}
 	}
 	w.pulls = nil
 	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
-	if try() != first {
-		t.Errorf("the gang runs in attempt %d, want the first attempt %d", try(), first)
+	if highestAttempt() != first {
+		t.Errorf("the gang runs in attempt %d, want the first attempt %d", highestAttempt(), first)
 	}
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
@@ -272,7 +272,7 @@
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
 	w.pulls = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", group(2, 2, nil))
-	at := func(worker *emulator.Worker) bool {
+	hasGangTask := func(worker *emulator.Worker) bool {
 		for _, task := range worker.Tasks {
 			if task.UID == "j-1" {
 				return true
@@ -283,14 +283,14 @@
 	w.until(10*second, "both tasks of the gang are on machines", func() bool {
 		n := 0
 		for _, worker := range w.workers() {
-			if at(worker) {
+			if hasGangTask(worker) {
 				n++
 			}
 		}
 		return n == 2
 	})
 	for _, worker := range w.workers() {
-		if at(worker) {
+		if hasGangTask(worker) {
 			worker.Die()
 			break
 		}
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -22,15 +22,15 @@
 	for _, worker := range w.workers() {
 		worker.Partitioned = true
 	}
-	asked := 0
+	answers := 0
 	w.user(lead, OpCancel, "j-1", func(status int, _ protocol.JobStatus) {
-		if asked++; status != http.StatusServiceUnavailable {
+		if answers++; status != http.StatusServiceUnavailable {
 			t.Errorf("cancellation answered with status %d before the absence of the tasks is proved, want 503", status)
 		}
 	})
 	w.run(2 * second)
-	if w.lastReplies["j-1"] == protocol.JobCancelled || asked != 1 {
-		t.Fatalf("reported state %q after %d answers, want 1 answer and no cancellation yet", w.lastReplies["j-1"], asked)
+	if w.lastReplies["j-1"] == protocol.JobCancelled || answers != 1 {
+		t.Fatalf("reported state %q after %d answers, want 1 answer and no cancellation yet", w.lastReplies["j-1"], answers)
 	}
 	w.crash(lead)
 	for _, worker := range w.workers() {
@@ -65,10 +65,10 @@
 func TestLateCreationAfterDeletion(t *testing.T) {
 	w := newWorld(t, 72)
 	w.awaitLeader()
-	var held []string
+	var createdKeys []string
 	w.script = func(_ int, c Call) deliveryFault {
 		var txn protocol.Transaction
-		if c.Path != "/multi" || protocol.Decode(c.Body, &txn) != nil || len(held) > 0 {
+		if c.Path != "/multi" || protocol.Decode(c.Body, &txn) != nil || len(createdKeys) > 0 {
 			return deliveryFault{}
 		}
 		for _, ch := range txn.Then {
@@ -77,7 +77,7 @@
 			}
 		}
 		for _, ch := range txn.Then {
-			held = append(held, ch.Put)
+			createdKeys = append(createdKeys, ch.Put)
 		}
 		return deliveryFault{hold: 55 * second, answerLost: true}
 	}
@@ -85,17 +85,17 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.cancel("j-1")
 	absent := func() bool {
-		for _, k := range held {
+		for _, k := range createdKeys {
 			if w.state.Item(k) != nil {
 				return false
 			}
 		}
-		return len(held) > 0
+		return len(createdKeys) > 0
 	}
 	w.until(100*second, "the machines are deleted from the store", absent)
 	w.run(60 * second)
 	if !absent() {
-		t.Errorf("deleted keys %v were created again by a late transaction", held)
+		t.Errorf("deleted keys %v were created again by a late transaction", createdKeys)
 	}
 	w.settle()
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -24,14 +24,14 @@
 	w.until(2*second, "replicas have ended", func() bool { return w.running("j-2") == 0 })
 	w.submit("j-1", map[string]any{"shards": 5}) // repeated after the job is done
 	w.run(120 * second)
-	up := 0
+	remaining := 0
 	for _, worker := range w.workers() {
 		if !worker.Deleted {
-			up++
+			remaining++
 		}
 	}
-	if up > 2 {
-		t.Errorf("%d idle machines are kept, want at most 2", up)
+	if remaining > 2 {
+		t.Errorf("%d idle machines are kept, want at most 2", remaining)
 	}
 	w.requireNoViolations()
 }
@@ -67,21 +67,21 @@
 	w.submit("j-1", map[string]any{"shards": 6, "cores": 4.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "tasks and replicas run", func() bool { return w.running("j-1") >= 4 && w.running("j-2") == 2 })
-	old := w.awaitLeader()
+	oldLeader := w.awaitLeader()
 	// The old leader still reaches its workers, and loses the state service and the other controllers.
 	// Direct commands of the other controllers don't reach the workers.
 	w.script = func(node int, c Call) deliveryFault {
-		lost := (node == old && (c.Target == ToState || c.Target == ToPeer)) ||
-			(node != old && c.Target == ToWorker) || (c.Target == ToPeer && strings.HasPrefix(c.Addr, fmt.Sprintf("10.0.0.%d:", old)))
+		lost := (node == oldLeader && (c.Target == ToState || c.Target == ToPeer)) ||
+			(node != oldLeader && c.Target == ToWorker) || (c.Target == ToPeer && strings.HasPrefix(c.Addr, fmt.Sprintf("10.0.0.%d:", oldLeader)))
 		return deliveryFault{lost: lost}
 	}
-	w.until(15*second, "a second leader is elected", func() bool { l := w.leader(); return l >= 0 && l != old })
+	w.until(15*second, "a second leader is elected", func() bool { l := w.leader(); return l >= 0 && l != oldLeader })
 	w.cancel("j-2")
 	for range 150 {
 		w.run(second)
 		w.checkCancelledTasksEnded()
 	}
-	if w.nodes[old].controller.leadership != nil {
+	if w.nodes[oldLeader].controller.leadership != nil {
 		t.Error("the old leader has not resigned after 150 s without the state service")
 	}
 	w.script = nil
@@ -116,10 +116,10 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 8.0, "apart": true}) // 32 of 32 cores
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.submit("j-2", map[string]any{"shards": 2})
-	n := 0
+	partitioned := 0
 	for _, worker := range w.workers() {
-		if len(worker.Tasks) > 0 && n < 2 {
-			n++
+		if len(worker.Tasks) > 0 && partitioned < 2 {
+			partitioned++
 			worker.Partitioned = true
 		}
 	}
@@ -142,7 +142,7 @@
 	w.run(12 * second)
 	status := -1
 	w.spec("j-2", nil)
-	w.user(w.awaitNode(), OpSubmit, "j-2", func(s int, _ protocol.JobStatus) { status = s })
+	w.user(w.leadingNode(), OpSubmit, "j-2", func(s int, _ protocol.JobStatus) { status = s })
 	w.run(tick)
 	if status != http.StatusServiceUnavailable {
 		t.Errorf("a submission during the outage got status %d, want 503 at once", status)
@@ -159,8 +159,8 @@
 	w.requireNoViolations()
 }
 
-// awaitNode returns the first live controller that has a leadership, or 0 if there is none.
-func (w *world) awaitNode() int {
+// leadingNode returns the first live controller that has a leadership, or 0 if there is none.
+func (w *world) leadingNode() int {
 	for i, n := range w.nodes {
 		if n.alive && n.controller.leadership != nil {
 			return i
--- a/internal/controller/slope_fleet_test.go
+++ b/internal/controller/slope_fleet_test.go
@@ -93,9 +93,9 @@
 	f.leadership.pool.Tick()
 	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && strings.HasPrefix(call.Path, "/machines?") {
-			then := f.controller.outbox.calls[call.ID]
+			callback := f.controller.outbox.calls[call.ID]
 			delete(f.controller.outbox.calls, call.ID)
-			then(Result{ID: call.ID, Status: 200, Body: protocol.Encode(list)})
+			callback(Result{ID: call.ID, Status: 200, Body: protocol.Encode(list)})
 		}
 	}
 	f.controller.outbox.effects = f.controller.outbox.effects[:0]
@@ -116,7 +116,7 @@
 		if i%slopeTasksPerJob == 0 {
 			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Resources{Cores: 1, Mem: 2})
 		}
-		f.run(job, i%slopeTasksPerJob, f.leadership.machines.sortedMachines()[i%workers])
+		f.addRunningTask(job, i%slopeTasksPerJob, f.leadership.machines.sortedMachines()[i%workers])
 	}
 	f.fillMachines()
 	for i := range int(float64(workers) * slopeWaitingPerWorker) {
@@ -149,8 +149,8 @@
 	return job
 }
 
-// run places a task on a machine; the task has been running there for a minute.
-func (f *slopeFleet) run(job *clusterstate.Job, index int, m *clusterstate.Machine) {
+// addRunningTask places a task on a machine; the task has been running there for a minute.
+func (f *slopeFleet) addRunningTask(job *clusterstate.Job, index int, m *clusterstate.Machine) {
 	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.take(), f.controller.env.now-time.Minute)
 	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
 	a.SetState(protocol.TaskRunning)
@@ -161,12 +161,12 @@
 func (f *slopeFleet) fillMachines() {
 	big := f.addJob("j-big", 0, false, scheduler.Resources{})
 	for i, m := range f.leadership.machines.sortedMachines() {
-		left := scheduler.Resources{}
+		remaining := scheduler.Resources{}
 		if i%3 == 0 {
-			left = scheduler.Resources{Cores: 14, Accel: 2, Mem: 60}
+			remaining = scheduler.Resources{Cores: 14, Accel: 2, Mem: 60}
 		}
 		free := m.Size.Minus(m.Used)
-		m.Used = m.Used.Plus(scheduler.Resources{Cores: max(0, free.Cores-left.Cores), Accel: max(0, free.Accel-left.Accel)})
+		m.Used = m.Used.Plus(scheduler.Resources{Cores: max(0, free.Cores-remaining.Cores), Accel: max(0, free.Accel-remaining.Accel)})
 	}
 	f.leadership.state.RemoveJob(big.Spec.UID)
 }
@@ -187,7 +187,7 @@
 		f.controller.outbox.stateChanges.Refill()
 		f.controller.outbox.stateRequests.Refill()
 		f.leadership.flush()
-		if !f.answerTransaction() {
+		if !f.applySentTransaction() {
 			break
 		}
 	}
@@ -195,9 +195,9 @@
 	clear(f.controller.outbox.calls)
 }
 
-// answerTransaction answers the transaction among the outbox's effects as applied. It returns false
+// applySentTransaction answers the transaction among the outbox's effects as applied. It returns false
 // if there is none.
-func (f *slopeFleet) answerTransaction() bool {
+func (f *slopeFleet) applySentTransaction() bool {
 	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
 			f.revision++
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -33,14 +33,14 @@
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 3 && w.running("j-3") == 2 })
 	w.awaitStatus(200*second, "j-2", protocol.JobDone)
 	lead := w.leader()
-	started := w.totalStarts()
+	startsBefore := w.totalStarts()
 	w.crash(lead)
 	w.run(3 * second)
 	w.boot(lead)
 	w.awaitLeader()
 	w.run(30 * second)
-	if w.running("j-1") != 3 || w.running("j-3") != 2 || w.totalStarts() != started {
-		t.Errorf("%d and %d replicas run after a failover, want 3 and 2; %d tasks were started, want none", w.running("j-1"), w.running("j-3"), w.totalStarts()-started)
+	if w.running("j-1") != 3 || w.running("j-3") != 2 || w.totalStarts() != startsBefore {
+		t.Errorf("%d and %d replicas run after a failover, want 3 and 2; %d tasks were started, want none", w.running("j-1"), w.running("j-3"), w.totalStarts()-startsBefore)
 	}
 	w.settle()
 }
@@ -55,13 +55,13 @@
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 			w.run(10 * second)
-			started := w.totalStarts()
+			startsBefore := w.totalStarts()
 			w.partitionZones(refused, 40*second)
 			w.run(40 * second)
 			w.script, w.heartbeatFault, w.unreachable = nil, nil, nil
 			w.run(20 * second)
-			if w.running("j-1") != 4 || w.totalStarts() != started {
-				t.Errorf("refused %v: %d replicas run, want 4; %d tasks were started, want none", refused, w.running("j-1"), w.totalStarts()-started)
+			if w.running("j-1") != 4 || w.totalStarts() != startsBefore {
+				t.Errorf("refused %v: %d replicas run, want 4; %d tasks were started, want none", refused, w.running("j-1"), w.totalStarts()-startsBefore)
 			}
 			w.settle()
 		})
--- a/internal/controller/world_faults_test.go
+++ b/internal/controller/world_faults_test.go
@@ -34,13 +34,13 @@
 
 // randomMachines returns a random share of the machines that are up.
 func (w *world) randomMachines(share float64) []*emulator.Worker {
-	var out []*emulator.Worker
+	var machines []*emulator.Worker
 	for _, worker := range w.workers() {
 		if worker.Up && !worker.Deleted && w.rng.Float64() < share {
-			out = append(out, worker)
+			machines = append(machines, worker)
 		}
 	}
-	return out
+	return machines
 }
 
 // restart crashes a controller and boots it again after a delay.
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -78,12 +78,12 @@
 
 // simNode is a controller process of a world.
 type simNode struct {
-	controller  *Controller
-	alive       bool
-	incarnation int
-	startedAt   time.Duration // zero of the process's monotonic clock, in the world's time
-	last        uint64        // ID of the last request to the controller
-	waiters     map[uint64]func(Reply)
+	controller     *Controller
+	alive          bool
+	incarnation    int
+	startedAt      time.Duration // zero of the process's monotonic clock, in the world's time
+	lastRequestID  uint64        // ID of the last request to the controller
+	pendingReplies map[uint64]func(Reply)
 	// older: the node's version does not support probes. withoutGate: it supports neither probes nor
 	// the feature gate, see olderCall.
 	older, withoutGate bool
@@ -135,7 +135,7 @@
 		w.nodes = append(w.nodes, &simNode{})
 		w.boot(i)
 	}
-	w.watch()
+	w.scheduleChecks()
 	return w
 }
 
@@ -170,8 +170,8 @@
 // requireNoViolations fails the test if violations of invariants have been recorded.
 func (w *world) requireNoViolations() {
 	w.t.Helper()
-	for _, b := range w.violations {
-		w.t.Error(b)
+	for _, violation := range w.violations {
+		w.t.Error(violation)
 	}
 }
 
@@ -183,7 +183,7 @@
 	n.alive, n.incarnation, n.startedAt, n.scripted = true, n.incarnation+1, w.Now(), nil
 	n.paused, n.held = false, nil
 	incarnation := n.incarnation
-	n.waiters = map[uint64]func(Reply){}
+	n.pendingReplies = map[uint64]func(Reply){}
 	sink := io.Discard
 	if os.Getenv("CLAYBARROW_TEST_LOG") != "" {
 		sink = os.Stderr
@@ -195,16 +195,16 @@
 	n.controller = New(w.cfgs[i], rand.New(rand.NewPCG(w.rng.Uint64(), 2)), log)
 	n.observer = &worldObserver{w: w, node: i}
 	n.controller.Observe(n.observer)
-	var beat func()
-	beat = func() {
+	var sendTick func()
+	sendTick = func() {
 		if n.alive && n.incarnation == incarnation {
 			if !n.paused {
 				w.feed(i, Tick{})
 			}
-			w.at(tick, beat)
+			w.at(tick, sendTick)
 		}
 	}
-	w.at(time.Duration(i)*time.Millisecond, beat)
+	w.at(time.Duration(i)*time.Millisecond, sendTick)
 }
 
 // crash ends a controller's process without a graceful shutdown.
@@ -232,8 +232,8 @@
 	for _, e := range effects {
 		switch e := e.(type) {
 		case Reply:
-			if f := n.waiters[e.ID]; f != nil {
-				delete(n.waiters, e.ID)
+			if f := n.pendingReplies[e.ID]; f != nil {
+				delete(n.pendingReplies, e.ID)
 				f(e)
 			}
 		case Call:
@@ -257,17 +257,17 @@
 		then(Reply{})
 		return
 	}
-	n.last++
-	req.ID = n.last
-	incarnation, done := n.incarnation, false
-	n.waiters[req.ID] = func(r Reply) { done = true; then(r) }
+	n.lastRequestID++
+	req.ID = n.lastRequestID
+	incarnation, answered := n.incarnation, false
+	n.pendingReplies[req.ID] = func(r Reply) { answered = true; then(r) }
 	w.feed(i, req)
 	w.at(5*time.Second, func() {
-		if !done && n.incarnation == incarnation {
-			delete(n.waiters, req.ID)
+		if !answered && n.incarnation == incarnation {
+			delete(n.pendingReplies, req.ID)
 		}
-		if !done {
-			done = true
+		if !answered {
+			answered = true
 			then(Reply{})
 		}
 	})
@@ -426,12 +426,12 @@
 // time. A reply to a request that was already in flight when the state last changed may hold the
 // earlier state, as replies can arrive out of order; it is ignored.
 func (w *world) recordStatus(uid string, s protocol.JobStatus, sent time.Duration) {
-	before := w.lastReplies[uid]
-	if s.State != before && sent < w.lastReplyAt[uid] {
+	previous := w.lastReplies[uid]
+	if s.State != previous && sent < w.lastReplyAt[uid] {
 		return
 	}
-	if (before == protocol.JobDone || before == protocol.JobCancelled) && s.State != before {
-		w.violated("went_back: %s was %s, now %s", uid, before, s.State)
+	if (previous == protocol.JobDone || previous == protocol.JobCancelled) && s.State != previous {
+		w.violated("went_back: %s was %s, now %s", uid, previous, s.State)
 	}
 	if s.State == protocol.JobDone {
 		n := w.specs[uid]["shards"].(int)
@@ -441,51 +441,51 @@
 			}
 		}
 	}
-	if s.State == protocol.JobCancelled && before != s.State {
+	if s.State == protocol.JobCancelled && previous != s.State {
 		w.cancelledAt[uid] = w.Now()
 		if !w.cancelRequested[uid] {
 			w.violated("went_back: %s is reported as cancelled without a request for cancellation", uid)
 		}
 	}
-	if s.State != before {
+	if s.State != previous {
 		w.lastReplyAt[uid] = w.Now()
 	}
 	w.lastReplies[uid] = s.State
 }
 
-// persist sends a request to the nodes in turn, one a second, until an answer satisfies ok.
-func (w *world) persist(op Op, uid string, ok func(int, protocol.JobStatus) bool) {
+// requestUntil sends a request to the nodes in turn, one a second, until an answer satisfies ok.
+func (w *world) requestUntil(op Op, uid string, ok func(int, protocol.JobStatus) bool) {
 	node := 0
-	var again func()
-	again = func() {
+	var sendRequest func()
+	sendRequest = func() {
 		node++
 		w.user(node%len(w.nodes), op, uid, func(status int, s protocol.JobStatus) {
 			if !ok(status, s) {
-				w.at(time.Second, again)
+				w.at(time.Second, sendRequest)
 			}
 		})
 	}
-	again()
+	sendRequest()
 }
 
 // submit submits a job, and repeats the request until it is accepted.
 func (w *world) submit(uid string, change map[string]any) {
 	w.spec(uid, change)
-	w.persist(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK || s == http.StatusCreated })
+	w.requestUntil(OpSubmit, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK || s == http.StatusCreated })
 }
 
 // cancel requests a job's cancellation, and repeats the request until it succeeds.
 func (w *world) cancel(uid string) {
-	w.persist(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK })
+	w.requestUntil(OpCancel, uid, func(s int, _ protocol.JobStatus) bool { return s == http.StatusOK })
 }
 
 // awaitStatus polls a job until its status is the given state, and fails the test after the limit.
 func (w *world) awaitStatus(limit time.Duration, uid string, state protocol.JobState) {
 	w.t.Helper()
-	n := 0
+	ticks := 0
 	w.until(limit, uid+" is reported as "+string(state), func() bool {
-		if n++; n%20 == 1 {
-			w.user(n/20%len(w.nodes), OpPoll, uid, nil)
+		if ticks++; ticks%20 == 1 {
+			w.user(ticks/20%len(w.nodes), OpPoll, uid, nil)
 		}
 		return w.lastReplies[uid] == state
 	})
