--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -44,7 +44,7 @@
 			l.dispatcher.dispatchCommands(m)
 		}
 		for _, m := range l.machines.sortedMachines() {
-			if m.CallInFlight { // as if it had answered
+			if m.CallInFlight { // as if the worker had answered
 				m.CallInFlight, m.TokenAcknowledged, m.Probed = false, true, true
 				l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.mayHangInFlight = 0, 0
 			}
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -426,7 +426,7 @@
 	})
 }
 
-// The leader changes ten times in two minutes, also during an outage of the state service.
+// The leader restarts ten times in two minutes, with an outage of the state service in between.
 func TestCompoundTenLeaders(t *testing.T) {
 	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for i := range 10 {
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -26,7 +26,7 @@
 		l.scaler.watchBootTimes()
 	}
 	if logged("machine boots are late") != 1 || logged("on time again") != 0 {
-		t.Errorf("late boots: %s", logOutput.String())
+		t.Errorf("log after late boots: %s", logOutput.String())
 	}
 	for _, m := range l.machines.sortedMachines() {
 		m.EverReported = true
@@ -34,13 +34,13 @@
 	l.scaler.watchBootTimes()
 	l.scaler.watchBootTimes()
 	if logged("on time again") != 1 {
-		t.Errorf("boots on time again: %s", logOutput.String())
+		t.Errorf("log after boots on time: %s", logOutput.String())
 	}
 	p := scheduler.Pool{Type: "m8", Zone: "a"}
 	for _, short := range []bool{true, true, false, false, true} {
 		l.scaler.onPoolShortage(p, short)
 	}
 	if logged("pool short of capacity") != 2 || logged("pool has capacity") != 1 {
-		t.Errorf("pools: %s", logOutput.String())
+		t.Errorf("log of the pool's capacity: %s", logOutput.String())
 	}
 }
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -33,7 +33,7 @@
 	w.replicas()
 	for _, n := range w.nodes {
 		for _, c := range n.observer.changes {
-			t.Errorf("n%d: %+v", n.observer.node, c)
+			t.Errorf("n%d: state change without a failure: %+v", n.observer.node, c)
 		}
 	}
 	w.settle()
@@ -67,7 +67,7 @@
 			for i, n := range w.nodes {
 				for _, c := range n.observer.changes {
 					if c.at >= began && c.To == membership.Dead {
-						t.Errorf("loss %v: n%d: %+v", loss, i, c)
+						t.Errorf("loss %v: n%d declared a live controller dead: %+v", loss, i, c)
 					}
 				}
 			}
@@ -109,7 +109,7 @@
 			for i, n := range w.nodes {
 				for _, c := range n.observer.changes {
 					if c.Label == label(older) {
-						t.Errorf("n%d: %+v", i, c)
+						t.Errorf("n%d: state change of the live older controller: %+v", i, c)
 					}
 				}
 			}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -87,8 +87,8 @@
 
 // All controllers restart while a zone is partitioned. The workers' lease is longer than a worker
 // needs to try all controllers, so the workers of the zone find the controller of their zone again,
-// and the leader must not declare their machines lost. A large deployment with message loss lost 158
-// machines this way.
+// and the leader must not declare their machines lost. In a large deployment with message loss, 158
+// machines were.
 func TestLongLeaseZoneIsNotDeclaredLost(t *testing.T) {
 	w := newWorld(t, 37)
 	for _, cfg := range w.cfgs {
@@ -100,7 +100,7 @@
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 4 })
 	w.run(30 * second)
 	if lead == 2 {
-		t.Fatal("the leader is in the zone")
+		t.Fatal("the leader is in zone b, which the test partitions")
 	}
 	w.partitionZoneB()
 	w.run(8 * second)
@@ -239,7 +239,7 @@
 			w.cloud.Deleted = nil
 			w.run(28 * second)
 			if want := scenario == "dead"; (len(w.cloud.Deleted) > 0) != want {
-				t.Errorf("%s: deleted %v", scenario, w.cloud.Deleted)
+				t.Errorf("scenario %s: deleted machines %v", scenario, w.cloud.Deleted)
 			}
 			if scenario == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
 				t.Errorf("%d of 12 replicas run after 28 s, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -32,7 +32,7 @@
 	for range 40 {
 		w.run(second)
 		if n := w.running("j-2"); n > 0 {
-			t.Fatalf("%d tasks of a gang of 3 are on machines", n)
+			t.Fatalf("%d tasks of a gang of 3 are on machines, want none", n)
 		}
 	}
 	w.cancel("j-1")
@@ -256,7 +256,7 @@
 	for range 18 {
 		w.run(second)
 		if n := w.running("j-1"); n > 0 && n < 4 {
-			t.Fatalf("%d of 4 tasks are on machines", n)
+			t.Fatalf("%d of 4 tasks are on machines, want none or all", n)
 		}
 	}
 	w.script = nil
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -17,7 +17,7 @@
 	w := newWorld(t, 1)
 	w.submit("j-1", map[string]any{"shards": 5})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "apart": true})
-	w.until(60*second, "both run", func() bool { return w.running("j-1") > 0 && w.running("j-2") == 2 })
+	w.until(60*second, "both jobs run", func() bool { return w.running("j-1") > 0 && w.running("j-2") == 2 })
 	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	w.cancel("j-2")
 	w.awaitStatus(5*second, "j-2", protocol.JobCancelled)
@@ -105,7 +105,7 @@
 		w.checkCancelledTasksEnded()
 	}
 	if w.lastReplies["j-1"] != protocol.JobCancelled || w.running("j-1") != 0 {
-		t.Errorf("state %q, %d running", w.lastReplies["j-1"], w.running("j-1"))
+		t.Errorf("j-1 is reported as %q with %d running replicas, want cancelled with none", w.lastReplies["j-1"], w.running("j-1"))
 	}
 	w.requireNoViolations()
 }
--- a/internal/controller/world_faults_test.go
+++ b/internal/controller/world_faults_test.go
@@ -7,8 +7,7 @@
 )
 
 // initialJobs submits jobs of all kinds: services of both teams, with and without anti-affinity,
-// arrays with and without checkpoints, and gangs. It waits until all services and the first array
-// run.
+// arrays with and without checkpoints, and gangs. It waits until all services and the first array run.
 func (w *world) initialJobs() {
 	w.t.Helper()
 	w.runs = func(task string) time.Duration { return time.Duration(20+len(task)*13%60) * second }
