--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -10,9 +10,9 @@
 	"claybarrow/internal/membership"
 )
 
-// The benchmarks of this file measure in the deterministic world how failed controllers are noticed
-// and what follows, with detection off and on. They are the source of the figures in
-// docs/failure-detection.md (simulated time; the leader's lease is 1.5 s, the workers' 10 s):
+// The benchmarks of this file measure the detection of failed controllers and the subsequent failover
+// in the simulated world, with failure detection off and on. They produce the figures in
+// docs/failure-detection.md (simulated time; the leader's lease is 1.5 s, the workers' lease 10 s):
 //
 //	go test -run '^$' -bench Detection -benchtime 1x ./internal/controller
 
@@ -21,9 +21,10 @@
 	testLeaderLease = 1500 * time.Millisecond
 )
 
-// durations are the times measured in several runs.
+// durations holds the times measured in several runs.
 type durations []time.Duration
 
+// report reports the median, the 99th percentile and the maximum; without any times it does nothing.
 func (s durations) report(b *testing.B, name string) {
 	b.Helper()
 	if len(s) == 0 {
@@ -35,14 +36,15 @@
 	b.ReportMetric(s[len(s)-1].Seconds(), name+"-most-s")
 }
 
+// eachDetection runs a benchmark with failure detection off and on.
 func eachDetection(b *testing.B, run func(b *testing.B, operator []byte)) {
 	b.Helper()
 	b.Run("off", func(b *testing.B) { run(b, nil) })
 	b.Run("on", func(b *testing.B) { run(b, []byte(membershipOn)) })
 }
 
-// steadyLoad submits a short task twice a second.
-func (w *world) steadyLoad() {
+// submitSteadily submits a short task twice a second.
+func (w *world) submitSteadily() {
 	w.runs = func(string) time.Duration { return 2 * second }
 	n := 0
 	var next func()
@@ -54,72 +56,74 @@
 	next()
 }
 
-// BenchmarkDetectionOfDeath kills the leader and measures the times from its end to the first
-// suspicion, to the last controller's suspicion, to its being declared dead by all, to the next
-// election and to the first task that the new leader starts.
+// BenchmarkDetectionOfDeath crashes the leader and measures the times from the crash to the first
+// controller's suspicion, to the last controller's suspicion, to each controller's declaration of its
+// death, to the next election and to the first task that the new leader starts.
 func BenchmarkDetectionOfDeath(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			var suspect, all, dead, elected, placed durations
+			var firstSuspected, lastSuspected, declaredDead, elected, firstStarts durations
 			for seed := range uint64(measuredSeeds) {
 				w := newWorldWith(b, 3000+seed, operator)
-				w.steadyLoad()
+				w.submitSteadily()
 				w.run(70*second + time.Duration(seed)*testLeaderLease/measuredSeeds)
 				lead := w.awaitLeader()
 				token := w.leadership().lease.token
-				var first time.Duration
-				begins := w.machines.TaskStarted
+				var firstStart time.Duration
+				checkStart := w.machines.TaskStarted
 				w.machines.TaskStarted = func(worker *emulator.Worker, task string, t *emulator.Task) {
-					begins(worker, task, t)
-					if first == 0 && t.Attempt>>attemptBlockBits > token {
-						first = w.Now()
+					checkStart(worker, task, t)
+					if firstStart == 0 && t.Attempt>>attemptBlockBits > token {
+						firstStart = w.Now()
 					}
 				}
-				died := w.Now()
+				crashedAt := w.Now()
 				w.crash(lead)
-				w.until(10*second, "another leads", func() bool { return w.leader() >= 0 })
-				elected = append(elected, w.Now()-died)
+				w.until(10*second, "another controller leads", func() bool { return w.leader() >= 0 })
+				elected = append(elected, w.Now()-crashedAt)
 				w.run(20 * second)
-				if first > 0 {
-					placed = append(placed, first-died)
+				if firstStart > 0 {
+					firstStarts = append(firstStarts, firstStart-crashedAt)
 				}
-				var seen durations
+				var suspected durations
 				for i, n := range w.nodes {
-					if at := n.observer.became(label(lead), membership.Suspect, died); i != lead && at > 0 {
-						seen = append(seen, at-died)
+					if at := n.observer.became(label(lead), membership.Suspect, crashedAt); i != lead && at > 0 {
+						suspected = append(suspected, at-crashedAt)
 					}
-					if at := n.observer.became(label(lead), membership.Dead, died); i != lead && at > 0 {
-						dead = append(dead, at-died)
+					if at := n.observer.became(label(lead), membership.Dead, crashedAt); i != lead && at > 0 {
+						declaredDead = append(declaredDead, at-crashedAt)
 					}
 				}
-				if len(seen) > 0 {
-					suspect, all = append(suspect, slices.Min(seen)), append(all, slices.Max(seen))
+				if len(suspected) > 0 {
+					firstSuspected, lastSuspected = append(firstSuspected, slices.Min(suspected)), append(lastSuspected, slices.Max(suspected))
 				}
 			}
-			suspect.report(b, "suspect")
-			all.report(b, "all-suspect")
-			dead.report(b, "dead")
+			firstSuspected.report(b, "suspect")
+			lastSuspected.report(b, "all-suspect")
+			declaredDead.report(b, "dead")
 			elected.report(b, "elected")
-			placed.report(b, "placed")
+			firstStarts.report(b, "placed")
 		}
 	})
 }
 
-// falseAlarms are the effects of an hour of a fault although no controller died.
-type falseAlarms struct{ suspicions, deaths, leaders, moves, lapses float64 }
+// falseAlarms counts the effects of a fault during which no controller crashed: false suspicions and
+// deaths, leader changes, moved tasks and expired worker leases.
+type falseAlarms struct{ suspicions, deaths, leaderChanges, movedTasks, expiredLeases float64 }
 
-// countFalseAlarms runs a fault for some minutes with several seeds.
+// countFalseAlarms injects a fault for ten minutes with each of several seeds and reports the false
+// alarms per hour.
 func countFalseAlarms(b *testing.B, operator []byte, inject func(w *world)) {
 	b.Helper()
-	const lasts, seeds = 10 * time.Minute, 4
+	const faultDuration, seeds = 10 * time.Minute, 4
 	var sum falseAlarms
 	for seed := range uint64(seeds) {
 		w := newWorldWith(b, 3100+seed, operator)
 		w.replicas()
 		began, token := w.Now(), w.leadership().lease.token
 		inject(w)
-		w.run(lasts)
-		sum.leaders += float64(w.leadership().lease.token - token)
+		w.run(faultDuration)
+		sum.leaderChanges += float64(w.leadership().lease.token - token)
 		for _, n := range w.nodes {
 			for _, c := range n.observer.changes {
 				switch {
@@ -132,25 +136,25 @@
 			}
 		}
 		for _, starts := range w.starts {
-			sum.moves += float64(starts - 1)
+			sum.movedTasks += float64(starts - 1)
 		}
 		for _, worker := range w.workers() {
 			if worker.Up && !worker.Deleted {
-				sum.lapses += float64(worker.Epoch - 1)
+				sum.expiredLeases += float64(worker.Epoch - 1)
 			}
 		}
 		w.requireNoViolations()
 	}
-	hours := (seeds * lasts).Hours()
+	hours := (seeds * faultDuration).Hours()
 	b.ReportMetric(sum.suspicions/hours, "suspicions/h")
 	b.ReportMetric(sum.deaths/hours, "deaths/h")
-	b.ReportMetric(sum.leaders/hours, "leader-changes/h")
-	b.ReportMetric(sum.moves/hours, "tasks-moved/h")
-	b.ReportMetric(sum.lapses/hours, "leases-run-out/h")
+	b.ReportMetric(sum.leaderChanges/hours, "leader-changes/h")
+	b.ReportMetric(sum.movedTasks/hours, "tasks-moved/h")
+	b.ReportMetric(sum.expiredLeases/hours, "leases-run-out/h")
 }
 
-// stallsEvery pauses each controller in turn, one every twenty seconds.
-func stallsEvery(d time.Duration) func(*world) {
+// pauseInTurn pauses the controllers in turn, one every twenty seconds, for the given duration.
+func pauseInTurn(d time.Duration) func(*world) {
 	return func(w *world) {
 		node := 0
 		var next func()
@@ -163,22 +167,22 @@
 	}
 }
 
-// BenchmarkDetectionInStalls counts false suspicions and deaths while controllers pause, one every
-// twenty seconds: 180 pauses an hour.
+// BenchmarkDetectionInStalls counts false alarms while controllers pause, one every twenty seconds:
+// 180 pauses an hour.
 func BenchmarkDetectionInStalls(b *testing.B) {
 	for _, d := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, second, 2 * second, 5 * second, 10 * second} {
 		b.Run(d.String(), func(b *testing.B) {
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
-					countFalseAlarms(b, operator, stallsEvery(d))
+					countFalseAlarms(b, operator, pauseInTurn(d))
 				}
 			})
 		})
 	}
 }
 
-// BenchmarkDetectionInLoss counts them while a share of the messages between controllers and of
-// their answers is lost.
+// BenchmarkDetectionInLoss counts false alarms while a share of the messages between controllers and
+// of their answers is lost.
 func BenchmarkDetectionInLoss(b *testing.B) {
 	for _, loss := range []float64{0.05, 0.1, 0.2} {
 		b.Run(fmt.Sprintf("%.0f%%", loss*100), func(b *testing.B) {
@@ -195,8 +199,8 @@
 	}
 }
 
-// BenchmarkDetectionWhileStarved counts them while one controller handles nothing for seven tenths
-// of each second.
+// BenchmarkDetectionWhileStarved counts false alarms while one controller handles no events for seven
+// tenths of each second.
 func BenchmarkDetectionWhileStarved(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
@@ -212,12 +216,12 @@
 	})
 }
 
-// BenchmarkDetectionCost counts a controller's messages to the others and their bytes without any
-// fault.
+// BenchmarkDetectionCost measures the rate and the bytes of one controller's membership messages to
+// the others without faults.
 func BenchmarkDetectionCost(b *testing.B) {
 	eachDetection(b, func(b *testing.B, operator []byte) {
 		for b.Loop() {
-			const lasts = 60 * second
+			const measuredTime = 60 * second
 			w := newWorldWith(b, 3200, operator)
 			w.replicas()
 			messages, bytes := 0, 0
@@ -228,9 +232,9 @@
 				}
 				return deliveryFault{}
 			}
-			w.run(lasts)
-			b.ReportMetric(float64(messages)/lasts.Seconds(), "messages/s")
-			b.ReportMetric(float64(bytes)/lasts.Seconds(), "bytes/s")
+			w.run(measuredTime)
+			b.ReportMetric(float64(messages)/measuredTime.Seconds(), "messages/s")
+			b.ReportMetric(float64(bytes)/measuredTime.Seconds(), "bytes/s")
 		}
 	})
 }
