--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -42,8 +42,9 @@
 	failures          chan error
 }
 
-// processLabel is the key of the region's own process in RegionResult.Processes.
-const processLabel = "emulated workers, services and clients"
+// processLabel is the key of the region's own process in RegionResult.Processes. The text is a key of result files, so
+// it must not change.
+const processLabel = "hollow workers, stand-ins and users"
 
 // RunRegion runs a region for the plan's duration and returns the measurements. The result is not nil if the run
 // failed in the measured phase, for example with a RuleViolation.
