--- a/cmd/claybarrow/serve.go
+++ b/cmd/claybarrow/serve.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// heapFraction is the fraction of the process's memory that is set as the Go runtime's soft memory limit. The rest is
-	// left for stacks, the binary and the kernel's socket buffers.
+	// heapFraction is the fraction of the process's memory that is set as the Go runtime's soft memory limit. The rest
+	// is left for stacks, the binary and the kernel's socket buffers.
 	heapFraction = 0.6
 	bytesPerMiB  = 1 << 20
 	// telemetryCloseTimeout bounds the time for writing the last spans.
@@ -47,14 +47,14 @@
 	log.Info("starting", "version", version, "client_listen", cfg.ClientListen, "peer_listen", cfg.PeerListen)
 	server := transport.New(cfg, core, log)
 	if telemetry.Enabled(cfg) {
-		recorder, err := telemetry.New(cfg, server.Start())
+		recorder, err := telemetry.New(cfg, server.StartTime())
 		if err != nil {
 			return err
 		}
 		defer closeTelemetry(recorder, log)
 		core.Observe(recorder)
 		if cfg.Operator.Telemetry.Metrics {
-			server.ServeMetrics(recorder)
+			server.SetMetricsHandler(recorder)
 		}
 	}
 	return server.Run(ctx)
--- a/internal/apicall/apicall.go
+++ b/internal/apicall/apicall.go
@@ -74,9 +74,9 @@
 	return e
 }
 
-// ReadAnswer decodes the body of an answer with status 200 into answer; a nil answer discards the body. It
+// DecodeAnswer decodes the body of an answer with status 200 into answer; a nil answer discards the body. It
 // returns an error if the status is not 200 or the body cannot be decoded.
-func ReadAnswer(operation string, status int, body []byte, answer any) error {
+func DecodeAnswer(operation string, status int, body []byte, answer any) error {
 	if status != http.StatusOK {
 		return NewError(operation, status)
 	}
@@ -91,7 +91,7 @@
 func Decoded[Answer any](operation string, done func(Answer, error)) func(status int, body []byte) {
 	return func(status int, body []byte) {
 		var answer, zero Answer
-		if err := ReadAnswer(operation, status, body, &answer); err != nil {
+		if err := DecodeAnswer(operation, status, body, &answer); err != nil {
 			done(zero, err)
 			return
 		}
--- a/internal/apicall/apicall_test.go
+++ b/internal/apicall/apicall_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var answer protocol.MachineIDs
-			err := ReadAnswer("test", c.status, c.body, &answer)
+			err := DecodeAnswer("test", c.status, c.body, &answer)
 			if (err == nil) != c.success {
 				t.Fatalf("error %v, want success: %v", err, c.success)
 			}
@@ -83,10 +83,10 @@
 }
 
 func TestReadAnswerWithoutABody(t *testing.T) {
-	if err := ReadAnswer("test", 200, nil, nil); err != nil {
+	if err := DecodeAnswer("test", 200, nil, nil); err != nil {
 		t.Error(err)
 	}
-	if err := ReadAnswer("test", 503, nil, nil); !errors.Is(err, ErrUnavailable) {
+	if err := DecodeAnswer("test", 503, nil, nil); !errors.Is(err, ErrUnavailable) {
 		t.Error(err)
 	}
 }
--- a/internal/cloudclient/client.go
+++ b/internal/cloudclient/client.go
@@ -78,7 +78,7 @@
 func (c *Client) Delete(names []string, timeout time.Duration, done func(error)) {
 	request := protocol.MachineIDs{Machines: names}
 	c.transport.Call(http.MethodPost, deletePath, request, timeout, func(status int, _ []byte) {
-		done(apicall.ReadAnswer(operationDelete, status, nil, nil))
+		done(apicall.DecodeAnswer(operationDelete, status, nil, nil))
 	})
 }
 
--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -24,10 +24,10 @@
 	Seen bool
 	// ExpiredEpoch is the newest epoch that is known to have ended. All older epochs have ended too.
 	ExpiredEpoch uint64
-	// UnseenAnswers scores the evidence that the leader's answers do not reach the agent: one for each
+	// UndeliveredAnswers scores the evidence that the leader's answers do not reach the agent: one for each
 	// heartbeat that still carries an older token after the leader has answered one, and
-	// unseenAnswersPerExpiry for a lease that expired although the leader had answered.
-	UnseenAnswers int
+	// undeliveredAnswersPerExpiry for a lease that expired although the leader had answered.
+	UndeliveredAnswers int
 	// QuarantinedUntil is the end of the quarantine. Until then no new work is placed on the machine.
 	QuarantinedUntil time.Duration
 }
@@ -48,9 +48,9 @@
 }
 
 const (
-	// unseenAnswersPerExpiry is the number of unseen answers that a lease counts for when it expires although
-	// the leader has answered.
-	unseenAnswersPerExpiry = 3
+	// undeliveredAnswersPerExpiry is the number of undelivered answers that a lease counts for when it expires
+	// although the leader has answered.
+	undeliveredAnswersPerExpiry = 3
 	// quarantineLeases is the duration of a quarantine after such an expiry, in agent leases.
 	quarantineLeases = 2
 )
@@ -59,8 +59,8 @@
 type Observation struct {
 	// LeaseExpired is set if the agent's lease expired since the previous message.
 	LeaseExpired bool
-	// AnswersLost is set if the lease expired although the leader had answered less than half a lease ago.
-	AnswersLost bool
+	// AnswersUndelivered is set if the lease expired although the leader had answered less than half a lease ago.
+	AnswersUndelivered bool
 	// HasLeaderToken is set if the message carries this leader's token, FirstLeaderToken if it is the first
 	// message of this term that does.
 	HasLeaderToken, FirstLeaderToken bool
@@ -74,13 +74,13 @@
 	// recently, or if several heartbeats in a row still carry an older token after an answer.
 	switch {
 	case observation.LeaseExpired && a.LastAnswered > 0 && now-a.LastAnswered < lease/2:
-		observation.AnswersLost = true
-		a.UnseenAnswers += unseenAnswersPerExpiry
+		observation.AnswersUndelivered = true
+		a.UndeliveredAnswers += undeliveredAnswersPerExpiry
 		a.QuarantinedUntil = now + quarantineLeases*lease
 	case msg.Heartbeat && a.LastAnswered > 0 && msg.Token < token:
-		a.UnseenAnswers++
+		a.UndeliveredAnswers++
 	case observation.HasLeaderToken && !observation.LeaseExpired && now > a.QuarantinedUntil:
-		a.UnseenAnswers = 0
+		a.UndeliveredAnswers = 0
 	}
 	a.Epoch, a.Sequence, a.Token = msg.Epoch, msg.Sequence, msg.Token
 	if msg.Heartbeat {
--- a/internal/clusterstate/agent_state_test.go
+++ b/internal/clusterstate/agent_state_test.go
@@ -35,33 +35,33 @@
 	}
 }
 
-// Unseen answers are counted for an agent that keeps sending an older token, and for an agent whose lease expires
+// Undelivered answers are counted for an agent that keeps sending an older token, and for an agent whose lease expires
 // although the leader has answered. The count is reset once the agent sends the leader's token.
-func TestUnseenAnswers(t *testing.T) {
+func TestUndeliveredAnswers(t *testing.T) {
 	const lease, token, olderToken = 10 * time.Second, 5, 4
 	agent := &AgentState{}
 	heartbeat := func(epoch, sequence, shown uint64, now time.Duration) Observation {
 		return agent.RecordMessage(HeartbeatHeader{Epoch: epoch, Sequence: sequence, Token: shown, Heartbeat: true}, token, now, lease)
 	}
 	first := heartbeat(1, 1, olderToken, time.Second)
-	if first.FirstLeaderToken || first.HasLeaderToken || agent.UnseenAnswers != 0 {
-		t.Errorf("first heartbeat: %+v, %d unseen answers", first, agent.UnseenAnswers)
+	if first.FirstLeaderToken || first.HasLeaderToken || agent.UndeliveredAnswers != 0 {
+		t.Errorf("first heartbeat: %+v, %d undelivered answers", first, agent.UndeliveredAnswers)
 	}
 	agent.LastAnswered = time.Second
 	heartbeat(1, 2, olderToken, 2*time.Second)
 	answer := HeartbeatHeader{Epoch: 1, Sequence: 3, Token: olderToken} // to a direct call
 	agent.RecordMessage(answer, token, 2*time.Second, lease)
-	if agent.UnseenAnswers != 1 || agent.HeartbeatSequence != 2 {
-		t.Errorf("%d unseen answers, last heartbeat has sequence number %d", agent.UnseenAnswers, agent.HeartbeatSequence)
+	if agent.UndeliveredAnswers != 1 || agent.HeartbeatSequence != 2 {
+		t.Errorf("%d undelivered answers, last heartbeat has sequence number %d", agent.UndeliveredAnswers, agent.HeartbeatSequence)
 	}
-	if got := heartbeat(1, 4, token, 3*time.Second); !got.FirstLeaderToken || agent.UnseenAnswers != 0 || agent.TokenAcknowledgedAt != 3*time.Second {
-		t.Errorf("heartbeat with the leader's token: %+v, %d unseen answers", got, agent.UnseenAnswers)
+	if got := heartbeat(1, 4, token, 3*time.Second); !got.FirstLeaderToken || agent.UndeliveredAnswers != 0 || agent.TokenAcknowledgedAt != 3*time.Second {
+		t.Errorf("heartbeat with the leader's token: %+v, %d undelivered answers", got, agent.UndeliveredAnswers)
 	}
 	agent.LastAnswered = 3 * time.Second
-	if got := heartbeat(2, 5, token, 7*time.Second); !got.LeaseExpired || !got.AnswersLost || agent.UnseenAnswers != unseenAnswersPerExpiry || agent.QuarantinedUntil != 27*time.Second {
+	if got := heartbeat(2, 5, token, 7*time.Second); !got.LeaseExpired || !got.AnswersUndelivered || agent.UndeliveredAnswers != undeliveredAnswersPerExpiry || agent.QuarantinedUntil != 27*time.Second {
 		t.Errorf("lease expired although the leader answered: %+v, %+v", got, agent)
 	}
-	if got := heartbeat(3, 6, token, 40*time.Second); !got.LeaseExpired || got.AnswersLost {
+	if got := heartbeat(3, 6, token, 40*time.Second); !got.LeaseExpired || got.AnswersUndelivered {
 		t.Errorf("lease expired without a recent answer: %+v", got)
 	}
 }
--- a/internal/clusterstate/attempt.go
+++ b/internal/clusterstate/attempt.go
@@ -29,9 +29,9 @@
 	Sent bool
 	// Acknowledged is set once the agent is known to have received the run command.
 	Acknowledged bool
-	// RunLost is set if a direct run command was not answered. A copy of the command may still be executed
+	// RunUnanswered is set if a direct run command was not answered. A copy of the command may still be executed
 	// until the epoch ends.
-	RunLost bool
+	RunUnanswered bool
 	// Epoch is the agent's epoch in which the run command was sent.
 	Epoch uint64
 	// RunSequence is the sequence number of the heartbeat whose answer carried a run command.
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -61,24 +61,24 @@
 	TaskLost
 	// StopRequested means that the gang's tasks are to be stopped.
 	StopRequested
-	// PlacesIncomplete means that the records that a new leader has read do not contain all tasks.
-	PlacesIncomplete
+	// PlacementsIncomplete means that the records that a new leader has read do not contain all tasks.
+	PlacementsIncomplete
 	// TaskDone means that a task has completed.
 	TaskDone
-	// LastTaskGone means that none of the gang's tasks can be on any machine any more.
-	LastTaskGone
+	// LastTaskRemoved means that none of the gang's tasks can be on any machine any more.
+	LastTaskRemoved
 )
 
 // gangTransitions lists the events that change the state. Any other event leaves the state unchanged.
 var gangTransitions = map[GangState]map[GangEvent]GangState{
 	GangWaiting: {TaskPlaced: GangGathering, TaskDone: GangDone},
-	GangGathering: {TaskRunning: GangRunning, TaskLost: GangBroken, StopRequested: GangStopping, PlacesIncomplete: GangBroken,
-		TaskDone: GangDone, LastTaskGone: GangWaiting},
-	GangRunning: {TaskReplaceable: GangBroken, TaskLost: GangBroken, StopRequested: GangStopping, PlacesIncomplete: GangBroken,
-		TaskDone: GangDone, LastTaskGone: GangWaiting},
-	GangStopping: {TaskReplaceable: GangBroken, TaskLost: GangBroken, PlacesIncomplete: GangBroken,
-		TaskDone: GangDone, LastTaskGone: GangWaiting},
-	GangBroken: {TaskDone: GangDone, LastTaskGone: GangWaiting},
+	GangGathering: {TaskRunning: GangRunning, TaskLost: GangBroken, StopRequested: GangStopping, PlacementsIncomplete: GangBroken,
+		TaskDone: GangDone, LastTaskRemoved: GangWaiting},
+	GangRunning: {TaskReplaceable: GangBroken, TaskLost: GangBroken, StopRequested: GangStopping, PlacementsIncomplete: GangBroken,
+		TaskDone: GangDone, LastTaskRemoved: GangWaiting},
+	GangStopping: {TaskReplaceable: GangBroken, TaskLost: GangBroken, PlacementsIncomplete: GangBroken,
+		TaskDone: GangDone, LastTaskRemoved: GangWaiting},
+	GangBroken: {TaskDone: GangDone, LastTaskRemoved: GangWaiting},
 	GangDone:   {},
 }
 
@@ -142,7 +142,7 @@
 func (g *Gang) remove(a *Attempt) {
 	g.attempts = slices.DeleteFunc(g.attempts, func(other *Attempt) bool { return other == a })
 	if len(g.attempts) == 0 {
-		g.Apply(LastTaskGone)
+		g.Apply(LastTaskRemoved)
 	}
 }
 
--- a/internal/clusterstate/gang_test.go
+++ b/internal/clusterstate/gang_test.go
@@ -9,7 +9,7 @@
 // Each state and event lead to the next state that the table in docs/design.md gives.
 func TestGangTransitions(t *testing.T) {
 	const same = GangState(-1)
-	events := []GangEvent{TaskPlaced, TaskRunning, TaskReplaceable, TaskLost, StopRequested, PlacesIncomplete, TaskDone, LastTaskGone}
+	events := []GangEvent{TaskPlaced, TaskRunning, TaskReplaceable, TaskLost, StopRequested, PlacementsIncomplete, TaskDone, LastTaskRemoved}
 	for state, want := range map[GangState][]GangState{
 		GangWaiting:   {GangGathering, same, same, same, same, same, GangDone, same},
 		GangGathering: {same, GangRunning, same, GangBroken, GangStopping, GangBroken, GangDone, GangWaiting},
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -76,7 +76,7 @@
 		Spec:           spec,
 		Submitted:      submitted,
 		Scale:          scheduler.NewScaleUp(),
-		Need:           scheduler.Resources{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB},
+		Need:           scheduler.Resources{Cores: spec.Cores, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB},
 		doneTasks:      newTaskSet(spec.Tasks),
 		placedTasks:    newTaskSet(spec.Tasks),
 		attemptsByTask: map[int]int{},
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -70,10 +70,10 @@
 	// Until NoRedirectUntil the agent sends its heartbeats to the leader. This back-off grows with each failed
 	// redirect.
 	RedirectedAt, NoRedirectUntil time.Duration
-	// RedirectedProcess is the incarnation of the controller that the agent was redirected to, RedirectedTo is
+	// RedirectedIncarnation is the incarnation of the controller that the agent was redirected to, RedirectedTo is
 	// that controller's label.
-	RedirectedProcess string
-	RedirectedTo      string
+	RedirectedIncarnation string
+	RedirectedTo          string
 	// FailedRedirects counts the consecutive redirects from which the agent returned to the leader soon.
 	FailedRedirects int
 }
--- a/internal/completionjournal/compaction.go
+++ b/internal/completionjournal/compaction.go
@@ -145,5 +145,5 @@
 	if j.tail == v {
 		j.tail = nil
 	}
-	j.store.QueueWrite(v.key, j.compactionPriority(), func() any { return nil }, func() { j.forget(v) })
+	j.store.QueueWrite(v.key, j.compactionPriority(), func() any { return nil }, func() { j.removeValue(v) })
 }
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -156,7 +156,7 @@
 	if j.writePending && j.store.CancelWrite(j.tail.key) {
 		j.writePending, j.renderedEntries = false, nil
 		if !j.tail.stored {
-			j.forget(j.tail)
+			j.removeValue(j.tail)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 func (j *Journal) Abandon() {
 	j.writePending, j.renderedEntries, j.enabled = false, nil, false
 	if j.tail != nil && !j.tail.stored {
-		j.forget(j.tail)
+		j.removeValue(j.tail)
 	}
 }
 
@@ -217,8 +217,8 @@
 	slices.SortFunc(v.entries, func(a, b *entryState) int { return compareEntries(a.entry, b.entry) })
 }
 
-// forget removes a value that was not stored or was deleted.
-func (j *Journal) forget(v *valueState) {
+// removeValue removes a value that was not stored or was deleted.
+func (j *Journal) removeValue(v *valueState) {
 	j.values = slices.DeleteFunc(j.values, func(other *valueState) bool { return other == v })
 	if j.tail == v {
 		j.tail = nil
--- a/internal/completionjournal/tail.go
+++ b/internal/completionjournal/tail.go
@@ -108,7 +108,7 @@
 	durable := j.renderedEntries
 	j.renderedEntries = nil
 	if !tail.stored {
-		j.forget(tail)
+		j.removeValue(tail)
 	}
 	for _, e := range durable {
 		e.notifyDurable()
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -53,8 +53,8 @@
 	return scaleDuration(c.LeaderLease(), c.Operator.Membership.Suspicion)
 }
 
-// RejoinMinUptime returns how long a controller that was dead or left must be alive again before it serves
+// RejoinDelay returns how long a controller that was dead or left must be alive again before it serves
 // machines.
-func (c *Config) RejoinMinUptime() time.Duration {
+func (c *Config) RejoinDelay() time.Duration {
 	return scaleDuration(c.WorkerLease(), c.Operator.Membership.Steady)
 }
--- a/internal/controller/attained_service.go
+++ b/internal/controller/attained_service.go
@@ -19,7 +19,7 @@
 	store *statestore.Writer
 	views *schedulerViews
 
-	accrueAt time.Duration // the time up to which the attained service has been accrued
+	accruedUntil time.Duration // the time up to which the attained service has been accrued
 }
 
 const (
@@ -32,11 +32,11 @@
 
 // accrueService adds the service that was attained since the last accrual.
 func (a *serviceAccounting) accrueService() {
-	elapsed := (a.env.now - a.accrueAt).Seconds()
+	elapsed := (a.env.now - a.accruedUntil).Seconds()
 	if elapsed < a.env.cfg.WorkerLease().Seconds()/accrualDivisor {
 		return
 	}
-	a.accrueAt = a.env.now
+	a.accruedUntil = a.env.now
 	capacity := a.views.readyCapacity()
 	for _, j := range a.state.Jobs {
 		if j.ActiveAttempts > 0 && !j.Spec.Service {
--- a/internal/controller/attained_service_test.go
+++ b/internal/controller/attained_service_test.go
@@ -20,7 +20,7 @@
 		j.Stored = true
 		m := l.state.AddMachine("i-" + uid)
 		m.Type, m.Zone, m.EverReported, m.Size = "m8", "a", true, l.machines.machineSize("m8")
-		l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
+		l.state.AddAttempt(m, j, 0, l.attemptNumbers.allocate(), c.env.now)
 		return j
 	}
 	load := func(uid string) {
--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -29,20 +29,20 @@
 	attemptsPerBlock = 1<<attemptBlockBits - 1
 	// reserveThreshold is the remaining count at which the next block is reserved: half of a block.
 	reserveThreshold = 1 << (attemptBlockBits - 1)
-	// minNumbersLeft is the remaining count that a placement round requires: more than any round allocates.
-	minNumbersLeft = 1 << 20
+	// minRemainingNumbers is the remaining count that a placement round requires: more than any round allocates.
+	minRemainingNumbers = 1 << 20
 )
 
 // remaining returns how many numbers of the current block have not been allocated.
 func (n *attemptNumbers) remaining() uint64 { return attemptsPerBlock - n.used }
 
-// enough reports whether enough numbers are available for a placement round.
-func (n *attemptNumbers) enough() bool {
-	return n.reservedBlock != 0 || n.remaining() >= minNumbersLeft
+// hasEnough reports whether enough numbers are available for a placement round.
+func (n *attemptNumbers) hasEnough() bool {
+	return n.reservedBlock != 0 || n.remaining() >= minRemainingNumbers
 }
 
-// take allocates the next attempt number.
-func (n *attemptNumbers) take() uint64 {
+// allocate allocates the next attempt number.
+func (n *attemptNumbers) allocate() uint64 {
 	if n.remaining() == 0 {
 		n.block, n.used, n.reservedBlock = n.reservedBlock, 0, 0
 	}
--- a/internal/controller/attempt_numbers_test.go
+++ b/internal/controller/attempt_numbers_test.go
@@ -19,7 +19,7 @@
 	w := newWorld(t, 71)
 	w.awaitLeader()
 	token := w.leadership().lease.token
-	w.setRemainingAttemptNumbers(minNumbersLeft + 3)
+	w.setRemainingAttemptNumbers(minRemainingNumbers + 3)
 	w.run(2 * second)
 	w.setRemainingAttemptNumbers(3)
 	w.submit("j-1", map[string]any{"shards": 6})
@@ -60,15 +60,15 @@
 func TestNoStartWithoutAttemptNumbers(t *testing.T) {
 	w := newWorld(t, 72)
 	lead := w.awaitLeader()
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: node == lead && c.Path == "/multi"}
 	}
 	w.setRemainingAttemptNumbers(3)
 	w.run(second)
-	if l := w.leadership(); l.attemptNumbers.enough() {
+	if l := w.leadership(); l.attemptNumbers.hasEnough() {
 		t.Error("a fill may begin with only three attempt numbers left")
 	}
-	w.script = nil
+	w.callFault = nil
 	w.run(5 * second)
 	w.submit("j-1", map[string]any{"shards": 6})
 	w.awaitStatus(120*second, "j-1", "done")
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -67,7 +67,7 @@
 	m, j := a.Machine, a.Job
 	t.state.RemoveAttempt(a)
 	if m.Images[j.Spec.Image] {
-		t.machines.noteImageUse(m, j)
+		t.machines.recordImageUse(m, j)
 	}
 	if len(m.Attempts) == 0 {
 		m.IdleSince = t.env.now
--- a/internal/controller/call_limiter.go
+++ b/internal/controller/call_limiter.go
@@ -30,10 +30,10 @@
 // zone whose calls all hang, must not exhaust the sockets, and calls to responsive workers must not wait for calls that
 // hang.
 type callLimiter struct {
-	maxInFlight     int
-	inFlight        int
-	mayHangInFlight int // the calls in flight to workers that may not answer
-	startRate       ratelimit.TokenBucket
+	maxInFlight            int
+	inFlight               int
+	likelyTimeoutsInFlight int // the calls in flight that are likely to time out
+	startRate              ratelimit.TokenBucket
 }
 
 func newCallLimiter(resources config.Resources) callLimiter {
@@ -45,33 +45,33 @@
 }
 
 // allows reports whether a call may start now.
-func (l *callLimiter) allows(now time.Duration, mayHang bool) bool {
+func (l *callLimiter) allows(now time.Duration, likelyTimeout bool) bool {
 	if l.inFlight >= l.maxInFlight {
 		return false
 	}
-	if mayHang && l.mayHangInFlight >= l.maxMayHang() {
+	if likelyTimeout && l.likelyTimeoutsInFlight >= l.maxLikelyTimeouts() {
 		return false
 	}
 	return l.startRate.Allows(now, 1)
 }
 
-// maxMayHang bounds the calls in flight to workers that may not answer, at two thirds of maxInFlight. The remaining
+// maxLikelyTimeouts bounds the calls in flight that are likely to time out, at two thirds of maxInFlight. The remaining
 // third is reserved for responsive workers.
-func (l *callLimiter) maxMayHang() int { return l.maxInFlight * 2 / 3 }
+func (l *callLimiter) maxLikelyTimeouts() int { return l.maxInFlight * 2 / 3 }
 
 // begin records the start of a call.
-func (l *callLimiter) begin(now time.Duration, mayHang bool) {
+func (l *callLimiter) begin(now time.Duration, likelyTimeout bool) {
 	l.inFlight++
 	l.startRate.Take(now, 1)
-	if mayHang {
-		l.mayHangInFlight++
+	if likelyTimeout {
+		l.likelyTimeoutsInFlight++
 	}
 }
 
-// end records the end of a call; mayHang must have the value that was passed to begin.
-func (l *callLimiter) end(mayHang bool) {
+// end records the end of a call; likelyTimeout must have the value that was passed to begin.
+func (l *callLimiter) end(likelyTimeout bool) {
 	l.inFlight--
-	if mayHang {
-		l.mayHangInFlight--
+	if likelyTimeout {
+		l.likelyTimeoutsInFlight--
 	}
 }
--- a/internal/controller/call_limiter_test.go
+++ b/internal/controller/call_limiter_test.go
@@ -46,7 +46,7 @@
 		for _, m := range l.machines.sortedMachines() {
 			if m.CallInFlight { // as if the worker had answered
 				m.CallInFlight, m.TokenAcknowledged, m.Probed = false, true, true
-				l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.mayHangInFlight = 0, 0
+				l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.likelyTimeoutsInFlight = 0, 0
 			}
 		}
 		return len(c.outbox.effects)
--- a/internal/controller/checker_test.go
+++ b/internal/controller/checker_test.go
@@ -21,13 +21,13 @@
 	waitingSince    map[string]time.Duration // time since which the job has waited although there is free capacity
 	pollsSent       int                      // polls sent so far; selects the controller of the next poll
 	stopCommands    map[string][]stopCommand
-	starts          map[string]int // how many times each task was started on a machine
-	// calmSince is the time at which all injected faults ended; 0 while faults may still occur.
-	calmSince time.Duration
-	// lateCopy returns the delay after which a duplicate of a heartbeat arrives; 0: no duplicate is sent.
-	lateCopy func() time.Duration
-	// ended is called at the completion of each task.
-	ended func(uid string)
+	startCounts     map[string]int // how many times each task was started on a machine
+	// faultsEndedAt is the time at which all injected faults ended; 0 while faults may still occur.
+	faultsEndedAt time.Duration
+	// duplicateDelay returns the delay after which a duplicate of a heartbeat arrives; 0: no duplicate is sent.
+	duplicateDelay func() time.Duration
+	// onTaskCompleted is called at the completion of each task.
+	onTaskCompleted func(uid string)
 }
 
 // stopCommand is the first stop command that a task received.
@@ -47,7 +47,7 @@
 func newChecker() checker {
 	return checker{cancelRequested: map[string]bool{}, invalid: map[string]bool{}, acceptedAt: map[string]time.Duration{},
 		lastAnsweredAt: map[string]time.Duration{}, waitingSince: map[string]time.Duration{}, stopCommands: map[string][]stopCommand{},
-		starts: map[string]int{}}
+		startCounts: map[string]int{}}
 }
 
 // scheduleChecks schedules the checks of the invariants every second and the progress of gangs every tick.
@@ -58,15 +58,15 @@
 		w.checkCancelledTasksEnded()
 		w.checkForgotten()
 		w.checkWaiting()
-		w.at(time.Second, checkInvariants)
+		w.after(time.Second, checkInvariants)
 	}
-	w.at(time.Second, checkInvariants)
+	w.after(time.Second, checkInvariants)
 	var stepGangs func()
 	stepGangs = func() {
 		w.machines.StepGangs()
-		w.at(tick, stepGangs)
+		w.after(tick, stepGangs)
 	}
-	w.at(tick, stepGangs)
+	w.after(tick, stepGangs)
 }
 
 func (w *world) jobEnded(uid string) bool {
@@ -88,9 +88,9 @@
 		}
 		w.pollsSent++
 		w.user(w.pollsSent%len(w.nodes), OpPoll, uid, nil)
-		w.at(5*time.Second, poll)
+		w.after(5*time.Second, poll)
 	}
-	w.at(5*time.Second, poll)
+	w.after(5*time.Second, poll)
 }
 
 // checkAnswer reports a violation if an invalid submission is accepted, if a job that was never
@@ -98,23 +98,23 @@
 func (w *world) checkAnswer(op Op, uid string, status int) {
 	switch {
 	case w.invalid[uid] && (status == http.StatusOK || status == http.StatusCreated):
-		w.violated("an invalid submission was accepted: %s", uid)
+		w.recordViolation("an invalid submission was accepted: %s", uid)
 	case w.specs[uid] == nil && status == http.StatusOK:
-		w.violated("invented: %s was never submitted, and %s returned its status", uid, op)
+		w.recordViolation("invented: %s was never submitted, and %s returned its status", uid, op)
 	case w.lastReplies[uid] != "" && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity):
-		w.violated("forgotten: %[3]s of the accepted job %[1]s returned status %[2]d", uid, status, op)
+		w.recordViolation("forgotten: %[3]s of the accepted job %[1]s returned status %[2]d", uid, status, op)
 	}
 }
 
 // checkForgotten reports a violation if, after the end of all faults, no request about an accepted
 // job has succeeded for longer than maxUnansweredTime.
 func (w *world) checkForgotten() {
-	if w.calmSince == 0 {
+	if w.faultsEndedAt == 0 {
 		return
 	}
 	for _, uid := range slices.Sorted(maps.Keys(w.acceptedAt)) {
-		if since := max(w.lastAnsweredAt[uid], w.calmSince); !w.jobEnded(uid) && w.Now() > since+maxUnansweredTime {
-			w.violated("forgotten: no request about %s has succeeded since %v", uid, since)
+		if since := max(w.lastAnsweredAt[uid], w.faultsEndedAt); !w.jobEnded(uid) && w.Now() > since+maxUnansweredTime {
+			w.recordViolation("forgotten: no request about %s has succeeded since %v", uid, since)
 			w.lastAnsweredAt[uid] = w.Now()
 		}
 	}
@@ -123,7 +123,7 @@
 // checkWaiting reports a violation if, for longer than maxWaitTime, a job has had no task on any
 // machine although machines that fit have free capacity and its team is below its quota.
 func (w *world) checkWaiting() {
-	if w.calmSince == 0 {
+	if w.faultsEndedAt == 0 {
 		clear(w.waitingSince)
 		return
 	}
@@ -151,7 +151,7 @@
 			w.waitingSince[uid] = w.Now()
 		}
 		if w.Now() > w.waitingSince[uid]+maxWaitTime {
-			w.violated("waiting: %s has waited since %v although there is free capacity", uid, w.waitingSince[uid])
+			w.recordViolation("waiting: %s has waited since %v although there is free capacity", uid, w.waitingSince[uid])
 			w.waitingSince[uid] = w.Now()
 		}
 	}
@@ -190,7 +190,7 @@
 // the services, waits until all jobs have ended, and fails the test if an invariant was violated.
 func (w *world) settle() {
 	w.t.Helper()
-	w.script, w.heartbeatFault, w.lateCopy, w.ended = nil, nil, nil, nil
+	w.callFault, w.heartbeatFault, w.duplicateDelay, w.onTaskCompleted = nil, nil, nil, nil
 	w.state.Down, w.state.RefusedClients, w.cloud.Down = false, map[int]bool{}, false
 	for _, worker := range w.workers() {
 		worker.Partitioned, worker.RepliesLost, worker.HeartbeatsLost = false, false, false
@@ -200,7 +200,7 @@
 			w.boot(i)
 		}
 	}
-	w.calmSince = w.Now()
+	w.faultsEndedAt = w.Now()
 	w.run(maxWaitTime + 30*time.Second)
 	for _, uid := range slices.Sorted(maps.Keys(w.acceptedAt)) {
 		if w.specs[uid]["shape"] == "service" && !w.jobEnded(uid) {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -18,14 +18,14 @@
 // commands were sent. Both are discarded when the leadership ends: after a failover the next leader learns from the
 // workers' heartbeats which commands they have received.
 type commandDispatcher struct {
-	env        *environment
-	heartbeats *heartbeatReceiver
-	lease      *leaderLease
-	loader     *stateLoader
-	outbox     *outbox
-	reach      *reachability
-	state      *clusterstate.State
-	trace      *failoverTrace
+	env          *environment
+	heartbeats   *heartbeatReceiver
+	lease        *leaderLease
+	loader       *stateLoader
+	outbox       *outbox
+	reachability *reachability
+	state        *clusterstate.State
+	trace        *failoverTrace
 
 	callLimiter callLimiter
 }
@@ -56,11 +56,11 @@
 
 // directCall is a call to a worker that is in flight.
 type directCall struct {
-	machine  *clusterstate.Machine
-	epoch    uint64                  // the agent epoch that the call is addressed to
-	attempts []*clusterstate.Attempt // the attempts whose run commands the call carries
-	sentAt   time.Duration
-	mayHang  bool
+	machine       *clusterstate.Machine
+	epoch         uint64                  // the agent epoch that the call is addressed to
+	attempts      []*clusterstate.Attempt // the attempts whose run commands the call carries
+	sentAt        time.Duration
+	likelyTimeout bool
 }
 
 // dispatchCommands sends a worker its pending commands, or a probe, in a direct call. A worker has one call in
@@ -70,7 +70,7 @@
 		return
 	}
 	probe := d.needsProbe(m)
-	if !m.Seen && !probe || !d.callLimiter.allows(d.env.now, d.mayHang(m)) {
+	if !m.Seen && !probe || !d.callLimiter.allows(d.env.now, d.isLikelyToTimeOut(m)) {
 		return
 	}
 	commands := d.pendingCommands(m, false)
@@ -86,26 +86,26 @@
 	if m.CallInFlight || m.Addr == "" || d.env.now < m.NextCallAt {
 		return false
 	}
-	return d.loader.ready && !d.lease.ended && !d.lease.verifiesLease()
+	return d.loader.ready && !d.lease.ended && !d.lease.isVerifyingLease()
 }
 
 // sendCommands starts a direct call with the commands; a call without commands is a probe.
 func (d *commandDispatcher) sendCommands(m *clusterstate.Machine, commands []protocol.Command) {
-	call := &directCall{machine: m, epoch: m.Epoch, sentAt: d.env.now, mayHang: d.mayHang(m)}
+	call := &directCall{machine: m, epoch: m.Epoch, sentAt: d.env.now, likelyTimeout: d.isLikelyToTimeOut(m)}
 	for _, command := range commands {
 		if command.Verb == protocol.VerbRun {
 			key := clusterstate.AttemptKey{Task: command.Task, Attempt: command.Attempt}
 			call.attempts = append(call.attempts, m.Attempts[key])
 		}
 	}
-	d.callLimiter.begin(d.env.now, call.mayHang)
+	d.callLimiter.begin(d.env.now, call.likelyTimeout)
 	m.CallInFlight, m.Probed = true, true
-	body := workerclient.NewCommands(d.lease.token, m.Epoch, commands)
+	body := workerclient.NewCommandRequest(d.lease.token, m.Epoch, commands)
 	validUntil := time.Duration(0)
 	if len(call.attempts) > 0 {
 		// A run command must not be sent once another leader may have been elected.
 		validUntil = d.lease.holdsLeaseUntil()
-		d.trace.noteFirstPlacement()
+		d.trace.recordFirstPlacement()
 	}
 	d.outbox.callUntil(ToWorker, m.Addr, workerclient.CommandsMethod, workerclient.CommandsPath, body, d.callTimeout(), validUntil,
 		func(res Result) {
@@ -119,12 +119,12 @@
 func (d *commandDispatcher) onCommandReply(call *directCall, res Result) {
 	m := call.machine
 	m.CallInFlight = false
-	d.callLimiter.end(call.mayHang)
+	d.callLimiter.end(call.likelyTimeout)
 	reply := workerclient.ReadReply(m.ID, res.Status, res.Body)
 	if reply.Outcome != workerclient.NoAnswer {
-		d.reach.noteReached(d.env.now)
+		d.reachability.recordReached(d.env.now)
 	} else if m.LastSeen > call.sentAt {
-		d.reach.noteMissed(m.ID, d.env.now)
+		d.reachability.recordMissed(m.ID, d.env.now)
 	}
 	call.recordRunOutcome(reply.Outcome)
 	if d.state.Machines[m.ID] != m {
@@ -173,14 +173,14 @@
 			a.Acknowledged = true
 		case workerclient.Rejected:
 		case workerclient.NoAnswer, workerclient.Failed:
-			a.RunLost = true
+			a.RunUnanswered = true
 		}
 	}
 }
 
-// mayHang reports whether a direct call to the machine may hang until its timeout: the machine has not acknowledged
-// this leader's token, or the last call to it failed.
-func (d *commandDispatcher) mayHang(m *clusterstate.Machine) bool {
+// isLikelyToTimeOut reports whether a direct call to the machine is likely to time out: the machine has not
+// acknowledged this leader's token, or the last call to it failed.
+func (d *commandDispatcher) isLikelyToTimeOut(m *clusterstate.Machine) bool {
 	return !m.TokenAcknowledged || m.FailedCalls > 0
 }
 
@@ -192,7 +192,7 @@
 	overdue := m.Seen && m.Epoch > m.ExpiredEpoch && d.env.now > m.LastSeen+d.overdueAfter()
 	// probesReachability comes last because it counts the probes that it permits. While other machines do not
 	// answer, the probe shows whether the fault is with those machines or with the leader.
-	return unacknowledged || m.FailedCalls > 0 || overdue || d.reach.probesReachability(m)
+	return unacknowledged || m.FailedCalls > 0 || overdue || d.reachability.probesReachability(m)
 }
 
 // overdueAfter is the time without messages after which a worker is probed: half an interval after its next heartbeat
@@ -274,7 +274,7 @@
 	if !d.stopIsDue(a) {
 		return commands
 	}
-	if a.RunLost && !a.Acknowledged {
+	if a.RunUnanswered && !a.Acknowledged {
 		// A run command without a reply may have been lost, or may still arrive. The worker gets the run command
 		// again, followed by the stop, so that it certainly has the attempt and stops it. If the job is being
 		// cancelled, its cancellation has not been confirmed to a user yet.
@@ -340,7 +340,7 @@
 		return true
 	}
 	inReply := a.RunSequence > 0 && m.HeartbeatSequence <= a.RunSequence
-	runInFlight := a.RunsInFlight > 0 || a.RunLost || inReply
+	runInFlight := a.RunsInFlight > 0 || a.RunUnanswered || inReply
 	return !runInFlight
 }
 
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -42,15 +42,15 @@
 		for _, worker := range w.randomMachines(0.3) {
 			switch w.rng.IntN(3) {
 			case 0:
-				worker.Hang(w.randomMilliseconds(2000, 30_000))
+				worker.InjectHang(w.randomMilliseconds(2000, 30_000))
 			case 1:
 				worker.RepliesLost = true
 			}
 		}
 		w.state.RefusedClients[oldLeader] = true
-		w.at(w.randomMilliseconds(0, 2500), func() { w.cancelSome("j-s1", "j-b1", "j-s2") })
+		w.after(w.randomMilliseconds(0, 2500), func() { w.cancelJobs("j-s1", "j-b1", "j-s2") })
 		w.run(w.randomMilliseconds(1500, 12_000))
-		w.state.Outage(time.Duration(40+w.rng.IntN(40)) * second)
+		w.state.InjectOutage(time.Duration(40+w.rng.IntN(40)) * second)
 		w.run(w.randomMilliseconds(0, 12_000))
 		w.state.RefusedClients[oldLeader] = false
 		w.run(90 * second)
@@ -62,11 +62,11 @@
 func TestCompoundCancelAtRefusal(t *testing.T) {
 	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
 		oldLeader := w.awaitLeader()
-		w.cancelSome("j-s1", "j-s3")
+		w.cancelJobs("j-s1", "j-s3")
 		w.state.RefusedClients[oldLeader] = true
-		w.cancelSome("j-b1", "j-s2")
+		w.cancelJobs("j-b1", "j-s2")
 		w.run(w.randomMilliseconds(500, 1500))
-		w.state.Outage(45 * second)
+		w.state.InjectOutage(45 * second)
 		w.run(60 * second)
 	})
 }
@@ -78,14 +78,14 @@
 			w.restart(w.leaderOrFirst(), w.randomMilliseconds(50, 900))
 			w.run(w.randomMilliseconds(300, 4000))
 		}
-		w.cancelSome("j-s1")
+		w.cancelJobs("j-s1")
 		for i := range 3 {
 			w.crash(i)
 		}
 		w.run(w.randomMilliseconds(50, 900))
 		w.boot(w.rng.IntN(3))
 		w.run(w.randomMilliseconds(200, 5000))
-		w.cancelSome("j-b1")
+		w.cancelJobs("j-b1")
 		for i := range 3 {
 			w.restart(i, w.randomMilliseconds(50, 6000))
 		}
@@ -100,15 +100,15 @@
 		for n, worker := range w.randomMachines(0.6) {
 			if n%2 == 0 {
 				worker.Partitioned = true
-				w.at(w.randomMilliseconds(3000, 40_000), func() { worker.Partitioned = false })
+				w.after(w.randomMilliseconds(3000, 40_000), func() { worker.Partitioned = false })
 			} else {
 				worker.RepliesLost = true
-				w.at(w.randomMilliseconds(3000, 60_000), func() { worker.RepliesLost = false })
+				w.after(w.randomMilliseconds(3000, 60_000), func() { worker.RepliesLost = false })
 			}
 		}
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 8000))
 		w.run(w.randomMilliseconds(0, 6000))
-		w.cancelSome("j-s1", "j-b1")
+		w.cancelJobs("j-s1", "j-b1")
 		w.run(70 * second)
 	})
 }
@@ -125,7 +125,7 @@
 		}
 		w.restart(w.leaderOrFirst(), 2*second)
 		w.run(second)
-		w.cancelSome("j-s2")
+		w.cancelJobs("j-s2")
 		w.until(60*second, "j-s2 is reported as cancelled", func() bool { return w.lastReplies["j-s2"] == protocol.JobCancelled })
 		w.until(60*second, "j-s3 runs on another machine", func() bool {
 			for _, worker := range w.workers() {
@@ -145,14 +145,14 @@
 func TestCompoundSlowThenRefused(t *testing.T) {
 	runCompoundFailure(t, 8, func(w *world, faults *networkFaults) {
 		faults.slowState = w.randomMilliseconds(300, 900)
-		w.cancelSome("j-s1")
+		w.cancelJobs("j-s1")
 		w.run(10 * second)
 		oldLeader := w.leaderOrFirst()
 		w.state.RefusedClients[oldLeader] = true
-		w.cancelSome("j-b1")
+		w.cancelJobs("j-b1")
 		w.run(w.randomMilliseconds(1000, 6000))
-		w.state.Outage(40 * second)
-		w.cancelSome("j-s2")
+		w.state.InjectOutage(40 * second)
+		w.cancelJobs("j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 1.0})
 		w.run(50 * second)
 		faults.slowState = 0
@@ -175,7 +175,7 @@
 			w.run(w.randomMilliseconds(100, 3000))
 		}
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 3000))
-		w.cancelSome("j-o3", "j-o5", "j-s1")
+		w.cancelJobs("j-o3", "j-o5", "j-s1")
 		w.run(60 * second)
 	})
 }
@@ -183,14 +183,14 @@
 // All controllers are down for longer than lease_s, right after jobs have been cancelled.
 func TestCompoundAllControllersDown(t *testing.T) {
 	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
-		w.cancelSome("j-s1", "j-b1")
+		w.cancelJobs("j-s1", "j-b1")
 		w.run(w.randomMilliseconds(0, 400))
 		for i := range 3 {
 			w.crash(i)
 		}
 		w.run(w.randomMilliseconds(11_000, 40_000))
 		for i := range 3 {
-			w.at(w.randomMilliseconds(0, 4000), func() {
+			w.after(w.randomMilliseconds(0, 4000), func() {
 				if !w.nodes[i].alive {
 					w.boot(i)
 				}
@@ -212,7 +212,7 @@
 			}
 		}
 		w.run(w.randomMilliseconds(1500, 8000))
-		w.cancelSome("j-s1", "j-b1", "j-s2")
+		w.cancelJobs("j-s1", "j-b1", "j-s2")
 		w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
 		w.run(w.randomMilliseconds(20_000, 80_000))
 		faults.isolated[oldLeader] = false
@@ -233,18 +233,18 @@
 				copies = append(copies, heartbeatCopy{worker, protocol.Encode(worker.Heartbeat())})
 				if w.rng.IntN(2) == 0 {
 					worker.Partitioned = true
-					w.at(w.randomMilliseconds(2000, 25_000), func() { worker.Partitioned = false })
+					w.after(w.randomMilliseconds(2000, 25_000), func() { worker.Partitioned = false })
 				}
 			}
 		}
-		w.cancelSome("j-s1")
+		w.cancelJobs("j-s1")
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 4000))
 		w.run(w.randomMilliseconds(2500, 15_000))
-		w.cancelSome("j-b1")
+		w.cancelJobs("j-b1")
 		for range 3 {
 			for _, h := range copies {
 				for i := range 3 {
-					w.ask(i, Request{Op: OpWorkerHeartbeat, Body: h.body}, func(Reply) {})
+					w.sendRequest(i, Request{Op: OpWorkerHeartbeat, Body: h.body}, func(Reply) {})
 				}
 			}
 			w.run(w.randomMilliseconds(1000, 20_000))
@@ -256,7 +256,7 @@
 // The tasks of a job complete far apart, with failovers in between.
 func TestCompoundTasksEndFarApart(t *testing.T) {
 	runCompoundFailure(t, 6, func(w *world, faults *networkFaults) {
-		w.runs = func(task string) time.Duration {
+		w.runTime = func(task string) time.Duration {
 			return time.Duration(5+35*int(task[len(task)-1]-'0')) * second
 		}
 		for i := range 3 {
@@ -275,14 +275,14 @@
 // without any injected fault.
 func TestCompoundCancelAtJobCompletion(t *testing.T) {
 	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
-		w.ended = func(uid string) {
+		w.onTaskCompleted = func(uid string) {
 			switch w.rng.IntN(3) {
 			case 0:
-				w.at(w.randomMilliseconds(0, 1200), func() { w.cancel(uid) })
+				w.after(w.randomMilliseconds(0, 1200), func() { w.cancel(uid) })
 			case 1:
-				w.at(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpPoll, uid, nil) })
+				w.after(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpPoll, uid, nil) })
 			case 2:
-				w.at(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpSubmit, uid, nil) })
+				w.after(w.randomMilliseconds(0, 1200), func() { w.user(w.rng.IntN(3), OpSubmit, uid, nil) })
 			}
 		}
 		for i := range 6 {
@@ -300,22 +300,22 @@
 			if strings.HasPrefix(addr, "10.0.0.") {
 				return strings.HasPrefix(addr, "10.0.0.2:")
 			}
-			worker := w.byAddr(addr)
+			worker := w.workerByAddr(addr)
 			return worker != nil && worker.Zone == "b"
 		}
-		w.script = func(node int, c Call) deliveryFault {
+		w.callFault = func(node int, c Call) deliveryFault {
 			isZonal := c.Target == ToPeer || c.Target == ToWorker
 			return deliveryFault{lost: node == 2 && !isZonal || isZonal && inB(c.Addr) != (node == 2)}
 		}
 		w.heartbeatFault = func(worker *emulator.Worker, node int) deliveryFault {
 			return deliveryFault{lost: (worker.Zone == "b") != (node == 2)}
 		}
-		w.cancelSome("j-s1", "j-s3")
+		w.cancelJobs("j-s1", "j-s3")
 		if w.rng.IntN(2) == 0 {
 			w.restart(w.rng.IntN(3), w.randomMilliseconds(200, 4000))
 		}
 		w.run(w.randomMilliseconds(12_000, 60_000))
-		w.script, w.heartbeatFault = faults.fault, nil
+		w.callFault, w.heartbeatFault = faults.faultFor, nil
 		w.run(20 * second)
 	})
 }
@@ -329,7 +329,7 @@
 			worker.HeartbeatsLost = true
 			heartbeatsLost = append(heartbeatsLost, worker)
 		}
-		w.cancelSome("j-b1")
+		w.cancelJobs("j-b1")
 		w.run(w.randomMilliseconds(3000, 12_000))
 		if w.rng.IntN(2) == 0 {
 			w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
@@ -342,7 +342,7 @@
 		w.run(60 * second)
 		for _, worker := range heartbeatsLost {
 			if worker.TasksStarted > startsBefore[worker]+2 {
-				w.violated("%d tasks were started on a machine whose heartbeats are lost; they end when its lease expires", worker.TasksStarted-startsBefore[worker])
+				w.recordViolation("%d tasks were started on a machine whose heartbeats are lost; they end when its lease expires", worker.TasksStarted-startsBefore[worker])
 			}
 		}
 		// Each service must also run on machines whose heartbeats arrive.
@@ -356,7 +356,7 @@
 				}
 			}
 			if n == 0 {
-				w.violated("%s runs only on machines whose heartbeats are lost", uid)
+				w.recordViolation("%s runs only on machines whose heartbeats are lost", uid)
 			}
 		}
 	})
@@ -365,7 +365,7 @@
 // Old heartbeats, also of earlier epochs and attempts, arrive after newer ones.
 func TestCompoundOldHeartbeats(t *testing.T) {
 	runCompoundFailure(t, 8, func(w *world, _ *networkFaults) {
-		w.lateCopy = func() time.Duration {
+		w.duplicateDelay = func() time.Duration {
 			if w.rng.IntN(3) == 0 {
 				return w.randomMilliseconds(2000, 45_000)
 			}
@@ -373,13 +373,13 @@
 		}
 		for _, worker := range w.randomMachines(0.4) {
 			worker.Partitioned = true // the worker starts a new epoch while duplicates of earlier heartbeats are in flight
-			w.at(w.randomMilliseconds(9000, 16_000), func() { worker.Partitioned = false })
+			w.after(w.randomMilliseconds(9000, 16_000), func() { worker.Partitioned = false })
 		}
 		w.run(w.randomMilliseconds(4000, 14_000))
-		w.cancelSome("j-s1")
+		w.cancelJobs("j-s1")
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
 		w.run(25 * second)
-		w.cancelSome("j-b1", "j-s2")
+		w.cancelJobs("j-b1", "j-s2")
 		w.run(40 * second)
 	})
 }
@@ -394,11 +394,11 @@
 		w.run(40 * second)
 		for _, worker := range w.randomMachines(0.5) {
 			worker.Partitioned = true
-			w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Partitioned = false })
+			w.after(w.randomMilliseconds(5000, 30_000), func() { worker.Partitioned = false })
 		}
 		w.restart(w.leaderOrFirst(), w.randomMilliseconds(500, 5000))
 		w.run(w.randomMilliseconds(500, 5000))
-		w.cancelSome("j-l0", "j-l1", "j-s2")
+		w.cancelJobs("j-l0", "j-l1", "j-s2")
 		w.submit("j-n1", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue", "rank": "high"})
 		w.run(60 * second)
 	})
@@ -412,14 +412,14 @@
 			w.submit(fmt.Sprintf("j-h%d", i), map[string]any{"shards": 2, "cores": 1.0})
 			w.run(w.randomMilliseconds(500, 3000))
 			for _, worker := range w.randomMachines(0.3) {
-				worker.Hang(w.randomMilliseconds(1000, 14_000))
+				worker.InjectHang(w.randomMilliseconds(1000, 14_000))
 			}
 			if i == 1 {
-				w.cancelSome("j-s1", "j-h0")
+				w.cancelJobs("j-s1", "j-h0")
 			}
 			if i == 2 {
 				w.restart(w.leaderOrFirst(), w.randomMilliseconds(200, 4000))
-				w.cancelSome("j-b1", "j-h1")
+				w.cancelJobs("j-b1", "j-h1")
 			}
 		}
 		w.run(40 * second)
@@ -431,11 +431,11 @@
 	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
 		for i := range 10 {
 			if i == 4 {
-				w.state.Outage(w.randomMilliseconds(5000, 30_000))
+				w.state.InjectOutage(w.randomMilliseconds(5000, 30_000))
 			}
 			w.restart(w.leaderOrFirst(), w.randomMilliseconds(100, 9000))
 			if i%3 == 0 {
-				w.cancelSome([]string{"j-s1", "j-b1", "j-s2", "j-b22"}[i/3])
+				w.cancelJobs([]string{"j-s1", "j-b1", "j-s2", "j-b22"}[i/3])
 			}
 			w.run(w.randomMilliseconds(9000, 13_000))
 		}
@@ -452,12 +452,12 @@
 			if !worker.Deleted && worker.Up && (worker.Zone == "b" || w.rng.IntN(3) == 0) {
 				switch w.rng.IntN(3) {
 				case 0:
-					worker.Die()
+					worker.Terminate()
 				case 1:
 					worker.Partitioned = true
-					w.at(w.randomMilliseconds(5000, 30_000), func() { worker.Partitioned = false })
+					w.after(w.randomMilliseconds(5000, 30_000), func() { worker.Partitioned = false })
 				case 2:
-					worker.Hang(w.randomMilliseconds(3000, 20_000))
+					worker.InjectHang(w.randomMilliseconds(3000, 20_000))
 				}
 			}
 		}
@@ -474,11 +474,11 @@
 			w.submit(fmt.Sprintf("j-t%d", i), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0, "shape": []string{"batch", "service"}[i%2]})
 			w.run(w.randomMilliseconds(500, 6000))
 			if i == 1 {
-				w.cancelSome("j-t0", "j-s1")
+				w.cancelJobs("j-t0", "j-s1")
 			}
 			if i == 3 {
 				w.restart(w.leaderOrFirst(), w.randomMilliseconds(300, 4000))
-				w.cancelSome("j-t1", "j-b1")
+				w.cancelJobs("j-t1", "j-b1")
 			}
 		}
 		w.run(60 * second)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -80,8 +80,8 @@
 // Handle processes one event and returns the effects to carry out, in order. clock is the current reading of the
 // clocks. If its monotonic time is lower than that of an earlier event, the earlier time is used.
 func (c *Controller) Handle(clock Clock, event Event) []Effect {
-	paused := c.pause.detectPause(clock.Steady - c.env.now)
-	c.env.now, c.env.wall = max(c.env.now, clock.Steady), clock.Wall
+	paused := c.pause.detectPause(clock.Monotonic - c.env.now)
+	c.env.now, c.env.wall = max(c.env.now, clock.Monotonic), clock.Wall
 	c.outbox.effects = nil
 	if paused {
 		c.pause.recoverFromPause()
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -31,8 +31,8 @@
 const (
 	// arrivalWindowBoots is the length of the window of recent arrivals on which the forecast is based.
 	arrivalWindowBoots = 4
-	// maxHeadroomObjectiveBoots is the longest wait objective of a class with headroom. Tasks that may wait longer start
-	// in time on machines that are launched when they arrive.
+	// maxHeadroomObjectiveBoots is the longest wait objective of a class with headroom. Tasks that may wait longer
+	// start in time on machines that are launched when they arrive.
 	maxHeadroomObjectiveBoots = 2
 )
 
@@ -64,7 +64,7 @@
 		if objective <= 0 || objective > maxHeadroomObjectiveBoots*bootS {
 			continue
 		}
-		tasks, images, sample := f.arrivals[class].since(from)
+		tasks, images, sample := f.arrivals[class].totalSince(from)
 		if sample == nil || !sample.Spec.Service {
 			continue
 		}
@@ -194,8 +194,8 @@
 	return h.seconds[i:]
 }
 
-// since sums up the arrivals from a second on. sample is the latest job, or nil if none arrived.
-func (h *arrivalHistory) since(from int64) (tasks int, images map[string]float64, sample *clusterstate.Job) {
+// totalSince sums up the arrivals from a second on. sample is the latest job, or nil if none arrived.
+func (h *arrivalHistory) totalSince(from int64) (tasks int, images map[string]float64, sample *clusterstate.Job) {
 	images = map[string]float64{}
 	for _, s := range h.entriesSince(from) {
 		tasks += s.tasks
--- a/internal/controller/demand_forecast_test.go
+++ b/internal/controller/demand_forecast_test.go
@@ -20,10 +20,10 @@
 	for i := range 1300 {
 		a.add(arrivalAt(int64(1000+i/7), 2))
 	}
-	if tasks, images, _ := a.since(1000); tasks != 2600 || images["img"] != 2600 {
+	if tasks, images, _ := a.totalSince(1000); tasks != 2600 || images["img"] != 2600 {
 		t.Errorf("%d of 2,600 tasks counted, by image: %v", tasks, images)
 	}
-	if tasks, _, _ := a.since(1100); tasks != 2*(1300-700) {
+	if tasks, _, _ := a.totalSince(1100); tasks != 2*(1300-700) {
 		t.Errorf("%d tasks counted since second 1100, want %d", tasks, 2*(1300-700))
 	}
 }
@@ -39,11 +39,11 @@
 		t.Errorf("the history has %d seconds, want at most %d", len(a.seconds), arrivalHistorySeconds)
 	}
 	newest := int64(10_000 + 2*arrivalHistorySeconds)
-	if tasks, _, sample := a.since(newest - 200); tasks != 200 || sample.Submitted != (newest-1)*1000 {
+	if tasks, _, sample := a.totalSince(newest - 200); tasks != 200 || sample.Submitted != (newest-1)*1000 {
 		t.Errorf("%d of 200 tasks counted, the latest was submitted at %d ms", tasks, sample.Submitted)
 	}
 	a.add(arrivalAt(1, 5))
-	if tasks, _, _ := a.since(0); tasks != arrivalHistorySeconds {
+	if tasks, _, _ := a.totalSince(0); tasks != arrivalHistorySeconds {
 		t.Errorf("the history has %d tasks, want %d", tasks, arrivalHistorySeconds)
 	}
 }
--- a/internal/controller/deployment_test.go
+++ b/internal/controller/deployment_test.go
@@ -17,7 +17,7 @@
 	cloudRPS, listLagS int
 	cores              float64
 	memoryMB, sockets  int
-	fetch              time.Duration // time to fetch an image
+	fetchTime          time.Duration // time to fetch an image
 }
 
 // stateLimits are the limits of the state service.
@@ -30,10 +30,10 @@
 var testSite = func() site {
 	if os.Getenv("CLAYBARROW_TEST_SITE") == "scarce" {
 		return site{state: stateLimits{250, 25, 8, 12}, cloudRPS: 3, listLagS: 8, cores: 0.072, memoryMB: 70, sockets: 500,
-			fetch: time.Second}
+			fetchTime: time.Second}
 	}
 	return site{state: stateLimits{150, 50, 16, 32}, cloudRPS: 8, listLagS: 5, cores: 0.2, memoryMB: 98, sockets: 600,
-		fetch: 200 * time.Millisecond}
+		fetchTime: 200 * time.Millisecond}
 }()
 
 // testOperator holds the operators' settings of all tests that don't set their own. CI runs the
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -45,13 +45,13 @@
 
 // submitSteadily submits a short task twice a second.
 func (w *world) submitSteadily() {
-	w.runs = func(string) time.Duration { return 2 * second }
+	w.runTime = func(string) time.Duration { return 2 * second }
 	n := 0
 	var next func()
 	next = func() {
 		n++
 		w.submit(fmt.Sprintf("j-8%05d", n), map[string]any{"cores": 1.0})
-		w.at(second/2, next)
+		w.after(second/2, next)
 	}
 	next()
 }
@@ -87,10 +87,10 @@
 				}
 				var suspected durations
 				for i, n := range w.nodes {
-					if at := n.observer.became(label(lead), membership.Suspect, crashedAt); i != lead && at > 0 {
+					if at := n.observer.firstChangeTo(controllerLabel(lead), membership.Suspect, crashedAt); i != lead && at > 0 {
 						suspected = append(suspected, at-crashedAt)
 					}
-					if at := n.observer.became(label(lead), membership.Dead, crashedAt); i != lead && at > 0 {
+					if at := n.observer.firstChangeTo(controllerLabel(lead), membership.Dead, crashedAt); i != lead && at > 0 {
 						declaredDead = append(declaredDead, at-crashedAt)
 					}
 				}
@@ -119,7 +119,7 @@
 	var sum falseAlarms
 	for seed := range uint64(seeds) {
 		w := newWorldWith(b, 3100+seed, operator)
-		w.replicas()
+		w.startReplicas()
 		began, token := w.Now(), w.leadership().lease.token
 		inject(w)
 		w.run(faultDuration)
@@ -135,7 +135,7 @@
 				}
 			}
 		}
-		for _, starts := range w.starts {
+		for _, starts := range w.startCounts {
 			sum.movedTasks += float64(starts - 1)
 		}
 		for _, worker := range w.workers() {
@@ -161,7 +161,7 @@
 		next = func() {
 			w.pauseProcess(node, d)
 			node = (node + 1) % 3
-			w.at(20*second, next)
+			w.after(20*second, next)
 		}
 		next()
 	}
@@ -189,7 +189,7 @@
 			eachDetection(b, func(b *testing.B, operator []byte) {
 				for b.Loop() {
 					countFalseAlarms(b, operator, func(w *world) {
-						w.script = func(_ int, c Call) deliveryFault {
+						w.callFault = func(_ int, c Call) deliveryFault {
 							return deliveryFault{lost: c.Target == ToPeer && w.rng.Float64() < loss, answerLost: c.Target == ToPeer && w.rng.Float64() < loss}
 						}
 					})
@@ -208,7 +208,7 @@
 				var next func()
 				next = func() {
 					w.pauseProcess(1, 700*time.Millisecond)
-					w.at(second, next)
+					w.after(second, next)
 				}
 				next()
 			})
@@ -223,9 +223,9 @@
 		for b.Loop() {
 			const measuredTime = 60 * second
 			w := newWorldWith(b, 3200, operator)
-			w.replicas()
+			w.startReplicas()
 			messages, bytes := 0, 0
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				if node == 0 && c.Target == ToPeer && c.Path != "/forward" && c.Path != "/relay" {
 					messages++
 					bytes += len(c.Body)
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -252,7 +252,7 @@
 
 // successorRank returns this controller's rank among the candidates to succeed the former leader; 0 is the first.
 func (e *election) successorRank(former string) int {
-	return membership.Rank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.LeaderCandidates(former))
+	return membership.SuccessionRank(e.env.cfg.Label, e.leaderKeys.counter, e.detection.detector.LeaderCandidates(former))
 }
 
 // mayCampaign reports whether this candidate may campaign yet. The candidate with rank 0 campaigns immediately and
@@ -360,7 +360,7 @@
 // during the election delivers the key of this leadership or of a successor.
 func (e *election) checkOwnLeadership(record *leaderRecord) {
 	if record.Token > e.controller.leadership.lease.token {
-		e.controller.endLeadership(endLaterLeaderKey)
+		e.controller.endLeadership(endLeaderKeyHasLaterToken)
 	}
 }
 
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -23,7 +23,7 @@
 		b.ResetTimer()
 		for b.Loop() {
 			b.StopTimer()
-			f.settleStarts()
+			f.applyQueuedTransactions()
 			f.controller.outbox.stateChanges.Refill()
 			for range f.controller.env.cfg.Cluster.State.TxnOps {
 				l.machines.storeMachine(list[n%len(list)], statestore.PriorityBatch, nil)
@@ -152,7 +152,7 @@
 		var jobs []*clusterstate.Job
 		perWaiting := retainedHeap(func() any {
 			for i := range workers {
-				jobs = append(jobs, f.addJob(fmt.Sprintf("j-%08d", i), 0, i%3 == 0, scheduler.Resources{Cores: 1, Mem: 1}))
+				jobs = append(jobs, f.addJob(fmt.Sprintf("j-%08d", i), 0, i%3 == 0, scheduler.Resources{Cores: 1, MemoryGB: 1}))
 			}
 			return f
 		}) / float64(workers)
--- a/internal/controller/failover_idle_test.go
+++ b/internal/controller/failover_idle_test.go
@@ -16,16 +16,16 @@
 	w.cancel("j-1")
 	w.until(20*second, "machines are idle", func() bool { return w.running("j-1") == 0 })
 	lead := w.leader()
-	w.cloud.Deleted = nil
+	w.cloud.DeletionRequests = nil
 	// No message of the workers reaches the new leader for a while.
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker || c.Path == "/forward"}
 	}
 	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault { return deliveryFault{lost: true} }
 	w.crash(lead)
 	w.until(10*second, "another controller leads", func() bool { return w.leader() >= 0 && w.leader() != lead })
 	w.run(3 * second)
-	if len(w.cloud.Deleted) > 0 {
-		t.Errorf("idle machines %v were deleted after the failover", w.cloud.Deleted)
+	if len(w.cloud.DeletionRequests) > 0 {
+		t.Errorf("idle machines %v were deleted after the failover", w.cloud.DeletionRequests)
 	}
 }
--- a/internal/controller/failover_trace.go
+++ b/internal/controller/failover_trace.go
@@ -13,15 +13,15 @@
 	failover *Failover
 }
 
-// noteStateLoaded records that all stored records are loaded, and releases the preloaded records.
-func (t *failoverTrace) noteStateLoaded() {
+// recordStateLoaded records that all stored records are loaded, and releases the preloaded records.
+func (t *failoverTrace) recordStateLoaded() {
 	failover := t.failover
 	failover.Loaded, failover.Jobs, failover.Machines = t.env.now, len(t.state.Jobs), len(t.state.Machines)
 	t.loader.preload = nil
 }
 
-// noteFirstPlacement records the first start of a task by this leadership and finishes the failover.
-func (t *failoverTrace) noteFirstPlacement() {
+// recordFirstPlacement records the first start of a task by this leadership and finishes the failover.
+func (t *failoverTrace) recordFirstPlacement() {
 	if failover := t.failover; failover != nil && failover.FirstPlacement == 0 {
 		failover.FirstPlacement = t.env.now
 		t.finishFailover()
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -47,7 +47,7 @@
 		ProbeTimeout:     cfg.ProbeTimeout(),
 		SuspicionTimeout: cfg.SuspicionTimeout(),
 		SuspicionFactor:  config.UnconfirmedSuspicionFactor,
-		RejoinDelay:      cfg.RejoinMinUptime(),
+		RejoinDelay:      cfg.RejoinDelay(),
 		PauseThreshold:   pauseThresholdTimeouts * cfg.ProbeTimeout(),
 		ClockError:       cfg.ClockError(),
 	}
@@ -128,7 +128,7 @@
 		if !d.enabled() {
 			return
 		}
-		d.pause.noteAnswer(sent, res.Status != 0)
+		d.pause.recordAnswer(sent, res.Status != 0)
 		answer := membership.Response{Status: res.Status, Body: res.Body}
 		d.applyDetectorActions(d.detector.HandleResponse(d.detectorClock(), send.ID, answer))
 	})
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -15,11 +15,11 @@
 	return newWorldWith(t, seed, []byte(membershipOn))
 }
 
-// label returns the label of controller i.
-func label(i int) string { return fmt.Sprintf("n%d", i) }
+// controllerLabel returns the label of controller i.
+func controllerLabel(i int) string { return fmt.Sprintf("n%d", i) }
 
-// replicas starts services of both teams and runs the world for a while.
-func (w *world) replicas() {
+// startReplicas starts services of both teams and runs the world for a while.
+func (w *world) startReplicas() {
 	w.t.Helper()
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true, "cores": 4.0})
 	w.submit("j-2", map[string]any{"shape": "service", "shards": 2, "owner": "blue"})
@@ -30,7 +30,7 @@
 // Without failures, no controller suspects another one, not even during the initial load.
 func TestNoSuspicionWithoutFailures(t *testing.T) {
 	w := newMembershipWorld(t, 901)
-	w.replicas()
+	w.startReplicas()
 	for _, n := range w.nodes {
 		for _, c := range n.observer.changes {
 			t.Errorf("n%d: state change without a failure: %+v", n.observer.node, c)
@@ -46,11 +46,11 @@
 	for k, loss := range []float64{0, 0.05, 0.10, 0.20} {
 		t.Run(fmt.Sprintf("loss %v", loss), func(t *testing.T) {
 			w := newMembershipWorld(t, uint64(960+k))
-			w.replicas()
+			w.startReplicas()
 			lead := w.awaitLeader()
 			token := w.leadership().lease.token
 			began := w.Now()
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				if c.Target != ToPeer {
 					return deliveryFault{}
 				}
@@ -76,7 +76,7 @@
 					t.Errorf("loss %v: the lease of %s expired", loss, worker.ID)
 				}
 			}
-			for task, n := range w.starts {
+			for task, n := range w.startCounts {
 				if n > 1 && loss <= 0.05 {
 					t.Errorf("loss %v: %s was started %d times", loss, task, n)
 				}
@@ -90,7 +90,7 @@
 func TestDriftingClocks(t *testing.T) {
 	w := newMembershipWorld(t, 965)
 	w.nodes[0].drift, w.nodes[1].drift = 0.0005, 0.0002
-	w.replicas()
+	w.startReplicas()
 	w.crash(w.awaitLeader())
 	w.run(60 * second)
 	w.settle()
@@ -103,12 +103,12 @@
 		t.Run(fmt.Sprintf("older controller %v", older), func(t *testing.T) {
 			w := newMembershipWorld(t, uint64(980+older))
 			w.cfgs[older].Operator.Membership.Enabled = false
-			w.nodes[older].older = true
+			w.nodes[older].withoutProbes = true
 			w.boot(older)
-			w.replicas()
+			w.startReplicas()
 			for i, n := range w.nodes {
 				for _, c := range n.observer.changes {
-					if c.Label == label(older) {
+					if c.Label == controllerLabel(older) {
 						t.Errorf("n%d: state change of the live older controller: %+v", i, c)
 					}
 				}
@@ -117,7 +117,7 @@
 			w.crash(older)
 			w.run(20 * second)
 			for i, n := range w.nodes {
-				if i != older && n.observer.became(label(older), membership.Dead, began) == 0 {
+				if i != older && n.observer.firstChangeTo(controllerLabel(older), membership.Dead, began) == 0 {
 					t.Errorf("n%d has not declared n%d dead", i, older)
 				}
 			}
@@ -132,7 +132,7 @@
 func TestProbesReturn404WhileDisabled(t *testing.T) {
 	w := newWorldWith(t, 985, nil)
 	w.awaitLeader()
-	w.ask(0, Request{Op: OpProbe, Body: []byte{0xa0}}, func(r Reply) {
+	w.sendRequest(0, Request{Op: OpProbe, Body: []byte{0xa0}}, func(r Reply) {
 		if r.Status != http.StatusNotFound {
 			t.Errorf("probe answered with status %d, want 404", r.Status)
 		}
@@ -143,10 +143,10 @@
 // left, and never suspect it.
 func TestGracefulShutdown(t *testing.T) {
 	w := newMembershipWorld(t, 986)
-	w.replicas()
+	w.startReplicas()
 	lead := w.awaitLeader()
 	began := w.Now()
-	w.feed(lead, Shutdown{})
+	w.handleEvent(lead, Shutdown{})
 	w.run(20 * time.Millisecond)
 	w.crash(lead)
 	w.until(second, "another controller leads", func() bool { l := w.leader(); return l >= 0 && l != lead })
@@ -155,10 +155,10 @@
 		if i == lead {
 			continue
 		}
-		if n.observer.became(label(lead), membership.Left, began) == 0 {
+		if n.observer.firstChangeTo(controllerLabel(lead), membership.Left, began) == 0 {
 			t.Errorf("n%d has not recorded that the former leader left: %+v", i, n.observer.changes)
 		}
-		if n.observer.became(label(lead), membership.Suspect, began) > 0 {
+		if n.observer.firstChangeTo(controllerLabel(lead), membership.Suspect, began) > 0 {
 			t.Errorf("n%d suspected the former leader", i)
 		}
 	}
@@ -174,7 +174,7 @@
 			w.initialJobs()
 			loss := 0.0
 			cutFrom, cutTo := -1, -1
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				if c.Target != ToPeer {
 					return deliveryFault{}
 				}
@@ -198,7 +198,7 @@
 				case 4:
 					loss = w.rng.Float64() * 0.2
 				case 5:
-					w.state.Outage(w.randomMilliseconds(500, 6000))
+					w.state.InjectOutage(w.randomMilliseconds(500, 6000))
 				}
 				w.submit(fmt.Sprintf("j-7%d", step), map[string]any{"shards": 1 + w.rng.IntN(3), "cores": 1.0})
 				w.run(w.randomMilliseconds(1000, 8000))
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -29,7 +29,7 @@
 // onTaskError handles a task that exited with an error. a is nil if the cluster state lacks the attempt.
 func (f *failureTracker) onTaskError(m *clusterstate.Machine, j *clusterstate.Job, a *clusterstate.Attempt, key clusterstate.AttemptKey) {
 	if a != nil && j.Spec.Service && f.env.now > a.AddedAt+seconds(f.catalog.longestBootS()) {
-		f.noteTaskSuccess(j, nil) // a service task that ran for longer than a boot has succeeded before it failed
+		f.recordTaskSuccess(j, nil) // a service task that ran for longer than a boot has succeeded before it failed
 	}
 	f.env.log.Debug("task failed", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
 	if j.Failures.Backoffs == 0 || a != nil && a.AddedAt > j.Failures.LastBackoffAt {
@@ -46,10 +46,10 @@
 	}
 }
 
-// noteTaskSuccess records that a task of the job has succeeded on the machine; m is nil if the success is not
+// recordTaskSuccess records that a task of the job has succeeded on the machine; m is nil if the success is not
 // attributed to a machine. The success confirms the suspicion against the other machines on which tasks of the job
 // failed.
-func (f *failureTracker) noteTaskSuccess(j *clusterstate.Job, m *clusterstate.Machine) {
+func (f *failureTracker) recordTaskSuccess(j *clusterstate.Job, m *clusterstate.Machine) {
 	if m != nil {
 		m.Faults.Clear()
 	}
@@ -110,9 +110,9 @@
 	return min(delay, maxDelay)
 }
 
-// noteProbingStart records the start of a task of a job that may start only one task at a time because of its failures.
-// The next start is delayed until the outcome of this task is likely to be known.
-func (f *failureTracker) noteProbingStart(j *clusterstate.Job) {
+// recordProbingStart records the start of a task of a job that may start only one task at a time because of its
+// failures. The next start is delayed until the outcome of this task is likely to be known.
+func (f *failureTracker) recordProbingStart(j *clusterstate.Job) {
 	if j.Failures.IsProbing() && j.Gang == nil {
 		j.NotBefore = max(j.NotBefore, f.env.now+f.retryDelay(j))
 	}
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -13,7 +13,7 @@
 // failTasks makes the tasks of the given jobs fail as soon as they start on the given machines; nil
 // stands for all jobs or all machines.
 func (w *world) failTasks(jobs map[string]bool, machines map[string]bool) {
-	w.fails = func(worker *emulator.Worker, uid string) bool {
+	w.failsAtStart = func(worker *emulator.Worker, uid string) bool {
 		return (jobs == nil || jobs[uid]) && (machines == nil || machines[worker.ID])
 	}
 }
@@ -23,7 +23,7 @@
 func TestJobThatFailsEverywhere(t *testing.T) {
 	w := newWorld(t, 91)
 	w.failTasks(map[string]bool{"j-9": true}, nil)
-	w.runs = func(string) time.Duration { return 50 * second }
+	w.runTime = func(string) time.Duration { return 50 * second }
 	w.submit("j-9", map[string]any{"shards": 12, "cores": 1.0})
 	w.submit("j-1", map[string]any{"shards": 6})
 	w.until(90*second, "the failures of j-9 are attributed to the job", func() bool {
@@ -51,7 +51,7 @@
 // fault: it gets no more tasks.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	w := newWorld(t, 92)
-	w.runs = func(string) time.Duration { return 10 * second }
+	w.runTime = func(string) time.Duration { return 10 * second }
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 2.0, "shards": 2, "apart": true})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-0") == 2 })
 	faultyMachine := w.workers()[0].ID
--- a/internal/controller/feature_gate.go
+++ b/internal/controller/feature_gate.go
@@ -21,13 +21,13 @@
 // process that restarts repeatedly from making the gate flap.
 const gatePauseLeases = 6
 
-// gateKeeper operates the feature gate on the leader: it collects the version statements of the controllers, and stores
-// the gate's state in the leader key. Each write of any leader is conditional on the version of that key, so the state
-// service refuses writes that were sent under an earlier state of the gate and arrive late.
+// featureGateManager operates the feature gate on the leader: it collects the version statements of the controllers,
+// and stores the gate's state in the leader key. Each write of any leader is conditional on the version of that key, so
+// the state service refuses writes that were sent under an earlier state of the gate and arrive late.
 //
 // It owns the leader record and the gate. The next leader takes the gate's state from the stored record and collects
 // the version statements again.
-type gateKeeper struct {
+type featureGateManager struct {
 	completions *completionRecorder
 	env         *environment
 	lease       *leaderLease
@@ -45,7 +45,7 @@
 	settings := featuregate.Settings{
 		Version:             completionJournalVersion,
 		Self:                cfg.Label,
-		Own:                 *readVersionStatement(l.controller.versionStatement()),
+		OwnStatement:        *readVersionStatement(l.controller.versionStatement()),
 		TransactionsFit:     cfg.SupportsFeatureGate(),
 		SettleTime:          cfg.LeaderLease(),
 		OlderProgramTimeout: cfg.WorkerLease(),
@@ -54,7 +54,7 @@
 	for _, sibling := range cfg.Siblings {
 		settings.Peers = append(settings.Peers, sibling.Label)
 	}
-	return featuregate.New(settings, l.gating.storedRecord.gateState())
+	return featuregate.New(settings, l.featureGate.storedRecord.gateState())
 }
 
 // versionStatement returns this controller's statement of the storage versions that it supports.
@@ -79,14 +79,14 @@
 	}
 }
 
-// onVersionStatement passes the statement in a controller's heartbeat to the gate.
-func (g *gateKeeper) onVersionStatement(heartbeat *protocol.PeerHeartbeat) {
+// recordVersionStatement passes the statement in a controller's heartbeat to the gate.
+func (g *featureGateManager) recordVersionStatement(heartbeat *protocol.PeerHeartbeat) {
 	g.gate.RecordStatement(g.env.now, heartbeat.From, heartbeat.Incarnation, readVersionStatement(heartbeat.Versions))
 }
 
 // tick executes the gate's next action. It does nothing while this controller does not hold the leader's lease for
 // certain.
-func (g *gateKeeper) tick() {
+func (g *featureGateManager) tick() {
 	if !g.lease.holdsLease() {
 		return
 	}
@@ -101,7 +101,7 @@
 
 // executeAction stores the gate's state that an action requests. Opening the gate also creates the key of the lease,
 // and completing its closing deletes that key.
-func (g *gateKeeper) executeAction(action featuregate.Action) {
+func (g *featureGateManager) executeAction(action featuregate.Action) {
 	record := g.storedRecord
 	switch action {
 	case featuregate.NoAction:
@@ -120,7 +120,7 @@
 
 // storeGateState stores the leader key with a new state of the gate. The completion journal is opened once the open
 // gate is durable.
-func (g *gateKeeper) storeGateState(record leaderRecord, change *statestore.LeaderChange) {
+func (g *featureGateManager) storeGateState(record leaderRecord, change *statestore.LeaderChange) {
 	change.Entry = g.leaderEntry(record)
 	change.OnApplied = func() {
 		before := g.gate.State()
@@ -148,7 +148,7 @@
 // GateChange is a change of the feature gate's state, for operators.
 type GateChange struct {
 	Token    uint64        // of the leader
-	At       time.Duration // on the steady clock
+	At       time.Duration // on the monotonic clock
 	From, To featuregate.State
 	// Reason is the obstacle that keeps the gate from being open; "" if there is none.
 	Reason string
@@ -159,7 +159,7 @@
 
 // reportGateState logs a change of the gate's state and reports it to the observer. It also logs a new obstacle to
 // opening a gate that operators have enabled, at most once per worker lease.
-func (g *gateKeeper) reportGateState(before featuregate.State) {
+func (g *featureGateManager) reportGateState(before featuregate.State) {
 	state, obstacle := g.gate.State(), g.gate.Obstacle()
 	enabled := g.env.cfg.Operator.EndJournal.Enabled
 	logged := &g.gateLogged
@@ -180,7 +180,7 @@
 }
 
 // statements returns the last statements of the other controllers as text, by label.
-func (g *gateKeeper) statements() map[string]string {
+func (g *featureGateManager) statements() map[string]string {
 	texts := map[string]string{}
 	for label, statement := range g.gate.Statements() {
 		texts[label] = statement.String()
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -11,21 +11,21 @@
 // last. The gate opens, and the new storage format is written, only after all controllers have
 // announced support for it.
 func TestRollingUpgrade(t *testing.T) {
-	for _, shape := range []topology{defaultTopology, wideShape} {
+	for _, shape := range []topology{defaultTopology, fiveControllerTopology} {
 		last := len(shape.controllers) - 1
 		for _, position := range []int{0, last / 2, last} {
 			t.Run(fmt.Sprintf("%d controllers, leader at position %d", last+1, position), func(t *testing.T) {
 				u := newUpgradeWorld(t, uint64(300+10*last+position), shape)
-				order := u.leaderAt(position)
+				order := u.orderWithLeaderAt(position)
 				u.restartAll(order[:last], newerOperator(""))
 				u.run(40 * second)
-				if u.steps[opens]+u.steps[journals] > 0 || !u.gateIs("closed") {
+				if u.steps[stepOpenGate]+u.steps[stepWriteJournal] > 0 || !u.gateIs("closed") {
 					t.Fatalf("the gate opened or the journal was written with an older controller running: %v", u.steps)
 				}
 				u.restartAll(order[last:], newerOperator(""))
 				u.until(10*second, "the gate is open", func() bool { return u.gateIs("open") })
 				u.run(60 * second)
-				if u.steps[journals] == 0 {
+				if u.steps[stepWriteJournal] == 0 {
 					t.Error("the journal is not written although the gate is open")
 				}
 				u.settleAndCheck()
@@ -40,12 +40,12 @@
 	for _, opened := range []bool{false, true} {
 		t.Run(fmt.Sprintf("gate opened %v", opened), func(t *testing.T) {
 			u := newUpgradeWorld(t, 330, defaultTopology)
-			order := u.leaderAt(1)
+			order := u.orderWithLeaderAt(1)
 			if opened {
 				u.openGate()
 				u.run(20 * second)
-				follower := u.leaderAt(0)[1]
-				u.restart(follower, newerOperator(holdOn))
+				follower := u.orderWithLeaderAt(0)[1]
+				u.restart(follower, newerOperator(holdGateSettings))
 				u.until(20*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 				if keys := u.journalKeys(); len(keys) > 0 {
 					t.Errorf("journal keys left after the gate has closed: %v", keys)
@@ -88,7 +88,7 @@
 	u.until(10*second, "the newer version leads", func() bool { return u.leader() == 1 })
 	u.until(40*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 	u.restartAll([]int{1}, nil)
-	u.interrupts = true // the leases of workers that find no leader in time expire
+	u.allowRestarts = true // the leases of workers that find no leader in time expire
 	u.settleAndCheck()
 }
 
@@ -106,7 +106,7 @@
 func checkOlderProcessesStay(t *testing.T, count int) {
 	u := newUpgradeWorld(t, 350, defaultTopology)
 	u.openGate()
-	olderNodes := u.leaderAt(0)[1 : 1+count]
+	olderNodes := u.orderWithLeaderAt(0)[1 : 1+count]
 	for _, i := range olderNodes {
 		u.restart(i, nil)
 	}
@@ -128,7 +128,7 @@
 func checkAlternatingVersions(t *testing.T, count int) {
 	u := newUpgradeWorld(t, 360, defaultTopology)
 	u.openGate()
-	olderNodes := u.leaderAt(0)[1 : 1+count]
+	olderNodes := u.orderWithLeaderAt(0)[1 : 1+count]
 	for turn := range 20 {
 		for _, i := range olderNodes {
 			if turn%2 == 0 {
@@ -142,7 +142,7 @@
 	if n := len(u.states); n > 4 { // closed, open, closing, closed
 		t.Errorf("the gate changed its state too often: %v", u.states)
 	}
-	u.interrupts = count == 2
+	u.allowRestarts = count == 2
 	u.settleAndCheck()
 }
 
@@ -157,41 +157,41 @@
 
 var gateFaults = []gateFault{
 	{"the sender crashes and the transaction is lost", func(u *upgradeWorld, node int) deliveryFault {
-		u.endSoon(node)
+		u.crashAndRestart(node)
 		return deliveryFault{lost: true}
 	}},
 	{"the sender crashes and the transaction is applied", func(u *upgradeWorld, node int) deliveryFault {
-		u.endSoon(node)
+		u.crashAndRestart(node)
 		return deliveryFault{}
 	}},
 	{"the sender crashes and the transaction is applied late", func(u *upgradeWorld, node int) deliveryFault {
-		u.endSoon(node)
-		return deliveryFault{hold: lateDelay}
+		u.crashAndRestart(node)
+		return deliveryFault{delay: lateDelay}
 	}},
-	{"the transaction is applied late and its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{hold: lateDelay, answerLost: true} }},
+	{"the transaction is applied late and its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{delay: lateDelay, answerLost: true} }},
 	{"the answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{answerLost: true} }},
 	{"the transaction is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{lost: true} }},
 	{"the sender's process pauses", func(u *upgradeWorld, node int) deliveryFault {
-		u.at(0, func() { u.pauseProcess(node, 6*second) })
-		return deliveryFault{hold: second}
+		u.after(0, func() { u.pauseProcess(node, 6*second) })
+		return deliveryFault{delay: second}
 	}},
 	{"the state service refuses only the sender", func(u *upgradeWorld, node int) deliveryFault {
 		u.state.RefusedClients[node] = true
-		u.at(15*second, func() { u.state.RefusedClients[node] = false })
+		u.after(15*second, func() { u.state.RefusedClients[node] = false })
 		return deliveryFault{}
 	}},
 	{"the state service is down for longer than a worker's lease", func(u *upgradeWorld, _ int) deliveryFault {
-		u.state.Outage(14 * second)
+		u.state.InjectOutage(14 * second)
 		return deliveryFault{}
 	}},
 	{"another controller crashes", func(u *upgradeWorld, node int) deliveryFault {
-		u.endSoon((node + 1) % len(u.nodes))
+		u.crashAndRestart((node + 1) % len(u.nodes))
 		return deliveryFault{}
 	}},
 	{"the sender and another controller crash", func(u *upgradeWorld, node int) deliveryFault {
-		u.endSoon(node)
-		u.endSoon((node + 1) % len(u.nodes))
-		return deliveryFault{hold: second}
+		u.crashAndRestart(node)
+		u.crashAndRestart((node + 1) % len(u.nodes))
+		return deliveryFault{delay: second}
 	}},
 	{"another controller runs the older version for a while", func(u *upgradeWorld, node int) deliveryFault {
 		other := (node + 1) % len(u.nodes)
@@ -202,7 +202,7 @@
 		for _, i := range []int{node, (node + 1) % len(u.nodes)} {
 			u.runOlderVersion(i, 5*second)
 		}
-		return deliveryFault{hold: second}
+		return deliveryFault{delay: second}
 	}},
 }
 
@@ -210,15 +210,15 @@
 // version and its previous settings.
 func (u *upgradeWorld) runOlderVersion(i int, duration time.Duration) {
 	operator := u.operators[i]
-	u.at(0, func() { u.restart(i, nil) })
-	u.at(duration, func() { u.restart(i, operator) })
+	u.after(0, func() { u.restart(i, nil) })
+	u.after(duration, func() { u.restart(i, operator) })
 }
 
-// endSoon crashes a controller once the current event has been handled, and boots it three seconds
+// crashAndRestart crashes a controller once the current event has been handled, and boots it three seconds
 // later.
-func (u *upgradeWorld) endSoon(node int) {
-	u.at(0, func() { u.crash(node) })
-	u.at(3*second, func() {
+func (u *upgradeWorld) crashAndRestart(node int) {
+	u.after(0, func() { u.crash(node) })
+	u.after(3*second, func() {
 		if !u.nodes[node].alive {
 			u.boot(node)
 			if u.newerSince[node] > 0 {
@@ -232,25 +232,25 @@
 // closing: the transaction that opens the gate, the first write to the journal, the transaction that
 // starts the closing, the first deletion from the journal, and the transaction that closes the gate.
 func TestFailureAtEachStepOfTheGate(t *testing.T) {
-	for _, step := range []gateStep{opens, journals, closes, deletes, closed} {
+	for _, step := range []gateStep{stepOpenGate, stepWriteJournal, stepBeginClosing, stepDeleteJournal, stepCloseGate} {
 		for number, fault := range gateFaults {
 			t.Run(fmt.Sprintf("%s/%s", step, fault.name), func(t *testing.T) {
 				u := newUpgradeWorld(t, uint64(400+number), defaultTopology)
 				injected := false
-				u.onStep = func(now gateStep, node int) deliveryFault {
+				u.faultForStep = func(now gateStep, node int) deliveryFault {
 					if now != step || injected {
 						return deliveryFault{}
 					}
 					injected = true
 					return fault.inject(u, node)
 				}
-				u.restartAll(u.leaderAt(0), newerOperator(""))
+				u.restartAll(u.orderWithLeaderAt(0), newerOperator(""))
 				u.until(120*second, "the gate is open", func() bool { return u.gateIs("open") })
 				u.run(20 * second)
-				if step == closes || step == deletes || step == closed {
+				if step == stepBeginClosing || step == stepDeleteJournal || step == stepCloseGate {
 					u.until(120*second, "the gate is open", func() bool { return u.gateIs("open") })
-					holding := u.leaderAt(0)[2]
-					u.restart(holding, newerOperator(holdOn))
+					holding := u.orderWithLeaderAt(0)[2]
+					u.restart(holding, newerOperator(holdGateSettings))
 					u.until(120*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 					if keys := u.journalKeys(); len(keys) > 0 {
 						t.Errorf("journal keys left after the gate has closed: %v", keys)
@@ -268,39 +268,39 @@
 // The zones are partitioned from each other during an upgrade, and both still reach the state service:
 // before the last controller is upgraded, when the gate opens, or while it closes.
 func TestUpgradeDuringZonePartition(t *testing.T) {
-	for _, when := range []gateStep{noStep, opens, closes} {
+	for _, when := range []gateStep{stepNone, stepOpenGate, stepBeginClosing} {
 		t.Run(string(when), func(t *testing.T) {
-			u := newUpgradeWorld(t, 370, wideShape)
+			u := newUpgradeWorld(t, 370, fiveControllerTopology)
 			partition := func() {
-				u.partitionZones(when != opens, 25*second)
-				partitionFault := u.script
-				u.script = func(node int, c Call) deliveryFault {
+				u.partitionZones(when != stepOpenGate, 25*second)
+				partitionFault := u.callFault
+				u.callFault = func(node int, c Call) deliveryFault {
 					if f := partitionFault(node, c); f != (deliveryFault{}) {
 						return f
 					}
 					return u.fault(node, c)
 				}
-				u.at(25*second, func() { u.script, u.heartbeatFault, u.unreachable = u.fault, nil, nil })
+				u.after(25*second, func() { u.callFault, u.heartbeatFault, u.unreachable = u.fault, nil, nil })
 			}
 			injected := false
-			u.onStep = func(step gateStep, _ int) deliveryFault {
+			u.faultForStep = func(step gateStep, _ int) deliveryFault {
 				if step == when && !injected {
 					injected = true
-					u.at(0, partition)
+					u.after(0, partition)
 				}
 				return deliveryFault{}
 			}
-			order := u.leaderAt(2)
+			order := u.orderWithLeaderAt(2)
 			u.restartAll(order[:4], newerOperator(""))
-			if when == noStep {
+			if when == stepNone {
 				partition()
 			}
 			u.restartAll(order[4:], newerOperator(""))
 			u.until(90*second, "the gate is open", func() bool { return u.gateIs("open") })
 			u.run(30 * second)
-			u.restart(u.leaderAt(0)[3], newerOperator(holdOn))
+			u.restart(u.orderWithLeaderAt(0)[3], newerOperator(holdGateSettings))
 			u.until(90*second, "the gate is closed", func() bool { return u.gateIs("closed") && len(u.journalKeys()) == 0 })
-			u.interrupts = true // the only controller of a zone may restart while the zone is partitioned
+			u.allowRestarts = true // the only controller of a zone may restart while the zone is partitioned
 			u.settleAndCheck()
 		})
 	}
@@ -320,12 +320,12 @@
 	u.run(4 * second)
 	u.state.Limits = lowerLimits
 	u.run(30 * second)
-	u.endSoon(u.awaitLeader())
+	u.crashAndRestart(u.awaitLeader())
 	u.run(20 * second)
-	if u.state.TooLarge > 0 {
-		t.Errorf("%d transactions exceeded the limits", u.state.TooLarge)
+	if u.state.TooLargeTransactions > 0 {
+		t.Errorf("%d transactions exceeded the limits", u.state.TooLargeTransactions)
 	}
-	u.restart(u.leaderAt(0)[1], newerOperator(holdOn))
+	u.restart(u.orderWithLeaderAt(0)[1], newerOperator(holdGateSettings))
 	u.until(60*second, "the gate is closed", func() bool { return u.gateIs("closed") && len(u.journalKeys()) == 0 })
 	u.settleAndCheck()
 }
@@ -341,36 +341,36 @@
 		closing bool // the transactions arrive after the gate has closed
 	}{
 		{"writes of an older leader", func(u *upgradeWorld, step gateStep, node int) bool {
-			return u.nodes[node].withoutGate && step == noStep
+			return u.nodes[node].withoutGate && step == stepNone
 		}, false},
 		{"election of an older candidate", func(u *upgradeWorld, step gateStep, node int) bool {
-			return u.nodes[node].withoutGate && step == elects
+			return u.nodes[node].withoutGate && step == stepElect
 		}, false},
-		{"writes to the journal", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == journals }, true},
-		{"opening of the gate", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == opens }, true},
+		{"writes to the journal", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == stepWriteJournal }, true},
+		{"opening of the gate", func(_ *upgradeWorld, step gateStep, _ int) bool { return step == stepOpenGate }, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			u := newUpgradeWorld(t, 390, defaultTopology)
 			delayed, arrival := 0, u.Now()+late
-			u.script = func(node int, call Call) deliveryFault {
+			u.callFault = func(node int, call Call) deliveryFault {
 				f := u.fault(node, call)
 				if call.Path == "/multi" && delayed < 3 && c.holds(u, u.stepOf(call.Body), node) {
 					delayed++
-					f.hold = arrival - u.Now()
-					u.endSoon(node)
+					f.delay = arrival - u.Now()
+					u.crashAndRestart(node)
 				}
 				return f
 			}
 			if !c.closing {
 				u.run(3 * second)
-				u.endSoon(u.awaitLeader())
+				u.crashAndRestart(u.awaitLeader())
 				u.run(5 * second)
 			}
-			u.restartAll(u.leaderAt(0), newerOperator(""))
+			u.restartAll(u.orderWithLeaderAt(0), newerOperator(""))
 			u.until(30*second, "the gate is open", func() bool { return u.gateIs("open") })
 			if c.closing {
 				u.run(8 * second)
-				u.restart(u.leaderAt(0)[1], newerOperator(holdOn))
+				u.restart(u.orderWithLeaderAt(0)[1], newerOperator(holdGateSettings))
 				u.until(30*second, "the gate is closed", func() bool { return u.gateIs("closed") })
 			}
 			if delayed == 0 || u.Now() >= arrival {
--- a/internal/controller/fleet_summary.go
+++ b/internal/controller/fleet_summary.go
@@ -110,8 +110,8 @@
 // usedFraction is the used fraction of a machine's accelerators or, if it has none, of its cores.
 func usedFraction(m *clusterstate.Machine) float64 {
 	switch {
-	case m.Size.Accel > 0:
-		return m.Used.Accel / m.Size.Accel
+	case m.Size.Accelerators > 0:
+		return m.Used.Accelerators / m.Size.Accelerators
 	case m.Size.Cores > 0:
 		return m.Used.Cores / m.Size.Cores
 	default:
@@ -125,7 +125,7 @@
 	for _, team := range sortedKeys(f.state.Quotas) {
 		used := f.state.Quotas[team].Used
 		if used.Cores > 0 {
-			args = append(args, team, strconv.FormatFloat(used.Cores, 'f', 0, 64)+"c/"+strconv.FormatFloat(used.Accel, 'f', 0, 64)+"a")
+			args = append(args, team, strconv.FormatFloat(used.Cores, 'f', 0, 64)+"c/"+strconv.FormatFloat(used.Accelerators, 'f', 0, 64)+"a")
 		}
 	}
 	return args
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -30,7 +30,7 @@
 					callsLostTo[worker.Addr] = true
 				}
 			}
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || callsLostTo[c.Addr])}
 			}
 			if !answersLost {
@@ -47,7 +47,7 @@
 			if (w.leader() == lead) != answersLost {
 				t.Errorf("calls to a few machines lost %v: the leader is %d, was %d", answersLost, w.leader(), lead)
 			}
-			w.script, w.heartbeatFault = nil, nil
+			w.callFault, w.heartbeatFault = nil, nil
 			w.awaitStatus(200*second, "j-3", "done")
 			w.requireNoViolations()
 		})
@@ -64,23 +64,23 @@
 	lease := c.env.cfg.WorkerLease()
 	missThreeMachines := func() {
 		for _, id := range []string{"i-1", "i-2", "i-3"} {
-			l.reach.noteMissed(id, c.env.now)
+			l.reachability.recordMissed(id, c.env.now)
 		}
 	}
-	l.reach.lastReachedAt, c.env.now = c.env.now, c.env.now+lease
+	l.reachability.lastReachedAt, c.env.now = c.env.now, c.env.now+lease
 	missThreeMachines()
-	if l.reach.cannotReachWorkers() {
+	if l.reachability.cannotReachWorkers() {
 		t.Error("workers considered unreachable before the other machines could be probed")
 	}
 	c.env.now += lease / 20
-	l.reach.noteReached(c.env.now)
-	if l.reach.cannotReachWorkers() {
+	l.reachability.recordReached(c.env.now)
+	if l.reachability.cannotReachWorkers() {
 		t.Error("workers considered unreachable although a machine answered")
 	}
 	c.env.now += lease
 	missThreeMachines()
 	c.env.now += lease/20 + second
-	if !l.reach.cannotReachWorkers() {
+	if !l.reachability.cannotReachWorkers() {
 		t.Error("workers considered reachable although no machine answered")
 	}
 }
@@ -116,12 +116,12 @@
 	if l := w.nodes[lead].controller.leadership; !l.partitions.isPartitioned("b") {
 		t.Fatal("zone b is not considered partitioned: the test checks nothing")
 	}
-	for _, id := range w.cloud.Deleted {
-		if worker := w.machines.Workers[id]; worker.Zone == "b" && worker.Seq > 0 {
+	for _, id := range w.cloud.DeletionRequests {
+		if worker := w.machines.Workers[id]; worker.Zone == "b" && worker.Sequence > 0 {
 			t.Errorf("machine %s of the partitioned zone was deleted", id)
 		}
 	}
-	w.script, w.heartbeatFault = nil, nil
+	w.callFault, w.heartbeatFault = nil, nil
 	w.run(30 * second)
 	w.requireNoViolations()
 }
@@ -141,8 +141,8 @@
 		m.KnownToExistAt, m.LaunchedAt = c.env.now, c.env.now
 		l.dispatcher.dispatchCommands(m)
 	}
-	if l.dispatcher.callLimiter.inFlight != l.dispatcher.callLimiter.mayHangInFlight || l.dispatcher.callLimiter.mayHangInFlight != fds/12 {
-		t.Errorf("%d calls in flight, %d of them may hang, with %d sockets", l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.mayHangInFlight, fds)
+	if l.dispatcher.callLimiter.inFlight != l.dispatcher.callLimiter.likelyTimeoutsInFlight || l.dispatcher.callLimiter.likelyTimeoutsInFlight != fds/12 {
+		t.Errorf("%d calls in flight, %d of them likely to time out, with %d sockets", l.dispatcher.callLimiter.inFlight, l.dispatcher.callLimiter.likelyTimeoutsInFlight, fds)
 	}
 	m := l.state.AddMachine("i-000001")
 	m.Type, m.Zone, m.Addr, m.Seen, m.TokenAcknowledged, m.EverReported = "m8", "a", "10.2.1.1:1", true, true, true
@@ -168,7 +168,7 @@
 			m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.%d.%d:1", i/256, i%256), l.machines.machineSize("m8")
 			m.Seen, m.TokenAcknowledged, m.EverReported, m.Epoch, m.LastSeen, m.LastAnswered, m.Token = true, true, true, 1, c.env.now, c.env.now, l.lease.token
 			for k := range 2 {
-				a := l.state.AddAttempt(m, j, 2*i+k, l.attemptNumbers.take(), c.env.now)
+				a := l.state.AddAttempt(m, j, 2*i+k, l.attemptNumbers.allocate(), c.env.now)
 				a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.TaskRunning, 1
 			}
 		}
@@ -236,13 +236,13 @@
 			if scenario == "partitioned zone" {
 				w.partitionZoneB()
 			}
-			w.cloud.Deleted = nil
+			w.cloud.DeletionRequests = nil
 			w.run(28 * second)
-			if want := scenario == "dead"; (len(w.cloud.Deleted) > 0) != want {
-				t.Errorf("scenario %s: deleted machines %v", scenario, w.cloud.Deleted)
+			if want := scenario == "dead"; (len(w.cloud.DeletionRequests) > 0) != want {
+				t.Errorf("scenario %s: deleted machines %v", scenario, w.cloud.DeletionRequests)
 			}
-			if scenario == "dead" && (w.cloud.Deleted[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
-				t.Errorf("%d of 12 replicas run after 28 s, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.Deleted)
+			if scenario == "dead" && (w.cloud.DeletionRequests[0] != victim.ID || w.running("j-1")+w.running("j-2") != 12) {
+				t.Errorf("%d of 12 replicas run after 28 s, deleted %v", w.running("j-1")+w.running("j-2"), w.cloud.DeletionRequests)
 			}
 			w.requireNoViolations()
 		})
@@ -268,13 +268,13 @@
 		want   bool
 	}{{now - 2*second, true}, {now + second, false}} {
 		m.LastFailedCallAt = tc.failed
-		if got := l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()); got != tc.want {
+		if got := l.scaler.isUnreachable(m, l.scaler.zonesReportingSince()); got != tc.want {
 			t.Errorf("call failed at %v, last heartbeat from the zone at %v: unreachable %v", tc.failed, now, got)
 		}
 	}
 	m.LastFailedCallAt = now - 2*second
-	l.reach.noteMissed("i-900007", now)
-	if l.scaler.isUnreachable(m, l.scaler.zonesHeardSince()) {
+	l.reachability.recordMissed("i-900007", now)
+	if l.scaler.isUnreachable(m, l.scaler.zonesReportingSince()) {
 		t.Error("machine considered unreachable although other controllers receive heartbeats that the leader misses")
 	}
 }
@@ -298,7 +298,7 @@
 		m.Type, m.Zone, m.Addr, m.Size = "m8", "a", fmt.Sprintf("10.2.0.%d:1", i), l.machines.machineSize("m8")
 		m.Seen, m.TokenAcknowledged, m.EverReported, m.Epoch, m.LastSeen, m.LastAnswered = true, true, true, 1, c.env.now, c.env.now
 		if i < 3 {
-			a := l.state.AddAttempt(m, web, i, l.attemptNumbers.take(), c.env.now)
+			a := l.state.AddAttempt(m, web, i, l.attemptNumbers.allocate(), c.env.now)
 			a.Durable, a.Sent, a.Acknowledged, a.State, a.Epoch = true, true, true, protocol.TaskRunning, 1
 		}
 		machines = append(machines, m)
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -207,7 +207,7 @@
 		contact.inFlight = false // the heartbeat was sent before a process pause, so its result is out of date
 		return
 	}
-	f.pause.noteAnswer(sent, res.Status != 0)
+	f.pause.recordAnswer(sent, res.Status != 0)
 	if res.Status == http.StatusOK {
 		f.detection.recordPeerAnswer(target, sent)
 	}
@@ -290,10 +290,11 @@
 	f.outbox.reply(from, http.StatusOK, protocol.Encode(reply), 0)
 }
 
-// forwardsHeartbeat reports whether the worker's heartbeat is forwarded to the leader. Workers send their heartbeats to
-// a controller of their own zone, so that they need not search for another one when the zone is partitioned. Such a
-// search took up to 4 s per controller, and longer than a lease if the next two controllers were outside the zone.
-func (f *follower) forwardsHeartbeat(heartbeat *protocol.WorkerHeartbeat) bool {
+// shouldForwardHeartbeat reports whether the worker's heartbeat is forwarded to the leader. Workers send their
+// heartbeats to a controller of their own zone, so that they need not search for another one when the zone is
+// partitioned. Such a search took up to 4 s per controller, and longer than a lease if the next two controllers were
+// outside the zone.
+func (f *follower) shouldForwardHeartbeat(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
 	if heartbeat.Zone != f.env.cfg.Zone || contact.leaderLost {
 		return false
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -12,7 +12,7 @@
 // unavailable, so that no more machines can be rented.
 func (w *world) fillFleet(machines int) {
 	w.t.Helper()
-	w.runs = func(task string) time.Duration {
+	w.runTime = func(task string) time.Duration {
 		if task[:3] == "j-0" {
 			return 1000 * second
 		}
@@ -32,7 +32,7 @@
 		t.Run(fmt.Sprintf("together %v", together), func(t *testing.T) {
 			w := newWorld(t, 111)
 			w.fillFleet(4)
-			w.submit("j-1", group(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
+			w.submit("j-1", gangChanges(3, 3, map[string]any{"rank": "high", "owner": "blue", "together": together}))
 			w.until(10*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			if running := w.running("j-0"); running < 16-6 {
 				t.Errorf("together %v: %d of 16 tasks still run, want at least 10", together, running)
@@ -48,7 +48,7 @@
 func TestNoPreemptionForPartOfAGang(t *testing.T) {
 	w := newWorld(t, 112)
 	w.fillFleet(2)
-	w.submit("j-1", group(4, 5, map[string]any{"rank": "high"})) // one task per machine
+	w.submit("j-1", gangChanges(4, 5, map[string]any{"rank": "high"})) // one task per machine
 	w.run(40 * second)
 	if n := w.running("j-0"); n != 8 {
 		t.Errorf("%d of 8 tasks run, want all", n)
@@ -63,12 +63,12 @@
 func TestNoGangStarvesInAFullFleet(t *testing.T) {
 	w := newWorld(t, 113)
 	w.fillFleet(4)
-	w.submit("j-1", group(6, 2, map[string]any{"owner": "blue"}))
-	w.submit("j-2", group(7, 2, map[string]any{"owner": "red"}))
-	w.submit("j-3", group(4, 2, map[string]any{"owner": "blue", "together": true}))
-	w.submit("j-4", group(2, 2, map[string]any{"owner": "red", "apart": true}))
+	w.submit("j-1", gangChanges(6, 2, map[string]any{"owner": "blue"}))
+	w.submit("j-2", gangChanges(7, 2, map[string]any{"owner": "red"}))
+	w.submit("j-3", gangChanges(4, 2, map[string]any{"owner": "blue", "together": true}))
+	w.submit("j-4", gangChanges(2, 2, map[string]any{"owner": "red", "apart": true}))
 	for i := range 20 {
-		w.submit(fmt.Sprintf("j-5%02d", i), group(2, 2, map[string]any{"rank": "high", "owner": []string{"red", "blue"}[i%2]}))
+		w.submit(fmt.Sprintf("j-5%02d", i), gangChanges(2, 2, map[string]any{"rank": "high", "owner": []string{"red", "blue"}[i%2]}))
 		w.run(4 * second)
 	}
 	for _, uid := range []string{"j-1", "j-2", "j-3", "j-4"} {
@@ -92,7 +92,7 @@
 		w.cancel(fmt.Sprintf("j-2%d", i))
 	}
 	w.run(6 * second)
-	w.submit("j-1", group(2, 1, map[string]any{"rank": "high", "owner": "blue"}))
+	w.submit("j-1", gangChanges(2, 1, map[string]any{"rank": "high", "owner": "blue"}))
 	w.until(7500*time.Millisecond, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.awaitStatus(30*second, "j-1", protocol.JobDone)
 	w.cancel("j-0")
--- a/internal/controller/gang_states_test.go
+++ b/internal/controller/gang_states_test.go
@@ -35,18 +35,18 @@
 func TestGangIncomplete(t *testing.T) {
 	w := newWorld(t, 101)
 	w.replicasOnMachines(3, 3)
-	w.pulls = func(task string) time.Duration {
+	w.fetchTime = func(task string) time.Duration {
 		if task == "j-1/1" {
 			return 45 * second
 		}
 		return second
 	}
-	w.submit("j-1", group(2, 2, map[string]any{"owner": "blue"}))
+	w.submit("j-1", gangChanges(2, 2, map[string]any{"owner": "blue"}))
 	w.until(40*second, "the task without its image receives a stop command", func() bool { return len(w.stopCommands["j-1"]) > 0 })
 	if w.machines.GangStarts["j-1"] != 0 {
 		t.Error("the incomplete gang started")
 	}
-	w.pulls = nil
+	w.fetchTime = nil
 	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
@@ -58,10 +58,10 @@
 	for _, hang := range []time.Duration{7 * second, 60 * second} {
 		t.Run(fmt.Sprintf("hangs for %v", hang), func(t *testing.T) {
 			w := newWorld(t, 102)
-			w.submit("j-1", group(4, 4, map[string]any{"apart": true}))
+			w.submit("j-1", gangChanges(4, 4, map[string]any{"apart": true}))
 			w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			w.run(2 * second)
-			w.machinesWithTasksOf("j-1")[0].Hang(hang)
+			w.machinesWithTasksOf("j-1")[0].InjectHang(hang)
 			w.until(60*second, "the gang has restarted", func() bool { return w.machines.GangStarts["j-1"] == 2 })
 			w.awaitStatus(60*second, "j-1", protocol.JobDone)
 			w.settle()
@@ -77,10 +77,10 @@
 	for _, after := range []time.Duration{-1, 0, 3 * time.Millisecond, second, 4 * second} {
 		t.Run(fmt.Sprintf("leader crashes after %v", after), func(t *testing.T) {
 			w := newWorld(t, 103)
-			w.runs = func(string) time.Duration { return 40 * second }
+			w.runTime = func(string) time.Duration { return 40 * second }
 			w.replicasOnMachines(4, 3)
 			w.cloud.Down = true
-			w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
+			w.submit("j-1", gangChanges(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
 			w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			w.run(3 * second)
 			w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
@@ -111,8 +111,8 @@
 	}{{30, 1}, {1, 0}} {
 		t.Run(fmt.Sprintf("notice of %v s", tc.notice), func(t *testing.T) {
 			w := newWorld(t, 104)
-			w.runs = func(string) time.Duration { return 40 * second }
-			w.submit("j-1", group(4, 4, map[string]any{"borrowed": true, "apart": true}))
+			w.runTime = func(string) time.Duration { return 40 * second }
+			w.submit("j-1", gangChanges(4, 4, map[string]any{"borrowed": true, "apart": true}))
 			w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 			w.run(2 * second)
 			worker := w.machinesWithTasksOf("j-1")[0]
@@ -121,7 +121,7 @@
 			}
 			end := w.Now() + time.Duration(tc.notice*float64(second))
 			worker.PreemptedAt = end
-			w.at(end-w.Now(), worker.Die)
+			w.after(end-w.Now(), worker.Terminate)
 			w.until(90*second, "the gang has restarted", func() bool { return w.machines.GangStarts["j-1"] == 2 })
 			if w.machines.GangCheckpoints["j-1"] != tc.saves {
 				t.Errorf("the gang's progress was saved %d times, want %d", w.machines.GangCheckpoints["j-1"], tc.saves)
@@ -136,13 +136,13 @@
 // them: this completes the job, and the gang is not restarted.
 func TestOneCompletionCompletesItsGang(t *testing.T) {
 	w := newWorld(t, 105)
-	w.runs = func(string) time.Duration { return 20 * second }
-	w.submit("j-1", group(4, 4, nil))
+	w.runTime = func(string) time.Duration { return 20 * second }
+	w.submit("j-1", gangChanges(4, 4, nil))
 	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(19 * second)
 	for _, worker := range w.machinesWithTasksOf("j-1")[1:] {
 		worker.Partitioned = true
-		w.at(30*second, func() { worker.Partitioned = false })
+		w.after(30*second, func() { worker.Partitioned = false })
 	}
 	w.awaitStatus(10*second, "j-1", protocol.JobDone)
 	w.run(40 * second)
@@ -161,32 +161,32 @@
 	for name, prepare := range map[string]func(*world){
 		"waiting": func(w *world) {
 			w.cloud.Down = true
-			w.submit("j-1", group(5, 3, map[string]any{"owner": "blue"}))
+			w.submit("j-1", gangChanges(5, 3, map[string]any{"owner": "blue"}))
 			w.run(3 * second)
 		},
 		"gathering": func(w *world) {
-			w.pulls = func(string) time.Duration { return 20 * second }
-			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"}))
+			w.fetchTime = func(string) time.Duration { return 20 * second }
+			w.submit("j-1", gangChanges(4, 3, map[string]any{"owner": "blue"}))
 			w.until(30*second, "the gang's tasks are on machines", func() bool { return pulling(w) })
 			w.run(second)
 		},
 		"running": func(w *world) {
-			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"}))
+			w.submit("j-1", gangChanges(4, 3, map[string]any{"owner": "blue"}))
 			w.until(30*second, "the gang runs", func() bool { return running(w) })
 			w.run(second)
 		},
 		"stopping": func(w *world) {
 			w.cloud.Down = true
-			w.submit("j-1", group(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
+			w.submit("j-1", gangChanges(4, 3, map[string]any{"rank": "idle", "owner": "blue"}))
 			w.until(30*second, "the gang runs", func() bool { return running(w) })
 			w.submit("j-2", map[string]any{"shape": "service", "rank": "production", "cores": 3.0})
 			w.until(20*second, "the gang receives a stop command", func() bool { return stopSent(w) })
 			w.run(500 * time.Millisecond)
 		},
 		"broken": func(w *world) {
-			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"}))
+			w.submit("j-1", gangChanges(4, 3, map[string]any{"owner": "blue"}))
 			w.until(30*second, "the gang runs", func() bool { return running(w) })
-			w.machinesWithTasksOf("j-1")[0].Die()
+			w.machinesWithTasksOf("j-1")[0].Terminate()
 			w.run(5 * second)
 		},
 	} {
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -12,8 +12,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// group returns the changes to the default submission for a gang with checkpoints, with further changes.
-func group(shards int, cores float64, change map[string]any) map[string]any {
+// gangChanges returns the changes to the default submission for a gang with checkpoints, with further changes.
+func gangChanges(shards int, cores float64, change map[string]any) map[string]any {
 	m := map[string]any{"shape": "group", "shards": shards, "cores": cores, "saveEveryS": 5.0, "saveTakesS": 2.0}
 	for k, v := range change {
 		m[k] = v
@@ -28,7 +28,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 4.0})
 	w.until(60*second, "the replica runs", func() bool { return w.running("j-1") == 1 })
 	w.cloud.Down = true // no more machines can be rented
-	w.submit("j-2", group(3, 2, nil))
+	w.submit("j-2", gangChanges(3, 2, nil))
 	for range 40 {
 		w.run(second)
 		if n := w.running("j-2"); n > 0 {
@@ -47,12 +47,12 @@
 // a whole.
 func TestGangRestartsAfterMachineLoss(t *testing.T) {
 	w := newWorld(t, 91)
-	w.submit("j-1", group(4, 4, nil)) // two machines
+	w.submit("j-1", gangChanges(4, 4, nil)) // two machines
 	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(3 * second)
 	for _, worker := range w.workers() {
 		if len(worker.Tasks) > 0 {
-			worker.Die()
+			worker.Terminate()
 			break
 		}
 	}
@@ -66,8 +66,8 @@
 // second stop command would end a save when the grace period has passed.
 func TestGangStopsWhole(t *testing.T) {
 	w := newWorld(t, 92)
-	w.runs = func(string) time.Duration { return 60 * second }
-	w.submit("j-1", group(4, 4, nil))
+	w.runTime = func(string) time.Duration { return 60 * second }
+	w.submit("j-1", gangChanges(4, 4, nil))
 	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(2 * second)
 	for _, worker := range w.workers() {
@@ -101,10 +101,10 @@
 			w.submit("j-0", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "apart": true})
 			w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 2 })
 			lead := w.awaitLeader()
-			w.submit("j-1", group(4, 2, nil))
+			w.submit("j-1", gangChanges(4, 2, nil))
 			w.run(time.Duration(seed) * 3 * time.Millisecond)
 			w.crash(lead)
-			w.at(2*second, func() { w.boot(lead) })
+			w.after(2*second, func() { w.boot(lead) })
 			w.awaitStatus(120*second, "j-1", protocol.JobDone)
 			w.settle()
 		})
@@ -115,14 +115,14 @@
 // are submitted continuously do not starve them.
 func TestGangsTakeTurns(t *testing.T) {
 	w := newWorld(t, 94)
-	w.runs = func(string) time.Duration { return 8 * second }
+	w.runTime = func(string) time.Duration { return 8 * second }
 	w.submit("j-1", map[string]any{"shape": "service", "cores": 1.0, "owner": "blue"})
 	w.until(60*second, "a machine is up", func() bool { return w.running("j-1") == 1 })
 	w.cloud.Down = true
-	w.submit("j-2", group(5, 1, nil))
-	w.submit("j-3", group(5, 1, map[string]any{"owner": "blue"}))
+	w.submit("j-2", gangChanges(5, 1, nil))
+	w.submit("j-3", gangChanges(5, 1, map[string]any{"owner": "blue"}))
 	for i := range 8 {
-		w.submit(fmt.Sprintf("j-4%d", i), group(2, 1, nil))
+		w.submit(fmt.Sprintf("j-4%d", i), gangChanges(2, 1, nil))
 		w.run(5 * second)
 	}
 	w.awaitStatus(60*second, "j-2", protocol.JobDone)
@@ -139,14 +139,14 @@
 		change map[string]any
 		status int
 	}{
-		"j-1": {group(5, 8, nil), 422}, // 40 of 32 cores
-		"j-2": {group(4, 8, nil), 201},
-		"j-3": {group(2, 9, nil), 422},
-		"j-4": {group(0, 1, nil), 400},
-		"j-6": {group(2, 1, map[string]any{"apart": true, "yard": "a"}), 422},
-		"j-7": {group(2, 1, map[string]any{"apart": true, "together": true}), 422},
-		"j-8": {group(2, 1, map[string]any{"apart": true}), 201},
-		"j-5": {group(2, 1, map[string]any{"owner": "green"}), 422},
+		"j-1": {gangChanges(5, 8, nil), 422}, // 40 of 32 cores
+		"j-2": {gangChanges(4, 8, nil), 201},
+		"j-3": {gangChanges(2, 9, nil), 422},
+		"j-4": {gangChanges(0, 1, nil), 400},
+		"j-6": {gangChanges(2, 1, map[string]any{"apart": true, "yard": "a"}), 422},
+		"j-7": {gangChanges(2, 1, map[string]any{"apart": true, "together": true}), 422},
+		"j-8": {gangChanges(2, 1, map[string]any{"apart": true}), 201},
+		"j-5": {gangChanges(2, 1, map[string]any{"owner": "green"}), 422},
 	} {
 		w.spec(uid, tc.change)
 		w.invalid[uid] = tc.status >= http.StatusBadRequest
@@ -166,7 +166,7 @@
 	w := newWorld(t, 96)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 4.0, "apart": true})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-1") == 2 })
-	w.specs["j-2"] = w.spec("j-2", group(2, 1, nil))
+	w.specs["j-2"] = w.spec("j-2", gangChanges(2, 1, nil))
 	_, spec, err := protocol.ParseSubmission(protocol.Encode(w.specs["j-2"]))
 	if err != nil {
 		t.Fatal(err)
@@ -196,8 +196,8 @@
 	w := newWorld(t, 97)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-	w.pulls = func(string) time.Duration { return 12 * second }
-	w.submit("j-1", group(2, 2, nil))
+	w.fetchTime = func(string) time.Duration { return 12 * second }
+	w.submit("j-1", gangChanges(2, 2, nil))
 	highestAttempt := func() (highest uint64) {
 		for _, worker := range w.workers() {
 			for _, task := range worker.Tasks {
@@ -213,10 +213,10 @@
 	first := highestAttempt()
 	for _, worker := range w.workers() {
 		if _, found := worker.Tasks[fmt.Sprintf("j-1/0@%d", first)]; found {
-			worker.Die()
+			worker.Terminate()
 		}
 	}
-	w.pulls = nil
+	w.fetchTime = nil
 	w.until(60*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	if highestAttempt() != first {
 		t.Errorf("the gang runs in attempt %d, want the first attempt %d", highestAttempt(), first)
@@ -239,19 +239,19 @@
 	w.cancel("j-9")
 	w.until(2*second, "the machines are empty", func() bool { return w.running("j-0")+w.running("j-9") == 0 })
 	written := false
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		var txn protocol.Transaction
 		if c.Path == "/multi" && !written && protocol.Decode(c.Body, &txn) == nil {
 			for _, ch := range txn.Then {
 				if rec, ok := ch.Value.(map[string]any); ok && rec["t"] != nil && ch.Put[:2] == clusterstate.MachinePrefix {
 					written = true
-					w.at(2*latency, func() { w.state.Outage(20 * second) })
+					w.after(2*latency, func() { w.state.InjectOutage(20 * second) })
 				}
 			}
 		}
 		return deliveryFault{}
 	}
-	w.submit("j-1", group(4, 6, nil)) // each task needs a machine of its own
+	w.submit("j-1", gangChanges(4, 6, nil)) // each task needs a machine of its own
 	w.until(30*second, "a part of the placement is written", func() bool { return written })
 	for range 18 {
 		w.run(second)
@@ -259,7 +259,7 @@
 			t.Fatalf("%d of 4 tasks are on machines, want none or all", n)
 		}
 	}
-	w.script = nil
+	w.callFault = nil
 	w.awaitStatus(120*second, "j-1", protocol.JobDone)
 	w.settle()
 }
@@ -270,8 +270,8 @@
 	w := newWorld(t, 99)
 	w.submit("j-0", map[string]any{"shape": "service", "shards": 3, "cores": 6.0})
 	w.until(60*second, "machines are up", func() bool { return w.running("j-0") == 3 })
-	w.pulls = func(string) time.Duration { return 6 * second }
-	w.submit("j-1", group(2, 2, nil))
+	w.fetchTime = func(string) time.Duration { return 6 * second }
+	w.submit("j-1", gangChanges(2, 2, nil))
 	hasGangTask := func(worker *emulator.Worker) bool {
 		for _, task := range worker.Tasks {
 			if task.UID == "j-1" {
@@ -291,12 +291,12 @@
 	})
 	for _, worker := range w.workers() {
 		if hasGangTask(worker) {
-			worker.Die()
+			worker.Terminate()
 			break
 		}
 	}
 	w.crash(w.awaitLeader())
-	w.pulls = nil
+	w.fetchTime = nil
 	w.until(32*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.awaitStatus(60*second, "j-1", protocol.JobDone)
 	w.settle()
@@ -306,7 +306,7 @@
 // would be rejected as a new submission.
 func TestRepeatedGangSubmissionReturnsItsState(t *testing.T) {
 	w := newWorld(t, 100)
-	w.submit("j-1", group(2, 1, nil))
+	w.submit("j-1", gangChanges(2, 1, nil))
 	w.until(30*second, "j-1 is accepted", func() bool { return w.lastReplies["j-1"] != "" })
 	first := w.specs["j-1"]
 	for name, change := range map[string]map[string]any{
@@ -316,7 +316,7 @@
 		repeat := maps.Clone(first)
 		maps.Copy(repeat, change)
 		lead := w.awaitLeader()
-		w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(repeat)}, func(r Reply) {
+		w.sendRequest(lead, Request{Op: OpSubmit, Body: protocol.Encode(repeat)}, func(r Reply) {
 			var s protocol.JobStatus
 			if r.Status != http.StatusOK || protocol.Decode(r.Body, &s) != nil || s.UID != "j-1" || s.State == "" {
 				t.Errorf("repeated submission (%s): status %d, reply %+v", name, r.Status, s)
--- a/internal/controller/gangs.go
+++ b/internal/controller/gangs.go
@@ -13,7 +13,7 @@
 	if j.Gang == nil || j.ActiveAttempts == 0 || j.Gang.Complete() {
 		return
 	}
-	j.Gang.Apply(clusterstate.PlacesIncomplete)
+	j.Gang.Apply(clusterstate.PlacementsIncomplete)
 	t.abortGang(j, stopGangIncomplete)
 }
 
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -47,12 +47,12 @@
 // as done.
 func TestJobCompletesDuringCancellation(t *testing.T) {
 	w := newWorld(t, 71)
-	w.runs = func(string) time.Duration { return 6 * second }
+	w.runTime = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shards": 2, "cores": 4.0})
 	w.until(60*second, "j-1 runs", func() bool { return w.running("j-1") == 2 })
 	for _, worker := range w.workers() {
 		worker.Partitioned = true
-		w.at(8*second, func() { worker.Partitioned = false })
+		w.after(8*second, func() { worker.Partitioned = false })
 	}
 	w.cancel("j-1")
 	w.awaitStatus(30*second, "j-1", protocol.JobDone)
@@ -66,7 +66,7 @@
 	w := newWorld(t, 72)
 	w.awaitLeader()
 	var createdKeys []string
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		var txn protocol.Transaction
 		if c.Path != "/multi" || protocol.Decode(c.Body, &txn) != nil || len(createdKeys) > 0 {
 			return deliveryFault{}
@@ -79,7 +79,7 @@
 		for _, ch := range txn.Then {
 			createdKeys = append(createdKeys, ch.Put)
 		}
-		return deliveryFault{hold: 55 * second, answerLost: true}
+		return deliveryFault{delay: 55 * second, answerLost: true}
 	}
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
@@ -106,15 +106,15 @@
 	w := newWorld(t, 73)
 	w.awaitLeader()
 	n := 0
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		n++
 		// Some transactions get no answer: they may have applied before their retry is rejected with 400.
 		return deliveryFault{answerLost: c.Path == "/multi" && n%7 == 0}
 	}
-	w.at(15*second, func() { w.state.Malformed = func(txn protocol.Transaction) bool { return len(txn.Then) > 3 } })
+	w.after(15*second, func() { w.state.RefuseAsMalformed = func(txn protocol.Transaction) bool { return len(txn.Then) > 3 } })
 	for i := range 10 {
 		uid := fmt.Sprintf("j-%d", i)
-		w.at(time.Duration(i/5)*14*second, func() { w.submit(uid, map[string]any{"shards": 3, "cores": 1.0}) })
+		w.after(time.Duration(i/5)*14*second, func() { w.submit(uid, map[string]any{"shards": 3, "cores": 1.0}) })
 	}
 	w.run(30 * second)
 	for i := range 10 {
@@ -129,7 +129,7 @@
 	w := newWorld(t, 74)
 	w.awaitLeader()
 	w.run(2 * second)
-	w.state.Malformed = func(txn protocol.Transaction) bool {
+	w.state.RefuseAsMalformed = func(txn protocol.Transaction) bool {
 		for _, ch := range txn.Then {
 			if ch.Put == clusterstate.JobPrefix+"j-1" {
 				return true
@@ -143,7 +143,7 @@
 	if w.lastReplies["j-1"] != "" {
 		t.Errorf("j-1, which was never stored, is reported as %q", w.lastReplies["j-1"])
 	}
-	w.state.Malformed = nil
+	w.state.RefuseAsMalformed = nil
 	w.submit("j-1", nil)
 	w.awaitStatus(100*second, "j-1", protocol.JobDone)
 	w.settle()
@@ -161,7 +161,7 @@
 		worker.AddTask("j-9/0", &emulator.Task{UID: "j-9", Attempt: 7, State: protocol.TaskRunning})
 	}
 	w.run(5 * second)
-	w.calmSince = w.Now()
+	w.faultsEndedAt = w.Now()
 	w.submit("j-2", map[string]any{"cores": 2.0})
 	w.awaitStatus(60*second, "j-2", protocol.JobDone)
 	w.settle()
@@ -198,7 +198,7 @@
 	m := l.state.AddMachine("i-900000")
 	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.EverReported = "m8", "a", true, true, true
 	m.Epoch, m.Sequence, m.HeartbeatSequence, m.Token = 1, 10, 10, l.lease.token
-	a := l.state.AddAttempt(m, j, 0, l.attemptNumbers.take(), c.env.now)
+	a := l.state.AddAttempt(m, j, 0, l.attemptNumbers.allocate(), c.env.now)
 	a.Durable, a.Sent, a.Epoch, a.RunSequence, a.StopRequested = true, true, 1, 10, true
 	heartbeat := func(seq uint64, reported bool) {
 		l.heartbeats.applyHeartbeat(&protocol.WorkerHeartbeat{Machine: m.ID, Type: "m8", Zone: "a", Epoch: 1, Sequence: seq, Token: l.lease.token}, reported)
@@ -299,16 +299,16 @@
 	w.run(2 * second)
 	token := string(w.state.Item(keyCounter).Value)
 	lost := false
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		var txn protocol.Transaction
 		if c.Path != "/multi" || lost || protocol.Decode(c.Body, &txn) != nil || txn.Then[0].Put != clusterstate.JobPrefix+"j-1" {
 			return deliveryFault{}
 		}
 		lost = true
-		w.state.Malformed = func(txn protocol.Transaction) bool {
+		w.state.RefuseAsMalformed = func(txn protocol.Transaction) bool {
 			return w.state.Item(clusterstate.JobPrefix+"j-1") != nil && len(txn.Then) > 0 && txn.Then[0].Put == clusterstate.JobPrefix+"j-1"
 		}
-		w.at(3*second, func() { w.state.Malformed = nil })
+		w.after(3*second, func() { w.state.RefuseAsMalformed = nil })
 		return deliveryFault{answerLost: true}
 	}
 	w.submit("j-1", nil)
--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -50,34 +50,34 @@
 	}
 	owner := r.ownerOf(m)
 	if servedBy == r.env.cfg.Label {
-		r.assignments.directRoute.noteForwarded(r.env.now)
+		r.assignments.directRoute.recordForwarded(r.env.now)
 	}
 	if owner == "" || owner == servedBy || !r.isInContact(owner) {
 		return ""
 	}
 	route, process := r.routeTo(owner)
-	if m.RedirectedTo == owner && m.RedirectedProcess == process && m.RedirectedAt > 0 {
+	if m.RedirectedTo == owner && m.RedirectedIncarnation == process && m.RedirectedAt > 0 {
 		r.onRedirectFailed(m, route)
 		return ""
 	}
-	if m.RedirectedProcess != process {
+	if m.RedirectedIncarnation != process {
 		m.FailedRedirects = 0
 	}
 	if !r.takeRedirect(m, route) {
 		return ""
 	}
-	m.RedirectedAt, m.RedirectedTo, m.RedirectedProcess = r.env.now, owner, process
+	m.RedirectedAt, m.RedirectedTo, m.RedirectedIncarnation = r.env.now, owner, process
 	r.env.observer.MachineRedirected(m.ID, owner)
 	return owner
 }
 
 // takeRedirect reports whether the machine may be redirected to the route now, and if so takes one redirect from the
-// budget. It calls route.accepts last because that call may begin a trial of the route.
+// budget. It calls route.allowsRedirect last because that call may begin a trial of the route.
 func (r *heartbeatRouter) takeRedirect(m *clusterstate.Machine, route *heartbeatRoute) bool {
 	if r.env.now < m.NoRedirectUntil || !r.assignments.redirectBudget.Allows(r.env.now, 1) {
 		return false
 	}
-	if !route.accepts(r.env.now, r.env.cfg.WorkerHeartbeatInterval()) {
+	if !route.allowsRedirect(r.env.now, r.env.cfg.WorkerHeartbeatInterval()) {
 		return false
 	}
 	r.assignments.redirectBudget.Take(r.env.now, 1)
--- a/internal/controller/heartbeat_bench_test.go
+++ b/internal/controller/heartbeat_bench_test.go
@@ -24,9 +24,9 @@
 		f := newSlopeFleet(b, workers)
 		l := f.leadership
 		l.placement.fillAt, l.placement.roundAt, l.placement.planAt = 1<<60, 1<<60, 1<<60
-		f.keepBusy() // prevents fills, which BenchmarkSlopeFill measures separately
+		f.blockFills() // prevents fills, which BenchmarkSlopeFill measures separately
 		list := l.machines.sortedMachines()
-		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
+		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		n, bytes := 0, 0
 		b.ResetTimer()
 		for b.Loop() {
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -64,15 +64,15 @@
 	failures    int
 }
 
-// noteForwarded records that a worker's heartbeat arrived by this route.
-func (r *heartbeatRoute) noteForwarded(now time.Duration) {
+// recordForwarded records that a worker's heartbeat arrived by this route.
+func (r *heartbeatRoute) recordForwarded(now time.Duration) {
 	r.lastForwardedAt, r.failures = now, 0
 }
 
-// noteReturn records a failed redirect: a worker that was redirected to this route sends its heartbeats by another
-// route. If a heartbeat of a different worker arrived by this route at the same time, the route itself works, so
-// lastForwardedAt is kept.
-func (r *heartbeatRoute) noteReturn(now, lease time.Duration) {
+// recordFailedRedirect records a failed redirect: a worker that was redirected to this route sends its heartbeats by
+// another route. If a heartbeat of a different worker arrived by this route at the same time, the route itself works,
+// so lastForwardedAt is kept.
+func (r *heartbeatRoute) recordFailedRedirect(now, lease time.Duration) {
 	if r.lastForwardedAt < now {
 		r.lastForwardedAt = 0
 	}
@@ -80,9 +80,9 @@
 	r.failures++
 }
 
-// accepts reports whether a worker may be redirected to this route now. If no heartbeat has arrived by it recently,
-// the redirect is a trial, and accepts delays the next trial until the outcome of this one is known.
-func (r *heartbeatRoute) accepts(now, heartbeatInterval time.Duration) bool {
+// allowsRedirect reports whether a worker may be redirected to this route now. If no heartbeat has arrived by it
+// recently, the redirect is a trial, and allowsRedirect delays the next trial until the outcome of this one is known.
+func (r *heartbeatRoute) allowsRedirect(now, heartbeatInterval time.Duration) bool {
 	if r.lastForwardedAt > 0 && now < r.lastForwardedAt+routeFreshHeartbeats*heartbeatInterval {
 		return true
 	}
@@ -117,16 +117,16 @@
 	// A failed redirect to an earlier process of the controller does not count. When it did, rolling restarts left
 	// all workers of a zone with the leader, and a later partition cut them off. The leader may learn late that a
 	// process has ended, so the back-off after the first failed redirect is short.
-	if m.RedirectedProcess != p.incarnation {
+	if m.RedirectedIncarnation != p.incarnation {
 		m.FailedRedirects = 0
 	} else if m.RedirectedAt > 0 {
 		r.onRedirectFailed(m, &p.route)
 		return ""
 	}
-	if r.env.now < m.NoRedirectUntil || !p.route.accepts(r.env.now, r.env.cfg.WorkerHeartbeatInterval()) {
+	if r.env.now < m.NoRedirectUntil || !p.route.allowsRedirect(r.env.now, r.env.cfg.WorkerHeartbeatInterval()) {
 		return ""
 	}
-	m.RedirectedAt, m.RedirectedProcess = r.env.now, p.incarnation
+	m.RedirectedAt, m.RedirectedIncarnation = r.env.now, p.incarnation
 	return label
 }
 
@@ -145,7 +145,7 @@
 	m.NoRedirectUntil = r.env.now + redirectBackoff(lease, m.FailedRedirects)
 	m.FailedRedirects++
 	m.RedirectedAt = 0
-	route.noteReturn(r.env.now, lease)
+	route.recordFailedRedirect(r.env.now, lease)
 }
 
 // nearestController returns a controller of the zone that is in contact with the leader, or "" if there is none. Of
@@ -173,18 +173,18 @@
 // hasRecentHeartbeat reports whether the controller is in contact with the leader: its last heartbeat is younger than
 // peerContactLimit.
 func (r *heartbeatRouter) hasRecentHeartbeat(p *peer) bool {
-	return p.lastHeard > 0 && r.env.now < p.lastHeard+r.env.peerContactLimit()
+	return p.lastHeartbeatAt > 0 && r.env.now < p.lastHeartbeatAt+r.env.peerContactLimit()
 }
 
-// noteForwardedBy records which controller forwarded a heartbeat. Controllers of older versions don't send their
+// recordForwardedBy records which controller forwarded a heartbeat. Controllers of older versions don't send their
 // label; such a heartbeat is attributed to the other controller of the worker's zone if there is exactly one.
-func (r *heartbeatRouter) noteForwardedBy(label, zone string) {
+func (r *heartbeatRouter) recordForwardedBy(label, zone string) {
 	p := r.peers[label]
 	if label == "" {
 		p = r.onlyPeerIn(zone)
 	}
 	if p != nil {
-		p.route.noteForwarded(r.env.now)
+		p.route.recordForwarded(r.env.now)
 	}
 }
 
--- a/internal/controller/heartbeat_routes_test.go
+++ b/internal/controller/heartbeat_routes_test.go
@@ -43,7 +43,7 @@
 	w.run(40 * second)
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == 2} }
 	started := map[string]int{}
-	for task, n := range w.starts {
+	for task, n := range w.startCounts {
 		started[task] = n
 	}
 	w.run(60 * second)
@@ -52,7 +52,7 @@
 			t.Errorf("the lease of worker %s expired", worker.ID)
 		}
 	}
-	for task, n := range w.starts {
+	for task, n := range w.startCounts {
 		if n > started[task] {
 			t.Errorf("task %s was started again", task)
 		}
@@ -68,15 +68,15 @@
 	const interval, lease = time.Second, 10 * time.Second
 	var rt heartbeatRoute
 	now := time.Minute
-	if !rt.accepts(now, interval) || rt.accepts(now, interval) {
+	if !rt.allowsRedirect(now, interval) || rt.allowsRedirect(now, interval) {
 		t.Error("the first probe of the route does not use exactly one worker")
 	}
 	waits := []time.Duration{}
 	for range 3 {
 		now += heartbeatTimeout + heartbeatRetryPause
-		rt.noteReturn(now, lease)
+		rt.recordFailedRedirect(now, lease)
 		from := now
-		for !rt.accepts(now, interval) {
+		for !rt.allowsRedirect(now, interval) {
 			now += interval / 10
 		}
 		waits = append(waits, now-from)
@@ -84,11 +84,11 @@
 	if waits[0] < lease/2 || waits[1] < lease || waits[2] < 2*lease {
 		t.Errorf("probes of the route after %v, want an increasing back-off", waits)
 	}
-	rt.noteForwarded(now)
-	if !rt.accepts(now, interval) || !rt.accepts(now+interval, interval) {
+	rt.recordForwarded(now)
+	if !rt.allowsRedirect(now, interval) || !rt.allowsRedirect(now+interval, interval) {
 		t.Error("the route forwards heartbeats, but workers are not redirected to it")
 	}
-	if rt.noteReturn(now+interval, lease); rt.accepts(now+interval, interval) {
+	if rt.recordFailedRedirect(now+interval, lease); rt.allowsRedirect(now+interval, interval) {
 		t.Error("no back-off after a worker returned from the route")
 	}
 }
@@ -121,7 +121,7 @@
 	})
 	w.crash(1 - lead)
 	w.run(5*second + w.randomMilliseconds(0, 1000))
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: node == lead || c.Target == ToPeer && c.Addr != w.cfgs[2].PeerListen}
 	}
 	w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node != 2} }
@@ -150,7 +150,7 @@
 	w.run(6 * second)
 	worker.HeartbeatsLost = false
 	w.run(10 * second)
-	for task, n := range w.starts {
+	for task, n := range w.startCounts {
 		if n > 1 {
 			t.Errorf("task %s was started again", task)
 		}
@@ -167,8 +167,10 @@
 	w.run(5 * second)
 	body := protocol.Encode(protocol.WorkerHeartbeat{Machine: "i-900000", Type: "m8", Zone: "b", Epoch: 1, Sequence: 1, Token: 1})
 	status := 0
-	sendHeartbeat := func() { w.ask(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status }) }
-	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
+	sendHeartbeat := func() {
+		w.sendRequest(2, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { status = r.Status })
+	}
+	w.callFault = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(1500 * time.Millisecond)
 	if sendHeartbeat(); status != http.StatusOK {
 		t.Errorf("status %d for a heartbeat right after the leader fell silent", status)
@@ -186,7 +188,7 @@
 	w := newWorld(t, 42)
 	lead := w.awaitLeader()
 	w.run(5 * second)
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: strings.HasPrefix(c.Path, "/store?under="+clusterstate.JobPrefix)}
 	}
 	w.crash(lead)
@@ -207,7 +209,7 @@
 	var got Reply
 	sendHeartbeat := func(token uint64) {
 		body := protocol.Encode(protocol.WorkerHeartbeat{Machine: "i-900000", Type: "m8", Zone: "a", Epoch: 1, Sequence: 1, Token: token})
-		w.ask(next, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { got = r })
+		w.sendRequest(next, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) { got = r })
 	}
 	sendHeartbeat(1)
 	var reply protocol.WorkerHeartbeatReply
--- a/internal/controller/invalid_input_test.go
+++ b/internal/controller/invalid_input_test.go
@@ -38,12 +38,12 @@
 		{Task: "", State: protocol.TaskExited, Cause: protocol.CauseError}}...)
 	body := protocol.Encode(heartbeat)
 	status := 0
-	w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: body}, func(reply Reply) { status = reply.Status })
+	w.sendRequest(w.leader(), Request{Op: OpWorkerHeartbeat, Body: body}, func(reply Reply) { status = reply.Status })
 	if status != http.StatusOK {
 		t.Errorf("status %d for a heartbeat with unknown tasks", status)
 	}
 	for _, malformed := range [][]byte{nil, {0xc1}, {0x81, 0xa4}, protocol.Encode(map[string]any{"host": 7}), protocol.Encode([]int{1}), protocol.Encode(map[string]any{})} {
-		w.ask(w.leader(), Request{Op: OpWorkerHeartbeat, Body: malformed}, func(reply Reply) { status = reply.Status })
+		w.sendRequest(w.leader(), Request{Op: OpWorkerHeartbeat, Body: malformed}, func(reply Reply) { status = reply.Status })
 		if status != http.StatusBadRequest {
 			t.Errorf("malformed heartbeat body %x: status %d", malformed, status)
 		}
--- a/internal/controller/late_messages_test.go
+++ b/internal/controller/late_messages_test.go
@@ -14,7 +14,7 @@
 func TestLostTransactionReplies(t *testing.T) {
 	w := newWorld(t, 4)
 	n := 0
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		if c.Target != ToState || c.Path != "/multi" {
 			return deliveryFault{}
 		}
@@ -23,7 +23,7 @@
 		case n%5 == 0:
 			return deliveryFault{answerLost: true}
 		case n%7 == 0:
-			return deliveryFault{hold: time.Duration(1+n%20) * second}
+			return deliveryFault{delay: time.Duration(1+n%20) * second}
 		}
 		return deliveryFault{}
 	}
@@ -47,10 +47,10 @@
 	w.submit("j-0", map[string]any{"shape": "service", "cores": 8.0})
 	w.until(60*second, "the first job runs", func() bool { return w.running("j-0") == 1 })
 	delayedCommands := 0
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		if c.Target == ToWorker && delayedCommands < 3 {
 			delayedCommands++
-			return deliveryFault{hold: time.Duration(20*delayedCommands) * second}
+			return deliveryFault{delay: time.Duration(20*delayedCommands) * second}
 		}
 		return deliveryFault{}
 	}
@@ -82,8 +82,8 @@
 	l := w.awaitLeader()
 	for range 8 {
 		for _, worker := range w.workers() {
-			for _, body := range w.copies[worker.ID] {
-				w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
+			for _, body := range w.sentHeartbeats[worker.ID] {
+				w.sendRequest(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 			}
 		}
 		w.run(second)
@@ -130,8 +130,8 @@
 	w.crash(w.awaitLeader())
 	l := w.awaitLeader()
 	for range 5 {
-		for _, body := range w.copies[machine.ID] {
-			w.ask(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
+		for _, body := range w.sentHeartbeats[machine.ID] {
+			w.sendRequest(l, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 		}
 		w.run(second)
 	}
@@ -148,10 +148,10 @@
 	w.awaitLeader()
 	w.run(2 * second)
 	delayed := false
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		if c.Target == ToState && c.Path == "/multi" && !delayed {
 			delayed = true
-			return deliveryFault{hold: 15 * second}
+			return deliveryFault{delay: 15 * second}
 		}
 		return deliveryFault{}
 	}
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -108,7 +108,7 @@
 	return l.leaseConfirmedAt + ttl - drift
 }
 
-// verifiesLease reports whether the leader is waiting, after a process pause, for its lease to be confirmed. If the
+// isVerifyingLease reports whether the leader is waiting, after a process pause, for its lease to be confirmed. If the
 // state service does not respond, the wait ends at verifyingLeaseUntil and the leader continues with an unconfirmed
 // lease.
-func (l *leaderLease) verifiesLease() bool { return l.env.now < l.verifyingLeaseUntil }
+func (l *leaderLease) isVerifyingLease() bool { return l.env.now < l.verifyingLeaseUntil }
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -22,10 +22,10 @@
 	for _, cfg := range w.cfgs {
 		w.unreachable[cfg.PeerListen] = !refused
 	}
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		switch c.Target {
 		case ToWorker:
-			if worker := w.byAddr(c.Addr); worker != nil && worker.Zone != w.topology.controllers[node] {
+			if worker := w.workerByAddr(c.Addr); worker != nil && worker.Zone != w.topology.controllers[node] {
 				return cut
 			}
 		case ToPeer:
@@ -33,7 +33,7 @@
 				return deliveryFault{}
 			}
 			if !refused {
-				return deliveryFault{hold: end - w.Now(), answerLost: true}
+				return deliveryFault{delay: end - w.Now(), answerLost: true}
 			}
 			return cut
 		case ToState, ToCloud: // reachable from both zones
@@ -73,7 +73,7 @@
 // totalStarts returns the number of task starts so far.
 func (w *world) totalStarts() int {
 	n := 0
-	for _, starts := range w.starts {
+	for _, starts := range w.startCounts {
 		n += starts
 	}
 	return n
@@ -112,14 +112,14 @@
 	// After the partition, machines answer the leader's direct requests before the first heartbeat is forwarded by
 	// their zone's controller. The leader must not move tasks in that interval.
 	starts := w.totalStarts()
-	w.script, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
+	w.callFault, w.heartbeatFault, w.unreachable = func(_ int, c Call) deliveryFault {
 		if c.Path == "/forward" {
-			return deliveryFault{hold: 2 * second}
+			return deliveryFault{delay: 2 * second}
 		}
 		return deliveryFault{}
 	}, nil, nil
 	w.run(4 * second)
-	w.script = nil
+	w.callFault = nil
 	w.run(20 * second)
 	if n := w.totalStarts(); n != starts {
 		t.Errorf("%d tasks were started again after the partition", n-starts)
@@ -143,7 +143,7 @@
 	if lead == 2 || w.leader() != lead {
 		t.Fatal("the leader is in the second zone")
 	}
-	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{refused: c.Target == ToPeer} }
+	w.callFault = func(_ int, c Call) deliveryFault { return deliveryFault{refused: c.Target == ToPeer} }
 	w.until(8*second, "the second zone's workers send heartbeats to the leader", func() bool {
 		for _, worker := range w.workers() {
 			if worker.Zone == "b" && len(worker.Tasks) > 0 && worker.Controller != lead {
@@ -167,7 +167,7 @@
 	w := newWorld(t, 63)
 	w.awaitLeader()
 	w.run(5 * second)
-	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
+	w.callFault = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(8 * second)
 	controller := w.nodes[2].controller
 	redirected := func(machine string, tasks int) bool {
@@ -208,15 +208,15 @@
 	m.Type, m.Zone, m.Seen, m.TokenAcknowledged, m.EverReported = "m8", "b", true, true, true
 	m.LastAnswered, m.TokenAcknowledgedAt, m.LastSeen = c.env.now-c.env.cfg.WorkerLease(), c.env.now-c.env.cfg.WorkerLease(), c.env.now
 	p := l.peers[w.cfgs[2].Label]
-	p.lastHeard, p.servedKnownUntil, p.lastServed = c.env.now, c.env.now, 0
+	p.lastHeartbeatAt, p.renewalsKnownUntil, p.lastRenewalAt = c.env.now, c.env.now, 0
 	if !l.health.cannotReachControllers(m) {
 		t.Fatal("the machine counts as able to reach its zone's controller, which is in contact with the leader")
 	}
-	p.servedKnownUntil = c.env.now - c.env.cfg.WorkerLease()
+	p.renewalsKnownUntil = c.env.now - c.env.cfg.WorkerLease()
 	if l.health.cannotReachControllers(m) {
 		t.Error("a delayed heartbeat of the zone's controller counts as current contact")
 	}
-	p.servedKnownUntil, p.lastServed = c.env.now, c.env.now-c.env.cfg.WorkerLease()/4
+	p.renewalsKnownUntil, p.lastRenewalAt = c.env.now, c.env.now-c.env.cfg.WorkerLease()/4
 	if l.health.cannotReachControllers(m) {
 		t.Error("the machine counts as unable to reach a controller although its zone's controller renewed its lease")
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -43,9 +43,9 @@
 	consolidator   *consolidator
 	accounting     *serviceAccounting
 	summary        *fleetSummary
-	gating         *gateKeeper
+	featureGate    *featureGateManager
 	attemptNumbers *attemptNumbers
-	reach          *reachability
+	reachability   *reachability
 	completions    *completionRecorder
 	userRequests   *userRequests
 	cache          *schedulerCache
@@ -79,13 +79,13 @@
 		placement:      newTaskScheduler(c.env),
 		views:          &schedulerViews{},
 		forecast:       &demandForecast{arrivals: map[string]*arrivalHistory{}},
-		scaler:         &autoscaler{shortPools: map[scheduler.Pool]*loggedCondition{}},
+		scaler:         &autoscaler{poolShortages: map[scheduler.Pool]*loggedCondition{}},
 		consolidator:   &consolidator{},
-		accounting:     &serviceAccounting{accrueAt: now},
+		accounting:     &serviceAccounting{accruedUntil: now},
 		summary:        &fleetSummary{},
-		gating:         &gateKeeper{storedRecord: *elected},
+		featureGate:    &featureGateManager{storedRecord: *elected},
 		attemptNumbers: &attemptNumbers{block: elected.Token},
-		reach:          &reachability{},
+		reachability:   &reachability{},
 		userRequests:   newUserRequests(),
 		cache:          newSchedulerCache(),
 	}
@@ -107,12 +107,12 @@
 		return
 	}
 	l.health.watchMachines()
-	if l.reach.cannotReachWorkers() {
+	if l.reachability.cannotReachWorkers() {
 		l.stepDown()
 		return
 	}
 	l.trace.expireFailover()
-	l.gating.tick()
+	l.featureGate.tick()
 	l.completions.tick()
 	l.attemptNumbers.reserveBlock()
 	l.pool.Tick()
@@ -121,7 +121,7 @@
 
 // mayAct reports whether the leader may make decisions: the cluster state is loaded, and the leader is not waiting
 // for its lease to be confirmed after a process pause.
-func (l *leadership) mayAct() bool { return l.loader.ready && !l.lease.verifiesLease() }
+func (l *leadership) mayAct() bool { return l.loader.ready && !l.lease.isVerifyingLease() }
 
 // afterEvent runs after each event: it runs a pending placement round and sends the writes that the event queued.
 func (l *leadership) afterEvent() {
@@ -130,7 +130,7 @@
 	}
 	// While a transaction is in flight, new placements could only be stored by the next transaction. Placement
 	// therefore waits until the writer is idle, which places a burst of submissions in one round, not job by job.
-	if l.placement.fillPending && !l.store.Busy() {
+	if l.placement.fillPending && !l.store.HasTransactionInFlight() {
 		l.placement.runFill()
 	}
 	l.flush()
@@ -147,9 +147,9 @@
 // connect creates the components whose constructors use other components, in dependency order, and then wires all
 // components.
 func (l *leadership) connect(version uint64) {
-	l.gating.lease = l.lease
+	l.featureGate.lease = l.lease
 	l.store = l.newStore(version)
-	l.gating.gate = l.newGate()
+	l.featureGate.gate = l.newGate()
 	l.completions = l.newCompletionRecorder()
 	l.pool = l.newPool()
 	l.wire()
@@ -161,8 +161,8 @@
 	state := clusterstate.New(cfg.CompletionLayoutBytes(), cfg.MaxValueBytes())
 	for _, team := range cfg.Cluster.Teams {
 		state.Quotas[team.Name] = &scheduler.Quota{
-			Guaranteed: scheduler.Resources{Cores: team.Cores, Accel: team.Accelerators},
-			Maximum:    scheduler.Resources{Cores: team.CoresMax, Accel: team.AcceleratorsMax}}
+			Guaranteed: scheduler.Resources{Cores: team.Cores, Accelerators: team.Accelerators},
+			Maximum:    scheduler.Resources{Cores: team.CoresMax, Accelerators: team.AcceleratorsMax}}
 	}
 	return state
 }
--- a/internal/controller/limits_test.go
+++ b/internal/controller/limits_test.go
@@ -37,15 +37,15 @@
 			for i := range 40 {
 				w.submit(fmt.Sprintf("j-%d", 100+i), map[string]any{"cores": 0.5, "shards": 2})
 			}
-			w.submit("j-1", group(8, 0.5, nil))
-			w.at(2*second, func() { w.state.Limits = lowerLimits })
-			w.at(2*second+crashDelay, func() { w.restart(w.leaderOrFirst(), second) })
+			w.submit("j-1", gangChanges(8, 0.5, nil))
+			w.after(2*second, func() { w.state.Limits = lowerLimits })
+			w.after(2*second+crashDelay, func() { w.restart(w.leaderOrFirst(), second) })
 			w.awaitStatus(200*second, "j-1", protocol.JobDone)
 			for i := range 40 {
 				w.awaitStatus(200*second, fmt.Sprintf("j-%d", 100+i), protocol.JobDone)
 			}
-			if w.state.TooLarge > 0 {
-				t.Errorf("%d transactions exceeded the limits", w.state.TooLarge)
+			if w.state.TooLargeTransactions > 0 {
+				t.Errorf("%d transactions exceeded the limits", w.state.TooLargeTransactions)
 			}
 			w.settle()
 		})
@@ -60,13 +60,13 @@
 	waitingTasks := []int{5, 20_000, 39_998, 39_999}
 	w := newWorld(t, 132)
 	w.awaitLeader()
-	w.runs = func(task string) time.Duration {
+	w.runTime = func(task string) time.Duration {
 		if strings.HasSuffix(task, "39999") {
 			return 40 * second
 		}
 		return 5 * second
 	}
-	w.finished = map[string]bool{}
+	w.completedTasks = map[string]bool{}
 	w.specs["j-1"] = w.spec("j-1", map[string]any{"shards": tasks, "cores": 1.0})
 	_, spec, err := protocol.ParseSubmission(protocol.Encode(w.specs["j-1"]))
 	if err != nil {
@@ -77,29 +77,29 @@
 	for i := range tasks {
 		if i != waitingTasks[0] && i != waitingTasks[1] && i < waitingTasks[2] {
 			j.MarkDone(i)
-			w.finished[clusterstate.TaskName("j-1", i)] = true
+			w.completedTasks[clusterstate.TaskName("j-1", i)] = true
 		}
 	}
-	w.state.Change(clusterstate.JobPrefix+"j-1", &emulator.Item{Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
-	w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
+	w.state.ForceChange(clusterstate.JobPrefix+"j-1", &emulator.Item{Value: protocol.Encode(clusterstate.JobRecord{Submitted: 1, Spec: spec})})
+	w.state.ForceChange(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
 	w.startPolling("j-1")
 	w.state.Limits = lowerLimits
 	w.announceLimits()
 	w.until(60*second, "three of the last tasks are done", func() bool {
-		return w.finished["j-1/5"] && w.finished["j-1/20000"] && w.finished["j-1/39998"]
+		return w.completedTasks["j-1/5"] && w.completedTasks["j-1/20000"] && w.completedTasks["j-1/39998"]
 	})
 	w.run(2 * second)
 	w.restart(w.awaitLeader(), second)
 	w.awaitStatus(90*second, "j-1", protocol.JobDone)
 	started := 0
-	for task, times := range w.starts {
+	for task, times := range w.startCounts {
 		started += times
 		if times > 1 {
 			t.Errorf("task %s started %d times", task, times)
 		}
 	}
-	if started != len(waitingTasks) || w.state.TooLarge > 0 {
-		t.Errorf("%d tasks were started, %d transactions exceeded the limits", started, w.state.TooLarge)
+	if started != len(waitingTasks) || w.state.TooLargeTransactions > 0 {
+		t.Errorf("%d tasks were started, %d transactions exceeded the limits", started, w.state.TooLargeTransactions)
 	}
 	w.run(5 * second)
 	for _, key := range w.state.Keys() {
@@ -114,7 +114,7 @@
 // limit and exceeds the lower one. The machine must be released and its tasks restarted on other machines.
 func TestMachineWithAnOversizedRecordIsReleased(t *testing.T) {
 	w := newWorld(t, 133)
-	w.runs = func(string) time.Duration { return 200 * second }
+	w.runTime = func(string) time.Duration { return 200 * second }
 	w.submit("j-1", map[string]any{"shards": 70, "cores": 0.1, "ramGb": 0.1})
 	w.until(90*second, "all tasks run", func() bool { return w.running("j-1") == 70 })
 	worker := w.machinesWithTasksOf("j-1")[0]
@@ -125,7 +125,7 @@
 	worker.Partitioned = true
 	w.announceLimits()
 	w.until(100*second, "the unreachable machine is deleted", func() bool { return worker.Deleted })
-	w.runs = func(string) time.Duration { return second }
+	w.runTime = func(string) time.Duration { return second }
 	w.awaitStatus(300*second, "j-1", protocol.JobDone)
 	w.settle()
 }
@@ -136,7 +136,7 @@
 	w := newWorld(t, 134)
 	lead := w.awaitLeader()
 	for _, key := range []string{"d/j-7/0", "p/j-7/3"} {
-		w.state.Change(key, &emulator.Item{Value: protocol.Encode(clusterstate.CompletionRecord{Bits: "AQ=="})})
+		w.state.ForceChange(key, &emulator.Item{Value: protocol.Encode(clusterstate.CompletionRecord{Bits: "AQ=="})})
 	}
 	w.restart(lead, second)
 	w.run(10 * second)
--- a/internal/controller/machine_catalog.go
+++ b/internal/controller/machine_catalog.go
@@ -13,7 +13,7 @@
 	env    *environment
 	outbox *outbox
 
-	types    []*scheduler.Type
+	types    []*scheduler.MachineType
 	typeInfo map[string]protocol.MachineType // by name, including types that the cloud no longer offers
 	// typesRefreshAt is when the next fetch of the types is due.
 	typesRefreshAt time.Duration
@@ -56,9 +56,9 @@
 	m.typesGeneration++
 	for _, t := range types {
 		m.typeInfo[t.Name] = t
-		m.types = append(m.types, &scheduler.Type{
+		m.types = append(m.types, &scheduler.MachineType{
 			Name:        t.Name,
-			Size:        scheduler.Resources{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
+			Size:        scheduler.Resources{Cores: t.Cores, Accelerators: t.Accelerators, MemoryGB: t.MemoryGB},
 			Price:       t.Price,
 			SpotPrice:   t.SpotPrice,
 			Zones:       t.Zones,
@@ -69,7 +69,7 @@
 }
 
 // machineType returns the type with the name, or nil if the cloud does not currently offer it.
-func (m *machineCatalog) machineType(name string) *scheduler.Type {
+func (m *machineCatalog) machineType(name string) *scheduler.MachineType {
 	for _, t := range m.types {
 		if t.Name == name {
 			return t
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -30,11 +30,11 @@
 // The time limits for silent machines are fractions of the worker lease, because a worker kills its tasks when its
 // heartbeats have not been answered for a lease.
 
-// maxUnseenAnswers is the number of consecutive answered heartbeats that may still show an old token, and
+// maxUndeliveredAnswers is the number of consecutive answered heartbeats that may still show an old token, and
 // maxFailedCalls the number of consecutive direct calls that may fail, before a machine gets no more tasks.
 const (
-	maxUnseenAnswers = 1
-	maxFailedCalls   = 1
+	maxUndeliveredAnswers = 1
+	maxFailedCalls        = 1
 )
 
 // maxMessageAge is how long after its last message a machine may get tasks: a quarter of a lease plus two heartbeat
@@ -55,7 +55,7 @@
 // isSilent reports whether no message of a machine has arrived for two fifths of its lease, so that several heartbeats
 // are missing.
 func (h *machineHealth) isSilent(m *clusterstate.Machine) bool {
-	return h.silentFor(m) > h.env.cfg.WorkerLease()*2/5
+	return h.silenceDuration(m) > h.env.cfg.WorkerLease()*2/5
 }
 
 // evacuationStart is the earliest time, after its last answered heartbeat, at which tasks are moved from a machine that
@@ -73,14 +73,14 @@
 // isSchedulable reports whether tasks may be started on the machine: it is open to tasks, has acknowledged this
 // leader's token, sent a message recently, and its replies and direct calls are not being lost.
 func (h *machineHealth) isSchedulable(m *clusterstate.Machine) bool {
-	return h.isOpenToTasks(m) && m.TokenAcknowledged &&
-		m.UnseenAnswers <= maxUnseenAnswers && m.FailedCalls <= maxFailedCalls &&
+	return h.acceptsTasks(m) && m.TokenAcknowledged &&
+		m.UndeliveredAnswers <= maxUndeliveredAnswers && m.FailedCalls <= maxFailedCalls &&
 		h.env.now < m.LastSeen+h.maxMessageAge() && !h.heartbeatUnanswered(m, h.maxUnanswered())
 }
 
-// isOpenToTasks reports whether the machine may get tasks, regardless of its heartbeats: it is not being released,
+// acceptsTasks reports whether the machine may get tasks, regardless of its heartbeats: it is not being released,
 // reclaimed, quarantined or drained, its size is known, and it runs no unknown tasks.
-func (h *machineHealth) isOpenToTasks(m *clusterstate.Machine) bool {
+func (h *machineHealth) acceptsTasks(m *clusterstate.Machine) bool {
 	if m.Releasing || m.ReclaimNotice || m.Faults.Faulty || h.env.now < m.QuarantinedUntil || h.env.now < m.DrainUntil {
 		return false
 	}
@@ -100,7 +100,7 @@
 	lastRenewed := h.heartbeats.leaseOnlyReplyAt
 	for _, p := range h.peers {
 		if p.zone == m.Zone {
-			lastRenewed = max(lastRenewed, p.lastServed)
+			lastRenewed = max(lastRenewed, p.lastRenewalAt)
 		}
 	}
 	return h.heartbeatUnanswered(m, duration) && h.env.now > lastRenewed+duration
@@ -119,7 +119,7 @@
 		// A peer's report is valid up to the reading of this leader's clock that it echoes, not up to its arrival. A
 		// peer heartbeat that was delayed by a partition describes the time before the partition; when it counted from
 		// its arrival, 125 tasks were stopped.
-		if p.zone == m.Zone && h.env.now > p.servedKnownUntil+h.env.peerContactLimit()+h.env.cfg.PeerHeartbeatInterval() {
+		if p.zone == m.Zone && h.env.now > p.renewalsKnownUntil+h.env.peerContactLimit()+h.env.cfg.PeerHeartbeatInterval() {
 			return false
 		}
 	}
@@ -149,9 +149,9 @@
 	return true
 }
 
-// silentFor is the time since the machine's newest message. It counts from the election, or from the end of the last
-// partition of the machine's zone, if that was later.
-func (h *machineHealth) silentFor(m *clusterstate.Machine) time.Duration {
+// silenceDuration returns the time since the machine's newest message. It counts from the election, or from the end of
+// the last partition of the machine's zone, if that was later.
+func (h *machineHealth) silenceDuration(m *clusterstate.Machine) time.Duration {
 	return h.env.now - max(m.LastSeen, h.lease.electedAt, h.partitions.reconnectedAt[m.Zone])
 }
 
@@ -233,7 +233,7 @@
 	for _, p := range h.peers {
 		// A controller that may serve the machine must have reported its lease renewals for the whole time up to the
 		// expiry.
-		if mayServe(p, m) && p.servedKnownUntil <= expiry {
+		if mayServe(p, m) && p.renewalsKnownUntil <= expiry {
 			return false
 		}
 	}
@@ -246,15 +246,15 @@
 	last := max(m.LastAnswered, m.TokenAcknowledgedAt, h.lease.electedAt, h.heartbeats.leaseOnlyReplyAt)
 	for _, p := range h.peers {
 		if mayServe(p, m) {
-			last = max(last, p.lastServed)
+			last = max(last, p.lastRenewalAt)
 		}
 		if m.TokenAcknowledgedAt > 0 {
 			continue
 		}
 		// The worker has not acknowledged this leader's token, so the peer may have answered it as an earlier leader:
-		// until its first heartbeat to this leader, or else for as long as it may coast without the state service.
-		if p.firstHeard > 0 {
-			last = max(last, p.firstHeard)
+		// until its first heartbeat to this leader, or else for the outage tolerance after the election.
+		if p.firstHeartbeatAt > 0 {
+			last = max(last, p.firstHeartbeatAt)
 		} else {
 			last = max(last, h.lease.electedAt+config.WithClockDrift(h.env.cfg.OutageTolerance()))
 		}
--- a/internal/controller/machine_redirection_test.go
+++ b/internal/controller/machine_redirection_test.go
@@ -41,7 +41,8 @@
 }
 
 // TestMachinesMoveOncePerDeath checks that the machines of a dead controller are redirected exactly once to another
-// controller, that no other machine moves, and that they return only after the restarted controller has been steady.
+// controller, that no other machine moves, and that they return only after the restarted controller has been alive
+// for the rejoin delay.
 // Suspicion of a controller must not move any machine.
 func TestMachinesMoveOncePerDeath(t *testing.T) {
 	w := newMembershipWorld(t, 970)
@@ -53,7 +54,7 @@
 		l := w.leadership()
 		for _, m := range l.state.Machines {
 			worker := w.workerByID(m.ID)
-			if worker != nil && worker.Up && !worker.Deleted && m.Zone == "a" && label(worker.Controller) != l.router.ownerOf(m) {
+			if worker != nil && worker.Up && !worker.Deleted && m.Zone == "a" && controllerLabel(worker.Controller) != l.router.ownerOf(m) {
 				return false
 			}
 		}
@@ -73,7 +74,7 @@
 	}
 	// Only probes are lost, for less than the suspicion timeout.
 	began := w.Now()
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Path == probePath && (node == victim || c.Addr == w.cfgs[victim].PeerListen)}
 	}
 	w.run(2800 * time.Millisecond)
@@ -82,9 +83,9 @@
 			t.Errorf("machine %s moved from controller %d to %d while the controller was suspected", id, before[id], c)
 		}
 	}
-	w.script = nil
+	w.callFault = nil
 	w.run(10 * second)
-	if w.nodes[lead].observer.became(label(victim), membership.Suspect, began) == 0 || w.nodes[lead].observer.became(label(victim), membership.Dead, began) > 0 {
+	if w.nodes[lead].observer.firstChangeTo(controllerLabel(victim), membership.Suspect, began) == 0 || w.nodes[lead].observer.firstChangeTo(controllerLabel(victim), membership.Dead, began) > 0 {
 		t.Errorf("the controller was not suspected, or was declared dead: %+v", w.nodes[lead].observer.changes)
 	}
 	for id, c := range w.controllersInFirstZone() {
@@ -112,7 +113,7 @@
 	w.run(10 * second)
 	for id, c := range w.controllersInFirstZone() {
 		if c == victim {
-			t.Errorf("machine %s returned to a controller that is not steady yet", id)
+			t.Errorf("machine %s returned to a restarted controller before its rejoin delay has passed", id)
 		}
 	}
 	w.until(60*second, "each machine sends heartbeats to the controller that owns it again", allWithOwners)
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -53,15 +53,15 @@
 	}, onDurable)
 }
 
-// noteImageUse records that the machine has the image of the job's tasks in its cache, and used it now.
-func (r *machineRegistry) noteImageUse(m *clusterstate.Machine, j *clusterstate.Job) {
+// recordImageUse records that the machine has the image of the job's tasks in its cache, and used it now.
+func (r *machineRegistry) recordImageUse(m *clusterstate.Machine, j *clusterstate.Job) {
 	m.UseImage(j.Spec.Image, j.Spec.ImageGB, r.catalog.typeInfo[m.Type].CacheGB)
 }
 
 // machineSize returns the resources of a machine of the type, or zero resources if the catalog lacks the type.
 func (r *machineRegistry) machineSize(typeName string) scheduler.Resources {
 	if info, ok := r.catalog.typeInfo[typeName]; ok {
-		return scheduler.Resources{Cores: info.Cores, Accel: info.Accelerators, Mem: info.MemoryGB}
+		return scheduler.Resources{Cores: info.Cores, Accelerators: info.Accelerators, MemoryGB: info.MemoryGB}
 	}
 	return scheduler.Resources{}
 }
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -15,17 +15,17 @@
 	w.cloud = emulator.NewCloud(w.queue)
 	w.cloud.Types = []protocol.MachineType{{Name: "m8", Cores: 8, MemoryGB: 32, CacheGB: 50,
 		FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: w.topology.zones}}
-	w.cloud.Name = func(n int) string { return fmt.Sprintf("i-%06d", n) }
-	w.cloud.Addr = func(id string) string { return "10.1." + strings.TrimLeft(id[2:], "0") + ":9000" }
+	w.cloud.MachineName = func(n int) string { return fmt.Sprintf("i-%06d", n) }
+	w.cloud.MachineAddr = func(id string) string { return "10.1." + strings.TrimLeft(id[2:], "0") + ":9000" }
 	w.cloud.ListLag = 5 * time.Second
 	w.cloud.BootTime = func(string) time.Duration { return 10 * time.Second }
-	w.cloud.Violation = func(what string) { w.violated("%s", what) }
+	w.cloud.OnViolation = func(what string) { w.recordViolation("%s", what) }
 	w.cloud.OnLaunch = func(m *emulator.Machine) {
 		worker := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
 		worker.OnHeartbeat = func(body []byte) { w.recordHeartbeat(worker, body) }
-		w.at(10*time.Second, worker.Boot)
+		w.after(10*time.Second, worker.Boot)
 	}
-	w.cloud.OnDelete = func(m *emulator.Machine) { w.machines.Workers[m.ID].Die() }
+	w.cloud.OnDelete = func(m *emulator.Machine) { w.machines.Workers[m.ID].Terminate() }
 }
 
 // newMachines creates a fleet whose workers send their heartbeats to the world's controllers.
@@ -42,15 +42,15 @@
 	}
 	f.SendHeartbeat = w.deliverHeartbeat
 	f.Jobs = w.jobOf
-	f.RunTime = func(task string) time.Duration { return w.runs(task) }
+	f.RunTime = func(task string) time.Duration { return w.runTime(task) }
 	f.FetchTime = func(_ *emulator.Worker, task string, _ *emulator.Job) time.Duration {
-		if w.pulls != nil {
-			return w.pulls(task)
+		if w.fetchTime != nil {
+			return w.fetchTime(task)
 		}
-		return testSite.fetch
+		return testSite.fetchTime
 	}
 	f.FailsAtStart = func(worker *emulator.Worker, t *emulator.Task) bool {
-		if w.fails == nil || !w.fails(worker, t.UID) {
+		if w.failsAtStart == nil || !w.failsAtStart(worker, t.UID) {
 			return false
 		}
 		w.failures++
@@ -58,16 +58,16 @@
 	}
 	f.TaskStarted = w.checkStart
 	f.TaskCompleted = func(task string, t *emulator.Task) {
-		w.finished[task] = true
-		if w.ended != nil {
-			w.ended(t.UID)
+		w.completedTasks[task] = true
+		if w.onTaskCompleted != nil {
+			w.onTaskCompleted(t.UID)
 		}
 	}
-	f.WorkerDied = func(worker *emulator.Worker) { w.cloud.Machine(worker.ID).Deleted = true }
+	f.WorkerTerminated = func(worker *emulator.Worker) { w.cloud.Machine(worker.ID).Deleted = true }
 	f.GangStopRequested = func(t *emulator.Task, graceS float64) {
 		w.stopCommands[t.UID] = append(w.stopCommands[t.UID], stopCommand{w.Now(), graceS})
 	}
-	f.Violation = func(what string) { w.violated("%s", what) }
+	f.OnViolation = func(what string) { w.recordViolation("%s", what) }
 	w.machines = f
 }
 
@@ -82,9 +82,9 @@
 }
 
 // workers returns the workers in a fixed order, so that runs are reproducible.
-func (w *world) workers() []*emulator.Worker { return w.machines.Sorted() }
+func (w *world) workers() []*emulator.Worker { return w.machines.SortedWorkers() }
 
-func (w *world) byAddr(addr string) *emulator.Worker {
+func (w *world) workerByAddr(addr string) *emulator.Worker {
 	for _, worker := range w.machines.Workers {
 		if worker.Addr == addr {
 			return worker
@@ -96,14 +96,14 @@
 // recordHeartbeat stores a heartbeat's body, and schedules a late duplicate of the heartbeat if the test injects this
 // fault.
 func (w *world) recordHeartbeat(worker *emulator.Worker, body []byte) {
-	w.copies[worker.ID] = append(w.copies[worker.ID], body)
-	if w.lateCopy == nil {
+	w.sentHeartbeats[worker.ID] = append(w.sentHeartbeats[worker.ID], body)
+	if w.duplicateDelay == nil {
 		return
 	}
-	if delay := w.lateCopy(); delay > 0 {
+	if delay := w.duplicateDelay(); delay > 0 {
 		// The duplicate goes to a random controller; its reply is dropped.
 		to := w.rng.IntN(3)
-		w.at(delay, func() { w.ask(to, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {}) })
+		w.after(delay, func() { w.sendRequest(to, Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {}) })
 	}
 }
 
@@ -113,17 +113,17 @@
 	if w.heartbeatFault != nil {
 		f = w.heartbeatFault(worker, node)
 	}
-	timeOut := func() { w.at(w.heartbeatTimeout, func() { answer(0, nil) }) }
+	timeOut := func() { w.after(w.heartbeatTimeout, func() { answer(0, nil) }) }
 	if f.refused {
-		w.at(latency, func() { answer(0, nil) })
+		w.after(latency, func() { answer(0, nil) })
 		return
 	}
 	if f.lost || worker.HeartbeatsLost {
 		timeOut()
 		return
 	}
-	w.at(latency, func() {
-		w.ask(node, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {
+	w.after(latency, func() {
+		w.sendRequest(node, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {
 			if f.answerLost || worker.Hung || worker.RepliesLost {
 				timeOut()
 				return
@@ -136,10 +136,10 @@
 // checkStart checks the invariants that must hold when a task starts to occupy its machine.
 func (w *world) checkStart(worker *emulator.Worker, task string, t *emulator.Task) {
 	spec := w.specs[t.UID]
-	w.starts[task]++
+	w.startCounts[task]++
 	// This is stricter than the protocol, which allows cancel_s: "from then on no task of the job may be started".
 	if _, confirmed := w.cancelledAt[t.UID]; confirmed {
-		w.violated("ran_cancelled: %s starts after its cancellation was confirmed", task)
+		w.recordViolation("ran_cancelled: %s starts after its cancellation was confirmed", task)
 	}
 	zones, total, used := map[string]int{}, 0, map[string]float64{}
 	for _, holder := range w.machines.Workers {
@@ -149,7 +149,7 @@
 			}
 			other, _, _ := strings.Cut(name, "@")
 			if other == task && (holder != worker || otherTask != t) {
-				w.violated("ran_twice: %s occupies %s and %s", task, holder.ID, worker.ID)
+				w.recordViolation("ran_twice: %s occupies %s and %s", task, holder.ID, worker.ID)
 			}
 			if otherTask.UID == t.UID {
 				zones[holder.Zone]++
@@ -159,14 +159,14 @@
 		}
 	}
 	if n := spec["shards"].(int); spec["apart"].(bool) && zones[worker.Zone] > (n+1)/2 {
-		w.violated("wrong_place: %d of %d tasks of %s in one zone", zones[worker.Zone], n, t.UID)
+		w.recordViolation("wrong_place: %d of %d tasks of %s in one zone", zones[worker.Zone], n, t.UID)
 	}
 	if spec["together"].(bool) && total != zones[worker.Zone] {
-		w.violated("wrong_place: tasks of %s in two zones", t.UID)
+		w.recordViolation("wrong_place: tasks of %s in two zones", t.UID)
 	}
 	for team, quota := range map[string]float64{"red": 32, "blue": 16} {
 		if used[team] > quota {
-			w.violated("quota: team %s uses %v cores", team, used[team])
+			w.recordViolation("quota: team %s uses %v cores", team, used[team])
 		}
 	}
 }
@@ -189,7 +189,7 @@
 func (w *world) checkCancelledTasksEnded() {
 	for uid, confirmedAt := range w.cancelledAt {
 		if w.Now() > confirmedAt+35*time.Second && w.running(uid) > 0 {
-			w.violated("ran_cancelled: tasks of %s still occupy machines", uid)
+			w.recordViolation("ran_cancelled: tasks of %s still occupy machines", uid)
 		}
 	}
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -10,9 +10,9 @@
 
 // Clock is one reading of both clocks of a process.
 type Clock struct {
-	// Steady is the time since the process started. It is monotonic; all deadlines and leases are
-	// computed from it.
-	Steady time.Duration
+	// Monotonic is the time since the process started, on the monotonic clock. All deadlines and leases
+	// are computed from it.
+	Monotonic time.Duration
 	// Wall is the time of day in Unix milliseconds, for times that processes compare with one
 	// another. No lease depends on it.
 	Wall int64
@@ -88,7 +88,7 @@
 	Body   []byte
 	// RetryAfter is the delay after which the requester should retry, in seconds; 0: not stated.
 	RetryAfter int
-	// ValidUntil is the steady time up to which the answer is certain to be valid; 0: no limit. A
+	// ValidUntil is the monotonic time up to which the answer is certain to be valid; 0: no limit. A
 	// process that was paused after the decision must not send it later.
 	ValidUntil time.Duration
 }
@@ -113,7 +113,7 @@
 	Path    string
 	Body    []byte
 	Timeout time.Duration
-	// ValidUntil is the steady time after which the request must not be sent; 0: no limit. A process
+	// ValidUntil is the monotonic time after which the request must not be sent; 0: no limit. A process
 	// that was paused after the decision must not send it later.
 	ValidUntil time.Duration
 }
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -21,7 +21,7 @@
 
 func (w *world) injectNetworkFaults() *networkFaults {
 	faults := &networkFaults{w: w, isolated: map[int]bool{}, commandsLost: map[int]bool{}}
-	w.script = faults.fault
+	w.callFault = faults.faultFor
 	return faults
 }
 
@@ -36,16 +36,16 @@
 	return time.Duration(faults.w.rng.Int64N(int64(d)))
 }
 
-func (faults *networkFaults) fault(node int, c Call) deliveryFault {
-	f := deliveryFault{hold: faults.randomUpTo(faults.slowLinks)}
+func (faults *networkFaults) faultFor(node int, c Call) deliveryFault {
+	f := deliveryFault{delay: faults.randomUpTo(faults.slowLinks)}
 	switch c.Target {
 	case ToState:
 		if faults.isolated[node] {
 			return deliveryFault{lost: true}
 		}
-		f.hold += faults.randomUpTo(faults.slowState)
+		f.delay += faults.randomUpTo(faults.slowState)
 		if c.Path == "/multi" && faults.chance(faults.lateTransactions) {
-			return deliveryFault{answerLost: true, hold: 2*second + faults.randomUpTo(10*second)}
+			return deliveryFault{answerLost: true, delay: 2*second + faults.randomUpTo(10*second)}
 		}
 	case ToPeer:
 		to := -1
@@ -60,7 +60,7 @@
 			return deliveryFault{lost: true}
 		}
 		if faults.chance(faults.delayedCommands) {
-			return deliveryFault{hold: 2*second + faults.randomUpTo(25*second), answerLost: faults.chance(0.5)}
+			return deliveryFault{delay: 2*second + faults.randomUpTo(25*second), answerLost: faults.chance(0.5)}
 		}
 		f.answerLost = faults.chance(faults.lostAnswers)
 	case ToCloud: // only delayed
--- a/internal/controller/observer_test.go
+++ b/internal/controller/observer_test.go
@@ -41,9 +41,9 @@
 
 func (o *worldObserver) RequestRetried() { o.retries++ }
 
-// became returns the time of the first change of the member with this label to the given state, at
+// firstChangeTo returns the time of the first change of the member with this label to the given state, at
 // or after since; 0: there was no such change.
-func (o *worldObserver) became(label string, state membership.State, since time.Duration) time.Duration {
+func (o *worldObserver) firstChangeTo(label string, state membership.State, since time.Duration) time.Duration {
 	for _, c := range o.changes {
 		if c.at >= since && c.Label == label && c.To == state {
 			return c.at
--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -41,8 +41,8 @@
 	return body
 }
 
-// olderAnswer removes from a reply of the state service the keys and fields that an older version does not read.
-func olderAnswer(c Call, body []byte) []byte {
+// olderStateReply removes from a reply of the state service the keys and fields that an older version does not read.
+func olderStateReply(c Call, body []byte) []byte {
 	if c.Target != ToState || len(body) == 0 {
 		return body
 	}
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -23,7 +23,7 @@
 
 	effects    []Effect
 	lastCallID uint64                  // the ID of the latest call
-	calls      map[uint64]func(Result) // the callbacks of the calls in flight, by the call's ID
+	callbacks  map[uint64]func(Result) // the callbacks of the calls in flight, by the call's ID
 
 	stateRequests ratelimit.TokenBucket
 	stateChanges  ratelimit.TokenBucket
@@ -45,7 +45,7 @@
 
 func newOutbox(env *environment) *outbox {
 	state, cloud := env.cfg.Cluster.State.EffectiveLimits(), env.cfg.Cluster.Cloud
-	o := &outbox{env: env, calls: map[uint64]func(Result){},
+	o := &outbox{env: env, callbacks: map[uint64]func(Result){},
 		stateRequests: ratelimit.New(state.RPS*stateRequestShare, state.RPS*stateRequestShare),
 		stateChanges:  ratelimit.New(state.WriteRPS*stateChangeShare, state.WriteRPS*stateChangeBurst),
 		cloudRequests: ratelimit.New(cloud.RPS*cloudRequestShare, cloud.RPS),
@@ -60,12 +60,12 @@
 	o.callUntil(target, addr, method, path, body, timeout, 0, onResult)
 }
 
-// callUntil is like call for a request that must not be sent after the steady time validUntil; 0: no limit.
+// callUntil is like call for a request that must not be sent after the monotonic time validUntil; 0: no limit.
 func (o *outbox) callUntil(
 	target Target, addr, method, path string, body any, timeout, validUntil time.Duration, onResult func(Result),
 ) {
 	o.lastCallID++
-	o.calls[o.lastCallID] = onResult
+	o.callbacks[o.lastCallID] = onResult
 	call := Call{ID: o.lastCallID, Target: target, Addr: addr, Method: method, Path: path, Timeout: timeout, ValidUntil: validUntil}
 	if encoded, ok := body.([]byte); ok {
 		call.Body = encoded
@@ -81,7 +81,7 @@
 	o.stateRequests.Take(o.env.now, 1)
 	sent := o.env.now
 	o.call(ToState, o.env.cfg.Services.State, method, path, body, timeout, func(res Result) {
-		o.pause.noteAnswer(sent, res.Status != 0)
+		o.pause.recordAnswer(sent, res.Status != 0)
 		onResult(res)
 	})
 }
@@ -105,8 +105,8 @@
 
 // deliver passes the result of a call to the call's callback.
 func (o *outbox) deliver(res Result) {
-	if callback, ok := o.calls[res.ID]; ok {
-		delete(o.calls, res.ID)
+	if callback, ok := o.callbacks[res.ID]; ok {
+		delete(o.callbacks, res.ID)
 		callback(res)
 	}
 }
@@ -116,8 +116,8 @@
 	o.replyUntil(to, status, body, retryAfter, 0)
 }
 
-// replyUntil is like reply for an answer that must not be sent after the steady time validUntil; 0: no limit. A relayed
-// request is answered with status 200 and the actual answer in the body, so that the relaying controller can
+// replyUntil is like reply for an answer that must not be sent after the monotonic time validUntil; 0: no limit. A
+// relayed request is answered with status 200 and the actual answer in the body, so that the relaying controller can
 // distinguish the leader's refusal from a failure between the two controllers.
 func (o *outbox) replyUntil(to requester, status int, body []byte, retryAfter int, validUntil time.Duration) {
 	if to.relayed {
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -59,7 +59,7 @@
 			partitioned[zone] = since
 		}
 	}
-	d.notePartitions(partitioned, zones)
+	d.updatePartitions(partitioned, zones)
 }
 
 // countMachines counts the machines by zone.
@@ -84,7 +84,7 @@
 func (d *partitionDetector) lastControllerHeartbeats() map[string]time.Duration {
 	lastHeartbeats := map[string]time.Duration{}
 	for _, p := range d.peers {
-		lastHeartbeats[p.zone] = max(lastHeartbeats[p.zone], p.lastHeard, d.lease.electedAt)
+		lastHeartbeats[p.zone] = max(lastHeartbeats[p.zone], p.lastHeartbeatAt, d.lease.electedAt)
 	}
 	delete(lastHeartbeats, d.env.cfg.Zone)
 	return lastHeartbeats
@@ -104,8 +104,8 @@
 	return d.env.now, otherZoneReporting && count.silent > 0
 }
 
-// notePartitions replaces the set of partitioned zones, and records which partitions have healed.
-func (d *partitionDetector) notePartitions(partitioned map[string]time.Duration, zones map[string]zoneCount) {
+// updatePartitions replaces the set of partitioned zones, and records which partitions have healed.
+func (d *partitionDetector) updatePartitions(partitioned map[string]time.Duration, zones map[string]zoneCount) {
 	for zone := range partitioned {
 		if !d.isPartitioned(zone) {
 			d.env.log.Info("zone partitioned", "zone", zone, "machines", zones[zone].up)
@@ -164,7 +164,7 @@
 		switch {
 		case p.zone == zone:
 			controllers++
-		case p.firstHeard > 0:
+		case p.firstHeartbeatAt > 0:
 			if p.startedAt <= endedTogetherFrom {
 				return false
 			}
--- a/internal/controller/placing_steps_test.go
+++ b/internal/controller/placing_steps_test.go
@@ -71,7 +71,7 @@
 	{name: "no other fault"},
 	{name: "slow state service", fault: func(w *world, c Call) deliveryFault {
 		if c.Target == ToState {
-			return deliveryFault{hold: time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))}
+			return deliveryFault{delay: time.Duration(w.rng.Int64N(int64(400 * time.Millisecond)))}
 		}
 		return deliveryFault{}
 	}},
@@ -92,12 +92,12 @@
 }
 
 func crashLeaderWhilePlacing(w *world, step placementStep, fault placementFault) {
-	w.runs = func(string) time.Duration { return 6 * second }
+	w.runTime = func(string) time.Duration { return 6 * second }
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 3})
 	w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 3 })
 	w.run(10 * second)
 	crashed, secondCrashed := false, false
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		f := deliveryFault{}
 		if fault.fault != nil {
 			f = fault.fault(w, c)
@@ -133,15 +133,15 @@
 	for _, prefix := range []string{"j/", "m/", "d/"} {
 		t.Run("a write under "+strings.TrimSuffix(prefix, "/"), func(t *testing.T) {
 			w := newMembershipWorld(t, 931)
-			w.runs = func(string) time.Duration { return 6 * second }
-			w.replicas()
+			w.runTime = func(string) time.Duration { return 6 * second }
+			w.startReplicas()
 			crashed := false
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				if !crashed && putsKeyWithPrefix(c, prefix) {
 					crashed = true
 					w.restart(node, 2*second)
 					w.crash(node)
-					return deliveryFault{hold: 15 * second, answerLost: true}
+					return deliveryFault{delay: 15 * second, answerLost: true}
 				}
 				return deliveryFault{}
 			}
--- a/internal/controller/preload_test.go
+++ b/internal/controller/preload_test.go
@@ -13,7 +13,7 @@
 // storeCompletedJobs stores n records of completed jobs, so that a failover reads several pages.
 func (w *world) storeCompletedJobs(n int) {
 	for i := range n {
-		w.state.Change(fmt.Sprintf("j/j-9%06d", i), &emulator.Item{Value: protocol.Encode(map[string]any{"s": protocol.JobDone, "n": 1})})
+		w.state.ForceChange(fmt.Sprintf("j/j-9%06d", i), &emulator.Item{Value: protocol.Encode(map[string]any{"s": protocol.JobDone, "n": 1})})
 	}
 }
 
@@ -25,12 +25,12 @@
 		t.Run(fmt.Sprintf("too many changes %v", tooManyChanges), func(t *testing.T) {
 			w := newMembershipWorld(t, 990)
 			w.storeCompletedJobs(3500)
-			w.replicas()
+			w.startReplicas()
 			lead := w.awaitLeader()
 			w.submit("j-5", map[string]any{"shape": "service", "owner": "blue"})
 			w.until(60*second, "the first job runs", func() bool { return w.running("j-5") == 1 })
 			// The other controllers cannot reach the leader: they suspect it while it continues to work.
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				return deliveryFault{lost: c.Target == ToPeer && (node == lead || c.Addr == w.cfgs[lead].PeerListen)}
 			}
 			preloaded := func() bool {
@@ -43,7 +43,7 @@
 			}
 			w.until(10*second, "a follower has preloaded the records", preloaded)
 			// The leader's last writes: a submitted job and a cancellation, which no preload has read.
-			w.ask(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
+			w.sendRequest(lead, Request{Op: OpSubmit, Body: protocol.Encode(w.spec("j-6", map[string]any{"shape": "service", "owner": "blue"}))}, func(r Reply) {
 				if r.Status != http.StatusCreated {
 					t.Errorf("status %d for the submission", r.Status)
 				}
@@ -51,17 +51,17 @@
 				w.startPolling("j-6")
 			})
 			w.cancelRequested["j-5"] = true
-			w.ask(lead, Request{Op: OpCancel, UID: "j-5"}, func(Reply) {})
+			w.sendRequest(lead, Request{Op: OpCancel, UID: "j-5"}, func(Reply) {})
 			w.run(300 * time.Millisecond)
 			w.crash(lead)
-			w.script = func(_ int, c Call) deliveryFault {
+			w.callFault = func(_ int, c Call) deliveryFault {
 				if tooManyChanges && putsKeyWithPrefix(c, keyLeader) {
 					w.storeCompletedJobs(25_000) // more changes than the state service keeps, immediately before the election
 				}
 				return deliveryFault{}
 			}
 			next := w.awaitLeader()
-			w.script = nil
+			w.callFault = nil
 			w.run(15 * second)
 			failovers := w.nodes[next].observer.failovers
 			if len(failovers) == 0 {
@@ -82,10 +82,10 @@
 // TestCandidatesDoNotCampaignAtOnce checks that candidates start their campaigns at different times.
 func TestCandidatesDoNotCampaignAtOnce(t *testing.T) {
 	w := newMembershipWorld(t, 995)
-	w.replicas()
+	w.startReplicas()
 	lead := w.awaitLeader()
 	campaigns := map[int]time.Duration{}
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		if c.Path == "/multi" && w.nodes[node].controller.leadership == nil && campaigns[node] == 0 {
 			campaigns[node] = w.Now()
 		}
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -65,9 +65,9 @@
 	p.relay.discardRetries()
 }
 
-// noteAnswer records whether a request was answered; sent is the monotonic time when it was sent. An answer to a
+// recordAnswer records whether a request was answered; sent is the monotonic time when it was sent. An answer to a
 // request that was sent after the process resumed ends the recovery.
-func (p *pauseRecovery) noteAnswer(sent time.Duration, answered bool) {
+func (p *pauseRecovery) recordAnswer(sent time.Duration, answered bool) {
 	if answered && sent >= p.resumedAt {
 		p.recoveringUntil = 0
 	}
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -14,12 +14,12 @@
 func (w *world) pauseProcess(i int, d time.Duration) {
 	n := w.nodes[i]
 	n.paused = true
-	w.at(d, func() {
+	w.after(d, func() {
 		n.paused = false
-		w.feed(i, Tick{})
-		held := n.held
-		n.held = nil
-		for _, handle := range held {
+		w.handleEvent(i, Tick{})
+		queued := n.queuedEvents
+		n.queuedEvents = nil
+		for _, handle := range queued {
 			handle()
 		}
 	})
@@ -46,7 +46,7 @@
 			}
 			formerLeader := w.nodes[lead].controller
 			commands := 0
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				if node == lead && c.Target == ToWorker && formerLeader.leadership != nil {
 					commands++
 				}
@@ -59,12 +59,12 @@
 			if commands > 0 {
 				t.Errorf("after a pause of %v, the former leader sent %d requests to workers before it stepped down", pause, commands)
 			}
-			for task, n := range w.starts {
+			for task, n := range w.startCounts {
 				if n > 1 {
 					t.Errorf("after a pause of %v, task %s was started again", pause, task)
 				}
 			}
-			w.script = nil
+			w.callFault = nil
 			w.settle()
 		})
 	}
@@ -77,11 +77,11 @@
 	lead := w.awaitLeader()
 	w.submit("j-1", map[string]any{"shards": 4})
 	w.until(90*second, "tasks run", func() bool { return w.running("j-1") == 4 })
-	w.state.Outage(8 * second)
+	w.state.InjectOutage(8 * second)
 	w.run(second)
 	w.pauseProcess(lead, 4*second)
 	w.run(15 * second)
-	if l := w.nodes[lead].controller.leadership; l == nil || l.lease.verifiesLease() {
+	if l := w.nodes[lead].controller.leadership; l == nil || l.lease.isVerifyingLease() {
 		t.Error("the leader stepped down or has not verified its lease")
 	}
 	w.awaitStatus(90*second, "j-1", "done")
@@ -97,7 +97,7 @@
 		for _, pausedProcess := range []string{"leader", "relay", "both"} {
 			t.Run(fmt.Sprintf("%s for %v", pausedProcess, pause), func(t *testing.T) {
 				w := newMembershipWorld(t, uint64(940+k))
-				w.replicas()
+				w.startReplicas()
 				lead := w.awaitLeader()
 				relay := 2
 				if lead == 2 {
@@ -121,7 +121,7 @@
 					}
 				}
 				if pause <= 6*lease {
-					for task, n := range w.starts {
+					for task, n := range w.startCounts {
 						if n > 1 && pausedProcess != "both" {
 							t.Errorf("task %s was started again", task)
 						}
@@ -138,13 +138,13 @@
 // contact with another controller. Until then its state may be stale.
 func TestResumedLeaderWaitsForContact(t *testing.T) {
 	w := newMembershipWorld(t, 951)
-	w.replicas()
+	w.startReplicas()
 	lead := w.awaitLeader()
 	n := w.nodes[lead]
 	w.pauseProcess(lead, 8*second)
 	w.run(8*second - time.Millisecond)
 	prematureCalls := []string{}
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		if node == lead && n.controller.pause.isRecovering() {
 			switch {
 			case c.Target == ToWorker, c.Path == "/multi", c.Path == "/relay", c.Path == "/forward":
@@ -154,12 +154,12 @@
 		return deliveryFault{}
 	}
 	n.paused = false
-	w.feed(lead, Tick{}) // the process resumes
+	w.handleEvent(lead, Tick{}) // the process resumes
 	if !n.controller.pause.isRecovering() {
 		t.Fatal("the controller did not detect the pause of its process")
 	}
 	for _, op := range []Op{OpPoll, OpCancel} {
-		w.ask(lead, Request{Op: op, UID: "j-1"}, func(r Reply) {
+		w.sendRequest(lead, Request{Op: op, UID: "j-1"}, func(r Reply) {
 			if r.Status != http.StatusServiceUnavailable || r.RetryAfter == 0 {
 				t.Errorf("%s: status %d, retry after %d", op, r.Status, r.RetryAfter)
 			}
@@ -171,13 +171,13 @@
 			heartbeat = protocol.Encode(worker.Heartbeat())
 		}
 	}
-	w.ask(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
+	w.sendRequest(lead, Request{Op: OpWorkerHeartbeat, Body: heartbeat}, func(r Reply) {
 		if r.Status == http.StatusOK {
 			t.Error("the resumed leader renewed a worker's lease")
 		}
 	})
-	peerHeartbeat := protocol.PeerHeartbeat{From: label((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.lease.token}
-	w.ask(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(peerHeartbeat)}, func(r Reply) {
+	peerHeartbeat := protocol.PeerHeartbeat{From: controllerLabel((lead + 1) % 3), Incarnation: n.controller.env.incarnation, Token: n.controller.leadership.lease.token}
+	w.sendRequest(lead, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(peerHeartbeat)}, func(r Reply) {
 		var reply protocol.PeerHeartbeatReply
 		if err := protocol.DecodePeer(r.Body, &reply); err != nil || reply.Leader != "" || reply.LeaderClock != 0 {
 			t.Errorf("the resumed controller claims to lead: %+v, %v", reply, err)
--- a/internal/controller/random_failures_test.go
+++ b/internal/controller/random_failures_test.go
@@ -17,7 +17,7 @@
 				w.injectRandomFault(faults, w.randomMilliseconds(8000, 60_000))
 				w.run(w.randomMilliseconds(0, 6000))
 			}
-			w.cancelSome([]string{"j-s1", "j-s2", "j-b1", "j-b22"}[w.rng.IntN(4)])
+			w.cancelJobs([]string{"j-s1", "j-s2", "j-b1", "j-b22"}[w.rng.IntN(4)])
 			w.submit("j-n1", map[string]any{"shards": 2, "cores": 2.0})
 			w.submit("j-n2", map[string]any{"shape": "group", "shards": 3, "cores": 1.0, "apart": w.rng.IntN(2) == 0})
 			w.run(w.randomMilliseconds(5000, 60_000))
@@ -34,13 +34,13 @@
 	}
 	switch w.rng.IntN(13) {
 	case 0:
-		w.state.Outage(lasts)
+		w.state.InjectOutage(lasts)
 	case 1:
 		w.state.RefusedClients[node] = true
-		w.at(lasts, func() { w.state.RefusedClients[node] = false })
+		w.after(lasts, func() { w.state.RefusedClients[node] = false })
 	case 2:
 		faults.isolated[node] = true
-		w.at(lasts, func() { faults.isolated[node] = false })
+		w.after(lasts, func() { faults.isolated[node] = false })
 	case 3:
 		w.restart(node, min(lasts, w.randomMilliseconds(50, 12_000)))
 	case 4:
@@ -50,31 +50,31 @@
 	case 5:
 		for _, worker := range w.randomMachines(0.4) {
 			worker.RepliesLost = true
-			w.at(lasts, func() { worker.RepliesLost = false })
+			w.after(lasts, func() { worker.RepliesLost = false })
 		}
 	case 6:
 		for _, worker := range w.randomMachines(0.4) {
 			worker.HeartbeatsLost = true
-			w.at(lasts, func() { worker.HeartbeatsLost = false })
+			w.after(lasts, func() { worker.HeartbeatsLost = false })
 		}
 	case 7:
 		for _, worker := range w.randomMachines(0.4) {
 			worker.Partitioned = true
-			w.at(lasts, func() { worker.Partitioned = false })
+			w.after(lasts, func() { worker.Partitioned = false })
 		}
 	case 8:
 		for _, worker := range w.randomMachines(0.4) {
-			worker.Hang(min(lasts, w.randomMilliseconds(1000, 15_000)))
+			worker.InjectHang(min(lasts, w.randomMilliseconds(1000, 15_000)))
 		}
 	case 9:
 		faults.lateTransactions = 0.3
-		w.at(lasts, func() { faults.lateTransactions = 0 })
+		w.after(lasts, func() { faults.lateTransactions = 0 })
 	case 10:
-		w.lateCopy = func() time.Duration { return w.randomMilliseconds(2000, 40_000) }
+		w.duplicateDelay = func() time.Duration { return w.randomMilliseconds(2000, 40_000) }
 	case 11:
 		faults.delayedCommands, faults.lostAnswers = 0.3, 0.2
-		w.at(lasts, func() { faults.delayedCommands, faults.lostAnswers = 0, 0 })
+		w.after(lasts, func() { faults.delayedCommands, faults.lostAnswers = 0, 0 })
 	case 12:
-		w.ended = func(uid string) { w.at(w.randomMilliseconds(0, 500), func() { w.cancel(uid) }) }
+		w.onTaskCompleted = func(uid string) { w.after(w.randomMilliseconds(0, 500), func() { w.cancel(uid) }) }
 	}
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -37,17 +37,17 @@
 // elections while another controller may win one.
 const stepDownBackoffLeases = 4
 
-// noteReached records that a worker answered a direct call or sent a heartbeat directly.
-func (r *reachability) noteReached(now time.Duration) {
+// recordReached records that a worker answered a direct call or sent a heartbeat directly.
+func (r *reachability) recordReached(now time.Duration) {
 	r.lastReachedAt = now
 	if len(r.missedMachines) > 0 {
 		r.missedMachines = nil
 	}
 }
 
-// noteMissed records a machine whose heartbeat arrived through another controller while a direct call to it was
+// recordMissed records a machine whose heartbeat arrived through another controller while a direct call to it was
 // unanswered.
-func (r *reachability) noteMissed(id string, now time.Duration) {
+func (r *reachability) recordMissed(id string, now time.Duration) {
 	if r.missedMachines == nil {
 		r.missedMachines, r.firstMissedAt = map[string]bool{}, now
 	}
@@ -103,7 +103,7 @@
 // controller stays out of elections during its election back-off while another controller may win.
 func (l *leadership) stepDown() {
 	env, election := l.controller.env, l.controller.election
-	env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reach.missedMachines))
+	env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reachability.missedMachines))
 	election.electionBackoffUntil = env.now + stepDownBackoffLeases*env.cfg.WorkerLease()
 	election.leaderKeys.revokedLease = l.lease.leaseID
 	l.controller.endLeadership(endWorkersUnreachable)
--- a/internal/controller/reasons.go
+++ b/internal/controller/reasons.go
@@ -6,13 +6,13 @@
 
 // Reasons for the end of a leadership.
 const (
-	endLeaseUnconfirmed   endReason = "lease not renewed within the coasting limit"
-	endLeaseExpired       endReason = "lease expired"
-	endLaterLeaderKey     endReason = "leader key has a later token"
-	endPeerKnowsLater     endReason = "a peer knows a later leader"
-	endWorkerSawLater     endReason = "a worker has seen a higher token"
-	endWorkersUnreachable endReason = "workers unreachable"
-	endShutdown           endReason = "shutdown"
+	endLeaseUnconfirmed        endReason = "lease not renewed within the coasting limit"
+	endLeaseExpired            endReason = "lease expired"
+	endLeaderKeyHasLaterToken  endReason = "leader key has a later token"
+	endPeerReportedLaterLeader endReason = "a peer knows a later leader"
+	endWorkerHasHigherToken    endReason = "a worker has seen a higher token"
+	endWorkersUnreachable      endReason = "workers unreachable"
+	endShutdown                endReason = "shutdown"
 )
 
 // stopReason is the logged reason for the stop request of an attempt.
@@ -20,15 +20,15 @@
 
 // Reasons for the stop of an attempt.
 const (
-	stopPreempted      stopReason = "preempted"
-	stopConsolidation  stopReason = "consolidation"
-	stopSpotReclaim    stopReason = "spot reclaim notice"
-	stopNoController   stopReason = "machine reaches no controller"
-	stopJobCancelled   stopReason = "job cancelled"
-	stopUnwantedOnLoad stopReason = "not wanted after failover"
-	stopUnrecorded     stopReason = "attempt not recorded"
-	stopGangIncomplete stopReason = "gang incomplete in the stored records"
-	stopGangTaskLost   stopReason = "gang lost a task"
+	stopPreempted              stopReason = "preempted"
+	stopConsolidation          stopReason = "consolidation"
+	stopSpotReclaim            stopReason = "spot reclaim notice"
+	stopNoController           stopReason = "machine reaches no controller"
+	stopJobCancelled           stopReason = "job cancelled"
+	stopNotWantedAfterFailover stopReason = "not wanted after failover"
+	stopUnrecorded             stopReason = "attempt not recorded"
+	stopGangIncomplete         stopReason = "gang incomplete in the stored records"
+	stopGangTaskLost           stopReason = "gang lost a task"
 )
 
 // releaseReason is the logged reason for the release of a machine.
@@ -37,17 +37,17 @@
 // Reasons for the release of a machine.
 const (
 	// keepMachine means that the machine is not released.
-	keepMachine              releaseReason = ""
-	releaseControllerLost    releaseReason = "zone partitioned and its controller lost"
-	releaseBootTimedOut      releaseReason = "boot timed out"
-	releaseUnreachable       releaseReason = "unreachable while its zone is reachable"
-	releaseUnheardOnFailover releaseReason = "no heartbeat since failover"
-	releaseAnswersLost       releaseReason = "no answer received since failover"
-	releaseSilent            releaseReason = "no heartbeat"
-	releaseQuarantined       releaseReason = "quarantined"
-	releaseDrained           releaseReason = "drained"
-	releaseIdle              releaseReason = "idle"
-	releaseFailed            releaseReason = "failed in the cloud's list"
+	keepMachine                     releaseReason = ""
+	releaseControllerLost           releaseReason = "zone partitioned and its controller lost"
+	releaseBootTimedOut             releaseReason = "boot timed out"
+	releaseUnreachable              releaseReason = "unreachable while its zone is reachable"
+	releaseNoHeartbeatSinceFailover releaseReason = "no heartbeat since failover"
+	releaseAnswersLost              releaseReason = "no answer received since failover"
+	releaseSilent                   releaseReason = "no heartbeat"
+	releaseQuarantined              releaseReason = "quarantined"
+	releaseDrained                  releaseReason = "drained"
+	releaseIdle                     releaseReason = "idle"
+	releaseFailed                   releaseReason = "failed in the cloud's list"
 )
 
 // infeasibility is the reason why a job can never run on this cluster, which is logged when its submission is rejected.
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -102,7 +102,7 @@
 	if !r.hasLeaderToken || a.RunsInFlight != 0 {
 		return false
 	}
-	neverStarts := a.StopRequested && !a.RunLost && r.machine.HeartbeatSequence > a.RunSequence
+	neverStarts := a.StopRequested && !a.RunUnanswered && r.machine.HeartbeatSequence > a.RunSequence
 	return a.Acknowledged || a.Loaded || neverStarts
 }
 
--- a/internal/controller/reconciliation_test.go
+++ b/internal/controller/reconciliation_test.go
@@ -46,7 +46,7 @@
 		"its run was not sent":                           {clusterstate.Attempt{Acknowledged: true, Epoch: 1}, true, false},
 		"stop requested, a heartbeat after the reply":    {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 6, Epoch: 2}, true, true},
 		"stop requested, the heartbeat before the reply": {clusterstate.Attempt{Sent: true, StopRequested: true, RunSequence: 7, Epoch: 2}, true, false},
-		"stop requested, a direct run had no reply":      {clusterstate.Attempt{Sent: true, StopRequested: true, RunLost: true, RunSequence: 6, Epoch: 2}, true, false},
+		"stop requested, a direct run had no reply":      {clusterstate.Attempt{Sent: true, StopRequested: true, RunUnanswered: true, RunSequence: 6, Epoch: 2}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := clusterstate.New(16<<10, 16<<10)
@@ -54,11 +54,11 @@
 			m := state.AddMachine("i-1")
 			m.Epoch, m.HeartbeatSequence = 2, 7
 			a := state.AddAttempt(m, j, 0, 1, 0)
-			a.Sent, a.Acknowledged, a.Loaded, a.StopRequested, a.RunLost = tc.attempt.Sent, tc.attempt.Acknowledged, tc.attempt.Loaded, tc.attempt.StopRequested, tc.attempt.RunLost
+			a.Sent, a.Acknowledged, a.Loaded, a.StopRequested, a.RunUnanswered = tc.attempt.Sent, tc.attempt.Acknowledged, tc.attempt.Loaded, tc.attempt.StopRequested, tc.attempt.RunUnanswered
 			a.Epoch, a.RunSequence, a.RunsInFlight = tc.attempt.Epoch, tc.attempt.RunSequence, tc.attempt.RunsInFlight
-			var noted recordedOutcomes
-			reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 2}, tc.ours, &noted)
-			if got := len(noted.absent) > 0; got != tc.proved {
+			var outcomes recordedOutcomes
+			reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 2}, tc.ours, &outcomes)
+			if got := len(outcomes.absent) > 0; got != tc.proved {
 				t.Errorf("attempt proved absent: %v", got)
 			}
 		})
@@ -76,13 +76,13 @@
 		a := state.AddAttempt(m, j, i, 1, 0)
 		a.Sent, a.Acknowledged, a.Epoch = true, true, 1
 	}
-	var noted recordedOutcomes
+	var outcomes recordedOutcomes
 	reconcile(m, &protocol.WorkerHeartbeat{Machine: "i-1", Epoch: 1, Tasks: []protocol.TaskStatus{
 		{Task: "j-1/0", Attempt: 1, State: protocol.TaskRunning},
 		{Task: "j-1/1", Attempt: 1, State: protocol.TaskExited, Cause: protocol.CauseDone},
 		{Task: "j-9/0", Attempt: 1, State: protocol.TaskRunning},
-	}}, true, &noted)
-	if len(noted.absent) > 0 || len(noted.exits) != 1 || len(noted.runs) != 1 || len(noted.unknown) != 1 {
-		t.Errorf("outcomes: %+v", noted)
+	}}, true, &outcomes)
+	if len(outcomes.absent) > 0 || len(outcomes.exits) != 1 || len(outcomes.runs) != 1 || len(outcomes.unknown) != 1 {
+		t.Errorf("outcomes: %+v", outcomes)
 	}
 }
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -16,11 +16,11 @@
 	for _, toLeader := range []bool{true, false} {
 		t.Run(fmt.Sprintf("requests to the leader lost %v", toLeader), func(t *testing.T) {
 			w := newMembershipWorld(t, 952)
-			w.replicas()
+			w.startReplicas()
 			lead := w.awaitLeader()
 			from := (lead + 1) % 3
 			began := w.Now()
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				if node == from && c.Target == ToPeer && c.Addr == w.cfgs[lead].PeerListen {
 					return deliveryFault{lost: toLeader, answerLost: true}
 				}
@@ -43,7 +43,7 @@
 				t.Error("no request was relayed by the third controller")
 			}
 			for i, n := range w.nodes {
-				if at := n.observer.became(label(lead), membership.Suspect, began); at > 0 {
+				if at := n.observer.firstChangeTo(controllerLabel(lead), membership.Suspect, began); at > 0 {
 					t.Errorf("n%d suspects the leader", i)
 				}
 			}
@@ -58,11 +58,11 @@
 	for _, refusedAgain := range []bool{true, false} {
 		t.Run(fmt.Sprintf("refused again %v", refusedAgain), func(t *testing.T) {
 			w := newMembershipWorld(t, 956)
-			w.replicas()
+			w.startReplicas()
 			lead := w.awaitLeader()
 			from := (lead + 1) % 3
 			var attempts []time.Duration
-			w.script = func(node int, c Call) deliveryFault {
+			w.callFault = func(node int, c Call) deliveryFault {
 				if node != from || c.Path != "/relay" {
 					return deliveryFault{}
 				}
--- a/internal/controller/request_bench_test.go
+++ b/internal/controller/request_bench_test.go
@@ -16,8 +16,8 @@
 func BenchmarkSlopeSubmit(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.keepBusy()
-		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
+		f.blockFills()
+		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
@@ -31,8 +31,8 @@
 func BenchmarkSlopePoll(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.keepBusy()
-		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
+		f.blockFills()
+		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		b.ResetTimer()
 		for b.Loop() {
 			f.controller.Handle(at, Request{ID: 1, Op: OpPoll, UID: "j-00000001"})
@@ -44,8 +44,8 @@
 func BenchmarkSlopeCancel(b *testing.B) {
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
-		f.keepBusy()
-		at := Clock{Steady: f.controller.env.now, Wall: f.controller.env.wall}
+		f.blockFills()
+		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
