--- a/internal/controller/request_burst_test.go
+++ b/internal/controller/request_burst_test.go
@@ -22,20 +22,20 @@
 	var jobs []string
 	cancelled := map[string]bool{}
 	lossyNetwork := false
-	w.script = func(_ int, _ Call) deliveryFault {
+	w.callFault = func(_ int, _ Call) deliveryFault {
 		if !lossyNetwork {
 			return deliveryFault{}
 		}
 		f := deliveryFault{lost: w.rng.IntN(12) == 0, answerLost: w.rng.IntN(12) == 0}
 		if w.rng.IntN(10) == 0 {
-			f.hold = time.Duration(w.rng.IntN(40_000)) * time.Millisecond
+			f.delay = time.Duration(w.rng.IntN(40_000)) * time.Millisecond
 		}
 		return f
 	}
 	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault {
 		return deliveryFault{lost: lossyNetwork && w.rng.IntN(8) == 0, answerLost: lossyNetwork && w.rng.IntN(8) == 0}
 	}
-	w.runs = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
+	w.runTime = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
 	for step := range 50 {
 		switch w.rng.IntN(12) {
 		case 0, 1, 2:
@@ -54,37 +54,37 @@
 		case 4, 5:
 			i := w.rng.IntN(3)
 			w.crash(i)
-			w.at(time.Duration(50+w.rng.IntN(6000))*time.Millisecond, func() {
+			w.after(time.Duration(50+w.rng.IntN(6000))*time.Millisecond, func() {
 				if !w.nodes[i].alive {
 					w.boot(i)
 				}
 			})
 		case 6:
-			w.state.Outage(time.Duration(1+w.rng.IntN(20)) * second)
+			w.state.InjectOutage(time.Duration(1+w.rng.IntN(20)) * second)
 		case 7:
 			for _, worker := range w.workers() {
 				if worker.Up && w.rng.IntN(3) == 0 {
 					worker.Partitioned = true
-					w.at(time.Duration(w.rng.IntN(30))*second, func() { worker.Partitioned = false })
+					w.after(time.Duration(w.rng.IntN(30))*second, func() { worker.Partitioned = false })
 				}
 			}
 		case 8:
 			lossyNetwork = !lossyNetwork
 		case 9:
 			for _, worker := range w.workers() {
-				if len(w.copies[worker.ID]) > 0 {
-					body := w.copies[worker.ID][w.rng.IntN(len(w.copies[worker.ID]))]
-					w.ask(w.rng.IntN(3), Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
+				if len(w.sentHeartbeats[worker.ID]) > 0 {
+					body := w.sentHeartbeats[worker.ID][w.rng.IntN(len(w.sentHeartbeats[worker.ID]))]
+					w.sendRequest(w.rng.IntN(3), Request{Op: OpWorkerHeartbeat, Body: body}, func(Reply) {})
 				}
 			}
 		case 10:
 			i := w.rng.IntN(3)
 			w.state.RefusedClients[i] = true
-			w.at(time.Duration(w.rng.IntN(25))*second, func() { w.state.RefusedClients[i] = false })
+			w.after(time.Duration(w.rng.IntN(25))*second, func() { w.state.RefusedClients[i] = false })
 		case 11:
 			for _, worker := range w.workers() {
 				if worker.Up && w.rng.IntN(4) == 0 {
-					worker.Die()
+					worker.Terminate()
 				}
 			}
 		}
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -12,7 +12,7 @@
 type reservation struct {
 	jobID     string
 	tasks     int           // tasks of the job that have yet to start on the machine
-	expiresAt time.Duration // when the reservation expires, on the steady clock
+	expiresAt time.Duration // when the reservation expires, on the monotonic clock
 }
 
 // reserve reserves machines for the jobs for which a round has preempted tasks. A reservation expires one worker lease
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -27,36 +27,36 @@
 	operators [][]byte
 	// announced lists the controllers whose settings announce future limits of the state service.
 	announced map[int]bool
-	// onStep returns the fault for a transaction that changes the gate's state or the journal; nil if no faults are
-	// injected.
-	onStep func(step gateStep, node int) deliveryFault
-	steps  map[gateStep]int // number of transactions sent, by step
+	// faultForStep returns the fault for a transaction that changes the gate's state or the journal; nil if no faults
+	// are injected.
+	faultForStep func(step gateStep, node int) deliveryFault
+	steps        map[gateStep]int // number of transactions sent, by step
 	// states lists the states of the gate in the order in which the leader key had them.
 	states          []string
 	submittedArrays int
 	// plannedStops counts, by task, how often the scheduler stopped the task to drain its machine or to preempt it.
 	// Such a task may be started once more for each stop.
 	plannedStops map[string]int
-	// interrupts allows tasks to be started again, because the test lets workers' leases expire.
-	interrupts bool
+	// allowRestarts allows tasks to be started again, because the test lets workers' leases expire.
+	allowRestarts bool
 }
 
 // gateStep is the effect of a transaction on the gate or the journal.
 type gateStep string
 
 const (
-	noStep           gateStep = ""
-	opens            gateStep = "opens"
-	closes           gateStep = "begins to close"
-	closed           gateStep = "closes"
-	elects           gateStep = "elects"
-	journals         gateStep = "writes the journal"
-	deletes          gateStep = "deletes from the journal"
-	arrayInterval             = 3 * time.Second
-	arrayTaskRunTime          = 5 * time.Second
+	stepNone          gateStep = ""
+	stepOpenGate      gateStep = "opens"
+	stepBeginClosing  gateStep = "begins to close"
+	stepCloseGate     gateStep = "closes"
+	stepElect         gateStep = "elects"
+	stepWriteJournal  gateStep = "writes the journal"
+	stepDeleteJournal gateStep = "deletes from the journal"
+	arrayInterval              = 3 * time.Second
+	arrayTaskRunTime           = 5 * time.Second
 )
 
-var wideShape = topology{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: defaultTopology.teams}
+var fiveControllerTopology = topology{controllers: []string{"a", "b", "a", "b", "a"}, zones: []string{"a", "b"}, teams: defaultTopology.teams}
 
 // newerOperator returns the operators' settings of the newer version, followed by more.
 func newerOperator(more string) []byte {
@@ -66,7 +66,7 @@
 	return []byte(endJournalOn + more)
 }
 
-const holdOn = "[upgrade]\nhold = true\n"
+const holdGateSettings = "[upgrade]\nhold = true\n"
 
 // newUpgradeWorld creates a world with controllers of the older version, running replicas, and an array submitted every
 // arrayInterval.
@@ -75,9 +75,9 @@
 	u := &upgradeWorld{world: newWorldWithTopology(t, seed, nil, shape), newerSince: make([]time.Duration, len(shape.controllers)),
 		operators: make([][]byte, len(shape.controllers)), steps: map[gateStep]int{}, plannedStops: map[string]int{}, announced: map[int]bool{}}
 	w := u.world
-	w.runs = func(string) time.Duration { return arrayTaskRunTime }
+	w.runTime = func(string) time.Duration { return arrayTaskRunTime }
 	w.logged = u.handleLogLine
-	w.script = u.fault
+	w.callFault = u.fault
 	for i := range w.nodes {
 		u.restart(i, nil)
 	}
@@ -93,7 +93,7 @@
 // handleLogLine reports unreadable records and counts planned stops in a log line of a controller.
 func (u *upgradeWorld) handleLogLine(node int, line []byte) {
 	if bytes.Contains(line, []byte("stored record is unreadable")) {
-		u.violated("n%d: %s", node, line)
+		u.recordViolation("n%d: %s", node, line)
 	}
 	planned := bytes.Contains(line, []byte("reason=consolidation")) || bytes.Contains(line, []byte("reason=preempted"))
 	if !planned || !bytes.Contains(line, []byte("msg=\"stop requested\"")) {
@@ -110,12 +110,12 @@
 func (u *upgradeWorld) submitArrays() {
 	var submitNext func()
 	submitNext = func() {
-		if u.calmSince != 0 {
+		if u.faultsEndedAt != 0 {
 			return
 		}
 		u.submittedArrays++
 		u.submit(fmt.Sprintf("j-%d", 1000+u.submittedArrays), map[string]any{"shards": 3, "cores": 1.0, "owner": []string{"red", "blue"}[u.submittedArrays%2]})
-		u.at(arrayInterval, submitNext)
+		u.after(arrayInterval, submitNext)
 	}
 	submitNext()
 }
@@ -132,7 +132,7 @@
 	if u.announced[i] {
 		u.cfgs[i].Cluster.State.Next = &config.NextState{ValueKB: 2, TxnOps: 10, WriteRPS: 35}
 	}
-	u.nodes[i].older, u.nodes[i].withoutGate = operator == nil, operator == nil
+	u.nodes[i].withoutProbes, u.nodes[i].withoutGate = operator == nil, operator == nil
 	u.boot(i)
 }
 
@@ -144,8 +144,8 @@
 	}
 }
 
-// leaderAt returns all controllers in an order in which the current leader has the given position.
-func (u *upgradeWorld) leaderAt(position int) []int {
+// orderWithLeaderAt returns all controllers in an order in which the current leader has the given position.
+func (u *upgradeWorld) orderWithLeaderAt(position int) []int {
 	lead := u.awaitLeader()
 	var order []int
 	for i := range u.nodes {
@@ -162,19 +162,19 @@
 		return deliveryFault{}
 	}
 	step := u.stepOf(c.Body)
-	if step == noStep {
+	if step == stepNone {
 		return deliveryFault{}
 	}
 	u.steps[step]++
-	if step == opens {
+	if step == stepOpenGate {
 		for i, since := range u.newerSince {
 			if since == 0 || u.Now() < since+u.cfgs[i].LeaderLease() {
-				u.violated("the gate opens while n%d runs the older version, or has run the newer one for less than a leader lease", i)
+				u.recordViolation("the gate opens while n%d runs the older version, or has run the newer one for less than a leader lease", i)
 			}
 		}
 	}
-	if u.onStep != nil {
-		return u.onStep(step, node)
+	if u.faultForStep != nil {
+		return u.faultForStep(step, node)
 	}
 	return deliveryFault{}
 }
@@ -191,29 +191,29 @@
 	if err := protocol.Decode(body, &txn); err != nil {
 		u.t.Fatal(err)
 	}
-	step := noStep
+	step := stepNone
 	for _, change := range txn.Then {
 		var rec leaderRecord
 		switch {
 		case change.Put == keyCounter:
-			return elects
+			return stepElect
 		case change.Put == keyLease:
-			return opens
+			return stepOpenGate
 		case change.Delete == keyLease:
-			return closed
+			return stepCloseGate
 		case change.Put == keyLeader && protocol.Decode(change.Value, &rec) == nil && rec.Closing:
-			step = closes
-		case strings.HasPrefix(change.Delete, completionjournal.Prefix) && step == noStep:
-			step = deletes
-		case strings.HasPrefix(change.Put, completionjournal.Prefix) && step == noStep:
-			step = journals
+			step = stepBeginClosing
+		case strings.HasPrefix(change.Delete, completionjournal.Prefix) && step == stepNone:
+			step = stepDeleteJournal
+		case strings.HasPrefix(change.Put, completionjournal.Prefix) && step == stepNone:
+			step = stepWriteJournal
 		}
 	}
 	return step
 }
 
-// stored returns the stored leader record and the lease of its key.
-func (u *upgradeWorld) stored() (rec leaderRecord, lease uint64) {
+// storedLeaderRecord returns the stored leader record and the lease of its key.
+func (u *upgradeWorld) storedLeaderRecord() (rec leaderRecord, lease uint64) {
 	it := u.state.Item(keyLeader)
 	if it == nil {
 		return rec, 0
@@ -225,7 +225,7 @@
 }
 
 func (u *upgradeWorld) gateIs(state string) bool {
-	rec, _ := u.stored()
+	rec, _ := u.storedLeaderRecord()
 	return rec.gateState().String() == state
 }
 
@@ -244,22 +244,22 @@
 func (u *upgradeWorld) monitorStore() {
 	var check func()
 	check = func() {
-		rec, lease := u.stored()
+		rec, lease := u.storedLeaderRecord()
 		if rec.StorageVersion == 0 && len(u.journalKeys()) > 0 {
-			u.violated("the journal is stored while an older version can be elected: %v", u.journalKeys())
+			u.recordViolation("the journal is stored while an older version can be elected: %v", u.journalKeys())
 		}
 		if rec.Token != 0 && (rec.StorageVersion == 0) != (lease != 0) {
-			u.violated("leader record of storage version %d has the lease %d", rec.StorageVersion, lease)
+			u.recordViolation("leader record of storage version %d has the lease %d", rec.StorageVersion, lease)
 		}
 		if state := rec.gateState().String(); rec.Token != 0 && (len(u.states) == 0 || u.states[len(u.states)-1] != state) {
 			u.states = append(u.states, state)
 		}
 		for i, n := range u.nodes {
 			if n.alive && n.withoutGate && n.controller.leadership != nil && n.controller.leadership.lease.holdsLease() && rec.StorageVersion != 0 {
-				u.violated("n%d runs the older version and leads while the gate is %s", i, rec.gateState())
+				u.recordViolation("n%d runs the older version and leads while the gate is %s", i, rec.gateState())
 			}
 		}
-		u.at(tick, check)
+		u.after(tick, check)
 	}
 	check()
 }
@@ -268,15 +268,15 @@
 // unexpectedly.
 func (u *upgradeWorld) settleAndCheck() {
 	u.t.Helper()
-	u.onStep = nil
-	script := u.script
+	u.faultForStep = nil
+	callFault := u.callFault
 	u.settle()
-	u.script = script
-	if u.interrupts {
+	u.callFault = callFault
+	if u.allowRestarts {
 		return
 	}
-	for _, task := range slices.Sorted(maps.Keys(u.starts)) {
-		if n := u.starts[task]; n > 1+u.plannedStops[task] {
+	for _, task := range slices.Sorted(maps.Keys(u.startCounts)) {
+		if n := u.startCounts[task]; n > 1+u.plannedStops[task] {
 			u.t.Errorf("task %s started %d times", task, n)
 		}
 	}
@@ -285,6 +285,6 @@
 // openGate upgrades all controllers and waits until the gate is open.
 func (u *upgradeWorld) openGate() {
 	u.t.Helper()
-	u.restartAll(u.leaderAt(0), newerOperator(""))
+	u.restartAll(u.orderWithLeaderAt(0), newerOperator(""))
 	u.until(30*second, "the gate is open", func() bool { return u.gateIs("open") })
 }
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -49,7 +49,7 @@
 				w.run(time.Duration(3+5*int(seed)+round)*second + time.Duration(w.rng.IntN(1000))*time.Millisecond)
 				for i := range 3 {
 					w.crash(i)
-					w.at(time.Duration(100+w.rng.IntN(4000))*time.Millisecond, func() { w.boot(i) })
+					w.after(time.Duration(100+w.rng.IntN(4000))*time.Millisecond, func() { w.boot(i) })
 				}
 			}
 			for i := range 6 {
@@ -70,7 +70,7 @@
 	oldLeader := w.awaitLeader()
 	// The old leader still reaches its workers, and loses the state service and the other controllers.
 	// Direct commands of the other controllers don't reach the workers.
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		lost := (node == oldLeader && (c.Target == ToState || c.Target == ToPeer)) ||
 			(node != oldLeader && c.Target == ToWorker) || (c.Target == ToPeer && strings.HasPrefix(c.Addr, fmt.Sprintf("10.0.0.%d:", oldLeader)))
 		return deliveryFault{lost: lost}
@@ -84,7 +84,7 @@
 	if w.nodes[oldLeader].controller.leadership != nil {
 		t.Error("the old leader has not resigned after 150 s without the state service")
 	}
-	w.script = nil
+	w.callFault = nil
 	w.awaitStatus(200*second, "j-1", protocol.JobDone)
 	w.requireNoViolations()
 }
@@ -138,7 +138,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
 	w.run(3 * second)
-	w.state.Outage(18 * second)
+	w.state.InjectOutage(18 * second)
 	w.run(12 * second)
 	status := -1
 	w.spec("j-2", nil)
@@ -184,7 +184,7 @@
 	w.heartbeatFault = func(worker *emulator.Worker, _ int) deliveryFault {
 		return deliveryFault{answerLost: worker == answersLost}
 	}
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		return deliveryFault{lost: c.Target == ToWorker && c.Addr == answersLost.Addr}
 	}
 	w.until(60*second, "the replica runs on another machine", func() bool {
@@ -216,11 +216,11 @@
 // arrives: a process once started its leadership twice and crashed.
 func TestWatchOvertakesElection(t *testing.T) {
 	w := newWorld(t, 14)
-	w.script = func(_ int, c Call) deliveryFault {
+	w.callFault = func(_ int, c Call) deliveryFault {
 		return deliveryFault{answerLost: c.Target == ToState && c.Path == "/multi"}
 	}
 	w.run(20 * second)
-	w.script = nil
+	w.callFault = nil
 	w.awaitLeader()
 	w.requireNoViolations()
 }
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -10,23 +10,23 @@
 
 // Limits of scaling in.
 const (
-	// More than silentMachinesMin silent machines that are also more than a third of the machines that are up indicate a
-	// fault in the leader's own network.
+	// More than silentMachinesMin silent machines that are also more than a third of the machines that are up indicate
+	// a fault in the leader's own network.
 	silentMachinesMin     = 2
 	silentMachinesDivisor = 3
-	// silentLeases is the number of worker leases of silence after which a machine with failed calls is released without
-	// further evidence.
+	// silentLeases is the number of worker leases of silence after which a machine with failed calls is released
+	// without further evidence.
 	silentLeases = 3
-	// failedCallsMin is the number of consecutive failed calls from which a machine counts as unreachable. A single call
-	// may have been lost.
+	// failedCallsMin is the number of consecutive failed calls from which a machine counts as unreachable. A single
+	// call may have been lost.
 	failedCallsMin = 2
-	// unseenAnswersMin is the number of consecutive answered heartbeats with an older token from which the leader's
-	// answers count as not reaching the machine. An expired worker lease counts as several of them; see
+	// undeliveredAnswersMin is the number of consecutive answered heartbeats with an older token from which the
+	// leader's answers count as not reaching the machine. An expired worker lease counts as several of them; see
 	// clusterstate.AgentState.
-	unseenAnswersMin = 3
-	// A zone counts as heard once a tenth of its machines, and at least two, have been heard.
-	heardMachinesMin     = 2
-	heardMachinesDivisor = 10
+	undeliveredAnswersMin = 3
+	// Messages of a tenth of a zone's machines, and of at least two, are evidence that the zone is reachable.
+	reportingMachinesMin     = 2
+	reportingMachinesDivisor = 10
 )
 
 // scaleIn releases the machines that are not needed any more or probably lost. needed holds the ids of the machines on
@@ -44,12 +44,13 @@
 }
 
 // isUnreachable reports whether a machine is most probably lost with all its tasks: connections to it fail, other
-// machines of its zone have been heard since the last failed call, and the leader reaches all machines whose heartbeats
-// other controllers forward. Its deletion by the cloud proves that its tasks have ended much sooner than the expiry of
-// its lease does. A hanging machine still accepts connections and is not released, as it may resume within its lease.
-func (a *autoscaler) isUnreachable(m *clusterstate.Machine, heardByZone map[string]time.Duration) bool {
-	return m.ConnectionFailed && m.FailedCalls >= failedCallsMin && len(a.reach.missedMachines) == 0 &&
-		!a.partitions.isPartitioned(m.Zone) && heardByZone[m.Zone] > m.LastFailedCallAt && a.restartsQuickly(m)
+// machines of its zone have sent messages since the last failed call, and the leader reaches all machines whose
+// heartbeats other controllers forward. Its deletion by the cloud proves that its tasks have ended much sooner than the
+// expiry of its lease does. A hanging machine still accepts connections and is not released, as it may resume within
+// its lease.
+func (a *autoscaler) isUnreachable(m *clusterstate.Machine, reportingSince map[string]time.Duration) bool {
+	return m.ConnectionFailed && m.FailedCalls >= failedCallsMin && len(a.reachability.missedMachines) == 0 &&
+		!a.partitions.isPartitioned(m.Zone) && reportingSince[m.Zone] > m.LastFailedCallAt && a.restartsQuickly(m)
 }
 
 // restartsQuickly reports whether the images of a machine's replicas can be fetched in less than a lease. The machine
@@ -68,23 +69,23 @@
 	return true
 }
 
-// zonesHeardSince returns by zone the latest time since which a tenth of the zone's machines, and at least two, have
-// been heard. For a partitioned zone this time is before the beginning of the partition.
-func (a *autoscaler) zonesHeardSince() map[string]time.Duration {
+// zonesReportingSince returns by zone the latest time since which a tenth of the zone's machines, and at least two, have
+// sent messages. For a partitioned zone this time is before the beginning of the partition.
+func (a *autoscaler) zonesReportingSince() map[string]time.Duration {
 	lastSeen := map[string][]time.Duration{}
 	for _, m := range a.state.Machines {
 		if m.EverReported && !m.Releasing {
 			lastSeen[m.Zone] = append(lastSeen[m.Zone], m.LastSeen)
 		}
 	}
-	heardSince := map[string]time.Duration{}
+	reportingSince := map[string]time.Duration{}
 	for zone, times := range lastSeen {
-		if required := max(heardMachinesMin, len(times)/heardMachinesDivisor); len(times) > required {
+		if required := max(reportingMachinesMin, len(times)/reportingMachinesDivisor); len(times) > required {
 			slices.Sort(times)
-			heardSince[zone] = times[len(times)-required]
+			reportingSince[zone] = times[len(times)-required]
 		}
 	}
-	return heardSince
+	return reportingSince
 }
 
 // scaleInPass decides for each machine of the fleet whether it is released, based on the state at one time.
@@ -94,7 +95,7 @@
 	// manySilent is set if so many machines are silent that a fault in the leader's own network is the likely cause.
 	manySilent     bool
 	controllerLost map[string]bool          // partitioned zones that have lost their controller
-	heardSince     map[string]time.Duration // by zone, see zonesHeardSince
+	reportingSince map[string]time.Duration // by zone, see zonesReportingSince
 	spare          *spareCapacity
 }
 
@@ -113,7 +114,7 @@
 		needed:         needed,
 		manySilent:     silent > silentMachinesMin && silent > up/silentMachinesDivisor,
 		controllerLost: map[string]bool{},
-		heardSince:     a.zonesHeardSince(),
+		reportingSince: a.zonesReportingSince(),
 		spare:          &spareCapacity{cache: a.cache},
 	}
 	for zone := range a.partitions.partitioned {
@@ -175,10 +176,10 @@
 	case !p.manySilent && p.isReplaceable(m):
 		return releaseUnreachable
 	case !p.manySilent && p.isSilentSinceElection(m):
-		return releaseUnheardOnFailover
+		return releaseNoHeartbeatSinceFailover
 	case p.missesAnswers(m):
 		return releaseAnswersLost
-	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silentFor(m) > silentLeases*p.scaler.env.cfg.WorkerLease():
+	case !p.manySilent && m.FailedCalls > 0 && p.scaler.health.silenceDuration(m) > silentLeases*p.scaler.env.cfg.WorkerLease():
 		return releaseSilent
 	}
 	return keepMachine
@@ -186,23 +187,23 @@
 
 // isReplaceable reports whether a machine is most probably lost and all its tasks have room on other machines.
 func (p *scaleInPass) isReplaceable(m *clusterstate.Machine) bool {
-	return p.scaler.isUnreachable(m, p.heardSince) && p.scaler.health.isSilent(m) && p.spare.tryPlaceTasksOf(m)
+	return p.scaler.isUnreachable(m, p.reportingSince) && p.scaler.health.isSilent(m) && p.spare.tryPlaceTasksOf(m)
 }
 
 // isSilentSinceElection reports whether a machine has been silent since this leader was elected. Deletion by the cloud
 // then proves that its tasks have ended sooner than the expiry of its lease, which is counted from the election or
-// later. A machine that this leader has heard is not released: if it hangs or is partitioned, its tasks run until its
-// lease expires, and it may reconnect before that.
+// later. A machine that has sent this leader a message is not released: if it hangs or is partitioned, its tasks run
+// until its lease expires, and it may reconnect before that.
 func (p *scaleInPass) isSilentSinceElection(m *clusterstate.Machine) bool {
 	return m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
-		p.scaler.health.silentFor(m) > p.scaler.env.cfg.WorkerLease()/2
+		p.scaler.health.silenceDuration(m) > p.scaler.env.cfg.WorkerLease()/2
 }
 
 // missesAnswers reports whether a machine with tasks sends heartbeats that never contain this leader's token. The
 // leader's answers do not reach the machine, so its lease has expired, but none of its messages can prove that the
 // tasks which an earlier leader started there have ended.
 func (p *scaleInPass) missesAnswers(m *clusterstate.Machine) bool {
-	return m.UnseenAnswers >= unseenAnswersMin && m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
+	return m.UndeliveredAnswers >= undeliveredAnswersMin && m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
 		len(m.Attempts) > 0 && p.scaler.env.now > p.scaler.lease.electedAt+p.scaler.env.cfg.WorkerLease()
 }
 
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -10,21 +10,21 @@
 // that are not needed or probably lost. It owns only the conditions that it logs, which a new leader evaluates from
 // scratch. Its decisions are recorded in the cluster state and the machine pool.
 type autoscaler struct {
-	cache      *schedulerCache
-	catalog    *machineCatalog
-	env        *environment
-	forecast   *demandForecast
-	health     *machineHealth
-	lease      *leaderLease
-	machines   *machineRegistry
-	outbox     *outbox
-	partitions *partitionDetector
-	pool       *machinepool.Pool
-	reach      *reachability
-	state      *clusterstate.State
+	cache        *schedulerCache
+	catalog      *machineCatalog
+	env          *environment
+	forecast     *demandForecast
+	health       *machineHealth
+	lease        *leaderLease
+	machines     *machineRegistry
+	outbox       *outbox
+	partitions   *partitionDetector
+	pool         *machinepool.Pool
+	reachability *reachability
+	state        *clusterstate.State
 
-	shortPools map[scheduler.Pool]*loggedCondition
-	lateBoots  loggedCondition
+	poolShortages map[scheduler.Pool]*loggedCondition
+	lateBoots     loggedCondition
 }
 
 // Messages of the conditions that the autoscaler logs.
@@ -70,10 +70,10 @@
 
 // onPoolShortage logs when a pool begins to lack capacity for the requested launches, and when the shortage ends.
 func (a *autoscaler) onPoolShortage(pool scheduler.Pool, short bool) {
-	condition := a.shortPools[pool]
+	condition := a.poolShortages[pool]
 	if condition == nil {
 		condition = &loggedCondition{}
-		a.shortPools[pool] = condition
+		a.poolShortages[pool] = condition
 	}
 	condition.update(short, a.env.now, a.env.log, poolShortageMessages, "type", pool.Type, "zone", pool.Zone, "spot", pool.Spot)
 }
@@ -105,7 +105,7 @@
 	a.launch(plan.Plan(a.catalog.types, blocked, a.maxLaunches()))
 	needed := map[string]bool{}
 	for _, m := range plan.Machines {
-		needed[m.ID] = m.Used
+		needed[m.ID] = m.InUse
 	}
 	a.cache.endPlan(plan)
 	a.scaleIn(needed)
--- a/internal/controller/scaling_bench_test.go
+++ b/internal/controller/scaling_bench_test.go
@@ -18,15 +18,15 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.leadership.placement.runFill()
-		f.settleStarts()
+		f.applyQueuedTransactions()
 		var worst time.Duration
 		b.ResetTimer()
 		for b.Loop() {
 			b.StopTimer()
 			for range 12 {
-				f.endOneTask()
+				f.removeRandomAttempt()
 			}
-			f.settleStarts()
+			f.applyQueuedTransactions()
 			b.StartTimer()
 			started := time.Now()
 			f.leadership.placement.runFill()
@@ -67,7 +67,7 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.leadership.placement.runFill()
-		f.settleStarts()
+		f.applyQueuedTransactions()
 		b.ResetTimer()
 		for b.Loop() {
 			f.leadership.placement.runRound()
@@ -87,7 +87,7 @@
 				j.Spec.Priority, j.Spec.Service = protocol.PriorityProduction, true
 			}
 			f.leadership.placement.runFill()
-			f.settleStarts()
+			f.applyQueuedTransactions()
 			runtime.GC()
 			b.StartTimer()
 			f.leadership.placement.runRound()
@@ -145,13 +145,13 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.leadership.placement.runFill()
-		f.settleStarts()
+		f.applyQueuedTransactions()
 		b.ResetTimer()
 		for b.Loop() {
 			f.leadership.scaler.planScaling()
 			b.StopTimer()
 			f.controller.outbox.effects = f.controller.outbox.effects[:0]
-			f.freshPool()
+			f.resetPool()
 			b.StartTimer()
 		}
 	})
--- a/internal/controller/scheduler_cache_machines.go
+++ b/internal/controller/scheduler_cache_machines.go
@@ -137,7 +137,7 @@
 }
 
 // refreshMachine recreates the view of a machine from the cluster state.
-func (c *schedulerCache) refreshMachine(cached *cachedMachine, t *scheduler.Type) {
+func (c *schedulerCache) refreshMachine(cached *cachedMachine, t *scheduler.MachineType) {
 	m := cached.machine
 	cached.view = c.views.machineView(m, t)
 	setImages(&cached.view, m)
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -26,24 +26,24 @@
 func (w *world) checkSchedulerCache(l *leadership) {
 	for _, e := range l.cache.cachedMachines {
 		if l.state.Machines[e.machine.ID] == e.machine && !l.cache.matchesState(e) {
-			w.violated("the scheduler cache of %s differs from the cluster state", e.machine.ID)
+			w.recordViolation("the scheduler cache of %s differs from the cluster state", e.machine.ID)
 		}
 	}
 	for _, j := range l.state.Jobs {
 		cached := l.cache.cachedJobs[j]
 		if cached == nil {
 			if j.Stored && (j.OpenTasks() > 0 || j.ActiveAttempts == 0) && !slices.Contains(l.state.JobsToSchedule(), j) {
-				w.violated("job %s waits but is not in the scheduler cache", j.Spec.UID)
+				w.recordViolation("job %s waits but is not in the scheduler cache", j.Spec.UID)
 			}
 			continue
 		}
 		if fresh, _ := j.WaitingTasks(maxWaitingTasks); cached.filled && cached.revision == j.Revision() && j.Gang == nil && !j.Cancelling && !j.Finalizing && !slices.Equal(fresh, cached.waiting) {
-			w.violated("%s: waiting tasks %v, the scheduler cache has %v", j.Spec.UID, fresh, cached.waiting)
+			w.recordViolation("%s: waiting tasks %v, the scheduler cache has %v", j.Spec.UID, fresh, cached.waiting)
 		}
 	}
 	if w.leaderEvents++; w.leaderEvents%eventsPerComparison == 0 {
 		if d := compareSnapshots(l); d != "" {
-			w.violated("the cached snapshot differs from one built without the cache: %s", d)
+			w.recordViolation("the cached snapshot differs from one built without the cache: %s", d)
 		}
 	}
 }
--- a/internal/controller/scheduler_cache_verify.go
+++ b/internal/controller/scheduler_cache_verify.go
@@ -34,7 +34,7 @@
 	m, view := cached.machine, &cached.view
 	fresh := c.views.machineView(m, view.Type)
 	setImages(&fresh, m)
-	return fresh.Free == view.Free && fresh.TaskCapacity == view.TaskCapacity && fresh.Used == view.Used && fresh.Zone == view.Zone &&
+	return fresh.Free == view.Free && fresh.TaskCapacity == view.TaskCapacity && fresh.InUse == view.InUse && fresh.Zone == view.Zone &&
 		fresh.Spot == view.Spot && fresh.Type.Name == m.Type && fresh.ImageSet == view.ImageSet &&
 		len(fresh.Fetching) == len(view.Fetching) && c.fleet.IsCurrent(view)
 }
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -85,13 +85,13 @@
 	if j.Failures.IsProbing() && j.Gang == nil && len(waiting) > 1 {
 		waiting, resume = waiting[:1], min(resume, 1)
 	}
-	v.noteWaitingSince(j)
+	v.updateWaitingSince(j)
 	return waiting, resume
 }
 
-// noteWaitingSince sets WaitingSince when a job has no task on a machine, and clears it when the job has such a task
+// updateWaitingSince sets WaitingSince when a job has no task on a machine, and clears it when the job has such a task
 // or ends.
-func (v *schedulerViews) noteWaitingSince(j *clusterstate.Job) {
+func (v *schedulerViews) updateWaitingSince(j *clusterstate.Job) {
 	if j.ActiveAttempts > 0 || j.Cancelling || j.Finalizing {
 		j.WaitingSince = 0
 	} else if j.WaitingSince == 0 {
@@ -119,7 +119,7 @@
 
 // bootingType is the type of a machine that is booting and has not exceeded the usual boot time; nil for any other
 // machine and for machines in partitioned zones.
-func (v *schedulerViews) bootingType(m *clusterstate.Machine) *scheduler.Type {
+func (v *schedulerViews) bootingType(m *clusterstate.Machine) *scheduler.MachineType {
 	if m.EverReported || m.Releasing || v.partitions.isPartitioned(m.Zone) {
 		return nil
 	}
@@ -130,11 +130,11 @@
 }
 
 // machineView returns a view of a machine without its images and tasks.
-func (v *schedulerViews) machineView(m *clusterstate.Machine, t *scheduler.Type) scheduler.Machine {
+func (v *schedulerViews) machineView(m *clusterstate.Machine, t *scheduler.MachineType) scheduler.Machine {
 	maxAttempts := v.env.cfg.MaxValueBytes() / clusterstate.MaxEntryBytes // the machine's record holds no more
 	return scheduler.Machine{
 		ID: m.ID, Type: t, Zone: m.Zone, Spot: m.Spot,
-		Free: m.Size.Minus(m.Used), TaskCapacity: maxAttempts - len(m.Attempts), Used: len(m.Attempts) > 0,
+		Free: m.Size.Minus(m.Used), TaskCapacity: maxAttempts - len(m.Attempts), InUse: len(m.Attempts) > 0,
 		ReservedFor: v.placement.reservations[m.ID].jobID, ImageSet: v.state.ImageSet(m),
 	}
 }
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -106,7 +106,7 @@
 // after the state service has stored the attempt durably.
 func (t *taskScheduler) runFill() {
 	t.fillPending = false
-	if !t.lease.holdsLease() || len(t.catalog.types) == 0 || !t.attemptNumbers.enough() {
+	if !t.lease.holdsLease() || len(t.catalog.types) == 0 || !t.attemptNumbers.hasEnough() {
 		return
 	}
 	snapshot := t.cache.snapshotForFill()
@@ -130,7 +130,7 @@
 		case j.Gang != nil && j.Gang.State == clusterstate.GangGathering:
 			numberByJob[j] = j.Gang.Number // this task replaces a lost task while its peers wait at the gang barrier
 		default:
-			numberByJob[j] = t.attemptNumbers.take()
+			numberByJob[j] = t.attemptNumbers.allocate()
 		}
 		t.startTask(j, p.Index, t.state.Machines[p.Machine.ID], numberByJob[j])
 	}
@@ -146,7 +146,7 @@
 func (t *taskScheduler) startTask(j *clusterstate.Job, index int, m *clusterstate.Machine, number uint64) {
 	t.consumeReservation(m.ID, j.Spec.UID)
 	a := t.state.AddAttempt(m, j, index, number, t.env.now)
-	t.failures.noteProbingStart(j)
+	t.failures.recordProbingStart(j)
 	t.env.log.Debug("task placed", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
 	priority := statestore.PriorityBatch
 	if j.Spec.Service {
--- a/internal/controller/slope_fleet_test.go
+++ b/internal/controller/slope_fleet_test.go
@@ -69,20 +69,20 @@
 		{Name: "g64", Cores: 64, Accelerators: 8, MemoryGB: 384, CacheGB: 400, FetchGBPerS: 2, Price: 20, SpotPrice: 8, BootS: 45, Zones: []string{"a", "b", "c"}},
 	} {
 		c.catalog.typeInfo[t.Name] = t
-		c.catalog.types = append(c.catalog.types, &scheduler.Type{Name: t.Name, Size: scheduler.Resources{Cores: t.Cores, Accel: t.Accelerators, Mem: t.MemoryGB},
+		c.catalog.types = append(c.catalog.types, &scheduler.MachineType{Name: t.Name, Size: scheduler.Resources{Cores: t.Cores, Accelerators: t.Accelerators, MemoryGB: t.MemoryGB},
 			Price: t.Price, SpotPrice: t.SpotPrice, Zones: t.Zones, BootS: t.BootS, FetchGBPerS: t.FetchGBPerS})
 	}
 	l := newLeadership(c, &leaderRecord{Token: 1, LeaseID: 1}, 1, c.env.now)
 	l.loader.ready = true
 	c.leadership = l
 	f := &slopeFleet{controller: c, leadership: l, random: rand.New(rand.NewPCG(2, 2))}
-	f.freshPool()
+	f.resetPool()
 	return f
 }
 
-// freshPool replaces the machine pool with a new one that has rented no machines and has read the
+// resetPool replaces the machine pool with a new one that has rented no machines and has read the
 // list of the fleet's machines.
-func (f *slopeFleet) freshPool() {
+func (f *slopeFleet) resetPool() {
 	var list protocol.MachineList
 	for _, m := range f.leadership.machines.sortedMachines() {
 		list.Machines = append(list.Machines, protocol.ListedMachine{ID: m.ID, Addr: m.Addr, Type: m.Type, Zone: m.Zone, State: "running"})
@@ -93,8 +93,8 @@
 	f.leadership.pool.Tick()
 	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && strings.HasPrefix(call.Path, "/machines?") {
-			callback := f.controller.outbox.calls[call.ID]
-			delete(f.controller.outbox.calls, call.ID)
+			callback := f.controller.outbox.callbacks[call.ID]
+			delete(f.controller.outbox.callbacks, call.ID)
 			callback(Result{ID: call.ID, Status: 200, Body: protocol.Encode(list)})
 		}
 	}
@@ -114,15 +114,15 @@
 	var job *clusterstate.Job
 	for i := range tasks {
 		if i%slopeTasksPerJob == 0 {
-			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Resources{Cores: 1, Mem: 2})
+			job = f.addJob(fmt.Sprintf("j-%08d", i/slopeTasksPerJob), i/slopeTasksPerJob%teams, i%36 == 0, scheduler.Resources{Cores: 1, MemoryGB: 2})
 		}
 		f.addRunningTask(job, i%slopeTasksPerJob, f.leadership.machines.sortedMachines()[i%workers])
 	}
 	f.fillMachines()
 	for i := range int(float64(workers) * slopeWaitingPerWorker) {
-		need := scheduler.Resources{Cores: 2, Mem: 2.8}
+		need := scheduler.Resources{Cores: 2, MemoryGB: 2.8}
 		if i%2 == 0 {
-			need = scheduler.Resources{Cores: 11, Accel: 2, Mem: 50}
+			need = scheduler.Resources{Cores: 11, Accelerators: 2, MemoryGB: 50}
 		}
 		f.waiting = append(f.waiting, f.addJob(fmt.Sprintf("j-w%07d", i), i%teams, i%3 == 0, need))
 	}
@@ -142,8 +142,8 @@
 func (f *slopeFleet) addJob(uid string, team int, service bool, need scheduler.Resources) *clusterstate.Job {
 	i := len(f.leadership.state.Jobs)
 	spec := &protocol.JobSpec{UID: uid, Class: []string{"web", "scoring"}[i%2], Team: fmt.Sprintf("team-%d", team), Service: service, Priority: protocol.PriorityNormal,
-		Tasks: slopeTasksPerJob, Cores: need.Cores, Accelerators: need.Accel, MemoryGB: need.Mem, Image: fmt.Sprintf("img-%02d", i%12), ImageGB: 5,
-		Spread: service && need.Accel == 0, CheckpointS: 15, SaveS: 3, EstimateS: 90}
+		Tasks: slopeTasksPerJob, Cores: need.Cores, Accelerators: need.Accelerators, MemoryGB: need.MemoryGB, Image: fmt.Sprintf("img-%02d", i%12), ImageGB: 5,
+		Spread: service && need.Accelerators == 0, CheckpointS: 15, SaveS: 3, EstimateS: 90}
 	job := f.leadership.state.AddJob(spec, f.controller.env.wall-int64(i%3600)*1000)
 	job.Stored = true
 	return job
@@ -151,7 +151,7 @@
 
 // addRunningTask places a task on a machine; the task has been running there for a minute.
 func (f *slopeFleet) addRunningTask(job *clusterstate.Job, index int, m *clusterstate.Machine) {
-	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.take(), f.controller.env.now-time.Minute)
+	a := f.leadership.state.AddAttempt(m, job, index, f.leadership.attemptNumbers.allocate(), f.controller.env.now-time.Minute)
 	a.Durable, a.Sent, a.Acknowledged, a.Epoch = true, true, true, 1
 	a.SetState(protocol.TaskRunning)
 	f.tasks = append(f.tasks, a)
@@ -163,25 +163,25 @@
 	for i, m := range f.leadership.machines.sortedMachines() {
 		remaining := scheduler.Resources{}
 		if i%3 == 0 {
-			remaining = scheduler.Resources{Cores: 14, Accel: 2, Mem: 60}
+			remaining = scheduler.Resources{Cores: 14, Accelerators: 2, MemoryGB: 60}
 		}
 		free := m.Size.Minus(m.Used)
-		m.Used = m.Used.Plus(scheduler.Resources{Cores: max(0, free.Cores-remaining.Cores), Accel: max(0, free.Accel-remaining.Accel)})
+		m.Used = m.Used.Plus(scheduler.Resources{Cores: max(0, free.Cores-remaining.Cores), Accelerators: max(0, free.Accelerators-remaining.Accelerators)})
 	}
 	f.leadership.state.RemoveJob(big.Spec.UID)
 }
 
-// endOneTask removes a random running attempt from the cluster state, so that its task waits again.
-func (f *slopeFleet) endOneTask() {
+// removeRandomAttempt removes a random running attempt from the cluster state, so that its task waits again.
+func (f *slopeFleet) removeRandomAttempt() {
 	i := f.random.IntN(len(f.tasks))
 	f.leadership.state.RemoveAttempt(f.tasks[i])
 	f.tasks[i] = f.tasks[len(f.tasks)-1]
 	f.tasks = f.tasks[:len(f.tasks)-1]
 }
 
-// settleStarts applies the transactions that the last fill queued until none is left, so that the
+// applyQueuedTransactions applies the transactions that the last fill queued until none is left, so that the
 // next fill finds its starts stored.
-func (f *slopeFleet) settleStarts() {
+func (f *slopeFleet) applyQueuedTransactions() {
 	for {
 		f.controller.outbox.effects = f.controller.outbox.effects[:0]
 		f.controller.outbox.stateChanges.Refill()
@@ -192,7 +192,7 @@
 		}
 	}
 	f.controller.outbox.effects = f.controller.outbox.effects[:0]
-	clear(f.controller.outbox.calls)
+	clear(f.controller.outbox.callbacks)
 }
 
 // applySentTransaction answers the transaction among the outbox's effects as applied. It returns false
@@ -201,15 +201,15 @@
 	for _, e := range f.controller.outbox.effects {
 		if call, isCall := e.(Call); isCall && call.Path == "/multi" {
 			f.revision++
-			f.controller.outbox.calls[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TransactionReply{Revision: f.revision})})
+			f.controller.outbox.callbacks[call.ID](Result{ID: call.ID, Status: 200, Body: protocol.Encode(protocol.TransactionReply{Revision: f.revision})})
 			return true
 		}
 	}
 	return false
 }
 
-// keepBusy sends a transaction that is never answered: while it is in flight, no fill begins.
-func (f *slopeFleet) keepBusy() {
+// blockFills sends a transaction that is never answered: while it is in flight, no fill begins.
+func (f *slopeFleet) blockFills() {
 	f.leadership.store.QueueWrite("x/busy", statestore.PriorityUser, func() any { return 1 }, nil)
 	f.leadership.flush()
 }
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -22,7 +22,7 @@
 	completions *completionRecorder
 	env         *environment
 	forecast    *demandForecast
-	gating      *gateKeeper
+	featureGate *featureGateManager
 	jobs        *jobCompletion
 	lease       *leaderLease
 	machines    *machineRegistry
@@ -93,7 +93,7 @@
 // loadPage loads the page of records after a key, and then all following pages. prefixIndex is the index of the page's
 // prefix in loadOrder.
 func (s *stateLoader) loadPage(prefixIndex int, after string) {
-	order := loadOrder(s.gating.storedRecord.storageVersion())
+	order := loadOrder(s.featureGate.storedRecord.storageVersion())
 	if prefixIndex == len(order) {
 		s.onStateLoaded()
 		return
@@ -226,7 +226,7 @@
 		}
 		a := s.state.AddAttempt(m, j, entry.Index, entry.Try, s.env.now)
 		a.Durable, a.Loaded, a.Sent = true, true, true
-		s.machines.noteImageUse(m, j)
+		s.machines.recordImageUse(m, j)
 		m.EverReported = true
 	}
 }
@@ -282,7 +282,7 @@
 	s.completions.logLoaded()
 	s.env.log.Info("cluster state loaded", "token", s.lease.token, "jobs", len(s.state.Jobs), "terminal_jobs", len(s.state.TerminalJobs), "machines", len(s.state.Machines))
 	s.placement.fillPending = true
-	s.trace.noteStateLoaded()
+	s.trace.recordStateLoaded()
 }
 
 // reviewLoadedJobs finishes the operations that the previous leader left unfinished: it completes jobs whose tasks are
@@ -310,7 +310,7 @@
 		m.Size = s.machines.machineSize(m.Type)
 		for _, a := range m.SortedAttempts() {
 			if a.Job.IsDone(a.Index) || a.Job.Cancelling || a.Number < newest[taskRef{a.Job, a.Index}] {
-				s.attempts.requestStop(a, 0, stopUnwantedOnLoad)
+				s.attempts.requestStop(a, 0, stopNotWantedAfterFailover)
 			}
 		}
 	}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -26,11 +26,11 @@
 	key := statestore.LeaderKey{
 		Key:     keyLeader,
 		Version: version,
-		Entry:   l.gating.leaderEntry(l.gating.storedRecord),
+		Entry:   l.featureGate.leaderEntry(l.featureGate.storedRecord),
 	}
 	writer := statestore.NewWriter(recordHost{l}, outbox.state, env.log, limits, &outbox.stateChanges, key)
 	writer.SetVersion(keyCounter, version)
-	if l.gating.storedRecord.StorageVersion != 0 {
+	if l.featureGate.storedRecord.StorageVersion != 0 {
 		writer.SetVersion(keyLease, version)
 	}
 	return writer
@@ -38,7 +38,7 @@
 
 // leaderEntry returns the entry that stores a record under the leader key. The entry is attached to the leader's lease
 // if the record's feature gate is closed, and permanent otherwise.
-func (g *gateKeeper) leaderEntry(record leaderRecord) statestore.LeaderEntry {
+func (g *featureGateManager) leaderEntry(record leaderRecord) statestore.LeaderEntry {
 	entry := statestore.LeaderEntry{Record: record, Matches: record.matches}
 	if record.StorageVersion == 0 {
 		entry.Lease = g.lease.leaseID
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -23,7 +23,7 @@
 func TestStoredBytesWithoutJournal(t *testing.T) {
 	w := newWorldWith(t, 191, nil)
 	hash := xxhash.New()
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		if c.Target == ToState && c.Method != "GET" {
 			// Writing to a hash never fails.
 			_, _ = fmt.Fprintf(hash, "%v %d %s %s %s\n", w.Now(), node, c.Method, c.Path, hex.EncodeToString(c.Body))
@@ -34,7 +34,7 @@
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "apart": true})
 	for i := range 6 {
 		w.submit(fmt.Sprintf("j-1%d", i), map[string]any{"shards": 5, "cores": 1.0})
-		w.submit(fmt.Sprintf("j-2%d", i), group(2, 1, map[string]any{"owner": "blue"}))
+		w.submit(fmt.Sprintf("j-2%d", i), gangChanges(2, 1, map[string]any{"owner": "blue"}))
 		w.run(7 * second)
 		if i%2 == 1 {
 			w.crash(w.awaitLeader())
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -25,7 +25,7 @@
 	journal *completionjournal.Journal
 	// Counts from the loading of the journal: the numbers of values that were decoded, of values that could not be
 	// decoded, and of entries that their records already contained.
-	loadedValues, unreadable, redundantEntries int
+	loadedValues, unreadableValues, redundantEntries int
 	// sizeReportedAt is when the journal's size was last reported to the observer.
 	sizeReportedAt time.Duration
 }
@@ -59,7 +59,7 @@
 		Values:       min(journalPages*pageBytes/cfg.MaxValueBytes()+1, journalPages*recordsPerPage),
 	}
 	journal := completionjournal.New(l.lease.token, limits, l.store, compactionHost{l}, func() time.Duration { return l.controller.env.now })
-	if l.gating.gate.MayWrite() {
+	if l.featureGate.gate.MayWrite() {
 		journal.Open()
 	}
 	return &completionRecorder{journal: journal}
@@ -90,7 +90,7 @@
 	}
 	r.sizeReportedAt = r.env.now
 	values, entries, waiting := r.journal.Size()
-	r.env.observer.JournalSized(JournalSize{Values: values, Entries: entries, Waiting: waiting, Unreadable: r.unreadable})
+	r.env.observer.JournalSized(JournalSize{Values: values, Entries: entries, Waiting: waiting, Unreadable: r.unreadableValues})
 }
 
 // recordCompletion stores the completion of a task; onDurable is called once the completion is durable.
@@ -177,7 +177,7 @@
 func (r *completionRecorder) loadValue(item protocol.KeyValue) error {
 	entries, err := decodeJournalValue(item)
 	if err != nil {
-		r.unreadable++
+		r.unreadableValues++
 		return err
 	}
 	r.loadedValues++
@@ -233,12 +233,12 @@
 
 // logLoaded logs the size of the journal, once all records are loaded.
 func (r *completionRecorder) logLoaded() {
-	if r.loadedValues+r.unreadable == 0 {
+	if r.loadedValues+r.unreadableValues == 0 {
 		return
 	}
 	values, entries, _ := r.journal.Size()
 	r.env.log.Info("completion journal loaded", "token", r.lease.token, "values", values, "completions", entries,
-		"redundant", r.redundantEntries, "unreadable", r.unreadable)
+		"redundant", r.redundantEntries, "unreadable", r.unreadableValues)
 }
 
 // isJournalKey reports whether the key belongs to the completion journal.
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -20,7 +20,7 @@
 func (u *upgradeWorld) simulateFailover() *leadership {
 	controller := New(u.cfgs[0], u.rng, u.nodes[0].controller.env.log)
 	controller.env.now = u.Now()
-	rec, _ := u.stored()
+	rec, _ := u.storedLeaderRecord()
 	l := newLeadership(controller, &rec, 1, 0)
 	for _, prefix := range loadOrder(rec.storageVersion()) {
 		var items []protocol.KeyValue
@@ -37,7 +37,7 @@
 
 // checkSimulatedFailover compares the records that a new leader would load with the state of the machines: each attempt
 // that occupies a machine must be recorded for it, and each finished task that no worker reports any more must be
-// recorded as done. The tasks in lost may be missing, because they finished on a machine that died.
+// recorded as done. The tasks in lost may be missing, because they finished on a machine that was terminated.
 func (u *upgradeWorld) checkSimulatedFailover(lost map[string]bool) {
 	l := u.simulateFailover()
 	reported := maps.Clone(lost)
@@ -54,14 +54,14 @@
 				continue
 			}
 			if m == nil || m.Attempts[clusterstate.AttemptKey{Task: clusterstate.TaskName(uid, index), Attempt: task.Attempt}] == nil {
-				u.violated("the stored records lack %s, attempt %d, which runs on %s", id, task.Attempt, worker.ID)
+				u.recordViolation("the stored records lack %s, attempt %d, which runs on %s", id, task.Attempt, worker.ID)
 			}
 		}
 	}
-	for id := range u.finished {
+	for id := range u.completedTasks {
 		uid, index, _ := clusterstate.ParseTaskName(id)
 		if j := l.state.Jobs[uid]; j != nil && !reported[id] && !j.IsDone(index) && !j.Spec.Service {
-			u.violated("the stored records lack the completion of %s, and no worker reports it", id)
+			u.recordViolation("the stored records lack the completion of %s, and no worker reports it", id)
 		}
 	}
 }
@@ -74,14 +74,14 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			u := newUpgradeWorld(t, 500+seed, defaultTopology)
 			u.openGate()
-			u.interrupts = true
+			u.allowRestarts = true
 			stepCount, lostTasks := 0, map[string]bool{}
-			u.onStep = func(step gateStep, _ int) deliveryFault {
+			u.faultForStep = func(step gateStep, _ int) deliveryFault {
 				stepCount++
-				if step != journals || stepCount%3 != 0 {
+				if step != stepWriteJournal || stepCount%3 != 0 {
 					return deliveryFault{}
 				}
-				return deliveryFault{hold: u.randomMilliseconds(0, 2000), answerLost: stepCount%2 == 0}
+				return deliveryFault{delay: u.randomMilliseconds(0, 2000), answerLost: stepCount%2 == 0}
 			}
 			for elapsed := range 60 {
 				for range 10 {
@@ -90,7 +90,7 @@
 				}
 				switch elapsed % 20 {
 				case 7:
-					u.endSoon(u.awaitLeader())
+					u.crashAndRestart(u.awaitLeader())
 				case 17:
 					for _, worker := range u.workers() {
 						if !worker.Deleted && worker.Up && len(worker.Tasks) > 0 {
@@ -98,14 +98,14 @@
 								id, _, _ := strings.Cut(name, "@")
 								lostTasks[id] = true
 							}
-							worker.Die()
+							worker.Terminate()
 							break
 						}
 					}
 				}
 			}
-			if u.steps[journals] < 10 {
-				t.Errorf("the journal was written %d times, want at least 10", u.steps[journals])
+			if u.steps[stepWriteJournal] < 10 {
+				t.Errorf("the journal was written %d times, want at least 10", u.steps[stepWriteJournal])
 			}
 			u.settleAndCheck()
 		})
@@ -125,7 +125,7 @@
 		u.crash(i)
 	}
 	u.run(second)
-	store := func(key string, v any) { u.state.Change(key, &emulator.Item{Value: protocol.Encode(v)}) }
+	store := func(key string, v any) { u.state.ForceChange(key, &emulator.Item{Value: protocol.Encode(v)}) }
 	encodeValue := func(token, number uint64, ends ...completionjournal.Entry) completionjournal.Value {
 		return completionjournal.Encode(token, number, ends)
 	}
@@ -170,8 +170,8 @@
 		t.Error("the number of unreadable journal values was not logged")
 	}
 	for _, task := range []string{"j-1/0", "j-1/1", "j-1/2", "j-1/3"} {
-		if u.starts[task] > 1+u.plannedStops[task] {
-			t.Errorf("task %s started %d times", task, u.starts[task])
+		if u.startCounts[task] > 1+u.plannedStops[task] {
+			t.Errorf("task %s started %d times", task, u.startCounts[task])
 		}
 	}
 	u.requireNoViolations()
@@ -195,8 +195,8 @@
 			u.run(10 * second)
 			stored := protocol.Encode(value)
 			u.logged = nil
-			u.script = nil
-			u.state.Change(keyLeader, &emulator.Item{Value: stored})
+			u.callFault = nil
+			u.state.ForceChange(keyLeader, &emulator.Item{Value: stored})
 			for i := range u.nodes {
 				u.boot(i)
 			}
@@ -230,7 +230,7 @@
 			u := newUpgradeWorld(t, 530, defaultTopology)
 			lead := u.awaitLeader()
 			stating := (lead + 1) % 3
-			u.script = func(node int, call Call) deliveryFault {
+			u.callFault = func(node int, call Call) deliveryFault {
 				// This controller cannot be elected, and the test sends its heartbeats.
 				return deliveryFault{lost: node == stating && (call.Path == "/heartbeat" || call.Path == "/leases")}
 			}
@@ -238,8 +238,8 @@
 			for range 60 {
 				u.run(tick * 5)
 				if to := u.leader(); to >= 0 && to != stating {
-					heartbeat := protocol.PeerHeartbeat{From: label(stating), Incarnation: "x", Versions: c.statement}
-					u.ask(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(heartbeat)}, func(Reply) {})
+					heartbeat := protocol.PeerHeartbeat{From: controllerLabel(stating), Incarnation: "x", Versions: c.statement}
+					u.sendRequest(to, Request{Op: OpPeerHeartbeat, Body: protocol.EncodePeer(heartbeat)}, func(Reply) {})
 				}
 			}
 			if lead := u.awaitLeader(); lead == stating {
--- a/internal/controller/task_exits.go
+++ b/internal/controller/task_exits.go
@@ -42,7 +42,7 @@
 	m, j := exit.machine, exit.job
 	switch exit.cause {
 	case protocol.CauseDone:
-		h.failures.noteTaskSuccess(j, m)
+		h.failures.recordTaskSuccess(j, m)
 		h.onTaskDone(exit)
 	case protocol.CauseError:
 		h.failures.onTaskError(m, j, exit.record.Attempt, exit.key)
@@ -69,7 +69,7 @@
 	if j.Spec.Service || j.Cancelling && j.Finalizing {
 		return
 	}
-	h.machines.noteImageUse(exit.machine, j)
+	h.machines.recordImageUse(exit.machine, j)
 	if j.Gang == nil && !j.MarkDone(exit.index) && j.Finalizing {
 		return
 	}
--- a/internal/controller/timers.go
+++ b/internal/controller/timers.go
@@ -8,7 +8,7 @@
 	timers []timer
 }
 
-// timer is a function that is due at a steady time.
+// timer is a function that is due at a monotonic time.
 type timer struct {
 	at  time.Duration
 	run func()
--- a/internal/controller/topology_test.go
+++ b/internal/controller/topology_test.go
@@ -58,7 +58,7 @@
 			startsBefore := w.totalStarts()
 			w.partitionZones(refused, 40*second)
 			w.run(40 * second)
-			w.script, w.heartbeatFault, w.unreachable = nil, nil, nil
+			w.callFault, w.heartbeatFault, w.unreachable = nil, nil, nil
 			w.run(20 * second)
 			if w.running("j-1") != 4 || w.totalStarts() != startsBefore {
 				t.Errorf("refused %v: %d replicas run, want 4; %d tasks were started, want none", refused, w.running("j-1"), w.totalStarts()-startsBefore)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -36,9 +36,9 @@
 		w.t.Fatal(err)
 	}
 	older := &ganglessLeader{w: w, node: 2, token: counter.Token + 1}
-	w.state.Change(keyCounter, &emulator.Item{Value: protocol.Encode(counterRecord{Token: older.token})})
-	w.state.Change(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: older.token, LeaseID: 1 << 30})})
-	w.nodes[older.node].scripted = func(req Request) Reply {
+	w.state.ForceChange(keyCounter, &emulator.Item{Value: protocol.Encode(counterRecord{Token: older.token})})
+	w.state.ForceChange(keyLeader, &emulator.Item{Value: protocol.Encode(leaderRecord{Label: "n2", Incarnation: "older", Token: older.token, LeaseID: 1 << 30})})
+	w.nodes[older.node].scriptedReply = func(req Request) Reply {
 		if req.Op == OpWorkerHeartbeat {
 			return Reply{Status: 200, Body: protocol.Encode(protocol.WorkerHeartbeatReply{Token: older.token})}
 		}
@@ -53,7 +53,7 @@
 // resign deletes the leader key and restarts the controller with the newer version.
 func (l *ganglessLeader) resign() {
 	l.w.t.Helper()
-	l.w.state.Change(keyLeader, nil)
+	l.w.state.ForceChange(keyLeader, nil)
 	l.w.boot(l.node)
 	l.w.awaitLeader()
 }
@@ -94,7 +94,7 @@
 		l.w.t.Fatalf("no readable record of machine %s", worker.ID)
 	}
 	change(&rec)
-	l.w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
+	l.w.state.ForceChange(key, &emulator.Item{Value: protocol.Encode(rec)})
 }
 
 // tasksOf returns the names and attempt numbers of a job's tasks on a machine, sorted.
@@ -113,7 +113,7 @@
 	w.t.Helper()
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 	w.until(90*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
-	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
+	w.submit("j-1", gangChanges(4, 1, map[string]any{"owner": "blue", "apart": true}))
 }
 
 // TestRunningGangUnderAnOlderLeader checks that a gang which the newer version started keeps running under an older
@@ -137,16 +137,16 @@
 // the whole gang and start it again with one attempt number.
 func TestHalfGatheredGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 122)
-	w.pulls = func(string) time.Duration { return 15 * second }
+	w.fetchTime = func(string) time.Duration { return 15 * second }
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 	w.until(120*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
-	w.submit("j-1", group(4, 1, map[string]any{"owner": "blue", "apart": true}))
+	w.submit("j-1", gangChanges(4, 1, map[string]any{"owner": "blue", "apart": true}))
 	w.until(10*second, "tasks of the gang are on two machines", func() bool { return len(w.machinesWithTasksOf("j-1")) > 1 })
 	lostMachine := w.machinesWithTasksOf("j-1")[0]
 	tasks := tasksOf(lostMachine, "j-1")
-	lostMachine.Die()
+	lostMachine.Terminate()
 	olderLeader := w.startOlderLeader()
-	w.pulls = nil
+	w.fetchTime = nil
 	remaining := w.machinesWithTasksOf("j-1")[0]
 	for _, key := range tasks {
 		_, index, _ := clusterstate.ParseTaskName(key.Task)
@@ -166,7 +166,7 @@
 // stop an array's tasks. After the next failover to a newer leader the whole gang must start again.
 func TestHalfStoppedGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 123)
-	w.runs = func(string) time.Duration { return 40 * second }
+	w.runTime = func(string) time.Duration { return 40 * second }
 	w.startGangOnTwoMachines()
 	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	olderLeader := w.startOlderLeader()
@@ -186,12 +186,12 @@
 // complete together, one stored completion marks the gang as done, and no task may be started again.
 func TestHalfDoneGangUnderAnOlderLeader(t *testing.T) {
 	w := newGateClosedWorld(t, 124)
-	w.runs = func(string) time.Duration { return 12 * second }
+	w.runTime = func(string) time.Duration { return 12 * second }
 	w.startGangOnTwoMachines()
 	w.until(30*second, "the gang runs", func() bool { return w.machines.GangStarts["j-1"] == 1 })
 	w.run(8 * second)
 	olderLeader := w.startOlderLeader()
-	w.until(10*second, "the gang is done", func() bool { return w.finished["j-1/0"] })
+	w.until(10*second, "the gang is done", func() bool { return w.completedTasks["j-1/0"] })
 	state := clusterstate.New(16<<10, 16<<10)
 	j := state.AddJob(&protocol.JobSpec{UID: "j-1", Tasks: 4}, 1)
 	stored := 0
@@ -201,7 +201,7 @@
 			continue
 		}
 		if stored > 0 {
-			worker.Die()
+			worker.Terminate()
 			continue
 		}
 		for _, key := range keys {
@@ -210,7 +210,7 @@
 			stored++
 			olderLeader.command(worker, protocol.Command{Verb: protocol.VerbClear, Task: key.Task, Attempt: key.Attempt})
 		}
-		w.state.Change(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
+		w.state.ForceChange(state.CompletionKey(j, 0), &emulator.Item{Value: protocol.Encode(state.CompletionRecord(j, 0))})
 		olderLeader.removeAttempts(worker, "j-1")
 	}
 	if stored == 0 || stored == 4 {
@@ -233,7 +233,7 @@
 		t.Run(state, func(t *testing.T) {
 			w := newGateClosedWorld(t, 125)
 			if state == "gathering" {
-				w.pulls = func(task string) time.Duration {
+				w.fetchTime = func(task string) time.Duration {
 					if strings.HasPrefix(task, "j-1/") {
 						return 20 * second
 					}
@@ -250,7 +250,7 @@
 				t.Fatal(err)
 			}
 			rec.State, rec.Spec.Gang = clusterstate.Cancelling, false
-			w.state.Change(key, &emulator.Item{Value: protocol.Encode(rec)})
+			w.state.ForceChange(key, &emulator.Item{Value: protocol.Encode(rec)})
 			w.cancelRequested["j-1"] = true
 			olderLeader.resign()
 			w.cancel("j-1")
@@ -270,7 +270,7 @@
 			w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 5.0, "apart": true})
 			w.until(90*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
 			w.cloud.Down = true
-			w.submit("j-1", group(4, 3, map[string]any{"owner": "blue"})) // there is room for three of the four tasks
+			w.submit("j-1", gangChanges(4, 3, map[string]any{"owner": "blue"})) // there is room for three of the four tasks
 			w.run(3 * second)
 			olderLeader := w.startOlderLeader()
 			for i, worker := range w.machinesWithTasksOf("j-9") {
@@ -298,12 +298,12 @@
 	w.submit("j-9", map[string]any{"shape": "service", "shards": 3, "cores": 4.0, "apart": true})
 	w.until(90*second, "the replicas run", func() bool { return w.running("j-9") == 3 })
 	for turn := range 5 {
-		w.submit(fmt.Sprintf("j-%d0", turn), group(3, 1, map[string]any{"owner": "blue"}))
+		w.submit(fmt.Sprintf("j-%d0", turn), gangChanges(3, 1, map[string]any{"owner": "blue"}))
 		w.submit(fmt.Sprintf("j-%d1", turn), map[string]any{"shards": 3, "cores": 1.0})
 		w.run(time.Duration(turn) * 1300 * time.Millisecond)
 		olderLeader := w.startOlderLeader()
 		if machines := w.machinesWithTasksOf(fmt.Sprintf("j-%d0", turn)); len(machines) > 0 && turn%2 == 1 {
-			machines[0].Die()
+			machines[0].Terminate()
 		}
 		w.run(time.Duration(turn*2) * second)
 		olderLeader.resign()
@@ -320,5 +320,5 @@
 // be elected.
 func newGateClosedWorld(t *testing.T, seed uint64) *world {
 	t.Helper()
-	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdOn)))
+	return newWorldWith(t, seed, slices.Concat(testOperator, []byte(holdGateSettings)))
 }
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -42,7 +42,7 @@
 		t.Helper()
 		for i := range 3 {
 			got := -1
-			w.ask(i, Request{Op: op, UID: uid, Body: body}, func(r Reply) { got = r.Status })
+			w.sendRequest(i, Request{Op: op, UID: uid, Body: body}, func(r Reply) { got = r.Status })
 			w.run(second)
 			if got != want {
 				t.Errorf("%s at controller %d: status %d, want %d", name, i, got, want)
@@ -74,7 +74,7 @@
 	w.run(5 * second)
 	countReady := func() (n int) {
 		for i := range 3 {
-			w.ask(i, Request{Op: OpReady}, func(r Reply) {
+			w.sendRequest(i, Request{Op: OpReady}, func(r Reply) {
 				if r.Status == http.StatusOK {
 					n++
 				}
@@ -85,12 +85,12 @@
 	if n := countReady(); n != 3 {
 		t.Fatalf("%d of 3 controllers are ready", n)
 	}
-	w.script = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
+	w.callFault = func(_ int, c Call) deliveryFault { return deliveryFault{lost: c.Target == ToPeer} }
 	w.run(6 * second)
 	if n := countReady(); n != 1 || w.leader() != lead {
 		t.Fatalf("%d controllers are ready, the leader is %d, was %d", n, w.leader(), lead)
 	}
-	w.script = nil
+	w.callFault = nil
 	w.run(2 * second)
 	if n := countReady(); n != 3 {
 		t.Fatalf("%d of 3 controllers are ready again", n)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -113,7 +113,7 @@
 	if quota == nil {
 		return unknownTeam
 	}
-	taskDemand := scheduler.Resources{Cores: spec.Cores, Accel: spec.Accelerators, Mem: spec.MemoryGB}
+	taskDemand := scheduler.Resources{Cores: spec.Cores, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB}
 	zones := u.feasibleZones(spec, taskDemand)
 	if len(zones) == 0 {
 		return noMachineTypeFits
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -26,7 +26,7 @@
 	loader.completions = l.completions
 	loader.env = l.controller.env
 	loader.forecast = l.forecast
-	loader.gating = l.gating
+	loader.featureGate = l.featureGate
 	loader.jobs = l.jobs
 	loader.lease = l.lease
 	loader.machines = l.machines
@@ -43,11 +43,11 @@
 	trace.loader = l.loader
 	trace.state = l.state
 
-	gating := l.gating
-	gating.completions = l.completions
-	gating.env = l.controller.env
-	gating.lease = l.lease
-	gating.store = l.store
+	featureGate := l.featureGate
+	featureGate.completions = l.completions
+	featureGate.env = l.controller.env
+	featureGate.lease = l.lease
+	featureGate.store = l.store
 }
 
 // wireRecords wires the components that record attempt numbers, completions and attained service.
@@ -103,14 +103,14 @@
 	dispatcher.lease = l.lease
 	dispatcher.loader = l.loader
 	dispatcher.outbox = l.controller.outbox
-	dispatcher.reach = l.reach
+	dispatcher.reachability = l.reachability
 	dispatcher.state = l.state
 	dispatcher.trace = l.trace
 
-	reach := l.reach
-	reach.detection = l.controller.detection
-	reach.election = l.controller.election
-	reach.env = l.controller.env
+	reachability := l.reachability
+	reachability.detection = l.controller.detection
+	reachability.election = l.controller.election
+	reachability.env = l.controller.env
 }
 
 // wireMachines wires the components that track machines and zone partitions.
@@ -243,7 +243,7 @@
 	scaler.outbox = l.controller.outbox
 	scaler.partitions = l.partitions
 	scaler.pool = l.pool
-	scaler.reach = l.reach
+	scaler.reachability = l.reachability
 	scaler.state = l.state
 
 	consolidator := l.consolidator
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -65,7 +65,7 @@
 		f.replyLeaseOnly(from, msg)
 		return
 	}
-	if f.forwardsHeartbeat(msg) {
+	if f.shouldForwardHeartbeat(msg) {
 		f.forwardHeartbeat(from, msg, body)
 		return
 	}
@@ -80,7 +80,7 @@
 // onWorkerHeartbeat answers a worker's heartbeat as the leader.
 func (l *leadership) onWorkerHeartbeat(from requester, msg *protocol.WorkerHeartbeat) {
 	env, outbox := l.controller.env, l.controller.outbox
-	if !l.loader.ready || l.lease.verifiesLease() {
+	if !l.loader.ready || l.lease.isVerifyingLease() {
 		l.heartbeats.renewWithoutCommands(from, msg)
 		return
 	}
@@ -92,14 +92,14 @@
 		return
 	}
 	if from.relayed {
-		l.router.noteForwardedBy(from.forwardedBy, m.Zone)
+		l.router.recordForwardedBy(from.forwardedBy, m.Zone)
 	}
 	if label := l.router.redirectTarget(m, msg, from); label != "" {
 		outbox.replyRedirect(from, label)
 		return
 	}
 	if !from.relayed {
-		l.reach.noteReached(env.now)
+		l.reachability.recordReached(env.now)
 	}
 	m.LastAnswered = env.now
 	l.heartbeats.replyWithCommands(from, l.dispatcher.pendingCommands(m, true))
@@ -131,7 +131,7 @@
 // and wait for the timeout of each one that has ended.
 func (h *heartbeatReceiver) renewWithoutCommands(from requester, msg *protocol.WorkerHeartbeat) {
 	if msg.Token > h.lease.token {
-		h.controller.endLeadership(endWorkerSawLater)
+		h.controller.endLeadership(endWorkerHasHigherToken)
 	}
 	if msg.Token > h.lease.token || msg.Token == 0 || from.relayed {
 		h.outbox.replyUnavailable(from)
@@ -146,13 +146,13 @@
 // is false. A message with a higher token than the leader's ends the leadership.
 func (h *heartbeatReceiver) applyHeartbeat(msg *protocol.WorkerHeartbeat, isHeartbeat bool) (*clusterstate.Machine, bool) {
 	if msg.Token > h.lease.token {
-		h.controller.endLeadership(endWorkerSawLater)
+		h.controller.endLeadership(endWorkerHasHigherToken)
 		return nil, false
 	}
 	if h.pool.WasRemoved(msg.Machine) {
 		return nil, false
 	}
-	m := h.sender(msg)
+	m := h.findOrAddSender(msg)
 	header := clusterstate.HeartbeatHeader{Epoch: msg.Epoch, Sequence: msg.Sequence, Token: msg.Token, Heartbeat: isHeartbeat}
 	if !m.IsNewest(header) {
 		return m, false
@@ -165,22 +165,22 @@
 	}
 	observation := m.RecordMessage(header, h.lease.token, h.env.now, h.env.cfg.WorkerLease())
 	m.EverReported = true
-	if observation.AnswersLost {
+	if observation.AnswersUndelivered {
 		h.env.log.Info("machine does not receive the leader's answers", "machine", m.ID, "epoch", msg.Epoch)
 	}
 	if observation.LeaseExpired {
 		h.env.log.Info("agent epoch expired", "machine", m.ID, "epoch", msg.Epoch)
 	}
 	h.placement.fillPending = h.placement.fillPending || observation.FirstLeaderToken
-	h.noteSpotNotice(m, msg)
+	h.recordSpotNotice(m, msg)
 	reconcile(m, msg, observation.HasLeaderToken, h)
 	return m, true
 }
 
-// sender returns the machine that sent the message, and updates its address and, if unknown, its type and zone from
-// the message. A machine that the cluster state lacks is added: it gets tasks like any other, or is released when it
-// is idle.
-func (h *heartbeatReceiver) sender(msg *protocol.WorkerHeartbeat) *clusterstate.Machine {
+// findOrAddSender returns the machine that sent the message, and updates its address and, if unknown, its type and zone
+// from the message. A machine that the cluster state lacks is added: it gets tasks like any other, or is released when
+// it is idle.
+func (h *heartbeatReceiver) findOrAddSender(msg *protocol.WorkerHeartbeat) *clusterstate.Machine {
 	m := h.state.Machines[msg.Machine]
 	if m == nil {
 		h.env.log.Info("heartbeat from an unknown machine", "machine", msg.Machine, "type", msg.Type, "zone", msg.Zone)
@@ -197,9 +197,9 @@
 	return m
 }
 
-// noteSpotNotice records when the cloud will reclaim a spot machine according to its worker. The earliest of several
+// recordSpotNotice records when the cloud will reclaim a spot machine according to its worker. The earliest of several
 // notices applies.
-func (h *heartbeatReceiver) noteSpotNotice(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
+func (h *heartbeatReceiver) recordSpotNotice(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat) {
 	if msg.SpotNoticeS == nil {
 		return
 	}
@@ -214,7 +214,7 @@
 
 // onRunning handles an attempt that has begun to run, which shows that the machine has fetched its image.
 func (h *heartbeatReceiver) onRunning(m *clusterstate.Machine, a *clusterstate.Attempt) {
-	h.machines.noteImageUse(m, a.Job)
+	h.machines.recordImageUse(m, a.Job)
 	h.env.log.Debug("task running", "task", a.Key().Task, "attempt", a.Number, "machine", m.ID)
 }
 
@@ -233,7 +233,7 @@
 	}
 	j := h.state.Jobs[uid]
 	if j == nil || index >= j.Spec.Tasks {
-		h.noteUnknownTask(m, key)
+		h.recordUnknownTask(m, key)
 		return nil
 	}
 	h.env.log.Info("heartbeat lists an unrecorded attempt", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
@@ -244,9 +244,9 @@
 	return a
 }
 
-// noteUnknownTask records a reported task whose job the cluster state lacks. The dispatcher then sends stop commands
+// recordUnknownTask records a reported task whose job the cluster state lacks. The dispatcher then sends stop commands
 // for it.
-func (h *heartbeatReceiver) noteUnknownTask(m *clusterstate.Machine, key clusterstate.AttemptKey) {
+func (h *heartbeatReceiver) recordUnknownTask(m *clusterstate.Machine, key clusterstate.AttemptKey) {
 	if m.UnknownTasks == nil {
 		m.UnknownTasks = map[clusterstate.AttemptKey]time.Duration{}
 	}
--- a/internal/controller/world_faults_test.go
+++ b/internal/controller/world_faults_test.go
@@ -10,7 +10,7 @@
 // arrays with and without checkpoints, and gangs. It waits until all services and the first array run.
 func (w *world) initialJobs() {
 	w.t.Helper()
-	w.runs = func(task string) time.Duration { return time.Duration(20+len(task)*13%60) * second }
+	w.runTime = func(task string) time.Duration { return time.Duration(20+len(task)*13%60) * second }
 	w.submit("j-s1", map[string]any{"shape": "service", "shards": 2, "apart": true, "cores": 4.0})
 	w.submit("j-s2", map[string]any{"shape": "service", "shards": 2, "cores": 2.0, "owner": "blue", "rank": "high"})
 	w.submit("j-s3", map[string]any{"shape": "service", "shards": 1, "cores": 4.0, "yard": "b"})
@@ -24,8 +24,8 @@
 	})
 }
 
-// cancelSome cancels several jobs at the same time; each request is repeated until it succeeds.
-func (w *world) cancelSome(uids ...string) {
+// cancelJobs cancels several jobs at the same time; each request is repeated until it succeeds.
+func (w *world) cancelJobs(uids ...string) {
 	for _, uid := range uids {
 		w.cancel(uid)
 	}
@@ -45,7 +45,7 @@
 // restart crashes a controller and boots it again after a delay.
 func (w *world) restart(i int, after time.Duration) {
 	w.crash(i)
-	w.at(after, func() {
+	w.after(after, func() {
 		if !w.nodes[i].alive {
 			w.boot(i)
 		}
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -31,40 +31,40 @@
 type deliveryFault struct {
 	lost, answerLost bool
 	refused          bool          // the connection is refused at once
-	hold             time.Duration // delay of the request
+	delay            time.Duration // delay of the request
 }
 
 // world is a simulated deployment.
 type world struct {
-	t            testing.TB
-	topology     topology
-	queue        *emulator.EventQueue
-	rng          *rand.Rand
-	cfgs         []*config.Config
-	nodes        []*simNode
-	state        *emulator.StateService
-	cloud        *emulator.Cloud
-	machines     *emulator.Fleet
-	copies       map[string][][]byte // bodies of sent heartbeats by machine, to be delivered again later
-	finished     map[string]bool     // tasks that have completed
-	specs        map[string]map[string]any
-	lastReplies  map[string]protocol.JobState // the job's state in the last reply to its user
-	lastReplyAt  map[string]time.Duration     // time of the first reply with that state
-	cancelledAt  map[string]time.Duration     // time of the reply that confirmed the cancellation
-	violations   []string
-	leaderEvents int // events that leaders have handled
-	effects      *effectRecorder
+	t              testing.TB
+	topology       topology
+	queue          *emulator.EventQueue
+	rng            *rand.Rand
+	cfgs           []*config.Config
+	nodes          []*simNode
+	state          *emulator.StateService
+	cloud          *emulator.Cloud
+	machines       *emulator.Fleet
+	sentHeartbeats map[string][][]byte // bodies of sent heartbeats by machine, to be delivered again later
+	completedTasks map[string]bool     // tasks that have completed
+	specs          map[string]map[string]any
+	lastReplies    map[string]protocol.JobState // the job's state in the last reply to its user
+	lastReplyAt    map[string]time.Duration     // time of the first reply with that state
+	cancelledAt    map[string]time.Duration     // time of the reply that confirmed the cancellation
+	violations     []string
+	leaderEvents   int // events that leaders have handled
+	effects        *effectRecorder
 	checker
-	// script returns the fault to inject into a call from a node; nil: no faults.
-	script func(node int, c Call) deliveryFault
+	// callFault returns the fault to inject into a call from a node; nil: no faults.
+	callFault func(node int, c Call) deliveryFault
 	// heartbeatFault returns the fault to inject into a worker's heartbeat to a node; nil: no faults.
 	heartbeatFault func(w *emulator.Worker, node int) deliveryFault
-	// runs returns the run time of a task.
-	runs func(task string) time.Duration
-	// pulls returns the time to fetch a task's image; nil: the fetch time of testSite.
-	pulls func(task string) time.Duration
-	// fails reports whether a task fails as soon as it starts; nil: no task fails.
-	fails func(worker *emulator.Worker, uid string) bool
+	// runTime returns the run time of a task.
+	runTime func(task string) time.Duration
+	// fetchTime returns the time to fetch a task's image; nil: the fetch time of testSite.
+	fetchTime func(task string) time.Duration
+	// failsAtStart reports whether a task fails as soon as it starts; nil: no task fails.
+	failsAtStart func(worker *emulator.Worker, uid string) bool
 	// failures counts the tasks that failed.
 	failures int
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
@@ -84,17 +84,18 @@
 	startedAt      time.Duration // zero of the process's monotonic clock, in the world's time
 	lastRequestID  uint64        // ID of the last request to the controller
 	pendingReplies map[uint64]func(Reply)
-	// older: the node's version does not support probes. withoutGate: it supports neither probes nor
+	// withoutProbes: the node's version does not support probes. withoutGate: it supports neither probes nor
 	// the feature gate, see olderCall.
-	older, withoutGate bool
-	// paused: the process handles no events. held queues the events that arrive in the meantime.
-	paused bool
-	held   []func()
+	withoutProbes, withoutGate bool
+	// paused: the process handles no events. queuedEvents holds the events that arrive in the
+	// meantime.
+	paused       bool
+	queuedEvents []func()
 	// drift is the relative error of the monotonic clock; a positive value makes it run fast.
 	drift    float64
 	observer *worldObserver
-	// scripted answers requests while the process is not alive; nil: requests get no answer.
-	scripted func(Request) Reply
+	// scriptedReply answers requests while the process is not alive; nil: requests get no answer.
+	scriptedReply func(Request) Reply
 }
 
 func newWorld(t testing.TB, seed uint64) *world {
@@ -122,12 +123,12 @@
 func newWorldWithTopology(t testing.TB, seed uint64, operator []byte, shape topology) *world {
 	t.Helper()
 	w := &world{topology: shape, t: t, effects: newEffectRecorder(t), queue: &emulator.EventQueue{}, rng: rand.New(rand.NewPCG(seed, 1)), specs: map[string]map[string]any{},
-		copies: map[string][][]byte{}, finished: map[string]bool{},
+		sentHeartbeats: map[string][][]byte{}, completedTasks: map[string]bool{},
 		lastReplies: map[string]protocol.JobState{}, lastReplyAt: map[string]time.Duration{}, cancelledAt: map[string]time.Duration{}, checker: newChecker(), heartbeatTimeout: 4 * time.Second,
-		runs: func(string) time.Duration { return 30 * time.Second }}
+		runTime: func(string) time.Duration { return 30 * time.Second }}
 	limits := testSite.state
 	w.state = emulator.NewStateService(w.queue, emulator.StateLimits{ValueBytes: limits.valueKB << 10, Changes: limits.changes})
-	w.state.MaxChanges, w.state.Violation = limits.changes, func(what string) { w.violated("%s", what) }
+	w.state.MaxChanges, w.state.OnViolation = limits.changes, func(what string) { w.recordViolation("%s", what) }
 	w.newCloud()
 	w.newMachines()
 	for i := range shape.controllers {
@@ -142,8 +143,8 @@
 // Now returns the world's time.
 func (w *world) Now() time.Duration { return w.queue.Now() }
 
-// at calls do after a delay.
-func (w *world) at(d time.Duration, do func()) { w.queue.After(d, do) }
+// after calls do after a delay.
+func (w *world) after(d time.Duration, do func()) { w.queue.After(d, do) }
 
 // run advances the world by a duration.
 func (w *world) run(d time.Duration) { w.queue.RunUntil(w.Now() + d) }
@@ -160,8 +161,8 @@
 	}
 }
 
-// violated records the violation of an invariant; only the first 20 are kept.
-func (w *world) violated(format string, args ...any) {
+// recordViolation records the violation of an invariant; only the first 20 are kept.
+func (w *world) recordViolation(format string, args ...any) {
 	if len(w.violations) < 20 {
 		w.violations = append(w.violations, fmt.Sprintf("%v: ", w.Now())+fmt.Sprintf(format, args...))
 	}
@@ -180,8 +181,8 @@
 // boot starts a new process of a controller.
 func (w *world) boot(i int) {
 	n := w.nodes[i]
-	n.alive, n.incarnation, n.startedAt, n.scripted = true, n.incarnation+1, w.Now(), nil
-	n.paused, n.held = false, nil
+	n.alive, n.incarnation, n.startedAt, n.scriptedReply = true, n.incarnation+1, w.Now(), nil
+	n.paused, n.queuedEvents = false, nil
 	incarnation := n.incarnation
 	n.pendingReplies = map[uint64]func(Reply){}
 	sink := io.Discard
@@ -199,32 +200,32 @@
 	sendTick = func() {
 		if n.alive && n.incarnation == incarnation {
 			if !n.paused {
-				w.feed(i, Tick{})
+				w.handleEvent(i, Tick{})
 			}
-			w.at(tick, sendTick)
+			w.after(tick, sendTick)
 		}
 	}
-	w.at(time.Duration(i)*time.Millisecond, sendTick)
+	w.after(time.Duration(i)*time.Millisecond, sendTick)
 }
 
 // crash ends a controller's process without a graceful shutdown.
 func (w *world) crash(i int) { w.nodes[i].alive = false }
 
-// feed has a node handle an event and carries out the resulting effects. Events for a paused node are
+// handleEvent has a node handle an event and carries out the resulting effects. Events for a paused node are
 // queued until it resumes.
-func (w *world) feed(i int, ev Event) {
+func (w *world) handleEvent(i int, ev Event) {
 	n := w.nodes[i]
 	if n.paused {
 		incarnation := n.incarnation
-		n.held = append(n.held, func() {
+		n.queuedEvents = append(n.queuedEvents, func() {
 			if n.alive && n.incarnation == incarnation {
-				w.feed(i, ev)
+				w.handleEvent(i, ev)
 			}
 		})
 		return
 	}
-	steady := time.Duration(float64(w.Now()-n.startedAt) * (1 + n.drift))
-	effects := n.controller.Handle(Clock{Steady: steady, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
+	monotonic := time.Duration(float64(w.Now()-n.startedAt) * (1 + n.drift))
+	effects := n.controller.Handle(Clock{Monotonic: monotonic, Wall: 1_700_000_000_000 + w.Now().Milliseconds()}, ev)
 	w.effects.record(w, i, effects)
 	if l := n.controller.leadership; l != nil && l.loader.ready {
 		w.checkSchedulerCache(l)
@@ -244,13 +245,13 @@
 	}
 }
 
-// ask sends a request to a node and passes the reply to then. If the node is not alive or does not
+// sendRequest sends a request to a node and passes the reply to then. If the node is not alive or does not
 // answer within five seconds, the reply has status 0.
-func (w *world) ask(i int, req Request, then func(Reply)) {
+func (w *world) sendRequest(i int, req Request, then func(Reply)) {
 	n := w.nodes[i]
-	if !n.alive && n.scripted != nil {
-		answer := n.scripted(req)
-		w.at(latency, func() { then(answer) })
+	if !n.alive && n.scriptedReply != nil {
+		answer := n.scriptedReply(req)
+		w.after(latency, func() { then(answer) })
 		return
 	}
 	if !n.alive {
@@ -261,8 +262,8 @@
 	req.ID = n.lastRequestID
 	incarnation, answered := n.incarnation, false
 	n.pendingReplies[req.ID] = func(r Reply) { answered = true; then(r) }
-	w.feed(i, req)
-	w.at(5*time.Second, func() {
+	w.handleEvent(i, req)
+	w.after(5*time.Second, func() {
 		if !answered && n.incarnation == incarnation {
 			delete(n.pendingReplies, req.ID)
 		}
@@ -282,23 +283,23 @@
 		}
 		answered = true
 		if w.nodes[i].withoutGate {
-			body = olderAnswer(c, body)
+			body = olderStateReply(c, body)
 		}
-		w.feed(i, Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: status == 0 && w.unreachable[c.Addr]})
+		w.handleEvent(i, Result{ID: c.ID, Status: status, Body: body, ConnectionFailed: status == 0 && w.unreachable[c.Addr]})
 	}
 	if w.nodes[i].withoutGate {
 		c = olderCall(c)
 	}
 	var f deliveryFault
-	if w.script != nil {
-		f = w.script(i, c)
+	if w.callFault != nil {
+		f = w.callFault(i, c)
 	}
-	w.at(c.Timeout, func() { result(0, nil) })
+	w.after(c.Timeout, func() { result(0, nil) })
 	if f.refused {
-		w.at(latency, func() {
+		w.after(latency, func() {
 			if !answered && w.nodes[i].incarnation == incarnation && w.nodes[i].alive {
 				answered = true
-				w.feed(i, Result{ID: c.ID, ConnectionFailed: true})
+				w.handleEvent(i, Result{ID: c.ID, ConnectionFailed: true})
 			}
 		})
 		return
@@ -306,10 +307,10 @@
 	if f.lost {
 		return
 	}
-	w.at(latency+f.hold, func() {
+	w.after(latency+f.delay, func() {
 		reply := func(status int, body []byte) {
 			if !f.answerLost {
-				w.at(latency, func() { result(status, body) })
+				w.after(latency, func() { result(status, body) })
 			}
 		}
 		w.serve(i, c, reply)
@@ -324,7 +325,7 @@
 	case ToCloud:
 		reply(w.cloud.Serve(c.Method, c.Path, c.Body))
 	case ToWorker:
-		if worker := w.byAddr(c.Addr); worker != nil && worker.Reachable() {
+		if worker := w.workerByAddr(c.Addr); worker != nil && worker.Reachable() {
 			worker.Serve(c.Path, c.Body, reply)
 		}
 	case ToPeer:
@@ -339,14 +340,14 @@
 // serveAsPeer passes a call of another controller to node k, which answers through reply.
 func (w *world) serveAsPeer(k int, c Call, reply func(status int, body []byte)) {
 	n := w.nodes[k]
-	if c.Path == probePath && n.older {
+	if c.Path == probePath && n.withoutProbes {
 		if n.alive {
 			reply(http.StatusNotFound, nil)
 		}
 		return
 	}
 	op := map[string]Op{"/relay": OpRelay, "/heartbeat": OpPeerHeartbeat, "/forward": OpForwardedHeartbeat, probePath: OpProbe}[c.Path]
-	w.ask(k, Request{Op: op, Body: c.Body}, func(r Reply) {
+	w.sendRequest(k, Request{Op: op, Body: c.Body}, func(r Reply) {
 		if r.Status == 0 {
 			return
 		}
@@ -400,21 +401,21 @@
 		w.cancelRequested[uid] = true
 	}
 	sent := w.Now()
-	w.ask(node, req, func(r Reply) {
+	w.sendRequest(node, req, func(r Reply) {
 		var s protocol.JobStatus
 		if r.Status == http.StatusOK || r.Status == http.StatusCreated {
 			if err := protocol.Decode(r.Body, &s); err != nil {
-				w.violated("reply to %s of %s can't be decoded: %v", op, uid, err)
+				w.recordViolation("reply to %s of %s can't be decoded: %v", op, uid, err)
 			}
 			w.recordStatus(uid, s, sent)
 			w.startPolling(uid)
 		}
 		w.checkAnswer(op, uid, r.Status)
 		if r.Status == http.StatusNotFound && w.lastReplies[uid] != "" {
-			w.violated("forgotten: %s of the accepted job %s returned 404", op, uid)
+			w.recordViolation("forgotten: %s of the accepted job %s returned 404", op, uid)
 		}
 		if (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests) && r.RetryAfter == 0 {
-			w.violated("reply to %s of %s with status %d has no Retry-After", op, uid, r.Status)
+			w.recordViolation("reply to %s of %s with status %d has no Retry-After", op, uid, r.Status)
 		}
 		if then != nil {
 			then(r.Status, s)
@@ -431,20 +432,20 @@
 		return
 	}
 	if (previous == protocol.JobDone || previous == protocol.JobCancelled) && s.State != previous {
-		w.violated("went_back: %s was %s, now %s", uid, previous, s.State)
+		w.recordViolation("went_back: %s was %s, now %s", uid, previous, s.State)
 	}
 	if s.State == protocol.JobDone {
 		n := w.specs[uid]["shards"].(int)
 		for k := range n {
-			if !w.finished[uid+"/"+strconv.Itoa(k)] {
-				w.violated("not_done: %[1]s is reported as done, and task %[1]s/%[2]d has not completed", uid, k)
+			if !w.completedTasks[uid+"/"+strconv.Itoa(k)] {
+				w.recordViolation("not_done: %[1]s is reported as done, and task %[1]s/%[2]d has not completed", uid, k)
 			}
 		}
 	}
 	if s.State == protocol.JobCancelled && previous != s.State {
 		w.cancelledAt[uid] = w.Now()
 		if !w.cancelRequested[uid] {
-			w.violated("went_back: %s is reported as cancelled without a request for cancellation", uid)
+			w.recordViolation("went_back: %s is reported as cancelled without a request for cancellation", uid)
 		}
 	}
 	if s.State != previous {
@@ -461,7 +462,7 @@
 		node++
 		w.user(node%len(w.nodes), op, uid, func(status int, s protocol.JobStatus) {
 			if !ok(status, s) {
-				w.at(time.Second, sendRequest)
+				w.after(time.Second, sendRequest)
 			}
 		})
 	}
--- a/internal/controller/writes_test.go
+++ b/internal/controller/writes_test.go
@@ -22,10 +22,10 @@
 	for i := range 100 {
 		m := l.state.AddMachine(fmt.Sprintf("i-9%05d", i))
 		m.Type, m.Zone, m.Size = "m8", "a", l.machines.machineSize("m8")
-		l.placement.startTask(array, i, m, l.attemptNumbers.take())
+		l.placement.startTask(array, i, m, l.attemptNumbers.allocate())
 	}
 	for i, id := range []string{"i-900099", "i-900098"} {
-		l.placement.startTask(service, i, l.state.Machines[id], l.attemptNumbers.take())
+		l.placement.startTask(service, i, l.state.Machines[id], l.attemptNumbers.allocate())
 	}
 	txn := l.store.BuildTransaction()
 	if txn == nil || len(txn.Puts) < 2 {
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -14,10 +14,10 @@
 // cloud.
 func (w *world) partitionZoneB() {
 	outside := func(addr string) bool {
-		worker := w.byAddr(addr)
+		worker := w.workerByAddr(addr)
 		return worker == nil || worker.Zone != "b"
 	}
-	w.script = func(node int, c Call) deliveryFault {
+	w.callFault = func(node int, c Call) deliveryFault {
 		switch c.Target {
 		case ToWorker:
 			return deliveryFault{lost: (node == 2) == outside(c.Addr)}
@@ -78,7 +78,7 @@
 					t.Fatalf("%d replicas run during the partition", n)
 				}
 			}
-			w.script, w.heartbeatFault = nil, nil
+			w.callFault, w.heartbeatFault = nil, nil
 			w.awaitStatus(40*second, "j-2", protocol.JobCancelled)
 			w.until(40*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
 			w.requireNoViolations()
@@ -102,7 +102,7 @@
 	w.crash(2)
 	w.run(200 * second)
 	w.cloud.Down = false
-	w.script, w.heartbeatFault = nil, nil
+	w.callFault, w.heartbeatFault = nil, nil
 	w.boot(2)
 	w.until(60*second, "all replicas run", func() bool { return w.running("j-1") == 4 })
 	w.requireNoViolations()
@@ -123,7 +123,7 @@
 	w.boot(2)
 	for _, worker := range w.workers() {
 		if worker.Zone == "b" && worker.Up {
-			w.ask(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(worker.Heartbeat())}, func(r Reply) {
+			w.sendRequest(2, Request{Op: OpWorkerHeartbeat, Body: protocol.Encode(worker.Heartbeat())}, func(r Reply) {
 				if r.Status != http.StatusOK {
 					t.Errorf("status %d for a heartbeat of a worker in the partitioned zone", r.Status)
 				}
@@ -136,7 +136,7 @@
 			t.Fatalf("%d of 4 replicas run", n)
 		}
 	}
-	w.script, w.heartbeatFault = nil, nil
+	w.callFault, w.heartbeatFault = nil, nil
 	w.run(30 * second)
 	if n := w.running("j-1"); n != 4 {
 		t.Fatalf("%d of 4 replicas run after the partition", n)
@@ -159,8 +159,8 @@
 			w.until(90*second, "replicas run", func() bool { return w.running("j-1") == 6 })
 			w.run(15 * second)
 			w.partitionZoneB()
-			zonePartition := w.script
-			w.script = func(node int, c Call) deliveryFault { // in this test, only zone b reaches the state service and the cloud
+			zonePartition := w.callFault
+			w.callFault = func(node int, c Call) deliveryFault { // in this test, only zone b reaches the state service and the cloud
 				if c.Target == ToState || c.Target == ToCloud {
 					return deliveryFault{lost: node != 2}
 				}
@@ -169,17 +169,17 @@
 			w.until(10*second, "a leader is elected in zone b", func() bool { return w.nodes[2].controller.leadership != nil })
 			w.run(15 * second)
 			w.crash(lead)
-			w.at(downtime, func() { w.boot(lead) })
+			w.after(downtime, func() { w.boot(lead) })
 			heartbeat := protocol.EncodePeer(protocol.PeerHeartbeat{From: fmt.Sprintf("n%d", 1-lead), Incarnation: "x", ServedMS: -1})
 			for range 400 {
 				w.run(tick)
 				if n := w.running("j-1"); n != 6 {
 					t.Fatalf("restart after %v: %d of 6 replicas run", downtime, n)
 				}
-				w.ask(lead, Request{Op: OpPeerHeartbeat, Body: heartbeat}, func(r Reply) {
+				w.sendRequest(lead, Request{Op: OpPeerHeartbeat, Body: heartbeat}, func(r Reply) {
 					var answer protocol.PeerHeartbeatReply
 					if protocol.DecodePeer(r.Body, &answer) == nil && answer.Leader == fmt.Sprintf("n%d", lead) {
-						w.violated("the restarted former leader reports itself as the leader")
+						w.recordViolation("the restarted former leader reports itself as the leader")
 					}
 				})
 			}
@@ -197,22 +197,22 @@
 	l := w.nodes[lead].controller.leadership
 	sendHeartbeat := func(incarnation string, served int64) {
 		body := protocol.EncodePeer(protocol.PeerHeartbeat{From: "n2", Incarnation: incarnation, Token: l.lease.token, ServedMS: served})
-		w.ask(lead, Request{Op: OpPeerHeartbeat, Body: body}, func(Reply) {})
+		w.sendRequest(lead, Request{Op: OpPeerHeartbeat, Body: body}, func(Reply) {})
 	}
 	if lead == 2 {
 		t.Fatal("the leader is the controller whose heartbeats the test sends")
 	}
 	w.crash(2) // the test sends its heartbeats
 	sendHeartbeat("one", -1)
-	first := l.peers["n2"].lastServed
+	first := l.peers["n2"].lastRenewalAt
 	w.run(30 * second)
 	sendHeartbeat("one", 12_000)
-	if got := l.peers["n2"].lastServed; got != w.Now()-12*second || got <= first {
+	if got := l.peers["n2"].lastRenewalAt; got != w.Now()-12*second || got <= first {
 		t.Fatalf("last lease renewal at %v, reported as 12 s ago at %v", got, w.Now())
 	}
 	w.run(5 * second)
 	sendHeartbeat("two", -1)
-	if got := l.peers["n2"].lastServed; got != w.Now() {
+	if got := l.peers["n2"].lastRenewalAt; got != w.Now() {
 		t.Fatalf("last lease renewal of a new incarnation at %v, want %v", got, w.Now())
 	}
 }
@@ -289,7 +289,7 @@
 			}
 			w.run(25 * second)
 			released := 0
-			for _, id := range w.cloud.Deleted {
+			for _, id := range w.cloud.DeletionRequests {
 				if w.machines.Workers[id].Zone == "b" {
 					released++
 				}
@@ -301,7 +301,7 @@
 			if w.running("j-1") != 4 {
 				t.Errorf("all controllers crashed: %v, %d of 4 replicas run 45 s later", allCrash, w.running("j-1"))
 			}
-			w.script, w.heartbeatFault = nil, nil
+			w.callFault, w.heartbeatFault = nil, nil
 			w.run(30 * second)
 			w.requireNoViolations()
 		})
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -47,10 +47,10 @@
 	requestBudget     tokenBucket
 
 	Types []protocol.MachineType
-	// Name returns the name of the n-th machine, counted from 1; the names must sort in the order of n. Addr returns
-	// the address of the machine's worker.
-	Name func(n int) string
-	Addr func(id string) string
+	// MachineName returns the name of the n-th machine, counted from 1; the names must sort in the order of n.
+	// MachineAddr returns the address of the machine's worker.
+	MachineName func(n int) string
+	MachineAddr func(id string) string
 	// Capacity is the number of further machines that each pool can launch; nil: no limit.
 	Capacity map[Pool]int
 	// ListLag is how long a new machine is missing from the list, BootTime returns how long a machine of a type takes
@@ -60,14 +60,14 @@
 	RequestRate float64
 	// Injected faults: Down makes all requests fail, OutOfCapacity all launch requests.
 	Down, OutOfCapacity bool
-	// Deleted lists the machine names in all deletion requests, in the order of arrival.
-	Deleted []string
+	// DeletionRequests lists the machine names in all deletion requests, in the order of arrival.
+	DeletionRequests []string
 	// OnLaunch is called for each machine that a launch request creates, OnDelete for each machine that is deleted on
 	// request.
 	OnLaunch func(m *Machine)
 	OnDelete func(m *Machine)
-	// Violation is called for each request that violates the protocol, in addition to refusing it; nil: not called.
-	Violation func(what string)
+	// OnViolation is called for each request that violates the protocol, in addition to refusing it; nil: not called.
+	OnViolation func(what string)
 }
 
 // NewCloud returns a cloud without machines.
@@ -77,8 +77,8 @@
 
 // Create adds a machine that was launched now, without a launch request and without calling OnLaunch.
 func (c *Cloud) Create(pool Pool) *Machine {
-	id := c.Name(len(c.machines) + 1)
-	m := &Machine{ID: id, Addr: c.Addr(id), Pool: pool, LaunchedAt: c.queue.Now()}
+	id := c.MachineName(len(c.machines) + 1)
+	m := &Machine{ID: id, Addr: c.MachineAddr(id), Pool: pool, LaunchedAt: c.queue.Now()}
 	c.machines = append(c.machines, m)
 	c.byName[id] = m
 	if c.Capacity != nil {
@@ -90,8 +90,8 @@
 // Machine returns the machine with the given name, or nil if there is none.
 func (c *Cloud) Machine(id string) *Machine { return c.byName[id] }
 
-// Fail records the failure of a machine and releases its capacity.
-func (c *Cloud) Fail(id string) {
+// MarkFailed records the failure of a machine and releases its capacity.
+func (c *Cloud) MarkFailed(id string) {
 	if m := c.byName[id]; m != nil && !m.Deleted && m.FailedAt == 0 {
 		m.FailedAt = c.queue.Now()
 		c.releaseCapacity(m)
@@ -132,10 +132,10 @@
 	return http.StatusBadRequest, nil
 }
 
-// reportViolation passes a request that violates the protocol to Violation.
+// reportViolation passes a request that violates the protocol to OnViolation.
 func (c *Cloud) reportViolation(description string) {
-	if c.Violation != nil {
-		c.Violation("cloud: " + description)
+	if c.OnViolation != nil {
+		c.OnViolation("cloud: " + description)
 	}
 }
 
@@ -205,7 +205,7 @@
 		return http.StatusBadRequest, nil
 	}
 	for _, id := range request.Machines {
-		c.Deleted = append(c.Deleted, id)
+		c.DeletionRequests = append(c.DeletionRequests, id)
 		m := c.byName[id]
 		if m == nil || m.Deleted {
 			continue
--- a/internal/emulator/eventqueue.go
+++ b/internal/emulator/eventqueue.go
@@ -39,8 +39,8 @@
 	q.now = max(q.now, end)
 }
 
-// Next returns the time at which the next function is due; false: the queue is empty.
-func (q *EventQueue) Next() (time.Duration, bool) {
+// NextDueAt returns the time at which the next function is due; false: the queue is empty.
+func (q *EventQueue) NextDueAt() (time.Duration, bool) {
 	if len(q.events) == 0 {
 		return 0, false
 	}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -16,15 +16,15 @@
 	// MinHeartbeatPause is the minimum time between two heartbeats if the state of the worker has changed; 0: a change
 	// is sent with the next regular heartbeat.
 	MinHeartbeatPause time.Duration
-	// HeartbeatTimeout is how long a worker waits for the reply to a heartbeat. FailoverDelay is how long it waits after
-	// a failed heartbeat before it tries the next controller, and RedirectDelay how long it waits before it follows a
-	// redirect to another controller.
+	// HeartbeatTimeout is how long a worker waits for the reply to a heartbeat. FailoverDelay is how long it waits
+	// after a failed heartbeat before it tries the next controller, and RedirectDelay how long it waits before it
+	// follows a redirect to another controller.
 	HeartbeatTimeout, FailoverDelay, RedirectDelay time.Duration
 	// LeaseTTL is the validity of a worker's lease, counted from when the last answered heartbeat was sent. A worker
 	// ends its tasks when its lease expires.
 	LeaseTTL time.Duration
-	// GangStartTimeout is how long a gang's task waits for the other tasks of the gang to start, and GangPeerTimeout how
-	// long a task continues to run while others of its gang are missing.
+	// GangStartTimeout is how long a gang's task waits for the other tasks of the gang to start, and GangPeerTimeout
+	// how long a task continues to run while others of its gang are missing.
 	GangStartTimeout, GangPeerTimeout time.Duration
 	// CheckInterval is the shortest interval of lease checks, and the interval at which the completion of a task on a
 	// hung machine is retried.
@@ -56,13 +56,13 @@
 	TaskStopped func(worker *Worker, task string, t *Task)
 	// TaskCompleted is called for each task that completes.
 	TaskCompleted func(task string, t *Task)
-	// WorkerDied is called for each worker whose machine is terminated.
-	WorkerDied func(worker *Worker)
+	// WorkerTerminated is called for each worker whose machine is terminated.
+	WorkerTerminated func(worker *Worker)
 	// GangStopRequested is called when a gang's task receives a stop command, with the grace period in seconds. It is
 	// not called again once the task is waiting to save its checkpoint.
 	GangStopRequested func(t *Task, graceS float64)
-	// Violation is called for each message that violates the protocol.
-	Violation func(what string)
+	// OnViolation is called for each message that violates the protocol.
+	OnViolation func(what string)
 }
 
 // Fleet holds all workers and their common configuration.
@@ -93,8 +93,8 @@
 	// checkpointedTasks counts the tasks of each attempt that have ended with a checkpoint.
 	gangs             map[GangAttempt]map[*Task]*Worker
 	checkpointedTasks map[GangAttempt]int
-	// GangStarts counts for each job how often its gang has started to run with all tasks, and GangCheckpoints how often
-	// the gang was stopped with a checkpoint.
+	// GangStarts counts for each job how often its gang has started to run with all tasks, and GangCheckpoints how
+	// often the gang was stopped with a checkpoint.
 	GangStarts, GangCheckpoints map[string]int
 }
 
@@ -111,8 +111,8 @@
 	return worker
 }
 
-// Sorted returns the workers ordered by ID, so that runs are reproducible.
-func (f *Fleet) Sorted() []*Worker {
+// SortedWorkers returns the workers ordered by ID, so that runs are reproducible.
+func (f *Fleet) SortedWorkers() []*Worker {
 	var workers []*Worker
 	for _, id := range slices.Sorted(maps.Keys(f.Workers)) {
 		workers = append(workers, f.Workers[id])
@@ -120,9 +120,9 @@
 	return workers
 }
 
-// reportViolation passes a message that violates the protocol to Violation.
+// reportViolation passes a message that violates the protocol to OnViolation.
 func (f *Fleet) reportViolation(format string, args ...any) {
-	if f.Violation != nil {
-		f.Violation(fmt.Sprintf(format, args...))
+	if f.OnViolation != nil {
+		f.OnViolation(fmt.Sprintf(format, args...))
 	}
 }
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -12,8 +12,8 @@
 
 // Heartbeat returns the worker's next heartbeat, with the next sequence number.
 func (w *Worker) Heartbeat() protocol.WorkerHeartbeat {
-	w.Seq++
-	heartbeat := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Epoch, Sequence: w.Seq, Token: w.Token,
+	w.Sequence++
+	heartbeat := protocol.WorkerHeartbeat{Machine: w.ID, Addr: w.Addr, Type: w.Type, Zone: w.Zone, Spot: w.Spot, Epoch: w.Epoch, Sequence: w.Sequence, Token: w.Token,
 		Tasks: []protocol.TaskStatus{}}
 	if w.PreemptedAt > 0 {
 		notice := max(0, (w.PreemptedAt - w.fleet.queue.Now()).Seconds())
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -58,17 +58,17 @@
 	// Injected faults: Down makes the service unavailable to all clients, RefusedClients to the clients in it.
 	Down           bool
 	RefusedClients map[int]bool
-	// Malformed reports whether a transaction is refused as malformed (an injected fault); nil: none is.
-	Malformed func(protocol.Transaction) bool
-	Limits    StateLimits
+	// RefuseAsMalformed reports whether a transaction is refused as malformed (an injected fault); nil: none is.
+	RefuseAsMalformed func(protocol.Transaction) bool
+	Limits            StateLimits
 	// MaxChanges is the number of changes that the settings allow in a transaction, independent of the current Limits.
 	// A transaction with more changes violates the protocol. 0: not checked.
 	MaxChanges int
-	// TooLarge counts the transactions that were refused because they exceeded Limits.
-	TooLarge int
-	Stats    StateStats
-	// Violation is called for each request that violates the protocol; nil: not called.
-	Violation func(what string)
+	// TooLargeTransactions counts the transactions that were refused because they exceeded Limits.
+	TooLargeTransactions int
+	Stats                StateStats
+	// OnViolation is called for each request that violates the protocol; nil: not called.
+	OnViolation func(what string)
 }
 
 // NewStateService returns an empty store.
@@ -85,8 +85,8 @@
 // Keys returns the keys in order.
 func (s *StateService) Keys() []string { return s.items.Keys() }
 
-// Change puts a key, or deletes it if the item is nil, in a separate revision and without any checks.
-func (s *StateService) Change(key string, item *Item) {
+// ForceChange puts a key, or deletes it if the item is nil, in a separate revision and without any checks.
+func (s *StateService) ForceChange(key string, item *Item) {
 	s.revision++
 	s.applyChange(key, item)
 	s.notifyWatches()
@@ -111,8 +111,8 @@
 	}
 }
 
-// Outage makes the service unavailable for a duration. All leases are renewed at the end of the outage.
-func (s *StateService) Outage(duration time.Duration) {
+// InjectOutage makes the service unavailable for a duration. All leases are renewed at the end of the outage.
+func (s *StateService) InjectOutage(duration time.Duration) {
 	s.Down = true
 	s.queue.After(duration, func() {
 		s.Down = false
@@ -181,10 +181,10 @@
 	return true
 }
 
-// reportViolation passes a request that violates the protocol to Violation.
+// reportViolation passes a request that violates the protocol to OnViolation.
 func (s *StateService) reportViolation(format string, args ...any) {
-	if s.Violation != nil {
-		s.Violation("state service: " + fmt.Sprintf(format, args...))
+	if s.OnViolation != nil {
+		s.OnViolation("state service: " + fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/emulator/state_lease.go
+++ b/internal/emulator/state_lease.go
@@ -71,6 +71,6 @@
 		return true
 	})
 	for _, key := range attached {
-		s.Change(key, nil)
+		s.ForceChange(key, nil)
 	}
 }
--- a/internal/emulator/state_test.go
+++ b/internal/emulator/state_test.go
@@ -54,12 +54,12 @@
 	harness := newStateHarness()
 	oversized := protocol.Transaction{Then: []protocol.Change{{Put: "a/9", Value: string(make([]byte, 200))}}}
 	harness.expectStatus(t, "a value that is too large", 400, "POST", "/multi", oversized)
-	if harness.TooLarge != 1 {
-		t.Errorf("%d transactions counted as too large, want 1", harness.TooLarge)
+	if harness.TooLargeTransactions != 1 {
+		t.Errorf("%d transactions counted as too large, want 1", harness.TooLargeTransactions)
 	}
 	harness.expectStatus(t, "a put with a lease that does not exist", 400, "POST", "/multi", put("a/9", 77))
-	if harness.TooLarge != 1 || harness.Item("a/9") != nil {
-		t.Errorf("%d transactions counted as too large, want 1; item %v, want none", harness.TooLarge, harness.Item("a/9"))
+	if harness.TooLargeTransactions != 1 || harness.Item("a/9") != nil {
+		t.Errorf("%d transactions counted as too large, want 1; item %v, want none", harness.TooLargeTransactions, harness.Item("a/9"))
 	}
 }
 
@@ -100,15 +100,15 @@
 func TestWatchOfOldRevision(t *testing.T) {
 	harness := newStateHarness()
 	for range 3 * maxRetainedEvents {
-		harness.Change("b", &Item{Value: protocol.Encode(1)})
+		harness.ForceChange("b", &Item{Value: protocol.Encode(1)})
 	}
 	harness.expectStatus(t, "a watch of events that are no longer retained", 410, "GET", "/follow?under=a/&after=1", nil)
 }
 
 func TestOutage(t *testing.T) {
 	harness := newStateHarness()
-	harness.Change("b", &Item{Value: protocol.Encode(1)})
-	harness.Outage(time.Second)
+	harness.ForceChange("b", &Item{Value: protocol.Encode(1)})
+	harness.InjectOutage(time.Second)
 	harness.expectStatus(t, "during an outage", 503, "GET", "/store/b", nil)
 	harness.queue.RunUntil(time.Second)
 	harness.expectStatus(t, "after an outage", 200, "GET", "/store/b", nil)
--- a/internal/emulator/state_transaction.go
+++ b/internal/emulator/state_transaction.go
@@ -61,7 +61,7 @@
 		s.reportViolation("transaction exceeds the limits: %d changes, %d conditions, %d bytes", len(t.Then), len(t.If), len(body))
 	}
 	if s.tooLarge(&t) {
-		s.TooLarge++
+		s.TooLargeTransactions++
 		reply(http.StatusBadRequest, nil)
 		return
 	}
@@ -79,11 +79,11 @@
 
 // refusedByInjectedFault reports whether the injected fault Malformed refuses a transaction.
 func (s *StateService) refusedByInjectedFault(body []byte) bool {
-	if s.Malformed == nil {
+	if s.RefuseAsMalformed == nil {
 		return false
 	}
 	var txn protocol.Transaction
-	return protocol.Decode(body, &txn) != nil || s.Malformed(txn)
+	return protocol.Decode(body, &txn) != nil || s.RefuseAsMalformed(txn)
 }
 
 // apply performs a transaction as a compare-and-swap: if all conditions hold, it makes the changes in one revision. A
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -16,17 +16,17 @@
 	ID, Addr, Type, Zone string
 	Spot, Up, Deleted    bool
 	MachineType          protocol.MachineType
-	// Injected faults. Partitioned: all messages to and from the worker are lost. RepliesLost: its heartbeats arrive, but
-	// replies and direct requests to it are lost. HeartbeatsLost: its heartbeats are lost, but direct requests to it
-	// arrive. Hung: the worker sends no heartbeats, defers direct requests and completes no tasks.
+	// Injected faults. Partitioned: all messages to and from the worker are lost. RepliesLost: its heartbeats arrive,
+	// but replies and direct requests to it are lost. HeartbeatsLost: its heartbeats are lost, but direct requests to
+	// it arrive. Hung: the worker sends no heartbeats, defers direct requests and completes no tasks.
 	Partitioned, RepliesLost, HeartbeatsLost, Hung bool
 	deferredRequests                               []func() // direct requests that arrived while the worker was hung
 
-	Epoch, Seq, Token uint64
-	Tasks             map[string]*Task // by AttemptKey
-	LeaseRenewedAt    time.Duration    // when the last answered heartbeat was sent
-	Controller        int              // number of the controller that receives the worker's heartbeats
-	TasksStarted      int              // number of tasks that commands have started, including refused tasks
+	Epoch, Sequence, Token uint64
+	Tasks                  map[string]*Task // by AttemptKey
+	LeaseRenewedAt         time.Duration    // when the last answered heartbeat was sent
+	Controller             int              // number of the controller that receives the worker's heartbeats
+	TasksStarted           int              // number of tasks that commands have started, including refused tasks
 	// PreemptedAt is when the cloud will preempt a spot machine, according to its notice; 0: no notice was given.
 	PreemptedAt time.Duration
 	// OnHeartbeat is called with the body of each heartbeat before it is sent; nil: not called.
@@ -52,12 +52,12 @@
 	w.checkLease()
 }
 
-// Die terminates the machine and drops all its tasks.
-func (w *Worker) Die() {
+// Terminate terminates the machine and drops all its tasks.
+func (w *Worker) Terminate() {
 	w.Deleted, w.Up = true, false
 	w.dropAllTasks()
-	if w.fleet.WorkerDied != nil {
-		w.fleet.WorkerDied(w)
+	if w.fleet.WorkerTerminated != nil {
+		w.fleet.WorkerTerminated(w)
 	}
 }
 
@@ -76,9 +76,10 @@
 	w.fleet.leaveGang(t)
 }
 
-// Hang makes the machine hang for a duration. Direct requests that arrive in the meantime are served when the machine
-// resumes. Commands among them are refused if the lease has expired by then, because the worker has begun a new epoch.
-func (w *Worker) Hang(duration time.Duration) {
+// InjectHang makes the machine hang for a duration. Direct requests that arrive in the meantime are served when the
+// machine resumes. Commands among them are refused if the lease has expired by then, because the worker has begun a new
+// epoch.
+func (w *Worker) InjectHang(duration time.Duration) {
 	w.Hung = true
 	w.fleet.queue.After(duration, func() {
 		w.Hung = false
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -81,7 +81,7 @@
 // The causes.
 const (
 	NoCause                 Cause = ""
-	NotHeard                Cause = "is not heard"
+	NoMessage               Cause = "is not heard"
 	NoStatement             Cause = "runs a version without the feature gate"
 	CannotRead              Cause = "does not read the storage version"
 	FeatureOff              Cause = "has the feature disabled"
@@ -112,8 +112,8 @@
 	// Self and Peers are the labels of all controllers in the settings.
 	Self  string
 	Peers []string
-	// Own is the statement of this controller.
-	Own Statement
+	// OwnStatement is the statement of this controller.
+	OwnStatement Statement
 	// TransactionsFit is set if the state service's limits allow the gate's transactions.
 	TransactionsFit bool
 	// SettleTime is the time for which each controller must have stated the version before the gate opens: the
@@ -313,7 +313,7 @@
 // closingObstacle returns the first reason to close an open gate, if any. A controller that sends no messages is not a
 // reason: if it restarts with an older program, its messages will be one.
 func (g *Gate) closingObstacle(now time.Duration) Obstacle {
-	if cause := g.blockingCause(g.settings.Self, &g.settings.Own); cause != NoCause {
+	if cause := g.blockingCause(g.settings.Self, &g.settings.OwnStatement); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
 	for _, label := range slices.Sorted(maps.Keys(g.peers)) {
@@ -334,7 +334,7 @@
 
 // openingObstacle returns the first reason to leave a closed gate closed, if any.
 func (g *Gate) openingObstacle(now time.Duration) Obstacle {
-	if cause := g.blockingCause(g.settings.Self, &g.settings.Own); cause != NoCause {
+	if cause := g.blockingCause(g.settings.Self, &g.settings.OwnStatement); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
 	}
 	if g.isBackingOff(now) {
@@ -353,7 +353,7 @@
 func (g *Gate) peerBlockingCause(now time.Duration, label string) Cause {
 	p := g.peers[label]
 	if g.isSilent(p, now) {
-		return NotHeard
+		return NoMessage
 	}
 	if cause := g.blockingCause(label, p.statement); cause != NoCause {
 		return cause
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -14,7 +14,7 @@
 var ready = Statement{ReadsUpTo: 1, WritesUpTo: 1}
 
 func newGate(stored State, own Statement) *Gate {
-	return New(Settings{Version: 1, Self: "n0", Peers: []string{"n1", "n2"}, Own: own, TransactionsFit: true,
+	return New(Settings{Version: 1, Self: "n0", Peers: []string{"n1", "n2"}, OwnStatement: own, TransactionsFit: true,
 		SettleTime: settleTime, OlderProgramTimeout: olderProgramTimeout, BackOff: backOffTime}, stored)
 }
 
@@ -42,13 +42,13 @@
 	}{
 		{"all state the version", ready, both(&ready), Obstacle{}},
 		{"all state later versions too", ready, both(&Statement{ReadsUpTo: 9, WritesUpTo: 9}), Obstacle{}},
-		{"one sends no messages", ready, map[string]*Statement{"n1": &ready}, Obstacle{"n2", NotHeard}},
+		{"one sends no messages", ready, map[string]*Statement{"n1": &ready}, Obstacle{"n2", NoMessage}},
 		{"one has no statement", ready, map[string]*Statement{"n1": nil, "n2": &ready}, Obstacle{"n1", NoStatement}},
 		{"one does not read the version", ready, map[string]*Statement{"n1": readsNothing, "n2": &ready}, Obstacle{"n1", CannotRead}},
 		{"one has the feature off", ready, map[string]*Statement{"n1": {ReadsUpTo: 1}, "n2": &ready}, Obstacle{"n1", FeatureOff}},
 		{"one holds the gate closed", ready, map[string]*Statement{"n1": &ready, "n2": {ReadsUpTo: 1, WritesUpTo: 1, HoldClosed: true}}, Obstacle{"n2", HeldClosed}},
 		{"the leader holds the gate closed", Statement{ReadsUpTo: 1, WritesUpTo: 1, HoldClosed: true}, both(&ready), Obstacle{"n0", HeldClosed}},
-		{"a label that is not in the settings does not count", ready, map[string]*Statement{"n1": &ready, "n9": &ready}, Obstacle{"n2", NotHeard}},
+		{"a label that is not in the settings does not count", ready, map[string]*Statement{"n1": &ready, "n9": &ready}, Obstacle{"n2", NoMessage}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := newGate(Closed, tc.own)
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -70,7 +70,7 @@
 const maxInFlight = 2
 
 func modelSettings(node int) Settings {
-	s := Settings{Version: 1, Self: fmt.Sprint(node), Own: ready, TransactionsFit: true, SettleTime: 1, OlderProgramTimeout: 1, BackOff: 1}
+	s := Settings{Version: 1, Self: fmt.Sprint(node), OwnStatement: ready, TransactionsFit: true, SettleTime: 1, OlderProgramTimeout: 1, BackOff: 1}
 	for i := range 3 {
 		if i != node {
 			s.Peers = append(s.Peers, fmt.Sprint(i))
--- a/internal/membership/assignment.go
+++ b/internal/membership/assignment.go
@@ -42,11 +42,11 @@
 	return a.table.Lookup(key)
 }
 
-// Rank returns the position of a label in the order of succession to the leader with the given fencing
+// SuccessionRank returns the position of a label in the order of succession to the leader with the given fencing
 // token: 0 for the first candidate, and the number of candidates for a label that is not a candidate.
 // The order comes from rendezvous hashing of the token: all controllers compute the same order without
 // exchanging messages, and the first candidate varies with the token.
-func Rank(label string, token uint64, candidates []string) int {
+func SuccessionRank(label string, token uint64, candidates []string) int {
 	key := rankKeyPrefix + strconv.FormatUint(token, 10)
 	remaining := slices.Sorted(slices.Values(candidates))
 	for rank := range candidates {
--- a/internal/membership/assignment_test.go
+++ b/internal/membership/assignment_test.go
@@ -47,7 +47,7 @@
 	for token := range uint64(200) {
 		ranks := map[int]bool{}
 		for _, label := range candidates {
-			rank := Rank(label, token, candidates)
+			rank := SuccessionRank(label, token, candidates)
 			ranks[rank] = true
 			if rank == 0 {
 				timesFirst[label]++
@@ -60,7 +60,7 @@
 	if len(timesFirst) != len(candidates) {
 		t.Errorf("not every candidate is first for some token: %v", timesFirst)
 	}
-	if Rank("unknown", 1, candidates) != len(candidates) {
+	if SuccessionRank("unknown", 1, candidates) != len(candidates) {
 		t.Error("a label that is not a candidate has a candidate's rank")
 	}
 }
--- a/internal/scalerun/eventloop.go
+++ b/internal/scalerun/eventloop.go
@@ -34,12 +34,12 @@
 	defer timer.Stop()
 	for {
 		now := l.now()
-		if next, pending := l.queue.Next(); pending {
+		if next, pending := l.queue.NextDueAt(); pending {
 			l.maxDelay = max(l.maxDelay, now-next)
 		}
 		l.queue.RunUntil(now)
 		wait := time.Second
-		if next, pending := l.queue.Next(); pending {
+		if next, pending := l.queue.NextDueAt(); pending {
 			wait = max(0, next-l.now())
 		}
 		timer.Reset(wait)
--- a/internal/scalerun/faults.go
+++ b/internal/scalerun/faults.go
@@ -34,7 +34,7 @@
 		}
 	case FaultRack:
 		for _, worker := range i.randomWorkers(fault.Share) {
-			worker.Die()
+			worker.Terminate()
 		}
 	case FaultMachineChurn:
 		i.churnMachines(fault)
@@ -47,7 +47,7 @@
 			i.controlPlane.holdGate(ctx, c)
 		}
 	case FaultStateOutage:
-		i.state.Outage(seconds(fault.ForS))
+		i.state.InjectOutage(seconds(fault.ForS))
 	}
 }
 
@@ -102,14 +102,14 @@
 func (i *faultInjector) churnMachines(fault FaultPlan) {
 	victims := i.randomWorkers(fault.Share)
 	for n, worker := range victims {
-		i.queue.After(seconds(fault.ForS*float64(n)/float64(len(victims))), worker.Die)
+		i.queue.After(seconds(fault.ForS*float64(n)/float64(len(victims))), worker.Terminate)
 	}
 }
 
 // randomWorkers returns a random selection of the given share of the running workers.
 func (i *faultInjector) randomWorkers(share float64) []*emulator.Worker {
 	var running []*emulator.Worker
-	for _, worker := range i.fleet.Sorted() {
+	for _, worker := range i.fleet.SortedWorkers() {
 		if worker.Up && !worker.Deleted {
 			running = append(running, worker)
 		}
--- a/internal/scalerun/fleet.go
+++ b/internal/scalerun/fleet.go
@@ -27,11 +27,11 @@
 func (r *region) newCloud() {
 	p := r.plan
 	cloud := emulator.NewCloud(r.loop.queue)
-	cloud.Violation, cloud.RequestRate, cloud.ListLag = r.failOnProtocolError, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
+	cloud.OnViolation, cloud.RequestRate, cloud.ListLag = r.failOnProtocolError, p.Cloud.RPS, seconds(p.Cloud.ListLagS)
 	cloud.Capacity = map[emulator.Pool]int{} // no spare capacity: only lost machines can be replaced
-	cloud.Name = func(n int) string { return fmt.Sprintf("i-%d%06d", r.number, n) }
-	cloud.Addr = func(id string) string {
-		n, _ := strconv.Atoi(id[3:]) // can't fail: cloud.Name formatted the id
+	cloud.MachineName = func(n int) string { return fmt.Sprintf("i-%d%06d", r.number, n) }
+	cloud.MachineAddr = func(id string) string {
+		n, _ := strconv.Atoi(id[3:]) // can't fail: cloud.MachineName formatted the id
 		return p.workerAddress(r.number, n)
 	}
 	for _, t := range p.Fleet.Types {
@@ -45,7 +45,7 @@
 	}
 	cloud.OnDelete = func(m *emulator.Machine) {
 		if worker := r.fleet.Workers[m.ID]; worker != nil {
-			worker.Die()
+			worker.Terminate()
 		}
 	}
 	r.cloud = cloud
@@ -82,7 +82,7 @@
 		return nil
 	}
 	fleet.RunTime = r.runTime
-	fleet.Observer = emulator.Observer{TaskStarted: r.onTaskStarted, TaskStopped: r.onTaskStopped, TaskCompleted: r.onTaskCompleted, WorkerDied: r.onWorkerDied, Violation: r.failOnProtocolError}
+	fleet.Observer = emulator.Observer{TaskStarted: r.onTaskStarted, TaskStopped: r.onTaskStopped, TaskCompleted: r.onTaskCompleted, WorkerTerminated: r.onWorkerTerminated, OnViolation: r.failOnProtocolError}
 	r.fleet = fleet
 }
 
@@ -165,9 +165,9 @@
 	}
 }
 
-// onWorkerDied is called by the fleet for each machine that has failed or was deleted.
-func (r *region) onWorkerDied(worker *emulator.Worker) {
-	r.cloud.Fail(worker.ID)
+// onWorkerTerminated is called by the fleet for each machine that has failed or was deleted.
+func (r *region) onWorkerTerminated(worker *emulator.Worker) {
+	r.cloud.MarkFailed(worker.ID)
 	r.heartbeatSender.closeConnection(worker.ID)
 	delete(r.workersByAddress, worker.Addr)
 	delete(r.fleet.Workers, worker.ID)
--- a/internal/scalerun/ownership.go
+++ b/internal/scalerun/ownership.go
@@ -25,7 +25,7 @@
 type Ownership struct {
 	Machines        int `json:"machines"`         // machines with at least one answered heartbeat
 	MachineMoves    int `json:"machine_moves"`    // changes of a machine's controller
-	MaxMoves        int `json:"most_moves"`       // largest number of changes for a single machine
+	MaxMachineMoves int `json:"most_moves"`       // largest number of changes for a single machine
 	Jobs            int `json:"jobs"`             // jobs with at least one started task
 	JobHandovers    int `json:"job_handovers"`    // changes to a later fencing token
 	JobsOwnedTwice  int `json:"jobs_owned_twice"` // task starts under an earlier token after a start under a later one
@@ -82,7 +82,7 @@
 	sums := Ownership{Machines: len(o.machines), Jobs: len(o.jobs)}
 	for _, record := range o.machines {
 		sums.MachineMoves += record.changes
-		sums.MaxMoves = max(sums.MaxMoves, record.changes)
+		sums.MaxMachineMoves = max(sums.MaxMachineMoves, record.changes)
 	}
 	for _, record := range o.jobs {
 		sums.JobHandovers += record.changes
--- a/internal/scalerun/ownership_test.go
+++ b/internal/scalerun/ownership_test.go
@@ -20,7 +20,7 @@
 	o.workerAnswered("i-1", 2, 0)
 	o.workerAnswered("i-1", 1, 0)
 	o.workerAnswered("i-2", 1, 0)
-	if s := o.totals(); s.Machines != 2 || s.MachineMoves != 2 || s.MaxMoves != 2 || s.Jobs != 1 {
+	if s := o.totals(); s.Machines != 2 || s.MachineMoves != 2 || s.MaxMachineMoves != 2 || s.Jobs != 1 {
 		t.Errorf("totals %+v, want 2 machines, 2 moves, at most 2 of one machine, 1 job", s)
 	}
 }
--- a/internal/scalerun/region.go
+++ b/internal/scalerun/region.go
@@ -134,7 +134,7 @@
 	r.state = emulator.NewStateService(queue, emulator.StateLimits{ValueBytes: int(plan.State.ValueKB * 1024), Changes: plan.State.TxnOps,
 		RequestRate: plan.State.RPS, ChangeRate: plan.State.WriteRPS})
 	r.state.MaxChanges = plan.State.TxnOps
-	r.state.Violation = r.failOnProtocolError
+	r.state.OnViolation = r.failOnProtocolError
 	r.clients = newClients(r)
 	r.newCloud()
 	r.newFleet()
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -25,7 +25,7 @@
 	RequestsGivenUp    int64                 `json:"requests_given_up"`
 	HeartbeatRoundTrip Quantiles             `json:"report_round_trip"`
 	HeartbeatsPerS     float64               `json:"reports_per_s"`
-	HeartbeatsRefused  int64                 `json:"reports_refused"`
+	HeartbeatsFailed   int64                 `json:"reports_refused"`
 	DirectMessagesPerS float64               `json:"direct_messages_per_s"`
 	WorkerBytesPerS    float64               `json:"bytes_per_s_by_worker"`
 	LeaderChanges      int                   `json:"leader_changes"`
@@ -50,7 +50,7 @@
 	result := &RegionResult{Region: r.number, MeasuredS: measured.Seconds(), Workers: len(r.fleet.Workers),
 		Starts: m.starts, StartsPerS: perSecond(float64(m.starts)), PeakStartsPerS: m.peakStartsPerSecond, TasksDone: m.tasksCompleted, PeakRunning: m.peakRunning,
 		TimeToStart: map[string]Quantiles{}, TimeToAccept: m.timeToAccept.quantiles(), Answers: m.answers, RequestsGivenUp: m.requestsGivenUp,
-		HeartbeatRoundTrip: m.heartbeatRoundTrip.quantiles(), HeartbeatsPerS: perSecond(float64(m.heartbeats)), HeartbeatsRefused: m.heartbeatsRefused,
+		HeartbeatRoundTrip: m.heartbeatRoundTrip.quantiles(), HeartbeatsPerS: perSecond(float64(m.heartbeats)), HeartbeatsFailed: m.heartbeatsRefused,
 		DirectMessagesPerS: perSecond(float64(m.directMessages)), WorkerBytesPerS: perSecond(float64(m.workerBytes)) / float64(max(1, len(r.fleet.Workers))),
 		LeaderChanges: m.leaderChanges, LeaderGaps: m.leaderGaps.quantiles(),
 		StateRequestsPerS: perSecond(float64(stateStats.Requests - statsAtBegin.Requests)), StateChangesPerS: perSecond(float64(stateStats.Changes - statsAtBegin.Changes)),
@@ -104,12 +104,12 @@
 		fmt.Fprintf(b, "  %-17s %s\n", "start: "+class, r.TimeToStart[class])
 	}
 	fmt.Fprintf(b, "  accepted          %s\n", r.TimeToAccept)
-	fmt.Fprintf(b, "  heartbeats        %.0f/s, round trip %s, failed %d\n", r.HeartbeatsPerS, r.HeartbeatRoundTrip, r.HeartbeatsRefused)
+	fmt.Fprintf(b, "  heartbeats        %.0f/s, round trip %s, failed %d\n", r.HeartbeatsPerS, r.HeartbeatRoundTrip, r.HeartbeatsFailed)
 	fmt.Fprintf(b, "  per worker        %.0f bytes/s\n", r.WorkerBytesPerS)
 	fmt.Fprintf(b, "  state service     %.0f requests/s, %.0f changes/s, %.0f bytes/s, 429s %d, 409s %d, %d keys\n", r.StateRequestsPerS, r.StateChangesPerS, r.StateBytesPerS, r.StateRateLimited, r.StateConflicts, r.StateKeys)
 	fmt.Fprintf(b, "  leader changes    %d, time without a leader %s\n", r.LeaderChanges, r.LeaderGaps)
 	ownership := r.Ownership
-	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one machine at most %d times; %d leases expired\n", ownership.Machines, ownership.MachineMoves, ownership.MaxMoves, ownership.SessionsExpired)
+	fmt.Fprintf(b, "  machines          %d, changed their controller %d times, one machine at most %d times; %d leases expired\n", ownership.Machines, ownership.MachineMoves, ownership.MaxMachineMoves, ownership.SessionsExpired)
 	fmt.Fprintf(b, "  jobs              %d, handed over %d times, owned twice %d, orphaned %d\n", ownership.Jobs, ownership.JobHandovers, ownership.JobsOwnedTwice, ownership.JobsOrphaned)
 	for _, d := range r.Detections {
 		fmt.Fprintf(b, "  %-17s suspect %.0f to %.0f ms, dead %.0f to %.0f ms, alive %.0f ms; elected %.0f ms, loaded %.0f ms, placed %.0f ms\n",
--- a/internal/scheduler/consolidation.go
+++ b/internal/scheduler/consolidation.go
@@ -58,7 +58,7 @@
 // mayMoveTo reports whether a task may be moved to a machine. A replica moves only to a machine that has its image:
 // elsewhere the replica would be unavailable while the image is fetched.
 func (j *Job) mayMoveTo(m *Machine) bool {
-	return m.Used && m.ReservedFor == "" && m.TaskCapacity > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) &&
+	return m.InUse && m.ReservedFor == "" && m.TaskCapacity > 0 && (!j.Service || j.Image == "" || m.Images[j.Image]) &&
 		j.Request.Fits(m.Free) && j.MayRunOn(m)
 }
 
--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -10,8 +10,8 @@
 func halfFullFleet() *Snapshot {
 	ms := machines(box, "a", "a")
 	for _, m := range ms {
-		m.Used, m.Images = true, map[string]bool{"img": true}
-		m.Free = Resources{Cores: 4, Mem: 16}
+		m.InUse, m.Images = true, map[string]bool{"img": true}
+		m.Free = Resources{Cores: 4, MemoryGB: 16}
 	}
 	return newSnapshot(ms)
 }
@@ -20,11 +20,13 @@
 // replicas does not shrink.
 func TestWithoutMachine(t *testing.T) {
 	replica := func(cores float64) []*Job {
-		return []*Job{batch("web", 1, func(j *Job) { j.Service, j.Image, j.Request = true, "img", Resources{Cores: cores, Mem: 1} })}
+		return []*Job{batch("web", 1, func(j *Job) { j.Service, j.Image, j.Request = true, "img", Resources{Cores: cores, MemoryGB: 1} })}
 	}
 	none := func() []*Job { return nil }
 	expect := func() []*Job {
-		return []*Job{batch("~web", 2, func(j *Job) { j.Team, j.Service, j.IsHeadroom, j.Request = "", true, true, Resources{Cores: 2, Mem: 1} })}
+		return []*Job{batch("~web", 2, func(j *Job) {
+			j.Team, j.Service, j.IsHeadroom, j.Request = "", true, true, Resources{Cores: 2, MemoryGB: 1}
+		})}
 	}
 	withoutImages := func(s *Snapshot) { s.Machines[1].Images = nil }
 	for _, tc := range []struct {
@@ -64,7 +66,7 @@
 // All machines of a fleet with one machine type are expensive, regardless of rounding errors in the sum of their
 // prices.
 func TestIsExpensiveIgnoresRounding(t *testing.T) {
-	typ, small := &Type{Price: 21.51}, &Type{Price: 0.19}
+	typ, small := &MachineType{Price: 21.51}, &MachineType{Price: 0.19}
 	s := &Snapshot{}
 	for n := range 300 {
 		s.Machines = append(s.Machines, &Machine{Type: typ})
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -37,7 +37,7 @@
 // first two passes.
 func (s *Snapshot) Fill() []Placement {
 	s.useIndex()
-	Order(s.Jobs)
+	SortByRank(s.Jobs)
 	f := filler{snapshot: s}
 	f.placeServices()
 	f.placeStarvedBatches()
@@ -220,9 +220,9 @@
 		if m == nil {
 			return
 		}
-		used := m.Used
+		used := m.InUse
 		s.assign(j, m)
-		if m.Used = used; !used {
+		if m.InUse = used; !used {
 			s.machineChanged(m)
 		}
 		selector.assigned(m)
--- a/internal/scheduler/fill_test.go
+++ b/internal/scheduler/fill_test.go
@@ -84,7 +84,7 @@
 		j.Service, j.IsHeadroom, j.Images = true, true, []ImageShare{{"x", 0.5}, {"y", 0.3}, {"z", 0.2}}
 	})
 	s := newSnapshot(ms, expected, batch("work", 24, func(j *Job) { j.InUpperQueue, j.Slots = false, 24 }))
-	if got := startedByJob(s.Fill())["work"]; got != 16 || ms[2].Free.Cores != 0 || !ms[0].Used || !ms[1].Used || ms[2].Used {
+	if got := startedByJob(s.Fill())["work"]; got != 16 || ms[2].Free.Cores != 0 || !ms[0].InUse || !ms[1].InUse || ms[2].InUse {
 		t.Errorf("%d tasks started, want 16, with the headroom for all 8 expected replicas on %s", got, ms[2].ID)
 	}
 }
@@ -94,11 +94,11 @@
 // stops for three jobs that never started.
 func TestReservedRoomStaysReserved(t *testing.T) {
 	m := machines(box, "a", "a")
-	m[0].Free, m[0].ReservedFor = Resources{Cores: 5, Mem: 32}, "web"
-	web := batch("web", 1, func(j *Job) { j.Service, j.Reserved, j.Request = true, 1, Resources{Cores: 8, Mem: 1} })
+	m[0].Free, m[0].ReservedFor = Resources{Cores: 5, MemoryGB: 32}, "web"
+	web := batch("web", 1, func(j *Job) { j.Service, j.Reserved, j.Request = true, 1, Resources{Cores: 8, MemoryGB: 1} })
 	s := newSnapshot(m, web, batch("b", 20, nil), batch("c", 20, func(j *Job) { j.Team = "blue" }))
 	s.Quotas["red"] = &Quota{Maximum: Resources{Cores: 16}, Used: Resources{Cores: 8}}
-	m[1].Free = Resources{Cores: 4, Mem: 32}
+	m[1].Free = Resources{Cores: 4, MemoryGB: 32}
 	for _, p := range s.Fill() {
 		if p.Machine == m[0] || p.Job.Team == "red" {
 			t.Errorf("a task of %s started on %s, in resources or quota reserved for web", p.Job.ID, p.Machine.ID)
@@ -115,7 +115,7 @@
 
 // Batches leave the ServiceReserve of their team's maximum free. Services may use the whole maximum.
 func TestBatchesLeaveServiceReserveFree(t *testing.T) {
-	typ := &Type{Name: "m", Size: Resources{Cores: 100, Mem: 100}}
+	typ := &MachineType{Name: "m", Size: Resources{Cores: 100, MemoryGB: 100}}
 	batch := &Job{ID: "j-1", Team: "red", Request: Resources{Cores: 10}, Tasks: 9, Slots: 9, Degradation: 1, Waiting: []int{0, 1, 2, 3, 4, 5, 6, 7, 8}}
 	web := &Job{ID: "j-2", Team: "red", Service: true, Request: Resources{Cores: 5}, Tasks: 2, Degradation: 1, Waiting: []int{0, 1}}
 	s := &Snapshot{UpperQueueCap: 1, Capacity: typ.Size, Jobs: []*Job{batch, web},
@@ -141,7 +141,7 @@
 	if maxTasks := int(0.25 * gpu.Size.Cores); got == 0 || got > maxTasks {
 		t.Errorf("%d tasks started on the cores of free accelerators, want 1 to %d", got, maxTasks)
 	}
-	s.Jobs = []*Job{batch("work", 4, func(j *Job) { j.Request = Resources{Cores: 5, Accel: 1, Mem: 1}; j.InUpperQueue = false })}
+	s.Jobs = []*Job{batch("work", 4, func(j *Job) { j.Request = Resources{Cores: 5, Accelerators: 1, MemoryGB: 1}; j.InUpperQueue = false })}
 	if got := startedByJob(s.Fill())["work"]; got != 4 {
 		t.Errorf("%d tasks with accelerators started on the same machine, want 4", got)
 	}
@@ -159,7 +159,7 @@
 	// If all machine types have accelerators, the batch may use all idle cores. Without this exception it ran one task
 	// on each of 180 machines, which stayed rented until the end of the day and kept the price at 2.3.
 	only := guests()
-	if only.AvoidsAccelerators = only.CanAvoidAccelerators([]*Type{gpu}); only.AvoidsAccelerators || !guests().CanAvoidAccelerators([]*Type{gpu, box}) {
+	if only.AvoidsAccelerators = only.CanAvoidAccelerators([]*MachineType{gpu}); only.AvoidsAccelerators || !guests().CanAvoidAccelerators([]*MachineType{gpu, box}) {
 		t.Error("CanAvoidAccelerators must be true exactly if the batch may use a type without accelerators")
 	}
 	s = newSnapshot(machines(gpu, "a"), only)
@@ -171,8 +171,8 @@
 // A task with a start-time objective of one second goes to a machine that fetches its image in time, even if that
 // machine is larger. A task with an objective of one hour goes to the smaller machine.
 func TestMissingImageWeightDependsOnStartObjective(t *testing.T) {
-	small := &Type{Name: "small", Size: Resources{Cores: 4, Mem: 8}, FetchGBPerS: 0.2}
-	large := &Type{Name: "large", Size: Resources{Cores: 64, Accel: 8, Mem: 384}, FetchGBPerS: 2}
+	small := &MachineType{Name: "small", Size: Resources{Cores: 4, MemoryGB: 8}, FetchGBPerS: 0.2}
+	large := &MachineType{Name: "large", Size: Resources{Cores: 64, Accelerators: 8, MemoryGB: 384}, FetchGBPerS: 2}
 	for _, tc := range []struct {
 		name            string
 		startObjectiveS float64
@@ -182,11 +182,11 @@
 		{"start within an hour", 3600, "i-small"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			j := &Job{ID: "j-1", Team: "red", Service: true, Image: "img", ImageGB: 0.6, StartObjectiveS: tc.startObjectiveS, Request: Resources{Cores: 2, Mem: 3},
+			j := &Job{ID: "j-1", Team: "red", Service: true, Image: "img", ImageGB: 0.6, StartObjectiveS: tc.startObjectiveS, Request: Resources{Cores: 2, MemoryGB: 3},
 				Tasks: 1, Degradation: 1, Waiting: []int{0}}
 			s := &Snapshot{Jobs: []*Job{j}, Quotas: map[string]*Quota{"red": {}}, Machines: []*Machine{
-				{ID: "i-large", Type: large, Free: large.Size, TaskCapacity: 9, Used: true},
-				{ID: "i-small", Type: small, Free: small.Size, TaskCapacity: 9, Used: true}}}
+				{ID: "i-large", Type: large, Free: large.Size, TaskCapacity: 9, InUse: true},
+				{ID: "i-small", Type: small, Free: small.Size, TaskCapacity: 9, InUse: true}}}
 			if got := s.Fill(); len(got) != 1 || got[0].Machine.ID != tc.machine {
 				t.Errorf("placements %v, want one task on %s", got, tc.machine)
 			}
@@ -197,7 +197,7 @@
 // Beyond slots, the job with the least time left until its deadline goes first, and a job that can't meet its deadline
 // goes last, regardless of attained service. Without deadlines, the job with the least attained service goes first.
 func TestDeadlinesBeyondSlots(t *testing.T) {
-	typ := &Type{Name: "m", Size: Resources{Cores: 4, Mem: 99}}
+	typ := &MachineType{Name: "m", Size: Resources{Cores: 4, MemoryGB: 99}}
 	start := func(untilDeadlineS [3]float64, deadlineMissed [3]bool) string {
 		s := &Snapshot{UpperQueueCap: 1, Capacity: typ.Size, Quotas: map[string]*Quota{"red": {}},
 			Machines: []*Machine{{ID: "i-1", Type: typ, Free: typ.Size, TaskCapacity: 99}}}
@@ -237,7 +237,7 @@
 	old := batch("old", 6, func(j *Job) { j.InUpperQueue, j.Attained, j.Assigned, j.Interrupted = false, 50, 1, 2 })
 	young := batch("young", 6, func(j *Job) { j.InUpperQueue, j.Assigned, j.Slots = false, 1, 1 })
 	ms := machines(box, "a")
-	ms[0].Free = Resources{Cores: 5, Mem: 32}
+	ms[0].Free = Resources{Cores: 5, MemoryGB: 32}
 	got := startedByJob(newSnapshot(ms, old, young).Fill())
 	if got["old"] != 2 || got["young"] != 3 {
 		t.Errorf("started tasks by job: %v, want the 2 interrupted tasks of old and 3 tasks of young", got)
@@ -273,19 +273,19 @@
 	for i := range 6 {
 		s.Quotas[string(rune('a'+i))] = &Quota{Guaranteed: Resources{Cores: 1800}, Maximum: Resources{Cores: 6000}}
 	}
-	types := []*Type{{Name: "s", Size: Resources{Cores: 4, Mem: 8}, Price: 1}, {Name: "l", Size: Resources{Cores: 64, Accel: 8, Mem: 384}, Price: 20}}
+	types := []*MachineType{{Name: "s", Size: Resources{Cores: 4, MemoryGB: 8}, Price: 1}, {Name: "l", Size: Resources{Cores: 64, Accelerators: 8, MemoryGB: 384}, Price: 20}}
 	for i := range machines {
 		typ := types[i%2]
 		m := &Machine{ID: "i-" + string(rune('0'+i)), Type: typ, Zone: string(rune('x' + i%3)), Free: typ.Size.Times(float64(i%3) / 4),
-			TaskCapacity: 50, Used: true, Images: map[string]bool{string(rune('A' + i%12)): true}}
+			TaskCapacity: 50, InUse: true, Images: map[string]bool{string(rune('A' + i%12)): true}}
 		s.Machines = append(s.Machines, m)
 		s.Capacity = s.Capacity.Plus(typ.Size)
 	}
 	for i := range jobs {
 		j := &Job{ID: "j-" + string(rune('0'+i)), Team: string(rune('a' + i%6)), Image: string(rune('A' + i%12)), Service: i%3 == 0,
-			Request: Resources{Cores: 2, Mem: 2.8}, Tasks: 12, Slots: 1, InUpperQueue: i%3 == 1, Degradation: 1, Spread: i%3 == 0, Submitted: int64(i)}
+			Request: Resources{Cores: 2, MemoryGB: 2.8}, Tasks: 12, Slots: 1, InUpperQueue: i%3 == 1, Degradation: 1, Spread: i%3 == 0, Submitted: int64(i)}
 		if i%2 == 0 {
-			j.Request = Resources{Cores: 11, Accel: 2, Mem: 50}
+			j.Request = Resources{Cores: 11, Accelerators: 2, MemoryGB: 50}
 		}
 		for k := range 12 {
 			j.Waiting = append(j.Waiting, k)
--- a/internal/scheduler/gang_placement.go
+++ b/internal/scheduler/gang_placement.go
@@ -74,7 +74,7 @@
 			j.Waiting, j.Assigned = waitingBefore, assignedBefore
 			return nil, false
 		}
-		assigned = append(assigned, gangAssignment{m, m.Used, m.Fetching[j.Image]})
+		assigned = append(assigned, gangAssignment{m, m.InUse, m.Fetching[j.Image]})
 		placements = append(placements, Placement{j, j.Waiting[0], m})
 		s.assign(j, m)
 	}
@@ -85,7 +85,7 @@
 // restores. Assignments must be reverted in reverse order.
 func (s *Snapshot) unassign(j *Job, a gangAssignment) {
 	m := a.machine
-	m.Free, m.Used = m.Free.Plus(j.Request), a.wasUsed
+	m.Free, m.InUse = m.Free.Plus(j.Request), a.wasUsed
 	m.TaskCapacity++
 	if !a.wasFetching {
 		delete(m.Fetching, j.Image)
--- a/internal/scheduler/gang_placement_test.go
+++ b/internal/scheduler/gang_placement_test.go
@@ -7,11 +7,11 @@
 func TestGangIsPlacedWhole(t *testing.T) {
 	gang := func(n int) *Job {
 		return batch("g", n, func(j *Job) {
-			j.Gang, j.InUpperQueue, j.OneZone, j.Request, j.Slots = true, false, true, Resources{Cores: 4, Mem: 1}, n
+			j.Gang, j.InUpperQueue, j.OneZone, j.Request, j.Slots = true, false, true, Resources{Cores: 4, MemoryGB: 1}, n
 		})
 	}
 	ms := machines(box, "a", "b", "b")
-	ms[0].Used, ms[0].Images = true, map[string]bool{"": true}
+	ms[0].InUse, ms[0].Images = true, map[string]bool{"": true}
 	s := newSnapshot(ms, gang(4))
 	ps := s.Fill()
 	if len(ps) != 4 {
@@ -34,7 +34,7 @@
 func TestRoomIsHeldBackForStarvedGang(t *testing.T) {
 	gang := func(id string, n int, submitted int64) *Job {
 		return batch(id, n, func(j *Job) {
-			j.Gang, j.InUpperQueue, j.Starved, j.Request, j.Slots, j.Submitted = true, false, true, Resources{Cores: 4, Mem: 1}, n, submitted
+			j.Gang, j.InUpperQueue, j.Starved, j.Request, j.Slots, j.Submitted = true, false, true, Resources{Cores: 4, MemoryGB: 1}, n, submitted
 		})
 	}
 	small := batch("x", 16, func(j *Job) { j.Slots, j.InUpperQueue = 16, false })
--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -177,7 +177,7 @@
 func (g *gangPreemption) zoneOpen(zone string) bool {
 	placedJob := *g.job
 	placedJob.InZone = g.inZone
-	return placedJob.ZoneOpen(zone)
+	return placedJob.AllowsZone(zone)
 }
 
 // taskOption holds the stops, and their cost, that one more task of the gang needs on a machine.
--- a/internal/scheduler/gang_preemption_test.go
+++ b/internal/scheduler/gang_preemption_test.go
@@ -9,7 +9,7 @@
 func waitingGang(tasks int, change func(*Job)) *Job {
 	return batch("gang", tasks, func(j *Job) {
 		j.Gang, j.InUpperQueue, j.Priority, j.Slots = true, false, 2, tasks
-		j.Request = Resources{Cores: 4, Mem: 1}
+		j.Request = Resources{Cores: 4, MemoryGB: 1}
 		if change != nil {
 			change(j)
 		}
@@ -20,7 +20,7 @@
 // youngest.
 func runningOn(id string, change func(*Job), on ...*Machine) *Job {
 	j := batch(id, 0, func(j *Job) {
-		j.InUpperQueue, j.Request, j.Attained = false, Resources{Cores: 4, Mem: 1}, 1
+		j.InUpperQueue, j.Request, j.Attained = false, Resources{Cores: 4, MemoryGB: 1}, 1
 		if change != nil {
 			change(j)
 		}
@@ -28,7 +28,7 @@
 	j.Assigned, j.Slots, j.Tasks = len(on), len(on), len(on)
 	for i, m := range on {
 		m.Running = append(m.Running, RunningTask{Job: j, Index: i, RunningS: 10 + float64(i)})
-		m.Free, m.Used = m.Free.Minus(j.Request), true
+		m.Free, m.InUse = m.Free.Minus(j.Request), true
 		j.InZone[m.Zone]++
 	}
 	return j
@@ -208,7 +208,7 @@
 				jobs = append(jobs, waitingGang(2+i%7, func(j *Job) {
 					j.ID, j.OneZone, j.Submitted = fmt.Sprintf("gang-%d", i), true, int64(i)
 					if !tc.alike {
-						j.Request.Mem = 1 + float64(i)/1000
+						j.Request.MemoryGB = 1 + float64(i)/1000
 					}
 				}))
 			}
--- a/internal/scheduler/helpers_test.go
+++ b/internal/scheduler/helpers_test.go
@@ -3,11 +3,11 @@
 import "fmt"
 
 // box is a machine type without accelerators; gpu is a type with four.
-var box = &Type{Name: "box", Size: Resources{Cores: 8, Mem: 32}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10}
-var gpu = &Type{Name: "gpu", Size: Resources{Cores: 32, Accel: 4, Mem: 128}, Price: 10, SpotPrice: 4, Zones: []string{"a"}, BootS: 10}
+var box = &MachineType{Name: "box", Size: Resources{Cores: 8, MemoryGB: 32}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}, BootS: 10}
+var gpu = &MachineType{Name: "gpu", Size: Resources{Cores: 32, Accelerators: 4, MemoryGB: 128}, Price: 10, SpotPrice: 4, Zones: []string{"a"}, BootS: 10}
 
 // machines returns an empty machine of the type for each of the zones.
-func machines(t *Type, zones ...string) []*Machine {
+func machines(t *MachineType, zones ...string) []*Machine {
 	var list []*Machine
 	for i, z := range zones {
 		list = append(list, &Machine{ID: fmt.Sprintf("%s-%d", t.Name, i), Type: t, Zone: z, Free: t.Size, TaskCapacity: 100})
@@ -17,7 +17,7 @@
 
 // batch returns a batch job in the upper queue with n waiting tasks of one core each. change may modify it.
 func batch(id string, n int, change func(*Job)) *Job {
-	j := &Job{ID: id, Team: "red", Tasks: n, Request: Resources{Cores: 1, Mem: 1}, Degradation: 1, Slots: 1, InUpperQueue: true, InZone: map[string]int{}}
+	j := &Job{ID: id, Team: "red", Tasks: n, Request: Resources{Cores: 1, MemoryGB: 1}, Degradation: 1, Slots: 1, InUpperQueue: true, InZone: map[string]int{}}
 	for i := range n {
 		j.Waiting = append(j.Waiting, i)
 	}
--- a/internal/scheduler/index_search.go
+++ b/internal/scheduler/index_search.go
@@ -41,7 +41,7 @@
 // searchIndex returns a search for the job, or nil if the index can't determine the best machine: for headroom whose
 // expected tasks need different images, and for tasks that request only memory.
 func (s *Snapshot) searchIndex(j *Job) *indexSearch {
-	if s.index == nil || j.IsHeadroom && len(j.Images) > 0 || j.Request.Cores <= 0 && j.Request.Accel <= 0 {
+	if s.index == nil || j.IsHeadroom && len(j.Images) > 0 || j.Request.Cores <= 0 && j.Request.Accelerators <= 0 {
 		return nil
 	}
 	// Searches don't overlap, so each one reuses the memory of the previous one.
@@ -57,7 +57,7 @@
 
 // coreRuleFor returns the rule for which cores a task of the job may take in the current pass.
 func (s *Snapshot) coreRuleFor(j *Job) coreRule {
-	if s.reserveAcceleratorCores && j.AvoidsAccelerators && j.Request.Accel <= 0 {
+	if s.reserveAcceleratorCores && j.AvoidsAccelerators && j.Request.Accelerators <= 0 {
 		return leaveAcceleratorCores
 	}
 	return anyCores
@@ -68,7 +68,7 @@
 	best := is.bestReserved()
 	for i := range is.pools {
 		p := &is.pools[i]
-		if !is.job.ZoneOpen(p.pool.zone) {
+		if !is.job.AllowsZone(p.pool.zone) {
 			continue
 		}
 		if p.stale {
@@ -129,7 +129,7 @@
 	}
 	missingImagePenalty := missingImageScore * j.fetchWeight(pool.typ)
 	for _, class := range pool.classList {
-		if class.machines.len() == 0 || class.accel+roundingTolerance < j.Request.Accel {
+		if class.machines.len() == 0 || class.accelerators+roundingTolerance < j.Request.Accelerators {
 			continue
 		}
 		bound := scoreLowerBound(j, pool, class)
@@ -158,10 +158,10 @@
 	if j.Spot && !pool.spot {
 		least += notSpotScore
 	}
-	if j.Request.Accel == 0 && pool.typ.Size.Accel > 0 {
+	if j.Request.Accelerators == 0 && pool.typ.Size.Accelerators > 0 {
 		least += unneededAcceleratorScore
 	}
-	if !class.used {
+	if !class.inUse {
 		least += unusedScore
 	}
 	return least
@@ -174,15 +174,15 @@
 		return
 	}
 	j := is.job
-	if j.Request.Accel > 0 && class.accel-j.Request.Accel > 0 {
+	if j.Request.Accelerators > 0 && class.accelerators-j.Request.Accelerators > 0 {
 		// The score depends on the accelerators that stay free, which are the same for all machines of the bucket.
 		bucket.byPosition.Scan(func(entry bucketEntry) bool { return !is.consider(entry.machine, best) })
 		return
 	}
-	if j.Request.Accel <= 0 && pool.typ.Size.Accel > 0 {
+	if j.Request.Accelerators <= 0 && pool.typ.Size.Accelerators > 0 {
 		// On machines with at least about this many free cores, a task without accelerators takes no cores that free
 		// accelerators need.
-		minCores := j.Request.Cores + acceleratorCoreReserve*pool.typ.Size.Cores*max(0, class.accel)/pool.typ.Size.Accel
+		minCores := j.Request.Cores + acceleratorCoreReserve*pool.typ.Size.Cores*max(0, class.accelerators)/pool.typ.Size.Accelerators
 		if is.scanFrom(bucket, minCores*(1-1e-9), leaveAcceleratorCores, best) || is.rule == leaveAcceleratorCores {
 			return
 		}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -82,9 +82,9 @@
 	return rankLower
 }
 
-// Order sorts jobs by rank: services by priority and then age, expected replicas, the upper queue first come, first
-// served, and the lower queue by Rank. Sorting jobs that are already in order is cheap.
-func Order(jobs []*Job) { slices.SortFunc(jobs, compareRanks) }
+// SortByRank sorts jobs by rank: services by priority and then age, expected replicas, the upper queue first come,
+// first served, and the lower queue by Rank. Sorting jobs that are already in order is cheap.
+func SortByRank(jobs []*Job) { slices.SortFunc(jobs, compareRanks) }
 
 // compareRanks defines the order of jobs. It is a total order, because IDs are unique.
 func compareRanks(x, y *Job) int {
@@ -113,11 +113,11 @@
 
 // MayRunOn reports whether the job's constraints allow one more task on the machine. It does not check for room.
 func (j *Job) MayRunOn(m *Machine) bool {
-	return j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.ZoneOpen(m.Zone) && !j.AvoidMachines[m.ID]
+	return j.AllowedOn(m.Type.Name, m.Zone, m.Spot) && j.AllowsZone(m.Zone) && !j.AvoidMachines[m.ID]
 }
 
-// ZoneOpen reports whether OneZone and Spread allow one more task in the zone, given the zones of the other tasks.
-func (j *Job) ZoneOpen(zone string) bool {
+// AllowsZone reports whether OneZone and Spread allow one more task in the zone, given the zones of the other tasks.
+func (j *Job) AllowsZone(zone string) bool {
 	if j.OneZone {
 		for z, n := range j.InZone {
 			if n > 0 && z != zone {
--- a/internal/scheduler/job_test.go
+++ b/internal/scheduler/job_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Order follows GREEN: services, then the upper queue first come, first served, then the lower queue by attained
+// SortByRank follows GREEN: services, then the upper queue first come, first served, then the lower queue by attained
 // service divided by degradation, the lowest first.
 func TestOrder(t *testing.T) {
 	lower := func(attained, degr float64) func(*Job) {
@@ -18,7 +18,7 @@
 		batch("service", 1, func(j *Job) { j.Service, j.Submitted = true, 9 }),
 		batch("better-service", 1, func(j *Job) { j.Service, j.Submitted, j.Priority = true, 9, 3 }),
 	}
-	Order(jobs)
+	SortByRank(jobs)
 	var got []string
 	for _, j := range jobs {
 		got = append(got, j.ID)
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -23,7 +23,7 @@
 
 // poolKey holds the machine properties that the constraints of a job may exclude.
 type poolKey struct {
-	typ  *Type
+	typ  *MachineType
 	zone string
 	spot bool
 }
@@ -49,9 +49,9 @@
 
 // classKey holds the machine properties that determine a task's score, except for images and free cores.
 type classKey struct {
-	booting, used bool
-	fetching      int // number of images being fetched
-	accel         float64
+	booting, inUse bool
+	fetching       int // number of images being fetched
+	accelerators   float64
 }
 
 // equivalenceClass holds the machines of a pool that have the same classKey.
@@ -144,7 +144,7 @@
 	switch {
 	case !wasIndexed || indexed.gainedRoom(m):
 		pool.infeasible = [coreRules][]Resources{}
-	case indexed.free.Accel != m.Free.Accel:
+	case indexed.free.Accelerators != m.Free.Accelerators:
 		pool.infeasible[leaveAcceleratorCores] = nil // fewer free accelerators need fewer cores
 	}
 	*indexed = indexedMachine{pool: pool, free: m.Free, taskCapacity: m.TaskCapacity, reservedFor: m.ReservedFor,
@@ -154,7 +154,7 @@
 
 // gainedRoom reports whether the machine may now have room for a task that did not fit before.
 func (i *indexedMachine) gainedRoom(m *Machine) bool {
-	return i.free.Cores < m.Free.Cores || i.free.Accel < m.Free.Accel || i.free.Mem < m.Free.Mem ||
+	return i.free.Cores < m.Free.Cores || i.free.Accelerators < m.Free.Accelerators || i.free.MemoryGB < m.Free.MemoryGB ||
 		i.taskCapacity <= 0 && m.TaskCapacity > 0 || i.reservedFor != m.ReservedFor
 }
 
@@ -187,7 +187,7 @@
 
 // isFull reports whether the machine has no room for any task that requests cores or accelerators.
 func (m *Machine) isFull() bool {
-	return m.TaskCapacity <= 0 || m.Free.Cores <= roundingTolerance && m.Free.Accel <= roundingTolerance
+	return m.TaskCapacity <= 0 || m.Free.Cores <= roundingTolerance && m.Free.Accelerators <= roundingTolerance
 }
 
 // remove deletes a machine from the index.
@@ -274,7 +274,7 @@
 }
 
 func (m *Machine) classKey() classKey {
-	return classKey{booting: m.Booting, used: m.Used, fetching: len(m.Fetching), accel: m.Free.Accel}
+	return classKey{booting: m.Booting, inUse: m.InUse, fetching: len(m.Fetching), accelerators: m.Free.Accelerators}
 }
 
 func (p *poolIndex) classFor(m *Machine) *equivalenceClass {
--- a/internal/scheduler/machine_index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -8,10 +8,10 @@
 )
 
 // randomTypes lists the machine types of random snapshots, one of them with accelerators.
-var randomTypes = []*Type{
-	{Name: "small", Size: Resources{Cores: 4, Mem: 8}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b", "c"}, BootS: 10, FetchGBPerS: 0.5},
-	{Name: "large", Size: Resources{Cores: 32, Mem: 128}, Price: 6, SpotPrice: 2, Zones: []string{"a", "b"}, BootS: 10, FetchGBPerS: 2},
-	{Name: "accel", Size: Resources{Cores: 64, Accel: 8, Mem: 384}, Price: 20, SpotPrice: 8, Zones: []string{"a", "c"}, BootS: 20, FetchGBPerS: 2},
+var randomTypes = []*MachineType{
+	{Name: "small", Size: Resources{Cores: 4, MemoryGB: 8}, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b", "c"}, BootS: 10, FetchGBPerS: 0.5},
+	{Name: "large", Size: Resources{Cores: 32, MemoryGB: 128}, Price: 6, SpotPrice: 2, Zones: []string{"a", "b"}, BootS: 10, FetchGBPerS: 2},
+	{Name: "accel", Size: Resources{Cores: 64, Accelerators: 8, MemoryGB: 384}, Price: 20, SpotPrice: 8, Zones: []string{"a", "c"}, BootS: 20, FetchGBPerS: 2},
 }
 
 // randomSnapshot returns a random snapshot, the same for the same seed. Resources are multiples of a quarter, so that
@@ -21,16 +21,16 @@
 	quarter := func(n int) float64 { return float64(rng.IntN(n)) / 4 }
 	s := &Snapshot{UpperQueueCap: 0.3, Quotas: map[string]*Quota{}}
 	for i := range 1 + rng.IntN(5) {
-		s.Quotas[fmt.Sprint("team-", i)] = &Quota{Guaranteed: Resources{Cores: quarter(200), Accel: float64(rng.IntN(20))},
-			Maximum: Resources{Cores: quarter(3000), Accel: float64(rng.IntN(120))}, ServiceReserve: Resources{Cores: quarter(20)}}
+		s.Quotas[fmt.Sprint("team-", i)] = &Quota{Guaranteed: Resources{Cores: quarter(200), Accelerators: float64(rng.IntN(20))},
+			Maximum: Resources{Cores: quarter(3000), Accelerators: float64(rng.IntN(120))}, ServiceReserve: Resources{Cores: quarter(20)}}
 	}
 	jobs := randomJobs(rng, quarter, len(s.Quotas))
 	for i := range 2 + rng.IntN(60) {
 		t := randomTypes[rng.IntN(len(randomTypes))]
 		m := &Machine{ID: fmt.Sprintf("i-%03d", i), Type: t, Zone: t.Zones[rng.IntN(len(t.Zones))], Spot: rng.IntN(3) == 0,
-			Free: t.Size, TaskCapacity: rng.IntN(30), Used: rng.IntN(2) == 0, Images: map[string]bool{}, Booting: rng.IntN(8) == 0}
+			Free: t.Size, TaskCapacity: rng.IntN(30), InUse: rng.IntN(2) == 0, Images: map[string]bool{}, Booting: rng.IntN(8) == 0}
 		if rng.IntN(2) == 0 {
-			m.Free = Resources{Cores: min(t.Size.Cores, quarter(int(4*t.Size.Cores)+1)), Accel: float64(rng.IntN(int(t.Size.Accel) + 1)), Mem: quarter(int(4*t.Size.Mem) + 1)}
+			m.Free = Resources{Cores: min(t.Size.Cores, quarter(int(4*t.Size.Cores)+1)), Accelerators: float64(rng.IntN(int(t.Size.Accelerators) + 1)), MemoryGB: quarter(int(4*t.Size.MemoryGB) + 1)}
 		}
 		for range rng.IntN(4) {
 			m.Images[fmt.Sprint("img-", rng.IntN(5))] = true
@@ -58,7 +58,7 @@
 			continue
 		}
 		m.Running = append(m.Running, RunningTask{Job: j, Index: first + i, RunningS: float64(rng.IntN(100))})
-		m.Free, m.Used = m.Free.Minus(j.Request), true
+		m.Free, m.InUse = m.Free.Minus(j.Request), true
 		j.Assigned++
 		j.InZone[m.Zone]++
 	}
@@ -69,11 +69,11 @@
 	for i := range 2 + rng.IntN(40) {
 		j := &Job{ID: fmt.Sprintf("j-%03d", i), Team: fmt.Sprint("team-", rng.IntN(teams)), Image: []string{"", fmt.Sprint("img-", rng.IntN(5))}[min(1, rng.IntN(6))],
 			ImageGB: quarter(40), StartObjectiveS: quarter(40), Service: rng.IntN(3) == 0, Gang: rng.IntN(6) == 0, Priority: rng.IntN(4), Submitted: int64(rng.IntN(20)),
-			Request: Resources{Cores: quarter(48), Mem: quarter(100)}, Spot: rng.IntN(2) == 0, Degradation: 1, Attained: quarter(50), Slots: 1 + rng.IntN(4),
+			Request: Resources{Cores: quarter(48), MemoryGB: quarter(100)}, Spot: rng.IntN(2) == 0, Degradation: 1, Attained: quarter(50), Slots: 1 + rng.IntN(4),
 			InUpperQueue: rng.IntN(2) == 0, InZone: map[string]int{}, UntilDeadlineS: quarter(100), DeadlineMissed: rng.IntN(5) == 0, Starved: rng.IntN(4) == 0, WaitedTwoBoots: rng.IntN(4) == 0,
 			AvoidsAccelerators: rng.IntN(3) == 0, OneZone: rng.IntN(8) == 0, Spread: rng.IntN(5) == 0, Interrupted: rng.IntN(2)}
 		if rng.IntN(3) == 0 {
-			j.Request.Accel = float64(rng.IntN(5))
+			j.Request.Accelerators = float64(rng.IntN(5))
 		}
 		if rng.IntN(4) == 0 {
 			j.Types = map[string]bool{randomTypes[rng.IntN(3)].Name: true, randomTypes[rng.IntN(3)].Name: true}
@@ -183,7 +183,7 @@
 	case 2:
 		m.ReservedFor = []string{"", "j-001"}[rng.IntN(2)]
 	case 3:
-		m.Fetching, m.Used = nil, !m.Used
+		m.Fetching, m.InUse = nil, !m.InUse
 	case 4:
 		m.TaskCapacity = rng.IntN(5)
 	case 5:
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -20,7 +20,7 @@
 // team's guarantee; one task of each starved batch; starved gangs; headroom for expected replicas; then batches in the
 // order of fillPasses.
 func (s *oracle) Fill() []Placement {
-	Order(s.Jobs)
+	SortByRank(s.Jobs)
 	out := s.placeServices(nil)
 	out = s.placeStarvedBatches(out)
 	out = s.placeStarvedGangs(out)
@@ -128,9 +128,9 @@
 		if m == nil {
 			return
 		}
-		used := m.Used
+		used := m.InUse
 		s.assign(j, m)
-		m.Used = used
+		m.InUse = used
 		selector.assigned(m)
 	}
 }
@@ -148,7 +148,7 @@
 	}
 	m.Free = m.Free.Minus(j.Request)
 	m.TaskCapacity--
-	m.Used = true
+	m.InUse = true
 	if !m.Images[j.Image] && j.Image != "" {
 		if m.Fetching == nil {
 			m.Fetching = map[string]bool{}
@@ -159,18 +159,18 @@
 
 // machinesWithRoom lists the machines that may have room. Machines that have become full since the list was collected
 // stay in it. The list is dropped when resources are freed or a machine is added.
-func (s *oracle) machinesWithRoom(accel, cores bool) []*Machine {
+func (s *oracle) machinesWithRoom(accelerators, cores bool) []*Machine {
 	kind := 0
-	if !accel && !cores {
+	if !accelerators && !cores {
 		return s.Machines // the task requests only memory
 	}
-	if accel {
+	if accelerators {
 		kind = 1
 	}
 	if s.listsWithRoom[kind] == nil {
 		s.listsWithRoom[kind] = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
-			if m.TaskCapacity > 0 && (accel && m.Free.Accel > roundingTolerance || !accel && m.Free.Cores > roundingTolerance) {
+			if m.TaskCapacity > 0 && (accelerators && m.Free.Accelerators > roundingTolerance || !accelerators && m.Free.Cores > roundingTolerance) {
 				s.listsWithRoom[kind] = append(s.listsWithRoom[kind], m)
 			}
 		}
@@ -181,7 +181,7 @@
 func (s *oracle) bestMachine(j *Job) *Machine {
 	var best *Machine
 	bestScore := math.Inf(1)
-	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	list := s.machinesWithRoom(j.Request.Accelerators > 0, j.Request.Cores > 0)
 	s.MachinesExamined += len(list)
 	for _, m := range list {
 		if !s.accepts(j, m) {
@@ -253,7 +253,7 @@
 		m := s.bestMachine(j)
 		if m == nil {
 			for _, b := range slices.Backward(undo) {
-				b.m.Free, b.m.Used = b.m.Free.Plus(j.Request), b.used
+				b.m.Free, b.m.InUse = b.m.Free.Plus(j.Request), b.used
 				b.m.TaskCapacity++
 				if !b.fetching {
 					delete(b.m.Fetching, j.Image)
@@ -266,7 +266,7 @@
 			j.Waiting, j.Assigned = waitingBefore, assignedBefore
 			return nil, false
 		}
-		undo = append(undo, before{m, m.Used, m.Fetching[j.Image]})
+		undo = append(undo, before{m, m.InUse, m.Fetching[j.Image]})
 		placements = append(placements, Placement{j, j.Waiting[0], m})
 		s.assign(j, m)
 	}
@@ -274,10 +274,10 @@
 }
 
 // Plan places the waiting tasks on free and booting machines, and on new machines where those lack room. It returns the
-// machines to rent, at most maxLaunches and none from blocked pools, and sets Used on all machines that waiting or
+// machines to rent, at most maxLaunches and none from blocked pools, and sets InUse on all machines that waiting or
 // expected tasks need.
-func (s *oracle) Plan(types []*Type, blocked func(Pool) bool, maxLaunches int) []Launch {
-	Order(s.Jobs)
+func (s *oracle) Plan(types []*MachineType, blocked func(Pool) bool, maxLaunches int) []Launch {
+	SortByRank(s.Jobs)
 	s.reserveAcceleratorCores = true
 	want := map[Pool]int{}
 	var order []Pool
@@ -325,7 +325,7 @@
 }
 
 // planGang places all tasks of a gang on existing machines. It returns false if machines must be rented for it.
-func (s *oracle) planGang(j *Job, later []*Job, types []*Type, blocked func(Pool) bool) bool {
+func (s *oracle) planGang(j *Job, later []*Job, types []*MachineType, blocked func(Pool) bool) bool {
 	if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Request.Times(float64(len(j.Waiting)))) {
 		return true
 	}
@@ -344,7 +344,7 @@
 // Stops computes the preemption of one round. For waiting tasks within the slots of their jobs that found no room, it
 // selects lower-ranked tasks to stop, according to the rules in the protocol's section "Preemption".
 func (s *oracle) Stops(maxStops int) Preemption {
-	Order(s.Jobs)
+	SortByRank(s.Jobs)
 	rank := map[*Job]int{}
 	for i, j := range s.Jobs {
 		rank[j] = i
@@ -469,7 +469,7 @@
 // candidateHeapFor returns a heap of the machines that accept a task of the job.
 func (s *oracle) candidateHeapFor(j *Job) *oracleCandidateHeap {
 	c := &oracleCandidateHeap{oracle: s, job: j}
-	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	list := s.machinesWithRoom(j.Request.Accelerators > 0, j.Request.Cores > 0)
 	s.MachinesExamined += len(list)
 	for place, m := range list {
 		if s.accepts(j, m) {
@@ -622,23 +622,23 @@
 	return best, cheapestVictims
 }
 
-func (s *oracle) cheapestPool(j *Job, later []*Job, types []*Type, blocked func(Pool) bool) (Pool, *Type) {
+func (s *oracle) cheapestPool(j *Job, later []*Job, types []*MachineType, blocked func(Pool) bool) (Pool, *MachineType) {
 	var cheapest Pool
-	var typ *Type
+	var typ *MachineType
 	lowest := math.Inf(1)
 	for _, t := range types {
-		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
+		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accelerators > 0 {
 			continue
 		}
 		capacity := tasksPerMachine(j.Request, t.Size)
 		alike := 0
 		for _, o := range later {
-			if (o.Request.Accel > 0) == (j.Request.Accel > 0) && (o.Types == nil || o.Types[t.Name]) && o.Request.Fits(t.Size) {
+			if (o.Request.Accelerators > 0) == (j.Request.Accelerators > 0) && (o.Types == nil || o.Types[t.Name]) && o.Request.Fits(t.Size) {
 				alike += len(o.Waiting)
 			}
 		}
 		for _, zone := range t.Zones {
-			if !j.ZoneOpen(zone) {
+			if !j.AllowsZone(zone) {
 				continue
 			}
 			inZone := 0
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -49,7 +49,7 @@
 // no preemption, and clears the map at the end of a round that did not reach the bound on its work.
 func (s *Snapshot) Preempt(maxStops int, searchedJobs map[string]bool) Preemption {
 	s.useIndex()
-	Order(s.Jobs)
+	SortByRank(s.Jobs)
 	for i, j := range s.Jobs {
 		j.rankPosition = i
 	}
--- a/internal/scheduler/preemption_costs.go
+++ b/internal/scheduler/preemption_costs.go
@@ -91,7 +91,7 @@
 	}
 	var cheapest *machineCost
 	for zone, h := range current.zones {
-		if !j.ZoneOpen(zone) {
+		if !j.AllowsZone(zone) {
 			continue
 		}
 		if first := r.cheapestOf(j, guaranteed, h); first != nil && (cheapest == nil || first.before(cheapest)) {
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -57,7 +57,7 @@
 // One round makes room for all waiting tasks of a job and reserves a machine for each of them. No further tasks are
 // stopped for a job while its earlier victims have not all ended.
 func TestPreemptionMakesRoomForWholeJob(t *testing.T) {
-	typ := &Type{Name: "m", Size: Resources{Cores: 8, Mem: 99}}
+	typ := &MachineType{Name: "m", Size: Resources{Cores: 8, MemoryGB: 99}}
 	build := func(reserved int) *Snapshot {
 		web := &Job{ID: "j-web", Team: "red", Service: true, Priority: 3, Request: Resources{Cores: 8}, Tasks: 3, Degradation: 1,
 			Reserved: reserved, Waiting: []int{0, 1, 2}}
@@ -66,7 +66,7 @@
 			b := &Job{ID: "j-" + string(rune('a'+i)), Team: "blue", Request: Resources{Cores: 8}, Tasks: 1, Assigned: 1, Slots: 1, Degradation: 1,
 				InZone: map[string]int{"": 1}}
 			s.Jobs = append(s.Jobs, b)
-			s.Machines = append(s.Machines, &Machine{ID: "i-" + string(rune('a'+i)), Type: typ, TaskCapacity: 9, Used: true, Running: []RunningTask{{Job: b}}})
+			s.Machines = append(s.Machines, &Machine{ID: "i-" + string(rune('a'+i)), Type: typ, TaskCapacity: 9, InUse: true, Running: []RunningTask{{Job: b}}})
 		}
 		return s
 	}
@@ -104,11 +104,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			ms := machines(box, "a", "a")
 			gang := batch("g", 0, func(j *Job) {
-				j.Gang, j.InUpperQueue, j.Request, j.Assigned, j.Slots, j.Tasks = true, false, Resources{Cores: 4, Mem: 1}, 4, 4, 4
+				j.Gang, j.InUpperQueue, j.Request, j.Assigned, j.Slots, j.Tasks = true, false, Resources{Cores: 4, MemoryGB: 1}, 4, 4, 4
 			})
-			array := batch("x", 0, func(j *Job) { j.InUpperQueue, j.Request, j.Assigned = false, Resources{Cores: 8, Mem: 1}, 1 })
+			array := batch("x", 0, func(j *Job) { j.InUpperQueue, j.Request, j.Assigned = false, Resources{Cores: 8, MemoryGB: 1}, 1 })
 			urgent := batch("s", 1, func(j *Job) {
-				j.Service, j.Priority, j.InUpperQueue, j.Request = true, 3, false, Resources{Cores: 4, Mem: 1}
+				j.Service, j.Priority, j.InUpperQueue, j.Request = true, 3, false, Resources{Cores: 4, MemoryGB: 1}
 			})
 			jobs := []*Job{urgent, gang}
 			hold := func(m *Machine, j *Job, n int) {
@@ -143,7 +143,7 @@
 		s := newSnapshot(ms)
 		s.Quotas = map[string]*Quota{"low": {}}
 		low := batch("low", 0, func(j *Job) {
-			j.Team, j.Assigned, j.InUpperQueue, j.Request = "low", len(ms), false, Resources{Cores: 1, Mem: 1}
+			j.Team, j.Assigned, j.InUpperQueue, j.Request = "low", len(ms), false, Resources{Cores: 1, MemoryGB: 1}
 		})
 		for i, m := range ms {
 			m.Running = []RunningTask{{Job: low, Index: i, RunningS: 10}}
@@ -154,11 +154,11 @@
 			team := fmt.Sprint("team-", i)
 			s.Quotas[team] = &Quota{}
 			s.Jobs = append(s.Jobs, batch(fmt.Sprintf("large-%03d", i), 1, func(j *Job) {
-				j.Team, j.Priority, j.Request, j.InUpperQueue = team, 2, Resources{Cores: 4, Mem: 4}, false
+				j.Team, j.Priority, j.Request, j.InUpperQueue = team, 2, Resources{Cores: 4, MemoryGB: 4}, false
 			}))
 		}
 		s.Jobs = append(s.Jobs, batch("last", 1, func(j *Job) {
-			j.Team, j.Priority, j.Request, j.InUpperQueue, j.Submitted = "team-0", 2, Resources{Cores: 1, Mem: 1}, false, 9
+			j.Team, j.Priority, j.Request, j.InUpperQueue, j.Submitted = "team-0", 2, Resources{Cores: 1, MemoryGB: 1}, false, 9
 		}))
 		return s
 	}
@@ -195,14 +195,14 @@
 		ms = append(ms, &Machine{ID: fmt.Sprintf("i-%05d", i), Type: box, Zone: "a", TaskCapacity: 10})
 	}
 	s := newSnapshot(ms)
-	low := batch("low", 0, func(j *Job) { j.Assigned, j.InUpperQueue, j.Request = len(ms), false, Resources{Cores: 8, Mem: 1} })
+	low := batch("low", 0, func(j *Job) { j.Assigned, j.InUpperQueue, j.Request = len(ms), false, Resources{Cores: 8, MemoryGB: 1} })
 	for i, m := range ms {
 		m.Running = []RunningTask{{Job: low, Index: i, RunningS: float64(i % 7)}}
 	}
 	s.Jobs = []*Job{low}
 	for i := range count {
 		s.Jobs = append(s.Jobs, batch(fmt.Sprintf("web-%03d", i), 1, func(j *Job) {
-			j.Service, j.InUpperQueue, j.Team, j.Priority, j.Request = true, false, "blue", 3, Resources{Cores: 0.25, Mem: 1}
+			j.Service, j.InUpperQueue, j.Team, j.Priority, j.Request = true, false, "blue", 3, Resources{Cores: 0.25, MemoryGB: 1}
 		}))
 	}
 	round := s.Preempt(2*count, map[string]bool{})
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -22,7 +22,7 @@
 // scaleOutPlanner holds the state of a running plan.
 type scaleOutPlanner struct {
 	snapshot       *Snapshot
-	types          []*Type
+	types          []*MachineType
 	blocked        func(Pool) bool
 	maxLaunches    int
 	machinesByZone map[string]int
@@ -32,11 +32,11 @@
 }
 
 // Plan places the waiting tasks on free and booting machines, and on new machines where those lack room. It returns the
-// machines to rent, at most maxLaunches and none from blocked pools. It sets Used on all machines that waiting or
+// machines to rent, at most maxLaunches and none from blocked pools. It sets InUse on all machines that waiting or
 // expected tasks need.
-func (s *Snapshot) Plan(types []*Type, blocked func(Pool) bool, maxLaunches int) []Launch {
+func (s *Snapshot) Plan(types []*MachineType, blocked func(Pool) bool, maxLaunches int) []Launch {
 	s.useIndex()
-	Order(s.Jobs)
+	SortByRank(s.Jobs)
 	s.reserveAcceleratorCores = true
 	p := &scaleOutPlanner{snapshot: s, types: types, blocked: blocked, maxLaunches: maxLaunches,
 		machinesByZone: map[string]int{}, countByPool: map[Pool]int{}}
@@ -126,12 +126,12 @@
 
 // cheapestPool returns the pool with the lowest price per task for the job. The price of a machine is divided among all
 // waiting tasks that could share it, including those of jobs that rank later. The type is nil if no pool is open.
-func (p *scaleOutPlanner) cheapestPool(j *Job, later []*Job) (Pool, *Type) {
+func (p *scaleOutPlanner) cheapestPool(j *Job, later []*Job) (Pool, *MachineType) {
 	var cheapest Pool
-	var cheapestType *Type
+	var cheapestType *MachineType
 	lowest := math.Inf(1)
 	for _, t := range p.types {
-		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accel > 0 {
+		if !j.mayUse(t) || j.AvoidsAccelerators && t.Size.Accelerators > 0 {
 			continue
 		}
 		capacity := tasksPerMachine(j.Request, t.Size)
@@ -155,10 +155,10 @@
 }
 
 // openPools yields the pools of a type that the job may use and that are not blocked.
-func (p *scaleOutPlanner) openPools(j *Job, t *Type) iter.Seq[Pool] {
+func (p *scaleOutPlanner) openPools(j *Job, t *MachineType) iter.Seq[Pool] {
 	return func(yield func(Pool) bool) {
 		for _, zone := range t.Zones {
-			if !j.ZoneOpen(zone) {
+			if !j.AllowsZone(zone) {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
@@ -172,23 +172,23 @@
 }
 
 // mayUse reports whether a task of the job fits a machine of the type and is allowed on the type.
-func (j *Job) mayUse(t *Type) bool {
+func (j *Job) mayUse(t *MachineType) bool {
 	return j.Request.Fits(t.Size) && (j.Types == nil || j.Types[t.Name])
 }
 
 // CanAvoidAccelerators reports whether the job is a batch that requests no accelerators and may use a type without
 // accelerators. No machine with accelerators is rented for such a job, and it leaves free the cores that free
 // accelerators need.
-func (j *Job) CanAvoidAccelerators(types []*Type) bool {
-	return !j.Service && j.Request.Accel == 0 &&
-		slices.ContainsFunc(types, func(t *Type) bool { return t.Size.Accel == 0 && j.mayUse(t) })
+func (j *Job) CanAvoidAccelerators(types []*MachineType) bool {
+	return !j.Service && j.Request.Accelerators == 0 &&
+		slices.ContainsFunc(types, func(t *MachineType) bool { return t.Size.Accelerators == 0 && j.mayUse(t) })
 }
 
 // countCompatibleTasks counts the waiting tasks that could share a machine of the type with tasks of the job.
-func countCompatibleTasks(j *Job, later []*Job, t *Type) int {
+func countCompatibleTasks(j *Job, later []*Job, t *MachineType) int {
 	compatible := 0
 	for _, other := range later {
-		if (other.Request.Accel > 0) == (j.Request.Accel > 0) && other.mayUse(t) {
+		if (other.Request.Accelerators > 0) == (j.Request.Accelerators > 0) && other.mayUse(t) {
 			compatible += len(other.Waiting)
 		}
 	}
--- a/internal/scheduler/scoring.go
+++ b/internal/scheduler/scoring.go
@@ -31,11 +31,11 @@
 // blocksAccelerators reports whether a task without accelerators would take cores that the free accelerators of the
 // machine need.
 func (j *Job) blocksAccelerators(m *Machine) bool {
-	if j.Request.Accel > 0 || m.Type.Size.Accel <= 0 {
+	if j.Request.Accelerators > 0 || m.Type.Size.Accelerators <= 0 {
 		return false
 	}
 	remaining := m.Free.Minus(j.Request)
-	return remaining.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accel/m.Type.Size.Accel
+	return remaining.Cores < acceleratorCoreReserve*m.Type.Size.Cores*m.Free.Accelerators/m.Type.Size.Accelerators
 }
 
 // score returns the score of a machine for a task of the job. Lower is better.
@@ -58,18 +58,18 @@
 	if j.Spot && !m.Spot {
 		score += notSpotScore
 	}
-	if j.Request.Accel == 0 && m.Type.Size.Accel > 0 {
+	if j.Request.Accelerators == 0 && m.Type.Size.Accelerators > 0 {
 		if j.blocksAccelerators(m) {
 			score += blocksAcceleratorsScore
 		}
 		score += unneededAcceleratorScore
 	}
 	freeShare := Share(m.Free.Minus(j.Request), m.Type.Size)
-	if j.Request.Accel == 0 {
+	if j.Request.Accelerators == 0 {
 		freeShare = (m.Free.Cores - j.Request.Cores) / math.Max(m.Type.Size.Cores, roundingTolerance)
 	}
 	score += looseFitScore * freeShare
-	if !m.Used {
+	if !m.InUse {
 		score += unusedScore
 	}
 	return score
@@ -106,7 +106,7 @@
 // fetchWeight returns the weight of a missing image on a machine type: the duration of the fetch divided by the
 // start-time objective. On a machine type with low bandwidth, fetching even a small image misses an objective of one
 // second, which a more expensive type meets.
-func (j *Job) fetchWeight(t *Type) float64 {
+func (j *Job) fetchWeight(t *MachineType) float64 {
 	if j.StartObjectiveS <= 0 || t.FetchGBPerS <= 0 {
 		return 1
 	}
--- a/internal/scheduler/selector.go
+++ b/internal/scheduler/selector.go
@@ -42,7 +42,7 @@
 func (s *Snapshot) scanForBest(j *Job) *Machine {
 	var best *Machine
 	bestScore := math.Inf(1)
-	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	list := s.machinesWithRoom(j.Request.Accelerators > 0, j.Request.Cores > 0)
 	s.MachinesExamined += len(list)
 	for _, m := range list {
 		if !s.accepts(j, m) {
@@ -86,7 +86,7 @@
 // candidateHeapFor returns a heap of the machines that accept a task of the job.
 func (s *Snapshot) candidateHeapFor(j *Job) *candidateHeap {
 	c := &candidateHeap{snapshot: s, job: j}
-	list := s.machinesWithRoom(j.Request.Accel > 0, j.Request.Cores > 0)
+	list := s.machinesWithRoom(j.Request.Accelerators > 0, j.Request.Cores > 0)
 	s.MachinesExamined += len(list)
 	for position, m := range list {
 		if s.accepts(j, m) {
--- a/internal/scheduler/selector_test.go
+++ b/internal/scheduler/selector_test.go
@@ -17,14 +17,14 @@
 				typ = gpu
 			}
 			m := &Machine{ID: fmt.Sprint(i), Type: typ, Zone: "a", TaskCapacity: rng.IntN(12), Free: typ.Size.Times(float64(rng.IntN(5)) / 4),
-				Images: map[string]bool{"img": rng.IntN(3) == 0}, Booting: rng.IntN(4) == 0, Used: rng.IntN(2) == 0, Spot: rng.IntN(2) == 0}
+				Images: map[string]bool{"img": rng.IntN(3) == 0}, Booting: rng.IntN(4) == 0, InUse: rng.IntN(2) == 0, Spot: rng.IntN(2) == 0}
 			if rng.IntN(10) == 0 {
 				m.ReservedFor = "other"
 			}
 			fleet = append(fleet, m)
 		}
 		j := batch("work", 3+rng.IntN(60), func(j *Job) {
-			j.Image, j.Request, j.Spot, j.AvoidsAccelerators = "img", Resources{Cores: 1 + float64(rng.IntN(3)), Accel: float64(rng.IntN(2)), Mem: 1}, true, rng.IntN(2) == 0
+			j.Image, j.Request, j.Spot, j.AvoidsAccelerators = "img", Resources{Cores: 1 + float64(rng.IntN(3)), Accelerators: float64(rng.IntN(2)), MemoryGB: 1}, true, rng.IntN(2) == 0
 		})
 		s := newSnapshot(fleet, j)
 		s.reserveAcceleratorCores = rng.IntN(2) == 0
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Type is a machine type that can be rented from the cloud.
-type Type struct {
+// MachineType is a machine type that can be rented from the cloud.
+type MachineType struct {
 	Name             string
 	Size             Resources
 	Price, SpotPrice float64 // per machine and unit of time, in the cloud's currency
@@ -18,7 +18,7 @@
 // Machine is a machine with its free resources. All resources of a booting machine are free.
 type Machine struct {
 	ID           string
-	Type         *Type
+	Type         *MachineType
 	Zone         string
 	Spot         bool
 	Free         Resources
@@ -29,7 +29,7 @@
 	Images      map[string]bool
 	Fetching    map[string]bool
 	Booting     bool
-	Used        bool // holds tasks, or was assigned one in this snapshot
+	InUse       bool // holds tasks, or was assigned one in this snapshot
 	// Dirty is set by each decision that changes the machine. A caller that reuses the machine in later snapshots must
 	// clear it.
 	Dirty bool
@@ -111,7 +111,7 @@
 	}
 	m.Free = m.Free.Minus(j.Request)
 	m.TaskCapacity--
-	m.Used = true
+	m.InUse = true
 	if !m.Images[j.Image] && j.Image != "" {
 		if m.Fetching == nil {
 			m.Fetching = map[string]bool{}
@@ -170,18 +170,18 @@
 // machinesWithRoom lists the machines that may have room for a task that needs accelerators or cores. Machines that
 // have become full since the list was collected stay in it. The list is dropped when resources are freed or a machine
 // is added.
-func (s *Snapshot) machinesWithRoom(accel, cores bool) []*Machine {
-	if !accel && !cores {
+func (s *Snapshot) machinesWithRoom(accelerators, cores bool) []*Machine {
+	if !accelerators && !cores {
 		return s.Machines // the task requests only memory
 	}
 	list := &s.withRoom[0]
-	if accel {
+	if accelerators {
 		list = &s.withRoom[1]
 	}
 	if *list == nil {
 		*list = make([]*Machine, 0, len(s.Machines))
 		for _, m := range s.Machines {
-			if m.TaskCapacity > 0 && (accel && m.Free.Accel > roundingTolerance || !accel && m.Free.Cores > roundingTolerance) {
+			if m.TaskCapacity > 0 && (accelerators && m.Free.Accelerators > roundingTolerance || !accelerators && m.Free.Cores > roundingTolerance) {
 				*list = append(*list, m)
 			}
 		}
--- a/internal/stateclient/client.go
+++ b/internal/stateclient/client.go
@@ -89,7 +89,7 @@
 	}
 	c.transport.Call(http.MethodGet, path, nil, timeout, func(status int, body []byte) {
 		page := Page{Bytes: len(body)}
-		if err := apicall.ReadAnswer(operationList, status, body, &page.KeyValuePage); err != nil {
+		if err := apicall.DecodeAnswer(operationList, status, body, &page.KeyValuePage); err != nil {
 			done(Page{}, err)
 			return
 		}
@@ -156,5 +156,5 @@
 	if status == http.StatusNotFound {
 		return &apicall.StatusError{Operation: operation, Status: status, Reason: ErrLeaseExpired}
 	}
-	return apicall.ReadAnswer(operation, status, nil, nil)
+	return apicall.DecodeAnswer(operation, status, nil, nil)
 }
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -21,7 +21,7 @@
 	switch {
 	case err == nil:
 		if t.writesLeaderKey {
-			w.noteLeaderKey(t, revision)
+			w.recordLeaderKey(t, revision)
 		}
 		w.onApplied(t, revision)
 	case errors.As(err, &conflict):
@@ -161,13 +161,13 @@
 		return
 	}
 	// An attempt of this transaction wrote the leader key, and all its other changes with it.
-	w.noteLeaderKey(t, item.Version)
+	w.recordLeaderKey(t, item.Version)
 	w.onApplied(t, item.Version)
 }
 
-// noteLeaderKey records that the leader key has the version and the entry that the transaction wrote. Earlier
+// recordLeaderKey records that the leader key has the version and the entry that the transaction wrote. Earlier
 // transactions can't apply any more.
-func (w *Writer) noteLeaderKey(t *Transaction, version uint64) {
+func (w *Writer) recordLeaderKey(t *Transaction, version uint64) {
 	w.leader.Version, w.leader.Entry, w.needsFence = version, t.leaderEntry, false
 }
 
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -159,8 +159,8 @@
 // IsPending reports whether a write of the key is queued.
 func (w *Writer) IsPending(key string) bool { return w.pending[key] != nil }
 
-// Busy reports whether a transaction was built and its outcome is not known yet.
-func (w *Writer) Busy() bool { return w.current != nil }
+// HasTransactionInFlight reports whether a transaction was built and its outcome is not known yet.
+func (w *Writer) HasTransactionInFlight() bool { return w.current != nil }
 
 // Latencies returns the histogram of the transactions' latencies in milliseconds. The caller may reset it.
 func (w *Writer) Latencies() *hdrhistogram.Histogram { return w.latencies }
--- a/internal/statestore/writer_test.go
+++ b/internal/statestore/writer_test.go
@@ -107,8 +107,8 @@
 		t.Errorf("the first condition is %+v", condition)
 	}
 	host.sent[0].answer(200, appliedReply(9))
-	if done["m/batch"] != 2 || done["j/user"] != 1 || done["k/lazy"] != 0 || w.Version("m/batch") != 9 || w.Busy() {
-		t.Errorf("wrong version, still busy, or wrong number of callbacks: %v", done)
+	if done["m/batch"] != 2 || done["j/user"] != 1 || done["k/lazy"] != 0 || w.Version("m/batch") != 9 || w.HasTransactionInFlight() {
+		t.Errorf("wrong version, transaction still in flight, or wrong number of callbacks: %v", done)
 	}
 	w.Flush()
 	if got := changedKeys(host.lastRequest(t)); !slices.Equal(got, []string{"k/lazy"}) {
@@ -217,7 +217,7 @@
 	revision := uint64(10)
 	for range 40 {
 		w.Flush()
-		if !w.Busy() {
+		if !w.HasTransactionInFlight() {
 			break
 		}
 		c := host.lastRequest(t)
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -22,7 +22,7 @@
 // the observer's methods, which do not block: another goroutine writes the spans, and drops spans if it falls behind.
 type Recorder struct {
 	metricSet *metrics.Set
-	// startTime is the time at which the controller's steady clock is zero.
+	// startTime is the time at which the controller's monotonic clock is zero.
 	startTime time.Time
 	// memberStates holds a gauge for each other controller, by label.
 	memberStates map[string]*metrics.Gauge
@@ -40,7 +40,7 @@
 	return t.Metrics || t.TraceFile != ""
 }
 
-// New returns a recorder. The start time is the time at which the controller's steady clock is zero. New returns an
+// New returns a recorder. The start time is the time at which the controller's monotonic clock is zero. New returns an
 // error if the configured trace file cannot be opened.
 func New(cfg *config.Config, start time.Time) (*Recorder, error) {
 	r := &Recorder{metricSet: metrics.NewSet(), startTime: start, memberStates: map[string]*metrics.Gauge{}}
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// timestamp converts a reading of the controller's steady clock to a span timestamp.
+// timestamp converts a reading of the controller's monotonic clock to a span timestamp.
 func (r *Recorder) timestamp(reading time.Duration) trace.SpanEventOption {
 	return trace.WithTimestamp(r.startTime.Add(reading))
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -81,7 +81,7 @@
 // send sends a request and returns the status and body of its response. It returns errExpired if the request is no
 // longer valid, and otherwise the error that prevented sending the request or reading the response.
 func (s *Server) send(ctx context.Context, call controller.Call) (status int, body []byte, err error) {
-	if call.ValidUntil > 0 && s.now().Steady > call.ValidUntil {
+	if call.ValidUntil > 0 && s.now().Monotonic > call.ValidUntil {
 		return 0, nil, errExpired
 	}
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
--- a/internal/transport/event_loop.go
+++ b/internal/transport/event_loop.go
@@ -7,10 +7,10 @@
 	"claybarrow/internal/controller"
 )
 
-// now returns the current readings of the steady clock and the wall clock.
+// now returns the current readings of the monotonic clock and the wall clock.
 func (s *Server) now() controller.Clock {
 	t := time.Now()
-	return controller.Clock{Steady: t.Sub(s.startTime), Wall: t.UnixMilli()}
+	return controller.Clock{Monotonic: t.Sub(s.startTime), Wall: t.UnixMilli()}
 }
 
 // runEventLoop runs in the only goroutine that calls the core. It returns after ctx is cancelled. Requests that it has
@@ -34,7 +34,7 @@
 			return
 		}
 		if _, isTick := event.(controller.Tick); isTick {
-			s.shedding.logChanges(s.now().Steady, s.cfg.WorkerLease(), s.log)
+			s.shedding.logChanges(s.now().Monotonic, s.cfg.WorkerLease(), s.log)
 		}
 		for _, effect := range s.core.Handle(s.now(), event) {
 			switch effect := effect.(type) {
--- a/internal/transport/graceful_shutdown_test.go
+++ b/internal/transport/graceful_shutdown_test.go
@@ -128,7 +128,7 @@
 	if w := sendRequest(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusNotFound {
 		t.Errorf("metrics without a handler: status %d", w.Code)
 	}
-	server.ServeMetrics(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
+	server.SetMetricsHandler(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
 	if w := sendRequest(server.peerRoutes(), http.MethodGet, "/metrics", nil); w.Code != http.StatusOK {
 		t.Errorf("metrics: status %d", w.Code)
 	}
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -90,7 +90,7 @@
 // writeReply writes the controller's reply. A reply that is no longer valid is replaced by a 503 response: the process
 // was paused after the decision, and another leader may have decided otherwise in the meantime.
 func (s *Server) writeReply(w http.ResponseWriter, reply controller.Reply) {
-	if reply.ValidUntil > 0 && s.now().Steady > reply.ValidUntil {
+	if reply.ValidUntil > 0 && s.now().Monotonic > reply.ValidUntil {
 		reply = controller.Reply{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterSeconds}
 	}
 	if reply.RetryAfter > 0 {
--- a/internal/transport/handler_test.go
+++ b/internal/transport/handler_test.go
@@ -25,7 +25,7 @@
 func TestExpiredReplyIsReplaced(t *testing.T) {
 	t.Run("expired", func(t *testing.T) {
 		server := newTestServer(t)
-		server.startTime = time.Now().Add(-time.Minute) // the steady clock reads one minute, past ValidUntil
+		server.startTime = time.Now().Add(-time.Minute) // the monotonic clock reads one minute, past ValidUntil
 		server.core = fixedReplyCore{controller.Reply{Status: http.StatusNotFound, ValidUntil: 30 * time.Second}}
 		runLoop(t, server)
 		w := sendRequest(server.clientRoutes(), http.MethodGet, "/api/jobs/j-1", nil)
--- a/internal/transport/load_shedding.go
+++ b/internal/transport/load_shedding.go
@@ -12,7 +12,7 @@
 	// rejected is the number of rejected requests. The HTTP handlers increment it.
 	rejected atomic.Int64
 
-	// The fields below are accessed only by the event loop's goroutine. Times are readings of the steady clock.
+	// The fields below are accessed only by the event loop's goroutine. Times are readings of the monotonic clock.
 	active         bool
 	rejectedBefore int64 // value of rejected before the period started
 	lastRejected   int64 // value of rejected at the previous call of logChanges
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -68,11 +68,11 @@
 	}
 }
 
-// Start returns the time at which the core's steady clock is zero.
-func (s *Server) Start() time.Time { return s.startTime }
+// StartTime returns the time at which the controller's monotonic clock is zero.
+func (s *Server) StartTime() time.Time { return s.startTime }
 
-// ServeMetrics sets the handler of GET /metrics at peer_listen. It must be called before Run.
-func (s *Server) ServeMetrics(handler http.Handler) { s.metrics = handler }
+// SetMetricsHandler sets the handler of GET /metrics at peer_listen. It must be called before Run.
+func (s *Server) SetMetricsHandler(handler http.Handler) { s.metrics = handler }
 
 // Run serves until ctx is cancelled, and then sends the core's last requests. It returns an error if it cannot listen,
 // or if a listener fails while the server runs.
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -16,9 +16,9 @@
 	CommandsPath   = "/commands"
 )
 
-// NewCommands builds the body of a request with a fencing token to the agent in the given epoch. A request
+// NewCommandRequest builds the body of a request with a fencing token to the agent in the given epoch. A request
 // without commands is a probe; its list of commands is encoded as an empty list, not as nil.
-func NewCommands(token, epoch uint64, commands []protocol.Command) protocol.CommandRequest {
+func NewCommandRequest(token, epoch uint64, commands []protocol.Command) protocol.CommandRequest {
 	if commands == nil {
 		commands = []protocol.Command{}
 	}
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -18,7 +18,7 @@
 		{"a probe has an empty list on the wire", nil, protocol.CommandRequest{Token: 3, Epoch: 5, Commands: []protocol.Command{}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := NewCommands(3, 5, c.commands); !bytes.Equal(protocol.Encode(got), protocol.Encode(c.want)) {
+			if got := NewCommandRequest(3, 5, c.commands); !bytes.Equal(protocol.Encode(got), protocol.Encode(c.want)) {
 				t.Errorf("%+v, want %+v", got, c.want)
 			}
 		})
