--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("run", "workers", plan.Fleet.Workers, "regions", plan.Fleet.Regions, "warmup_s", plan.Run.WarmupS, "duration_s", plan.Run.DurationS)
+	slog.Info("starting load test", "workers", plan.Fleet.Workers, "regions", plan.Fleet.Regions, "warmup_s", plan.Run.WarmupS, "duration_s", plan.Run.DurationS)
 	result, err := scalerun.Run(ctx, plan, executable, c.regionArgs())
 	if result == nil {
 		return err
--- a/internal/completionjournal/value.go
+++ b/internal/completionjournal/value.go
@@ -28,7 +28,7 @@
 	// ErrChecksum means that the value was altered or truncated.
 	ErrChecksum = errors.New("checksum mismatch")
 	// ErrMalformed means that the key or the value does not have the format that this package writes.
-	ErrMalformed = errors.New("malformed")
+	ErrMalformed = errors.New("malformed journal key or value")
 )
 
 // Value is the value of a journal key. The state service accepts text and numbers only, so the body is encoded in
--- a/internal/protocol/encoding.go
+++ b/internal/protocol/encoding.go
@@ -14,7 +14,7 @@
 const MaxBodyBytes = 64 << 10
 
 // ErrMalformed means that a body is not exactly one complete MessagePack value.
-var ErrMalformed = errors.New("malformed")
+var ErrMalformed = errors.New("malformed MessagePack value")
 
 // Encode encodes a value as MessagePack. It panics if the value cannot be encoded; all message types of this
 // module can.
--- a/internal/protocol/submission.go
+++ b/internal/protocol/submission.go
@@ -99,7 +99,7 @@
 	spec.Priority = f.priority()
 	spec.Tasks = f.taskCount()
 	if spec.Cores == 0 && spec.Accelerators == 0 && spec.MemoryGB == 0 {
-		f.fail(fieldCores, "a task must take something")
+		f.fail(fieldCores, "a task must request cores, accelerators or memory")
 	}
 	spec.Types = f.machineTypes()
 	return spec
--- a/internal/protocol/submission_body.go
+++ b/internal/protocol/submission_body.go
@@ -4,9 +4,9 @@
 
 // Errors of a body that is not a submission.
 var (
-	ErrBodyTooLarge    = errors.New("body too large")
-	ErrNestedTooDeeply = errors.New("nested too deeply")
-	ErrNotAMap         = errors.New("not a map")
+	ErrBodyTooLarge    = errors.New("submission body too large")
+	ErrNestedTooDeeply = errors.New("submission body nested too deeply")
+	ErrNotAMap         = errors.New("submission body is not a map")
 )
 
 // Bounds on the nesting of a submission.
