--- a/internal/clusterstate/completion_records_test.go
+++ b/internal/clusterstate/completion_records_test.go
@@ -35,7 +35,7 @@
 }
 
 // readAsOlderVersion reads records like the versions that predate parts (4297efa and 686f0af): it reads chunk
-// records only, and takes the first bit of each for the first task of the chunk. It returns the completed tasks.
+// records only, and interprets the first bit of each as the first task of the chunk. It returns the completed tasks.
 func readAsOlderVersion(t *testing.T, layoutBytes, tasks int, records map[string]CompletionRecord) map[int]bool {
 	t.Helper()
 	chunk := max(64, layoutBytes/2*6/64*64)
@@ -63,7 +63,7 @@
 }
 
 // The records of an array of any size stay within the limit and are read back unchanged. Older versions never
-// take an open task for a completed one, and they read all completions where the limit allows it.
+// treat an open task as completed, and they read all completions where the limit allows it.
 func TestCompletionsOfAnySize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, tc := range []struct {
--- a/internal/clusterstate/gang.go
+++ b/internal/clusterstate/gang.go
@@ -59,7 +59,7 @@
 	TaskReplaceable
 	// TaskLost means that a task was lost and can't be replaced.
 	TaskLost
-	// StopRequested means that the gang's tasks are to be stopped.
+	// StopRequested means that the stop of the gang's tasks was requested.
 	StopRequested
 	// PlacementsIncomplete means that the records that a new leader has read do not contain all tasks.
 	PlacementsIncomplete
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -89,7 +89,7 @@
 	EverReported bool
 	// ListedRunning is set if the cloud lists the machine as running.
 	ListedRunning bool
-	// Releasing is set once the machine is to be deleted.
+	// Releasing is set once the deletion of the machine is decided.
 	Releasing bool
 	// ReleaseStored is set once Releasing is stored. Only then may the delete request be sent.
 	ReleaseStored bool
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -42,7 +42,7 @@
 	Zone string `msgpack:"z"`
 	Spot bool   `msgpack:"b,omitempty"`
 	Addr string `msgpack:"a,omitempty"`
-	// Return is set if the machine is to be deleted; see RentalState.Releasing.
+	// Return is set once the deletion of the machine is decided; see RentalState.Releasing.
 	Return   bool           `msgpack:"r,omitempty"`
 	Attempts []AttemptEntry `msgpack:"t,omitempty"`
 }
--- a/internal/clusterstate/views_test.go
+++ b/internal/clusterstate/views_test.go
@@ -17,12 +17,12 @@
 	if !slices.Equal(state.TakeJobsToSchedule(), []*Job{j}) || len(state.TakeJobsToSchedule()) != 0 {
 		t.Error("a new job is not listed exactly once")
 	}
-	changes := func(what string, wantMachine, wantJob bool, change func()) {
+	changes := func(description string, wantMachine, wantJob bool, change func()) {
 		t.Helper()
 		machine, job := m.Revision(), j.Revision()
 		change()
 		if (m.Revision() != machine) != wantMachine || (j.Revision() != job) != wantJob {
-			t.Errorf("%s: machine's revision changed %v, job's revision changed %v", what, m.Revision() != machine, j.Revision() != job)
+			t.Errorf("%s: machine's revision changed %v, job's revision changed %v", description, m.Revision() != machine, j.Revision() != job)
 		}
 	}
 	var a *Attempt
--- a/internal/completionjournal/journal_test.go
+++ b/internal/completionjournal/journal_test.go
@@ -297,9 +297,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	more := Encode(leaderToken, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
-	if have := len(s.stored[Key(leaderToken, 1)].Body) + envelopeBytes; have > testLimits.ValueBytes || len(more.Body)+envelopeBytes <= testLimits.ValueBytes {
-		t.Errorf("the value takes %d bytes with %d entries and would take %d with one more, limit 1024", have, len(entries), len(more.Body)+envelopeBytes)
+	larger := Encode(leaderToken, 1, append(entries, departureOf(fmt.Sprintf("i-%06d", len(entries)-3), uint64(1000+len(entries)-3))))
+	if have := len(s.stored[Key(leaderToken, 1)].Body) + envelopeBytes; have > testLimits.ValueBytes || len(larger.Body)+envelopeBytes <= testLimits.ValueBytes {
+		t.Errorf("the value takes %d bytes with %d entries and would take %d with one more, limit 1024", have, len(entries), len(larger.Body)+envelopeBytes)
 	}
 	s.flush()
 	if len(s.read()) != 203 {
--- a/internal/config/membership_test.go
+++ b/internal/config/membership_test.go
@@ -42,7 +42,7 @@
 	durations := []time.Duration{cfg.ProbeTimeout(), cfg.ProbeInterval(), cfg.LeaderLease(), cfg.SuspicionTimeout(), cfg.RejoinDelay()}
 	for i := range len(durations) - 1 {
 		if durations[i] >= durations[i+1] {
-			t.Errorf("probe timeout, probe interval, leader's lease, suspicion timeout and rejoin uptime do not increase: %v", durations)
+			t.Errorf("probe timeout, probe interval, leader's lease, suspicion timeout and rejoin delay do not increase: %v", durations)
 		}
 	}
 }
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -8,10 +8,10 @@
 	memoryMBPerMachine   = 0.047 // memory of the leader, in MiB: 272 to 287 MB at 5,500 machines with ten tasks each
 	machinesPerCore      = 7500  // 0.73 of a core at 5,500 machines
 	machinesPerWriteRPS  = 20    // per change per second; with more machines, part of a burst of starts is answered 503
-	maxFleetWriteLeases  = 1.25  // that a change per machine may take; 1.01 were no problem in the credit checks' upgrade
+	maxFleetWriteLeases  = 1.25  // workers' leases that one change per machine may take; 1.01 caused no problem in the credit-check upgrade
 	machinesPerListPage  = 500   // per page of the cloud's list
 	maxClientSocketShare = 0.5   // share of the sockets that workers and users may use
-	maxWorkerSocketShare = 0.85  // share of those beyond which workers' connections are closed after each answer
+	maxWorkerSocketShare = 0.85  // share of these sockets above which workers' connections are closed after each answer
 )
 
 // capacityNeed is the minimum value that a setting must have to serve the fleet.
--- a/internal/controller/call_limiter.go
+++ b/internal/controller/call_limiter.go
@@ -17,7 +17,7 @@
 )
 
 // minLimiterCores is a lower bound for the number of cores in the computation of the limits. A deployment with less
-// than one core has a fleet so small that it needs no limits below those of one core.
+// than one core has so small a fleet that it needs no lower limits than a deployment with one core.
 const minLimiterCores = 1
 
 // descriptorsPerCall is the number of the process's file descriptors for each direct call in flight. The descriptors
--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -34,7 +34,7 @@
 	runCompoundFailure(t, 12, func(w *world, faults *networkFaults) {
 		oldLeader := w.awaitLeader()
 		if w.rng.IntN(2) == 0 {
-			// Direct commands of the other controllers get lost.
+			// Direct commands of the other controllers are lost.
 			for i := range 3 {
 				faults.commandsLost[i] = i != oldLeader
 			}
@@ -113,7 +113,7 @@
 	})
 }
 
-// From the failover on, the answers to the heartbeats of all machines with tasks get lost: their
+// From the failover on, the answers to the heartbeats of all machines with tasks are lost: their
 // heartbeats can't prove the absence of a task, and a job that waits for this proof must not wait
 // without bound.
 func TestCompoundAnswersLostSinceFailover(t *testing.T) {
@@ -320,7 +320,7 @@
 	})
 }
 
-// Some workers' heartbeats get lost while direct commands still reach the workers: the leader must
+// Some workers' heartbeats are lost while direct commands still reach the workers: the leader must
 // not start tasks there repeatedly.
 func TestCompoundHeartbeatsLost(t *testing.T) {
 	runCompoundFailure(t, 6, func(w *world, _ *networkFaults) {
@@ -404,7 +404,7 @@
 	})
 }
 
-// Commands are delayed for seconds, or their answers get lost, while machines hang and then resume.
+// Commands are delayed for seconds, or their answers are lost, while machines hang and then resume.
 func TestCompoundDelayedCommands(t *testing.T) {
 	runCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
 		faults.delayedCommands, faults.lostAnswers = 0.4, 0.2
--- a/internal/controller/conditions_test.go
+++ b/internal/controller/conditions_test.go
@@ -15,7 +15,7 @@
 	l := w.leadership()
 	var logOutput bytes.Buffer
 	l.controller.env.log = slog.New(slog.NewTextHandler(&logOutput, nil))
-	logged := func(what string) int { return strings.Count(logOutput.String(), what) }
+	logged := func(text string) int { return strings.Count(logOutput.String(), text) }
 	for _, id := range []string{"i-900001", "i-900002", "i-900003"} {
 		m := l.state.AddMachine(id)
 		m.Type, m.Zone, m.LaunchedAt = "m8", "a", l.controller.env.now
--- a/internal/controller/demand_forecast_test.go
+++ b/internal/controller/demand_forecast_test.go
@@ -29,7 +29,7 @@
 }
 
 // After a failover, jobs are loaded in the order of their IDs, so arrivals are added out of order. The
-// length of the history is bounded all the same.
+// length of the history must still be bounded.
 func TestArrivalsOutOfOrder(t *testing.T) {
 	a := &arrivalHistory{}
 	for i := range 2 * arrivalHistorySeconds {
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -365,7 +365,7 @@
 }
 
 // onOwnLeaderRecord handles a leader key that names this controller while it is not the leader. Either its election
-// transaction was applied and the response was lost or is still on its way, or the key was written by an earlier
+// transaction was applied and the response was lost or is still in flight, or the key was written by an earlier
 // process or for an abandoned candidacy.
 func (e *election) onOwnLeaderRecord(record *leaderRecord) {
 	if record.Incarnation == e.env.incarnation && e.candidate != nil && record.LeaseID == e.candidate.leaseID {
--- a/internal/controller/failover_bench_test.go
+++ b/internal/controller/failover_bench_test.go
@@ -62,15 +62,15 @@
 			addRecord(counterKey(i), clusterstate.Counters{At: f.controller.env.wall - 30_000, Jobs: rows})
 		}
 		bytes := 0
-		for _, it := range items {
-			bytes += len(it.Key) + len(it.Value) + 16
+		for _, item := range items {
+			bytes += len(item.Key) + len(item.Value) + 16
 		}
 		b.ResetTimer()
 		for b.Loop() {
 			l := newLeadership(f.controller, &leaderRecord{Token: 2, LeaseID: 1}, 1, f.controller.env.now)
-			for _, it := range items {
-				l.store.SetVersion(it.Key, it.Version)
-				if err := l.loader.loadRecord(it); err != nil {
+			for _, item := range items {
+				l.store.SetVersion(item.Key, item.Version)
+				if err := l.loader.loadRecord(item); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/controller/failover_idle_test.go
+++ b/internal/controller/failover_idle_test.go
@@ -7,7 +7,7 @@
 )
 
 // A new leader receives the first messages of idle machines late, as calling thousands of machines
-// takes a while. It must not take a machine without a message yet for one that failed to boot.
+// takes a while. It must not treat a machine that has not yet sent a message as a machine that failed to boot.
 func TestIdleMachinesAreKeptAfterAFailover(t *testing.T) {
 	w := newWorld(t, 93)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 4, "cores": 8.0, "owner": "red"})
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -39,7 +39,7 @@
 	w.settle()
 }
 
-// The leader's links flap every few seconds, or a share of the messages between controllers gets lost:
+// The leader's links flap every few seconds, or a share of the messages between controllers is lost:
 // no controller is declared dead, the leader does not change and no worker's lease expires. Up to a
 // loss of 5 %, no task is restarted elsewhere.
 func TestFlappingLinkAndLoss(t *testing.T) {
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -330,9 +330,9 @@
 	u.settleAndCheck()
 }
 
-// Transactions that arrive at the state service after the gate has changed its state: those of a leader
-// or a candidate of the older version after the opening, writes to the journal and the opening itself
-// after the closing. All fail because of their conditions.
+// Transactions that arrive at the state service after the gate has changed its state: transactions of a
+// leader or a candidate of the older version after the opening, writes to the journal and the opening
+// itself after the closing. All fail because of their conditions.
 func TestTransactionsThatCrossTheGate(t *testing.T) {
 	const late = 70 * second
 	for _, c := range []struct {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 // The leader resigns before any worker's lease expires when it alone loses contact with the workers.
-// It does not resign when only the direct calls to minMissedMachines machines get lost, all at the
+// It does not resign when only the direct calls to minMissedMachines machines are lost, all at the
 // same time, while heartbeats and the other machines' answers still arrive.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
 	for _, answersLost := range []bool{false, true} {
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -104,9 +104,8 @@
 	return ""
 }
 
-// isReady reports whether a follower should receive users' requests. It should not before it has read the leader keys
-// for the first time, nor while it can't reach the leader or knows of none for too long: it would have to reject
-// each request.
+// isReady reports whether a follower should receive users' requests. It is not ready before it has read the leader keys
+// for the first time, or after it has had no reachable leader for too long: it would reject each request.
 func (f *follower) isReady() bool {
 	keys := &f.election.leaderKeys
 	if !keys.listed && keys.leader == nil && keys.leaderlessSince == 0 {
--- a/internal/controller/gang_room_test.go
+++ b/internal/controller/gang_room_test.go
@@ -59,7 +59,7 @@
 }
 
 // Small gangs of high priority are submitted to a full fleet continuously. Large and small gangs of two
-// teams must start all the same, and no gang may reserve capacity that it does not use.
+// teams must still start, and no gang may reserve capacity that it does not use.
 func TestNoGangStarvesInAFullFleet(t *testing.T) {
 	w := newWorld(t, 113)
 	w.fillFleet(4)
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -92,7 +92,7 @@
 	w.settle()
 }
 
-// The leader crashes at different moments of a gang's start: the gang runs as a whole all the same,
+// The leader crashes at different moments of a gang's start: the gang still runs as a whole,
 // never with tasks of two attempts.
 func TestGangStartAcrossFailover(t *testing.T) {
 	for seed := range uint64(16) {
@@ -160,7 +160,7 @@
 	w.settle()
 }
 
-// A leader of an old version has started the tasks of a gang like those of an array, each with its own
+// A leader of an old version has started the tasks of a gang like the tasks of an array, each with its own
 // attempt number: these tasks are stopped, and the gang runs as a whole.
 func TestGangInPartsFromAnOldVersion(t *testing.T) {
 	w := newWorld(t, 96)
@@ -175,14 +175,14 @@
 	w.startPolling("j-2")
 	attempt := uint64(1 << 20)
 	for i, worker := range w.workers() {
-		it := w.state.Item(clusterstate.MachinePrefix + worker.ID)
+		item := w.state.Item(clusterstate.MachinePrefix + worker.ID)
 		var rec clusterstate.MachineRecord
-		if it == nil || i > 1 || protocol.Decode(it.Value, &rec) != nil {
+		if item == nil || i > 1 || protocol.Decode(item.Value, &rec) != nil {
 			continue
 		}
 		attempt++
 		rec.Attempts = append(rec.Attempts, clusterstate.AttemptEntry{Job: "j-2", Index: i, Try: attempt})
-		it.Value = protocol.Encode(rec)
+		item.Value = protocol.Encode(rec)
 		worker.AddTask(clusterstate.TaskName("j-2", i), &emulator.Task{UID: "j-2", Attempt: attempt, State: protocol.TaskWaitingForGang})
 	}
 	w.restart(w.awaitLeader(), second)
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -12,8 +12,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// A user requests a cancellation, is told to retry later and does not; then the leader crashes. The new
-// leader completes the cancellation all the same.
+// A user's request for a cancellation gets status 503, and the user does not retry; then the leader crashes. The new
+// leader still completes the cancellation.
 func TestCancellationOutlivesTheLeader(t *testing.T) {
 	w := newWorld(t, 70)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
@@ -167,7 +167,7 @@
 	w.settle()
 }
 
-// A machine's heartbeats get lost while commands still reach it: its tasks are restarted elsewhere
+// A machine's heartbeats are lost while commands still reach it: its tasks are restarted elsewhere
 // before its lease expires, if there is capacity.
 func TestTasksLeaveMachineWhoseHeartbeatsAreLost(t *testing.T) {
 	w := newWorld(t, 76)
--- a/internal/controller/heartbeat_bench_test.go
+++ b/internal/controller/heartbeat_bench_test.go
@@ -26,7 +26,7 @@
 		l.placement.fillAt, l.placement.roundAt, l.placement.planAt = 1<<60, 1<<60, 1<<60
 		f.blockFills() // prevents fills, which BenchmarkSlopeFill measures separately
 		list := l.machines.sortedMachines()
-		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
+		clock := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		n, bytes := 0, 0
 		b.ResetTimer()
 		for b.Loop() {
@@ -44,7 +44,7 @@
 				request = Request{ID: uint64(n), Op: OpForwardedHeartbeat, Body: protocol.EncodePeer(protocol.ForwardedRequest{Operation: string(OpWorkerHeartbeat), Body: body, From: "n1"})}
 			}
 			b.StartTimer()
-			f.controller.Handle(at, request)
+			f.controller.Handle(clock, request)
 		}
 		b.ReportMetric(float64(bytes)/float64(n), "body-bytes")
 	})
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -100,8 +100,8 @@
 }
 
 // redirectTarget returns the label of the controller that the worker is redirected to: a controller of the worker's
-// zone that is in contact with the leader. It is empty if the worker is not redirected. A worker that has left the
-// controller that it was redirected to could probably not reach it, and is not redirected during a back-off.
+// zone that is in contact with the leader. It is empty if the worker is not redirected. A worker that has returned from
+// a redirect could probably not reach that controller, and is not redirected again during a back-off.
 func (r *heartbeatRouter) redirectTarget(m *clusterstate.Machine, msg *protocol.WorkerHeartbeat, from requester) string {
 	if r.detection.enabled() {
 		return r.assignedRedirect(m, msg, from)
@@ -114,9 +114,9 @@
 		return ""
 	}
 	p := r.peers[label]
-	// A failed redirect to an earlier process of the controller does not count. When it did, rolling restarts left
-	// all workers of a zone with the leader, and a later partition cut them off. The leader may learn late that a
-	// process has ended, so the back-off after the first failed redirect is short.
+	// A failed redirect to an earlier process of the controller does not count. When it did, all workers of a zone sent
+	// their heartbeats to the leader after rolling restarts, and lost contact in a later partition. The leader may
+	// learn late that a process has ended, so the back-off after the first failed redirect is short.
 	if m.RedirectedIncarnation != p.incarnation {
 		m.FailedRedirects = 0
 	} else if m.RedirectedAt > 0 {
--- a/internal/controller/leader_keys_test.go
+++ b/internal/controller/leader_keys_test.go
@@ -41,8 +41,8 @@
 }
 
 // TestElectionConditions checks the conditions of the transaction that elects a leader. While the gate is closed they
-// equal those of older versions. Otherwise the leader key must be unchanged since it was read, and the lease key
-// absent.
+// equal the conditions of older versions. Otherwise the leader key must be unchanged since it was read, and the lease
+// key absent.
 func TestElectionConditions(t *testing.T) {
 	former := &leaderRecord{Label: "n9", Token: 4, StorageVersion: 1, Closing: true}
 	for _, c := range []struct {
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/machinepool"
 )
 
-// machineHealth decides by the heartbeats of the machines which of them may get tasks, which are evacuated, and
-// whose worker lease has expired.
+// machineHealth decides, from the machines' heartbeats, which machines may get tasks, which machines are evacuated, and
+// which workers' leases have expired.
 //
 // It has no state of its own. The state of the heartbeats is stored in the Machine and, for the other controllers, in
 // the peers. After a failover the next leader collects both again. Until then it does not treat a lease as
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -19,7 +19,7 @@
 	w.cloud.MachineAddr = func(id string) string { return "10.1." + strings.TrimLeft(id[2:], "0") + ":9000" }
 	w.cloud.ListLag = 5 * time.Second
 	w.cloud.BootTime = func(string) time.Duration { return 10 * time.Second }
-	w.cloud.OnViolation = func(what string) { w.recordViolation("%s", what) }
+	w.cloud.OnViolation = func(description string) { w.recordViolation("%s", description) }
 	w.cloud.OnLaunch = func(m *emulator.Machine) {
 		worker := w.machines.Add(m.ID, m.Addr, m.Type, m.Zone, m.Spot)
 		worker.OnHeartbeat = func(body []byte) { w.recordHeartbeat(worker, body) }
@@ -67,7 +67,7 @@
 	f.GangStopRequested = func(t *emulator.Task, graceS float64) {
 		w.stopCommands[t.UID] = append(w.stopCommands[t.UID], stopCommand{w.Now(), graceS})
 	}
-	f.OnViolation = func(what string) { w.recordViolation("%s", what) }
+	f.OnViolation = func(description string) { w.recordViolation("%s", description) }
 	w.machines = f
 }
 
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -67,10 +67,10 @@
 	ConnectionFailed bool
 }
 
-// Tick reports that time has passed. It arrives at the interval of config.Config.Tick.
+// Tick reports that time has passed. It arrives at the interval of config.Config.TickInterval.
 type Tick struct{}
 
-// Shutdown reports that the controller's process is about to exit. No effects follow those of this event.
+// Shutdown reports that the controller's process is about to exit. It is the last event, so no further effects follow.
 type Shutdown struct{}
 
 func (Request) isEvent()  {}
--- a/internal/controller/older_version_test.go
+++ b/internal/controller/older_version_test.go
@@ -9,8 +9,8 @@
 // A controller without the feature gate is simulated by the current version with the feature off. The functions of this
 // file remove from its messages what such a version neither sends nor decodes: the version statement in heartbeats, the
 // gate's state in the leader record, and the lease key. The decoder of such a version drops unknown fields and ignores
-// unknown keys. The simulated controller's own messages and transactions equal those of 0eeb63e byte for byte, see
-// TestStoredBytesWithoutJournal.
+// unknown keys. The simulated controller's own messages and transactions are byte-identical to those of version
+// 0eeb63e, see TestStoredBytesWithoutJournal.
 
 // logSink passes each log line to a function.
 type logSink func(line []byte)
@@ -67,10 +67,10 @@
 			return body
 		}
 		readable := items.Items[:0]
-		for _, it := range items.Items {
-			if it.Key != keyLease {
-				it.Value = olderLeader(it.Key, it.Value)
-				readable = append(readable, it)
+		for _, item := range items.Items {
+			if item.Key != keyLease {
+				item.Value = olderLeader(item.Key, item.Value)
+				readable = append(readable, item)
 			}
 		}
 		items.Items = readable
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -41,9 +41,9 @@
 // nearlyAllSilent reports whether at least four fifths of the zone's machines are silent.
 func (z zoneCount) nearlyAllSilent() bool { return z.silent*5 >= z.up*4 }
 
-// detectPartitions updates which zones are partitioned from the leader. In such a zone nearly all machines are silent
-// while those of another zone are not, and the zone has controllers that are silent too and may be renewing the leases
-// of the machines.
+// detectPartitions updates which zones are partitioned from the leader. A zone is partitioned if nearly all its
+// machines are silent while most machines of another zone report, and if the zone's controllers are silent, too: they
+// may be renewing the leases of the machines.
 func (d *partitionDetector) detectPartitions() {
 	zones := d.countMachines()
 	otherZoneReporting := false
@@ -131,9 +131,9 @@
 // controllerLost reports whether a partitioned zone has most probably lost its tasks, because its controller has ended.
 // The zone has a single controller, none of its machines has acknowledged this leader's token, and all other
 // controllers ended together with the previous leader, so the zone's controller has most probably ended too. The zone's
-// workers then tried all other controllers before theirs restarted, which takes longer than a lease. The machines of
-// such a zone are released, because their tasks may restart on other machines only once the cloud confirms the
-// deletion.
+// workers have then tried all other controllers before the zone's controller restarted, and this takes longer than a
+// lease. The machines of such a zone are released, because their tasks may restart on other machines only once the
+// cloud confirms the deletion.
 func (d *partitionDetector) controllerLost(zone string) bool {
 	if !d.isPartitioned(zone) || d.env.now < d.lease.electedAt+d.env.cfg.WorkerLease() {
 		return false
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -8,7 +8,7 @@
 )
 
 // peer is a leader's view of another controller. It is empty at the start of each leadership: a new leader treats no
-// lease in a zone as expired before it has received heartbeats from the controllers of that zone itself.
+// lease in a zone as expired before it has itself received heartbeats from the controllers of that zone.
 type peer struct {
 	zone             string
 	incarnation      string        // incarnation of its process
@@ -35,7 +35,7 @@
 	reply := protocol.PeerHeartbeatReply{Token: c.follower.contact.highestToken, Versions: c.versionStatement()}
 	switch l := c.leadership; {
 	case l == nil:
-		// If the leader keys name this controller, the record is that of an earlier process.
+		// If the leader keys name this controller, an earlier process of this controller wrote the record.
 		if label := c.follower.leaderLabel(); label != c.env.cfg.Label {
 			reply.Leader = label
 		}
--- a/internal/controller/pending_requests.go
+++ b/internal/controller/pending_requests.go
@@ -34,8 +34,8 @@
 }
 
 // decisionTimeout is how long a request may wait for its reply. By the users' protocol, clients time out after 5 s for
-// a submission or a cancellation and after 2 s for a poll. This timeout is well below both, so that clients are told
-// to retry before they time out.
+// a submission or a cancellation and after 2 s for a poll. This timeout is well below both, so that clients get a
+// refusal, and can retry, before they time out.
 const decisionTimeout = 1500 * time.Millisecond
 
 // pendingSocketDivisor is a divisor: waiting requests may use at most the process's file descriptors divided by it.
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -14,8 +14,8 @@
 // controller while a direct call to it was unanswered. The count restarts whenever any machine answers a direct call
 // or sends a heartbeat directly. Probes of the other machines show whether only a few machines are affected.
 
-// reachability is a leader's evidence of whether it can reach the workers itself. It is discarded when the leadership
-// ends; the election keeps how long this controller then stays out of elections.
+// reachability is a leader's evidence of whether it can reach the workers directly. It is discarded when the leadership
+// ends; election.electionBackoffUntil outlives the leadership.
 type reachability struct {
 	detection *failureDetection
 	election  *election
@@ -30,7 +30,7 @@
 }
 
 // minMissedMachines is the number of missed machines from which a leader may step down: one or two machines may be
-// unreachable through their own fault.
+// unreachable because they are faulty.
 const minMissedMachines = 3
 
 // stepDownBackoffLeases is the number of worker leases for which a leader that has stepped down stays out of
@@ -88,8 +88,8 @@
 	return r.samples <= minMissedMachines
 }
 
-// cannotReachWorkers reports whether other controllers can reach the workers and this leader cannot. Several machines
-// with a fault of their own may be missed at once while the leader calls no others; probeTime gives the reachable
+// cannotReachWorkers reports whether other controllers can reach the workers and this leader cannot. Several faulty
+// machines may be missed at the same time while the leader calls no other machines; probeTime gives the reachable
 // machines enough time to answer a probe. A leader that has stepped down does not do so again before the end of its
 // election back-off, during which the other controllers could be elected.
 func (r *reachability) cannotReachWorkers() bool {
--- a/internal/controller/relay.go
+++ b/internal/controller/relay.go
@@ -26,7 +26,7 @@
 	scheduledRetries []retry
 }
 
-// leaderRequest is a request on its way to the leader.
+// leaderRequest is a request that is being relayed to the leader.
 type leaderRequest struct {
 	from      requester
 	leader    string // label of the leader
--- a/internal/controller/request_bench_test.go
+++ b/internal/controller/request_bench_test.go
@@ -17,13 +17,13 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.blockFills()
-		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
+		clock := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
 			n++
 			clear(f.controller.pending.pendingRequests)
-			f.controller.Handle(at, Request{ID: uint64(n), Op: OpSubmit, Body: slopeSubmission(n)})
+			f.controller.Handle(clock, Request{ID: uint64(n), Op: OpSubmit, Body: slopeSubmission(n)})
 		}
 	})
 }
@@ -32,10 +32,10 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.blockFills()
-		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
+		clock := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		b.ResetTimer()
 		for b.Loop() {
-			f.controller.Handle(at, Request{ID: 1, Op: OpPoll, UID: "j-00000001"})
+			f.controller.Handle(clock, Request{ID: 1, Op: OpPoll, UID: "j-00000001"})
 		}
 	})
 }
@@ -45,11 +45,11 @@
 	eachSlopeSize(b, func(b *testing.B, workers int) {
 		f := newSlopeFleet(b, workers)
 		f.blockFills()
-		at := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
+		clock := Clock{Monotonic: f.controller.env.now, Wall: f.controller.env.wall}
 		n := 0
 		b.ResetTimer()
 		for b.Loop() {
-			f.controller.Handle(at, Request{ID: uint64(n + 1), Op: OpCancel, UID: fmt.Sprintf("j-%08d", n)})
+			f.controller.Handle(clock, Request{ID: uint64(n + 1), Op: OpCancel, UID: fmt.Sprintf("j-%08d", n)})
 			n++
 			clear(f.controller.pending.pendingRequests)
 		}
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -14,7 +14,8 @@
 //  3. userRequests answers at once, or adds the requester to the pendingTable while the record that the answer depends
 //     on is being stored.
 //  4. Once the record is durable, the requester is removed from the table and gets the reply. A requester that waits
-//     longer than decisionTimeout, or whose leader's leadership ends, is told to retry: requests are idempotent.
+//     longer than decisionTimeout, or whose leader's leadership ends, gets status 503 and should retry: requests are
+//     idempotent.
 
 // onRequest handles a request and answers it, at once or by its deadline.
 func (c *Controller) onRequest(request Request) {
--- a/internal/controller/rolling_upgrade_test.go
+++ b/internal/controller/rolling_upgrade_test.go
@@ -214,14 +214,14 @@
 
 // storedLeaderRecord returns the stored leader record and the lease of its key.
 func (u *upgradeWorld) storedLeaderRecord() (rec leaderRecord, lease uint64) {
-	it := u.state.Item(keyLeader)
-	if it == nil {
+	item := u.state.Item(keyLeader)
+	if item == nil {
 		return rec, 0
 	}
-	if protocol.Decode(it.Value, &rec) != nil {
+	if protocol.Decode(item.Value, &rec) != nil {
 		rec = leaderRecord{StorageVersion: unreadableStorageVersion}
 	}
-	return rec, it.Lease
+	return rec, item.Lease
 }
 
 func (u *upgradeWorld) gateIs(state string) bool {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -169,7 +169,7 @@
 	return 0
 }
 
-// A machine's heartbeats arrive, and the answers and the direct commands to it get lost: its tasks end
+// A machine's heartbeats arrive, and the answers and the direct commands to it are lost: its tasks end
 // when the worker's lease expires, and the leader places no more tasks on the machine.
 func TestMachineThatReceivesNoAnswers(t *testing.T) {
 	w := newWorld(t, 10)
--- a/internal/controller/stored_bytes_test.go
+++ b/internal/controller/stored_bytes_test.go
@@ -17,9 +17,9 @@
 	"scarce": "e4f172e11ea81db6",
 }
 
-// TestStoredBytesWithoutJournal checks that with the completion journal off, the requests to the state service and
-// their times equal those of the last version without a feature gate byte for byte. The history contains services,
-// arrays, gangs, a cancellation and failovers.
+// TestStoredBytesWithoutJournal checks that with the completion journal off, the requests to the state service are
+// byte-identical to the requests of the last version without a feature gate, and are sent at the same times. The
+// history contains services, arrays, gangs, a cancellation and failovers.
 func TestStoredBytesWithoutJournal(t *testing.T) {
 	w := newWorldWith(t, 191, nil)
 	hash := xxhash.New()
--- a/internal/controller/task_completions.go
+++ b/internal/controller/task_completions.go
@@ -14,7 +14,7 @@
 // completion journal while the feature gate is open, and in the records of jobs and machines otherwise.
 //
 // It owns the journal and the counts of what was loaded into it. After a failover the next leader loads the values of
-// the journal after the records, and compacts them like values of its own.
+// the journal after the records, and compacts them like the values that it writes itself.
 type completionRecorder struct {
 	env      *environment
 	lease    *leaderLease
@@ -216,8 +216,8 @@
 	return r.state.CompletionKey(j, entry.Index), j.MarkDone(entry.Index)
 }
 
-// applyDeparture applies the departure of an attempt from its machine to the cluster state. Its results are those of
-// apply.
+// applyDeparture applies the departure of an attempt from its machine to the cluster state. Its results have the same
+// meaning as the results of apply.
 func (r *completionRecorder) applyDeparture(entry completionjournal.Entry, version uint64) (recordKey string, isMissing bool) {
 	m, key := r.state.Machines[entry.Machine], clusterstate.MachinePrefix+entry.Machine
 	if m == nil || r.state.Jobs[entry.Job] == nil || r.store.Version(key) >= version {
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -26,8 +26,8 @@
 		var items []protocol.KeyValue
 		for _, key := range u.state.Keys() {
 			if strings.HasPrefix(key, prefix) {
-				it := u.state.Item(key)
-				items = append(items, protocol.KeyValue{Key: key, Value: it.Value, Version: it.Version})
+				item := u.state.Item(key)
+				items = append(items, protocol.KeyValue{Key: key, Value: item.Value, Version: item.Version})
 			}
 		}
 		l.loader.loadRecords(items)
@@ -178,7 +178,7 @@
 }
 
 // TestUnknownLeaderRecord covers a leader record with an unknown storage version and one that cannot be decoded. No
-// controller may campaign, users are told to retry later, and the stored record stays unchanged.
+// controller may campaign, users' requests get status 503, and the stored record stays unchanged.
 func TestUnknownLeaderRecord(t *testing.T) {
 	for name, value := range map[string]any{
 		"a later version": leaderRecord{Label: "n9", Token: 40, StorageVersion: uint64(newestStorageVersion) + 1},
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -90,7 +90,7 @@
 	l.w.t.Helper()
 	key := clusterstate.MachinePrefix + worker.ID
 	var rec clusterstate.MachineRecord
-	if it := l.w.state.Item(key); it == nil || protocol.Decode(it.Value, &rec) != nil {
+	if item := l.w.state.Item(key); item == nil || protocol.Decode(item.Value, &rec) != nil {
 		l.w.t.Fatalf("no readable record of machine %s", worker.ID)
 	}
 	change(&rec)
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -178,7 +178,7 @@
 }
 
 // dropAbandonedSubmissions drops the submissions without a waiting request, unless the write of their record is already
-// in flight. Their users have been told to retry.
+// in flight. Their requests have been refused with status 503.
 func (u *userRequests) dropAbandonedSubmissions() {
 	for _, uid := range sortedKeys(u.pendingSubmissions) {
 		if slices.ContainsFunc(u.pendingSubmissions[uid].waiters, u.pending.isWaiting) {
@@ -191,7 +191,8 @@
 	}
 }
 
-// abandonSubmission drops a submission whose record the state service permanently rejects. Its users are told to retry.
+// abandonSubmission drops a submission whose record the state service permanently rejects. Its requests are refused
+// with status 503.
 func (u *userRequests) abandonSubmission(uid string) {
 	submission := u.pendingSubmissions[uid]
 	if submission == nil {
--- a/internal/controller/worker_heartbeats.go
+++ b/internal/controller/worker_heartbeats.go
@@ -113,7 +113,7 @@
 
 // answerForwardedHeartbeat answers a heartbeat that this controller forwarded to the previous leader as a follower,
 // if this controller was elected before the request completed. A refusal would make the worker try the other
-// controllers, and wait for the timeout of each one that has ended. If the worker has since answered a direct call,
+// controllers, and wait for the timeout of each terminated controller. If the worker has since answered a direct call,
 // the heartbeat is out of date and is not applied to the cluster state, but the reply still renews the worker's lease.
 func (h *heartbeatReceiver) answerForwardedHeartbeat(from requester, msg *protocol.WorkerHeartbeat, body []byte) {
 	m := h.state.Machines[msg.Machine]
@@ -128,7 +128,7 @@
 // renewWithoutCommands renews the lease of a worker whose heartbeat arrives while the leader loads the stored
 // records, or while it verifies its own lease after a process pause. Like the reply of a follower, the reply has no
 // commands and repeats the token that the worker sent. A refusal would make the worker try the other controllers,
-// and wait for the timeout of each one that has ended.
+// and wait for the timeout of each terminated controller.
 func (h *heartbeatReceiver) renewWithoutCommands(from requester, msg *protocol.WorkerHeartbeat) {
 	if msg.Token > h.lease.token {
 		h.controller.endLeadership(endWorkerHasHigherToken)
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -87,8 +87,7 @@
 	// withoutProbes: the node's version does not support probes. withoutGate: it supports neither probes nor
 	// the feature gate, see olderCall.
 	withoutProbes, withoutGate bool
-	// paused: the process handles no events. queuedEvents holds the events that arrive in the
-	// meantime.
+	// paused: the process handles no events. queuedEvents holds the events that arrive in the meantime.
 	paused       bool
 	queuedEvents []func()
 	// drift is the relative error of the monotonic clock; a positive value makes it run fast.
@@ -128,7 +127,7 @@
 		runTime: func(string) time.Duration { return 30 * time.Second }}
 	limits := testSite.state
 	w.state = emulator.NewStateService(w.queue, emulator.StateLimits{ValueBytes: limits.valueKB << 10, Changes: limits.changes})
-	w.state.MaxChanges, w.state.OnViolation = limits.changes, func(what string) { w.recordViolation("%s", what) }
+	w.state.MaxChanges, w.state.OnViolation = limits.changes, func(description string) { w.recordViolation("%s", description) }
 	w.newCloud()
 	w.newMachines()
 	for i := range shape.controllers {
@@ -150,12 +149,12 @@
 func (w *world) run(d time.Duration) { w.queue.RunUntil(w.Now() + d) }
 
 // until runs the world until a condition holds. If it does not hold within the limit, the test fails.
-func (w *world) until(limit time.Duration, what string, holds func() bool) {
+func (w *world) until(limit time.Duration, description string, holds func() bool) {
 	w.t.Helper()
 	end := w.Now() + limit
 	for !holds() {
 		if w.Now() >= end {
-			w.t.Fatalf("condition not met within %v: %s", limit, what)
+			w.t.Fatalf("condition not met within %v: %s", limit, description)
 		}
 		w.run(tick)
 	}
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -67,7 +67,7 @@
 	OnLaunch func(m *Machine)
 	OnDelete func(m *Machine)
 	// OnViolation is called for each request that violates the protocol, in addition to refusing it; nil: not called.
-	OnViolation func(what string)
+	OnViolation func(description string)
 }
 
 // NewCloud returns a cloud without machines.
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -62,7 +62,7 @@
 	// not called again once the task is waiting to save its checkpoint.
 	GangStopRequested func(t *Task, graceS float64)
 	// OnViolation is called for each message that violates the protocol.
-	OnViolation func(what string)
+	OnViolation func(description string)
 }
 
 // Fleet holds all workers and their common configuration.
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -68,7 +68,7 @@
 	TooLargeTransactions int
 	Stats                StateStats
 	// OnViolation is called for each request that violates the protocol; nil: not called.
-	OnViolation func(what string)
+	OnViolation func(description string)
 }
 
 // NewStateService returns an empty store.
--- a/internal/featuregate/model_test.go
+++ b/internal/featuregate/model_test.go
@@ -9,7 +9,7 @@
 
 // This file is a small model checker of the gate together with the leadership keys. Three controllers of two program
 // versions stop, restart in either version and stall; transactions apply late or lose their answers. The model uses
-// the real Gate, and the conditions of the transactions are those of docs/upgrades.md. It visits all states up to a
+// the real Gate, and the conditions of the transactions follow docs/upgrades.md. It visits all states up to a
 // depth.
 
 // modelStore is the state service with the leadership keys and the journal.
--- a/internal/membership/inbound_test.go
+++ b/internal/membership/inbound_test.go
@@ -220,15 +220,15 @@
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		d := New(testSettings("a", []string{"a", "b", "c"}), rand.New(rand.NewPCG(1, 1)))
-		at := Clock{Monotonic: time.Second, Wall: testWall}
-		d.Tick(at)
+		clock := Clock{Monotonic: time.Second, Wall: testWall}
+		d.Tick(clock)
 		for i := range 2 {
-			for _, a := range d.HandleProbe(at, uint64(i+1), body) {
+			for _, a := range d.HandleProbe(clock, uint64(i+1), body) {
 				if c, is := a.(StateChange); is && c.To != Left {
 					t.Errorf("unexpected state change: %+v", c)
 				}
 			}
-			d.HandleResponse(at, uint64(i+1), Response{Status: 200, Body: body})
+			d.HandleResponse(clock, uint64(i+1), Response{Status: 200, Body: body})
 		}
 		if len(d.pending.probes) > 4+maxProbesForPeers || len(d.pending.requests) > 64 {
 			t.Errorf("too many probes (%d) or requests (%d) are pending", len(d.pending.probes), len(d.pending.requests))
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -8,7 +8,7 @@
 // before the first probe.
 const (
 	Alive   State = iota
-	Suspect       // did not answer this controller's probes, nor those of the helpers
+	Suspect       // answered neither this controller's probes nor the helpers' probes
 	Dead          // suspicion timed out; its machines are reassigned
 	Left          // left gracefully after announcing it
 )
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// maxConfirmations is the number of confirmations that reduce the suspicion timeout to its minimum. In
-// smaller groups, the number of other members takes its place.
+// maxConfirmations is the number of confirmations that reduce the suspicion timeout to its minimum. A group
+// with fewer other members needs a confirmation by each of them.
 const maxConfirmations = 3
 
 // suspicion is the timer of a suspect member.
@@ -21,14 +21,14 @@
 
 // timeout returns the time after which the suspect is declared dead. As in Lifeguard, it decreases with the
 // logarithm of the number of confirmations: from factor*least without confirmations to least with
-// maxConfirmations of them, or with one of each of the others in a smaller group.
+// maxConfirmations or, in a smaller group, with a confirmation by each other member.
 func (s *suspicion) timeout(least time.Duration, factor float64, others int) time.Duration {
-	enough := min(maxConfirmations, others)
-	if enough <= 0 {
+	required := min(maxConfirmations, others)
+	if required <= 0 {
 		return time.Duration(float64(least) * factor)
 	}
-	confirmed := min(len(s.confirmations), enough)
-	share := math.Log(float64(confirmed)+1) / math.Log(float64(enough)+1)
+	confirmed := min(len(s.confirmations), required)
+	share := math.Log(float64(confirmed)+1) / math.Log(float64(required)+1)
 	return time.Duration(float64(least) * (factor - (factor-1)*share))
 }
 
--- a/internal/scalerun/job.go
+++ b/internal/scalerun/job.go
@@ -8,8 +8,8 @@
 	"claybarrow/internal/protocol"
 )
 
-// job is a job of this run, with the events that its client and its workers observed. Times are those of the event
-// loop's queue; 0 means that the event has not happened.
+// job is a job of this run, with the events that its client and its workers observed. Times are on the clock of the
+// event loop's queue; 0 means that the event has not happened.
 type job struct {
 	emulator.Job
 	uid, class, team string
--- a/internal/scheduler/gang_preemption.go
+++ b/internal/scheduler/gang_preemption.go
@@ -299,11 +299,11 @@
 func (g *gangPreemption) freeQuota() bool {
 	j := g.job
 	quota := *g.round.snapshot.Quotas[j.Team]
-	whole := j.totalRequest().Plus(quota.ServiceReserve)
+	required := j.totalRequest().Plus(quota.ServiceReserve)
 	for {
 		quotaAfter := quota
 		quotaAfter.Used = quota.Used.Minus(g.freedByTeam[j.Team])
-		if quotaAfter.WithinMaximum(whole) {
+		if quotaAfter.WithinMaximum(required) {
 			return true
 		}
 		m, youngest := g.round.tasks.youngestOfTeam(j, g.stops)
--- a/internal/scheduler/machine_index_test.go
+++ b/internal/scheduler/machine_index_test.go
@@ -103,25 +103,25 @@
 }
 
 // formatPlacements formats the placements of a fill, in their order.
-func formatPlacements(ps []Placement) (out []string) {
+func formatPlacements(ps []Placement) (lines []string) {
 	for _, p := range ps {
-		out = append(out, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Index, p.Machine.ID))
+		lines = append(lines, fmt.Sprintf("%s/%d on %s", p.Job.ID, p.Index, p.Machine.ID))
 	}
-	return out
+	return lines
 }
 
 // formatPreemption formats the stops and reservations of a round, in their order.
-func formatPreemption(p Preemption) (out []string) {
+func formatPreemption(p Preemption) (lines []string) {
 	for _, st := range p.Stops {
-		out = append(out, fmt.Sprintf("stop %s/%d on %s for %s", st.Victim.Job.ID, st.Victim.Index, st.Machine.ID, st.For.ID))
+		lines = append(lines, fmt.Sprintf("stop %s/%d on %s for %s", st.Victim.Job.ID, st.Victim.Index, st.Machine.ID, st.For.ID))
 	}
 	for _, reservation := range p.Reservations {
-		out = append(out, fmt.Sprintf("reserve %s for %d of %s", reservation.Machine.ID, reservation.Tasks, reservation.Job.ID))
+		lines = append(lines, fmt.Sprintf("reserve %s for %d of %s", reservation.Machine.ID, reservation.Tasks, reservation.Job.ID))
 	}
-	return out
+	return lines
 }
 
-// The decisions with the index are the same as those of the oracle, which scores all machines. The test compares fills,
+// The decisions with the index equal the decisions of the oracle, which scores all machines. The test compares fills,
 // the preemption of a round after a fill, and the launches of a plan, for random fleets.
 func TestIndexMatchesFullScan(t *testing.T) {
 	placed, stops, rented := 0, 0, 0
@@ -150,7 +150,7 @@
 	}
 }
 
-// The decisions with an index that is updated while machines change, are added and are removed are the same as those of
+// The decisions with an index that is updated while machines change, are added and are removed equal the decisions of
 // the oracle, which scores all machines.
 func TestUpdatedIndexMatchesFullScan(t *testing.T) {
 	for seed := range uint64(150) {
@@ -193,10 +193,10 @@
 		}
 		return
 	case 6:
-		more := randomSnapshot(seed).Machines[0]
-		more.ID, more.position = fmt.Sprint("n-", seed, len(s.Machines)), s.Machines[len(s.Machines)-1].position+1
-		s.Machines = append(s.Machines, more)
-		m = more
+		added := randomSnapshot(seed).Machines[0]
+		added.ID, added.position = fmt.Sprint("n-", seed, len(s.Machines)), s.Machines[len(s.Machines)-1].position+1
+		s.Machines = append(s.Machines, added)
+		m = added
 	}
 	s.machineChanged(m)
 	s.withRoom = [2][]*Machine{}
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -21,9 +21,9 @@
 // order of fillPasses.
 func (s *oracle) Fill() []Placement {
 	SortByRank(s.Jobs)
-	out := s.placeServices(nil)
-	out = s.placeStarvedBatches(out)
-	out = s.placeStarvedGangs(out)
+	placements := s.placeServices(nil)
+	placements = s.placeStarvedBatches(placements)
+	placements = s.placeStarvedGangs(placements)
 	for _, j := range s.Jobs {
 		if j.IsHeadroom {
 			s.reserve(j)
@@ -31,33 +31,33 @@
 		s.chargeReserved(j)
 	}
 	if s.Draining {
-		return out
+		return placements
 	}
 	for _, pass := range fillPasses {
 		s.reserveAcceleratorCores = pass == spareResources
 		if pass == interruptedTasks {
 			orderBeyondSlots(s.Jobs)
 		}
-		out = s.placeBatches(out, pass)
+		placements = s.placeBatches(placements, pass)
 	}
 	s.reserveAcceleratorCores = false
-	return out
+	return placements
 }
 
 // placeServices starts replicas, first those within the guarantees of their teams.
-func (s *oracle) placeServices(out []Placement) []Placement {
+func (s *oracle) placeServices(placements []Placement) []Placement {
 	for _, guaranteed := range []bool{true, false} {
 		for _, j := range s.Jobs {
 			if j.Service && !j.IsHeadroom {
-				out = s.placeTasks(out, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Request) })
+				placements = s.placeTasks(placements, j, func(t *Quota) bool { return !guaranteed || t.WithinGuarantee(j.Request) })
 			}
 		}
 	}
-	return out
+	return placements
 }
 
 // placeStarvedBatches starts one task of each batch that has had no task for longer than a machine takes to boot.
-func (s *oracle) placeStarvedBatches(out []Placement) []Placement {
+func (s *oracle) placeStarvedBatches(placements []Placement) []Placement {
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang || !j.Starved || j.Assigned > 0 || len(j.Waiting) == 0 {
 			continue
@@ -66,16 +66,16 @@
 			continue
 		}
 		if m := s.bestMachine(j); m != nil {
-			out = append(out, Placement{j, j.Waiting[0], m})
+			placements = append(placements, Placement{j, j.Waiting[0], m})
 			s.assign(j, m)
 		}
 	}
-	return out
+	return placements
 }
 
 // placeBatches makes one pass over batches and gangs. All tasks of a gang are within its slots, so gangs take part only
 // in the first two passes.
-func (s *oracle) placeBatches(out []Placement, pass fillPass) []Placement {
+func (s *oracle) placeBatches(placements []Placement, pass fillPass) []Placement {
 	upper := 0.0 // share of the fleet that the upper queue's slots cover so far in this pass
 	for _, j := range s.Jobs {
 		if j.Service || j.Gang && pass > withinSlots {
@@ -83,26 +83,26 @@
 		}
 		s.refundReserved(j)
 		if j.Gang {
-			out = s.placeGang(out, j, func(t *Quota, whole Resources) bool {
+			placements = s.placeGang(placements, j, func(t *Quota, whole Resources) bool {
 				return t.WithinMaximum(whole.Plus(t.ServiceReserve)) && (pass == withinSlots || t.WithinGuarantee(whole))
 			})
 		} else {
 			if j.InUpperQueue && pass == withinSlots {
 				upper += Share(j.Request, s.Capacity) * float64(min(j.Slots, j.Tasks))
 			}
-			out = s.placeTasks(out, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
+			placements = s.placeTasks(placements, j, func(t *Quota) bool { return s.mayPlaceBatch(j, t, pass, upper) })
 		}
 		s.chargeReserved(j)
 	}
-	return out
+	return placements
 }
 
 // placeTasks starts waiting tasks of a job until its team's quota, the given condition or the lack of a suitable
 // machine prevents it.
-func (s *oracle) placeTasks(out []Placement, j *Job, allowed func(*Quota) bool) []Placement {
+func (s *oracle) placeTasks(placements []Placement, j *Job, allowed func(*Quota) bool) []Placement {
 	quota := s.Quotas[j.Team]
 	if len(j.Waiting) == 0 || !quota.Admits(j) || !allowed(quota) {
-		return out
+		return placements
 	}
 	selector := s.selectorFor(j)
 	for len(j.Waiting) > 0 && quota.Admits(j) && allowed(quota) {
@@ -110,11 +110,11 @@
 		if m == nil {
 			break
 		}
-		out = append(out, Placement{j, j.Waiting[0], m})
+		placements = append(placements, Placement{j, j.Waiting[0], m})
 		s.assign(j, m)
 		selector.assigned(m)
 	}
-	return out
+	return placements
 }
 
 // reserve assigns as many of the job's waiting tasks as find room, but does not mark the machines as used.
@@ -197,7 +197,7 @@
 // placeStarvedGangs places gangs that have waited for longer than a machine takes to boot, the oldest first. If a gang
 // does not fit, the free room for part of its tasks is reserved, because small jobs would take that room again in each
 // fill. The reservation ends with the snapshot, so gangs can't block one another.
-func (s *oracle) placeStarvedGangs(out []Placement) []Placement {
+func (s *oracle) placeStarvedGangs(placements []Placement) []Placement {
 	var starved []*Job
 	for _, j := range s.Jobs {
 		if j.Gang && j.Starved && len(j.Waiting) > 0 {
@@ -210,33 +210,33 @@
 		if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Request.Times(float64(len(j.Waiting)))) {
 			continue // the gang waits until other tasks of its team end
 		}
-		before := len(out)
-		if out = s.placeGang(out, j, inLimit); len(out) == before && s.fleetCanHold(j) {
+		before := len(placements)
+		if placements = s.placeGang(placements, j, inLimit); len(placements) == before && s.fleetCanHold(j) {
 			s.reserve(j)
 			j.Waiting = nil
 		}
 	}
-	return out
+	return placements
 }
 
 // placeGang starts all tasks of a gang, or none. For a gang that must be in one zone it tries the zones one by one,
 // because the best machine for the first task may be in a zone without room for the whole gang.
-func (s *oracle) placeGang(out []Placement, j *Job, allowed func(*Quota, Resources) bool) []Placement {
+func (s *oracle) placeGang(placements []Placement, j *Job, allowed func(*Quota, Resources) bool) []Placement {
 	quota := s.Quotas[j.Team]
 	if len(j.Waiting) == 0 || quota == nil || !allowed(quota, j.Request.Times(float64(len(j.Waiting)))) {
-		return out
+		return placements
 	}
 	if !j.OneZone || j.Zone != "" {
 		got, _ := s.tryPlaceGang(j)
-		return append(out, got...)
+		return append(placements, got...)
 	}
 	defer func() { j.Zone = "" }()
 	for _, j.Zone = range s.gangZones(j) {
 		if got, ok := s.tryPlaceGang(j); ok {
-			return append(out, got...)
+			return append(placements, got...)
 		}
 	}
-	return out
+	return placements
 }
 
 // tryPlaceGang places all waiting tasks of a gang. If one finds no room, it reverts all assignments and returns false.
@@ -421,8 +421,8 @@
 }
 
 // oracleCandidateHeap holds the machines that accept a task of one job, the best first. All tasks of a job have the
-// same request, so an assignment changes only the score of its own machine. For a job with thousands of tasks and a
-// fleet of hundreds of machines, scoring all machines for each task took a quarter of a second of the CPU time that a
+// same request, so an assignment changes only the score of the assigned machine. For a job with thousands of tasks and
+// a fleet of hundreds of machines, scoring all machines for each task took a quarter of a second of the CPU time that a
 // controller gets.
 type oracleCandidateHeap struct {
 	oracle *oracle
@@ -574,8 +574,8 @@
 	return machine, youngest
 }
 
-// isPreemptible reports whether a victim's tasks may be stopped for a job. The rules are those of the protocol's
-// section "Preemption"; in addition, the victim must rank after the job or exceed its slots.
+// isPreemptible reports whether a victim's tasks may be stopped for a job. The rules follow the protocol's section
+// "Preemption"; in addition, the victim must rank after the job or exceed its slots.
 func (s *oracle) isPreemptible(victim, j *Job, guaranteed bool, rank map[*Job]int) bool {
 	lower := victim.Priority < j.Priority
 	quota := s.Quotas[victim.Team]
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -181,8 +181,8 @@
 	r.plan.Reservations = append(r.plan.Reservations, Reservation{Job: j, Machine: m, Tasks: tasks})
 }
 
-// isPreemptible reports whether a victim's tasks may be stopped for a job. The rules are those of the protocol's
-// section "Preemption"; in addition, the victim must rank after the job or exceed its slots.
+// isPreemptible reports whether a victim's tasks may be stopped for a job. The rules follow the protocol's section
+// "Preemption"; in addition, the victim must rank after the job or exceed its slots.
 func (r *preemptionRound) isPreemptible(victim, j *Job, guaranteed bool) bool {
 	if victim.Priority >= j.Priority {
 		// Stopping one replica to start another gains nothing, and the stopped replica has to fetch its image again.
--- a/internal/scheduler/selector.go
+++ b/internal/scheduler/selector.go
@@ -68,9 +68,9 @@
 func (f fullScan) added(*Machine, int) {}
 
 // candidateHeap is a machineSelector that holds the machines that accept a task of one job, the best first. All tasks
-// of a job have the same request, so an assignment changes only the score of its own machine. For a job with thousands
-// of tasks and a fleet of hundreds of machines, scoring all machines for each task took a quarter of a second of the
-// CPU time that a controller gets.
+// of a job have the same request, so an assignment changes only the score of the assigned machine. For a job with
+// thousands of tasks and a fleet of hundreds of machines, scoring all machines for each task took a quarter of a second
+// of the CPU time that a controller gets.
 type candidateHeap struct {
 	snapshot *Snapshot
 	job      *Job
--- a/internal/scheduler/selector_test.go
+++ b/internal/scheduler/selector_test.go
@@ -30,27 +30,28 @@
 		s.reserveAcceleratorCores = rng.IntN(2) == 0
 		forHeap, forScan := s.clone(""), s.clone("")
 		forHeap.reserveAcceleratorCores, forScan.reserveAcceleratorCores = s.reserveAcceleratorCores, s.reserveAcceleratorCores
-		places := func(s *Snapshot, c machineSelector, j Job) (out []string) {
+		selectedMachines := func(s *Snapshot, c machineSelector, j Job) (machineIDs []string) {
 			for len(j.Waiting) > 0 {
 				m := c.best()
 				if m == nil {
-					return out
+					return machineIDs
 				}
-				out = append(out, m.ID)
+				machineIDs = append(machineIDs, m.ID)
 				s.assign(&j, m)
 				c.assigned(m)
 			}
-			return out
+			return machineIDs
 		}
-		a := places(forHeap, forHeap.candidateHeapFor(j), *j)
-		b := places(forScan, fullScan{forScan, j}, *j)
+		a := selectedMachines(forHeap, forHeap.candidateHeapFor(j), *j)
+		b := selectedMachines(forScan, fullScan{forScan, j}, *j)
 		if fmt.Sprint(a) != fmt.Sprint(b) {
 			t.Fatalf("round %d: candidateHeap selected\n%v\nwant, as fullScan selected,\n%v", round, a, b)
 		}
 	}
 }
 
-// In a fill for a job with thousands of tasks, each assignment scores only its own machine again, not all machines.
+// In a fill for a job with thousands of tasks, each assignment scores only the assigned machine again, not all
+// machines.
 func TestFillWorkOfALargeArray(t *testing.T) {
 	s := newSnapshot(machines(box, make([]string, 800)...), batch("work", 5000, func(j *Job) { j.InUpperQueue = false }))
 	s.Quotas["red"].Maximum = Resources{}
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -126,10 +126,10 @@
 // A change of the feature gate is recorded as a span with its reason and the statements of the other controllers.
 func TestTraceOfFeatureGate(t *testing.T) {
 	traces := recordTraces(t, time.Now(), func(r *Recorder) {
-		r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Reason: "n1 is told to hold",
+		r.GateChanged(controller.GateChange{Token: 3, At: time.Second, From: featuregate.Open, To: featuregate.Closing, Reason: "n1 holds the gate closed",
 			Statements: map[string]string{"n1": "reads 1, writes 1, holds", "n2": "no statement"}})
 	})
-	for _, text := range []string{`"feature gate"`, `"closing"`, "n1 is told to hold", "statement.n1", "reads 1, writes 1, holds", "no statement"} {
+	for _, text := range []string{`"feature gate"`, `"closing"`, "n1 holds the gate closed", "statement.n1", "reads 1, writes 1, holds", "no statement"} {
 		if !strings.Contains(traces, text) {
 			t.Errorf("traces do not contain %s: %s", text, traces)
 		}
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -29,7 +29,7 @@
 	log  *slog.Logger
 	// stateResults holds the state service's responses, which have priority over all other responses: after a failover,
 	// thousands of workers respond at the same time. When all responses shared one queue, the response to a lease
-	// renewal waited behind those of the workers until the new leader had lost its lease.
+	// renewal waited behind the workers' responses until the new leader had lost its lease.
 	stateResults chan controller.Event
 	// results holds the responses of workers, the cloud and other controllers.
 	results chan controller.Event
