--- a/internal/controller/attempt_numbers.go
+++ b/internal/controller/attempt_numbers.go
@@ -29,14 +29,14 @@
 	attemptsPerBlock = 1<<attemptBlockBits - 1
 	// reserveThreshold is the remaining count at which the next block is reserved: half of a block.
 	reserveThreshold = 1 << (attemptBlockBits - 1)
-	// minRemainingNumbers is the remaining count that a placement round requires: more than any round allocates.
+	// minRemainingNumbers is the remaining count that a fill requires: more than any fill allocates.
 	minRemainingNumbers = 1 << 20
 )
 
 // remaining returns how many numbers of the current block have not been allocated.
 func (n *attemptNumbers) remaining() uint64 { return attemptsPerBlock - n.used }
 
-// hasEnough reports whether enough numbers are available for a placement round.
+// hasEnough reports whether enough numbers are available for a fill.
 func (n *attemptNumbers) hasEnough() bool {
 	return n.reservedBlock != 0 || n.remaining() >= minRemainingNumbers
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -30,8 +30,8 @@
 	callLimiter callLimiter
 }
 
-// commandTimeout is the upper bound of callTimeout: with a long worker lease, a call without a reply after this time
-// counts as failed too.
+// commandTimeout is the upper bound of callTimeout: a call without a reply after this time counts as failed, however
+// long the worker lease is.
 const commandTimeout = 1600 * time.Millisecond
 
 // maxCallBackoffFactor bounds the back-off after failed calls, as a multiple of callRetryPause.
@@ -81,7 +81,7 @@
 }
 
 // canCall reports whether a direct call to the machine is possible now: its address is known, no call is in flight or
-// backed off, and this controller leads with all records loaded.
+// backed off, all records are loaded, and the leadership has not ended and is not verifying its lease after a pause.
 func (d *commandDispatcher) canCall(m *clusterstate.Machine) bool {
 	if m.CallInFlight || m.Addr == "" || d.env.now < m.NextCallAt {
 		return false
@@ -228,9 +228,9 @@
 	return true
 }
 
-// pendingCommands returns the commands to send to the worker now, and marks them as sent. The reply to a heartbeat
-// (inReply) carries run commands only if direct calls to the worker fail. The commands of the attempts come first, in
-// the order of the attempts, then the stops of unknown tasks, then the clears.
+// pendingCommands returns the commands to send to the worker now, and marks them as sent. Run commands are sent in
+// direct calls; the reply to a heartbeat (inReply) carries them only if direct calls to the worker fail. The commands
+// of the attempts come first, in the order of the attempts, then the stops of unknown tasks, then the clears.
 func (d *commandDispatcher) pendingCommands(m *clusterstate.Machine, inReply bool) []protocol.Command {
 	if inReply && m.CallInFlight || d.hasNoCommands(m) {
 		return nil
@@ -248,9 +248,10 @@
 	return d.appendClears(commands, m)
 }
 
-// mayRun reports whether the attempt's run command may be sent: its record is durable, the worker has not
-// acknowledged the attempt, and no other controller can have become leader. The run commands of a gang are sent
-// together, once all of its placements are durable.
+// mayRun reports whether the attempt's run command may be sent: its record is durable, this leader placed the attempt,
+// the worker has not acknowledged it, the machine is not being released, and no other controller can have become
+// leader. The run commands of a gang are sent together, once all of its placements are durable; only an attempt whose
+// stop was requested does not wait for the others.
 func (d *commandDispatcher) mayRun(m *clusterstate.Machine, a *clusterstate.Attempt) bool {
 	if !a.Durable || a.Acknowledged || a.Loaded || m.Releasing || !d.lease.holdsLease() {
 		return false
@@ -312,8 +313,9 @@
 	return commands
 }
 
-// appendClears appends clear commands for exited tasks, on which the worker drops its record of them. Until the worker
-// has acknowledged the leader's token, run commands of an earlier leader may still arrive, so no task is cleared.
+// appendClears appends clear commands for exited tasks. On a clear command the worker drops its record of the task.
+// Until the worker has acknowledged the leader's token, run commands of an earlier leader may still arrive, so no task
+// is cleared.
 func (d *commandDispatcher) appendClears(commands []protocol.Command, m *clusterstate.Machine) []protocol.Command {
 	if !m.TokenAcknowledged {
 		return commands
--- a/internal/controller/consolidation.go
+++ b/internal/controller/consolidation.go
@@ -121,7 +121,7 @@
 	return candidates
 }
 
-// machineKind is a machine type as on-demand or spot.
+// machineKind is a machine type together with whether its machines are spot or on-demand.
 type machineKind struct {
 	typ  string
 	spot bool
--- a/internal/controller/election.go
+++ b/internal/controller/election.go
@@ -23,8 +23,9 @@
 
 	leaderKeys leaderKeys
 	candidate  *candidate
-	// electionBackoffUntil is the time until which this controller does not campaign, so that another one can be
-	// elected. It is set when this controller shuts down, and when it steps down because it can't reach the workers.
+	// electionBackoffUntil is the end of the election back-off, in which this controller does not campaign so that
+	// another one can be elected. The back-off ends early if no other one is elected (see isBackingOff). It is set when
+	// this controller shuts down, and when it steps down because it can't reach the workers.
 	electionBackoffUntil time.Duration
 }
 
@@ -36,7 +37,7 @@
 	inFlight         bool          // a request is in flight
 }
 
-// Fractions and multiples of the leader's lease (config.LeaderLease) in an election.
+// Fractions and multiples of the leader's lease (config.Config.LeaderLease) in an election.
 const (
 	// stateCallTimeoutDivisor: a call to the state service times out after half of the lease, so that a request
 	// whose response is lost can be retried within the same lease.
@@ -50,7 +51,7 @@
 	// candidateRenewalDivisor: a candidate renews its lease after a third of the lease.
 	candidateRenewalDivisor = 3
 	// backoffLeaseDivisor: the back-off ends early when there has been no leader for a fifth of the workers' lease
-	// (config.WorkerLease), long before the workers' leases expire.
+	// (config.Config.WorkerLease), long before the workers' leases expire.
 	backoffLeaseDivisor = 5
 )
 
@@ -99,7 +100,7 @@
 
 // sendListRequest sends a list request for all leader keys.
 func (e *election) sendListRequest() {
-	isCurrent := e.registerKeysRequest()
+	isCurrent := e.newResponseCheck()
 	e.outbox.state.List(keyPrefix, "", leaderKeysLimit, e.stateCallTimeout(), func(page stateclient.Page, err error) {
 		if isCurrent() {
 			e.onLeaderKeysListed(page, err)
@@ -112,7 +113,7 @@
 func (e *election) sendWatchRequest() {
 	ttl := e.env.cfg.LeaderLease()
 	block := watchBlockLeases * ttl
-	isCurrent := e.registerKeysRequest()
+	isCurrent := e.newResponseCheck()
 	e.outbox.state.Watch(keyPrefix, e.leaderKeys.revision, block, block+ttl, func(events protocol.WatchReply, err error) {
 		if isCurrent() {
 			e.onLeaderKeysChanged(events, err)
@@ -120,10 +121,10 @@
 	})
 }
 
-// registerKeysRequest registers a list or watch request for the leader keys. The response handler must call the
-// returned function: it marks the request as completed and reports whether the response is current. A response is
+// newResponseCheck returns a function that the response handler of a new list or watch request for the leader keys must
+// call. The function reports whether the response is current, and if so marks the request as completed. A response is
 // stale if refresh was called after the request was sent.
-func (e *election) registerKeysRequest() (isCurrent func() bool) {
+func (e *election) newResponseCheck() (isCurrent func() bool) {
 	generation := e.leaderKeys.generation
 	return func() bool {
 		if e.leaderKeys.generation != generation {
--- a/internal/controller/failover_preparation.go
+++ b/internal/controller/failover_preparation.go
@@ -10,9 +10,9 @@
 // failoverPreparer prepares a follower to succeed a suspected leader: it acquires a lease and preloads the
 // stored records ahead of the election.
 //
-// Suspicion never starts an election: the follower campaigns only after the leader's key in the state service was
-// deleted. After the election, the preloaded records are checked against all later changes, so that the former
-// leader's last writes are never missed.
+// Suspicion never starts an election: the follower campaigns only once the state service names no leader (see
+// leaderKeys.currentLeader). After the election, all changes since the preload are applied to the preloaded records, so
+// that the former leader's last writes are never missed.
 //
 // It owns the preparation. At a failover the new leadership takes over the preloaded records, and the rest of the
 // preparation is discarded.
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -26,10 +26,10 @@
 	preparer *failoverPreparer
 
 	detector *membership.Detector // nil: failure detection is disabled
-	// unansweredProbes holds the senders of the probes that have not been answered, by the request number that the
-	// detector uses for the probe.
+	// unansweredProbes holds the senders of the probes that have not been answered, by the probe ID that was passed to
+	// the detector (membership.Respond.Request).
 	unansweredProbes map[uint64]requester
-	lastProbeID      uint64        // the last request number used
+	lastProbeID      uint64        // the last probe ID that was assigned
 	countersDueAt    time.Duration // when the detector's counters are next reported to the observer
 }
 
@@ -149,7 +149,7 @@
 }
 
 // onMemberChange logs a change of a controller's state and reports it to the observer. If the leader became suspected,
-// it starts the preparation of a failover.
+// it records the time of the suspicion for the preparation of a failover.
 func (d *failureDetection) onMemberChange(change membership.StateChange) {
 	d.env.log.Info("controller is "+change.To.String(), "controller", change.Label, "previous", change.From.String(),
 		"reason", string(change.Reason), "incarnation", uint64(change.Incarnation), "after_s", change.After.Seconds())
--- a/internal/controller/failures.go
+++ b/internal/controller/failures.go
@@ -29,7 +29,7 @@
 // onTaskError handles a task that exited with an error. a is nil if the cluster state lacks the attempt.
 func (f *failureTracker) onTaskError(m *clusterstate.Machine, j *clusterstate.Job, a *clusterstate.Attempt, key clusterstate.AttemptKey) {
 	if a != nil && j.Spec.Service && f.env.now > a.AddedAt+seconds(f.catalog.longestBootS()) {
-		f.recordTaskSuccess(j, nil) // a service task that ran for longer than a boot has succeeded before it failed
+		f.recordTaskSuccess(j, nil) // a service task that ran for longer than the longest boot counts as a success
 	}
 	f.env.log.Debug("task failed", "task", key.Task, "attempt", key.Attempt, "machine", m.ID)
 	if j.Failures.Backoffs == 0 || a != nil && a.AddedAt > j.Failures.LastBackoffAt {
--- a/internal/controller/follower.go
+++ b/internal/controller/follower.go
@@ -91,8 +91,8 @@
 // waits, so that this controller can still answer the worker itself if the leader does not.
 const maxForwardTimeout = heartbeatTimeout / 2
 
-// leaderLabel returns the label of the leader from the leader keys or, if these are out of date, from the leader's
-// recent replies. It is empty if the leader is unknown.
+// leaderLabel returns the label of the leader from the leader keys or, if the keys name no leader or are out of date,
+// from the leader's recent replies. It is empty if the leader is unknown.
 func (f *follower) leaderLabel() string {
 	keys, contact := &f.election.leaderKeys, &f.contact
 	if keys.leader != nil && (keys.listed || keys.leader.Token >= contact.highestToken) {
@@ -105,7 +105,8 @@
 }
 
 // isReady reports whether a follower should receive users' requests. It is not ready before it has read the leader keys
-// for the first time, or after it has had no reachable leader for too long: it would reject each request.
+// for the first time, after the leader has been unreachable for too long, or after no leader has been known for half a
+// worker lease: in these cases it would reject each request.
 func (f *follower) isReady() bool {
 	keys := &f.election.leaderKeys
 	if !keys.listed && keys.leader == nil && keys.leaderlessSince == 0 {
@@ -265,8 +266,8 @@
 // During the maximum duration of a failover it does so even if the state service still names the unreachable leader:
 // that leader has probably terminated or is paused, and a successor will be elected soon. Workers that were redirected
 // to it waited 4 s for an answer, and another 4 s at the next terminated controller, until their leases expired. After
-// that time, a leader that the state service still names is alive, and workers are redirected to it if they can reach
-// it: see leader_probes.go.
+// that time, a leader that the state service still names is alive. A limited number of workers are then redirected to
+// it as probes, and the leases of the other workers are still renewed: see leader_probes.go.
 func (f *follower) tryRenewLeaseForLeader(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
 	if !contact.leaderLost || heartbeat.Zone != f.env.cfg.Zone || heartbeat.Token == 0 {
--- a/internal/controller/leader_lease.go
+++ b/internal/controller/leader_lease.go
@@ -30,13 +30,13 @@
 	verifyingLeaseUntil time.Duration
 }
 
-// Fractions of the leader's lease (config.LeaderLease).
+// Fractions of the leader's lease (config.Config.LeaderLease).
 const (
 	// firstRenewalDivisor: the first renewal is due an eighth of a lease after the election. The interval is shorter
 	// than that of later renewals because the lease was granted before the election.
 	firstRenewalDivisor = 8
-	// renewalDivisor: the lease is renewed five times per lease duration. config.LeaderLease takes the rate of these
-	// requests into account.
+	// renewalDivisor: the lease is renewed five times per lease duration. config.Config.LeaderLease takes the rate of
+	// these requests into account.
 	renewalDivisor = 5
 	// renewalRetryDivisor: a failed renewal is retried after a tenth of the lease.
 	renewalRetryDivisor = 10
@@ -46,7 +46,7 @@
 )
 
 // renewLeaderLease renews the lease well before it expires. It ends the leadership if the lease has not been confirmed
-// for the outage tolerance (config.OutageTolerance).
+// for the outage tolerance (config.Config.OutageTolerance).
 func (l *leaderLease) renewLeaderLease() {
 	if l.env.now > l.leaseConfirmedAt+l.env.cfg.OutageTolerance() && !l.holdsLease() {
 		l.controller.endLeadership(endLeaseUnconfirmed)
--- a/internal/controller/leader_probes.go
+++ b/internal/controller/leader_probes.go
@@ -72,16 +72,17 @@
 	return true
 }
 
-// leaderRefusesConnections reports whether connections to the leader are refused without delay. The workers'
-// connections are then refused as well, so every worker may probe the leader: it returns long before its lease expires.
+// leaderRefusesConnections reports whether connections to the leader are refused without delay, and a worker whose
+// connections are refused tries all controllers within half a lease. Every worker may then probe the leader: if its
+// connection is refused too, it returns long before its lease expires.
 func (f *follower) leaderRefusesConnections() bool {
 	return f.contact.connectionRefused && f.env.workerScanTime(heartbeatRetryPause) < f.env.cfg.WorkerLease()/2
 }
 
 // mayProbeAtLeaseRisk reports whether a worker may probe the leader while connection attempts to the leader time out.
 // The worker then waits for the timeout at each controller, which may take longer than its lease. Therefore only one
-// worker probes at a time, and during the first half of the outage tolerance (config.OutageTolerance) only a worker
-// without tasks.
+// worker probes at a time, and during the first half of the outage tolerance (config.Config.OutageTolerance) only a
+// worker without tasks.
 func (f *follower) mayProbeAtLeaseRisk(heartbeat *protocol.WorkerHeartbeat) bool {
 	contact := &f.contact
 	if last := contact.leaderProbes.lastRedirectAt; last > 0 && f.env.now < last+f.env.workerFailoverTime() {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -123,13 +123,13 @@
 // for its lease to be confirmed after a process pause.
 func (l *leadership) mayAct() bool { return l.loader.ready && !l.lease.isVerifyingLease() }
 
-// afterEvent runs after each event: it runs a pending placement round and sends the writes that the event queued.
+// afterEvent runs after each event: it runs a pending fill and sends the queued writes.
 func (l *leadership) afterEvent() {
 	if l.lease.ended || !l.mayAct() {
 		return
 	}
-	// While a transaction is in flight, new placements could only be stored by the next transaction. Placement
-	// therefore waits until the writer is idle, which places a burst of submissions in one round, not job by job.
+	// While a transaction is in flight, new placements could only be stored by the next transaction. The fill
+	// therefore waits until the writer is idle, and places a burst of submissions at once, not job by job.
 	if l.placement.fillPending && !l.store.HasTransactionInFlight() {
 		l.placement.runFill()
 	}
--- a/internal/controller/machine_health.go
+++ b/internal/controller/machine_health.go
@@ -58,11 +58,11 @@
 	return h.silenceDuration(m) > h.env.cfg.WorkerLease()*2/5
 }
 
-// evacuationStart is the earliest time, after its last answered heartbeat, at which tasks are moved from a machine that
-// cannot reach any controller: 0.55 of a lease.
+// evacuationStart is the shortest time after the last answered heartbeat of a machine that cannot reach any controller
+// before tasks are moved from the machine: 0.55 of a lease.
 func (h *machineHealth) evacuationStart() time.Duration { return h.env.cfg.WorkerLease() * 11 / 20 }
 
-// evacuationEnd is the latest such time: 0.8 of a lease, shortly before the lease expires.
+// evacuationEnd is the longest such time: 0.8 of a lease, shortly before the lease expires.
 func (h *machineHealth) evacuationEnd() time.Duration { return h.env.cfg.WorkerLease() * 4 / 5 }
 
 // leaseWithMargin is the worker's lease plus the maximum clock drift and a safety margin of a fiftieth of the lease.
@@ -71,7 +71,8 @@
 }
 
 // isSchedulable reports whether tasks may be started on the machine: it is open to tasks, has acknowledged this
-// leader's token, sent a message recently, and its replies and direct calls are not being lost.
+// leader's token and sent a message recently, its heartbeats are answered, and the leader's answers and direct calls
+// reach it.
 func (h *machineHealth) isSchedulable(m *clusterstate.Machine) bool {
 	return h.acceptsTasks(m) && m.TokenAcknowledged &&
 		m.UndeliveredAnswers <= maxUndeliveredAnswers && m.FailedCalls <= maxFailedCalls &&
@@ -149,8 +150,8 @@
 	return true
 }
 
-// silenceDuration returns the time since the machine's newest message. It counts from the election, or from the end of
-// the last partition of the machine's zone, if that was later.
+// silenceDuration returns the time since the latest of three events: the machine's newest message, the election, and
+// the end of the last partition of the machine's zone.
 func (h *machineHealth) silenceDuration(m *clusterstate.Machine) time.Duration {
 	return h.env.now - max(m.LastSeen, h.lease.electedAt, h.partitions.reconnectedAt[m.Zone])
 }
@@ -252,7 +253,7 @@
 			continue
 		}
 		// The worker has not acknowledged this leader's token, so the peer may have answered it as an earlier leader:
-		// until its first heartbeat to this leader, or else for the outage tolerance after the election.
+		// until its first heartbeat to this leader or, if there was none, for the outage tolerance after the election.
 		if p.firstHeartbeatAt > 0 {
 			last = max(last, p.firstHeartbeatAt)
 		} else {
--- a/internal/controller/machine_pool.go
+++ b/internal/controller/machine_pool.go
@@ -16,11 +16,11 @@
 
 // Limits of how often the cloud's machines are listed.
 const (
-	// listLagDivisor divides the list's usual lag into the interval between two lists. More frequent lists would show
+	// listLagDivisor: the interval between two lists is half of the list's usual lag. More frequent lists would show
 	// few changes.
 	listLagDivisor = 2
-	// requestsPerList is the minimum interval between two lists, as the number of requests that the cloud's rate limit
-	// allows in that time. Most of the allowed requests thus remain for launches and deletions.
+	// requestsPerList: the interval between two lists is at least the time in which the cloud's rate limit allows four
+	// requests, so that most of the allowed requests remain for launches and deletions.
 	requestsPerList = 4
 )
 
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -31,7 +31,7 @@
 	OpWorkerHeartbeat    Op = "report"    // a worker's heartbeat
 	OpRelay              Op = "relay"     // a user's request that another controller relays
 	OpForwardedHeartbeat Op = "forward"   // a worker's heartbeat that its zone's controller forwards
-	OpPeerHeartbeat      Op = "heartbeat" // another controller's heartbeat to the leader
+	OpPeerHeartbeat      Op = "heartbeat" // another controller's heartbeat
 	OpProbe              Op = "probe"     // another controller's failure detection probes this one
 )
 
--- a/internal/controller/observer.go
+++ b/internal/controller/observer.go
@@ -11,7 +11,8 @@
 // observer can't influence the controller's decisions.
 type Observer interface {
 	// DetectorSampled reports the state of the failure detector once per workers' lease: its local health score, from 0
-	// (healthy: it trusts its own observations) to 8 (it hardly trusts them), and its counters since the process started.
+	// (healthy: it trusts its own observations) to 8 (it hardly trusts them), and its counters since the process
+	// started.
 	DetectorSampled(health int, counters membership.Counters)
 	// MemberChanged reports a change of another controller's state in the failure detector.
 	MemberChanged(membership.StateChange)
@@ -20,8 +21,7 @@
 	// FailedOver reports a finished failover. The new leader calls it at its first placement, or a workers' lease after
 	// the records were loaded if there was no placement.
 	FailedOver(Failover)
-	// GateChanged reports a change of the feature gate's state, or of the reason why it is not open. Only the leader
-	// calls it.
+	// GateChanged reports a change of the feature gate's state. Only the leader calls it.
 	GateChanged(GateChange)
 	// JournalSized reports the size of the completion journal. The leader calls it once per workers' lease.
 	JournalSized(JournalSize)
--- a/internal/controller/outbox.go
+++ b/internal/controller/outbox.go
@@ -137,7 +137,8 @@
 	o.reply(to, status, protocol.Encode(job), 0)
 }
 
-// replyRedirect tells a worker to send its heartbeats to another controller.
+// replyRedirect answers a worker's heartbeat with the label of the controller that the worker should send its
+// heartbeats to.
 func (o *outbox) replyRedirect(to requester, label string) {
 	o.reply(to, http.StatusMisdirectedRequest, protocol.Encode(protocol.Redirect{Leader: label}), 0)
 }
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -91,9 +91,9 @@
 }
 
 // partitionedSince reports whether a zone with silent controllers is partitioned, and since when. The zone stays
-// partitioned until messages of its controllers or of enough of its machines arrive, but no longer than its follower
-// may act for the leader. The silent machines may be released during the partition, so it continues even if no machines
-// are left to count.
+// partitioned until messages of its controllers or of enough of its machines arrive, but at most for the outage
+// tolerance (config.Config.OutageTolerance). The silent machines may be released during the partition, so it continues
+// even if no machines are left to count.
 func (d *partitionDetector) partitionedSince(zone string, count zoneCount, otherZoneReporting bool) (time.Duration, bool) {
 	if !count.nearlyAllSilent() {
 		return 0, false
--- a/internal/controller/peer_heartbeats.go
+++ b/internal/controller/peer_heartbeats.go
@@ -35,7 +35,8 @@
 	reply := protocol.PeerHeartbeatReply{Token: c.follower.contact.highestToken, Versions: c.versionStatement()}
 	switch l := c.leadership; {
 	case l == nil:
-		// If the leader keys name this controller, an earlier process of this controller wrote the record.
+		// If the leader keys name this controller, the record was written by an earlier process of this controller or
+		// for an abandoned candidacy.
 		if label := c.follower.leaderLabel(); label != c.env.cfg.Label {
 			reply.Leader = label
 		}
--- a/internal/controller/process_pause.go
+++ b/internal/controller/process_pause.go
@@ -6,7 +6,7 @@
 // occupied its core. After the pause its state is out of date, and all messages that arrived in the meantime are
 // read at once. A resumed leader therefore first confirms its lease with the state service. Until then it sends no
 // commands and does not treat missing heartbeats as worker failures: a leader that had been replaced half a minute
-// earlier once declared 60 machines lost, although the pause had kept it from reading their heartbeats.
+// earlier declared 60 machines lost, because it had not read their heartbeats during the pause.
 
 // pauseRecovery detects pauses of the process, and tracks whether another process has answered since the last pause.
 // Its lifetime is that of the process.
@@ -21,8 +21,8 @@
 	preparer   *failoverPreparer
 	relay      *leaderRelay
 
-	// recoveringUntil is the time until which this controller remains passive, unless an answer from another process
-	// arrives first; 0: the process was not paused, or an answer has arrived since.
+	// recoveringUntil is the time until which this controller refuses users' requests and workers' heartbeats, unless
+	// an answer from another process arrives first; 0: the process was not paused, or an answer has arrived since.
 	recoveringUntil time.Duration
 	resumedAt       time.Duration // when the process last resumed; 0: it was never paused
 }
@@ -54,8 +54,8 @@
 }
 
 // discardStaleDecisions discards state from before the pause: the candidacy, the failover preparation, the contact with
-// the leader and the pending requests and retries. The controller remains passive until an answer arrives, at most for
-// the maximum duration of a failover.
+// the leader and the pending requests and retries. The controller then refuses users' requests and workers' heartbeats
+// until an answer arrives, at most for the maximum duration of a failover.
 func (p *pauseRecovery) discardStaleDecisions() {
 	p.recoveringUntil, p.resumedAt = p.env.now+p.env.maxFailoverTime(), p.env.now
 	p.election.candidate = nil
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -10,9 +10,10 @@
 // workers of its own zone try all controllers in turn, are redirected to the leader by each, and lose their leases.
 // With the leader's zone partitioned, a quarter to half of all replicas were lost that way, on both fleets.
 //
-// The evidence must exclude a fault of the workers. A machine is counted if its heartbeat arrived through another
-// controller while a direct call to it was unanswered. The count restarts whenever any machine answers a direct call
-// or sends a heartbeat directly. Probes of the other machines show whether only a few machines are affected.
+// The evidence must exclude a fault of the workers. A machine is counted as missed if a direct call to it gets no
+// answer although its heartbeat arrived after the call was sent, usually through another controller. The count restarts
+// whenever any machine answers a direct call or sends a heartbeat directly. Probes of the other machines show whether
+// only a few machines are affected.
 
 // reachability is a leader's evidence of whether it can reach the workers directly. It is discarded when the leadership
 // ends; election.electionBackoffUntil outlives the leadership.
@@ -45,8 +46,8 @@
 	}
 }
 
-// recordMissed records a machine whose heartbeat arrived through another controller while a direct call to it was
-// unanswered.
+// recordMissed records a machine that did not answer a direct call although its heartbeat arrived after the call was
+// sent.
 func (r *reachability) recordMissed(id string, now time.Duration) {
 	if r.missedMachines == nil {
 		r.missedMachines, r.firstMissedAt = map[string]bool{}, now
--- a/internal/controller/reconciliation.go
+++ b/internal/controller/reconciliation.go
@@ -89,7 +89,8 @@
 
 // provesAbsence reports whether the message, which lacks the attempt, proves that the attempt is not on the machine.
 // One proof is an agent epoch later than the epoch to which the attempt's run commands were addressed. The other proof
-// is the leader's token in the message, if the worker has acknowledged the attempt or an earlier leader stored it.
+// is the leader's token in the message, if no direct call with a run command of the attempt is in flight, and the
+// worker has acknowledged the attempt or an earlier leader stored it.
 // Without the token the message may be old, and a run command of an earlier leader may be in flight.
 //
 // If the stop of the attempt was requested, it also suffices that no run command of the attempt can be in flight: none
--- a/internal/controller/record_preload.go
+++ b/internal/controller/record_preload.go
@@ -10,8 +10,8 @@
 // read at a revision of its own.
 type recordPreload struct {
 	token uint64 // of the suspected leader
-	// order lists the prefixes to read. prefixes holds the records under the first of them in the same order; the last
-	// entry of prefixes is still being read until the preload is finished.
+	// order lists the prefixes to read. prefixes[i] holds the records under order[i]; the last entry of prefixes is
+	// still being read until the preload is finished.
 	order    []string
 	prefixes []preloadedPrefix
 	after    string // the key after which the next page begins; "": the next page is the prefix's first
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -43,11 +43,11 @@
 	}
 }
 
-// isUnreachable reports whether a machine is most probably lost with all its tasks: connections to it fail, other
-// machines of its zone have sent messages since the last failed call, and the leader reaches all machines whose
-// heartbeats other controllers forward. Its deletion by the cloud proves that its tasks have ended much sooner than the
-// expiry of its lease does. A hanging machine still accepts connections and is not released, as it may resume within
-// its lease.
+// isUnreachable reports whether a machine is most probably lost with all its tasks and should be released: connections
+// to it fail, its zone is not partitioned, other machines of its zone have sent messages since the last failed call,
+// the leader reaches all machines whose heartbeats other controllers forward, and the machine's replicas can restart
+// quickly. Its deletion by the cloud proves that its tasks have ended much sooner than the expiry of its lease does. A
+// hanging machine still accepts connections and is not released, as it may resume within its lease.
 func (a *autoscaler) isUnreachable(m *clusterstate.Machine, reportingSince map[string]time.Duration) bool {
 	return m.ConnectionFailed && m.FailedCalls >= failedCallsMin && len(a.reachability.missedMachines) == 0 &&
 		!a.partitions.isPartitioned(m.Zone) && reportingSince[m.Zone] > m.LastFailedCallAt && a.restartsQuickly(m)
@@ -69,8 +69,8 @@
 	return true
 }
 
-// zonesReportingSince returns by zone the latest time since which a tenth of the zone's machines, and at least two, have
-// sent messages. For a partitioned zone this time is before the beginning of the partition.
+// zonesReportingSince returns by zone the latest time since which a tenth of the zone's machines, and at least two,
+// have sent messages. For a partitioned zone this time is before the beginning of the partition.
 func (a *autoscaler) zonesReportingSince() map[string]time.Duration {
 	lastSeen := map[string][]time.Duration{}
 	for _, m := range a.state.Machines {
@@ -190,10 +190,11 @@
 	return p.scaler.isUnreachable(m, p.reportingSince) && p.scaler.health.isSilent(m) && p.spare.tryPlaceTasksOf(m)
 }
 
-// isSilentSinceElection reports whether a machine has been silent since this leader was elected. Deletion by the cloud
-// then proves that its tasks have ended sooner than the expiry of its lease, which is counted from the election or
-// later. A machine that has sent this leader a message is not released: if it hangs or is partitioned, its tasks run
-// until its lease expires, and it may reconnect before that.
+// isSilentSinceElection reports whether a machine has not acknowledged this leader's token, has been silent for half a
+// lease, and has not answered the last direct calls, at least failedCallsMin of them. Its deletion by the cloud proves
+// that its tasks have ended sooner than the expiry of its lease does, which is counted from the election or later. A
+// machine that has acknowledged this leader's token is not released: if it hangs or is partitioned, its tasks run until
+// its lease expires, and it may reconnect before that.
 func (p *scaleInPass) isSilentSinceElection(m *clusterstate.Machine) bool {
 	return m.FailedCalls >= failedCallsMin && m.TokenAcknowledgedAt == 0 &&
 		p.scaler.health.silenceDuration(m) > p.scaler.env.cfg.WorkerLease()/2
--- a/internal/controller/scheduler_cache.go
+++ b/internal/controller/scheduler_cache.go
@@ -36,8 +36,8 @@
 	cachedMachines  []*cachedMachine
 	cachedByMachine map[*clusterstate.Machine]*cachedMachine
 
-	// cachedJobs holds the jobs that may have waiting tasks; cachedJobOrder lists the same jobs in the order in which they
-	// were added.
+	// cachedJobs holds the jobs that may have waiting tasks; cachedJobOrder lists the same jobs in the order in which
+	// they were added.
 	cachedJobs     map[*clusterstate.Job]*cachedJob
 	cachedJobOrder []*clusterstate.Job
 
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -76,8 +76,9 @@
 	return v.limitStartable(j, waiting, resume)
 }
 
-// limitStartable limits waiting tasks to those that may be started now: none during the retry back-off after failures,
-// and one while a probe of the job finds out whether it still fails. It also updates the job's WaitingSince.
+// limitStartable limits waiting tasks to those that may be started now: none while the job is being cancelled or
+// completed or is in its retry back-off after failures, and one (except for gangs) while a probe of the job finds out
+// whether it still fails. It also updates the job's WaitingSince.
 func (v *schedulerViews) limitStartable(j *clusterstate.Job, waiting []int, resume int) ([]int, int) {
 	if j.Cancelling || j.Finalizing || v.env.now < j.NotBefore {
 		waiting, resume = nil, 0
--- a/internal/controller/scheduling.go
+++ b/internal/controller/scheduling.go
@@ -48,16 +48,16 @@
 
 	// reservations holds the reservations of machines for jobs, by machine id.
 	reservations map[string]reservation
-	// examinedJobs holds the ids of the jobs for which earlier rounds, each of which examines a limited number of
+	// searchedJobs holds the ids of the jobs for which earlier rounds, each of which examines a limited number of
 	// machines, found no preemption; see scheduler.Snapshot.Preempt.
-	examinedJobs map[string]bool
+	searchedJobs map[string]bool
 }
 
 func newTaskScheduler(env *environment) *taskScheduler {
 	green := env.cfg.Operator.Green
 	return &taskScheduler{
 		reservations: map[string]reservation{},
-		examinedJobs: map[string]bool{},
+		searchedJobs: map[string]bool{},
 		roundAt:      env.now + seconds(green.RoundS),
 		fillAt:       env.now + seconds(green.FillS),
 		countersAt:   env.now + seconds(green.CountersS),
@@ -72,7 +72,8 @@
 	if t.isDue(&t.fillAt, seconds(green.FillS)) {
 		t.fillPending = true
 	}
-	// A round that is due before the workers have reported to this leader is delayed until they have.
+	// A round that is due earlier is delayed until the cloud has listed the machines and every machine with tasks has
+	// acknowledged this leader's token.
 	if t.env.now >= t.roundAt && t.health.fleetReported() {
 		t.roundAt = t.env.now + seconds(green.RoundS)
 		t.runRound()
@@ -187,7 +188,7 @@
 	snapshot.Jobs = t.forecast.appendHeadroom(snapshot.Jobs)
 	snapshot.Fill() // a task that fits into free capacity needs no preemption
 	maxPreemptions := max(t.env.cfg.Cluster.State.TxnOps, len(snapshot.Machines)/preemptionFleetDivisor)
-	preemption := snapshot.Preempt(maxPreemptions, t.examinedJobs)
+	preemption := snapshot.Preempt(maxPreemptions, t.searchedJobs)
 	stopTimes := map[string]time.Duration{} // by job id: the longest stop duration of the tasks preempted for the job
 	for _, stop := range preemption.Stops {
 		stopTimes[stop.For.ID] = max(stopTimes[stop.For.ID], t.stopDuration(stop.Victim.Job))
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -13,8 +13,9 @@
 	"claybarrow/internal/statestore"
 )
 
-// stateLoader loads all stored records after the election has been won. By then the writes of earlier leaders are
-// either stored or refused, as the new fencing token invalidates them.
+// stateLoader loads all stored records after the election has been won. By then every write of an earlier leader is
+// either stored or will be refused, because it is conditional on the version of the leader key, which the election
+// has changed.
 //
 // It owns the progress of the loading. Each leadership loads all records again, except for preloaded records.
 type stateLoader struct {
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -76,7 +76,9 @@
 // service.
 func (h recordHost) OnUnavailable() { h.leader.controller.pending.refuseAll() }
 
-// OnAbandoned implements statestore.Host: it cancels the operations that wait for the abandoned record to be stored.
+// OnAbandoned implements statestore.Host. Operations that wait for the abandoned record would otherwise wait
+// indefinitely. Therefore attempts that are not durable and submissions are dropped, a requested deletion of the
+// machine proceeds, and the entries of the completion journal are written to the records of jobs and machines.
 func (h recordHost) OnAbandoned(key string) {
 	if id, isMachine := strings.CutPrefix(key, clusterstate.MachinePrefix); isMachine && h.leader.state.Machines[id] != nil {
 		h.leader.machines.abandonMachine(h.leader.state.Machines[id])
--- a/internal/controller/user_requests.go
+++ b/internal/controller/user_requests.go
@@ -12,7 +12,7 @@
 
 // userRequests handles users' requests as the leader. It holds the submissions whose records are being stored, and the
 // users who wait for a cancellation to complete. When the leadership ends, all of these requests are refused with a
-// retry, and users repeat them with the next leader: requests are idempotent by the job's ID.
+// Retry-After header, and users repeat them at the next leader: requests are idempotent by the job's ID.
 type userRequests struct {
 	attempts  *attemptTracker
 	catalog   *machineCatalog
@@ -89,8 +89,9 @@
 }
 
 // replyToKnownJob answers a submission if the job's ID suffices for that, and reports whether it did. A job that was
-// accepted before is answered with its status, even if the repeated submission is malformed. The request is refused if
-// this controller is not certain to be the leader.
+// accepted before is answered with its status, even if the repeated submission is malformed. A final status is always
+// returned. Otherwise the request is refused if this controller has not loaded all records or is not certain to be the
+// leader.
 func (u *userRequests) replyToKnownJob(from requester, uid string) bool {
 	if status, ok := u.terminalStatus(uid); ok {
 		u.outbox.replyStatus(from, http.StatusOK, status)
