--- a/internal/controller/heartbeat_assignment.go
+++ b/internal/controller/heartbeat_assignment.go
@@ -72,7 +72,7 @@
 }
 
 // takeRedirect reports whether the machine may be redirected to the route now, and if so takes one redirect from the
-// budget. It calls route.allowsRedirect last because that call may begin a trial of the route.
+// budget. It calls route.allowsRedirect last because that call may begin a probe of the route.
 func (r *heartbeatRouter) takeRedirect(m *clusterstate.Machine, route *heartbeatRoute) bool {
 	if r.env.now < m.NoRedirectUntil || !r.assignments.redirectBudget.Allows(r.env.now, 1) {
 		return false
--- a/internal/controller/heartbeat_routes.go
+++ b/internal/controller/heartbeat_routes.go
@@ -13,8 +13,8 @@
 // worker has to search for a controller when the zone is partitioned.
 //
 // A controller that is in contact with the leader may still be unreachable from the workers. The leader therefore
-// redirects a single worker to such a controller as a trial, and redirects others only while forwarded heartbeats
-// arrive from it. Without the trial, a leader that stepped down because it could not reach the workers was then
+// redirects a single worker to such a controller as a probe, and redirects others only while forwarded heartbeats
+// arrive from it. Without the probe, a leader that stepped down because it could not reach the workers was then
 // assigned all workers of its zone. Each worker waited 4 s for every heartbeat to that controller, and tasks were
 // moved or lost.
 //
@@ -44,7 +44,7 @@
 )
 
 const (
-	// maxBackoffDoublings bounds how often the back-off between two trials of a route is doubled.
+	// maxBackoffDoublings bounds how often the back-off between two probes of a route is doubled.
 	maxBackoffDoublings = 5
 	// routeFreshHeartbeats is the number of heartbeat intervals for which a forwarded heartbeat proves that a route
 	// works.
@@ -58,7 +58,7 @@
 type heartbeatRoute struct {
 	// lastForwardedAt is when a heartbeat last arrived by this route; 0: none has since a redirect to it failed.
 	lastForwardedAt time.Duration
-	// nextProbeAt is the earliest time of the next trial, which is a redirect to this route while no heartbeats
+	// nextProbeAt is the earliest time of the next probe, which is a redirect to this route while no heartbeats
 	// arrive by it. failures counts consecutive failed redirects.
 	nextProbeAt time.Duration
 	failures    int
@@ -81,7 +81,7 @@
 }
 
 // allowsRedirect reports whether a worker may be redirected to this route now. If no heartbeat has arrived by it
-// recently, the redirect is a trial, and allowsRedirect delays the next trial until the outcome of this one is known.
+// recently, the redirect is a probe, and allowsRedirect delays the next probe until the outcome of this one is known.
 func (r *heartbeatRoute) allowsRedirect(now, heartbeatInterval time.Duration) bool {
 	if r.lastForwardedAt > 0 && now < r.lastForwardedAt+routeFreshHeartbeats*heartbeatInterval {
 		return true
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -97,11 +97,11 @@
 }
 
 // removeUnlisted removes machines that no longer exist. A machine counts as deleted if it is missing from a list that
-// certainly describes a later time than the machine's KnownToExistAt. askedAt is when the list was requested.
-func (r *machineRegistry) removeUnlisted(askedAt time.Duration, listed map[string]bool) {
+// certainly describes a later time than the machine's KnownToExistAt. requestedAt is when the list was requested.
+func (r *machineRegistry) removeUnlisted(requestedAt time.Duration, listed map[string]bool) {
 	lag := r.env.cfg.CloudListLag()
 	for _, m := range r.sortedMachines() {
-		if !listed[m.ID] && askedAt > m.KnownToExistAt+maxListLags*lag+lag/listLagMarginDivisor {
+		if !listed[m.ID] && requestedAt > m.KnownToExistAt+maxListLags*lag+lag/listLagMarginDivisor {
 			r.removeMachine(m, machineUnlisted)
 		}
 	}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -34,8 +34,8 @@
 // unreachable because they are faulty.
 const minMissedMachines = 3
 
-// stepDownBackoffLeases is the number of worker leases for which a leader that has stepped down stays out of
-// elections while another controller may win one.
+// stepDownBackoffLeases is the maximum number of worker leases for which a leader that has stepped down does not
+// campaign. The back-off ends early if no other controller is elected (see election.isBackingOff).
 const stepDownBackoffLeases = 4
 
 // recordReached records that a worker answered a direct call or sent a heartbeat directly.
@@ -101,7 +101,7 @@
 }
 
 // stepDown ends the leadership and revokes its lease, so that another controller can be elected at once. This
-// controller stays out of elections during its election back-off while another controller may win.
+// controller then does not campaign during its election back-off.
 func (l *leadership) stepDown() {
 	env, election := l.controller.env, l.controller.election
 	env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reachability.missedMachines))
