--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -10,9 +10,10 @@
 // workers of its own zone try all controllers in turn, are redirected to the leader by each, and lose their leases.
 // With the leader's zone partitioned, a quarter to half of all replicas were lost that way, on both fleets.
 //
-// The evidence must exclude a fault of the workers. A machine is counted if its heartbeat arrived through another
-// controller while a direct call to it was unanswered. The count restarts whenever any machine answers a direct call
-// or sends a heartbeat directly. Probes of the other machines show whether only a few machines are affected.
+// The evidence must exclude a fault of the workers. A machine is counted as missed if a direct call to it gets no
+// answer although its heartbeat arrived after the call was sent, usually through another controller. The count restarts
+// whenever any machine answers a direct call or sends a heartbeat directly. Probes of the other machines show whether
+// only a few machines are affected.
 
 // reachability is a leader's evidence of whether it can reach the workers directly. It is discarded when the leadership
 // ends; election.electionBackoffUntil outlives the leadership.
@@ -33,8 +34,8 @@
 // unreachable because they are faulty.
 const minMissedMachines = 3
 
-// stepDownBackoffLeases is the number of worker leases for which a leader that has stepped down stays out of
-// elections while another controller may win one.
+// stepDownBackoffLeases is the maximum number of worker leases for which a leader that has stepped down does not
+// campaign. The back-off ends early if no other controller is elected (see election.isBackingOff).
 const stepDownBackoffLeases = 4
 
 // recordReached records that a worker answered a direct call or sent a heartbeat directly.
@@ -45,8 +46,8 @@
 	}
 }
 
-// recordMissed records a machine whose heartbeat arrived through another controller while a direct call to it was
-// unanswered.
+// recordMissed records a machine that did not answer a direct call although its heartbeat arrived after the call was
+// sent.
 func (r *reachability) recordMissed(id string, now time.Duration) {
 	if r.missedMachines == nil {
 		r.missedMachines, r.firstMissedAt = map[string]bool{}, now
@@ -100,7 +101,7 @@
 }
 
 // stepDown ends the leadership and revokes its lease, so that another controller can be elected at once. This
-// controller stays out of elections during its election back-off while another controller may win.
+// controller then does not campaign during its election back-off.
 func (l *leadership) stepDown() {
 	env, election := l.controller.env, l.controller.election
 	env.log.Info("stepping down: workers unreachable from this leader only", "token", l.lease.token, "machines", len(l.reachability.missedMachines))
