--- a/internal/controller/compound_failures_test.go
+++ b/internal/controller/compound_failures_test.go
@@ -407,7 +407,7 @@
 // Commands are delayed for seconds, or their answers are lost, while machines hang and then resume.
 func TestCompoundDelayedCommands(t *testing.T) {
 	runCompoundFailure(t, 10, func(w *world, faults *networkFaults) {
-		faults.delayedCommands, faults.lostAnswers = 0.4, 0.2
+		faults.delayedCommands, faults.lostReplies = 0.4, 0.2
 		for i := range 4 {
 			w.submit(fmt.Sprintf("j-h%d", i), map[string]any{"shards": 2, "cores": 1.0})
 			w.run(w.randomMilliseconds(500, 3000))
--- a/internal/controller/detection_bench_test.go
+++ b/internal/controller/detection_bench_test.go
@@ -190,7 +190,7 @@
 				for b.Loop() {
 					countFalseAlarms(b, operator, func(w *world) {
 						w.callFault = func(_ int, c Call) deliveryFault {
-							return deliveryFault{lost: c.Target == ToPeer && w.rng.Float64() < loss, answerLost: c.Target == ToPeer && w.rng.Float64() < loss}
+							return deliveryFault{lost: c.Target == ToPeer && w.rng.Float64() < loss, replyLost: c.Target == ToPeer && w.rng.Float64() < loss}
 						}
 					})
 				}
--- a/internal/controller/failure_detection_test.go
+++ b/internal/controller/failure_detection_test.go
@@ -55,7 +55,7 @@
 					return deliveryFault{}
 				}
 				if loss > 0 {
-					return deliveryFault{lost: w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
+					return deliveryFault{lost: w.rng.Float64() < loss, replyLost: w.rng.Float64() < loss}
 				}
 				between := node == lead || c.Addr == w.cfgs[lead].PeerListen
 				return deliveryFault{lost: between && int(w.Now()/second)%5 < 2}
@@ -179,7 +179,7 @@
 					return deliveryFault{}
 				}
 				cut := node == cutFrom && c.Addr == w.cfgs[max(0, cutTo)].PeerListen
-				return deliveryFault{lost: cut || w.rng.Float64() < loss, answerLost: w.rng.Float64() < loss}
+				return deliveryFault{lost: cut || w.rng.Float64() < loss, replyLost: w.rng.Float64() < loss}
 			}
 			for step := range 12 {
 				node := w.rng.IntN(3)
--- a/internal/controller/failures_test.go
+++ b/internal/controller/failures_test.go
@@ -85,7 +85,7 @@
 		t.Errorf("a confirmed and an unconfirmed failure do not make the machine faulty: %+v", m)
 	}
 	if m.Clear(); !m.Faulty {
-		t.Error("a completed task clears the faulty state")
+		t.Error("the completion of a task that was still running clears the faulty state")
 	}
 	var f clusterstate.JobFailures
 	if f.RecordFailure("a", 0) || f.IsProbing() || f.RecordFailure("a", 0) || f.RecordFailure("b", second) || !f.IsProbing() || f.IsJobFault || !f.RecordFailure("c", 0) || f.RecordFailure("d", 0) {
@@ -94,6 +94,6 @@
 	f = clusterstate.JobFailures{}
 	f.RecordFailure("a", 0)
 	if !f.AvoidedMachines(second, 2*second)["a"] || len(f.AvoidedMachines(3*second, 2*second)) > 0 {
-		t.Error("a machine is not avoided for exactly two seconds after a failure")
+		t.Error("with an avoidance time of 2 s, the machine is not avoided after 1 s or is still avoided after 3 s")
 	}
 }
--- a/internal/controller/feature_gate_test.go
+++ b/internal/controller/feature_gate_test.go
@@ -168,8 +168,8 @@
 		u.crashAndRestart(node)
 		return deliveryFault{delay: lateDelay}
 	}},
-	{"the transaction is applied late and its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{delay: lateDelay, answerLost: true} }},
-	{"the answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{answerLost: true} }},
+	{"the transaction is applied late and its answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{delay: lateDelay, replyLost: true} }},
+	{"the answer is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{replyLost: true} }},
 	{"the transaction is lost", func(*upgradeWorld, int) deliveryFault { return deliveryFault{lost: true} }},
 	{"the sender's process pauses", func(u *upgradeWorld, node int) deliveryFault {
 		u.after(0, func() { u.pauseProcess(node, 6*second) })
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -14,8 +14,8 @@
 // It does not resign when only the direct calls to minMissedMachines machines are lost, all at the
 // same time, while heartbeats and the other machines' answers still arrive.
 func TestLeaderWithoutWorkersResigns(t *testing.T) {
-	for _, answersLost := range []bool{false, true} {
-		t.Run(fmt.Sprintf("calls to a few machines lost %v", answersLost), func(t *testing.T) {
+	for _, onlyFewMachines := range []bool{false, true} {
+		t.Run(fmt.Sprintf("calls to a few machines lost %v", onlyFewMachines), func(t *testing.T) {
 			w := newWorld(t, 51)
 			w.awaitLeader()
 			w.submit("j-1", map[string]any{"shape": "service", "shards": 6, "apart": true})
@@ -31,21 +31,21 @@
 				}
 			}
 			w.callFault = func(node int, c Call) deliveryFault {
-				return deliveryFault{lost: node == lead && c.Target == ToWorker && (!answersLost || callsLostTo[c.Addr])}
+				return deliveryFault{lost: node == lead && c.Target == ToWorker && (!onlyFewMachines || callsLostTo[c.Addr])}
 			}
-			if !answersLost {
+			if !onlyFewMachines {
 				w.heartbeatFault = func(_ *emulator.Worker, node int) deliveryFault { return deliveryFault{lost: node == lead} }
 			}
 			// The leader notices the loss of contact only when it sends commands.
 			w.submit("j-3", map[string]any{"shards": 4})
 			for range 30 {
 				w.run(second)
-				if !answersLost && !allRunning() {
+				if !onlyFewMachines && !allRunning() {
 					t.Fatal("a worker's lease expired before the leader resigned")
 				}
 			}
-			if (w.leader() == lead) != answersLost {
-				t.Errorf("calls to a few machines lost %v: the leader is %d, was %d", answersLost, w.leader(), lead)
+			if (w.leader() == lead) != onlyFewMachines {
+				t.Errorf("calls to a few machines lost %v: the leader is %d, was %d", onlyFewMachines, w.leader(), lead)
 			}
 			w.callFault, w.heartbeatFault = nil, nil
 			w.awaitStatus(200*second, "j-3", "done")
--- a/internal/controller/gang_test.go
+++ b/internal/controller/gang_test.go
@@ -62,8 +62,8 @@
 }
 
 // A gang must leave one of its two machines: all its tasks receive a stop command within gang_peer_s of
-// the first one, with a grace period long enough to save (2 s) and to wait for the other tasks (5 s). A
-// second stop command would end a save when the grace period has passed.
+// the first one, with a grace period long enough to save (2 s) and to wait for the other tasks (5 s).
+// The controller ends a save that outlasts the grace period with a second stop command (see stopIsDue).
 func TestGangStopsWhole(t *testing.T) {
 	w := newWorld(t, 92)
 	w.runTime = func(string) time.Duration { return 60 * second }
--- a/internal/controller/guards_test.go
+++ b/internal/controller/guards_test.go
@@ -79,7 +79,7 @@
 		for _, ch := range txn.Then {
 			createdKeys = append(createdKeys, ch.Put)
 		}
-		return deliveryFault{delay: 55 * second, answerLost: true}
+		return deliveryFault{delay: 55 * second, replyLost: true}
 	}
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
@@ -109,7 +109,7 @@
 	w.callFault = func(_ int, c Call) deliveryFault {
 		n++
 		// Some transactions get no answer: they may have applied before their retry is rejected with 400.
-		return deliveryFault{answerLost: c.Path == "/multi" && n%7 == 0}
+		return deliveryFault{replyLost: c.Path == "/multi" && n%7 == 0}
 	}
 	w.after(15*second, func() { w.state.RefuseAsMalformed = func(txn protocol.Transaction) bool { return len(txn.Then) > 3 } })
 	for i := range 10 {
@@ -309,7 +309,7 @@
 			return w.state.Item(clusterstate.JobPrefix+"j-1") != nil && len(txn.Then) > 0 && txn.Then[0].Put == clusterstate.JobPrefix+"j-1"
 		}
 		w.after(3*second, func() { w.state.RefuseAsMalformed = nil })
-		return deliveryFault{answerLost: true}
+		return deliveryFault{replyLost: true}
 	}
 	w.submit("j-1", nil)
 	w.submit("j-2", nil)
--- a/internal/controller/late_messages_test.go
+++ b/internal/controller/late_messages_test.go
@@ -21,7 +21,7 @@
 		n++
 		switch {
 		case n%5 == 0:
-			return deliveryFault{answerLost: true}
+			return deliveryFault{replyLost: true}
 		case n%7 == 0:
 			return deliveryFault{delay: time.Duration(1+n%20) * second}
 		}
@@ -115,7 +115,7 @@
 	w.until(20*second, "the third job runs on the first machine", func() bool { return w.running("j-2") == 1 })
 	w.cancel("j-2")
 	w.submit("j-3", map[string]any{"shape": "service", "cores": 6.5})
-	w.until(20*second, "the first machine has room for one more task", func() bool { return w.running("j-3") == 1 })
+	w.until(20*second, "the fourth job runs on the first machine", func() bool { return w.running("j-3") == 1 })
 	var machine *emulator.Worker
 	for _, worker := range w.workers() {
 		for _, task := range worker.Tasks {
--- a/internal/controller/leader_probes_test.go
+++ b/internal/controller/leader_probes_test.go
@@ -33,7 +33,7 @@
 				return deliveryFault{}
 			}
 			if !refused {
-				return deliveryFault{delay: end - w.Now(), answerLost: true}
+				return deliveryFault{delay: end - w.Now(), replyLost: true}
 			}
 			return cut
 		case ToState, ToCloud: // reachable from both zones
--- a/internal/controller/machine_redirection_test.go
+++ b/internal/controller/machine_redirection_test.go
@@ -42,8 +42,7 @@
 
 // TestMachinesMoveOncePerDeath checks that the machines of a dead controller are redirected exactly once to another
 // controller, that no other machine moves, and that they return only after the restarted controller has been alive
-// for the rejoin delay.
-// Suspicion of a controller must not move any machine.
+// for the rejoin delay. Suspicion of a controller must not move any machine.
 func TestMachinesMoveOncePerDeath(t *testing.T) {
 	w := newMembershipWorld(t, 970)
 	w.moveControllersToFirstZone()
--- a/internal/controller/machines_test.go
+++ b/internal/controller/machines_test.go
@@ -124,7 +124,7 @@
 	}
 	w.after(latency, func() {
 		w.sendRequest(node, Request{Op: OpWorkerHeartbeat, Body: body}, func(r Reply) {
-			if f.answerLost || worker.Hung || worker.RepliesLost {
+			if f.replyLost || worker.Hung || worker.RepliesLost {
 				timeOut()
 				return
 			}
--- a/internal/controller/network_faults_test.go
+++ b/internal/controller/network_faults_test.go
@@ -12,9 +12,9 @@
 	isolated map[int]bool
 	// commandsLost lists the controllers whose direct commands to machines are lost.
 	commandsLost map[int]bool
-	// lateTransactions, delayedCommands and lostAnswers are shares of calls: transactions that are applied late without
+	// lateTransactions, delayedCommands and lostReplies are shares of calls: transactions that are applied late without
 	// a reply, direct commands that are delayed by seconds, and direct commands whose reply is lost.
-	lateTransactions, delayedCommands, lostAnswers float64
+	lateTransactions, delayedCommands, lostReplies float64
 	// slowState and slowLinks are upper bounds of the random delay of calls to the state service and of all calls.
 	slowState, slowLinks time.Duration
 }
@@ -45,7 +45,7 @@
 		}
 		f.delay += faults.randomUpTo(faults.slowState)
 		if c.Path == "/multi" && faults.chance(faults.lateTransactions) {
-			return deliveryFault{answerLost: true, delay: 2*second + faults.randomUpTo(10*second)}
+			return deliveryFault{replyLost: true, delay: 2*second + faults.randomUpTo(10*second)}
 		}
 	case ToPeer:
 		to := -1
@@ -60,9 +60,9 @@
 			return deliveryFault{lost: true}
 		}
 		if faults.chance(faults.delayedCommands) {
-			return deliveryFault{delay: 2*second + faults.randomUpTo(25*second), answerLost: faults.chance(0.5)}
+			return deliveryFault{delay: 2*second + faults.randomUpTo(25*second), replyLost: faults.chance(0.5)}
 		}
-		f.answerLost = faults.chance(faults.lostAnswers)
+		f.replyLost = faults.chance(faults.lostReplies)
 	case ToCloud: // only delayed
 	}
 	return f
--- a/internal/controller/placing_steps_test.go
+++ b/internal/controller/placing_steps_test.go
@@ -67,7 +67,7 @@
 	crashSecondLeader bool
 }
 
-var placingFaults = []placementFault{
+var placementFaults = []placementFault{
 	{name: "no other fault"},
 	{name: "slow state service", fault: func(w *world, c Call) deliveryFault {
 		if c.Target == ToState {
@@ -82,7 +82,7 @@
 // fault. No task may run twice, and no job may be orphaned.
 func TestLeaderCrashAtEachPlacementStep(t *testing.T) {
 	for s, step := range placementSteps {
-		for k, fault := range placingFaults {
+		for k, fault := range placementFaults {
 			t.Run(step.name+", "+fault.name, func(t *testing.T) {
 				w := newMembershipWorld(t, uint64(910+100*s+k))
 				crashLeaderWhilePlacing(w, step, fault)
@@ -107,7 +107,7 @@
 			crashed = true
 			w.restart(node, 3*second)
 			w.crash(node)
-			f.lost, f.answerLost = !step.delivered, true
+			f.lost, f.replyLost = !step.delivered, true
 		case crashed && fault.crashSecondLeader && !secondCrashed && c.Target == ToState && strings.HasPrefix(c.Path, "/store?under=j/"):
 			secondCrashed = true
 			w.restart(node, 3*second)
@@ -141,7 +141,7 @@
 					crashed = true
 					w.restart(node, 2*second)
 					w.crash(node)
-					return deliveryFault{delay: 15 * second, answerLost: true}
+					return deliveryFault{delay: 15 * second, replyLost: true}
 				}
 				return deliveryFault{}
 			}
--- a/internal/controller/preload_test.go
+++ b/internal/controller/preload_test.go
@@ -18,8 +18,8 @@
 }
 
 // TestSuccessorPreloadsClusterState checks that a follower preloads the stored records while it suspects the leader.
-// When the follower is elected, it must also know the leader's later writes. If there were more changes than the state
-// service keeps, it must read all records again.
+// When the follower is elected, its state must include the leader's later writes. If there were more changes than the
+// state service keeps, it must read all records again.
 func TestSuccessorPreloadsClusterState(t *testing.T) {
 	for _, tooManyChanges := range []bool{false, true} {
 		t.Run(fmt.Sprintf("too many changes %v", tooManyChanges), func(t *testing.T) {
--- a/internal/controller/process_pause_test.go
+++ b/internal/controller/process_pause_test.go
@@ -88,9 +88,9 @@
 	w.settle()
 }
 
-// TestProcessPauses pauses the leader, the controller that relays a zone's heartbeats, or both, for half a lease up to
-// six leases. No task may run on two machines, and no task may be restarted because of a pause that is shorter than the
-// workers' leases.
+// TestProcessPauses pauses the leader, the controller that relays a zone's heartbeats, or both, for half a leader's
+// lease up to six of them, which is less than a worker's lease. No task may run on two machines, and no task may be
+// started again if only one of the two controllers is paused.
 func TestProcessPauses(t *testing.T) {
 	lease := 1500 * time.Millisecond
 	for k, pause := range []time.Duration{lease / 2, lease, 3 * lease, 6 * lease} {
--- a/internal/controller/random_failures_test.go
+++ b/internal/controller/random_failures_test.go
@@ -72,8 +72,8 @@
 	case 10:
 		w.duplicateDelay = func() time.Duration { return w.randomMilliseconds(2000, 40_000) }
 	case 11:
-		faults.delayedCommands, faults.lostAnswers = 0.3, 0.2
-		w.after(lasts, func() { faults.delayedCommands, faults.lostAnswers = 0, 0 })
+		faults.delayedCommands, faults.lostReplies = 0.3, 0.2
+		w.after(lasts, func() { faults.delayedCommands, faults.lostReplies = 0, 0 })
 	case 12:
 		w.onTaskCompleted = func(uid string) { w.after(w.randomMilliseconds(0, 500), func() { w.cancel(uid) }) }
 	}
--- a/internal/controller/relay_test.go
+++ b/internal/controller/relay_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestRelayAroundAnAsymmetricPartition covers a partition in one direction between a follower and the leader. The
-// follower must relay its users' requests by the third controller, and no controller may suspect the leader.
+// follower must relay its users' requests through the third controller, and no controller may suspect the leader.
 func TestRelayAroundAnAsymmetricPartition(t *testing.T) {
 	for _, toLeader := range []bool{true, false} {
 		t.Run(fmt.Sprintf("requests to the leader lost %v", toLeader), func(t *testing.T) {
@@ -22,7 +22,7 @@
 			began := w.Now()
 			w.callFault = func(node int, c Call) deliveryFault {
 				if node == from && c.Target == ToPeer && c.Addr == w.cfgs[lead].PeerListen {
-					return deliveryFault{lost: toLeader, answerLost: true}
+					return deliveryFault{lost: toLeader, replyLost: true}
 				}
 				return deliveryFault{}
 			}
--- a/internal/controller/request_burst_test.go
+++ b/internal/controller/request_burst_test.go
@@ -26,14 +26,14 @@
 		if !lossyNetwork {
 			return deliveryFault{}
 		}
-		f := deliveryFault{lost: w.rng.IntN(12) == 0, answerLost: w.rng.IntN(12) == 0}
+		f := deliveryFault{lost: w.rng.IntN(12) == 0, replyLost: w.rng.IntN(12) == 0}
 		if w.rng.IntN(10) == 0 {
 			f.delay = time.Duration(w.rng.IntN(40_000)) * time.Millisecond
 		}
 		return f
 	}
 	w.heartbeatFault = func(*emulator.Worker, int) deliveryFault {
-		return deliveryFault{lost: lossyNetwork && w.rng.IntN(8) == 0, answerLost: lossyNetwork && w.rng.IntN(8) == 0}
+		return deliveryFault{lost: lossyNetwork && w.rng.IntN(8) == 0, replyLost: lossyNetwork && w.rng.IntN(8) == 0}
 	}
 	w.runTime = func(task string) time.Duration { return time.Duration(5+len(task)*7%40) * second }
 	for step := range 50 {
--- a/internal/controller/rules_test.go
+++ b/internal/controller/rules_test.go
@@ -175,20 +175,20 @@
 	w := newWorld(t, 10)
 	w.submit("j-1", map[string]any{"shape": "service", "shards": 2, "cores": 8.0})
 	w.until(60*second, "replicas run", func() bool { return w.running("j-1") == 2 })
-	var answersLost *emulator.Worker
+	var unreachableWorker *emulator.Worker
 	for _, worker := range w.workers() {
-		if len(worker.Tasks) > 0 && (answersLost == nil || worker.ID < answersLost.ID) {
-			answersLost = worker
+		if len(worker.Tasks) > 0 && (unreachableWorker == nil || worker.ID < unreachableWorker.ID) {
+			unreachableWorker = worker
 		}
 	}
 	w.heartbeatFault = func(worker *emulator.Worker, _ int) deliveryFault {
-		return deliveryFault{answerLost: worker == answersLost}
+		return deliveryFault{replyLost: worker == unreachableWorker}
 	}
 	w.callFault = func(_ int, c Call) deliveryFault {
-		return deliveryFault{lost: c.Target == ToWorker && c.Addr == answersLost.Addr}
+		return deliveryFault{lost: c.Target == ToWorker && c.Addr == unreachableWorker.Addr}
 	}
 	w.until(60*second, "the replica runs on another machine", func() bool {
-		return w.running("j-1") == 2 && len(answersLost.Tasks) == 0
+		return w.running("j-1") == 2 && len(unreachableWorker.Tasks) == 0
 	})
 	w.requireNoViolations()
 }
@@ -217,7 +217,7 @@
 func TestWatchOvertakesElection(t *testing.T) {
 	w := newWorld(t, 14)
 	w.callFault = func(_ int, c Call) deliveryFault {
-		return deliveryFault{answerLost: c.Target == ToState && c.Path == "/multi"}
+		return deliveryFault{replyLost: c.Target == ToState && c.Path == "/multi"}
 	}
 	w.run(20 * second)
 	w.callFault = nil
--- a/internal/controller/scheduler_cache_test.go
+++ b/internal/controller/scheduler_cache_test.go
@@ -154,7 +154,7 @@
 	return s
 }
 
-// TestCacheDriftIsDetectedAndRepaired changes the cluster state without a notification of the cache. The cache's own
+// TestCacheDriftIsDetectedAndRepaired changes the cluster state without notifying the cache. The cache's own
 // verification must detect the difference, log it once, and rebuild the cache for the next fill.
 func TestCacheDriftIsDetectedAndRepaired(t *testing.T) {
 	w := newWorld(t, 91)
--- a/internal/controller/task_completions_test.go
+++ b/internal/controller/task_completions_test.go
@@ -81,7 +81,7 @@
 				if step != stepWriteJournal || stepCount%3 != 0 {
 					return deliveryFault{}
 				}
-				return deliveryFault{delay: u.randomMilliseconds(0, 2000), answerLost: stepCount%2 == 0}
+				return deliveryFault{delay: u.randomMilliseconds(0, 2000), replyLost: stepCount%2 == 0}
 			}
 			for elapsed := range 60 {
 				for range 10 {
--- a/internal/controller/user_answers_test.go
+++ b/internal/controller/user_answers_test.go
@@ -7,9 +7,9 @@
 	"claybarrow/internal/protocol"
 )
 
-// TestLeaderRejectedByStateService covers a leader whose requests the state service rejects, while it serves the other
-// controllers. The leader must not answer users from state that may be stale, and another leader must be elected within
-// 10 s.
+// TestLeaderRejectedByStateService covers a leader whose requests the state service rejects, while the service answers
+// the other controllers. Another leader must be elected within 10 s. The former leader may then answer a poll only with
+// 503, or with the status that is right for the job: 200 for a known job, 404 for an unknown one.
 func TestLeaderRejectedByStateService(t *testing.T) {
 	w := newWorld(t, 11)
 	w.submit("j-1", map[string]any{"shards": 4})
--- a/internal/controller/world_test.go
+++ b/internal/controller/world_test.go
@@ -29,9 +29,9 @@
 // deliveryFault is a fault that a test injects into the delivery of one call: the request is refused,
 // delayed or lost, or its response is lost.
 type deliveryFault struct {
-	lost, answerLost bool
-	refused          bool          // the connection is refused at once
-	delay            time.Duration // delay of the request
+	lost, replyLost bool
+	refused         bool          // the connection is refused at once
+	delay           time.Duration // delay of the request
 }
 
 // world is a simulated deployment.
@@ -308,7 +308,7 @@
 	}
 	w.after(latency+f.delay, func() {
 		reply := func(status int, body []byte) {
-			if !f.answerLost {
+			if !f.replyLost {
 				w.after(latency, func() { result(status, body) })
 			}
 		}
--- a/internal/controller/zone_partition_test.go
+++ b/internal/controller/zone_partition_test.go
@@ -219,7 +219,7 @@
 
 // TestWorkerReturnsFromUnreachableController covers a worker that returns to the leader because it cannot reach its
 // zone's controller. It must send its heartbeats to the leader for increasing periods. A short crash of the controller
-// does not count as an unreachable controller.
+// may count as at most one failed redirect.
 func TestWorkerReturnsFromUnreachableController(t *testing.T) {
 	w := newWorld(t, 36)
 	lead := w.awaitLeader()
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -58,8 +58,7 @@
 	TaskCompleted func(task string, t *Task)
 	// WorkerTerminated is called for each worker whose machine is terminated.
 	WorkerTerminated func(worker *Worker)
-	// GangStopRequested is called when a gang's task receives a stop command, with the grace period in seconds. It is
-	// not called again once the task is waiting to save its checkpoint.
+	// GangStopRequested is called when a gang's task receives its first stop command, with the grace period in seconds.
 	GangStopRequested func(t *Task, graceS float64)
 	// OnViolation is called for each message that violates the protocol.
 	OnViolation func(description string)
--- a/internal/emulator/heartbeat.go
+++ b/internal/emulator/heartbeat.go
@@ -85,7 +85,7 @@
 	})
 }
 
-// handleHeartbeatReply renews the lease and executes the commands in a reply of the leader, follows a redirect, or
+// handleHeartbeatReply renews the lease and executes the commands in a reply with status 200, follows a redirect, or
 // fails over to the next controller. The content of a reply is ignored if its fencing token is lower than the worker's,
 // or if the heartbeat was sent in an earlier epoch.
 func (w *Worker) handleHeartbeatReply(sentAt time.Duration, epoch uint64, status int, body []byte) {
--- a/internal/emulator/state_transaction.go
+++ b/internal/emulator/state_transaction.go
@@ -77,7 +77,7 @@
 	s.apply(&t, reply)
 }
 
-// refusedByInjectedFault reports whether the injected fault Malformed refuses a transaction.
+// refusedByInjectedFault reports whether RefuseAsMalformed refuses a transaction.
 func (s *StateService) refusedByInjectedFault(body []byte) bool {
 	if s.RefuseAsMalformed == nil {
 		return false
--- a/internal/emulator/task.go
+++ b/internal/emulator/task.go
@@ -29,7 +29,7 @@
 func AttemptKey(task string, attempt uint64) string { return fmt.Sprintf("%s@%d", task, attempt) }
 
 // Execute executes commands in order. Repeated run and clear commands have no effect. A repeated stop command ends a
-// task that is still saving its checkpoint.
+// task that is still saving its checkpoint; it ends a gang's task only if the new grace period is too short to save one.
 func (w *Worker) Execute(commands []protocol.Command) {
 	for _, command := range commands {
 		key := AttemptKey(command.Task, command.Attempt)
--- a/internal/scalerun/clients.go
+++ b/internal/scalerun/clients.go
@@ -23,8 +23,8 @@
 	opCancel = "cancel"
 )
 
-// Timing of the emulated clients. A client abandons a submission that the controllers have neither accepted nor
-// rejected within submitDeadline.
+// Timing of the emulated clients. A client retries a submission, also a rejected one, until a controller accepts it or
+// submitDeadline has passed.
 const (
 	pollInterval    = 5 * time.Second
 	pollTimeout     = 2 * time.Second
@@ -77,7 +77,7 @@
 	})
 }
 
-// submit creates a job of a class and sends its submission until the controllers have accepted it.
+// submit creates a job of a class and sends its submission until a controller accepts it or submitDeadline has passed.
 func (c *clients) submit(load *LoadPlan) {
 	r := c.region
 	c.jobsSubmitted++
@@ -87,7 +87,7 @@
 			Gang: load.Shape == "group", Service: load.Shape == "service", Cores: load.Cores, Accelerators: load.Accelerators, MemoryGB: load.MemoryGB},
 		submittedAt: r.loop.queue.Now(), completed: map[string]bool{}, started: map[string]bool{}, placements: map[string]*placement{}, tasksByZone: map[string]int{}}
 	r.invariants.jobs[uid] = j
-	c.requestUntilDecided(j, opSubmit, c.submissionBody(j), func() { c.onAccepted(j) })
+	c.requestUntilAccepted(j, opSubmit, c.submissionBody(j), func() { c.onAccepted(j) })
 }
 
 // submissionBody returns the encoded body of a job's submission.
@@ -123,7 +123,7 @@
 		if !j.finished() && !r.closing {
 			j.cancelRequested = true
 			j.addHistory(r.loop.queue.Now(), "client requests to cancel the job")
-			c.requestUntilDecided(j, opCancel, nil, func() {})
+			c.requestUntilAccepted(j, opCancel, nil, func() {})
 		}
 	})
 }
@@ -152,17 +152,17 @@
 	})
 }
 
-// requestUntilDecided retries a request until it succeeds. It waits for the response's Retry-After between attempts,
+// requestUntilAccepted retries a request until it succeeds. It waits for the response's Retry-After between attempts,
 // limited to the range from minRetryDelay to maxRetryDelay. It stops retrying when the run is closing, and stops
 // retrying a submission after submitDeadline.
-func (c *clients) requestUntilDecided(j *job, op string, body []byte, onDecided func()) {
+func (c *clients) requestUntilAccepted(j *job, op string, body []byte, onSuccess func()) {
 	r := c.region
 	firstSentAt := r.loop.queue.Now()
 	var attempt func()
 	attempt = func() {
 		c.send(j, op, body, func(status int, retryAfter time.Duration) {
 			if succeeded(status) {
-				onDecided()
+				onSuccess()
 				return
 			}
 			if r.closing || r.loop.queue.Now() > firstSentAt+submitDeadline && op == opSubmit {
@@ -184,7 +184,7 @@
 	r := c.region
 	controller := r.controlPlane.pick()
 	if controller == nil {
-		r.metrics.answerReceived(op, 0)
+		r.metrics.responseReceived(op, 0)
 		onResult(0, 0)
 		return
 	}
@@ -192,17 +192,17 @@
 	go func() {
 		status, answer, retryAfter := c.roundTrip(controller.clientAddress, op, j.uid, body)
 		r.loop.post(func() {
-			r.metrics.answerReceived(op, status)
-			c.checkAnswer(j, op, status, answer, sentAt)
+			r.metrics.responseReceived(op, status)
+			c.checkResponse(j, op, status, answer, sentAt)
 			onResult(status, retryAfter)
 		})
 	}()
 }
 
-// checkAnswer checks a response against the invariants.
-func (c *clients) checkAnswer(j *job, op string, status int, body []byte, sentAt time.Duration) {
+// checkResponse checks a response against the invariants.
+func (c *clients) checkResponse(j *job, op string, status int, body []byte, sentAt time.Duration) {
 	r := c.region
-	r.invariants.answerReceived(j, op, status)
+	r.invariants.responseReceived(j, op, status)
 	if !succeeded(status) {
 		return
 	}
@@ -235,7 +235,7 @@
 		return 0, nil, 0
 	}
 	defer closeQuietly(response.Body)
-	answer, err = io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	answer, err = io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, 0
 	}
--- a/internal/scalerun/controllers.go
+++ b/internal/scalerun/controllers.go
@@ -42,7 +42,7 @@
 
 // Error returns the controller's label, the cause and the last line of its log.
 func (e *ControllerError) Error() string {
-	return fmt.Sprintf("%s failed: %v: %s", e.Label, e.Cause, e.LastLine)
+	return fmt.Sprintf("%s did not start or exited unexpectedly: %v: %s", e.Label, e.Cause, e.LastLine)
 }
 
 // Unwrap returns the start error or the exit status of the process.
--- a/internal/scalerun/fleet.go
+++ b/internal/scalerun/fleet.go
@@ -70,7 +70,7 @@
 		labels = append(labels, controllerLabel(i))
 	}
 	r.heartbeatSender = newHeartbeatSender(r.loop, addresses, r.metrics)
-	r.heartbeatSender.onAnswer = func(machine string, controller int) {
+	r.heartbeatSender.onResponse = func(machine string, controller int) {
 		r.ownership.workerAnswered(machine, controller, r.loop.queue.Now())
 	}
 	fleet.SendHeartbeat, fleet.Controllers = r.heartbeatSender.send, len(addresses)
--- a/internal/scalerun/heartbeats.go
+++ b/internal/scalerun/heartbeats.go
@@ -19,8 +19,8 @@
 	loop      *eventLoop
 	addresses []string // of the controllers
 	metrics   *metrics
-	// onAnswer is called on the event loop for each response with status 200 that reaches its worker.
-	onAnswer    func(machine string, controller int)
+	// onResponse is called on the event loop for each response with status 200 that reaches its worker.
+	onResponse  func(machine string, controller int)
 	mu          sync.Mutex
 	connections map[string]*connection
 	readers     sync.Pool
@@ -36,8 +36,8 @@
 const (
 	// heartbeatTimeout is how long a worker waits for the response to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// maxAnswerBytes is how much of a response body is read at most.
-	maxAnswerBytes   = 1 << 20
+	// maxResponseBytes is how much of a response body is read at most.
+	maxResponseBytes = 1 << 20
 	readerBufferSize = 4096
 )
 
@@ -63,7 +63,7 @@
 				return
 			}
 			if status == http.StatusOK {
-				c.onAnswer(id, controller)
+				c.onResponse(id, controller)
 			}
 			answer(status, reply)
 		})
@@ -144,7 +144,7 @@
 		closeQuietly(conn)
 		return 0, nil, traffic + counted.bytes
 	}
-	reply, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	reply, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	closeQuietly(response.Body)
 	traffic += counted.bytes
 	if err != nil {
--- a/internal/scalerun/invariants.go
+++ b/internal/scalerun/invariants.go
@@ -149,9 +149,9 @@
 	})
 }
 
-// answerReceived checks the status of a response about a job: after acceptance, no request about the job may return
+// responseReceived checks the status of a response about a job: after acceptance, no request about the job may return
 // 404 and no repeated submission may be rejected as invalid.
-func (i *invariants) answerReceived(j *job, op string, status int) {
+func (i *invariants) responseReceived(j *job, op string, status int) {
 	rejected := op == opSubmit && (status == http.StatusBadRequest || status == http.StatusUnprocessableEntity)
 	if j.acceptedAt > 0 && (status == http.StatusNotFound || rejected) {
 		i.reportViolation(j, "forgotten", "%s was accepted, but status %d was returned to %s", j.uid, status, op)
--- a/internal/scalerun/invariants_test.go
+++ b/internal/scalerun/invariants_test.go
@@ -124,7 +124,7 @@
 		}},
 		{"done before its tasks have completed", "not_done", func(b *invariantsFixture) { b.report(protocol.JobDone) }},
 		{"done reported twice, and not found before acceptance", "", func(b *invariantsFixture) {
-			b.answerReceived(b.job, opPoll, 404)
+			b.responseReceived(b.job, opPoll, 404)
 			b.job.completed["j-1/0"], b.job.completed["j-1/1"], b.job.completed["j-1/2"], b.job.completed["j-1/3"] = true, true, true, true
 			b.report(protocol.JobDone)
 			b.report(protocol.JobDone)
@@ -136,7 +136,7 @@
 	testInvariants(t, []invariantsCase{
 		{"an accepted job is not found", "forgotten", func(b *invariantsFixture) {
 			b.job.acceptedAt = 1
-			b.answerReceived(b.job, opPoll, 404)
+			b.responseReceived(b.job, opPoll, 404)
 		}},
 		{"requests about one job of three are unanswered", "forgotten", func(b *invariantsFixture) {
 			b.job.acceptedAt = 1
--- a/internal/scalerun/metrics.go
+++ b/internal/scalerun/metrics.go
@@ -54,7 +54,7 @@
 	handle     *process.Process
 	starts     int
 	earlierCPU float64 // used by earlier processes of the label in the measured phase
-	cpuAtBegin float64 // when the measured phase began; 0 for a process that started later
+	cpuAtBegin float64 // at the start of the measured phase; 0 for a process that started later
 	lastCPU    float64 // last sample
 	peakRSS    uint64
 }
@@ -134,8 +134,8 @@
 	}
 }
 
-// answerReceived counts the responses to clients by operation and status (0: no response).
-func (m *metrics) answerReceived(op string, status int) {
+// responseReceived counts the responses to clients by operation and status (0: no response).
+func (m *metrics) responseReceived(op string, status int) {
 	if m.measuring {
 		m.answers[statusKey(op, status)]++
 	}
--- a/internal/scalerun/plan_check.go
+++ b/internal/scalerun/plan_check.go
@@ -12,8 +12,8 @@
 	min, max float64
 }
 
-// check returns a PlanError for the first invalid setting. All comparisons are false for NaN, which TOML can express;
-// the conditions are therefore negated to reject it.
+// check returns a PlanError for the first invalid setting. Ordered comparisons with NaN, which TOML can express, are
+// false; the conditions are therefore written as negations, which reject NaN.
 func (p *Plan) check() error {
 	for _, b := range p.bounds() {
 		if !(b.value >= b.min && b.value <= b.max) {
--- a/internal/scalerun/result.go
+++ b/internal/scalerun/result.go
@@ -104,7 +104,7 @@
 		fmt.Fprintf(b, "  %-17s %s\n", "start: "+class, r.TimeToStart[class])
 	}
 	fmt.Fprintf(b, "  accepted          %s\n", r.TimeToAccept)
-	fmt.Fprintf(b, "  heartbeats        %.0f/s, round trip %s, failed %d\n", r.HeartbeatsPerS, r.HeartbeatRoundTrip, r.HeartbeatsFailed)
+	fmt.Fprintf(b, "  heartbeats        %.0f/s, round trip %s, other than 200: %d\n", r.HeartbeatsPerS, r.HeartbeatRoundTrip, r.HeartbeatsFailed)
 	fmt.Fprintf(b, "  per worker        %.0f bytes/s\n", r.WorkerBytesPerS)
 	fmt.Fprintf(b, "  state service     %.0f requests/s, %.0f changes/s, %.0f bytes/s, 429s %d, 409s %d, %d keys\n", r.StateRequestsPerS, r.StateChangesPerS, r.StateBytesPerS, r.StateRateLimited, r.StateConflicts, r.StateKeys)
 	fmt.Fprintf(b, "  leader changes    %d, time without a leader %s\n", r.LeaderChanges, r.LeaderGaps)
--- a/internal/scalerun/upgrade.go
+++ b/internal/scalerun/upgrade.go
@@ -15,7 +15,7 @@
 // restarted with run.program one after another, and may be rolled back. It must be used on the event loop only.
 type upgradeMonitor struct {
 	// endedTasks holds the tasks that completed, and the tasks that ended without an exit report because their
-	// worker's lease expired or its machine failed.
+	// worker's lease expired, or because its machine failed or was deleted.
 	endedTasks  map[string]bool
 	dropped     int
 	gateChanges []string
@@ -27,8 +27,8 @@
 
 // UpgradeResult reports the errors and the feature gate changes of an upgrade.
 type UpgradeResult struct {
-	// DroppedPlacements counts repeated starts of tasks that had completed or had ended without an exit report, that is,
-	// without a stop command or an error. Tasks of jobs whose clients requested cancellation are not counted.
+	// DroppedPlacements counts repeated starts of tasks that had completed or had ended without an exit report (see
+	// upgradeMonitor.endedTasks). Tasks of jobs whose clients requested cancellation are not counted.
 	DroppedPlacements int `json:"placements_dropped"`
 	// UnreadableRecords counts the stored records that the controllers logged as unreadable.
 	UnreadableRecords int `json:"unreadable_records"`
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -45,8 +45,9 @@
 	return trace.WithTimestamp(r.startTime.Add(reading))
 }
 
-// traceFailover writes a span with a child span for each step of a failover. The span lasts from the start of the first
-// step to the end of the last one.
+// traceFailover writes a span with a child span for each known step of a failover: suspicion, election, load and first
+// placement. The span starts with the suspicion or, if its time is unknown, with the removal of the former leader's key
+// or with the election. It ends with the last known step.
 func (r *Recorder) traceFailover(failover controller.Failover) {
 	if r.tracer == nil {
 		return
--- a/internal/transport/event_loop_test.go
+++ b/internal/transport/event_loop_test.go
@@ -58,6 +58,6 @@
 		server.nextEvent(context.Background(), ticks, register)
 	}
 	if event := server.nextEvent(ctx, ticks, register); event != nil {
-		t.Errorf("next returned %v after the context was cancelled, want nil", event)
+		t.Errorf("nextEvent returned %v after ctx was cancelled, want nil", event)
 	}
 }
