--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -29,8 +29,8 @@
 	Finalizing bool
 	// Scale is the job's attained service and its number of slots.
 	Scale scheduler.ScaleUp
-	// Need is the resources that one task needs.
-	Need scheduler.Resources
+	// Request is the resources that one task needs.
+	Request scheduler.Resources
 	// Types are the machine types that the tasks may run on; nil: any.
 	Types map[string]bool
 
@@ -76,7 +76,7 @@
 		Spec:           spec,
 		Submitted:      submitted,
 		Scale:          scheduler.NewScaleUp(),
-		Need:           scheduler.Resources{Cores: spec.Cores, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB},
+		Request:        scheduler.Resources{Cores: spec.Cores, Accelerators: spec.Accelerators, MemoryGB: spec.MemoryGB},
 		doneTasks:      newTaskSet(spec.Tasks),
 		placedTasks:    newTaskSet(spec.Tasks),
 		attemptsByTask: map[int]int{},
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -144,7 +144,7 @@
 // addAttempt updates the machine's counts for an attempt that State.AddAttempt adds.
 func (m *Machine) addAttempt(a *Attempt) {
 	m.Attempts[a.Key()], m.sortedAttempts = a, nil
-	m.Used = m.Used.Plus(a.Job.Need)
+	m.Used = m.Used.Plus(a.Job.Request)
 	m.startingAttempts++ // the state of a new attempt is empty
 	m.revision++
 }
@@ -154,7 +154,7 @@
 func (m *Machine) removeAttempt(a *Attempt) {
 	delete(m.Attempts, a.Key())
 	m.sortedAttempts = nil
-	m.Used = m.Used.Minus(a.Job.Need)
+	m.Used = m.Used.Minus(a.Job.Request)
 	m.startingAttempts--
 	m.revision++
 }
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -68,7 +68,7 @@
 		j.Gang.add(a)
 	}
 	if quota := s.Quotas[j.Spec.Team]; quota != nil {
-		quota.Used = quota.Used.Plus(j.Need)
+		quota.Used = quota.Used.Plus(j.Request)
 	}
 	return a
 }
@@ -88,7 +88,7 @@
 		j.Gang.remove(a)
 	}
 	if quota := s.Quotas[j.Spec.Team]; quota != nil {
-		quota.Used = quota.Used.Minus(j.Need)
+		quota.Used = quota.Used.Minus(j.Request)
 	}
 }
 
--- a/internal/controller/demand_forecast.go
+++ b/internal/controller/demand_forecast.go
@@ -107,7 +107,7 @@
 	job := &scheduler.Job{
 		ID: demandIDPrefix + class, Class: class, Priority: int(spec.Priority),
 		Service: true, IsHeadroom: true, Tasks: tasks, Degradation: 1,
-		Request: sample.Need, ImageGB: spec.ImageGB, Spot: spec.Spot, Types: sample.Types,
+		Request: sample.Request, ImageGB: spec.ImageGB, Spot: spec.Spot, Types: sample.Types,
 	}
 	for i := range tasks {
 		job.Waiting = append(job.Waiting, i)
@@ -161,7 +161,7 @@
 	s.images[j.Spec.Image] += j.Spec.Tasks
 	s.sample = j
 	if j.Spec.Service {
-		s.services[j.Spec.Team] = s.services[j.Spec.Team].Plus(j.Need.Times(float64(j.Spec.Tasks)))
+		s.services[j.Spec.Team] = s.services[j.Spec.Team].Plus(j.Request.Times(float64(j.Spec.Tasks)))
 	}
 }
 
--- a/internal/controller/failure_detection.go
+++ b/internal/controller/failure_detection.go
@@ -42,14 +42,14 @@
 		return &failureDetection{}
 	}
 	settings := membership.Settings{
-		Self:             cfg.Label,
-		ProbeInterval:    cfg.ProbeInterval(),
-		ProbeTimeout:     cfg.ProbeTimeout(),
-		SuspicionTimeout: cfg.SuspicionTimeout(),
-		SuspicionFactor:  config.UnconfirmedSuspicionFactor,
-		RejoinDelay:      cfg.RejoinDelay(),
-		PauseThreshold:   pauseThresholdTimeouts * cfg.ProbeTimeout(),
-		ClockError:       cfg.ClockError(),
+		Self:                       cfg.Label,
+		ProbeInterval:              cfg.ProbeInterval(),
+		ProbeTimeout:               cfg.ProbeTimeout(),
+		SuspicionTimeout:           cfg.SuspicionTimeout(),
+		UnconfirmedSuspicionFactor: config.UnconfirmedSuspicionFactor,
+		RejoinDelay:                cfg.RejoinDelay(),
+		PauseThreshold:             pauseThresholdTimeouts * cfg.ProbeTimeout(),
+		ClockError:                 cfg.ClockError(),
 	}
 	for _, sibling := range cfg.Siblings {
 		settings.Peers = append(settings.Peers, sibling.Label)
--- a/internal/controller/scheduler_view.go
+++ b/internal/controller/scheduler_view.go
@@ -21,7 +21,7 @@
 // capacityShare is the share of a capacity that one task of the job needs: the share of the accelerators if the task
 // needs any.
 func capacityShare(j *clusterstate.Job, capacity scheduler.Resources) float64 {
-	return scheduler.Share(j.Need, capacity)
+	return scheduler.Share(j.Request, capacity)
 }
 
 // readyCapacity is the total size of the machines that are up and not being released, or of one machine of each
@@ -54,7 +54,7 @@
 	*view = scheduler.Job{
 		ID: s.UID, Class: s.Class, Team: s.Team, Priority: int(s.Priority), Submitted: j.Submitted,
 		Service: s.Service, Tasks: s.Tasks, Assigned: j.ActiveAttempts,
-		Request: j.Need, SaveS: s.SaveS, Image: s.Image, ImageGB: s.ImageGB,
+		Request: j.Request, SaveS: s.SaveS, Image: s.Image, ImageGB: s.ImageGB,
 		Spot: s.Spot, Types: j.Types, Zone: s.Zone, OneZone: s.OneZone, Spread: s.Spread,
 		InUpperQueue: j.Scale.InUpperQueue && !s.Service, Slots: j.Scale.Slots,
 		Attained: j.Scale.Attained, Degradation: j.Scale.Degradation,
--- a/internal/controller/state_loader.go
+++ b/internal/controller/state_loader.go
@@ -258,7 +258,7 @@
 		if j.Scale.Degradation <= 0 {
 			j.Scale.Degradation = 1
 		}
-		j.Scale.Attained += ageSeconds * float64(j.ActiveAttempts) * scheduler.Share(j.Need, capacity)
+		j.Scale.Attained += ageSeconds * float64(j.ActiveAttempts) * scheduler.Share(j.Request, capacity)
 	}
 }
 
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -13,9 +13,9 @@
 	// acks may take indirectTimeoutFactor times as long.
 	ProbeTimeout time.Duration
 	// SuspicionTimeout is the time after which a suspect is declared dead if enough members confirm the
-	// suspicion. Without any confirmation, the time is SuspicionFactor times as long.
-	SuspicionTimeout time.Duration
-	SuspicionFactor  float64
+	// suspicion. Without any confirmation, the time is UnconfirmedSuspicionFactor times as long.
+	SuspicionTimeout           time.Duration
+	UnconfirmedSuspicionFactor float64
 	// RejoinDelay is how long a member that was dead or left must be alive again before it serves machines.
 	RejoinDelay time.Duration
 	// PauseThreshold is the gap between two events beyond which this process counts as having been paused.
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -50,7 +50,7 @@
 )
 
 func testSettings(self string, labels []string) Settings {
-	s := Settings{Self: self, ProbeInterval: testLease / 5, ProbeTimeout: testLease / 10, SuspicionTimeout: 2 * testLease, SuspicionFactor: 3,
+	s := Settings{Self: self, ProbeInterval: testLease / 5, ProbeTimeout: testLease / 10, SuspicionTimeout: 2 * testLease, UnconfirmedSuspicionFactor: 3,
 		RejoinDelay: 20 * time.Second, PauseThreshold: testLease * 3 / 10, ClockError: 25 * time.Millisecond}
 	for _, l := range labels {
 		if l != self {
--- a/internal/membership/transitions.go
+++ b/internal/membership/transitions.go
@@ -24,7 +24,7 @@
 		if m.state != Suspect {
 			continue
 		}
-		timeout := m.suspicion.timeout(d.settings.SuspicionTimeout, d.settings.SuspicionFactor, len(d.labels)-1)
+		timeout := m.suspicion.timeout(d.settings.SuspicionTimeout, d.settings.UnconfirmedSuspicionFactor, len(d.labels)-1)
 		if d.clock.now >= m.suspicion.since+d.health.scale(timeout) {
 			d.counters.Deaths++
 			d.setState(m, Dead, ReasonSuspicionTimeout)
