--- a/internal/machinepool/launch.go
+++ b/internal/machinepool/launch.go
@@ -65,7 +65,7 @@
 func (p *Pool) sendLaunch(launch *LaunchRequest) {
 	p.launching[launch.requestName] = launch
 	p.log.Info("launching machines", "request", launch.requestName, "type", launch.Type, "zone", launch.Zone, "spot", launch.Spot, "count", launch.Count)
-	p.client.Launch(launch.wireRequest(), p.times.Lease/launchTimeoutShare, func(names []string, err error) {
+	p.client.Launch(launch.wireRequest(), p.times.Lease/launchTimeoutDivisor, func(names []string, err error) {
 		if !p.host.HasEnded() {
 			p.onLaunchAnswer(launch, names, err)
 		}
--- a/internal/machinepool/pool.go
+++ b/internal/machinepool/pool.go
@@ -20,9 +20,9 @@
 
 // Timeouts of the requests, as divisors of the workers' lease.
 const (
-	listTimeoutShare   = 4
-	deleteTimeoutShare = 2
-	launchTimeoutShare = 2
+	listTimeoutDivisor   = 4
+	deleteTimeoutDivisor = 2
+	launchTimeoutDivisor = 2
 )
 
 // Delays before a retry, in multiples of Host.RetryPause.
@@ -146,7 +146,7 @@
 // readPage reads the page of the list that starts after a machine, and then the following pages. names collects
 // the machines of all pages.
 func (p *Pool) readPage(after string, requestedAt time.Duration, names map[string]bool) {
-	p.client.List(after, listPageSize, p.times.Lease/listTimeoutShare, func(list protocol.MachineList, err error) {
+	p.client.List(after, listPageSize, p.times.Lease/listTimeoutDivisor, func(list protocol.MachineList, err error) {
 		if p.host.HasEnded() {
 			return
 		}
@@ -187,7 +187,7 @@
 		return
 	}
 	p.deleteInFlight = true
-	p.client.Delete(names, p.times.Lease/deleteTimeoutShare, func(err error) {
+	p.client.Delete(names, p.times.Lease/deleteTimeoutDivisor, func(err error) {
 		if p.host.HasEnded() {
 			return
 		}
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -289,8 +289,8 @@
 }
 
 // isInfeasible reports whether a recorded infeasible request shows that no machine of the pool has room for the need.
-func (p *poolIndex) isInfeasible(need Resources, rule coreRule) bool {
-	return slices.ContainsFunc(p.infeasible[rule], func(recorded Resources) bool { return recorded.isAtMost(need) })
+func (p *poolIndex) isInfeasible(request Resources, rule coreRule) bool {
+	return slices.ContainsFunc(p.infeasible[rule], func(recorded Resources) bool { return recorded.isAtMost(request) })
 }
 
 // maxInfeasible bounds the length of a list of infeasible requests. A short list is enough, because most jobs of a
@@ -298,15 +298,15 @@
 const maxInfeasible = 16
 
 // recordInfeasible records a need for which no machine of the pool has room. It replaces recorded larger needs.
-func (p *poolIndex) recordInfeasible(need Resources, rule coreRule) {
+func (p *poolIndex) recordInfeasible(request Resources, rule coreRule) {
 	retained := p.infeasible[rule][:0]
 	for _, recorded := range p.infeasible[rule] {
-		if !need.isAtMost(recorded) {
+		if !request.isAtMost(recorded) {
 			retained = append(retained, recorded)
 		}
 	}
 	if len(retained) >= maxInfeasible {
 		retained = retained[1:]
 	}
-	p.infeasible[rule] = append(retained, need)
+	p.infeasible[rule] = append(retained, request)
 }
--- a/internal/scheduler/preemptible_tasks.go
+++ b/internal/scheduler/preemptible_tasks.go
@@ -140,8 +140,8 @@
 
 // isInfeasible reports whether preemption was already infeasible for a job with the same key,
 // an earlier rank and a need that is at most this one.
-func (p *preemptibleTasks) isInfeasible(key preemptionKey, need Resources) bool {
-	return slices.ContainsFunc(p.infeasible[key], func(recorded Resources) bool { return recorded.isAtMost(need) })
+func (p *preemptibleTasks) isInfeasible(key preemptionKey, request Resources) bool {
+	return slices.ContainsFunc(p.infeasible[key], func(recorded Resources) bool { return recorded.isAtMost(request) })
 }
 
 // recordInfeasible records that no machine has enough preemptible tasks for the job's need. It records nothing if the
