--- a/internal/clusterstate/agent_state.go
+++ b/internal/clusterstate/agent_state.go
@@ -5,7 +5,7 @@
 // AgentState is the leader's view of the agent process on a machine. It is derived from the agent's messages:
 // heartbeats and answers to direct calls. Messages may arrive late, more than once and in any order.
 //
-// All times are on the leader's own clock (Controller.now), not on the agent's.
+// All times are on the leader's monotonic clock, not on the agent's clock.
 type AgentState struct {
 	// Epoch, Sequence and Token are the epoch, sequence number and fencing token of the newest message. An
 	// agent whose lease has expired continues under a higher epoch. Token is the leader fencing token that the
@@ -16,8 +16,9 @@
 	// LastSeen is the time at which the newest message arrived. LastAnswered is the time at which the leader
 	// last answered a heartbeat.
 	LastSeen, LastAnswered time.Duration
-	// TokenAcknowledged is set once a message of the agent has carried this leader's token;
-	// TokenAcknowledgedAt is the arrival time of the first such message.
+	// TokenAcknowledged is set when a message of the agent carries this leader's token, and cleared when the
+	// leader establishes that the agent's lease has expired. TokenAcknowledgedAt is the arrival time of the
+	// message that last set it; 0 if there was none.
 	TokenAcknowledgedAt time.Duration
 	TokenAcknowledged   bool
 	// Seen is set once a message has arrived in this leader's term.
@@ -35,7 +36,7 @@
 // HeartbeatHeader is the part of an agent's message that identifies the sender and the message.
 type HeartbeatHeader struct {
 	Epoch, Sequence, Token uint64
-	// Heartbeat distinguishes a heartbeat from an answer to a direct call.
+	// Heartbeat is true for a heartbeat and false for an answer to a direct call.
 	Heartbeat bool
 }
 
@@ -61,8 +62,8 @@
 	LeaseExpired bool
 	// AnswersUndelivered is set if the lease expired although the leader had answered less than half a lease ago.
 	AnswersUndelivered bool
-	// HasLeaderToken is set if the message carries this leader's token, FirstLeaderToken if it is the first
-	// message of this term that does.
+	// HasLeaderToken is set if the message carries this leader's token. FirstLeaderToken is set if the message
+	// sets TokenAcknowledged: it is the first with the token in this term, or since a lease expiry.
 	HasLeaderToken, FirstLeaderToken bool
 }
 
--- a/internal/clusterstate/attempt.go
+++ b/internal/clusterstate/attempt.go
@@ -21,11 +21,13 @@
 	// Durable is set once the machine's record with the attempt is stored. Only then may the run command be
 	// sent.
 	Durable bool
-	// Loaded is set if the attempt was read from the records of an earlier leader. Commands of that leader
-	// may still be in flight until the agent has acknowledged this leader's token.
+	// Loaded is set if the attempt was read from the records of an earlier leader, or was reported by the agent
+	// without a record. Commands of an earlier leader may still be in flight until the agent has acknowledged
+	// this leader's token.
 	Loaded bool
 
-	// Sent is set once a run command was sent to the agent in Epoch.
+	// Sent is set once a run command may have been sent to the agent: this leader sent it in Epoch, an earlier
+	// leader may have sent it, or the agent reports the task.
 	Sent bool
 	// Acknowledged is set once the agent is known to have received the run command.
 	Acknowledged bool
@@ -51,7 +53,8 @@
 	Preempted bool
 	// ExitCause is the cause of the attempt's exit as the agent reported it.
 	ExitCause protocol.ExitCause
-	// StopSentAt is the time at which the last stop command was sent, on the leader's clock.
+	// StopSentAt is the time at which the last stop command was sent, on the leader's clock; 0 if none was sent
+	// since the grace period was last set.
 	StopSentAt time.Duration
 	// GraceSeconds is the grace period in which the task may save a checkpoint before it is killed.
 	GraceSeconds float64
--- a/internal/clusterstate/completion_records.go
+++ b/internal/clusterstate/completion_records.go
@@ -23,7 +23,7 @@
 //
 // Versions that predate parts read the chunk records only. In those records every range begins at the chunk's
 // start, so no value within the limit gives these versions the completions after the head. They treat the tasks
-// after the head as open and start them again, and the tasks then exit as done immediately. A record that was
+// after the head as not done and start them again; the tasks then exit as done immediately. A record that was
 // written under a higher limit and exceeds the present one is not rewritten: it is the only record from which
 // these versions can read all completions.
 type CompletionRecord struct {
--- a/internal/clusterstate/failures.go
+++ b/internal/clusterstate/failures.go
@@ -42,8 +42,8 @@
 // IsProbing reports whether only one task of the job may be started at a time.
 func (f *JobFailures) IsProbing() bool { return f.IsJobFault || len(f.Machines) >= probingMachines }
 
-// AvoidedMachines returns the machines that the job must not be placed on: the machines on which it failed less
-// than the duration within ago. It returns none if the failures are attributed to the job.
+// AvoidedMachines returns the machines that the job must not be placed on: the machines whose last failure of the
+// job is more recent than now-within. It returns nil if the failures are attributed to the job.
 func (f *JobFailures) AvoidedMachines(now, within time.Duration) map[string]bool {
 	if f.IsJobFault || len(f.Machines) == 0 {
 		return nil
--- a/internal/clusterstate/job.go
+++ b/internal/clusterstate/job.go
@@ -29,7 +29,7 @@
 	Finalizing bool
 	// Scale is the job's attained service and its number of slots.
 	Scale scheduler.ScaleUp
-	// Request is the resources that one task needs.
+	// Request is the resources that one task requests.
 	Request scheduler.Resources
 	// Types are the machine types that the tasks may run on; nil: any.
 	Types map[string]bool
@@ -155,7 +155,8 @@
 	j.revision++
 }
 
-// MarkInterrupted records that a task was stopped for another reason than preemption. The task is started again
+// MarkInterrupted records that a task was interrupted: its attempt ended before the task was done, for a reason
+// other than preemption, the task's own failure or a lack of resources on the machine. The task is started again
 // before the job's other tasks.
 func (j *Job) MarkInterrupted(index int) {
 	if j.interrupted == nil {
--- a/internal/clusterstate/machine.go
+++ b/internal/clusterstate/machine.go
@@ -12,12 +12,12 @@
 
 // Machine is a machine and all attempts that may be on it. Its identity, its attempts and Releasing are stored
 // in a MachineRecord; the other fields are kept in memory only and are reset at a failover. All times are on the
-// leader's clock (Controller.now).
+// leader's monotonic clock.
 type Machine struct {
 	ID, Type, Zone, Addr string
 	// Spot is set for a spot machine, which the cloud may reclaim.
 	Spot bool
-	// Size is the machine's total resources, Used the sum that the attempts on it need.
+	// Size is the machine's total resources, Used the sum of the requests of the attempts on it.
 	Size, Used scheduler.Resources
 	// Attempts are the attempts that may be on the machine. Add and remove them with State.AddAttempt and
 	// State.RemoveAttempt.
@@ -58,7 +58,7 @@
 	LastFailedCallAt time.Duration
 	// NextCallAt is the earliest time at which the next call may be sent.
 	NextCallAt time.Duration
-	// Probed is set when a call is sent. It is cleared when a call fails or finds an unexpected epoch, and when
+	// Probed is set when a call is sent. It is cleared when a call fails or is rejected by the agent, and when
 	// the agent's lease expires.
 	Probed bool
 }
@@ -83,9 +83,12 @@
 	// KnownToExistAt is the latest time at which the machine is known to have existed. A cloud listing that is
 	// certainly more recent and does not contain the machine proves that the machine no longer exists.
 	KnownToExistAt time.Duration
-	// LaunchedAt is the time at which the rental was requested, if known.
+	// LaunchedAt is the latest time at which the rental can have been requested. It is the time of the request if
+	// this leader sent it, otherwise the time at which this leader learned of the machine. It is lowered if the
+	// machine's age in the cloud's list shows an earlier time.
 	LaunchedAt time.Duration
-	// EverReported is set once the agent has sent a heartbeat, to this leader or to an earlier one.
+	// EverReported is set once the agent has sent a heartbeat to this leader, or if a loaded record of the machine
+	// has an attempt, which shows a heartbeat to an earlier leader.
 	EverReported bool
 	// ListedRunning is set if the cloud lists the machine as running.
 	ListedRunning bool
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -26,7 +26,7 @@
 // JobRecord is the stored form of a job. It is stored under the names in the tags. The writer, however, measures
 // a record by its JSON encoding with the Go field names, so renaming a field changes which records fit the limit.
 type JobRecord struct {
-	// State is empty, Cancelling, protocol.Done or protocol.Cancelled.
+	// State is empty, Cancelling, protocol.JobDone or protocol.JobCancelled.
 	State protocol.JobState `msgpack:"s,omitempty"`
 	// Tasks is the number of tasks of a job that is done.
 	Tasks int `msgpack:"n,omitempty"`
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -15,8 +15,8 @@
 // At a failover the new leader reads these records and then the completion journal, and adds their contents to
 // an empty State. All other state (agents, failures, image caches) is reset.
 //
-// Times are durations on the leader's clock (Controller.now), which starts at zero in each process, unless the
-// comment says that they are in ms since the epoch.
+// Times are durations on the leader's monotonic clock, which starts at zero in each process, unless the comment of
+// a field says that they are in ms since the epoch.
 package clusterstate
 
 import (
--- a/internal/completionjournal/compaction.go
+++ b/internal/completionjournal/compaction.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// Tick begins the compaction of the values that are old enough, the oldest first. Once the journal is closed or
-// abandoned, it compacts all values.
+// Tick begins the compaction of up to compactionsPerTick values, the oldest first: of values that have reached
+// Limits.CompactAfter, and of values of any age while the journal is more than half full. Once the journal is closed
+// or abandoned, it compacts the pending entries and values of any age.
 func (j *Journal) Tick() {
 	if !j.enabled {
 		j.compactPending()
--- a/internal/completionjournal/journal.go
+++ b/internal/completionjournal/journal.go
@@ -6,7 +6,7 @@
 // next written, it includes the entries that belong to it; this is compaction. A value is deleted once all its
 // entries are compacted. At a failover the new leader reads the records first and the journal after them.
 //
-// An entry only anticipates the next contents of a record. Reading an entry twice, or after its record contains it,
+// Each entry is also included in the next write of its record. Reading an entry twice, or after its record contains it,
 // has no further effect. The loss of a value costs work but violates no invariant: a task is started again and exits
 // as done, and an attempt counts as present until its machine reports otherwise.
 package completionjournal
@@ -20,8 +20,9 @@
 
 // Store writes the journal's values. *statestore.Writer implements it.
 type Store interface {
-	// QueueWrite queues a write of a key. render is called when the write is added to a transaction and returns
-	// the value, or nil to delete the key. onStored is called once the write is durable.
+	// QueueWrite queues a write of a key. render is called when a transaction is built, and again if the value has
+	// to wait for a later transaction; it returns the value, or nil to delete the key. onStored is called once the
+	// write is durable.
 	QueueWrite(key string, priority statestore.Priority, render func() any, onStored func())
 	// CancelWrite cancels a queued write. It returns false if no write of the key is queued.
 	CancelWrite(key string) bool
@@ -161,8 +162,9 @@
 	}
 }
 
-// Abandon discards the tail, which is too large or is rejected by the state service, and closes the journal. The
-// entries of the tail, and all later entries of this leadership, are written to their records.
+// Abandon closes the journal after a write of its tail was abandoned, because the value is too large or the state
+// service rejects it. A tail that was never stored is dropped; a stored one is compacted like all other values. All
+// entries, and all later entries of this leadership, are written to their records.
 func (j *Journal) Abandon() {
 	j.writePending, j.renderedEntries, j.enabled = false, nil, false
 	if j.tail != nil && !j.tail.stored {
@@ -187,7 +189,8 @@
 	return len(j.values), uncompacted, pending
 }
 
-// IsEmpty reports whether no value of the journal is stored or will be stored without further calls of Add.
+// IsEmpty reports whether the journal has no values and no uncompacted pending entries, and no write of the tail is
+// queued or in flight.
 func (j *Journal) IsEmpty() bool {
 	_, _, pending := j.Size()
 	return len(j.values) == 0 && pending == 0 && !j.writePending
--- a/internal/config/membership.go
+++ b/internal/config/membership.go
@@ -37,7 +37,7 @@
 	return time.Duration(factor * float64(d))
 }
 
-// ProbeInterval returns the time between two probes of a peer.
+// ProbeInterval returns the time between two rounds of probes of the failure detector.
 func (c *Config) ProbeInterval() time.Duration {
 	return scaleDuration(c.LeaderLease(), c.Operator.Membership.Probe)
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -30,8 +30,8 @@
 	// Membership holds the parameters of the failure detector between controllers.
 	Membership struct {
 		Enabled bool `toml:"enabled"`
-		// Probe is the time between two probes of a peer, Timeout how long the peer's ack may
-		// take before other controllers are asked to probe it, and Suspicion the minimum time
+		// Probe is the time between two rounds of probes, Timeout how long a peer's ack may take
+		// before other controllers are asked to probe the peer, and Suspicion the minimum time
 		// for which a peer is suspect before it is declared dead. All are in leader's leases.
 		Probe     float64 `toml:"probe"`
 		Timeout   float64 `toml:"timeout"`
--- a/internal/config/timing.go
+++ b/internal/config/timing.go
@@ -18,7 +18,7 @@
 
 // Bounds on the leader's lease.
 const (
-	// minLeaderLease is the minimum lease for all settings.
+	// minLeaderLease is the minimum of LeaderLease, whatever the settings.
 	minLeaderLease = 500 * time.Millisecond
 	// leaderPauseCoreSeconds is the work that may delay a leader's renewal of its lease, in seconds of a
 	// whole core.
@@ -28,13 +28,12 @@
 	renewalsPerLease = 5
 )
 
-// LeaderLease returns the duration of the leader's lease in the state service. It is at most 3/20 of the
-// workers' lease, so that a successor is elected well before the workers' leases expire. It is shorter where
-// possible, as larger fleets have longer workers' leases, but users should not be without a leader for
-// longer. Three durations bound it from below, unless 3/20 of the workers' lease is shorter: the time for
-// the work that may delay a renewal (leaderPauseCoreSeconds), the takeover of the whole fleet
-// (TakeoverDuration), and the time in which the renewals use 1% of the state service's rate limit
-// (renewalsPerLease).
+// LeaderLease returns the duration of the leader's lease in the state service. The lease is as short as three
+// durations allow: the time for the work that may delay a renewal (leaderPauseCoreSeconds), the takeover of the
+// whole fleet (TakeoverDuration), and the time in which the renewals use 1% of the state service's rate limit
+// (renewalsPerLease). It does not grow with the workers' lease, which is longer in larger fleets, because users
+// should not be without a leader for longer there. Its maximum is 3/20 of the workers' lease, so that a successor
+// is elected well before the workers' leases expire; its minimum, which has precedence, is minLeaderLease.
 func (c *Config) LeaderLease() time.Duration {
 	cores, rps := c.Cluster.Resources.Cores, c.Cluster.State.RPS
 	needed := seconds(max(leaderPauseCoreSeconds/cores, 100*renewalsPerLease/rps, c.TakeoverDuration().Seconds()))
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -6,8 +6,9 @@
 	"net"
 )
 
-// minWriteRPS is the minimum rate of changes. Half of the burst of changes is reserved for writes that a request waits
-// for; at a rate of 2 the other half is less than the one change that a background write needs.
+// minWriteRPS is the minimum rate of changes per second. Half of the burst of changes is reserved for writes that are
+// more urgent than background writes; at a rate of 2 the other half is less than the one change that a background write
+// needs.
 const minWriteRPS = 3
 
 // validate returns the error of the first invalid setting.
--- a/internal/membership/detector.go
+++ b/internal/membership/detector.go
@@ -86,7 +86,9 @@
 }
 
 // ObserveAck records that a peer answered a request other than a probe. sent is the monotonic time when the
-// request was sent: a request that was sent before the suspicion started does not clear the suspicion.
+// request was sent. The answer clears a suspicion only if the request was sent after the suspicion started. It
+// makes a dead or left peer alive only if the peer is monitored by heartbeats and the request was sent after the
+// peer became dead or left.
 func (d *Detector) ObserveAck(at Clock, label string, sent time.Duration) []Action {
 	d.advanceClock(at)
 	m := d.members[label]
--- a/internal/membership/local_member.go
+++ b/internal/membership/local_member.go
@@ -14,10 +14,10 @@
 	return l.sequence
 }
 
-// refute takes an incarnation later than the claimed one in two cases: the claim says that this controller
-// is not alive, or the claimed incarnation is later than the current one. In the second case the claim is
-// about a previous process of this label, and the clock was set back since. refute reports whether the
-// claim said that this controller is not alive. A leaving controller refutes nothing.
+// refute takes an incarnation later than the claimed one in two cases: the claim says that the current or a
+// later incarnation of this controller is not alive, or the claimed incarnation is later than the current one.
+// In the second case the claim is about a previous process of this label, and the clock was set back since.
+// refute reports whether the first case holds. A leaving controller refutes nothing.
 func (l *localMember) refute(claim Claim) (refuted bool) {
 	if l.leaving {
 		return false
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -7,7 +7,7 @@
 type Settings struct {
 	Self  string   // label of this controller
 	Peers []string // labels of the other controllers
-	// ProbeInterval is the time between two probes of a peer.
+	// ProbeInterval is the time between two rounds of probes, see maxProbesPerRound.
 	ProbeInterval time.Duration
 	// ProbeTimeout is how long a direct ack may take before helpers are asked to probe the peer. Indirect
 	// acks may take indirectTimeoutFactor times as long.
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -20,8 +20,8 @@
 }
 
 // timeout returns the time after which the suspect is declared dead. As in Lifeguard, it decreases with the
-// logarithm of the number of confirmations: from factor*least without confirmations to least with
-// maxConfirmations or, in a smaller group, with a confirmation by each other member.
+// logarithm of the number of confirmations. It is factor*least without confirmations, and least once
+// maxConfirmations members, or all other members in a smaller group, have confirmed the suspicion.
 func (s *suspicion) timeout(least time.Duration, factor float64, others int) time.Duration {
 	required := min(maxConfirmations, others)
 	if required <= 0 {
--- a/internal/protocol/peers.go
+++ b/internal/protocol/peers.go
@@ -10,8 +10,8 @@
 	// From is the label of the forwarding controller, set for workers' heartbeats.
 	From string `cbor:"4,keyasint,omitempty"`
 	// To is the label of a leader that the sender cannot reach directly. The receiver relays the request to
-	// that leader, in a single hop. Versions without this field reject the request, as they are not the
-	// leader.
+	// that leader, in a single hop. A receiver whose version lacks this field rejects the request, because the
+	// receiver is not the leader.
 	To string `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/protocol/state_service.go
+++ b/internal/protocol/state_service.go
@@ -45,7 +45,7 @@
 	Failed   []string `msgpack:"failed"` // keys whose conditions did not hold
 }
 
-// LeaseRequest grants a lease in the state service. LeaseReply answers it.
+// LeaseRequest asks the state service to grant a lease. LeaseReply answers it.
 type LeaseRequest struct {
 	TTLMillis int64 `msgpack:"lifeMs"`
 }
--- a/internal/protocol/submission_body.go
+++ b/internal/protocol/submission_body.go
@@ -38,7 +38,8 @@
 }
 
 // nestedTooDeeply reports whether the body may be nested too deeply. The check is approximate: it counts
-// consecutive container headers, as deep nesting has a header per level.
+// consecutive bytes that look like container headers. A very long run of such bytes indicates nesting, because
+// each container has a header of at least one byte before its first scalar.
 func nestedTooDeeply(body []byte) bool {
 	consecutiveHeaders := 0
 	for _, b := range body {
--- a/internal/protocol/workers.go
+++ b/internal/protocol/workers.go
@@ -51,8 +51,8 @@
 	Type    string `msgpack:"flavour"`
 	Zone    string `msgpack:"yard"`
 	Spot    bool   `msgpack:"borrowed"`
-	// Epoch increases with each start of the worker's agent; Sequence increases with each heartbeat of an
-	// epoch.
+	// Epoch increases when the worker's agent starts and whenever its lease expires; Sequence increases with
+	// each heartbeat of an epoch.
 	Epoch    uint64 `msgpack:"shift"`
 	Sequence uint64 `msgpack:"tally"`
 	// Token is the highest fencing token that the worker has seen.
--- a/internal/scheduler/consolidation_test.go
+++ b/internal/scheduler/consolidation_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// No batches start while replicas of drained machines move, because the batches would take the room for the replicas.
+// No batch that is not starved starts while replicas of drained machines move, because it would take the room for the
+// replicas.
 func TestBatchesWaitWhileReplicasMove(t *testing.T) {
 	s := halfFullFleet()
 	s.Draining = true
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -18,7 +18,7 @@
 const (
 	withinGuarantees fillPass = iota // tasks within the guarantees of their teams
 	withinSlots                      // tasks within the slots of their jobs, the upper queue up to its cap
-	interruptedTasks                 // tasks that were interrupted when their machine ended
+	interruptedTasks                 // tasks that were interrupted, see Job.Interrupted
 	spareResources                   // any tasks that the remaining resources can hold
 )
 
@@ -93,8 +93,9 @@
 }
 
 // placeStarvedGangs places gangs that have waited for longer than a machine takes to boot, the oldest first. If a gang
-// does not fit, the free room for part of its tasks is reserved, because small jobs would take that room again in each
-// fill. The reservation ends with the snapshot, so gangs can't block one another.
+// does not fit now but would fit if the fleet were empty, the free room for part of its tasks is reserved, because
+// small jobs would take that room again in each fill. The reservation ends with the snapshot, so gangs can't block one
+// another.
 func (f *filler) placeStarvedGangs() {
 	s := f.snapshot
 	var starved []*Job
--- a/internal/scheduler/index_search.go
+++ b/internal/scheduler/index_search.go
@@ -38,8 +38,8 @@
 	stale bool
 }
 
-// searchIndex returns a search for the job, or nil if the index can't determine the best machine: for headroom whose
-// expected tasks need different images, and for tasks that request only memory.
+// searchIndex returns a search for the job. It returns nil if the snapshot has no index, or if the index can't
+// determine the best machine: for headroom whose expected tasks need images, and for tasks that request only memory.
 func (s *Snapshot) searchIndex(j *Job) *indexSearch {
 	if s.index == nil || j.IsHeadroom && len(j.Images) > 0 || j.Request.Cores <= 0 && j.Request.Accelerators <= 0 {
 		return nil
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -21,13 +21,13 @@
 	Types                  map[string]bool // machine types that it may use; nil: any
 	AvoidMachines          map[string]bool // IDs of machines on which its tasks failed
 	Zone                   string          // the only zone that it may use; empty: any
-	OneZone, Spread        bool            // OneZone: all tasks in one zone; Spread: at most half of them in each zone
+	OneZone, Spread        bool            // OneZone: all tasks in one zone; Spread: at most half (rounded up) in a zone
 	Tasks                  int
 	Waiting                []int          // indices of the waiting tasks
 	InZone                 map[string]int // tasks on machines, by zone
 	Assigned               int            // tasks on machines
 	InUpperQueue           bool           // in GREEN's upper queue
-	Slots                  int            // tasks that it may run before the passes beyond slots
+	Slots                  int            // number of tasks on machines up to which the pass withinSlots starts more
 	Attained, Degradation  float64        // see ScaleUp
 	// IsHeadroom is set if its tasks are expected rather than submitted. They reserve room for future replicas.
 	IsHeadroom bool
@@ -35,8 +35,8 @@
 	UntilDeadlineS float64
 	// DeadlineMissed is set if the job can no longer meet its deadline.
 	DeadlineMissed bool
-	// Interrupted is the number of waiting tasks that were interrupted when their machine ended, rather than preempted
-	// by rank. They come first in Waiting.
+	// Interrupted is the number of waiting tasks that were interrupted, for example by the loss of their machine, and
+	// not preempted. They come first in Waiting.
 	Interrupted int
 	// Reserved is the number of its tasks for which other tasks were preempted that have not all stopped yet.
 	Reserved int
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -9,7 +9,7 @@
 // machineIndex keeps the machines with free resources sorted by the properties that determine a task's score, so that
 // the best machine for a task is found without scoring all others. Machines that differ only in their free cores,
 // memory and IDs share a bucket. Within a bucket, the score of a task rises with the number of free cores or is
-// constant.
+// constant, except that blocksAcceleratorsScore is added below the number of cores that free accelerators need.
 //
 // update must be called after each change of a machine and before the next search. An update and a search take time
 // logarithmic in the number of machines.
@@ -288,7 +288,8 @@
 	return class
 }
 
-// isInfeasible reports whether a recorded infeasible request shows that no machine of the pool has room for the need.
+// isInfeasible reports whether a recorded infeasible request shows that no machine of the pool has room for the
+// request.
 func (p *poolIndex) isInfeasible(request Resources, rule coreRule) bool {
 	return slices.ContainsFunc(p.infeasible[rule], func(recorded Resources) bool { return recorded.isAtMost(request) })
 }
@@ -297,7 +298,7 @@
 // class have the same request.
 const maxInfeasible = 16
 
-// recordInfeasible records a need for which no machine of the pool has room. It replaces recorded larger needs.
+// recordInfeasible records a request for which no machine of the pool has room. It replaces recorded larger requests.
 func (p *poolIndex) recordInfeasible(request Resources, rule coreRule) {
 	retained := p.infeasible[rule][:0]
 	for _, recorded := range p.infeasible[rule] {
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -195,8 +195,9 @@
 }
 
 // placeStarvedGangs places gangs that have waited for longer than a machine takes to boot, the oldest first. If a gang
-// does not fit, the free room for part of its tasks is reserved, because small jobs would take that room again in each
-// fill. The reservation ends with the snapshot, so gangs can't block one another.
+// does not fit now but would fit if the fleet were empty, the free room for part of its tasks is reserved, because
+// small jobs would take that room again in each fill. The reservation ends with the snapshot, so gangs can't block one
+// another.
 func (s *oracle) placeStarvedGangs(placements []Placement) []Placement {
 	var starved []*Job
 	for _, j := range s.Jobs {
@@ -324,7 +325,8 @@
 	return launches
 }
 
-// planGang places all tasks of a gang on existing machines. It returns false if machines must be rented for it.
+// planGang places all tasks of a gang on the machines of the snapshot, which include those that the plan already rents.
+// It returns false if more machines must be rented for the gang.
 func (s *oracle) planGang(j *Job, later []*Job, types []*MachineType, blocked func(Pool) bool) bool {
 	if t := s.Quotas[j.Team]; t == nil || !t.WithinMaximum(j.Request.Times(float64(len(j.Waiting)))) {
 		return true
@@ -575,7 +577,7 @@
 }
 
 // isPreemptible reports whether a victim's tasks may be stopped for a job. The rules follow the protocol's section
-// "Preemption"; in addition, the victim must rank after the job or exceed its slots.
+// "Preemption"; in addition, the victim must rank after the job, or be a batch or gang that exceeds its slots.
 func (s *oracle) isPreemptible(victim, j *Job, guaranteed bool, rank map[*Job]int) bool {
 	lower := victim.Priority < j.Priority
 	quota := s.Quotas[victim.Team]
--- a/internal/scheduler/preemptible_tasks.go
+++ b/internal/scheduler/preemptible_tasks.go
@@ -23,8 +23,8 @@
 	// borrowingTeams holds the teams that use more than their guarantees.
 	borrowingTeams map[string]bool
 	gangs          map[*Job][]Stop // cache of runningGangs; nil: not built
-	// infeasible lists the needs for which no machine has enough preemptible tasks, by the other properties of a job
-	// that determine this.
+	// infeasible lists the requests for which no machine has enough preemptible tasks, by the other properties of a
+	// job that determine this.
 	infeasible map[preemptionKey][]Resources
 	// sharedCosts caches the preemption costs that replicas of equal sharedCostsKey share.
 	sharedCosts map[sharedCostsKey]*preemptionCosts
@@ -138,14 +138,14 @@
 		guaranteed: guaranteed, service: j.Service, waitedTwoBoots: j.WaitedTwoBoots}
 }
 
-// isInfeasible reports whether preemption was already infeasible for a job with the same key,
-// an earlier rank and a need that is at most this one.
+// isInfeasible reports whether preemption was already infeasible for a job with the same key, an earlier rank and a
+// request that is at most this one.
 func (p *preemptibleTasks) isInfeasible(key preemptionKey, request Resources) bool {
 	return slices.ContainsFunc(p.infeasible[key], func(recorded Resources) bool { return recorded.isAtMost(request) })
 }
 
-// recordInfeasible records that no machine has enough preemptible tasks for the job's need. It records nothing if the
-// reason may be specific to the job: the zones of its other tasks or the machines on which it failed.
+// recordInfeasible records that no machine has enough preemptible tasks for the job's request. It records nothing if
+// the reason may be specific to the job: the zones of its other tasks or the machines on which it failed.
 func (p *preemptibleTasks) recordInfeasible(j *Job, key preemptionKey) {
 	if len(j.AvoidMachines) > 0 || j.OneZone || j.Spread || len(p.infeasible[key]) >= maxInfeasible {
 		return
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -44,9 +44,9 @@
 // selects lower-ranked tasks to stop, according to the rules in the protocol's section "Preemption". maxStops bounds
 // the number of stops; only a gang whose stops are the first of the round may exceed it.
 //
-// The map searchedJobs holds the IDs of jobs for which earlier rounds found no preemption. Because the work of a round
-// is bounded, these jobs are skipped until all other jobs have been examined. Preempt adds the jobs for which it finds
-// no preemption, and clears the map at the end of a round that did not reach the bound on its work.
+// The map searchedJobs holds the IDs of jobs for which earlier rounds found no preemption. A round skips these jobs, so
+// that it continues where a round ended that reached maxTaskMachinesExamined. Preempt adds the jobs, except gangs, that
+// still have waiting tasks after the search, and clears the map at the end of a round that did not reach that bound.
 func (s *Snapshot) Preempt(maxStops int, searchedJobs map[string]bool) Preemption {
 	s.useIndex()
 	SortByRank(s.Jobs)
@@ -182,7 +182,7 @@
 }
 
 // isPreemptible reports whether a victim's tasks may be stopped for a job. The rules follow the protocol's section
-// "Preemption"; in addition, the victim must rank after the job or exceed its slots.
+// "Preemption"; in addition, the victim must rank after the job, or be a batch or gang that exceeds its slots.
 func (r *preemptionRound) isPreemptible(victim, j *Job, guaranteed bool) bool {
 	if victim.Priority >= j.Priority {
 		// Stopping one replica to start another gains nothing, and the stopped replica has to fetch its image again.
--- a/internal/scheduler/preemption_costs.go
+++ b/internal/scheduler/preemption_costs.go
@@ -10,7 +10,8 @@
 	version    int
 	guaranteed bool // the task was within its team's guarantee
 	// fitsWithoutStop is set if some machine has free resources for the task without a stop but does not accept it. A
-	// larger task would need stops there and could then be placed, so the need must not be recorded as infeasible.
+	// larger task would need stops there and could then be placed, so the request must not be recorded as
+	// infeasible.
 	fitsWithoutStop bool
 }
 
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -149,7 +149,7 @@
 			m.Running = []RunningTask{{Job: low, Index: i, RunningS: 10}}
 		}
 		s.Jobs = append(s.Jobs, low)
-		// Each job is too large to be placed, and has its own team so that no recorded infeasible need applies to it.
+		// Each job is too large to be placed, and has its own team so that no recorded infeasible request applies to it.
 		for i := range 250 {
 			team := fmt.Sprint("team-", i)
 			s.Quotas[team] = &Quota{}
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -76,8 +76,9 @@
 	}
 }
 
-// placeGang places all tasks of a gang on existing machines. It returns false if machines must be rented for it. It
-// returns true without placing a gang that exceeds its team's quota: the gang waits until other tasks of the team end.
+// placeGang places all tasks of a gang on the machines of the snapshot, which include those that this plan already
+// rents. It returns false if more machines must be rented for the gang. It returns true without placing a gang that
+// exceeds its team's quota: the gang waits until other tasks of the team end.
 func (p *scaleOutPlanner) placeGang(j *Job, later []*Job) bool {
 	quota := p.snapshot.Quotas[j.Team]
 	if quota == nil || !quota.WithinMaximum(j.totalRequest()) {
--- a/internal/scheduler/selector.go
+++ b/internal/scheduler/selector.go
@@ -80,7 +80,7 @@
 type candidate struct {
 	machine  *Machine
 	score    float64
-	position int // in the snapshot's list; among equal scores the lowest wins
+	position int // increases in the order of the snapshot's list; among equal scores the lowest wins
 }
 
 // candidateHeapFor returns a heap of the machines that accept a task of the job.
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -12,7 +12,7 @@
 	Price, SpotPrice float64 // per machine and unit of time, in the cloud's currency
 	Zones            []string
 	BootS            float64 // seconds from the rental request until the machine is ready
-	FetchGBPerS      float64 // bandwidth for fetching images
+	FetchGBPerS      float64 // bandwidth for fetching images, in gigabytes per second
 }
 
 // Machine is a machine with its free resources. All resources of a booting machine are free.
@@ -55,8 +55,8 @@
 	Jobs          []*Job
 	Quotas        map[string]*Quota // by team
 	UpperQueueCap float64           // share of the ready fleet that the upper queue may use
-	// Draining is set while replicas of drained machines move to other machines. No batches start meanwhile, because
-	// they would take the room that the replicas need.
+	// Draining is set while replicas of drained machines move to other machines. A fill then starts only services,
+	// starved batches and starved gangs, because other batches would take the room that the replicas need.
 	Draining bool
 	Capacity Resources // total resources of the ready machines
 	// MachinesExamined counts the machines examined so far. Limits on the work of a pass use this count rather than
--- a/internal/stateclient/client.go
+++ b/internal/stateclient/client.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// Watch reads the changes of the keys with the prefix since a revision. If there are none, the service waits for a
-// change for at most the duration block; with a duration of 0 it answers at once.
+// Watch reads the changes of the keys with the prefix after a revision, without that revision itself. If there are
+// none, the service waits for a change for at most the duration block; if block is 0, it answers at once.
 func (c *Client) Watch(prefix string, afterRevision uint64, block, timeout time.Duration, done func(protocol.WatchReply, error)) {
 	path := fmt.Sprintf(watchPathFormat, prefix, afterRevision, block.Milliseconds())
 	c.transport.Call(http.MethodGet, path, nil, timeout, apicall.Decoded(operationWatch, done))
--- a/internal/statestore/leader_key_test.go
+++ b/internal/statestore/leader_key_test.go
@@ -53,8 +53,9 @@
 	}
 }
 
-// If the answer to a change was lost, the outcome is determined by reading the leader key back. The change does not
-// count as applied if another leader wrote the key, or if the key or the lease's key does not exist any more.
+// If the answer to a change of the leader key was lost and its retry is rejected, the outcome is determined by reading
+// the leader key back. The leadership ends if another leader wrote the leader key, if the leader key does not exist, or
+// if the retry has a conflict on another key of the change.
 func TestLeaderChangeWithoutAnAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -86,9 +86,12 @@
 }
 
 // onInvalidRequest handles a transaction that the state service rejects as malformed, because a lease has expired
-// or a limit is lower than the settings say. The writes are queued again and sent in smaller transactions. A
-// record is abandoned only if a transaction with this record alone is rejected; the host then refuses the user
-// requests that wait for the record, so that users retry them.
+// onInvalidRequest handles a transaction that the state service rejects as malformed, because a lease has expired
+// or a limit is lower than the settings say. A rejected LeaderChange calls OnRefused. Several writes are queued
+// again and sent in smaller transactions. If a transaction with a single write is rejected, the leadership ends if
+// the transaction also writes the leader key; otherwise the record is abandoned. Host.OnAbandoned then refuses the
+// user requests that wait for a job's record, so that users retry them, and removes the attempts that wait for a
+// machine's record.
 func (w *Writer) onInvalidRequest(t *Transaction) {
 	w.current = nil
 	if t.leaderChange != nil {
--- a/internal/statestore/transaction.go
+++ b/internal/statestore/transaction.go
@@ -57,7 +57,7 @@
 }
 
 // BuildTransaction builds the next transaction from the queued writes, within the limits and the budget. It
-// returns nil if there is no write to send.
+// returns nil if no write needs a request or the budget allows none.
 func (w *Writer) BuildTransaction() *Transaction {
 	now := w.host.Now()
 	t := &Transaction{createdAt: now}
@@ -102,7 +102,7 @@
 	if len(t.writes) >= min(w.limits.MaxChanges-1, w.maxWrites) {
 		return false
 	}
-	// Background writes leave half of the burst to writes that users, tasks or completions wait for.
+	// Writes with PriorityBackground or PriorityCounters leave half of the burst to the more urgent writes.
 	reserve := 0.0
 	if priority >= PriorityBackground {
 		reserve = w.changeBudget.Burst() / 2
--- a/internal/statestore/writer.go
+++ b/internal/statestore/writer.go
@@ -102,8 +102,8 @@
 	OnStored(key string)
 }
 
-// write is a queued write of a record. The record is rendered only when the write is added to a transaction, so
-// that all changes of the record until then are combined in one write.
+// write is a queued write of a record. The record is rendered only when a transaction is built, so that all changes of
+// the record until then are combined in one write.
 type write struct {
 	key      string
 	priority Priority
@@ -134,8 +134,9 @@
 	leaderChange *LeaderChange
 	// needsFence means that a transaction that was not answered may still be in flight.
 	needsFence bool
-	// maxWrites is the maximum number of writes in a transaction. It is lowered when the state service rejects a
-	// transaction as malformed, until the malformed record is isolated.
+	// maxWrites is the maximum number of writes in a transaction. When the state service rejects a transaction as
+	// malformed, it is lowered to half the number of writes of that transaction. It is doubled when a transaction
+	// has applied, and reset to unlimitedWrites once the malformed record is isolated.
 	maxWrites int
 	// latencies are the times, in milliseconds, until transactions were known to have applied.
 	latencies *hdrhistogram.Histogram
@@ -165,9 +166,10 @@
 // Latencies returns the histogram of the transactions' latencies in milliseconds. The caller may reset it.
 func (w *Writer) Latencies() *hdrhistogram.Histogram { return w.latencies }
 
-// QueueWrite queues a write of the record of a key. render is called when the write is added to a transaction and
-// returns the record, or nil to delete the key. onStored is called once the write is durable; it may be nil. If a
-// write of the key is queued already, both are combined in one write with the more urgent priority.
+// QueueWrite queues a write of the record of a key. render is called when a transaction is built, and again if the
+// record has to wait for a later transaction; it returns the record, or nil to delete the key. onStored is called once
+// the write is durable; it may be nil. If a write of the key is queued already, both are combined in one write with the
+// later render function and the more urgent priority.
 func (w *Writer) QueueWrite(key string, priority Priority, render func() any, onStored func()) {
 	pending := w.pending[key]
 	if pending == nil {
