--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -71,8 +71,8 @@
 }
 
 // CounterRow is the stored form of a job's scheduler.ScaleUp. Upper holds InUpperQueue, First InitialEfficiency
-// and Degr Degradation; the other fields have the names that they have there. CounterRow is encoded as an array,
-// so the order of its fields must not change.
+// and Degr Degradation; the other fields have the same names in both types. CounterRow is encoded as an array, so
+// the order of its fields must not change.
 type CounterRow struct {
 	//lint:ignore U1000 msgpack finds the field by reflection
 	_msgpack   struct{} `msgpack:",as_array"`
--- a/internal/config/warnings.go
+++ b/internal/config/warnings.go
@@ -5,10 +5,10 @@
 // Resources of a controller and limits of the services that a fleet needs (docs/CAPACITY.md).
 const (
 	baseMemoryMB         = 20.0  // memory of a process without machines, in MiB
-	memoryMBPerMachine   = 0.047 // memory of the leader per machine, in MiB: 272 to 287 MB at 5,500 with ten tasks each
+	memoryMBPerMachine   = 0.047 // MiB of the leader per machine; 272 to 287 MB at 5,500 machines with ten tasks each
 	machinesPerCore      = 7500  // 0.73 of a core at 5,500 machines
 	machinesPerWriteRPS  = 20    // per change per second; with more machines, part of a burst of starts is answered 503
-	maxFleetWriteLeases  = 1.25  // workers' leases that one change per machine may take; 1.01 caused no problem
+	maxFleetWriteLeases  = 1.25  // workers' leases for one change per machine; 1.01 caused no problem in an upgrade
 	machinesPerListPage  = 500   // per page of the cloud's list
 	maxClientSocketShare = 0.5   // share of the sockets that workers and users may use
 	maxWorkerSocketShare = 0.85  // share of these sockets above which workers' connections are closed after each answer
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -310,8 +310,8 @@
 	return NoCause
 }
 
-// closingObstacle returns the first reason to close an open gate, if any. A controller that sends no messages is not a
-// reason: if it restarts with an older program, its messages will be one.
+// closingObstacle returns the first reason to close an open gate, if any. A controller that sends no messages does not
+// close the gate. If it restarts with an older program, the messages of that program do.
 func (g *Gate) closingObstacle(now time.Duration) Obstacle {
 	if cause := g.blockingCause(g.settings.Self, &g.settings.OwnStatement); cause != NoCause {
 		return Obstacle{g.settings.Self, cause}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -24,7 +24,7 @@
 //
 //	from            event                                               to
 //	alive           failed probe, and no indirect ack                   suspect
-//	suspect         ack, direct or indirect, of a request sent since    alive
+//	suspect         direct or indirect ack of a later request           alive
 //	suspect         later incarnation: refutation, or a new process     alive
 //	suspect         suspicion timed out                                 dead
 //	alive, suspect  the member claims that it leaves                    left
--- a/internal/protocol/job_spec.go
+++ b/internal/protocol/job_spec.go
@@ -36,7 +36,7 @@
 	// Zone is the only zone that the tasks may run in; empty: any zone.
 	Zone    string `msgpack:"z,omitempty"`
 	OneZone bool   `msgpack:"tz,omitempty"` // all tasks run in the same zone
-	Spread  bool   `msgpack:"sp,omitempty"` // no zone has more than half of the tasks
+	Spread  bool   `msgpack:"sp,omitempty"` // no zone has more than half of the tasks, rounded up
 	Spot    bool   `msgpack:"bo,omitempty"` // spot machines may be used
 	// EstimateS is the owner's estimate of a task's run time, in seconds.
 	EstimateS float64 `msgpack:"e,omitempty"`
--- a/internal/scheduler/fill.go
+++ b/internal/scheduler/fill.go
@@ -162,7 +162,7 @@
 		return j.Assigned < j.Slots && (!j.InUpperQueue || upperShare <= s.UpperQueueCap || j.Assigned == 0)
 	case interruptedTasks:
 		// Interrupted tasks were placed by rank before and resume ahead of new tasks. Large jobs have the most attained
-		// service: by rank, each of their interrupted tasks waited until a new machine had booted.
+		// service and rank last: placed by rank, each of their interrupted tasks waited until a new machine had booted.
 		return j.Interrupted > 0
 	case spareResources:
 		return true
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -288,8 +288,8 @@
 	return class
 }
 
-// isInfeasible reports whether a recorded infeasible request shows that no machine of the pool has room for the
-// request.
+// isInfeasible reports whether a recorded infeasible request is at most the given one, so that no machine of the pool
+// has room for the given request either.
 func (p *poolIndex) isInfeasible(request Resources, rule coreRule) bool {
 	return slices.ContainsFunc(p.infeasible[rule], func(recorded Resources) bool { return recorded.isAtMost(request) })
 }
--- a/internal/scheduler/oracle_test.go
+++ b/internal/scheduler/oracle_test.go
@@ -435,7 +435,7 @@
 type oracleCandidate struct {
 	machine  *Machine
 	score    float64
-	position int // in the oracle's list; among equal scores the lowest wins
+	position int // increases in the order of the oracle's list; among equal scores the lowest wins
 }
 
 // oracleMachineSelector selects machines for the tasks of a job, one after the other.
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// If a round reaches the bound on its work, the next round continues with the remaining jobs: it skips the jobs for
-// which no preemption was found until all jobs have been examined.
+// If a round reaches the bound on its work, the next round continues with the remaining jobs: jobs for which no
+// preemption was found are skipped until a round ends without reaching the bound.
 func TestBoundedRoundContinuesInNextRound(t *testing.T) {
 	build := func() *Snapshot {
 		var ms []*Machine
--- a/internal/statestore/outcome.go
+++ b/internal/statestore/outcome.go
@@ -85,7 +85,6 @@
 	t.retryAt = w.host.Now() + w.host.RetryPause()
 }
 
-// onInvalidRequest handles a transaction that the state service rejects as malformed, because a lease has expired
 // onInvalidRequest handles a transaction that the state service rejects as malformed, because a lease has expired
 // or a limit is lower than the settings say. A rejected LeaderChange calls OnRefused. Several writes are queued
 // again and sent in smaller transactions. If a transaction with a single write is rejected, the leadership ends if
