--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -26,7 +26,7 @@
 // JobRecord is the stored form of a job. It is stored under the names in the tags. The writer, however, measures
 // a record by its JSON encoding with the Go field names, so renaming a field changes which records fit the limit.
 type JobRecord struct {
-	// State is empty, Cancelling, protocol.Done or protocol.Cancelled.
+	// State is empty, Cancelling, protocol.JobDone or protocol.JobCancelled.
 	State protocol.JobState `msgpack:"s,omitempty"`
 	// Tasks is the number of tasks of a job that is done.
 	Tasks int `msgpack:"n,omitempty"`
@@ -71,8 +71,8 @@
 }
 
 // CounterRow is the stored form of a job's scheduler.ScaleUp. Upper holds InUpperQueue, First InitialEfficiency
-// and Degr Degradation; the other fields have the names that they have there. CounterRow is encoded as an array,
-// so the order of its fields must not change.
+// and Degr Degradation; the other fields have the same names in both types. CounterRow is encoded as an array, so
+// the order of its fields must not change.
 type CounterRow struct {
 	//lint:ignore U1000 msgpack finds the field by reflection
 	_msgpack   struct{} `msgpack:",as_array"`
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -15,8 +15,8 @@
 // At a failover the new leader reads these records and then the completion journal, and adds their contents to
 // an empty State. All other state (agents, failures, image caches) is reset.
 //
-// Times are durations on the leader's clock (Controller.now), which starts at zero in each process, unless the
-// comment says that they are in ms since the epoch.
+// Times are durations on the leader's monotonic clock, which starts at zero in each process, unless the comment of
+// a field says that they are in ms since the epoch.
 package clusterstate
 
 import (
@@ -68,7 +68,7 @@
 		j.Gang.add(a)
 	}
 	if quota := s.Quotas[j.Spec.Team]; quota != nil {
-		quota.Used = quota.Used.Plus(j.Need)
+		quota.Used = quota.Used.Plus(j.Request)
 	}
 	return a
 }
@@ -88,7 +88,7 @@
 		j.Gang.remove(a)
 	}
 	if quota := s.Quotas[j.Spec.Team]; quota != nil {
-		quota.Used = quota.Used.Minus(j.Need)
+		quota.Used = quota.Used.Minus(j.Request)
 	}
 }
 
--- a/internal/membership/settings.go
+++ b/internal/membership/settings.go
@@ -7,15 +7,15 @@
 type Settings struct {
 	Self  string   // label of this controller
 	Peers []string // labels of the other controllers
-	// ProbeInterval is the time between two probes of a peer.
+	// ProbeInterval is the time between two rounds of probes, see maxProbesPerRound.
 	ProbeInterval time.Duration
 	// ProbeTimeout is how long a direct ack may take before helpers are asked to probe the peer. Indirect
 	// acks may take indirectTimeoutFactor times as long.
 	ProbeTimeout time.Duration
 	// SuspicionTimeout is the time after which a suspect is declared dead if enough members confirm the
-	// suspicion. Without any confirmation, the time is SuspicionFactor times as long.
-	SuspicionTimeout time.Duration
-	SuspicionFactor  float64
+	// suspicion. Without any confirmation, the time is UnconfirmedSuspicionFactor times as long.
+	SuspicionTimeout           time.Duration
+	UnconfirmedSuspicionFactor float64
 	// RejoinDelay is how long a member that was dead or left must be alive again before it serves machines.
 	RejoinDelay time.Duration
 	// PauseThreshold is the gap between two events beyond which this process counts as having been paused.
--- a/internal/scheduler/machine_index.go
+++ b/internal/scheduler/machine_index.go
@@ -9,7 +9,7 @@
 // machineIndex keeps the machines with free resources sorted by the properties that determine a task's score, so that
 // the best machine for a task is found without scoring all others. Machines that differ only in their free cores,
 // memory and IDs share a bucket. Within a bucket, the score of a task rises with the number of free cores or is
-// constant.
+// constant, except that blocksAcceleratorsScore is added below the number of cores that free accelerators need.
 //
 // update must be called after each change of a machine and before the next search. An update and a search take time
 // logarithmic in the number of machines.
@@ -288,25 +288,26 @@
 	return class
 }
 
-// isInfeasible reports whether a recorded infeasible request shows that no machine of the pool has room for the need.
-func (p *poolIndex) isInfeasible(need Resources, rule coreRule) bool {
-	return slices.ContainsFunc(p.infeasible[rule], func(recorded Resources) bool { return recorded.isAtMost(need) })
+// isInfeasible reports whether a recorded infeasible request is at most the given one, so that no machine of the pool
+// has room for the given request either.
+func (p *poolIndex) isInfeasible(request Resources, rule coreRule) bool {
+	return slices.ContainsFunc(p.infeasible[rule], func(recorded Resources) bool { return recorded.isAtMost(request) })
 }
 
 // maxInfeasible bounds the length of a list of infeasible requests. A short list is enough, because most jobs of a
 // class have the same request.
 const maxInfeasible = 16
 
-// recordInfeasible records a need for which no machine of the pool has room. It replaces recorded larger needs.
-func (p *poolIndex) recordInfeasible(need Resources, rule coreRule) {
+// recordInfeasible records a request for which no machine of the pool has room. It replaces recorded larger requests.
+func (p *poolIndex) recordInfeasible(request Resources, rule coreRule) {
 	retained := p.infeasible[rule][:0]
 	for _, recorded := range p.infeasible[rule] {
-		if !need.isAtMost(recorded) {
+		if !request.isAtMost(recorded) {
 			retained = append(retained, recorded)
 		}
 	}
 	if len(retained) >= maxInfeasible {
 		retained = retained[1:]
 	}
-	p.infeasible[rule] = append(retained, need)
+	p.infeasible[rule] = append(retained, request)
 }
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// If a round reaches the bound on its work, the next round continues with the remaining jobs: it skips the jobs for
-// which no preemption was found until all jobs have been examined.
+// If a round reaches the bound on its work, the next round continues with the remaining jobs: jobs for which no
+// preemption was found are skipped until a round ends without reaching the bound.
 func TestBoundedRoundContinuesInNextRound(t *testing.T) {
 	build := func() *Snapshot {
 		var ms []*Machine
@@ -149,7 +149,7 @@
 			m.Running = []RunningTask{{Job: low, Index: i, RunningS: 10}}
 		}
 		s.Jobs = append(s.Jobs, low)
-		// Each job is too large to be placed, and has its own team so that no recorded infeasible need applies to it.
+		// Each job is too large to be placed, and has its own team so that no recorded infeasible request applies to it.
 		for i := range 250 {
 			team := fmt.Sprint("team-", i)
 			s.Quotas[team] = &Quota{}
